--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -119,7 +119,7 @@
         account.allowance = allowance
         account.share = share
 
-    def forget(self, organisation: str) -> None:
+    def remove_organisation(self, organisation: str) -> None:
         """Drop an organisation that the manifest no longer names."""
         self._by_organisation.pop(organisation, None)
 
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -119,7 +119,7 @@
         """Drop an organisation that has not been seen for a while."""
         with self._lock:
             self._configured.pop(organisation.name, None)
-            self._admission.forget(organisation.name)
+            self._admission.remove_organisation(organisation.name)
 
     def not_run(self, request: CallerRequest, predicted: float) -> None:
         """Settle an admitted request that took no work of a server."""
