--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -142,7 +142,7 @@
         account.in_flight += 1
         return Admit(work)
 
-    def finish(
+    def settle(
         self, organisation: str, predicted: float, actual: float, now: float
     ) -> None:
         """Settle an admitted request: charge the work it took, not the predicted."""
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -125,7 +125,7 @@
         """Settle an admitted request that took no work of a server."""
         name = request.organisation.name
         with self._lock:
-            self._admission.finish(name, predicted, 0.0, monotonic())
+            self._admission.settle(name, predicted, 0.0, monotonic())
 
     def ran(
         self, request: CallerRequest, predicted: float, tokens: int, *, whole: bool
@@ -137,7 +137,7 @@
         name = request.organisation.name
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
         with self._lock:
-            self._admission.finish(name, predicted, prompt + tokens, monotonic())
+            self._admission.settle(name, predicted, prompt + tokens, monotonic())
             if whole:
                 self._predictor.learn(name, request.route.path, prompt, tokens)
                 self._suspects.cleared(request.fingerprint)
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -87,7 +87,7 @@
     def decide() -> None:
         now = next(ticks) / 10
         admission.admit("o", 100.0, now)
-        admission.finish("o", 100.0, 90.0, now)
+        admission.settle("o", 100.0, 90.0, now)
 
     return decide
 
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -139,7 +139,7 @@
     ) -> None:
         refused = self.queue.push(waiting, now)
         if isinstance(refused, Refuse):
-            self.admission.finish(request.organisation, waiting.work, 0.0, now)
+            self.admission.settle(request.organisation, waiting.work, 0.0, now)
             self.refuse(request, refused, now)
             return
         self.pending[waiting.request_id] = (request, avoid)
@@ -157,7 +157,7 @@
         """Place what waits while there is room."""
         for late in self.queue.expired(now):
             request, _ = self.pending.pop(late.request_id)
-            self.admission.finish(request.organisation, late.work, 0.0, now)
+            self.admission.settle(request.organisation, late.work, 0.0, now)
             request.end = "expired"
             request.refused_after_s = now - request.at
         if not self.changed or self.queue.peek(now) is None:
@@ -215,7 +215,7 @@
             request.answer,
             body_bytes=request.prompt * BYTES_PER_TOKEN,
         )
-        self.admission.finish(
+        self.admission.settle(
             request.organisation, attempt.waiting.work, request.work, now
         )
 
@@ -228,7 +228,7 @@
             again = attempt.waiting._replace(queued_at=now)
             self._push(request, again, avoid, now)
             return
-        self.admission.finish(request.organisation, attempt.waiting.work, 0.0, now)
+        self.admission.settle(request.organisation, attempt.waiting.work, 0.0, now)
         request.end = "failed"
 
     def hear(self, server: Server, report: Report) -> None:
