--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -86,7 +86,7 @@
             self.tokens = min(full, self.tokens + elapsed_s * self.rate)
 
 
-class Admission:
+class AdmissionController:
     """Holds every organisation to its allowance at one entry.
 
     Load: one organisation floods while others send their usual traffic. Harm prevented:
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.admission import Admission
+from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.admission import Refuse
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retries import RetryBudget
@@ -44,7 +44,7 @@
 
     def __init__(self, share_of: Callable[[Organisation], float]) -> None:
         self._share_of = share_of
-        self._admission = Admission()
+        self._admission = AdmissionController()
         self._predictor = WorkPredictor()
         self._suspects = Suspects()
         self._budgets_by_group: dict[str, RetryBudget] = {}
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -8,7 +8,7 @@
 from time import process_time
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.admission import Admission
+from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.group_health import GroupHealth
@@ -80,7 +80,7 @@
 
 
 def _admission() -> Callable[[], object]:
-    admission = Admission()
+    admission = AdmissionController()
     admission.configure("o", Allowance(), 0.5)
     ticks = iter(range(10**9))
 
@@ -167,7 +167,7 @@
 
 def _admission_bytes(count: int) -> int:
     def build() -> object:
-        admission = Admission()
+        admission = AdmissionController()
         allowance = Allowance()
         for number in range(count):
             name = f"organisation-{number}"
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.admission import Admission
+from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.admission import Refuse
 from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
@@ -91,7 +91,7 @@
         self.name = name
         self.data_centre = data_centre
         self.model = model
-        self.admission = Admission()
+        self.admission = AdmissionController()
         self.queue = FairQueue(model.setup.queue_limit)
         if not model.setup.queue:
             self.queue = PlainQueue()  # type: ignore[assignment]
