--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -27,7 +27,7 @@
 _DEFAULT_HOLD_S = 1.0
 
 
-class Admit(NamedTuple):
+class AdmissionGrant(NamedTuple):
     """The request may go on; ``work`` was charged (tokens)."""
 
     work: float
@@ -123,7 +123,9 @@
         """Drop an organisation that the manifest no longer names."""
         self._by_organisation.pop(organisation, None)
 
-    def admit(self, organisation: str, work: float, now: float) -> Admit | Refuse:
+    def admit(
+        self, organisation: str, work: float, now: float
+    ) -> AdmissionGrant | Refuse:
         """Decide on a request of ``work`` predicted tokens."""
         account = self._by_organisation.get(organisation)
         if account is None:
@@ -140,7 +142,7 @@
             return _refuse(account, "work", detail, wait_s, now)
         account.tokens -= work
         account.in_flight += 1
-        return Admit(work)
+        return AdmissionGrant(work)
 
     def settle(
         self, organisation: str, predicted: float, actual: float, now: float
