--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -33,7 +33,7 @@
     work: float
 
 
-class Refuse(NamedTuple):
+class LimitRefusal(NamedTuple):
     """The request was not run: ``limit`` names the bound, ``detail`` tells why."""
 
     limit: str
@@ -125,11 +125,13 @@
 
     def admit(
         self, organisation: str, work: float, now: float
-    ) -> AdmissionGrant | Refuse:
+    ) -> AdmissionGrant | LimitRefusal:
         """Decide on a request of ``work`` predicted tokens."""
         account = self._by_organisation.get(organisation)
         if account is None:
-            return Refuse("organisation", "the organisation has no allowance", 0.0)
+            return LimitRefusal(
+                "organisation", "the organisation has no allowance", 0.0
+            )
         account.refill(now)
         account.demand.add(work, now)
         if account.in_flight >= account.concurrency:
@@ -174,7 +176,7 @@
 
 def _refuse(
     account: _Account, limit: str, detail: str, wait_s: float, now: float
-) -> Refuse:
+) -> LimitRefusal:
     """Refuse with a time of its own for every caller to come back.
 
     Load: hundreds of requests refused in one second. Harm prevented: told the same time
@@ -187,4 +189,4 @@
         earliest = now + debt_s
     account.next_free_at = earliest + wait_s
     after_s = min(MAX_RETRY_AFTER_S, account.next_free_at - now)
-    return Refuse(limit, detail, max(MIN_RETRY_AFTER_S, after_s))
+    return LimitRefusal(limit, detail, max(MIN_RETRY_AFTER_S, after_s))
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.decisions.admission import MAX_RETRY_AFTER_S
 from kingcupwheel.decisions.admission import MIN_RETRY_AFTER_S
-from kingcupwheel.decisions.admission import Refuse
+from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.drain import DrainRate
 from kingcupwheel.decisions.hashing import stable_fraction
 
@@ -123,7 +123,7 @@
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
-    def push(self, waiting: Waiting, now: float) -> Queued | Refuse:
+    def push(self, waiting: Waiting, now: float) -> Queued | LimitRefusal:
         """Queue a request, or refuse it at once with a time to come back."""
         ahead = len(self)
         key = (waiting.organisation, waiting.priority)
@@ -252,7 +252,7 @@
 
     def _refuse(
         self, limit: str, detail: str, wait_s: float, waiting: Waiting, now: float
-    ) -> Refuse:
+    ) -> LimitRefusal:
         """Refuse with a time to come back at which there may be room.
 
         Load: hundreds of requests refused, for a second or for a minute. Harm
@@ -265,4 +265,4 @@
         base_s = min(max(MIN_RETRY_AFTER_S, turn_at - now), MAX_RETRY_AFTER_S / 2)
         self._next_return_at = now + base_s + self._drain.seconds(waiting.work, now)
         after_s = base_s * (1.0 + stable_fraction(waiting.request_id))
-        return Refuse(limit, detail, after_s)
+        return LimitRefusal(limit, detail, after_s)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -13,7 +13,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.admission import Refuse
+from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import ALL_TRIED
 from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
@@ -69,7 +69,7 @@
         """How many requests wait."""
         return len(self._tickets_by_request_id)
 
-    def submit(self, wanted: Wanted, ask: Ask) -> Ticket | Refuse:
+    def submit(self, wanted: Wanted, ask: Ask) -> Ticket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
         waiting = Waiting(
@@ -98,17 +98,17 @@
         with self._lock:
             return wanted.first_by - self._first_byte.bound_s(wanted.size, monotonic())
 
-    def _enqueue(self, ticket: Ticket, now: float) -> Refuse | None:
+    def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
         if ticket.ask.suspect or ticket.ask.avoid:
             if len(self._aside) >= _MAX_ASIDE:
-                return Refuse("retries-full", "Too many retries wait.", 1.0)
+                return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
             return None
         match self._queue.push(ticket.waiting, now):
             case Queued(ahead):
                 ticket.waiting_ahead = ahead
                 return None
-            case Refuse() as refused:
+            case LimitRefusal() as refused:
                 return refused
 
     def withdraw(self, ticket: Ticket) -> None:
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.admission import AdmissionController
-from kingcupwheel.decisions.admission import Refuse
+from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retries import RetryBudget
 from kingcupwheel.decisions.suspects import Quarantined
@@ -79,7 +79,7 @@
                 request.max_tokens,
             )
             decision = self._admission.admit(organisation.name, work, now)
-            if isinstance(decision, Refuse):
+            if isinstance(decision, LimitRefusal):
                 message = f"The organisation's allowance is used up: {decision.detail}"
                 return Refusal(429, decision.limit, message, decision.retry_after_s)
             self._budget(request.group.name).first(now)
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.admission import AdmissionController
-from kingcupwheel.decisions.admission import Refuse
+from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import Placed
@@ -119,7 +119,7 @@
         )
         if self.model.setup.admission:
             decision = self.admission.admit(request.organisation, work, now)
-            if isinstance(decision, Refuse):
+            if isinstance(decision, LimitRefusal):
                 self.refuse(request, decision, now)
                 return
         waiting = Waiting(
@@ -138,7 +138,7 @@
         self, request: Request, waiting: Waiting, avoid: frozenset[str], now: float
     ) -> None:
         refused = self.queue.push(waiting, now)
-        if isinstance(refused, Refuse):
+        if isinstance(refused, LimitRefusal):
             self.admission.settle(request.organisation, waiting.work, 0.0, now)
             self.refuse(request, refused, now)
             return
@@ -146,7 +146,7 @@
         self.changed = True
         self.pump(now)
 
-    def refuse(self, request: Request, refused: Refuse, now: float) -> None:
+    def refuse(self, request: Request, refused: LimitRefusal, now: float) -> None:
         """Give a call up; its caller may come back when told."""
         request.end = "refused"
         request.refused_after_s = now - request.at
