--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -60,7 +60,7 @@
         self.allowance = allowance
         self.share = share
         self.tokens = allowance.burst * share
-        self.at: float | None = None
+        self.refilled_at: float | None = None
         self.in_flight = 0
         self.demand = DecayingSum(DEMAND_S)
         self.finish_gap_s = _DEFAULT_HOLD_S
@@ -79,8 +79,10 @@
         return max(1, int(self.allowance.concurrency * self.share))
 
     def refill(self, now: float) -> None:
-        elapsed_s = 0.0 if self.at is None else max(0.0, now - self.at)
-        self.at = now
+        elapsed_s = (
+            0.0 if self.refilled_at is None else max(0.0, now - self.refilled_at)
+        )
+        self.refilled_at = now
         full = self.allowance.burst * self.share
         if self.tokens < full:
             self.tokens = min(full, self.tokens + elapsed_s * self.rate)
