--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -78,7 +78,7 @@
         # allowance by at most one request an entry.
         return max(1, int(self.allowance.concurrency * self.share))
 
-    def refill(self, now: float) -> None:
+    def refill_tokens(self, now: float) -> None:
         elapsed_s = (
             0.0 if self.refilled_at is None else max(0.0, now - self.refilled_at)
         )
@@ -134,7 +134,7 @@
             return LimitRefusal(
                 "organisation", "the organisation has no allowance", 0.0
             )
-        account.refill(now)
+        account.refill_tokens(now)
         account.demand.add(work, now)
         if account.in_flight >= account.concurrency:
             detail = f"{account.in_flight} requests in progress here"
@@ -155,7 +155,7 @@
         account = self._by_organisation.get(organisation)
         if account is None:
             return
-        account.refill(now)
+        account.refill_tokens(now)
         account.in_flight = max(0, account.in_flight - 1)
         account.tokens += predicted - actual
         if account.finished_at is not None:
