--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -14,7 +14,7 @@
 
 # Demand is the mean of so many seconds: long enough to hold several requests of a small
 # organisation, short enough that a share follows a burst before its queue is full.
-DEMAND_S = 5.0
+DEMAND_WINDOW_S = 5.0
 
 # Longest Retry-After: past a minute a forecast of the load is worth little, and callers
 # that come back too early are refused cheaply.
@@ -62,7 +62,7 @@
         self.tokens = allowance.burst * share
         self.refilled_at: float | None = None
         self.in_flight = 0
-        self.demand = DecayingSum(DEMAND_S)
+        self.demand = DecayingSum(DEMAND_WINDOW_S)
         self.finish_gap_s = _DEFAULT_HOLD_S
         self.finished_at: float | None = None
         self.next_free_at = 0.0
