--- a/src/kingcupwheel/decisions/ages.py
+++ b/src/kingcupwheel/decisions/ages.py
@@ -16,7 +16,7 @@
     from kingcupwheel.decisions.candidates import Candidate
 
 
-def relative(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
+def normalize_ages(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
     """Return the candidates with ages as seen beside the rest of the group.
 
     Load: an entry that has just started, or was paused, under the usual load. Failure:
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from kingcupwheel.decisions.ages import relative
+from kingcupwheel.decisions.ages import normalize_ages
 from kingcupwheel.decisions.candidates import ALL_FULL
 from kingcupwheel.decisions.candidates import ALL_REST
 from kingcupwheel.decisions.candidates import ALL_TRIED
@@ -68,7 +68,7 @@
 
 def usable(candidates: Sequence[Candidate], ask: Ask) -> list[Candidate] | NoPlace:
     """Return the servers that may be given ``ask``, or why there are none."""
-    known = relative(candidates)
+    known = normalize_ages(candidates)
     up = [candidate for candidate in known if candidate.state not in GET_NOTHING]
     if not up:
         return _none_up(known, ask)
