--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -20,7 +20,7 @@
 
 
 @placement_policies.register("random")
-class RandomChoice:
+class RandomPolicy:
     """Any server that is in service and not known to be full."""
 
     def place(
