--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -34,7 +34,7 @@
 
 
 @placement_policies.register("round-robin")
-class RoundRobin:
+class RoundRobinPolicy:
     """Each server in its turn."""
 
     def __init__(self) -> None:
