--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -51,7 +51,7 @@
 
 
 @placement_policies.register("least-in-flight")
-class LeastInFlight:
+class LeastInFlightPolicy:
     """The server with the fewest attempts of this entry."""
 
     def place(
