--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -15,7 +15,7 @@
 
 # A slow server is given this part of its capacity. Not nothing: it still answers, and
 # a group that loses every slow server loads the others until they are slow too.
-SLOW_PART = 0.4
+SLOW_CAPACITY_FRACTION = 0.4
 
 # A report older than this is from a server that may be silent; its room counts for less
 # with each further second, so that work drifts away before the link is given up.
@@ -76,7 +76,7 @@
         if self.started_age_s < SLOW_START_S:
             part *= max(_FIRST_PART, self.started_age_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
-            part *= SLOW_PART
+            part *= SLOW_CAPACITY_FRACTION
         if self.heard_age_s > FRESH_S:
             part *= FRESH_S / self.heard_age_s
         return max(1.0, self.capacity * part)
