--- a/src/kingcupwheel/decisions/ages.py
+++ b/src/kingcupwheel/decisions/ages.py
@@ -6,7 +6,7 @@
 from statistics import median
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.candidates import FRESH_S
+from kingcupwheel.decisions.candidates import REPORT_FRESH_S
 from kingcupwheel.decisions.candidates import SLOW_START_S
 
 
@@ -29,9 +29,9 @@
         return candidates
     least_heard_s = min(one.heard_age_s for one in candidates)
     typical_s = median(one.started_age_s for one in candidates)
-    if least_heard_s <= FRESH_S and typical_s >= SLOW_START_S:
+    if least_heard_s <= REPORT_FRESH_S and typical_s >= SLOW_START_S:
         return candidates
-    common_s = max(0.0, least_heard_s - FRESH_S)
+    common_s = max(0.0, least_heard_s - REPORT_FRESH_S)
     stretch = max(1.0, SLOW_START_S / max(typical_s, 1e-3))
     return [
         replace(
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -19,7 +19,7 @@
 
 # A report older than this is from a server that may be silent; its room counts for less
 # with each further second, so that work drifts away before the link is given up.
-FRESH_S = 2.0
+REPORT_FRESH_S = 2.0
 
 
 # A server of another data centre counts as this much fuller, less than one request of
@@ -77,8 +77,8 @@
             part *= max(_FIRST_PART, self.started_age_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
             part *= SLOW_CAPACITY_FRACTION
-        if self.heard_age_s > FRESH_S:
-            part *= FRESH_S / self.heard_age_s
+        if self.heard_age_s > REPORT_FRESH_S:
+            part *= REPORT_FRESH_S / self.heard_age_s
         return max(1.0, self.capacity * part)
 
     @property
