--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -25,7 +25,7 @@
 # A server of another data centre counts as this much fuller, less than one request of
 # 16: it is about a millisecond further, once for each answer, while one more request in
 # a batch costs as much for each of its tokens.
-DISTANCE_LOAD = 0.05
+REMOTE_LOAD_PENALTY = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
     suspect: bool = False
     data_centre: str = ""
     repeatable: bool = True
-    far_load: float = DISTANCE_LOAD
+    far_load: float = REMOTE_LOAD_PENALTY
     near_first: bool = False
 
 
