--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -46,7 +46,7 @@
     running: int = 0
     queued: int = 0
     work: float = 0.0
-    rate: float = 0.0
+    work_per_s: float = 0.0
     own_in_flight: int = 0
     heard_age_s: float = 0.0
     started_age_s: float = 3600.0
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -339,7 +339,7 @@
         running=load.running,
         queued=load.queued,
         work=load.work,
-        rate=load.rate,
+        work_per_s=load.rate,
         own_in_flight=server.own_in_flight,
         heard_age_s=now - server.heard_at,
         started_age_s=now - server.first_heard_at,
