--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -48,7 +48,7 @@
     work: float = 0.0
     work_per_s: float = 0.0
     own_in_flight: int = 0
-    heard_age_s: float = 0.0
+    report_age_s: float = 0.0
     started_age_s: float = 3600.0
     state: ServerState = ServerState.HEALTHY
     own_at_report: int = 0
@@ -77,8 +77,8 @@
             part *= max(_FIRST_PART, self.started_age_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
             part *= SLOW_CAPACITY_FRACTION
-        if self.heard_age_s > REPORT_FRESH_S:
-            part *= REPORT_FRESH_S / self.heard_age_s
+        if self.report_age_s > REPORT_FRESH_S:
+            part *= REPORT_FRESH_S / self.report_age_s
         return max(1.0, self.capacity * part)
 
     @property
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -279,7 +279,7 @@
             report.work,
             report.rate,
             own_in_flight=self._own(server),
-            heard_age_s=now - report.at,
+            report_age_s=now - report.at,
             started_age_s=now - server.started_at,
             state=state,
             own_at_report=self.own_at_report[server.name],
