--- a/src/kingcupwheel/decisions/ages.py
+++ b/src/kingcupwheel/decisions/ages.py
@@ -28,7 +28,7 @@
     if not candidates:
         return candidates
     least_heard_s = min(one.report_age_s for one in candidates)
-    typical_s = median(one.started_age_s for one in candidates)
+    typical_s = median(one.uptime_s for one in candidates)
     if least_heard_s <= REPORT_FRESH_S and typical_s >= SLOW_START_S:
         return candidates
     common_s = max(0.0, least_heard_s - REPORT_FRESH_S)
@@ -37,7 +37,7 @@
         replace(
             one,
             heard_age_s=one.report_age_s - common_s,
-            started_age_s=max(one.started_age_s, 1e-3) * stretch,
+            started_age_s=max(one.uptime_s, 1e-3) * stretch,
         )
         for one in candidates
     ]
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -49,7 +49,7 @@
     work_per_s: float = 0.0
     own_in_flight: int = 0
     report_age_s: float = 0.0
-    started_age_s: float = 3600.0
+    uptime_s: float = 3600.0
     state: ServerState = ServerState.HEALTHY
     own_at_report: int = 0
     suspects_running: int = 0
@@ -73,8 +73,8 @@
     def room(self) -> float:
         """The capacity to count on, less than ``capacity`` when in doubt."""
         part = 1.0
-        if self.started_age_s < SLOW_START_S:
-            part *= max(_FIRST_PART, self.started_age_s / SLOW_START_S)
+        if self.uptime_s < SLOW_START_S:
+            part *= max(_FIRST_PART, self.uptime_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
             part *= SLOW_CAPACITY_FRACTION
         if self.report_age_s > REPORT_FRESH_S:
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -342,7 +342,7 @@
         work_per_s=load.rate,
         own_in_flight=server.own_in_flight,
         report_age_s=now - server.heard_at,
-        started_age_s=now - server.first_heard_at,
+        uptime_s=now - server.first_heard_at,
         own_at_report=server.in_flight_at_beat,
         suspects_running=server.suspects,
     )
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -280,7 +280,7 @@
             report.rate,
             own_in_flight=self._own(server),
             report_age_s=now - report.at,
-            started_age_s=now - server.started_at,
+            uptime_s=now - server.started_at,
             state=state,
             own_at_report=self.own_at_report[server.name],
         )
