--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -51,7 +51,7 @@
     report_age_s: float = 0.0
     uptime_s: float = 3600.0
     state: ServerState = ServerState.HEALTHY
-    own_at_report: int = 0
+    own_in_flight_at_report: int = 0
     suspects_running: int = 0
     rests_until: float = 0.0
 
@@ -65,8 +65,8 @@
         the report is therefore scaled by its part of what the report held.
         """
         reported = self.running + self.queued
-        scale = (reported + 1) / (self.own_at_report + 1)
-        change = (self.own_in_flight - self.own_at_report) * max(1.0, scale)
+        scale = (reported + 1) / (self.own_in_flight_at_report + 1)
+        change = (self.own_in_flight - self.own_in_flight_at_report) * max(1.0, scale)
         return max(reported + change, float(self.own_in_flight))
 
     @property
--- a/src/kingcupwheel/decisions/reports.py
+++ b/src/kingcupwheel/decisions/reports.py
@@ -32,9 +32,9 @@
     of load over own attempts says what a report should be at least.
     """
     scales = [
-        (one.running + one.queued) / one.own_at_report
+        (one.running + one.queued) / one.own_in_flight_at_report
         for one in candidates
-        if one.own_at_report >= _LEAST_OWN
+        if one.own_in_flight_at_report >= _LEAST_OWN
     ]
     if not scales:
         return list(candidates)
@@ -43,9 +43,9 @@
 
 
 def _corrected(candidate: Candidate, scale: float) -> Candidate:
-    if candidate.own_at_report < _LEAST_OWN:
+    if candidate.own_in_flight_at_report < _LEAST_OWN:
         return candidate
-    expected = candidate.own_at_report * scale
+    expected = candidate.own_in_flight_at_report * scale
     if candidate.running + candidate.queued >= expected * _DOUBTED_PART:
         return candidate
     return replace(candidate, running=round(expected), queued=0)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -343,6 +343,6 @@
         own_in_flight=server.own_in_flight,
         report_age_s=now - server.heard_at,
         uptime_s=now - server.first_heard_at,
-        own_at_report=server.in_flight_at_beat,
+        own_in_flight_at_report=server.in_flight_at_beat,
         suspects_running=server.suspects,
     )
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -122,7 +122,7 @@
 
 
 def _placement(prefix: str) -> Callable[[], object]:
-    plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_at_report=1)
+    plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1)
     candidates = [
         replace(plain, name=f"server-{number}", running=4 + number % 8)
         for number in range(CANDIDATES)
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -282,5 +282,5 @@
             report_age_s=now - report.at,
             uptime_s=now - server.started_at,
             state=state,
-            own_at_report=self.own_at_report[server.name],
+            own_in_flight_at_report=self.own_at_report[server.name],
         )
