--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -52,7 +52,7 @@
     uptime_s: float = 3600.0
     state: ServerState = ServerState.HEALTHY
     own_in_flight_at_report: int = 0
-    suspects_running: int = 0
+    running_suspects: int = 0
     rests_until: float = 0.0
 
     @property
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -82,7 +82,7 @@
         return untried
     # Failure: two suspects on one server, which dies. Symptom: the innocent one is
     # blamed twice. Apart, the second death leaves a single cause.
-    alone = [candidate for candidate in untried if not candidate.suspects_running]
+    alone = [candidate for candidate in untried if not candidate.running_suspects]
     return alone or SUSPECT_WAITS
 
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -344,5 +344,5 @@
         report_age_s=now - server.heard_at,
         uptime_s=now - server.first_heard_at,
         own_in_flight_at_report=server.in_flight_at_beat,
-        suspects_running=server.suspects,
+        running_suspects=server.suspects,
     )
