--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -53,7 +53,7 @@
     state: ServerState = ServerState.HEALTHY
     own_in_flight_at_report: int = 0
     running_suspects: int = 0
-    rests_until: float = 0.0
+    backoff_until: float = 0.0
 
     @property
     def held(self) -> float:
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -127,7 +127,7 @@
 
 
 def _first_over(rests: Sequence[Candidate]) -> float:
-    return min(one.rests_until for one in rests)
+    return min(one.backoff_until for one in rests)
 
 
 @placement_policies.register("two-choices")
