--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -56,7 +56,7 @@
     backoff_until: float = 0.0
 
     @property
-    def held(self) -> float:
+    def estimated_in_flight(self) -> float:
         """Attempts on the server now, as far as the entry can know.
 
         Load: several entries hand over to a server between two of its reports. Harm
@@ -84,12 +84,12 @@
     @property
     def load(self) -> float:
         """Attempts held per place to count on; 1 is full."""
-        return self.held / self.room
+        return self.estimated_in_flight / self.room
 
     @property
     def load_after(self) -> float:
         """The load with one more attempt, which tells idle servers of unequal room."""
-        return (self.held + 1) / self.room
+        return (self.estimated_in_flight + 1) / self.room
 
     @property
     def is_full(self) -> bool:
@@ -99,7 +99,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether the server holds no attempt, as far as the entry can know."""
-        return self.held <= 0.0
+        return self.estimated_in_flight <= 0.0
 
 
 class Ask(NamedTuple):
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -283,7 +283,12 @@
             if (state := self._kept_from(server, now)) is not None
         }
         loads = [
-            ServerLoad(one.name, one.held, one.capacity, one.name not in kept_from)
+            ServerLoad(
+                one.name,
+                one.estimated_in_flight,
+                one.capacity,
+                one.name not in kept_from,
+            )
             for one in plain
         ]
         state_by_name = self._health.states(loads, now)
