--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -70,7 +70,7 @@
         return max(reported + change, float(self.own_in_flight))
 
     @property
-    def room(self) -> float:
+    def effective_capacity(self) -> float:
         """The capacity to count on, less than ``capacity`` when in doubt."""
         part = 1.0
         if self.uptime_s < SLOW_START_S:
@@ -84,12 +84,12 @@
     @property
     def load(self) -> float:
         """Attempts held per place to count on; 1 is full."""
-        return self.estimated_in_flight / self.room
+        return self.estimated_in_flight / self.effective_capacity
 
     @property
     def load_after(self) -> float:
         """The load with one more attempt, which tells idle servers of unequal room."""
-        return (self.estimated_in_flight + 1) / self.room
+        return (self.estimated_in_flight + 1) / self.effective_capacity
 
     @property
     def is_full(self) -> bool:
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -206,7 +206,9 @@
 
 
 def _draw_one(servers: Sequence[Candidate], draw: Random) -> Candidate:
-    return draw.choices(servers, [candidate.room for candidate in servers])[0]
+    return draw.choices(
+        servers, [candidate.effective_capacity for candidate in servers]
+    )[0]
 
 
 def _cost(candidate: Candidate, ask: Ask) -> float:
