--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -87,7 +87,7 @@
         return self.estimated_in_flight / self.effective_capacity
 
     @property
-    def load_after(self) -> float:
+    def load_with_next(self) -> float:
         """The load with one more attempt, which tells idle servers of unequal room."""
         return (self.estimated_in_flight + 1) / self.effective_capacity
 
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -212,7 +212,7 @@
 
 
 def _cost(candidate: Candidate, ask: Ask) -> float:
-    cost = candidate.load_after
+    cost = candidate.load_with_next
     if candidate.data_centre != ask.data_centre:
         cost += ask.far_load
     if candidate.state is ServerState.FAILING:
