--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -114,7 +114,7 @@
 
     prefix_key: str = ""
     work: float = 0.0
-    avoid: frozenset[str] = frozenset()
+    excluded_servers: frozenset[str] = frozenset()
     suspect: bool = False
     data_centre: str = ""
     repeatable: bool = True
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -75,7 +75,11 @@
     with_room = [candidate for candidate in up if not candidate.is_full]
     if not with_room:
         return _none_with_room(known, ask)
-    untried = [candidate for candidate in with_room if candidate.name not in ask.avoid]
+    untried = [
+        candidate
+        for candidate in with_room
+        if candidate.name not in ask.excluded_servers
+    ]
     if not untried:
         return _none_untried(known, up, ask)
     if not ask.suspect:
@@ -92,10 +96,10 @@
     rests = [one for one in waited_for if one.state is ServerState.RESTING]
     if not rests or len(rests) < len(waited_for):
         return NO_SERVERS
-    untried = [one for one in rests if one.name not in ask.avoid]
+    untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
         return ALL_TRIED._replace(rest_over_at=_first_over(rests))
-    reason = UNTRIED_REST if ask.avoid else ALL_REST
+    reason = UNTRIED_REST if ask.excluded_servers else ALL_REST
     return reason._replace(rest_over_at=_first_over(untried))
 
 
@@ -104,7 +108,7 @@
     waited_for = [
         one
         for one in known
-        if one.state is not ServerState.LEAVING and one.name not in ask.avoid
+        if one.state is not ServerState.LEAVING and one.name not in ask.excluded_servers
     ]
     if waited_for and all(one.state is ServerState.RESTING for one in waited_for):
         return UNTRIED_REST._replace(rest_over_at=_first_over(waited_for))
@@ -114,12 +118,12 @@
 def _none_untried(
     known: Sequence[Candidate], up: Sequence[Candidate], ask: Ask
 ) -> NoPlace:
-    if not ask.avoid.issuperset(_names(up)):
+    if not ask.excluded_servers.issuperset(_names(up)):
         return UNTRIED_FULL
     rests = [
         one
         for one in known
-        if one.state is ServerState.RESTING and one.name not in ask.avoid
+        if one.state is ServerState.RESTING and one.name not in ask.excluded_servers
     ]
     if not rests:
         return ALL_TRIED
@@ -152,7 +156,7 @@
             return Placed(draw.choice(probed).name, "probe of an ejected server")
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
-            return UNTRIED_FULL if ask.avoid or ask.suspect else ALL_FULL
+            return UNTRIED_FULL if ask.excluded_servers or ask.suspect else ALL_FULL
         home = self._home(proven, ask)
         if home is not None:
             return Placed(home.name, "home of the prefix", _weigh([home]))
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -73,7 +73,7 @@
         ask = Ask(
             prefix_key=request.prefix_key,
             work=self._plan.work,
-            avoid=self._avoid,
+            excluded_servers=self._avoid,
             suspect=self._plan.suspect,
             data_centre=self._context.settings.data_centre,
             repeatable=request.route.repeatable,
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -99,7 +99,7 @@
             return wanted.first_by - self._first_byte.bound_s(wanted.size, monotonic())
 
     def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
-        if ticket.ask.suspect or ticket.ask.avoid:
+        if ticket.ask.suspect or ticket.ask.excluded_servers:
             if len(self._aside) >= _MAX_ASIDE:
                 return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
@@ -162,7 +162,9 @@
         """
         now = monotonic()
         with self._lock, self._servers.lock:
-            found = usable(self._candidates(self._heard(), now), Ask(avoid=avoid))
+            found = usable(
+                self._candidates(self._heard(), now), Ask(excluded_servers=avoid)
+            )
         if not isinstance(found, NoPlace) or found.rest_over_at is None:
             return 0.0
         return max(0.0, found.rest_over_at - now)
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -56,7 +56,7 @@
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = Ask(
         work=request.work,
-        avoid=tried.servers,
+        excluded_servers=tried.servers,
         suspect=tried.suspect,
         data_centre=tried.data_centre,
         repeatable=request.route.may_rerun,
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -169,7 +169,7 @@
             ask = Ask(
                 prefix_key=request.prefix,
                 work=waiting.work,
-                avoid=avoid,
+                excluded_servers=avoid,
                 data_centre=self.data_centre,
             )
             placed = self.policy.place(
