--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -115,7 +115,7 @@
     prefix_key: str = ""
     work: float = 0.0
     excluded_servers: frozenset[str] = frozenset()
-    suspect: bool = False
+    is_suspect: bool = False
     data_centre: str = ""
     repeatable: bool = True
     far_load: float = REMOTE_LOAD_PENALTY
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -82,7 +82,7 @@
     ]
     if not untried:
         return _none_untried(known, up, ask)
-    if not ask.suspect:
+    if not ask.is_suspect:
         return untried
     # Failure: two suspects on one server, which dies. Symptom: the innocent one is
     # blamed twice. Apart, the second death leaves a single cause.
@@ -156,7 +156,7 @@
             return Placed(draw.choice(probed).name, "probe of an ejected server")
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
-            return UNTRIED_FULL if ask.excluded_servers or ask.suspect else ALL_FULL
+            return UNTRIED_FULL if ask.excluded_servers or ask.is_suspect else ALL_FULL
         home = self._home(proven, ask)
         if home is not None:
             return Placed(home.name, "home of the prefix", _weigh([home]))
@@ -173,7 +173,7 @@
         Load: many requests that begin alike. Harm prevented: without the bound the home
         of a popular prefix is overrun while others idle.
         """
-        if not ask.prefix_key or ask.suspect:
+        if not ask.prefix_key or ask.is_suspect:
             return None
         sound = [one for one in proven if one.state is not ServerState.FAILING]
         if not sound:
@@ -197,7 +197,7 @@
 
 def _probes(ask: Ask, draw: Random) -> bool:
     # A probe may fail; only what may be run again is risked.
-    return ask.repeatable and not ask.suspect and draw.random() < PROBE_SHARE
+    return ask.repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
 
 
 def _draw(proven: Sequence[Candidate], ask: Ask, draw: Random) -> list[Candidate]:
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -74,7 +74,7 @@
             prefix_key=request.prefix_key,
             work=self._plan.work,
             excluded_servers=self._avoid,
-            suspect=self._plan.suspect,
+            is_suspect=self._plan.suspect,
             data_centre=self._context.settings.data_centre,
             repeatable=request.route.repeatable,
         )
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -99,7 +99,7 @@
             return wanted.first_by - self._first_byte.bound_s(wanted.size, monotonic())
 
     def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
-        if ticket.ask.suspect or ticket.ask.excluded_servers:
+        if ticket.ask.is_suspect or ticket.ask.excluded_servers:
             if len(self._aside) >= _MAX_ASIDE:
                 return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
@@ -324,7 +324,7 @@
 def _take(server: Server, decision: Placed, ticket: Ticket, now: float) -> Place:
     beat = server.known_beat
     server.in_flight += 1
-    server.suspects += ticket.ask.suspect
+    server.suspects += ticket.ask.is_suspect
     return Place(
         server=server.name,
         address=server.instance.address,
@@ -333,7 +333,7 @@
         decision=decision,
         waited_s=now - ticket.waiting.queued_at,
         work=ticket.waiting.work,
-        suspect=ticket.ask.suspect,
+        suspect=ticket.ask.is_suspect,
     )
 
 
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -57,7 +57,7 @@
     ask = Ask(
         work=request.work,
         excluded_servers=tried.servers,
-        suspect=tried.suspect,
+        is_suspect=tried.suspect,
         data_centre=tried.data_centre,
         repeatable=request.route.may_rerun,
         far_load=FAR_LOAD,
