--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -117,7 +117,7 @@
     excluded_servers: frozenset[str] = frozenset()
     is_suspect: bool = False
     data_centre: str = ""
-    repeatable: bool = True
+    is_repeatable: bool = True
     far_load: float = REMOTE_LOAD_PENALTY
     near_first: bool = False
 
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -197,7 +197,7 @@
 
 def _probes(ask: Ask, draw: Random) -> bool:
     # A probe may fail; only what may be run again is risked.
-    return ask.repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
+    return ask.is_repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
 
 
 def _draw(proven: Sequence[Candidate], ask: Ask, draw: Random) -> list[Candidate]:
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -76,7 +76,7 @@
             excluded_servers=self._avoid,
             is_suspect=self._plan.suspect,
             data_centre=self._context.settings.data_centre,
-            repeatable=request.route.repeatable,
+            is_repeatable=request.route.repeatable,
         )
         dispatcher = self._context.dispatchers.of(request.group)
         wanted = Wanted(
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -59,7 +59,7 @@
         excluded_servers=tried.servers,
         is_suspect=tried.suspect,
         data_centre=tried.data_centre,
-        repeatable=request.route.may_rerun,
+        is_repeatable=request.route.may_rerun,
         far_load=FAR_LOAD,
         near_first=True,
     )
