--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -118,7 +118,7 @@
     is_suspect: bool = False
     data_centre: str = ""
     is_repeatable: bool = True
-    far_load: float = REMOTE_LOAD_PENALTY
+    remote_load_penalty: float = REMOTE_LOAD_PENALTY
     near_first: bool = False
 
 
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -218,7 +218,7 @@
 def _cost(candidate: Candidate, ask: Ask) -> float:
     cost = candidate.load_with_next
     if candidate.data_centre != ask.data_centre:
-        cost += ask.far_load
+        cost += ask.remote_load_penalty
     if candidate.state is ServerState.FAILING:
         cost += FAILING_LOAD
     return cost
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -60,7 +60,7 @@
         is_suspect=tried.suspect,
         data_centre=tried.data_centre,
         is_repeatable=request.route.may_rerun,
-        far_load=FAR_LOAD,
+        remote_load_penalty=FAR_LOAD,
         near_first=True,
     )
     ticket = dispatcher.submit(_wanted(request), ask)
