--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -119,7 +119,7 @@
     data_centre: str = ""
     is_repeatable: bool = True
     remote_load_penalty: float = REMOTE_LOAD_PENALTY
-    near_first: bool = False
+    prefers_local: bool = False
 
 
 class Weighed(NamedTuple):
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -205,7 +205,7 @@
     if len(proven) <= CHOICES:
         return list(proven)
     near = [one for one in proven if one.data_centre == ask.data_centre]
-    first = _draw_one(near if ask.near_first and near else proven, draw)
+    first = _draw_one(near if ask.prefers_local and near else proven, draw)
     return [first, _draw_one([one for one in proven if one is not first], draw)]
 
 
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -61,7 +61,7 @@
         data_centre=tried.data_centre,
         is_repeatable=request.route.may_rerun,
         remote_load_penalty=FAR_LOAD,
-        near_first=True,
+        prefers_local=True,
     )
     ticket = dispatcher.submit(_wanted(request), ask)
     if not isinstance(ticket, Ticket):
