--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -15,8 +15,8 @@
     from collections.abc import Sequence
     from random import Random
 
-    from kingcupwheel.decisions.candidates import Ask
     from kingcupwheel.decisions.candidates import Candidate
+    from kingcupwheel.decisions.candidates import PlacementRequest
 
 
 @placement_policies.register("random")
@@ -24,7 +24,11 @@
     """Any server that is in service and not known to be full."""
 
     def place(
-        self, candidates: Sequence[Candidate], ask: Ask, now: float, draw: Random
+        self,
+        candidates: Sequence[Candidate],
+        ask: PlacementRequest,
+        now: float,
+        draw: Random,
     ) -> Placed | NoPlace:
         """Draw evenly."""
         able = usable(candidates, ask)
@@ -41,7 +45,11 @@
         self._turn = count()
 
     def place(
-        self, candidates: Sequence[Candidate], ask: Ask, now: float, draw: Random
+        self,
+        candidates: Sequence[Candidate],
+        ask: PlacementRequest,
+        now: float,
+        draw: Random,
     ) -> Placed | NoPlace:
         """Take the next one."""
         able = usable(candidates, ask)
@@ -55,7 +63,11 @@
     """The server with the fewest attempts of this entry."""
 
     def place(
-        self, candidates: Sequence[Candidate], ask: Ask, now: float, draw: Random
+        self,
+        candidates: Sequence[Candidate],
+        ask: PlacementRequest,
+        now: float,
+        draw: Random,
     ) -> Placed | NoPlace:
         """Take the least, drawn evenly among equals."""
         able = usable(candidates, ask)
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -102,7 +102,7 @@
         return self.estimated_in_flight <= 0.0
 
 
-class Ask(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What is to be placed.
 
     ``prefix_key`` names the beginning of the prompt (empty: no affinity), ``work`` is
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -13,10 +13,10 @@
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
 from kingcupwheel.decisions.candidates import UNTRIED_FULL
 from kingcupwheel.decisions.candidates import UNTRIED_REST
-from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import NoPlace
 from kingcupwheel.decisions.candidates import Placed
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import Weighed
 from kingcupwheel.decisions.hashing import stable_hash
 from kingcupwheel.decisions.health import ServerState
@@ -61,12 +61,18 @@
     """A placement plug-in; one instance serves one group at one entry."""
 
     def place(
-        self, candidates: Sequence[Candidate], ask: Ask, now: float, draw: Random
+        self,
+        candidates: Sequence[Candidate],
+        ask: PlacementRequest,
+        now: float,
+        draw: Random,
     ) -> Placed | NoPlace:
         """Choose a server among the group's that are within the entry's subset."""
 
 
-def usable(candidates: Sequence[Candidate], ask: Ask) -> list[Candidate] | NoPlace:
+def usable(
+    candidates: Sequence[Candidate], ask: PlacementRequest
+) -> list[Candidate] | NoPlace:
     """Return the servers that may be given ``ask``, or why there are none."""
     known = normalize_ages(candidates)
     up = [candidate for candidate in known if candidate.state not in GET_NOTHING]
@@ -90,7 +96,7 @@
     return alone or SUSPECT_WAITS
 
 
-def _none_up(known: Sequence[Candidate], ask: Ask) -> NoPlace:
+def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoPlace:
     """Return what stands in the way of all; an ejected or silent server may be back."""
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
     rests = [one for one in waited_for if one.state is ServerState.RESTING]
@@ -103,7 +109,7 @@
     return reason._replace(rest_over_at=_first_over(untried))
 
 
-def _none_with_room(known: Sequence[Candidate], ask: Ask) -> NoPlace:
+def _none_with_room(known: Sequence[Candidate], ask: PlacementRequest) -> NoPlace:
     """Return what stands in the way; room on a server already tried is no help."""
     waited_for = [
         one
@@ -116,7 +122,7 @@
 
 
 def _none_untried(
-    known: Sequence[Candidate], up: Sequence[Candidate], ask: Ask
+    known: Sequence[Candidate], up: Sequence[Candidate], ask: PlacementRequest
 ) -> NoPlace:
     if not ask.excluded_servers.issuperset(_names(up)):
         return UNTRIED_FULL
@@ -145,7 +151,11 @@
     """
 
     def place(
-        self, candidates: Sequence[Candidate], ask: Ask, now: float, draw: Random
+        self,
+        candidates: Sequence[Candidate],
+        ask: PlacementRequest,
+        now: float,
+        draw: Random,
     ) -> Placed | NoPlace:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
         able = usable(corrected(candidates), ask)
@@ -167,7 +177,7 @@
         return Placed(best.name, why, _weigh([best, *others]))
 
     @staticmethod
-    def _home(proven: Sequence[Candidate], ask: Ask) -> Candidate | None:
+    def _home(proven: Sequence[Candidate], ask: PlacementRequest) -> Candidate | None:
         """Return the prefix's home by rendezvous hashing, if it has room to spare.
 
         Load: many requests that begin alike. Harm prevented: without the bound the home
@@ -195,12 +205,14 @@
     return proven, [one for one in probed if one.own_in_flight == 0]
 
 
-def _probes(ask: Ask, draw: Random) -> bool:
+def _probes(ask: PlacementRequest, draw: Random) -> bool:
     # A probe may fail; only what may be run again is risked.
     return ask.is_repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
 
 
-def _draw(proven: Sequence[Candidate], ask: Ask, draw: Random) -> list[Candidate]:
+def _draw(
+    proven: Sequence[Candidate], ask: PlacementRequest, draw: Random
+) -> list[Candidate]:
     """Draw two different servers, each as often as it has room."""
     if len(proven) <= CHOICES:
         return list(proven)
@@ -215,7 +227,7 @@
     )[0]
 
 
-def _cost(candidate: Candidate, ask: Ask) -> float:
+def _cost(candidate: Candidate, ask: PlacementRequest) -> float:
     cost = candidate.load_with_next
     if candidate.data_centre != ask.data_centre:
         cost += ask.remote_load_penalty
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.inbox import AttemptKey
 from kingcupwheel.entry.reading import CREDIT_BYTES
 from kingcupwheel.entry.reading import AnswerReader
@@ -70,7 +70,7 @@
     def place(self) -> Place | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
         request = self._plan.request
-        ask = Ask(
+        ask = PlacementRequest(
             prefix_key=request.prefix_key,
             work=self._plan.work,
             excluded_servers=self._avoid,
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -15,10 +15,10 @@
 
 from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import ALL_TRIED
-from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import NoPlace
 from kingcupwheel.decisions.candidates import Placed
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
@@ -69,7 +69,7 @@
         """How many requests wait."""
         return len(self._tickets_by_request_id)
 
-    def submit(self, wanted: Wanted, ask: Ask) -> Ticket | LimitRefusal:
+    def submit(self, wanted: Wanted, ask: PlacementRequest) -> Ticket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
         waiting = Waiting(
@@ -163,7 +163,8 @@
         now = monotonic()
         with self._lock, self._servers.lock:
             found = usable(
-                self._candidates(self._heard(), now), Ask(excluded_servers=avoid)
+                self._candidates(self._heard(), now),
+                PlacementRequest(excluded_servers=avoid),
             )
         if not isinstance(found, NoPlace) or found.rest_over_at is None:
             return 0.0
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -9,9 +9,9 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.candidates import Ask
     from kingcupwheel.decisions.candidates import NoPlace
     from kingcupwheel.decisions.candidates import Placed
+    from kingcupwheel.decisions.candidates import PlacementRequest
     from kingcupwheel.decisions.queueing import Waiting
 
 
@@ -59,7 +59,7 @@
 class Ticket:
     """A request's wait for a place."""
 
-    def __init__(self, waiting: Waiting, ask: Ask) -> None:
+    def __init__(self, waiting: Waiting, ask: PlacementRequest) -> None:
         self.waiting = waiting
         self.ask = ask
         self.hindrance: NoPlace | None = None
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
@@ -54,7 +54,7 @@
     tried: Tried,
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
-    ask = Ask(
+    ask = PlacementRequest(
         work=request.work,
         excluded_servers=tried.servers,
         is_suspect=tried.suspect,
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.admission import AdmissionController
-from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.placement import TwoChoices
@@ -129,7 +129,7 @@
     ]
     draw = Random(1)
     policy = TwoChoices()
-    ask = Ask(prefix_key=prefix, work=600.0, data_centre="dc-0")
+    ask = PlacementRequest(prefix_key=prefix, work=600.0, data_centre="dc-0")
     return lambda: policy.place(candidates, ask, 0.0, draw)
 
 
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -10,9 +10,9 @@
 
 from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.admission import LimitRefusal
-from kingcupwheel.decisions.candidates import Ask
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import Placed
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
@@ -166,7 +166,7 @@
         candidates = self._candidates(now)
         while (waiting := self.queue.peek(now)) is not None:
             request, avoid = self.pending[waiting.request_id]
-            ask = Ask(
+            ask = PlacementRequest(
                 prefix_key=request.prefix,
                 work=waiting.work,
                 excluded_servers=avoid,
