--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -122,7 +122,7 @@
     prefers_local: bool = False
 
 
-class Weighed(NamedTuple):
+class CandidateLoad(NamedTuple):
     """A server that was weighed, and its load when it was."""
 
     server: str
@@ -134,7 +134,7 @@
 
     server: str
     why: str
-    alternatives: tuple[Weighed, ...] = ()
+    alternatives: tuple[CandidateLoad, ...] = ()
 
 
 class NoPlace(NamedTuple):
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -14,10 +14,10 @@
 from kingcupwheel.decisions.candidates import UNTRIED_FULL
 from kingcupwheel.decisions.candidates import UNTRIED_REST
 from kingcupwheel.decisions.candidates import Candidate
+from kingcupwheel.decisions.candidates import CandidateLoad
 from kingcupwheel.decisions.candidates import NoPlace
 from kingcupwheel.decisions.candidates import Placed
 from kingcupwheel.decisions.candidates import PlacementRequest
-from kingcupwheel.decisions.candidates import Weighed
 from kingcupwheel.decisions.hashing import stable_hash
 from kingcupwheel.decisions.health import ServerState
 from kingcupwheel.decisions.reports import corrected
@@ -236,5 +236,5 @@
     return cost
 
 
-def _weigh(candidates: Sequence[Candidate]) -> tuple[Weighed, ...]:
-    return tuple(Weighed(one.name, round(one.load, 3)) for one in candidates)
+def _weigh(candidates: Sequence[Candidate]) -> tuple[CandidateLoad, ...]:
+    return tuple(CandidateLoad(one.name, round(one.load, 3)) for one in candidates)
