--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -133,7 +133,7 @@
     """Give it to ``server``; ``why`` is a short reason for the trace."""
 
     server: str
-    why: str
+    reason: str
     alternatives: tuple[CandidateLoad, ...] = ()
 
 
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -115,7 +115,7 @@
         decision = place.decision
         alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
         event = Placed(
-            place.server, self._count, place.waited_s, decision.why, alternatives
+            place.server, self._count, place.waited_s, decision.reason, alternatives
         )
         self._record(event)
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -271,7 +271,7 @@
             "placed",
             id=request.id,
             server=place.server,
-            why=place.decision.why,
+            why=place.decision.reason,
             weighed=[list(one) for one in place.decision.alternatives],
             waited_s=round(place.waited_s, 3),
             send=self._sends.ran + self._sends.turned_away + 1,
