--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.candidates import NoPlace
-from kingcupwheel.decisions.candidates import Placed
+from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.placement import usable
 from kingcupwheel.plugins.kernel import placement_policies
 
@@ -29,12 +29,12 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> Placed | NoPlace:
+    ) -> SelectedServer | NoPlace:
         """Draw evenly."""
         able = usable(candidates, ask)
         if isinstance(able, NoPlace):
             return able
-        return Placed(draw.choice(able).name, "random")
+        return SelectedServer(draw.choice(able).name, "random")
 
 
 @placement_policies.register("round-robin")
@@ -50,12 +50,12 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> Placed | NoPlace:
+    ) -> SelectedServer | NoPlace:
         """Take the next one."""
         able = usable(candidates, ask)
         if isinstance(able, NoPlace):
             return able
-        return Placed(able[next(self._turn) % len(able)].name, "next in turn")
+        return SelectedServer(able[next(self._turn) % len(able)].name, "next in turn")
 
 
 @placement_policies.register("least-in-flight")
@@ -68,10 +68,10 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> Placed | NoPlace:
+    ) -> SelectedServer | NoPlace:
         """Take the least, drawn evenly among equals."""
         able = usable(candidates, ask)
         if isinstance(able, NoPlace):
             return able
         best = min(able, key=lambda one: (one.own_in_flight, draw.random()))
-        return Placed(best.name, "fewest in flight")
+        return SelectedServer(best.name, "fewest in flight")
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -129,7 +129,7 @@
     load: float
 
 
-class Placed(NamedTuple):
+class SelectedServer(NamedTuple):
     """Give it to ``server``; ``why`` is a short reason for the trace."""
 
     server: str
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -16,8 +16,8 @@
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import CandidateLoad
 from kingcupwheel.decisions.candidates import NoPlace
-from kingcupwheel.decisions.candidates import Placed
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.hashing import stable_hash
 from kingcupwheel.decisions.health import ServerState
 from kingcupwheel.decisions.reports import corrected
@@ -66,7 +66,7 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> Placed | NoPlace:
+    ) -> SelectedServer | NoPlace:
         """Choose a server among the group's that are within the entry's subset."""
 
 
@@ -156,25 +156,27 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> Placed | NoPlace:
+    ) -> SelectedServer | NoPlace:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
         able = usable(corrected(candidates), ask)
         if isinstance(able, NoPlace):
             return able
         proven, probed = _parted(able)
         if probed and (not proven or _probes(ask, draw)):
-            return Placed(draw.choice(probed).name, "probe of an ejected server")
+            return SelectedServer(
+                draw.choice(probed).name, "probe of an ejected server"
+            )
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
             return UNTRIED_FULL if ask.excluded_servers or ask.is_suspect else ALL_FULL
         home = self._home(proven, ask)
         if home is not None:
-            return Placed(home.name, "home of the prefix", _weigh([home]))
+            return SelectedServer(home.name, "home of the prefix", _weigh([home]))
         drawn = _draw(proven, ask, draw)
         best = min(drawn, key=lambda candidate: _cost(candidate, ask))
         others = [candidate for candidate in drawn if candidate is not best]
         why = "less loaded of two" if others else "the only one with room"
-        return Placed(best.name, why, _weigh([best, *others]))
+        return SelectedServer(best.name, why, _weigh([best, *others]))
 
     @staticmethod
     def _home(proven: Sequence[Candidate], ask: PlacementRequest) -> Candidate | None:
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -17,8 +17,8 @@
 from kingcupwheel.decisions.candidates import ALL_TRIED
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import NoPlace
-from kingcupwheel.decisions.candidates import Placed
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
@@ -235,7 +235,7 @@
                 case NoPlace():
                     ticket.hindrance = decision
                     place: Place | TimedOut | None = _in_vain(ticket, decision, now)
-                case Placed(server=name):
+                case SelectedServer(server=name):
                     place = _take(servers[name], decision, ticket, now)
         if place is None:
             return False
@@ -257,7 +257,7 @@
             servers = self._heard()
             idle = [one for one in self._candidates(servers, now) if one.is_idle]
             decision = self._policy.place(idle, ticket.ask, now, self._draw)
-            if not isinstance(decision, Placed):
+            if not isinstance(decision, SelectedServer):
                 return False
             place = _take(servers[decision.server], decision, ticket, now)
         ticket.give(place)
@@ -322,7 +322,9 @@
     return None
 
 
-def _take(server: Server, decision: Placed, ticket: Ticket, now: float) -> Place:
+def _take(
+    server: Server, decision: SelectedServer, ticket: Ticket, now: float
+) -> Place:
     beat = server.known_beat
     server.in_flight += 1
     server.suspects += ticket.ask.is_suspect
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.decisions.candidates import NoPlace
-    from kingcupwheel.decisions.candidates import Placed
     from kingcupwheel.decisions.candidates import PlacementRequest
+    from kingcupwheel.decisions.candidates import SelectedServer
     from kingcupwheel.decisions.queueing import Waiting
 
 
@@ -37,7 +37,7 @@
     address: str
     incarnation: str
     token: int
-    decision: Placed
+    decision: SelectedServer
     waited_s: float
     work: float
     suspect: bool
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -11,8 +11,8 @@
 from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import Candidate
-from kingcupwheel.decisions.candidates import Placed
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
@@ -175,7 +175,7 @@
             placed = self.policy.place(
                 list(candidates.values()), ask, now, self.model.random
             )
-            if not isinstance(placed, Placed):
+            if not isinstance(placed, SelectedServer):
                 return
             self.queue.pop(now)
             del self.pending[waiting.request_id]
