--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -146,14 +146,14 @@
     """
 
     reason: str
-    for_all: bool
+    applies_to_all: bool
     rest_over_at: float | None = None
 
 
-NO_SERVERS = NoPlace("no server is in service", for_all=True)
-ALL_FULL = NoPlace("every server is full", for_all=True)
-ALL_TRIED = NoPlace("every server was tried", for_all=False)
-UNTRIED_FULL = NoPlace("every untried server is full", for_all=False)
-ALL_REST = NoPlace("every server rests or leaves", for_all=True)
-UNTRIED_REST = NoPlace("every untried server rests or leaves", for_all=False)
-SUSPECT_WAITS = NoPlace("every server runs another suspect", for_all=False)
+NO_SERVERS = NoPlace("no server is in service", applies_to_all=True)
+ALL_FULL = NoPlace("every server is full", applies_to_all=True)
+ALL_TRIED = NoPlace("every server was tried", applies_to_all=False)
+UNTRIED_FULL = NoPlace("every untried server is full", applies_to_all=False)
+ALL_REST = NoPlace("every server rests or leaves", applies_to_all=True)
+UNTRIED_REST = NoPlace("every untried server rests or leaves", applies_to_all=False)
+SUSPECT_WAITS = NoPlace("every server runs another suspect", applies_to_all=False)
