--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -147,7 +147,7 @@
 
     reason: str
     applies_to_all: bool
-    rest_over_at: float | None = None
+    backoff_ends_at: float | None = None
 
 
 NO_SERVERS = NoPlace("no server is in service", applies_to_all=True)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -166,9 +166,9 @@
                 self._candidates(self._heard(), now),
                 PlacementRequest(excluded_servers=avoid),
             )
-        if not isinstance(found, NoPlace) or found.rest_over_at is None:
+        if not isinstance(found, NoPlace) or found.backoff_ends_at is None:
             return 0.0
-        return max(0.0, found.rest_over_at - now)
+        return max(0.0, found.backoff_ends_at - now)
 
     def restarted(self, server: str) -> None:
         """Forget the failures of a server's earlier life."""
@@ -195,7 +195,7 @@
     def _tell_in_vain(self, held: Ticket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
         hindrance = held.hindrance
-        if hindrance is None or hindrance.rest_over_at is None:
+        if hindrance is None or hindrance.backoff_ends_at is None:
             return
         waiting = self._tickets_by_request_id.values()
         for ticket in [one for one in waiting if one not in self._aside]:
@@ -312,7 +312,7 @@
 
 def _in_vain(ticket: Ticket, hindrance: NoPlace, now: float) -> TimedOut | None:
     """Return the end of a wait that can't bring a place, None if it can."""
-    over_at = hindrance.rest_over_at
+    over_at = hindrance.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
     if hindrance.reason == ALL_TRIED.reason:
         # No wait brings a server that was not tried.
