--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.candidates import NoPlace
+from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.placement import usable
 from kingcupwheel.plugins.kernel import placement_policies
@@ -29,10 +29,10 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> SelectedServer | NoPlace:
+    ) -> SelectedServer | NoServerAvailable:
         """Draw evenly."""
         able = usable(candidates, ask)
-        if isinstance(able, NoPlace):
+        if isinstance(able, NoServerAvailable):
             return able
         return SelectedServer(draw.choice(able).name, "random")
 
@@ -50,10 +50,10 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> SelectedServer | NoPlace:
+    ) -> SelectedServer | NoServerAvailable:
         """Take the next one."""
         able = usable(candidates, ask)
-        if isinstance(able, NoPlace):
+        if isinstance(able, NoServerAvailable):
             return able
         return SelectedServer(able[next(self._turn) % len(able)].name, "next in turn")
 
@@ -68,10 +68,10 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> SelectedServer | NoPlace:
+    ) -> SelectedServer | NoServerAvailable:
         """Take the least, drawn evenly among equals."""
         able = usable(candidates, ask)
-        if isinstance(able, NoPlace):
+        if isinstance(able, NoServerAvailable):
             return able
         best = min(able, key=lambda one: (one.own_in_flight, draw.random()))
         return SelectedServer(best.name, "fewest in flight")
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -137,7 +137,7 @@
     alternatives: tuple[CandidateLoad, ...] = ()
 
 
-class NoPlace(NamedTuple):
+class NoServerAvailable(NamedTuple):
     """No server can take it now; ``reason`` is short and fixed.
 
     ``for_all`` tells that any other request would meet the same. If it is False, only
@@ -150,10 +150,14 @@
     backoff_ends_at: float | None = None
 
 
-NO_SERVERS = NoPlace("no server is in service", applies_to_all=True)
-ALL_FULL = NoPlace("every server is full", applies_to_all=True)
-ALL_TRIED = NoPlace("every server was tried", applies_to_all=False)
-UNTRIED_FULL = NoPlace("every untried server is full", applies_to_all=False)
-ALL_REST = NoPlace("every server rests or leaves", applies_to_all=True)
-UNTRIED_REST = NoPlace("every untried server rests or leaves", applies_to_all=False)
-SUSPECT_WAITS = NoPlace("every server runs another suspect", applies_to_all=False)
+NO_SERVERS = NoServerAvailable("no server is in service", applies_to_all=True)
+ALL_FULL = NoServerAvailable("every server is full", applies_to_all=True)
+ALL_TRIED = NoServerAvailable("every server was tried", applies_to_all=False)
+UNTRIED_FULL = NoServerAvailable("every untried server is full", applies_to_all=False)
+ALL_REST = NoServerAvailable("every server rests or leaves", applies_to_all=True)
+UNTRIED_REST = NoServerAvailable(
+    "every untried server rests or leaves", applies_to_all=False
+)
+SUSPECT_WAITS = NoServerAvailable(
+    "every server runs another suspect", applies_to_all=False
+)
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -15,7 +15,7 @@
 from kingcupwheel.decisions.candidates import UNTRIED_REST
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import CandidateLoad
-from kingcupwheel.decisions.candidates import NoPlace
+from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.hashing import stable_hash
@@ -66,13 +66,13 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> SelectedServer | NoPlace:
+    ) -> SelectedServer | NoServerAvailable:
         """Choose a server among the group's that are within the entry's subset."""
 
 
 def usable(
     candidates: Sequence[Candidate], ask: PlacementRequest
-) -> list[Candidate] | NoPlace:
+) -> list[Candidate] | NoServerAvailable:
     """Return the servers that may be given ``ask``, or why there are none."""
     known = normalize_ages(candidates)
     up = [candidate for candidate in known if candidate.state not in GET_NOTHING]
@@ -96,7 +96,7 @@
     return alone or SUSPECT_WAITS
 
 
-def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoPlace:
+def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoServerAvailable:
     """Return what stands in the way of all; an ejected or silent server may be back."""
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
     rests = [one for one in waited_for if one.state is ServerState.RESTING]
@@ -109,7 +109,9 @@
     return reason._replace(rest_over_at=_first_over(untried))
 
 
-def _none_with_room(known: Sequence[Candidate], ask: PlacementRequest) -> NoPlace:
+def _none_with_room(
+    known: Sequence[Candidate], ask: PlacementRequest
+) -> NoServerAvailable:
     """Return what stands in the way; room on a server already tried is no help."""
     waited_for = [
         one
@@ -123,7 +125,7 @@
 
 def _none_untried(
     known: Sequence[Candidate], up: Sequence[Candidate], ask: PlacementRequest
-) -> NoPlace:
+) -> NoServerAvailable:
     if not ask.excluded_servers.issuperset(_names(up)):
         return UNTRIED_FULL
     rests = [
@@ -156,10 +158,10 @@
         ask: PlacementRequest,
         now: float,
         draw: Random,
-    ) -> SelectedServer | NoPlace:
+    ) -> SelectedServer | NoServerAvailable:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
         able = usable(corrected(candidates), ask)
-        if isinstance(able, NoPlace):
+        if isinstance(able, NoServerAvailable):
             return able
         proven, probed = _parted(able)
         if probed and (not proven or _probes(ask, draw)):
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -16,7 +16,7 @@
 from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import ALL_TRIED
 from kingcupwheel.decisions.candidates import Candidate
-from kingcupwheel.decisions.candidates import NoPlace
+from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.group_health import GroupHealth
@@ -166,7 +166,7 @@
                 self._candidates(self._heard(), now),
                 PlacementRequest(excluded_servers=avoid),
             )
-        if not isinstance(found, NoPlace) or found.backoff_ends_at is None:
+        if not isinstance(found, NoServerAvailable) or found.backoff_ends_at is None:
             return 0.0
         return max(0.0, found.backoff_ends_at - now)
 
@@ -232,7 +232,7 @@
                 self._candidates(servers, now), ticket.ask, now, self._draw
             )
             match decision:
-                case NoPlace():
+                case NoServerAvailable():
                     ticket.hindrance = decision
                     place: Place | TimedOut | None = _in_vain(ticket, decision, now)
                 case SelectedServer(server=name):
@@ -310,7 +310,9 @@
         return None
 
 
-def _in_vain(ticket: Ticket, hindrance: NoPlace, now: float) -> TimedOut | None:
+def _in_vain(
+    ticket: Ticket, hindrance: NoServerAvailable, now: float
+) -> TimedOut | None:
     """Return the end of a wait that can't bring a place, None if it can."""
     over_at = hindrance.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.candidates import NoPlace
+    from kingcupwheel.decisions.candidates import NoServerAvailable
     from kingcupwheel.decisions.candidates import PlacementRequest
     from kingcupwheel.decisions.candidates import SelectedServer
     from kingcupwheel.decisions.queueing import Waiting
@@ -62,7 +62,7 @@
     def __init__(self, waiting: Waiting, ask: PlacementRequest) -> None:
         self.waiting = waiting
         self.ask = ask
-        self.hindrance: NoPlace | None = None
+        self.hindrance: NoServerAvailable | None = None
         self.waiting_ahead = 0
         self._places: SimpleQueue[Place | TimedOut] = SimpleQueue()
 
