--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -150,7 +150,7 @@
     backoff_ends_at: float | None = None
 
 
-NO_SERVERS = NoServerAvailable("no server is in service", applies_to_all=True)
+NO_SERVER_IN_SERVICE = NoServerAvailable("no server is in service", applies_to_all=True)
 ALL_FULL = NoServerAvailable("every server is full", applies_to_all=True)
 ALL_TRIED = NoServerAvailable("every server was tried", applies_to_all=False)
 UNTRIED_FULL = NoServerAvailable("every untried server is full", applies_to_all=False)
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -9,7 +9,7 @@
 from kingcupwheel.decisions.candidates import ALL_FULL
 from kingcupwheel.decisions.candidates import ALL_REST
 from kingcupwheel.decisions.candidates import ALL_TRIED
-from kingcupwheel.decisions.candidates import NO_SERVERS
+from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
 from kingcupwheel.decisions.candidates import UNTRIED_FULL
 from kingcupwheel.decisions.candidates import UNTRIED_REST
@@ -101,7 +101,7 @@
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
     rests = [one for one in waited_for if one.state is ServerState.RESTING]
     if not rests or len(rests) < len(waited_for):
-        return NO_SERVERS
+        return NO_SERVER_IN_SERVICE
     untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
         return ALL_TRIED._replace(rest_over_at=_first_over(rests))
