--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from kingcupwheel.decisions.ages import normalize_ages
-from kingcupwheel.decisions.candidates import ALL_FULL
 from kingcupwheel.decisions.candidates import ALL_REST
+from kingcupwheel.decisions.candidates import ALL_SERVERS_FULL
 from kingcupwheel.decisions.candidates import ALL_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
@@ -120,7 +120,7 @@
     ]
     if waited_for and all(one.state is ServerState.RESTING for one in waited_for):
         return UNTRIED_REST._replace(rest_over_at=_first_over(waited_for))
-    return ALL_FULL
+    return ALL_SERVERS_FULL
 
 
 def _none_untried(
@@ -170,7 +170,11 @@
             )
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
-            return UNTRIED_FULL if ask.excluded_servers or ask.is_suspect else ALL_FULL
+            return (
+                UNTRIED_FULL
+                if ask.excluded_servers or ask.is_suspect
+                else ALL_SERVERS_FULL
+            )
         home = self._home(proven, ask)
         if home is not None:
             return SelectedServer(home.name, "home of the prefix", _weigh([home]))
