--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -8,7 +8,7 @@
 from kingcupwheel.decisions.ages import normalize_ages
 from kingcupwheel.decisions.candidates import ALL_REST
 from kingcupwheel.decisions.candidates import ALL_SERVERS_FULL
-from kingcupwheel.decisions.candidates import ALL_TRIED
+from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
 from kingcupwheel.decisions.candidates import UNTRIED_FULL
@@ -104,7 +104,7 @@
         return NO_SERVER_IN_SERVICE
     untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
-        return ALL_TRIED._replace(rest_over_at=_first_over(rests))
+        return ALL_SERVERS_TRIED._replace(rest_over_at=_first_over(rests))
     reason = UNTRIED_REST if ask.excluded_servers else ALL_REST
     return reason._replace(rest_over_at=_first_over(untried))
 
@@ -134,7 +134,7 @@
         if one.state is ServerState.RESTING and one.name not in ask.excluded_servers
     ]
     if not rests:
-        return ALL_TRIED
+        return ALL_SERVERS_TRIED
     return UNTRIED_REST._replace(rest_over_at=_first_over(rests))
 
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.admission import LimitRefusal
-from kingcupwheel.decisions.candidates import ALL_TRIED
+from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import PlacementRequest
@@ -316,7 +316,7 @@
     """Return the end of a wait that can't bring a place, None if it can."""
     over_at = hindrance.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
-    if hindrance.reason == ALL_TRIED.reason:
+    if hindrance.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
         return TimedOut("no-server", hindrance.reason, rest_s)
     if over_at is not None and over_at >= ticket.waiting.deadline_at:
