--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -153,7 +153,9 @@
 NO_SERVER_IN_SERVICE = NoServerAvailable("no server is in service", applies_to_all=True)
 ALL_SERVERS_FULL = NoServerAvailable("every server is full", applies_to_all=True)
 ALL_SERVERS_TRIED = NoServerAvailable("every server was tried", applies_to_all=False)
-UNTRIED_FULL = NoServerAvailable("every untried server is full", applies_to_all=False)
+UNTRIED_SERVERS_FULL = NoServerAvailable(
+    "every untried server is full", applies_to_all=False
+)
 ALL_REST = NoServerAvailable("every server rests or leaves", applies_to_all=True)
 UNTRIED_REST = NoServerAvailable(
     "every untried server rests or leaves", applies_to_all=False
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -11,8 +11,8 @@
 from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
-from kingcupwheel.decisions.candidates import UNTRIED_FULL
 from kingcupwheel.decisions.candidates import UNTRIED_REST
+from kingcupwheel.decisions.candidates import UNTRIED_SERVERS_FULL
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import CandidateLoad
 from kingcupwheel.decisions.candidates import NoServerAvailable
@@ -127,7 +127,7 @@
     known: Sequence[Candidate], up: Sequence[Candidate], ask: PlacementRequest
 ) -> NoServerAvailable:
     if not ask.excluded_servers.issuperset(_names(up)):
-        return UNTRIED_FULL
+        return UNTRIED_SERVERS_FULL
     rests = [
         one
         for one in known
@@ -171,7 +171,7 @@
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
             return (
-                UNTRIED_FULL
+                UNTRIED_SERVERS_FULL
                 if ask.excluded_servers or ask.is_suspect
                 else ALL_SERVERS_FULL
             )
