--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -156,7 +156,9 @@
 UNTRIED_SERVERS_FULL = NoServerAvailable(
     "every untried server is full", applies_to_all=False
 )
-ALL_REST = NoServerAvailable("every server rests or leaves", applies_to_all=True)
+ALL_SERVERS_BACKING_OFF = NoServerAvailable(
+    "every server rests or leaves", applies_to_all=True
+)
 UNTRIED_REST = NoServerAvailable(
     "every untried server rests or leaves", applies_to_all=False
 )
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from kingcupwheel.decisions.ages import normalize_ages
-from kingcupwheel.decisions.candidates import ALL_REST
+from kingcupwheel.decisions.candidates import ALL_SERVERS_BACKING_OFF
 from kingcupwheel.decisions.candidates import ALL_SERVERS_FULL
 from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
@@ -105,7 +105,7 @@
     untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
         return ALL_SERVERS_TRIED._replace(rest_over_at=_first_over(rests))
-    reason = UNTRIED_REST if ask.excluded_servers else ALL_REST
+    reason = UNTRIED_REST if ask.excluded_servers else ALL_SERVERS_BACKING_OFF
     return reason._replace(rest_over_at=_first_over(untried))
 
 
