--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -159,7 +159,7 @@
 ALL_SERVERS_BACKING_OFF = NoServerAvailable(
     "every server rests or leaves", applies_to_all=True
 )
-UNTRIED_REST = NoServerAvailable(
+UNTRIED_SERVERS_BACKING_OFF = NoServerAvailable(
     "every untried server rests or leaves", applies_to_all=False
 )
 SUSPECT_WAITS = NoServerAvailable(
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -11,7 +11,7 @@
 from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
 from kingcupwheel.decisions.candidates import SUSPECT_WAITS
-from kingcupwheel.decisions.candidates import UNTRIED_REST
+from kingcupwheel.decisions.candidates import UNTRIED_SERVERS_BACKING_OFF
 from kingcupwheel.decisions.candidates import UNTRIED_SERVERS_FULL
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import CandidateLoad
@@ -105,7 +105,9 @@
     untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
         return ALL_SERVERS_TRIED._replace(rest_over_at=_first_over(rests))
-    reason = UNTRIED_REST if ask.excluded_servers else ALL_SERVERS_BACKING_OFF
+    reason = (
+        UNTRIED_SERVERS_BACKING_OFF if ask.excluded_servers else ALL_SERVERS_BACKING_OFF
+    )
     return reason._replace(rest_over_at=_first_over(untried))
 
 
@@ -119,7 +121,9 @@
         if one.state is not ServerState.LEAVING and one.name not in ask.excluded_servers
     ]
     if waited_for and all(one.state is ServerState.RESTING for one in waited_for):
-        return UNTRIED_REST._replace(rest_over_at=_first_over(waited_for))
+        return UNTRIED_SERVERS_BACKING_OFF._replace(
+            rest_over_at=_first_over(waited_for)
+        )
     return ALL_SERVERS_FULL
 
 
@@ -135,7 +139,7 @@
     ]
     if not rests:
         return ALL_SERVERS_TRIED
-    return UNTRIED_REST._replace(rest_over_at=_first_over(rests))
+    return UNTRIED_SERVERS_BACKING_OFF._replace(rest_over_at=_first_over(rests))
 
 
 def _first_over(rests: Sequence[Candidate]) -> float:
