--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -162,6 +162,6 @@
 UNTRIED_SERVERS_BACKING_OFF = NoServerAvailable(
     "every untried server rests or leaves", applies_to_all=False
 )
-SUSPECT_WAITS = NoServerAvailable(
+ALL_SERVERS_RUN_SUSPECTS = NoServerAvailable(
     "every server runs another suspect", applies_to_all=False
 )
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -8,9 +8,9 @@
 from kingcupwheel.decisions.ages import normalize_ages
 from kingcupwheel.decisions.candidates import ALL_SERVERS_BACKING_OFF
 from kingcupwheel.decisions.candidates import ALL_SERVERS_FULL
+from kingcupwheel.decisions.candidates import ALL_SERVERS_RUN_SUSPECTS
 from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import NO_SERVER_IN_SERVICE
-from kingcupwheel.decisions.candidates import SUSPECT_WAITS
 from kingcupwheel.decisions.candidates import UNTRIED_SERVERS_BACKING_OFF
 from kingcupwheel.decisions.candidates import UNTRIED_SERVERS_FULL
 from kingcupwheel.decisions.candidates import Candidate
@@ -93,7 +93,7 @@
     # Failure: two suspects on one server, which dies. Symptom: the innocent one is
     # blamed twice. Apart, the second death leaves a single cause.
     alone = [candidate for candidate in untried if not candidate.running_suspects]
-    return alone or SUSPECT_WAITS
+    return alone or ALL_SERVERS_RUN_SUSPECTS
 
 
 def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoServerAvailable:
