--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -7,7 +7,7 @@
 
 # Memory of the observed rate: some mean answers of 8 s, so that one long answer does
 # not look like a stall, and a group that lost half its servers shows within seconds.
-TIME_CONSTANT_S = 10.0
+DRAIN_TIME_CONSTANT_S = 10.0
 
 # With less than this seen of a backlog, nothing is known of the rate.
 _LEAST_SEEN_S = 0.5
@@ -57,7 +57,7 @@
         if self._since is None:
             return
         waited_s = max(0.0, now - self._since)
-        kept = exp(-waited_s / TIME_CONSTANT_S)
+        kept = exp(-waited_s / DRAIN_TIME_CONSTANT_S)
         self._work *= kept
         self._busy_s = self._busy_s * kept + waited_s
         self._since = now
