--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -28,7 +28,7 @@
         self._busy_s = 0.0
         self._since: float | None = None
 
-    def start(self, now: float) -> None:
+    def mark_nonempty(self, now: float) -> None:
         """Note that the queue is no longer empty."""
         self._since = now
 
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -140,7 +140,7 @@
             detail = f"predicted wait {wait_s:.1f} s"
             return self._refuse("wait", detail, wait_s, waiting, now)
         if not self._waiting_by_id:
-            self._drain.start(now)
+            self._drain.mark_nonempty(now)
         self._add(key, flow, waiting)
         return Queued(ahead, wait_s)
 
