--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -32,7 +32,7 @@
         """Note that the queue is no longer empty."""
         self._since = now
 
-    def stop(self, now: float) -> None:
+    def mark_empty(self, now: float) -> None:
         """Note that the queue is empty."""
         self._wait(now)
         self._since = None
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -227,7 +227,7 @@
 
     def _note_if_empty(self, now: float) -> None:
         if not self._waiting_by_id:
-            self._drain.stop(now)
+            self._drain.mark_empty(now)
 
     def _drop_expired(self, now: float) -> None:
         while self._deadlines and self._deadlines[0][0] <= now:
