--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -37,7 +37,7 @@
         self._wait(now)
         self._since = None
 
-    def took(self, work: float, now: float) -> None:
+    def record_dequeue(self, work: float, now: float) -> None:
         """Count work that had to wait and was taken at ``now``."""
         self._wait(now)
         self._work += work
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -172,7 +172,7 @@
         self._drop_if_empty(key, flow)
         # What finds a place at once says nothing about how fast a backlog drains.
         if now > waiting.queued_at:
-            self._drain.took(waiting.work, now)
+            self._drain.record_dequeue(waiting.work, now)
         self._note_if_empty(now)
         return waiting
 
