--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -42,7 +42,7 @@
         self._wait(now)
         self._work += work
 
-    def seconds(self, work: float, now: float) -> float:
+    def estimate_drain_s(self, work: float, now: float) -> float:
         """Return how long ``work`` takes to drain; 0 while no rate is known."""
         waited_s = 0.0 if self._since is None else max(0.0, now - self._since)
         busy_s = self._busy_s + waited_s
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -129,7 +129,7 @@
         key = (waiting.organisation, waiting.priority)
         flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
         if len(flow.requests) >= FREE_PLACES_FACTOR * (self._limit - ahead):
-            wait_s = self._drain.seconds(self.work, now)
+            wait_s = self._drain.estimate_drain_s(self.work, now)
             return self._refuse("queue", f"{ahead} requests wait", wait_s, waiting, now)
         wait_s = self._predicted_wait(flow, waiting.work, now)
         left_s = waiting.deadline_at - now
@@ -248,7 +248,7 @@
         for flow in self._flow_by_key.values():
             if flow is not own:
                 before += min(REFILL * flow.backlog, mine * flow.weight / own.weight)
-        return WAIT_MARGIN * self._drain.seconds(before, now)
+        return WAIT_MARGIN * self._drain.estimate_drain_s(before, now)
 
     def _refuse(
         self, limit: str, detail: str, wait_s: float, waiting: Waiting, now: float
@@ -263,6 +263,8 @@
         """
         turn_at = max(now + wait_s, self._next_return_at)
         base_s = min(max(MIN_RETRY_AFTER_S, turn_at - now), MAX_RETRY_AFTER_S / 2)
-        self._next_return_at = now + base_s + self._drain.seconds(waiting.work, now)
+        self._next_return_at = (
+            now + base_s + self._drain.estimate_drain_s(waiting.work, now)
+        )
         after_s = base_s * (1.0 + stable_fraction(waiting.request_id))
         return LimitRefusal(limit, detail, after_s)
