--- a/src/kingcupwheel/decisions/durations.py
+++ b/src/kingcupwheel/decisions/durations.py
@@ -4,7 +4,7 @@
 
 
 # An answer counts for one to two of these spans, in seconds.
-SPAN_S = 5.0
+WINDOW_S = 5.0
 
 
 class RecentLongest:
@@ -26,7 +26,7 @@
         return max(self._present_s, self._before_s) or None
 
     def _turn(self, now: float) -> None:
-        span = int(now // SPAN_S)
+        span = int(now // WINDOW_S)
         if span == self._span:
             return
         self._before_s = self._present_s if span == self._span + 1 else 0.0
