--- a/src/kingcupwheel/decisions/durations.py
+++ b/src/kingcupwheel/decisions/durations.py
@@ -15,7 +15,7 @@
         self._present_s = 0.0
         self._before_s = 0.0
 
-    def saw(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Note an answer that took so long and ended at ``now`` (monotonic)."""
         self._turn(now)
         self._present_s = max(self._present_s, seconds)
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -52,7 +52,7 @@
             durations = self._durations_by_route.setdefault(
                 request.route.name, RecentLongest()
             )
-            durations.saw(now - request.received_at, now)
+            durations.record(now - request.received_at, now)
 
     def longest_s(self, request: ForwardRequest, now: float) -> float | None:
         """Return how long the longest recent answer took, or has taken so far.
