--- a/src/kingcupwheel/decisions/durations.py
+++ b/src/kingcupwheel/decisions/durations.py
@@ -20,7 +20,7 @@
         self._turn(now)
         self._present_s = max(self._present_s, seconds)
 
-    def longest_s(self, now: float) -> float | None:
+    def max_s(self, now: float) -> float | None:
         """Return the seconds that the longest recent answer took, None without any."""
         self._turn(now)
         return max(self._present_s, self._before_s) or None
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -61,7 +61,7 @@
         """
         with self._lock:
             durations = self._durations_by_route.get(request.route.name)
-            longest_s = None if durations is None else durations.longest_s(now)
+            longest_s = None if durations is None else durations.max_s(now)
             if longest_s is None:
                 return None
             first_came_at = min(self._came_at_by_id.values(), default=now)
