--- a/src/kingcupwheel/decisions/durations.py
+++ b/src/kingcupwheel/decisions/durations.py
@@ -7,7 +7,7 @@
 WINDOW_S = 5.0
 
 
-class RecentLongest:
+class RecentMaxDuration:
     """Keeps a maximum over the present span and the one before; constant memory."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -5,7 +5,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.durations import RecentLongest
+from kingcupwheel.decisions.durations import RecentMaxDuration
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self._came_at_by_id: dict[str, float] = {}
-        self._durations_by_route: dict[str, RecentLongest] = {}
+        self._durations_by_route: dict[str, RecentMaxDuration] = {}
         self._lock = Lock()
 
     def __len__(self) -> int:
@@ -50,7 +50,7 @@
         """Note that a request got an answer of a server, which ended at ``now``."""
         with self._lock:
             durations = self._durations_by_route.setdefault(
-                request.route.name, RecentLongest()
+                request.route.name, RecentMaxDuration()
             )
             durations.record(now - request.received_at, now)
 
