--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -30,7 +30,7 @@
     """
 
     name: str
-    held: float
+    in_flight: float
     capacity: int
     in_service: bool = True
 
@@ -69,7 +69,7 @@
         load_by_name = {load.name: load for load in loads}
         health_by_name = {name: self.of(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
-        held = sum(load.held for load in load_by_name.values())
+        held = sum(load.in_flight for load in load_by_name.values())
         serving = [load for load in load_by_name.values() if load.in_service]
         places = sum(load.capacity for load in serving)
         may_leave = int(len(serving) * MAX_EJECTED_SHARE)
