--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -32,7 +32,7 @@
     name: str
     in_flight: float
     capacity: int
-    in_service: bool = True
+    is_in_service: bool = True
 
 
 class GroupHealth:
@@ -70,17 +70,17 @@
         health_by_name = {name: self.of(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
         held = sum(load.in_flight for load in load_by_name.values())
-        serving = [load for load in load_by_name.values() if load.in_service]
+        serving = [load for load in load_by_name.values() if load.is_in_service]
         places = sum(load.capacity for load in serving)
         may_leave = int(len(serving) * MAX_EJECTED_SHARE)
         state_by_name: dict[str, ServerState] = {}
         for name in sorted(load_by_name, key=lambda name: _rank(health_by_name, name)):
             load = load_by_name[name]
-            has_room = held <= places - load.capacity * load.in_service
+            has_room = held <= places - load.capacity * load.is_in_service
             may_eject = may_leave > 0 and has_room
             state = health_by_name[name].update(median_s, now, may_eject=may_eject)
             state_by_name[name] = state
-            if state in _OUT_OF_SERVICE and load.in_service:
+            if state in _OUT_OF_SERVICE and load.is_in_service:
                 may_leave -= 1
                 places -= load.capacity
         return state_by_name
