--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._by_name: dict[str, ServerHealth] = {}
 
-    def of(self, server: str) -> ServerHealth:
+    def get(self, server: str) -> ServerHealth:
         """Return the health of ``server``, new if it was never seen."""
         health = self._by_name.get(server)
         if health is None:
@@ -67,7 +67,7 @@
     def states(self, loads: Iterable[ServerLoad], now: float) -> dict[str, ServerState]:
         """Return the state of each server by name."""
         load_by_name = {load.name: load for load in loads}
-        health_by_name = {name: self.of(name) for name in load_by_name}
+        health_by_name = {name: self.get(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
         held = sum(load.in_flight for load in load_by_name.values())
         serving = [load for load in load_by_name.values() if load.is_in_service]
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -196,7 +196,7 @@
         own.remove(attempt)
         self.changed = True
         request = attempt.request
-        health = self.health.of(attempt.server.name)
+        health = self.health.get(attempt.server.name)
         if attempt.is_lost:
             health.failed(now)
             self._retry(attempt, now)
