--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -54,7 +54,7 @@
             health = self._by_name[server] = ServerHealth()
         return health
 
-    def restarted(self, server: str) -> None:
+    def reset(self, server: str) -> None:
         """Forget what is known of ``server``: a new life of it has come up."""
         self._by_name.pop(server, None)
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -173,7 +173,7 @@
     def restarted(self, server: str) -> None:
         """Forget the failures of a server's earlier life."""
         with self._lock:
-            self._health.restarted(server)
+            self._health.reset(server)
 
     def pump(self) -> None:
         """Place what can be placed; called whenever a place may have come free."""
