--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -58,7 +58,7 @@
         """Forget what is known of ``server``: a new life of it has come up."""
         self._by_name.pop(server, None)
 
-    def keep(self, servers: Iterable[str]) -> None:
+    def retain(self, servers: Iterable[str]) -> None:
         """Forget every server but these."""
         wanted = set(servers)
         for name in [name for name in self._by_name if name not in wanted]:
