--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -64,7 +64,9 @@
         for name in [name for name in self._by_name if name not in wanted]:
             del self._by_name[name]
 
-    def states(self, loads: Iterable[ServerLoad], now: float) -> dict[str, ServerState]:
+    def update_states(
+        self, loads: Iterable[ServerLoad], now: float
+    ) -> dict[str, ServerState]:
         """Return the state of each server by name."""
         load_by_name = {load.name: load for load in loads}
         health_by_name = {name: self.get(name) for name in load_by_name}
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -294,7 +294,7 @@
             )
             for one in plain
         ]
-        state_by_name = self._health.states(loads, now)
+        state_by_name = self._health.update_states(loads, now)
         state_by_name.update(kept_from)
         return [replace(one, state=state_by_name[one.name]) for one in plain]
 
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -139,7 +139,7 @@
     for load in loads:
         for _ in range(10):
             group.get(load.name).succeeded(0.02, 0.0)
-    return lambda: group.states(loads, 1.0)
+    return lambda: group.update_states(loads, 1.0)
 
 
 def _share() -> Callable[[], object]:
