--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -9,7 +9,7 @@
 
 # Failures in a row that eject a server: fewer would eject for one bad request and its
 # retry, more would cost callers while a dead server answers at once and looks idle.
-FAILURES_IN_A_ROW = 3
+EJECTION_CONSECUTIVE_FAILURES = 3
 
 # How long one failure makes a server the last choice. At two requests a second over 16
 # servers an entry takes 24 s to see three failures of one; until then it would go on to
@@ -122,7 +122,7 @@
 
     def wants_ejection(self, now: float) -> bool:
         """Tell whether its outcomes call for an ejection."""
-        if self._failed_in_a_row >= FAILURES_IN_A_ROW:
+        if self._failed_in_a_row >= EJECTION_CONSECUTIVE_FAILURES:
             return True
         attempts = self._attempts.value(now)
         failures = self._failures.value(now)
