--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -14,7 +14,7 @@
 # How long one failure makes a server the last choice. At two requests a second over 16
 # servers an entry takes 24 s to see three failures of one; until then it would go on to
 # give it its part, and more, since what fails at once looks idle.
-LAST_CHOICE_S = 10.0
+FAILURE_PENALTY_S = 10.0
 
 # Share of recent attempts that may fail, and the least number that says anything.
 FAILED_SHARE = 0.5
@@ -135,7 +135,7 @@
         if self._ejected_until is not None:
             waits = now < self._ejected_until
             return ServerState.EJECTED if waits else ServerState.PROBING
-        has_just_failed = now - self._failed_at < LAST_CHOICE_S
+        has_just_failed = now - self._failed_at < FAILURE_PENALTY_S
         if (self._failed_in_a_row and has_just_failed) or self.wants_ejection(now):
             return ServerState.FAILING
         if self.is_measured and median_s > 0.0:
