--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -17,7 +17,7 @@
 FAILURE_PENALTY_S = 10.0
 
 # Share of recent attempts that may fail, and the least number that says anything.
-FAILED_SHARE = 0.5
+EJECTION_FAILURE_RATIO = 0.5
 LEAST_ATTEMPTS = 6.0
 
 # Memory of outcomes: some answers long, so that a server that recovered is soon good.
@@ -126,7 +126,9 @@
             return True
         attempts = self._attempts.value(now)
         failures = self._failures.value(now)
-        return attempts >= LEAST_ATTEMPTS and failures > attempts * FAILED_SHARE
+        return (
+            attempts >= LEAST_ATTEMPTS and failures > attempts * EJECTION_FAILURE_RATIO
+        )
 
     def update(self, median_s: float, now: float, *, may_eject: bool) -> ServerState:
         """Return the state at ``now``, beside a group of that median latency."""
