--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -18,7 +18,7 @@
 
 # Share of recent attempts that may fail, and the least number that says anything.
 EJECTION_FAILURE_RATIO = 0.5
-LEAST_ATTEMPTS = 6.0
+EJECTION_MIN_ATTEMPTS = 6.0
 
 # Memory of outcomes: some answers long, so that a server that recovered is soon good.
 OUTCOMES_S = 20.0
@@ -127,7 +127,8 @@
         attempts = self._attempts.value(now)
         failures = self._failures.value(now)
         return (
-            attempts >= LEAST_ATTEMPTS and failures > attempts * EJECTION_FAILURE_RATIO
+            attempts >= EJECTION_MIN_ATTEMPTS
+            and failures > attempts * EJECTION_FAILURE_RATIO
         )
 
     def update(self, median_s: float, now: float, *, may_eject: bool) -> ServerState:
