--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -21,7 +21,7 @@
 EJECTION_MIN_ATTEMPTS = 6.0
 
 # Memory of outcomes: some answers long, so that a server that recovered is soon good.
-OUTCOMES_S = 20.0
+OUTCOME_TIME_CONSTANT_S = 20.0
 
 # A server is slow from twice the group's median latency on, and no longer so below one
 # and a half times: between them it keeps its state and does not flap.
@@ -68,8 +68,8 @@
     """
 
     def __init__(self) -> None:
-        self._attempts = DecayingSum(OUTCOMES_S)
-        self._failures = DecayingSum(OUTCOMES_S)
+        self._attempts = DecayingSum(OUTCOME_TIME_CONSTANT_S)
+        self._failures = DecayingSum(OUTCOME_TIME_CONSTANT_S)
         self._failed_in_a_row = 0
         self._failed_at = 0.0
         self._good_probes = 0
@@ -154,7 +154,7 @@
     def _recover(self) -> None:
         self._ejected_until = None
         self._ejections = 0
-        self._attempts = DecayingSum(OUTCOMES_S)
-        self._failures = DecayingSum(OUTCOMES_S)
+        self._attempts = DecayingSum(OUTCOME_TIME_CONSTANT_S)
+        self._failures = DecayingSum(OUTCOME_TIME_CONSTANT_S)
         self._latencies = 0
         self.latency_s = 0.0
