--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -26,7 +26,7 @@
 # A server is slow from twice the group's median latency on, and no longer so below one
 # and a half times: between them it keeps its state and does not flap.
 SLOW_LATENCY_RATIO = 2.0
-RECOVERED_FACTOR = 1.5
+RECOVERED_LATENCY_RATIO = 1.5
 
 # A latency counts as an eighth of the mean, once so many have been seen.
 _LATENCY_GAIN = 1 / 8
@@ -142,7 +142,7 @@
         if (self._failed_in_a_row and has_just_failed) or self.wants_ejection(now):
             return ServerState.FAILING
         if self.is_measured and median_s > 0.0:
-            factor = RECOVERED_FACTOR if self._is_slow else SLOW_LATENCY_RATIO
+            factor = RECOVERED_LATENCY_RATIO if self._is_slow else SLOW_LATENCY_RATIO
             self._is_slow = self.latency_s > factor * median_s
         return ServerState.SLOW if self._is_slow else ServerState.HEALTHY
 
