--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -34,7 +34,7 @@
 
 # First ejection, doubled each time up to the longest: a server that crashed is back in
 # seconds, one that fails for an hour gets a probe every two minutes.
-EJECTION_S = 5.0
+BASE_EJECTION_S = 5.0
 MAX_EJECTION_S = 120.0
 
 # Good probes in a row that make a server healthy again.
@@ -147,7 +147,9 @@
         return ServerState.SLOW if self._is_slow else ServerState.HEALTHY
 
     def _eject(self, now: float) -> None:
-        self._ejected_until = now + min(EJECTION_S * 2**self._ejections, MAX_EJECTION_S)
+        self._ejected_until = now + min(
+            BASE_EJECTION_S * 2**self._ejections, MAX_EJECTION_S
+        )
         self._ejections = min(self._ejections + 1, 8)
         self._good_probes = 0
 
