--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -38,7 +38,7 @@
 MAX_EJECTION_S = 120.0
 
 # Good probes in a row that make a server healthy again.
-GOOD_PROBES = 3
+RECOVERY_PROBES = 3
 
 
 class ServerState(StrEnum):
@@ -107,7 +107,7 @@
         self.latency_s += (latency_s - self.latency_s) * gain
         if self._ejected_until is not None:
             self._good_probes += 1
-            if self._good_probes >= GOOD_PROBES:
+            if self._good_probes >= RECOVERY_PROBES:
                 self._recover()
 
     def failed(self, now: float) -> None:
