--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -55,7 +55,7 @@
     FAILING = "failing"
     PROBING = "probing"
     EJECTED = "ejected"
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     DOWN = "down"
     LEAVING = "leaving"
 
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -36,7 +36,7 @@
 GET_NOTHING = frozenset(
     {
         ServerState.EJECTED,
-        ServerState.RESTING,
+        ServerState.BACKING_OFF,
         ServerState.DOWN,
         ServerState.LEAVING,
     }
@@ -99,7 +99,7 @@
 def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoServerAvailable:
     """Return what stands in the way of all; an ejected or silent server may be back."""
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
-    rests = [one for one in waited_for if one.state is ServerState.RESTING]
+    rests = [one for one in waited_for if one.state is ServerState.BACKING_OFF]
     if not rests or len(rests) < len(waited_for):
         return NO_SERVER_IN_SERVICE
     untried = [one for one in rests if one.name not in ask.excluded_servers]
@@ -120,7 +120,7 @@
         for one in known
         if one.state is not ServerState.LEAVING and one.name not in ask.excluded_servers
     ]
-    if waited_for and all(one.state is ServerState.RESTING for one in waited_for):
+    if waited_for and all(one.state is ServerState.BACKING_OFF for one in waited_for):
         return UNTRIED_SERVERS_BACKING_OFF._replace(
             rest_over_at=_first_over(waited_for)
         )
@@ -135,7 +135,7 @@
     rests = [
         one
         for one in known
-        if one.state is ServerState.RESTING and one.name not in ask.excluded_servers
+        if one.state is ServerState.BACKING_OFF and one.name not in ask.excluded_servers
     ]
     if not rests:
         return ALL_SERVERS_TRIED
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -306,7 +306,7 @@
         if not server.in_service:
             return ServerState.DOWN
         if self._servers.notices.rests(life, now):
-            return ServerState.RESTING
+            return ServerState.BACKING_OFF
         return None
 
 
