--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -98,4 +98,4 @@
 ) -> tuple[bool, int, str]:
     """Order for judging: the ejected first, then those that fail most."""
     health = health_by_name[name]
-    return (not health.is_ejected, -health.failing, name)
+    return (not health.is_ejected, -health.consecutive_failures, name)
--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -90,7 +90,7 @@
         return self._ejected_until is not None
 
     @property
-    def failing(self) -> int:
+    def consecutive_failures(self) -> int:
         """Failures in a row, to compare servers that both fail."""
         return self._failed_in_a_row
 
