--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -94,7 +94,7 @@
         """Failures in a row, to compare servers that both fail."""
         return self._failed_in_a_row
 
-    def succeeded(self, latency_s: float, now: float) -> None:
+    def record_success(self, latency_s: float, now: float) -> None:
         """Count a whole answer.
 
         ``latency_s`` has to be comparable between the group's servers: the time for a
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -137,7 +137,7 @@
     def succeeded(self, place: Place, token_s: float) -> None:
         """Count a whole answer that took ``token_s`` seconds a token."""
         with self._lock:
-            self._health.get(place.server).succeeded(token_s, monotonic())
+            self._health.get(place.server).record_success(token_s, monotonic())
 
     def saw_first_byte(self, seconds: float, size: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -138,7 +138,7 @@
     loads = [ServerLoad(f"server-{number}", 8, 16) for number in range(CANDIDATES)]
     for load in loads:
         for _ in range(10):
-            group.get(load.name).succeeded(0.02, 0.0)
+            group.get(load.name).record_success(0.02, 0.0)
     return lambda: group.update_states(loads, 1.0)
 
 
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -207,7 +207,7 @@
         begun_at = attempt.first_at or now
         self.first_token.saw(begun_at - attempt.sent_at, request.prompt, begun_at)
         request.gap_s = (now - begun_at) / request.answer
-        health.succeeded((now - attempt.sent_at) / request.answer, now)
+        health.record_success((now - attempt.sent_at) / request.answer, now)
         self.predictor.learn(
             request.organisation,
             "/",
