--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -110,7 +110,7 @@
             if self._good_probes >= RECOVERY_PROBES:
                 self._recover()
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Count an attempt that failed through the server: an error, a cut, silence."""
         self._attempts.add(1.0, now)
         self._failures.add(1.0, now)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -153,7 +153,7 @@
         if not self._servers.is_living(place.address, place.incarnation):
             return
         with self._lock:
-            self._health.get(place.server).failed(monotonic())
+            self._health.get(place.server).record_failure(monotonic())
 
     def rest_left_s(self, avoid: frozenset[str] = frozenset()) -> float:
         """Return how long every server but ``avoid`` still rests or leaves.
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -198,7 +198,7 @@
         request = attempt.request
         health = self.health.get(attempt.server.name)
         if attempt.is_lost:
-            health.failed(now)
+            health.record_failure(now)
             self._retry(attempt, now)
             return
         request.end = "answered"
