--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -120,7 +120,7 @@
         if self._ejected_until is not None and now >= self._ejected_until:
             self._eject(now)
 
-    def wants_ejection(self, now: float) -> bool:
+    def should_eject(self, now: float) -> bool:
         """Tell whether its outcomes call for an ejection."""
         if self._failed_in_a_row >= EJECTION_CONSECUTIVE_FAILURES:
             return True
@@ -133,13 +133,13 @@
 
     def update(self, median_s: float, now: float, *, may_eject: bool) -> ServerState:
         """Return the state at ``now``, beside a group of that median latency."""
-        if self._ejected_until is None and may_eject and self.wants_ejection(now):
+        if self._ejected_until is None and may_eject and self.should_eject(now):
             self._eject(now)
         if self._ejected_until is not None:
             waits = now < self._ejected_until
             return ServerState.EJECTED if waits else ServerState.PROBING
         has_just_failed = now - self._failed_at < FAILURE_PENALTY_S
-        if (self._failed_in_a_row and has_just_failed) or self.wants_ejection(now):
+        if (self._failed_in_a_row and has_just_failed) or self.should_eject(now):
             return ServerState.FAILING
         if self.is_measured and median_s > 0.0:
             factor = RECOVERED_LATENCY_RATIO if self._is_slow else SLOW_LATENCY_RATIO
