--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -80,7 +80,9 @@
             load = load_by_name[name]
             has_room = held <= places - load.capacity * load.is_in_service
             may_eject = may_leave > 0 and has_room
-            state = health_by_name[name].update(median_s, now, may_eject=may_eject)
+            state = health_by_name[name].update_state(
+                median_s, now, may_eject=may_eject
+            )
             state_by_name[name] = state
             if state in _OUT_OF_SERVICE and load.is_in_service:
                 may_leave -= 1
--- a/src/kingcupwheel/decisions/health.py
+++ b/src/kingcupwheel/decisions/health.py
@@ -131,7 +131,9 @@
             and failures > attempts * EJECTION_FAILURE_RATIO
         )
 
-    def update(self, median_s: float, now: float, *, may_eject: bool) -> ServerState:
+    def update_state(
+        self, median_s: float, now: float, *, may_eject: bool
+    ) -> ServerState:
         """Return the state at ``now``, beside a group of that median latency."""
         if self._ejected_until is None and may_eject and self.should_eject(now):
             self._eject(now)
