--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -10,7 +10,7 @@
 
 # A bound that no sample has confirmed for so long is believed less and less, in
 # seconds: an entry at work sees several a second.
-FRESH_S = 1.0
+UNCONFIRMED_GRACE_S = 1.0
 # Within this time more it is halved, and halved again.
 HALVED_S = 0.5
 
@@ -57,7 +57,7 @@
         if self._count == 0:
             return 0.0
         bound_s = self._line(size) + _DEVIATIONS * self._deviation_s
-        unconfirmed_s = max(0.0, now - self._saw_at - FRESH_S)
+        unconfirmed_s = max(0.0, now - self._saw_at - UNCONFIRMED_GRACE_S)
         return bound_s * math.exp2(-unconfirmed_s / HALVED_S)
 
     def saw(self, seconds: float, size: float, now: float) -> None:
