--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -12,7 +12,7 @@
 # seconds: an entry at work sees several a second.
 UNCONFIRMED_GRACE_S = 1.0
 # Within this time more it is halved, and halved again.
-HALVED_S = 0.5
+UNCONFIRMED_HALF_LIFE_S = 0.5
 
 # A bound of one deviation above the line. Two kept nearly all samples, but with prompts
 # of very different lengths left no time to wait in the queue.
@@ -58,7 +58,7 @@
             return 0.0
         bound_s = self._line(size) + _DEVIATIONS * self._deviation_s
         unconfirmed_s = max(0.0, now - self._saw_at - UNCONFIRMED_GRACE_S)
-        return bound_s * math.exp2(-unconfirmed_s / HALVED_S)
+        return bound_s * math.exp2(-unconfirmed_s / UNCONFIRMED_HALF_LIFE_S)
 
     def saw(self, seconds: float, size: float, now: float) -> None:
         """Take the time to a first byte into account."""
