--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -60,7 +60,7 @@
         unconfirmed_s = max(0.0, now - self._saw_at - UNCONFIRMED_GRACE_S)
         return bound_s * math.exp2(-unconfirmed_s / UNCONFIRMED_HALF_LIFE_S)
 
-    def saw(self, seconds: float, size: float, now: float) -> None:
+    def record(self, seconds: float, size: float, now: float) -> None:
         """Take the time to a first byte into account."""
         self._saw_at = now
         error_s = abs(seconds - self._line(size)) if self._count else seconds / 2
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -142,7 +142,7 @@
     def saw_first_byte(self, seconds: float, size: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
         with self._lock:
-            self._first_byte.saw(seconds, size, monotonic())
+            self._first_byte.record(seconds, size, monotonic())
 
     def failed(self, place: Place) -> None:
         """Count an attempt that failed through its server.
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -205,7 +205,7 @@
         request.server = attempt.server.name
         request.first_at = attempt.first_at
         begun_at = attempt.first_at or now
-        self.first_token.saw(begun_at - attempt.sent_at, request.prompt, begun_at)
+        self.first_token.record(begun_at - attempt.sent_at, request.prompt, begun_at)
         request.gap_s = (now - begun_at) / request.answer
         health.record_success((now - attempt.sent_at) / request.answer, now)
         self.predictor.learn(
