--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -19,7 +19,7 @@
 _DEVIATIONS = 1.0
 
 
-class LatencyBound:
+class FirstByteLatencyBound:
     """A line through the times to the first byte by the size of the prompt.
 
     Load: prompts of very different lengths at a busy group. Harm prevented: a request
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -22,7 +22,7 @@
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.latency import LatencyBound
+from kingcupwheel.decisions.latency import FirstByteLatencyBound
 from kingcupwheel.decisions.placement import usable
 from kingcupwheel.decisions.queueing import FairQueue
 from kingcupwheel.decisions.queueing import Queued
@@ -56,7 +56,7 @@
         self._policy = placement_policies.get(group.placement)()
         self._queue = FairQueue(limit=group.queue)
         self._health = GroupHealth()
-        self._first_byte = LatencyBound()
+        self._first_byte = FirstByteLatencyBound()
         self._tickets_by_request_id: dict[str, Ticket] = {}
         self._held: Ticket | None = None
         self._aside: deque[Ticket] = deque()
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -16,7 +16,7 @@
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.latency import LatencyBound
+from kingcupwheel.decisions.latency import FirstByteLatencyBound
 from kingcupwheel.decisions.queueing import FairQueue
 from kingcupwheel.decisions.queueing import Waiting
 from kingcupwheel.decisions.retries import RetryBudget
@@ -98,7 +98,7 @@
         self.policy = placement_policies.get(model.setup.policy)()
         self.health = GroupHealth()
         self.retries = RetryBudget()
-        self.first_token = LatencyBound()
+        self.first_token = FirstByteLatencyBound()
         self.predictor = WorkPredictor()
         self.report_by_server: dict[str, Report] = {}
         self.attempts_by_server: dict[str, list[Attempt]] = {
