--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -17,7 +17,7 @@
 class _Bid(NamedTuple):
     """A chooser's claim to a place; the lowest is turned away first."""
 
-    worth: int
+    score: int
     chooser: str
 
 
