--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -34,7 +34,7 @@
     def choosers(self) -> list[str]:
         return [bid.chooser for bid in self._bids]
 
-    def offer(self, bid: _Bid) -> str | None:
+    def add_bid(self, bid: _Bid) -> str | None:
         """Return whom it turns away, if anybody."""
         if len(self._bids) < self._places:
             heappush(self._bids, bid)
@@ -65,7 +65,7 @@
         if preference is None:
             continue
         rank, name = preference
-        turned_away = option_by_name[name].offer(_Bid(-rank, chooser))
+        turned_away = option_by_name[name].add_bid(_Bid(-rank, chooser))
         if turned_away is not None:
             unplaced.append(turned_away)
     chosen_by_chooser = _by_chooser(choosers, option_by_name)
