--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -17,7 +17,7 @@
 
 # The longest rest that is kept, in seconds. A server that names a longer one by mistake
 # is asked again after it, and asks for rest again if it meant it.
-MAX_REST_S = 120.0
+MAX_BACKOFF_S = 120.0
 # A life that is off the list is remembered for so long, in seconds: an entry that was
 # overwritten or has lapsed comes back with the same life.
 ABSENT_S = 60.0
@@ -50,7 +50,7 @@
 
         A shorter wish does not end an earlier one: answers overtake each other.
         """
-        until = now + min(for_s, MAX_REST_S)
+        until = now + min(for_s, MAX_BACKOFF_S)
         known = self.rests_until(life)
         if until <= now or (known is not None and until <= known):
             return False
