--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -20,7 +20,7 @@
 MAX_BACKOFF_S = 120.0
 # A life that is off the list is remembered for so long, in seconds: an entry that was
 # overwritten or has lapsed comes back with the same life.
-ABSENT_S = 60.0
+ABSENT_RETENTION_S = 60.0
 # Lives remembered at most; a bound for memory only.
 MAX_LIVES = 4096
 
@@ -107,7 +107,7 @@
         return self._forget(
             life
             for life, told in self._told_by_life.items()
-            if told.absent_at is not None and now - told.absent_at >= ABSENT_S
+            if told.absent_at is not None and now - told.absent_at >= ABSENT_RETENTION_S
         )
 
     def _forget(self, lives: Iterable[str]) -> tuple[str, ...]:
