--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -22,7 +22,7 @@
 # overwritten or has lapsed comes back with the same life.
 ABSENT_RETENTION_S = 60.0
 # Lives remembered at most; a bound for memory only.
-MAX_LIVES = 4096
+MAX_INCARNATIONS = 4096
 
 
 class _Told:
@@ -119,7 +119,7 @@
     def _of(self, life: str) -> _Told:
         found = self._told_by_life.get(life)
         if found is None:
-            if len(self._told_by_life) >= MAX_LIVES:
+            if len(self._told_by_life) >= MAX_INCARNATIONS:
                 # The one that said something first.
                 del self._told_by_life[next(iter(self._told_by_life))]
             found = self._told_by_life[life] = _Told()
