--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -45,7 +45,7 @@
     def __len__(self) -> int:
         return len(self._told_by_life)
 
-    def rest(self, life: str, for_s: float, now: float) -> bool:
+    def record_backoff(self, life: str, for_s: float, now: float) -> bool:
         """Note that a server asks for rest; return whether that is news.
 
         A shorter wish does not end an earlier one: answers overtake each other.
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -162,7 +162,7 @@
         now = monotonic()
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.rest(life, for_s, now)
+            is_news = self._servers.notices.record_backoff(life, for_s, now)
         if is_news:
             log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
 
