--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -57,7 +57,7 @@
         self._of(life).rests_until = until
         return True
 
-    def leaves(self, life: str) -> bool:
+    def record_leaving(self, life: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
         told = self._of(life)
         is_news = not told.leaving
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -170,7 +170,7 @@
         """Send nothing to a server that says that it leaves; return if that is news."""
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.leaves(life)
+            is_news = self._servers.notices.record_leaving(life)
         if is_news:
             log.info("server-leaves", server=life, id=request_id)
         return is_news
