--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -51,7 +51,7 @@
         A shorter wish does not end an earlier one: answers overtake each other.
         """
         until = now + min(for_s, MAX_BACKOFF_S)
-        known = self.rests_until(life)
+        known = self.backoff_until(life)
         if until <= now or (known is not None and until <= known):
             return False
         self._of(life).rests_until = until
@@ -69,14 +69,14 @@
         told = self._told_by_life.get(life)
         return told is not None and told.leaving
 
-    def rests_until(self, life: str) -> float | None:
+    def backoff_until(self, life: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
         told = self._told_by_life.get(life)
         return None if told is None else told.rests_until
 
     def rests(self, life: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
-        until = self.rests_until(life)
+        until = self.backoff_until(life)
         return until is not None and now < until
 
     def may_get(self, life: str, now: float) -> bool:
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -276,7 +276,7 @@
         plain = [
             replace(
                 _candidate(server, concurrency, now),
-                rests_until=notices.rests_until(server.known_beat.incarnation) or 0.0,
+                rests_until=notices.backoff_until(server.known_beat.incarnation) or 0.0,
             )
             for server in servers.values()
         ]
