--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -74,14 +74,14 @@
         told = self._told_by_life.get(life)
         return None if told is None else told.rests_until
 
-    def rests(self, life: str, now: float) -> bool:
+    def is_backing_off(self, life: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
         until = self.backoff_until(life)
         return until is not None and now < until
 
     def may_get(self, life: str, now: float) -> bool:
         """Return whether a request may be sent to it now."""
-        return not self.is_leaving(life) and not self.rests(life, now)
+        return not self.is_leaving(life) and not self.is_backing_off(life, now)
 
     def ended(self, now: float) -> tuple[str, ...]:
         """Return, once, the lives whose rest is over."""
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -305,7 +305,7 @@
             return ServerState.LEAVING
         if not server.in_service:
             return ServerState.DOWN
-        if self._servers.notices.rests(life, now):
+        if self._servers.notices.is_backing_off(life, now):
             return ServerState.BACKING_OFF
         return None
 
