--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -79,7 +79,7 @@
         until = self.backoff_until(life)
         return until is not None and now < until
 
-    def may_get(self, life: str, now: float) -> bool:
+    def accepts_requests(self, life: str, now: float) -> bool:
         """Return whether a request may be sent to it now."""
         return not self.is_leaving(life) and not self.is_backing_off(life, now)
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -183,7 +183,9 @@
     def may_send(self, place: Place) -> bool:
         """Return whether the life that a place is on may get a request now."""
         with self._servers.lock:
-            return self._servers.notices.may_get(place.incarnation, monotonic())
+            return self._servers.notices.accepts_requests(
+                place.incarnation, monotonic()
+            )
 
     def end_rests(self) -> None:
         """Use servers again whose rest is over."""
