--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -83,7 +83,7 @@
         """Return whether a request may be sent to it now."""
         return not self.is_leaving(life) and not self.is_backing_off(life, now)
 
-    def ended(self, now: float) -> tuple[str, ...]:
+    def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
         """Return, once, the lives whose rest is over."""
         found = tuple(
             life
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -190,7 +190,7 @@
     def end_rests(self) -> None:
         """Use servers again whose rest is over."""
         with self._servers.lock:
-            ended = self._servers.notices.ended(monotonic())
+            ended = self._servers.notices.take_ended_backoffs(monotonic())
         if not ended:
             return
         for life in ended:
