--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -97,7 +97,7 @@
                 del self._told_by_life[life]
         return found
 
-    def keep(self, lives: Collection[str], now: float) -> tuple[str, ...]:
+    def retain(self, lives: Collection[str], now: float) -> tuple[str, ...]:
         """Forget lives that have been off the list for long; return them."""
         for life, told in self._told_by_life.items():
             if life in lives:
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -201,7 +201,7 @@
     def _forget_notices(self, now: float) -> None:
         lives = {one.life for one in tuple(self._backends_by_address.values())}
         with self._servers.lock:
-            forgotten = self._servers.notices.keep(lives, now)
+            forgotten = self._servers.notices.retain(lives, now)
         for life in forgotten:
             log.info("notice-forgotten", server=life)
 
