--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -36,7 +36,7 @@
         self.absent_at: float | None = None
 
 
-class Notices:
+class ServerNotices:
     """Keeps what servers asked for; guarded by its owner, times are monotonic."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/entry/servers.py
+++ b/src/kingcupwheel/entry/servers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.notices import Notices
+from kingcupwheel.decisions.notices import ServerNotices
 
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         self._timings = timings
         self._by_address: dict[str, Server] = {}
         self._lock = Lock()
-        self._notices = Notices()
+        self._notices = ServerNotices()
         self._checked_at: float | None = None
 
     @property
@@ -111,7 +111,7 @@
         return self._lock
 
     @property
-    def notices(self) -> Notices:
+    def notices(self) -> ServerNotices:
         """What servers said of themselves; read and changed under ``lock`` only."""
         return self._notices
 
