--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -28,10 +28,10 @@
 class _Told:
     """What one life said; ``absent_at`` is since when it is off the list."""
 
-    __slots__ = ("absent_at", "leaving", "rests_until")
+    __slots__ = ("absent_at", "is_leaving", "rests_until")
 
     def __init__(self) -> None:
-        self.leaving = False
+        self.is_leaving = False
         self.rests_until: float | None = None
         self.absent_at: float | None = None
 
@@ -60,14 +60,14 @@
     def record_leaving(self, life: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
         told = self._of(life)
-        is_news = not told.leaving
-        told.leaving = True
+        is_news = not told.is_leaving
+        told.is_leaving = True
         return is_news
 
     def is_leaving(self, life: str) -> bool:
         """Return whether it said that it leaves, which holds until it is gone."""
         told = self._told_by_life.get(life)
-        return told is not None and told.leaving
+        return told is not None and told.is_leaving
 
     def backoff_until(self, life: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
@@ -91,7 +91,7 @@
             if told.rests_until is not None and told.rests_until <= now
         )
         for life in found:
-            if self._told_by_life[life].leaving:
+            if self._told_by_life[life].is_leaving:
                 self._told_by_life[life].rests_until = None
             else:
                 del self._told_by_life[life]
