--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.is_leaving = False
-        self.rests_until: float | None = None
+        self.backoff_until: float | None = None
         self.absent_at: float | None = None
 
 
@@ -54,7 +54,7 @@
         known = self.backoff_until(life)
         if until <= now or (known is not None and until <= known):
             return False
-        self._of(life).rests_until = until
+        self._of(life).backoff_until = until
         return True
 
     def record_leaving(self, life: str) -> bool:
@@ -72,7 +72,7 @@
     def backoff_until(self, life: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
         told = self._told_by_life.get(life)
-        return None if told is None else told.rests_until
+        return None if told is None else told.backoff_until
 
     def is_backing_off(self, life: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
@@ -88,11 +88,11 @@
         found = tuple(
             life
             for life, told in self._told_by_life.items()
-            if told.rests_until is not None and told.rests_until <= now
+            if told.backoff_until is not None and told.backoff_until <= now
         )
         for life in found:
             if self._told_by_life[life].is_leaving:
-                self._told_by_life[life].rests_until = None
+                self._told_by_life[life].backoff_until = None
             else:
                 del self._told_by_life[life]
         return found
