--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -31,7 +31,7 @@
 
 # Servers drawn for a choice. Two give most of the gain over one; with every server
 # compared, all entries would pick the same one from reports of the same second.
-CHOICES = 2
+SAMPLED_SERVERS = 2
 
 GET_NOTHING = frozenset(
     {
@@ -226,7 +226,7 @@
     proven: Sequence[Candidate], ask: PlacementRequest, draw: Random
 ) -> list[Candidate]:
     """Draw two different servers, each as often as it has room."""
-    if len(proven) <= CHOICES:
+    if len(proven) <= SAMPLED_SERVERS:
         return list(proven)
     near = [one for one in proven if one.data_centre == ask.data_centre]
     first = _draw_one(near if ask.prefers_local and near else proven, draw)
