--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -33,7 +33,7 @@
 # compared, all entries would pick the same one from reports of the same second.
 SAMPLED_SERVERS = 2
 
-GET_NOTHING = frozenset(
+UNAVAILABLE_STATES = frozenset(
     {
         ServerState.EJECTED,
         ServerState.BACKING_OFF,
@@ -75,7 +75,7 @@
 ) -> list[Candidate] | NoServerAvailable:
     """Return the servers that may be given ``ask``, or why there are none."""
     known = normalize_ages(candidates)
-    up = [candidate for candidate in known if candidate.state not in GET_NOTHING]
+    up = [candidate for candidate in known if candidate.state not in UNAVAILABLE_STATES]
     if not up:
         return _none_up(known, ask)
     with_room = [candidate for candidate in up if not candidate.is_full]
