--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -49,7 +49,7 @@
 # A server that fails and may not be ejected counts as this much fuller. Without, it is
 # the emptiest of all, since it fails at once, and draws most requests; so it gets what
 # the others have hardly room for, and the guard against mass ejection still holds.
-FAILING_LOAD = 0.8
+FAILING_LOAD_PENALTY = 0.8
 
 # The home of a prefix may be this much fuller than the mean: a cached prefix saves the
 # prompt's work, which a longer wait soon eats up.
@@ -244,7 +244,7 @@
     if candidate.data_centre != ask.data_centre:
         cost += ask.remote_load_penalty
     if candidate.state is ServerState.FAILING:
-        cost += FAILING_LOAD
+        cost += FAILING_LOAD_PENALTY
     return cost
 
 
