--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -53,7 +53,7 @@
 
 # The home of a prefix may be this much fuller than the mean: a cached prefix saves the
 # prompt's work, which a longer wait soon eats up.
-AFFINITY_SLACK = 0.25
+AFFINITY_LOAD_MARGIN = 0.25
 AFFINITY_MAX_LOAD = 0.9
 
 
@@ -202,7 +202,7 @@
             return None
         home = max(sound, key=lambda one: stable_hash(ask.prefix_key, one.name))
         mean = sum(candidate.load for candidate in proven) / len(proven)
-        if home.load > min(AFFINITY_MAX_LOAD, mean + AFFINITY_SLACK):
+        if home.load > min(AFFINITY_MAX_LOAD, mean + AFFINITY_LOAD_MARGIN):
             return None
         return home
 
