--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import SelectedServer
-from kingcupwheel.decisions.placement import usable
+from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -31,7 +31,7 @@
         draw: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Draw evenly."""
-        able = usable(candidates, ask)
+        able = select_eligible(candidates, ask)
         if isinstance(able, NoServerAvailable):
             return able
         return SelectedServer(draw.choice(able).name, "random")
@@ -52,7 +52,7 @@
         draw: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the next one."""
-        able = usable(candidates, ask)
+        able = select_eligible(candidates, ask)
         if isinstance(able, NoServerAvailable):
             return able
         return SelectedServer(able[next(self._turn) % len(able)].name, "next in turn")
@@ -70,7 +70,7 @@
         draw: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the least, drawn evenly among equals."""
-        able = usable(candidates, ask)
+        able = select_eligible(candidates, ask)
         if isinstance(able, NoServerAvailable):
             return able
         best = min(able, key=lambda one: (one.own_in_flight, draw.random()))
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -70,7 +70,7 @@
         """Choose a server among the group's that are within the entry's subset."""
 
 
-def usable(
+def select_eligible(
     candidates: Sequence[Candidate], ask: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
     """Return the servers that may be given ``ask``, or why there are none."""
@@ -164,7 +164,7 @@
         draw: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
-        able = usable(corrected(candidates), ask)
+        able = select_eligible(corrected(candidates), ask)
         if isinstance(able, NoServerAvailable):
             return able
         proven, probed = _parted(able)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -23,7 +23,7 @@
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.health import ServerState
 from kingcupwheel.decisions.latency import FirstByteLatencyBound
-from kingcupwheel.decisions.placement import usable
+from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.decisions.queueing import FairQueue
 from kingcupwheel.decisions.queueing import Queued
 from kingcupwheel.decisions.queueing import Waiting
@@ -162,7 +162,7 @@
         """
         now = monotonic()
         with self._lock, self._servers.lock:
-            found = usable(
+            found = select_eligible(
                 self._candidates(self._heard(), now),
                 PlacementRequest(excluded_servers=avoid),
             )
