--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -147,7 +147,7 @@
 
 
 @placement_policies.register("two-choices")
-class TwoChoices:
+class TwoChoicesPolicy:
     """The less loaded of two random servers, unless the prefix has a home with room.
 
     Load: some hundred entries place on the same servers by reports a second old. Harm
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -13,7 +13,7 @@
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
-from kingcupwheel.decisions.placement import TwoChoices
+from kingcupwheel.decisions.placement import TwoChoicesPolicy
 from kingcupwheel.decisions.queueing import FairQueue
 from kingcupwheel.decisions.queueing import Waiting
 from kingcupwheel.decisions.shares import PeerShare
@@ -128,7 +128,7 @@
         for number in range(CANDIDATES)
     ]
     draw = Random(1)
-    policy = TwoChoices()
+    policy = TwoChoicesPolicy()
     ask = PlacementRequest(prefix_key=prefix, work=600.0, data_centre="dc-0")
     return lambda: policy.place(candidates, ask, 0.0, draw)
 
