--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -17,7 +17,7 @@
 # Work that a flow of the lowest priority is given in a turn, in tokens; one of priority
 # 5 gets 384, about a short request. More lets one flow take many turns' work at once,
 # so that others' short requests wait; less costs more rounds for each decision.
-QUANTUM = 64.0
+QUANTUM_TOKENS = 64.0
 
 # A flow may hold so many times the places that are free. Reason: one flow alone gets
 # two thirds of the queue, and however many flood it, a free place is left for the next
@@ -101,7 +101,7 @@
         self,
         limit: int,
         *,
-        quantum: float = QUANTUM,
+        quantum: float = QUANTUM_TOKENS,
         max_wait_s: float = MAX_WAIT_S,
     ) -> None:
         self._limit = limit
