--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -22,7 +22,7 @@
 # A flow may hold so many times the places that are free. Reason: one flow alone gets
 # two thirds of the queue, and however many flood it, a free place is left for the next
 # organisation.
-FREE_PLACES_FACTOR = 2
+MAX_FLOW_PER_FREE_SLOT = 2
 
 # A request is queued if twice its predicted wait is within its deadline: a wait is as
 # often above its prediction as below, and one far above ends in a refusal after the
@@ -128,7 +128,7 @@
         ahead = len(self)
         key = (waiting.organisation, waiting.priority)
         flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
-        if len(flow.requests) >= FREE_PLACES_FACTOR * (self._limit - ahead):
+        if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._limit - ahead):
             wait_s = self._drain.estimate_drain_s(self.work, now)
             return self._refuse("queue", f"{ahead} requests wait", wait_s, waiting, now)
         wait_s = self._predicted_wait(flow, waiting.work, now)
