--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -27,7 +27,7 @@
 # A request is queued if twice its predicted wait is within its deadline: a wait is as
 # often above its prediction as below, and one far above ends in a refusal after the
 # wait. The servers stay as busy with the shorter queue.
-WAIT_MARGIN = 2.0
+PREDICTED_WAIT_FACTOR = 2.0
 
 # What another flow has waiting may be filled up this often before the turn comes. With
 # once, waits are predicted too short at saturation; without bound, a long request is
@@ -248,7 +248,7 @@
         for flow in self._flow_by_key.values():
             if flow is not own:
                 before += min(REFILL * flow.backlog, mine * flow.weight / own.weight)
-        return WAIT_MARGIN * self._drain.estimate_drain_s(before, now)
+        return PREDICTED_WAIT_FACTOR * self._drain.estimate_drain_s(before, now)
 
     def _refuse(
         self, limit: str, detail: str, wait_s: float, waiting: Waiting, now: float
