--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -32,7 +32,7 @@
 # What another flow has waiting may be filled up this often before the turn comes. With
 # once, waits are predicted too short at saturation; without bound, a long request is
 # refused for a wait that never comes if many flows have a short one each.
-REFILL = 3.0
+MAX_BACKLOG_REFILLS = 3.0
 
 # Longest such wait that is queued, however patient the caller: the servers are as busy
 # with a short queue, and the goal for the first token is about a second.
@@ -247,7 +247,9 @@
         before = own.backlog
         for flow in self._flow_by_key.values():
             if flow is not own:
-                before += min(REFILL * flow.backlog, mine * flow.weight / own.weight)
+                before += min(
+                    MAX_BACKLOG_REFILLS * flow.backlog, mine * flow.weight / own.weight
+                )
         return PREDICTED_WAIT_FACTOR * self._drain.estimate_drain_s(before, now)
 
     def _refuse(
