--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -43,7 +43,7 @@
 _WEIGHT_OF_LOWEST = 1.0
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits for a place on a server.
 
     ``work`` is predicted work in tokens; the times are monotonic seconds, and
@@ -71,7 +71,7 @@
     __slots__ = ("backlog", "deficit", "has_turn", "requests", "weight")
 
     def __init__(self, priority: int) -> None:
-        self.requests: deque[Waiting] = deque()
+        self.requests: deque[QueuedRequest] = deque()
         self.weight = max(0, priority) + _WEIGHT_OF_LOWEST
         self.deficit = 0.0
         self.has_turn = False
@@ -109,9 +109,9 @@
         self._quantum = quantum
         self._flow_by_key: dict[tuple[str, int], _Flow] = {}
         self._turns: deque[tuple[str, int]] = deque()
-        self._waiting_by_id: dict[str, Waiting] = {}
+        self._waiting_by_id: dict[str, QueuedRequest] = {}
         self._deadlines: list[tuple[float, str]] = []
-        self._expired: list[Waiting] = []
+        self._expired: list[QueuedRequest] = []
         self._drain = DrainRate()
         self._next_return_at = 0.0
 
@@ -123,7 +123,7 @@
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
-    def push(self, waiting: Waiting, now: float) -> Queued | LimitRefusal:
+    def push(self, waiting: QueuedRequest, now: float) -> Queued | LimitRefusal:
         """Queue a request, or refuse it at once with a time to come back."""
         ahead = len(self)
         key = (waiting.organisation, waiting.priority)
@@ -144,7 +144,7 @@
         self._add(key, flow, waiting)
         return Queued(ahead, wait_s)
 
-    def peek(self, now: float) -> Waiting | None:
+    def peek(self, now: float) -> QueuedRequest | None:
         """Return the request whose turn it is, or None if none waits in time."""
         self._drop_expired(now)
         passed = 0
@@ -158,7 +158,7 @@
                 self._skip_rounds()
         return None
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Take out and return what ``peek`` returns."""
         waiting = self.peek(now)
         if waiting is None:
@@ -176,7 +176,7 @@
         self._note_if_empty(now)
         return waiting
 
-    def remove(self, request_id: str, now: float) -> Waiting | None:
+    def remove(self, request_id: str, now: float) -> QueuedRequest | None:
         """Take a request out, for instance when its caller has left."""
         waiting = self._waiting_by_id.pop(request_id, None)
         if waiting is None:
@@ -189,14 +189,14 @@
         self._note_if_empty(now)
         return waiting
 
-    def expired(self, now: float) -> list[Waiting]:
+    def expired(self, now: float) -> list[QueuedRequest]:
         """Return, once, the requests whose deadline passed while they waited."""
         self._drop_expired(now)
         expired = self._expired
         self._expired = []
         return expired
 
-    def _add(self, key: tuple[str, int], flow: _Flow, waiting: Waiting) -> None:
+    def _add(self, key: tuple[str, int], flow: _Flow, waiting: QueuedRequest) -> None:
         if not flow.requests:
             self._flow_by_key[key] = flow
             self._turns.append(key)
@@ -253,7 +253,7 @@
         return PREDICTED_WAIT_FACTOR * self._drain.estimate_drain_s(before, now)
 
     def _refuse(
-        self, limit: str, detail: str, wait_s: float, waiting: Waiting, now: float
+        self, limit: str, detail: str, wait_s: float, waiting: QueuedRequest, now: float
     ) -> LimitRefusal:
         """Refuse with a time to come back at which there may be room.
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -26,7 +26,7 @@
 from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.decisions.queueing import FairQueue
 from kingcupwheel.decisions.queueing import Queued
-from kingcupwheel.decisions.queueing import Waiting
+from kingcupwheel.decisions.queueing import QueuedRequest
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import TimedOut
@@ -72,7 +72,7 @@
     def submit(self, wanted: Wanted, ask: PlacementRequest) -> Ticket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
-        waiting = Waiting(
+        waiting = QueuedRequest(
             request_id=wanted.request_id,
             organisation=wanted.organisation,
             priority=wanted.priority,
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -12,7 +12,7 @@
     from kingcupwheel.decisions.candidates import NoServerAvailable
     from kingcupwheel.decisions.candidates import PlacementRequest
     from kingcupwheel.decisions.candidates import SelectedServer
-    from kingcupwheel.decisions.queueing import Waiting
+    from kingcupwheel.decisions.queueing import QueuedRequest
 
 
 class Wanted(NamedTuple):
@@ -59,7 +59,7 @@
 class Ticket:
     """A request's wait for a place."""
 
-    def __init__(self, waiting: Waiting, ask: PlacementRequest) -> None:
+    def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
         self.waiting = waiting
         self.ask = ask
         self.hindrance: NoServerAvailable | None = None
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -15,7 +15,7 @@
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.placement import TwoChoicesPolicy
 from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import Waiting
+from kingcupwheel.decisions.queueing import QueuedRequest
 from kingcupwheel.decisions.shares import PeerShare
 from kingcupwheel.decisions.shares import Share
 from kingcupwheel.decisions.shares import next_share
@@ -109,7 +109,7 @@
     def push() -> None:
         number = next(serial)
         name = f"organisation-{number % 50}"
-        queue.push(Waiting(f"{number}", name, 5, 600.0, 1e9, 0.0), number / 100)
+        queue.push(QueuedRequest(f"{number}", name, 5, 600.0, 1e9, 0.0), number / 100)
 
     for _ in range(200):
         push()
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -18,7 +18,7 @@
 from kingcupwheel.decisions.health import ServerState
 from kingcupwheel.decisions.latency import FirstByteLatencyBound
 from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import Waiting
+from kingcupwheel.decisions.queueing import QueuedRequest
 from kingcupwheel.decisions.retries import RetryBudget
 from kingcupwheel.decisions.work import WorkPredictor
 from kingcupwheel.plugins.kernel import placement_policies
@@ -65,21 +65,21 @@
     """First come, first served, without bounds: the baseline without admission."""
 
     def __init__(self) -> None:
-        self._requests: deque[Waiting] = deque()
+        self._requests: deque[QueuedRequest] = deque()
 
-    def push(self, waiting: Waiting, now: float) -> None:
+    def push(self, waiting: QueuedRequest, now: float) -> None:
         """Append."""
         self._requests.append(waiting)
 
-    def peek(self, now: float) -> Waiting | None:
+    def peek(self, now: float) -> QueuedRequest | None:
         """Return the oldest."""
         return self._requests[0] if self._requests else None
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Take the oldest."""
         return self._requests.popleft() if self._requests else None
 
-    def expired(self, now: float) -> list[Waiting]:
+    def expired(self, now: float) -> list[QueuedRequest]:
         """Return none."""
         return []
 
@@ -122,7 +122,7 @@
             if isinstance(decision, LimitRefusal):
                 self.refuse(request, decision, now)
                 return
-        waiting = Waiting(
+        waiting = QueuedRequest(
             f"{self.name}.{next(self.serial)}",
             request.organisation,
             5,
@@ -135,7 +135,11 @@
         self._push(request, waiting, frozenset(), now)
 
     def _push(
-        self, request: Request, waiting: Waiting, avoid: frozenset[str], now: float
+        self,
+        request: Request,
+        waiting: QueuedRequest,
+        avoid: frozenset[str],
+        now: float,
     ) -> None:
         refused = self.queue.push(waiting, now)
         if isinstance(refused, LimitRefusal):
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from kingcupwheel.decisions.queueing import Waiting
+    from kingcupwheel.decisions.queueing import QueuedRequest
     from kingcupwheel.manifest.schema import Allowance
     from tools.entry_model import Setup
 
@@ -75,7 +75,7 @@
     """One run of a request on a server."""
 
     request: Request
-    waiting: Waiting
+    waiting: QueuedRequest
     entry: Entry
     server: Server
     sent_at: float
@@ -183,7 +183,7 @@
     def attempt(
         self,
         request: Request,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         entry: Entry,
         server: Server,
         avoid: frozenset[str],
