--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -61,7 +61,7 @@
 class Queued(NamedTuple):
     """The request waits; ``ahead`` others were in the queue."""
 
-    ahead: int
+    requests_ahead: int
     predicted_wait_s: float = 0.0
 
 
