--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -58,7 +58,7 @@
     queued_at: float
 
 
-class Queued(NamedTuple):
+class Enqueued(NamedTuple):
     """The request waits; ``ahead`` others were in the queue."""
 
     requests_ahead: int
@@ -123,7 +123,7 @@
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
-    def push(self, waiting: QueuedRequest, now: float) -> Queued | LimitRefusal:
+    def push(self, waiting: QueuedRequest, now: float) -> Enqueued | LimitRefusal:
         """Queue a request, or refuse it at once with a time to come back."""
         ahead = len(self)
         key = (waiting.organisation, waiting.priority)
@@ -142,7 +142,7 @@
         if not self._waiting_by_id:
             self._drain.mark_nonempty(now)
         self._add(key, flow, waiting)
-        return Queued(ahead, wait_s)
+        return Enqueued(ahead, wait_s)
 
     def peek(self, now: float) -> QueuedRequest | None:
         """Return the request whose turn it is, or None if none waits in time."""
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -24,8 +24,8 @@
 from kingcupwheel.decisions.health import ServerState
 from kingcupwheel.decisions.latency import FirstByteLatencyBound
 from kingcupwheel.decisions.placement import select_eligible
+from kingcupwheel.decisions.queueing import Enqueued
 from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import Queued
 from kingcupwheel.decisions.queueing import QueuedRequest
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
@@ -105,7 +105,7 @@
             self._aside.append(ticket)
             return None
         match self._queue.push(ticket.waiting, now):
-            case Queued(ahead):
+            case Enqueued(ahead):
                 ticket.waiting_ahead = ahead
                 return None
             case LimitRefusal() as refused:
