--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -119,7 +119,7 @@
         return len(self._waiting_by_id)
 
     @property
-    def work(self) -> float:
+    def queued_work(self) -> float:
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
@@ -129,7 +129,7 @@
         key = (waiting.organisation, waiting.priority)
         flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
         if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._limit - ahead):
-            wait_s = self._drain.estimate_drain_s(self.work, now)
+            wait_s = self._drain.estimate_drain_s(self.queued_work, now)
             return self._refuse("queue", f"{ahead} requests wait", wait_s, waiting, now)
         wait_s = self._predicted_wait(flow, waiting.work, now)
         left_s = waiting.deadline_at - now
