--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -189,7 +189,7 @@
         self._note_if_empty(now)
         return waiting
 
-    def expired(self, now: float) -> list[QueuedRequest]:
+    def take_expired(self, now: float) -> list[QueuedRequest]:
         """Return, once, the requests whose deadline passed while they waited."""
         self._drop_expired(now)
         expired = self._expired
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -215,7 +215,7 @@
         return None
 
     def _expire(self, now: float) -> None:
-        self._queue.expired(now)
+        self._queue.take_expired(now)
         late = [
             ticket
             for ticket in self._tickets_by_request_id.values()
