--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -77,7 +77,7 @@
         self.has_turn = False
         self.backlog = 0.0
 
-    def takes_turn(self, quantum: float) -> bool:
+    def try_take_turn(self, quantum: float) -> bool:
         """Return whether its first request may be taken in this turn."""
         if not self.has_turn:
             self.has_turn = True
@@ -150,7 +150,7 @@
         passed = 0
         while self._turns:
             flow = self._flow_by_key[self._turns[0]]
-            if flow.takes_turn(self._quantum):
+            if flow.try_take_turn(self._quantum):
                 return flow.requests[0]
             self._turns.rotate(-1)
             passed += 1
