--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -20,7 +20,7 @@
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.hashing import stable_hash
 from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.reports import corrected
+from kingcupwheel.decisions.reports import correct_load_reports
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -164,7 +164,7 @@
         draw: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
-        able = select_eligible(corrected(candidates), ask)
+        able = select_eligible(correct_load_reports(candidates), ask)
         if isinstance(able, NoServerAvailable):
             return able
         proven, probed = _parted(able)
--- a/src/kingcupwheel/decisions/reports.py
+++ b/src/kingcupwheel/decisions/reports.py
@@ -22,7 +22,7 @@
 _LEAST_OWN = 2
 
 
-def corrected(candidates: Sequence[Candidate]) -> list[Candidate]:
+def correct_load_reports(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Return the candidates with reports that are far too low raised.
 
     Load: a server whose report is wrong, such as one that always says it is idle.
