--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -9,7 +9,7 @@
 
 # A retry in ten first attempts: with every attempt failing, a group gets a tenth more
 # load than its callers make, not twice as much.
-DEFAULT_SHARE = 0.1
+DEFAULT_RETRY_SHARE = 0.1
 
 # Retries allowed whatever the traffic: an entry with one request a minute may still
 # move one off a server that just died, and one more.
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, *, share: float = DEFAULT_SHARE, floor: float = DEFAULT_FLOOR
+        self, *, share: float = DEFAULT_RETRY_SHARE, floor: float = DEFAULT_FLOOR
     ) -> None:
         self._share = share
         self._floor = floor
