--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -13,7 +13,7 @@
 
 # Retries allowed whatever the traffic: an entry with one request a minute may still
 # move one off a server that just died, and one more.
-DEFAULT_FLOOR = 2.0
+DEFAULT_RETRY_FLOOR = 2.0
 
 # How long attempts are remembered: longer than the few seconds in which a dead server
 # is noticed, short enough that a quiet hour saves up no burst of retries.
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, *, share: float = DEFAULT_RETRY_SHARE, floor: float = DEFAULT_FLOOR
+        self, *, share: float = DEFAULT_RETRY_SHARE, floor: float = DEFAULT_RETRY_FLOOR
     ) -> None:
         self._share = share
         self._floor = floor
