--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -17,7 +17,7 @@
 
 # How long attempts are remembered: longer than the few seconds in which a dead server
 # is noticed, short enough that a quiet hour saves up no burst of retries.
-TIME_CONSTANT_S = 10.0
+RETRY_TIME_CONSTANT_S = 10.0
 
 
 class RetryBudget:
@@ -33,8 +33,8 @@
     ) -> None:
         self._share = share
         self._floor = floor
-        self._firsts = DecayingSum(TIME_CONSTANT_S)
-        self._retries = DecayingSum(TIME_CONSTANT_S)
+        self._firsts = DecayingSum(RETRY_TIME_CONSTANT_S)
+        self._retries = DecayingSum(RETRY_TIME_CONSTANT_S)
 
     def first(self, now: float) -> None:
         """Count a first attempt."""
