--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -36,7 +36,7 @@
         self._firsts = DecayingSum(RETRY_TIME_CONSTANT_S)
         self._retries = DecayingSum(RETRY_TIME_CONSTANT_S)
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
         self._firsts.add(1.0, now)
 
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -82,7 +82,7 @@
             if isinstance(decision, LimitRefusal):
                 message = f"The organisation's allowance is used up: {decision.detail}"
                 return Refusal(429, decision.limit, message, decision.retry_after_s)
-            self._budget(request.group.name).first(now)
+            self._budget(request.group.name).record_first_attempt(now)
         return work
 
     def _configure(self, organisation: Organisation) -> None:
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -186,7 +186,7 @@
             server = self.model.server_by_name[placed.server]
             attempt = self.model.attempt(request, waiting, self, server, avoid)
             if not avoid:
-                self.retries.first(now)
+                self.retries.record_first_attempt(now)
             self.attempts_by_server[server.name].append(attempt)
             server.queue.append(attempt)
             state = candidates[server.name].state
