--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -40,7 +40,7 @@
         """Count a first attempt."""
         self._firsts.add(1.0, now)
 
-    def may_retry(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Return whether one more retry is within the budget, and count it if so."""
         allowed = self._floor + self._share * self._firsts.value(now)
         if self._retries.value(now) >= allowed:
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -145,7 +145,7 @@
     def may_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
         with self._lock:
-            return self._budget(request.group.name).may_retry(monotonic())
+            return self._budget(request.group.name).try_acquire(monotonic())
 
     def _budget(self, group: str) -> RetryBudget:
         return self._budgets_by_group.setdefault(group, RetryBudget())
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -226,7 +226,7 @@
     def _retry(self, attempt: Attempt, now: float) -> None:
         request = attempt.request
         has_begun = attempt.first_at is not None and attempt.first_at <= now
-        if not has_begun and not attempt.avoid and self.retries.may_retry(now):
+        if not has_begun and not attempt.avoid and self.retries.try_acquire(now):
             self.retry_count += 1
             avoid = attempt.avoid | {attempt.server.name}
             again = attempt.waiting._replace(queued_at=now)
