--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -61,7 +61,7 @@
         self._firsts: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
         self._forget(now)
         self._firsts.append(now)
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -107,7 +107,7 @@
     def first(self, service: str) -> None:
         """Count a first send."""
         with self._lock:
-            self._of(service).first(monotonic())
+            self._of(service).record_first_attempt(monotonic())
 
     def may_send_again(self, service: str) -> bool:
         """Return whether the budget allows one more send, and count it if so."""
