--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -66,7 +66,7 @@
         self._forget(now)
         self._firsts.append(now)
 
-    def may_retry(self, now: float, *, share: float, floor: float) -> bool:
+    def try_acquire(self, now: float, *, share: float, floor: float) -> bool:
         """Return whether one more is within the budget, and count it if so."""
         self._forget(now)
         if len(self._retries) + 1 > floor + share * len(self._firsts):
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -112,7 +112,7 @@
     def may_send_again(self, service: str) -> bool:
         """Return whether the budget allows one more send, and count it if so."""
         with self._lock:
-            return self._of(service).may_retry(
+            return self._of(service).try_acquire(
                 monotonic(),
                 share=self._budget.share * _BUDGET_PART,
                 floor=self._budget.floor * _BUDGET_PART / max(1, self._entries()),
