--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -49,7 +49,7 @@
         return True
 
 
-class WindowBudget:
+class SlidingWindowRetryBudget:
     """Allows retries as a share of the first attempts of a window that slides.
 
     For a bound that others measure: every window of ``window_s`` counts, so nothing
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.hashing import stable_fraction
-from kingcupwheel.decisions.retries import WindowBudget
+from kingcupwheel.decisions.retries import SlidingWindowRetryBudget
 from kingcupwheel.decisions.suspects import Quarantined
 from kingcupwheel.decisions.suspects import ServerLife
 from kingcupwheel.decisions.suspects import Suspect
@@ -49,7 +49,7 @@
         self._entries = entries
         self._suspects = Suspects()
         self._lost: deque[tuple[float, str, str]] = deque(maxlen=_LOST_AT_MOST)
-        self._budgets_by_service: dict[str, WindowBudget] = {}
+        self._budgets_by_service: dict[str, SlidingWindowRetryBudget] = {}
         self._closures_by_service: dict[str, Closures] = {}
         self._lock = Lock()
 
@@ -124,10 +124,10 @@
             closures = self._closures_by_service.setdefault(service, Closures())
             return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())
 
-    def _of(self, service: str) -> WindowBudget:
+    def _of(self, service: str) -> SlidingWindowRetryBudget:
         found = self._budgets_by_service.get(service)
         if found is None:
-            found = WindowBudget(window_s=self._budget.window_s)
+            found = SlidingWindowRetryBudget(window_s=self._budget.window_s)
             self._budgets_by_service[service] = found
         return found
 
