--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -28,12 +28,12 @@
 
 
 # A peer whose answer is older than three heartbeats of a second is silent.
-STALE_S = 3.0
+PEER_STALE_S = 3.0
 
 # When a silent peer has surely lowered its share: it noticed the silence at the latest
 # ``STALE_S`` after its own last answer, which may be one delivery and one heartbeat
 # younger than the one this entry has; a delivery of more than ``STALE_S`` is silence.
-RETURN_S = 3 * STALE_S
+RETURN_S = 3 * PEER_STALE_S
 
 # The sum of what all entries may use beyond their shares. Reason: a caller that moves
 # to another entry is served there before the share has followed it.
@@ -119,7 +119,7 @@
     whole allowance. Call it just before each heartbeat, and first thing after a pause.
     """
     equal = 1.0 / (len(peers) + 1)
-    misses = any(peer.age_s > STALE_S for peer in peers)
+    misses = any(peer.age_s > PEER_STALE_S for peer in peers)
     if misses:
         share = share._replace(missed_at=now)
     target = equal if misses else _target(demand, peers, equal)
@@ -135,7 +135,7 @@
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
         return share._replace(wants_since=wants_since)
     free = 1.0 - share.held - sum(_occupied(peer, equal) for peer in peers)
-    claims = 1 + sum(peer.wants and peer.age_s <= STALE_S for peer in peers)
+    claims = 1 + sum(peer.wants and peer.age_s <= PEER_STALE_S for peer in peers)
     if free <= 0.0:
         return share._replace(wants_since=wants_since)
     held = min(target, share.held + free / claims)
@@ -156,7 +156,7 @@
     """Tell whether ``peer`` knows the last want and raise, or is gone."""
     if peer.age_s > RETURN_S:
         return True
-    return peer.age_s <= STALE_S and peer.age_s < settled_s
+    return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
 
 
 def _occupied(peer: PeerShare, equal: float) -> float:
