--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -33,7 +33,7 @@
 # When a silent peer has surely lowered its share: it noticed the silence at the latest
 # ``STALE_S`` after its own last answer, which may be one delivery and one heartbeat
 # younger than the one this entry has; a delivery of more than ``STALE_S`` is silence.
-RETURN_S = 3 * PEER_STALE_S
+PEER_RELEASE_S = 3 * PEER_STALE_S
 
 # The sum of what all entries may use beyond their shares. Reason: a caller that moves
 # to another entry is served there before the share has followed it.
@@ -97,7 +97,7 @@
     part of and sees no demand for. An entry that has known its set of ``entries`` for
     less than ``RETURN_S`` starts with nothing, since others may still hold its part.
     """
-    if set_age_s <= RETURN_S:
+    if set_age_s <= PEER_RELEASE_S:
         return Share()
     return Share(held=1.0 / entries)
 
@@ -154,10 +154,10 @@
 
 def _has_answered(peer: PeerShare, settled_s: float) -> bool:
     """Tell whether ``peer`` knows the last want and raise, or is gone."""
-    if peer.age_s > RETURN_S:
+    if peer.age_s > PEER_RELEASE_S:
         return True
     return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
 
 
 def _occupied(peer: PeerShare, equal: float) -> float:
-    return equal if peer.age_s > RETURN_S else peer.held
+    return equal if peer.age_s > PEER_RELEASE_S else peer.held
