--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -37,7 +37,7 @@
 
 # The sum of what all entries may use beyond their shares. Reason: a caller that moves
 # to another entry is served there before the share has followed it.
-FLOOR = 0.1
+MIN_USABLE_TOTAL = 0.1
 
 # Part of what no entry wants that goes where the demand is; the rest is split equally.
 # Bursts come where callers are already, so all of it split equally refuses them; all of
@@ -86,7 +86,7 @@
 
     def usable(self, entries: int) -> float:
         """Return the part of the allowance that one of ``entries`` may use."""
-        return max(self.held, FLOOR / entries)
+        return max(self.held, MIN_USABLE_TOTAL / entries)
 
 
 def idle_share(entries: int, set_age_s: float) -> Share:
