--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -42,7 +42,7 @@
 # Part of what no entry wants that goes where the demand is; the rest is split equally.
 # Bursts come where callers are already, so all of it split equally refuses them; all of
 # it by demand refuses the caller that moves to a quiet entry.
-SPARE_BY_DEMAND = 0.5
+SPARE_BY_DEMAND_FRACTION = 0.5
 
 _NEVER = float("-inf")
 
@@ -147,8 +147,10 @@
     if total < _LEAST_DEMAND:
         return equal
     if total <= 1.0:
-        busy = SPARE_BY_DEMAND * demand / total
-        return demand + (1.0 - total) * (busy + (1.0 - SPARE_BY_DEMAND) * equal)
+        busy = SPARE_BY_DEMAND_FRACTION * demand / total
+        return demand + (1.0 - total) * (
+            busy + (1.0 - SPARE_BY_DEMAND_FRACTION) * equal
+        )
     return demand / total
 
 
