--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -62,7 +62,7 @@
 
     demand: float
     held: float
-    wants: bool
+    wants_more: bool
     age_s: float
 
 
@@ -104,7 +104,7 @@
 
 def idle_peer(entries: int, age_s: float) -> PeerShare:
     """Return what a peer tells by not naming an organisation; see ``idle_share``."""
-    return PeerShare(demand=0.0, held=1.0 / entries, wants=False, age_s=age_s)
+    return PeerShare(demand=0.0, held=1.0 / entries, wants_more=False, age_s=age_s)
 
 
 def next_share(
@@ -135,7 +135,7 @@
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
         return share._replace(wants_since=wants_since)
     free = 1.0 - share.held - sum(_occupied(peer, equal) for peer in peers)
-    claims = 1 + sum(peer.wants and peer.age_s <= PEER_STALE_S for peer in peers)
+    claims = 1 + sum(peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers)
     if free <= 0.0:
         return share._replace(wants_since=wants_since)
     held = min(target, share.held + free / claims)
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -143,7 +143,7 @@
 
 
 def _share() -> Callable[[], object]:
-    peers = [PeerShare(0.2, 0.3, wants=False, age_s=1.0)] * 2
+    peers = [PeerShare(0.2, 0.3, wants_more=False, age_s=1.0)] * 2
     return lambda: next_share(Share(0.3), 0.4, peers, 5.0)
 
 
