--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -80,7 +80,7 @@
     missed_at: float = _NEVER
 
     @property
-    def wants(self) -> bool:
+    def wants_more(self) -> bool:
         """Whether it wants more than it holds."""
         return self.wants_since is not None
 
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -195,7 +195,7 @@
                 share = before._replace(held=0.0, wants_since=None)
             self._share_by_organisation[name] = share
         self._limits.set_share(organisation, share.usable(max(1, len(members))))
-        return ShareTold(name, demand, share.held, share.wants)
+        return ShareTold(name, demand, share.held, share.wants_more)
 
     def _peer_share(
         self, member: str, organisation: str, members: int, now: float
