--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -75,14 +75,14 @@
     """
 
     held: float = 0.0
-    wants_since: float | None = None
+    wants_more_since: float | None = None
     raised_at: float = _NEVER
     missed_at: float = _NEVER
 
     @property
     def wants_more(self) -> bool:
         """Whether it wants more than it holds."""
-        return self.wants_since is not None
+        return self.wants_more_since is not None
 
     def usable(self, entries: int) -> float:
         """Return the part of the allowance that one of ``entries`` may use."""
@@ -125,7 +125,7 @@
     target = equal if misses else _target(demand, peers, equal)
     if target <= share.held:
         return share._replace(held=target, wants_since=None)
-    wants_since = now if share.wants_since is None else share.wants_since
+    wants_since = now if share.wants_more_since is None else share.wants_more_since
     settled_at = max(wants_since, share.raised_at)
     if not misses:
         # Failure: a link heals, and this entry hears a peer that does not yet hear it.
