--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -77,7 +77,7 @@
     held: float = 0.0
     wants_more_since: float | None = None
     raised_at: float = _NEVER
-    missed_at: float = _NEVER
+    peer_missed_at: float = _NEVER
 
     @property
     def wants_more(self) -> bool:
@@ -131,7 +131,7 @@
         # Failure: a link heals, and this entry hears a peer that does not yet hear it.
         # Symptom: this one lends itself what the peer takes back as its equal part.
         # Once the peer has answered what was sent after that, both hear each other.
-        settled_at = max(settled_at, share.missed_at)
+        settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
         return share._replace(wants_since=wants_since)
     free = 1.0 - share.held - sum(_occupied(peer, equal) for peer in peers)
