--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -84,7 +84,7 @@
         """Whether it wants more than it holds."""
         return self.wants_more_since is not None
 
-    def usable(self, entries: int) -> float:
+    def usable_fraction(self, entries: int) -> float:
         """Return the part of the allowance that one of ``entries`` may use."""
         return max(self.held, MIN_USABLE_TOTAL / entries)
 
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -81,7 +81,7 @@
         with self._lock:
             share = self._share(organisation.name, len(members))
             self._used_at[organisation.name] = now
-        return share.usable(max(1, len(members)))
+        return share.usable_fraction(max(1, len(members)))
 
     def _share(self, organisation: str, members: int) -> Share:
         known = self._share_by_organisation.get(organisation)
@@ -145,7 +145,9 @@
             before = self._share(name, len(members))
             share = before._replace(held=equal, wants_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(organisation, share.usable(max(1, len(members))))
+        self._limits.set_share(
+            organisation, share.usable_fraction(max(1, len(members)))
+        )
         return True
 
     def _is_wanted_elsewhere(self, organisation: str, equal: float) -> bool:
@@ -194,7 +196,9 @@
                 # Left out of the set: the members count on this part being free.
                 share = before._replace(held=0.0, wants_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(organisation, share.usable(max(1, len(members))))
+        self._limits.set_share(
+            organisation, share.usable_fraction(max(1, len(members)))
+        )
         return ShareTold(name, demand, share.held, share.wants_more)
 
     def _peer_share(
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -64,5 +64,5 @@
 
     def _hold(self, entry: Entry, share: Share) -> None:
         entry.share_by_organisation[self.organisation] = share
-        usable = share.usable(len(self.entries))
+        usable = share.usable_fraction(len(self.entries))
         entry.admission.configure(self.organisation, self.allowance, usable)
