--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -89,7 +89,7 @@
         return max(self.held, MIN_USABLE_TOTAL / entries)
 
 
-def idle_share(entries: int, set_age_s: float) -> Share:
+def build_idle_share(entries: int, set_age_s: float) -> Share:
     """Return the share of an organisation that this entry had no call of so far.
 
     Load: 43,000 organisations, of which a heartbeat names the few in use. An
