--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -102,7 +102,7 @@
     return Share(held=1.0 / entries)
 
 
-def idle_peer(entries: int, age_s: float) -> PeerShare:
+def build_idle_peer_share(entries: int, age_s: float) -> PeerShare:
     """Return what a peer tells by not naming an organisation; see ``idle_share``."""
     return PeerShare(demand=0.0, held=1.0 / entries, wants_more=False, age_s=age_s)
 
