--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -107,7 +107,7 @@
     return PeerShare(demand=0.0, held=1.0 / entries, wants_more=False, age_s=age_s)
 
 
-def next_share(
+def compute_next_share(
     share: Share, demand: float, peers: Sequence[PeerShare], now: float
 ) -> Share:
     """Return the share to hold from ``now`` on, to be told to the peers.
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -13,7 +13,7 @@
 
 from kingcupwheel.decisions.shares import PeerShare
 from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import next_share
+from kingcupwheel.decisions.shares import compute_next_share
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import ShareTold
@@ -191,7 +191,7 @@
                     for member in members
                     if member != self._name
                 ]
-                share = next_share(before, demand, peers, now)
+                share = compute_next_share(before, demand, peers, now)
             else:
                 # Left out of the set: the members count on this part being free.
                 share = before._replace(held=0.0, wants_since=None)
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -18,7 +18,7 @@
 from kingcupwheel.decisions.queueing import QueuedRequest
 from kingcupwheel.decisions.shares import PeerShare
 from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import next_share
+from kingcupwheel.decisions.shares import compute_next_share
 from kingcupwheel.decisions.subsets import Instance
 from kingcupwheel.decisions.subsets import entries_for
 from kingcupwheel.decisions.subsets import subset
@@ -144,7 +144,7 @@
 
 def _share() -> Callable[[], object]:
     peers = [PeerShare(0.2, 0.3, wants_more=False, age_s=1.0)] * 2
-    return lambda: next_share(Share(0.3), 0.4, peers, 5.0)
+    return lambda: compute_next_share(Share(0.3), 0.4, peers, 5.0)
 
 
 def _memory_table() -> Table:
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -6,7 +6,7 @@
 
 from kingcupwheel.decisions.shares import PeerShare
 from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import next_share
+from kingcupwheel.decisions.shares import compute_next_share
 from kingcupwheel.decisions.subsets import Instance
 from kingcupwheel.decisions.subsets import entries_for
 
@@ -60,7 +60,7 @@
             peers = [told[one.name] for one in self.entries if one is not entry]
             share = entry.share_by_organisation[self.organisation]
             demand = told[entry.name].demand
-            self._hold(entry, next_share(share, demand, peers, now))
+            self._hold(entry, compute_next_share(share, demand, peers, now))
 
     def _hold(self, entry: Entry, share: Share) -> None:
         entry.share_by_organisation[self.organisation] = share
