--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -30,23 +30,23 @@
 class Stopping(NamedTuple):
     """A planned stop: ``began_at`` is monotonic; the process may live ``grace_s``."""
 
-    began_at: float
+    started_at: float
     grace_s: float
 
     @property
     def stays_until(self) -> float:
         """Until when the process stays, even if nothing is in progress."""
-        return self.began_at + _STAYING_PART * self.grace_s
+        return self.started_at + _STAYING_PART * self.grace_s
 
     @property
     def answers_end_at(self) -> float:
         """When requests still in progress get their final answer."""
-        return self.began_at + _ANSWERING_PART * self.grace_s
+        return self.started_at + _ANSWERING_PART * self.grace_s
 
     @property
     def ends_at(self) -> float:
         """When the process ends at the latest."""
-        return self.began_at + _ENDING_PART * self.grace_s
+        return self.started_at + _ENDING_PART * self.grace_s
 
     def takes(
         self, now: float, *, over_at: float, longest_s: float | None, streamed: bool
@@ -62,7 +62,7 @@
         entries stop. Harm prevented: an answer that is cut by the end of the process.
         What is refused has not run, and another entry can run it whole.
         """
-        if now <= self.began_at + _TAKING_PART * self.grace_s:
+        if now <= self.started_at + _TAKING_PART * self.grace_s:
             return True
         if over_at <= self.answers_end_at:
             return True
@@ -78,7 +78,7 @@
         Harm prevented: one that has not run is sent on and cut. Its wait is over, so
         that the longest recent answer is allowed for once.
         """
-        if now <= self.began_at + _TAKING_PART * self.grace_s:
+        if now <= self.started_at + _TAKING_PART * self.grace_s:
             return True
         if over_at <= self.answers_end_at:
             return True
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -68,7 +68,7 @@
             log.warning(
                 "cut-by-stop",
                 id=request_id,
-                came_after_s=round(came_at - self._stopping.began_at, 3),
+                came_after_s=round(came_at - self._stopping.started_at, 3),
                 took_s=round(now - came_at, 3),
             )
         return len(came_at_by_id)
