--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -34,7 +34,7 @@
     grace_s: float
 
     @property
-    def stays_until(self) -> float:
+    def earliest_exit_at(self) -> float:
         """Until when the process stays, even if nothing is in progress."""
         return self.started_at + _STAYING_PART * self.grace_s
 
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -34,7 +34,7 @@
 
     def wait(self) -> int:
         """Return once the process may end; log and count the requests that it cuts."""
-        while monotonic() < self._stopping.stays_until:
+        while monotonic() < self._stopping.earliest_exit_at:
             Event().wait(_LOOK_S)
         self._wait_for_answers()
         # A request may have come since nothing was in progress; it is answered too.
