--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -39,7 +39,7 @@
         return self.started_at + _STAYING_PART * self.grace_s
 
     @property
-    def answers_end_at(self) -> float:
+    def responses_end_at(self) -> float:
         """When requests still in progress get their final answer."""
         return self.started_at + _ANSWERING_PART * self.grace_s
 
@@ -64,12 +64,12 @@
         """
         if now <= self.started_at + _TAKING_PART * self.grace_s:
             return True
-        if over_at <= self.answers_end_at:
+        if over_at <= self.responses_end_at:
             return True
         if streamed or longest_s is None:
             return False
         expected_s = _LONGEST_FACTOR * max(longest_s, _LEAST_S)
-        return now + expected_s <= self.answers_end_at
+        return now + expected_s <= self.responses_end_at
 
     def may_run(self, now: float, *, over_at: float, longest_s: float | None) -> bool:
         """Return whether a request that gets its place at ``now`` is sent to a server.
@@ -80,8 +80,8 @@
         """
         if now <= self.started_at + _TAKING_PART * self.grace_s:
             return True
-        if over_at <= self.answers_end_at:
+        if over_at <= self.responses_end_at:
             return True
         if longest_s is None:
             return False
-        return now + max(longest_s, _LEAST_S) <= self.answers_end_at
+        return now + max(longest_s, _LEAST_S) <= self.responses_end_at
