--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -44,7 +44,7 @@
         return self.started_at + _ANSWERING_PART * self.grace_s
 
     @property
-    def ends_at(self) -> float:
+    def latest_exit_at(self) -> float:
         """When the process ends at the latest."""
         return self.started_at + _ENDING_PART * self.grace_s
 
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -44,7 +44,10 @@
         return self._log_cut()
 
     def _wait_for_answers(self) -> None:
-        while self._application.in_progress and monotonic() < self._stopping.ends_at:
+        while (
+            self._application.in_progress
+            and monotonic() < self._stopping.latest_exit_at
+        ):
             Event().wait(_LOOK_S)
 
     def _wait_for_last_bytes(self) -> None:
@@ -53,7 +56,7 @@
         Failure: the process ends between the last event of a stream and the mark that
         ends it. Symptom: the caller has it all and must take it for cut.
         """
-        until = min(monotonic() + _LAST_BYTES_S, self._stopping.ends_at)
+        until = min(monotonic() + _LAST_BYTES_S, self._stopping.latest_exit_at)
         while not self._callers.is_idle and monotonic() < until:
             Event().wait(_LOOK_S)
 
