--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -48,7 +48,7 @@
         """When the process ends at the latest."""
         return self.started_at + _ENDING_PART * self.grace_s
 
-    def takes(
+    def may_accept(
         self, now: float, *, over_at: float, longest_s: float | None, streamed: bool
     ) -> bool:
         """Return whether a request that comes at ``now`` is taken.
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -112,7 +112,7 @@
             return None
         now = monotonic()
         over_at = request.times.over_at
-        if not self._closed and stopping.takes(
+        if not self._closed and stopping.may_accept(
             now,
             over_at=over_at,
             longest_s=self._underway.longest_s(request, now),
