--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -71,7 +71,9 @@
         expected_s = _LONGEST_FACTOR * max(longest_s, _LEAST_S)
         return now + expected_s <= self.responses_end_at
 
-    def may_run(self, now: float, *, over_at: float, longest_s: float | None) -> bool:
+    def may_dispatch(
+        self, now: float, *, over_at: float, longest_s: float | None
+    ) -> bool:
         """Return whether a request that gets its place at ``now`` is sent to a server.
 
         Load: servers are full, and requests that were taken in time wait for a place.
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -129,7 +129,7 @@
             return True
         now = monotonic()
         over_at = request.times.over_at
-        return stopping.may_run(
+        return stopping.may_dispatch(
             now, over_at=over_at, longest_s=self._underway.longest_s(request, now)
         )
 
