--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -27,7 +27,7 @@
 _LEAST_S = 0.3
 
 
-class Stopping(NamedTuple):
+class GracefulShutdown(NamedTuple):
     """A planned stop: ``began_at`` is monotonic; the process may live ``grace_s``."""
 
     started_at: float
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.stopping import Stopping
+    from kingcupwheel.decisions.stopping import GracefulShutdown
     from kingcupwheel.entry.gateway import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
@@ -26,7 +26,10 @@
     """One stop of the ``application`` behind the HTTP server ``callers`` use."""
 
     def __init__(
-        self, stopping: Stopping, application: ForwardApplication, callers: HttpServer
+        self,
+        stopping: GracefulShutdown,
+        application: ForwardApplication,
+        callers: HttpServer,
     ) -> None:
         self._stopping = stopping
         self._application = application
