--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -18,7 +18,7 @@
 
 # Part of a subset that lies in other data centres: enough to carry on when the own
 # one's servers fail, few enough that most traffic stays near.
-SPILL_PART = 0.25
+REMOTE_FRACTION = 0.25
 
 # A set has two entries at least, so that one may fail.
 LEAST_ENTRIES = 2
@@ -45,7 +45,7 @@
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = SPILL_PART,
+    spill_part: float = REMOTE_FRACTION,
 ) -> tuple[str, ...]:
     """Return the names of the servers of one group that ``entry`` keeps links to.
 
@@ -65,7 +65,7 @@
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = SPILL_PART,
+    spill_part: float = REMOTE_FRACTION,
 ) -> dict[str, tuple[str, ...]]:
     """Return the subset of every entry by its name, to see how servers are covered."""
     by_name: dict[str, tuple[str, ...]] = {}
