--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -21,7 +21,7 @@
 REMOTE_FRACTION = 0.25
 
 # A set has two entries at least, so that one may fail.
-LEAST_ENTRIES = 2
+MIN_ENTRIES = 2
 
 # Work one entry of the target carries for a single organisation, in tokens a second:
 # half of 860,000 over 370 entries, so that a set's members have room for others.
@@ -113,7 +113,7 @@
     by_work = ceil(allowance.work_per_s / ENTRY_WORK_PER_S)
     by_concurrency = max(1, allowance.concurrency // 2)
     wanted = min(by_work, by_concurrency, MOST_ENTRIES)
-    return max(LEAST_ENTRIES, wanted)
+    return max(MIN_ENTRIES, wanted)
 
 
 def _near_subsets(
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.subsets import LEAST_ENTRIES
+from kingcupwheel.decisions.subsets import MIN_ENTRIES
 from kingcupwheel.trace.outbox import OUTBOX_BYTES
 
 
@@ -177,12 +177,12 @@
 
     def _shares(self) -> Cost:
         entries, beats = self._target.entries, 1 / self._design.heartbeat_s
-        here = self._design.shared * LEAST_ENTRIES / entries
+        here = self._design.shared * MIN_ENTRIES / entries
         others = max(1, entries - 1)
         # Organisations fall on pairs of entries at random; some share a pair.
-        met = others * (1 - exp(-here * (LEAST_ENTRIES - 1) / others))
+        met = others * (1 - exp(-here * (MIN_ENTRIES - 1) / others))
         rate = met * beats
-        named = here * (LEAST_ENTRIES - 1) * beats
+        named = here * (MIN_ENTRIES - 1) * beats
         size = rate * (self._base("share_bytes") + _WIRE_BYTES)
         size += named * self._per("share_bytes")
         return Cost(
