--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -29,7 +29,7 @@
 
 # A set this large reaches a tenth of the target's entries; each member gossips its
 # demand to all others of the set.
-MOST_ENTRIES = 16
+MAX_ENTRIES = 16
 
 
 class Instance(NamedTuple):
@@ -112,7 +112,7 @@
     """Return how many entries an allowance is split over."""
     by_work = ceil(allowance.work_per_s / ENTRY_WORK_PER_S)
     by_concurrency = max(1, allowance.concurrency // 2)
-    wanted = min(by_work, by_concurrency, MOST_ENTRIES)
+    wanted = min(by_work, by_concurrency, MAX_ENTRIES)
     return max(MIN_ENTRIES, wanted)
 
 
