--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -39,7 +39,7 @@
     data_centre: str
 
 
-def subset(
+def select_subset(
     entry: str,
     entries: Sequence[Instance],
     servers: Sequence[Instance],
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -141,7 +141,7 @@
 
     def _subset(self, agents: list[Instance]) -> list[Instance]:
         size = self._settings.entry.subset
-        names = subsets.subset(
+        names = subsets.select_subset(
             self._settings.name,
             self._entries_with_self(),
             [subsets.Instance(one.name, one.data_centre) for one in agents],
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -21,7 +21,7 @@
 from kingcupwheel.decisions.shares import compute_next_share
 from kingcupwheel.decisions.subsets import Instance
 from kingcupwheel.decisions.subsets import entries_for
-from kingcupwheel.decisions.subsets import subset
+from kingcupwheel.decisions.subsets import select_subset
 from kingcupwheel.decisions.work import WorkPredictor
 from kingcupwheel.manifest.schema import Allowance
 from tools.tables import Table
@@ -60,7 +60,7 @@
         ),
         (
             "subset, 370 entries, 1,000 servers, 8 data centres",
-            _microseconds(lambda: subset("entry-1", entries, servers, 24), 5),
+            _microseconds(lambda: select_subset("entry-1", entries, servers, 24), 5),
         ),
     ]
     shown = [(name, f"{cost:,.1f}") for name, cost in rows]
