--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -60,7 +60,7 @@
     return _with_spill(entry, home, near[entry], servers, size)
 
 
-def subsets(
+def select_all_subsets(
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import subsets
+from kingcupwheel.decisions.subsets import select_all_subsets
 from tools.tables import Table
 
 
@@ -27,7 +27,7 @@
 
     def subsets(self) -> dict[str, set[str]]:
         """Return each entry's servers."""
-        by_name = subsets(self.entries, self.servers, SIZE)
+        by_name = select_all_subsets(self.entries, self.servers, SIZE)
         return {name: set(servers) for name, servers in by_name.items()}
 
 
