--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -76,7 +76,7 @@
     return by_name
 
 
-def entries_for(
+def select_entries(
     organisation: str,
     entries: Sequence[Instance],
     allowance: Allowance,
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -209,7 +209,7 @@
         key = (organisation.name, organisation.allowance)
         members = self._members_by_organisation.get(key)
         if members is None:
-            members = subsets.entries_for(
+            members = subsets.select_entries(
                 organisation.name,
                 live,
                 organisation.allowance,
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -20,7 +20,7 @@
 from kingcupwheel.decisions.shares import Share
 from kingcupwheel.decisions.shares import compute_next_share
 from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import entries_for
+from kingcupwheel.decisions.subsets import select_entries
 from kingcupwheel.decisions.subsets import select_subset
 from kingcupwheel.decisions.work import WorkPredictor
 from kingcupwheel.manifest.schema import Allowance
@@ -56,7 +56,7 @@
         ("next share, 2 peers", _microseconds(_share())),
         (
             "entries for an organisation, 370 entries",
-            _microseconds(lambda: entries_for("o", entries, allowance, "dc-1"), 50),
+            _microseconds(lambda: select_entries("o", entries, allowance, "dc-1"), 50),
         ),
         (
             "subset, 370 entries, 1,000 servers, 8 data centres",
