--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -93,7 +93,7 @@
     Load: 43,000 organisations. Harm prevented: spread over all entries, every
     allowance would be split 370 times and no entry's part would admit a request.
     """
-    wanted = min(entries_wanted(allowance), len(entries))
+    wanted = min(compute_entry_count(allowance), len(entries))
     by_rank = sorted(
         entries, key=lambda one: stable_hash("entries", organisation, one.name)
     )
@@ -108,7 +108,7 @@
     return tuple(one.name for one in chosen)
 
 
-def entries_wanted(allowance: Allowance) -> int:
+def compute_entry_count(allowance: Allowance) -> int:
     """Return how many entries an allowance is split over."""
     by_work = ceil(allowance.work_per_s / ENTRY_WORK_PER_S)
     by_concurrency = max(1, allowance.concurrency // 2)
