--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -10,7 +10,7 @@
 
 # Deaths that condemn a request. One death may be chance, or a bystander's; the second
 # came on a server where no other suspect ran, and leaves it the only cause.
-QUARANTINE_DEATHS = 2
+QUARANTINE_CRASHES = 2
 
 # How long a request is refused, in seconds: an operator's time to look into it. After
 # that one more run is tried, alone among suspects; its death quarantines it again.
@@ -86,7 +86,7 @@
     @property
     def memory_s(self) -> float:
         """How long after the last death it is still remembered."""
-        quarantined = self.held >= QUARANTINE_DEATHS
+        quarantined = self.held >= QUARANTINE_CRASHES
         return SUSPECT_S + (QUARANTINE_S if quarantined else 0.0)
 
 
@@ -131,7 +131,7 @@
         if record is None or record.held == 0:
             return Clear()
         age_s = now - record.died_at
-        if record.held >= QUARANTINE_DEATHS and age_s < QUARANTINE_S:
+        if record.held >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
             return Quarantined(record.held, QUARANTINE_S - age_s)
         return Suspect(record.held) if age_s < record.memory_s else Clear()
 
