--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -18,7 +18,7 @@
 
 # How long one death is remembered: servers die for other reasons every few minutes in a
 # fleet of 1,000, and two chance deaths in a day must not condemn a request.
-SUSPECT_S = 600.0
+SUSPECT_RETENTION_S = 600.0
 
 # How long a death is told to peers: it passes from peer to peer once a heartbeat, and
 # through all entries in about five.
@@ -87,7 +87,7 @@
     def memory_s(self) -> float:
         """How long after the last death it is still remembered."""
         quarantined = self.held >= QUARANTINE_CRASHES
-        return SUSPECT_S + (QUARANTINE_S if quarantined else 0.0)
+        return SUSPECT_RETENTION_S + (QUARANTINE_S if quarantined else 0.0)
 
 
 class Suspects:
