--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -22,7 +22,7 @@
 
 # How long a death is told to peers: it passes from peer to peer once a heartbeat, and
 # through all entries in about five.
-TELL_S = 15.0
+GOSSIP_S = 15.0
 
 # Fingerprints held at most. A dying server leaves as many as it ran at once (16 to 64);
 # this holds the bystanders of some hundred deaths within the time above.
@@ -154,7 +154,7 @@
         return tuple(
             (fingerprint, death)
             for fingerprint, record in self._by_fingerprint.items()
-            if now - record.died_at <= TELL_S
+            if now - record.died_at <= GOSSIP_S
             for death in sorted(record.deaths - record.forgiven)
         )
 
