--- a/src/kingcupwheel/agent/runner.py
+++ b/src/kingcupwheel/agent/runner.py
@@ -125,7 +125,7 @@
             running = self._running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
             life = ServerLife(self._name, f"{self.runs.incarnation}.{generation}")
-            self.crashes.died(fingerprints, life.death, now=monotonic())
+            self.crashes.died(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
             self._tell_death()
--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -43,7 +43,7 @@
     life: str
 
     @property
-    def death(self) -> int:
+    def crash_id(self) -> int:
         """The death that ended this life, as told between processes."""
         return stable_hash(self.server, self.life)
 
@@ -108,7 +108,7 @@
 
     def died(self, fingerprint: str, server_life: ServerLife, now: float) -> None:
         """Note that it ran when this life of a server ended; once for each life."""
-        self.heard(fingerprint, server_life.death, now)
+        self.heard(fingerprint, server_life.crash_id, now)
 
     def heard(self, fingerprint: str, death: int, now: float) -> None:
         """Take a death that an agent or a peer tells of, as often as it is told.
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -75,7 +75,7 @@
         """
         with self._lock:
             now = monotonic()
-            death = ServerLife(life, life).death
+            death = ServerLife(life, life).crash_id
             blamed = tuple(
                 fingerprint
                 for at, fingerprint, where in self._lost
