--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -40,12 +40,12 @@
     """
 
     server: str
-    life: str
+    incarnation: str
 
     @property
     def crash_id(self) -> int:
         """The death that ended this life, as told between processes."""
-        return stable_hash(self.server, self.life)
+        return stable_hash(self.server, self.incarnation)
 
 
 class Clear(NamedTuple):
