--- a/src/kingcupwheel/agent/runner.py
+++ b/src/kingcupwheel/agent/runner.py
@@ -15,7 +15,7 @@
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import Start
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.decisions.suspects import ServerLife
+from kingcupwheel.decisions.suspects import ServerIncarnation
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
@@ -124,7 +124,9 @@
             self._generation += 1
             running = self._running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
-            life = ServerLife(self._name, f"{self.runs.incarnation}.{generation}")
+            life = ServerIncarnation(
+                self._name, f"{self.runs.incarnation}.{generation}"
+            )
             self.crashes.died(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -33,7 +33,7 @@
 _MAX_DEATHS = 16
 
 
-class ServerLife(NamedTuple):
+class ServerIncarnation(NamedTuple):
     """One life of a backend server: its name and its agent's word for that life.
 
     Every process that hears of the same death has to name it alike.
@@ -106,7 +106,9 @@
     def __len__(self) -> int:
         return len(self._by_fingerprint)
 
-    def died(self, fingerprint: str, server_life: ServerLife, now: float) -> None:
+    def died(
+        self, fingerprint: str, server_life: ServerIncarnation, now: float
+    ) -> None:
         """Note that it ran when this life of a server ended; once for each life."""
         self.heard(fingerprint, server_life.crash_id, now)
 
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -11,7 +11,7 @@
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retries import SlidingWindowRetryBudget
 from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import ServerLife
+from kingcupwheel.decisions.suspects import ServerIncarnation
 from kingcupwheel.decisions.suspects import Suspect
 from kingcupwheel.decisions.suspects import Suspects
 from kingcupwheel.forwarding.closures import Closures
@@ -75,7 +75,7 @@
         """
         with self._lock:
             now = monotonic()
-            death = ServerLife(life, life).crash_id
+            death = ServerIncarnation(life, life).crash_id
             blamed = tuple(
                 fingerprint
                 for at, fingerprint, where in self._lost
