--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -48,7 +48,7 @@
         return stable_hash(self.server, self.incarnation)
 
 
-class Clear(NamedTuple):
+class NotSuspected(NamedTuple):
     """Nothing is held against the request."""
 
 
@@ -65,7 +65,7 @@
     for_s: float
 
 
-Verdict = Clear | Suspect | Quarantined
+Verdict = NotSuspected | Suspect | Quarantined
 
 
 class _Record:
@@ -131,11 +131,11 @@
         """Return what may be done with a request of this fingerprint."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or record.held == 0:
-            return Clear()
+            return NotSuspected()
         age_s = now - record.died_at
         if record.held >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
             return Quarantined(record.held, QUARANTINE_S - age_s)
-        return Suspect(record.held) if age_s < record.memory_s else Clear()
+        return Suspect(record.held) if age_s < record.memory_s else NotSuspected()
 
     def cleared(self, fingerprint: str) -> None:
         """Forgive it: it finished on a living server.
