--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -55,7 +55,7 @@
 class Suspect(NamedTuple):
     """It was running when a server died; it runs where no other suspect does."""
 
-    deaths: int
+    crash_count: int
 
 
 class Quarantined(NamedTuple):
