--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -61,7 +61,7 @@
 class Quarantined(NamedTuple):
     """It is refused: servers died of it. ``for_s`` is the time left."""
 
-    deaths: int
+    crash_count: int
     for_s: float
 
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -94,7 +94,7 @@
         """Return the answer, or the refusal that is final."""
         verdict = self._context.guards.verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
-            message = f"{verdict.deaths} servers died while they ran this request."
+            message = f"{verdict.crash_count} servers died while they ran this request."
             return self.refused(Refusal(503, "quarantined", message, verdict.for_s))
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.first(self._request.service)
