--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -62,7 +62,7 @@
     """It is refused: servers died of it. ``for_s`` is the time left."""
 
     crash_count: int
-    for_s: float
+    remaining_s: float
 
 
 Verdict = NotSuspected | Suspect | Quarantined
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -95,7 +95,9 @@
         verdict = self._context.guards.verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
             message = f"{verdict.crash_count} servers died while they ran this request."
-            return self.refused(Refusal(503, "quarantined", message, verdict.for_s))
+            return self.refused(
+                Refusal(503, "quarantined", message, verdict.remaining_s)
+            )
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.first(self._request.service)
         found = self.next_answer()
