--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -65,7 +65,7 @@
     remaining_s: float
 
 
-Verdict = NotSuspected | Suspect | Quarantined
+SuspicionStatus = NotSuspected | Suspect | Quarantined
 
 
 class _Record:
@@ -127,7 +127,7 @@
         record.deaths.add(death)
         record.died_at = now
 
-    def verdict(self, fingerprint: str, now: float) -> Verdict:
+    def verdict(self, fingerprint: str, now: float) -> SuspicionStatus:
         """Return what may be done with a request of this fingerprint."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or record.held == 0:
