--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -106,7 +106,7 @@
     def __len__(self) -> int:
         return len(self._by_fingerprint)
 
-    def died(
+    def record_crash(
         self, fingerprint: str, server_life: ServerIncarnation, now: float
     ) -> None:
         """Note that it ran when this life of a server ended; once for each life."""
