--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -110,9 +110,9 @@
         self, fingerprint: str, server_life: ServerIncarnation, now: float
     ) -> None:
         """Note that it ran when this life of a server ended; once for each life."""
-        self.heard(fingerprint, server_life.crash_id, now)
+        self.record_crash_id(fingerprint, server_life.crash_id, now)
 
-    def heard(self, fingerprint: str, death: int, now: float) -> None:
+    def record_crash_id(self, fingerprint: str, death: int, now: float) -> None:
         """Take a death that an agent or a peer tells of, as often as it is told.
 
         Failure: a death told by its agent, and by each peer that heard of it, counts
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -159,7 +159,7 @@
         with self._lock:
             now = monotonic()
             for fingerprint, death in crashed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
     def crashed(self) -> tuple[tuple[str, int], ...]:
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -82,7 +82,7 @@
                 if where == life and now - at < DEATH_SHOWS_S
             )
             for fingerprint in blamed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
         return blamed
 
     def cleared(self, fingerprint: str) -> None:
@@ -96,7 +96,7 @@
         with self._lock:
             now = monotonic()
             for fingerprint, death in crashed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
     def crashed(self) -> tuple[tuple[str, int], ...]:
