--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -127,7 +127,7 @@
         record.deaths.add(death)
         record.died_at = now
 
-    def verdict(self, fingerprint: str, now: float) -> SuspicionStatus:
+    def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
         """Return what may be done with a request of this fingerprint."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or record.held == 0:
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -54,7 +54,7 @@
     def verdict(self, request: CallerRequest) -> Clean | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
-            verdict = self._suspects.verdict(request.fingerprint, monotonic())
+            verdict = self._suspects.get_status(request.fingerprint, monotonic())
         match verdict:
             case Quarantined(deaths, for_s):
                 message = (
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -58,7 +58,7 @@
         if not fingerprint:
             return None
         with self._lock:
-            verdict = self._suspects.verdict(fingerprint, monotonic())
+            verdict = self._suspects.get_status(fingerprint, monotonic())
         return verdict if isinstance(verdict, Quarantined | Suspect) else None
 
     def lost(self, fingerprint: str, life: str) -> None:
