--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -137,7 +137,7 @@
             return Quarantined(record.held, QUARANTINE_S - age_s)
         return Suspect(record.held) if age_s < record.memory_s else NotSuspected()
 
-    def cleared(self, fingerprint: str) -> None:
+    def clear(self, fingerprint: str) -> None:
         """Forgive it: it finished on a living server.
 
         The record stays, so that the same old deaths heard again are not held against
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -140,7 +140,7 @@
             self._admission.settle(name, predicted, prompt + tokens, monotonic())
             if whole:
                 self._predictor.learn(name, request.route.path, prompt, tokens)
-                self._suspects.cleared(request.fingerprint)
+                self._suspects.clear(request.fingerprint)
 
     def may_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -89,7 +89,7 @@
         """Forgive a request that ended whole on a living server."""
         if fingerprint:
             with self._lock:
-                self._suspects.cleared(fingerprint)
+                self._suspects.clear(fingerprint)
 
     def heard(self, crashed: tuple[tuple[str, int], ...]) -> None:
         """Take in deaths that a peer tells."""
