--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -147,7 +147,7 @@
         if record is not None:
             record.forgiven = set(record.deaths)
 
-    def deaths(self, now: float) -> tuple[tuple[str, int], ...]:
+    def list_recent_crashes(self, now: float) -> tuple[tuple[str, int], ...]:
         """Return fingerprints and deaths held against them, to be told to the peers.
 
         Only those of late: peers remember what they heard, and a death told for as long
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -165,4 +165,4 @@
     def crashed(self) -> tuple[tuple[str, int], ...]:
         """Fingerprints and the deaths held against them, to tell peers."""
         with self._lock:
-            return self._suspects.deaths(monotonic())
+            return self._suspects.list_recent_crashes(monotonic())
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -102,7 +102,7 @@
     def crashed(self) -> tuple[tuple[str, int], ...]:
         """Deaths of late, to tell peers."""
         with self._lock:
-            return self._suspects.deaths(monotonic())
+            return self._suspects.list_recent_crashes(monotonic())
 
     def first(self, service: str) -> None:
         """Count a first send."""
