--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -90,7 +90,7 @@
         return SUSPECT_RETENTION_S + (QUARANTINE_S if quarantined else 0.0)
 
 
-class Suspects:
+class CrashSuspects:
     """Who was running when a server died, by fingerprint of the request.
 
     Load: one request in millions crashes each server that runs it, and its caller sends
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -11,9 +11,9 @@
 from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retries import RetryBudget
+from kingcupwheel.decisions.suspects import CrashSuspects
 from kingcupwheel.decisions.suspects import Quarantined
 from kingcupwheel.decisions.suspects import Suspect
-from kingcupwheel.decisions.suspects import Suspects
 from kingcupwheel.decisions.work import DEFAULT_BYTES_PER_TOKEN
 from kingcupwheel.decisions.work import WorkPredictor
 from kingcupwheel.entry.refusals import Refusal
@@ -46,7 +46,7 @@
         self._share_of = share_of
         self._admission = AdmissionController()
         self._predictor = WorkPredictor()
-        self._suspects = Suspects()
+        self._suspects = CrashSuspects()
         self._budgets_by_group: dict[str, RetryBudget] = {}
         self._configured: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -10,10 +10,10 @@
 
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retries import SlidingWindowRetryBudget
+from kingcupwheel.decisions.suspects import CrashSuspects
 from kingcupwheel.decisions.suspects import Quarantined
 from kingcupwheel.decisions.suspects import ServerIncarnation
 from kingcupwheel.decisions.suspects import Suspect
-from kingcupwheel.decisions.suspects import Suspects
 from kingcupwheel.forwarding.closures import Closures
 
 
@@ -47,7 +47,7 @@
     def __init__(self, budget: Budget, entries: Callable[[], int]) -> None:
         self._budget = budget
         self._entries = entries
-        self._suspects = Suspects()
+        self._suspects = CrashSuspects()
         self._lost: deque[tuple[float, str, str]] = deque(maxlen=_LOST_AT_MOST)
         self._budgets_by_service: dict[str, SlidingWindowRetryBudget] = {}
         self._closures_by_service: dict[str, Closures] = {}
