--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -74,14 +74,14 @@
     __slots__ = ("deaths", "died_at", "forgiven")
 
     def __init__(self) -> None:
-        self.deaths: set[int] = set()
+        self.crash_ids: set[int] = set()
         self.forgiven: set[int] = set()
         self.died_at = 0.0
 
     @property
     def held(self) -> int:
         """Deaths held against it."""
-        return len(self.deaths - self.forgiven)
+        return len(self.crash_ids - self.forgiven)
 
     @property
     def memory_s(self) -> float:
@@ -120,11 +120,11 @@
         names, and the same name counts once however it comes.
         """
         record = self._record(fingerprint)
-        if death in record.deaths or len(record.deaths) >= _MAX_DEATHS:
+        if death in record.crash_ids or len(record.crash_ids) >= _MAX_DEATHS:
             return
         if now - record.died_at >= record.memory_s:
-            record.forgiven = set(record.deaths)
-        record.deaths.add(death)
+            record.forgiven = set(record.crash_ids)
+        record.crash_ids.add(death)
         record.died_at = now
 
     def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
@@ -145,7 +145,7 @@
         """
         record = self._by_fingerprint.get(fingerprint)
         if record is not None:
-            record.forgiven = set(record.deaths)
+            record.forgiven = set(record.crash_ids)
 
     def list_recent_crashes(self, now: float) -> tuple[tuple[str, int], ...]:
         """Return fingerprints and deaths held against them, to be told to the peers.
@@ -157,7 +157,7 @@
             (fingerprint, death)
             for fingerprint, record in self._by_fingerprint.items()
             if now - record.died_at <= GOSSIP_S
-            for death in sorted(record.deaths - record.forgiven)
+            for death in sorted(record.crash_ids - record.forgiven)
         )
 
     def _record(self, fingerprint: str) -> _Record:
