--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -71,12 +71,12 @@
 class _Record:
     """What is known of one fingerprint: deaths it was there for, and those forgiven."""
 
-    __slots__ = ("deaths", "died_at", "forgiven")
+    __slots__ = ("deaths", "last_crash_at", "forgiven")
 
     def __init__(self) -> None:
         self.crash_ids: set[int] = set()
         self.cleared_ids: set[int] = set()
-        self.died_at = 0.0
+        self.last_crash_at = 0.0
 
     @property
     def held(self) -> int:
@@ -122,17 +122,17 @@
         record = self._record(fingerprint)
         if death in record.crash_ids or len(record.crash_ids) >= _MAX_DEATHS:
             return
-        if now - record.died_at >= record.memory_s:
+        if now - record.last_crash_at >= record.memory_s:
             record.cleared_ids = set(record.crash_ids)
         record.crash_ids.add(death)
-        record.died_at = now
+        record.last_crash_at = now
 
     def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
         """Return what may be done with a request of this fingerprint."""
         record = self._by_fingerprint.get(fingerprint)
         if record is None or record.held == 0:
             return NotSuspected()
-        age_s = now - record.died_at
+        age_s = now - record.last_crash_at
         if record.held >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
             return Quarantined(record.held, QUARANTINE_S - age_s)
         return Suspect(record.held) if age_s < record.memory_s else NotSuspected()
@@ -156,7 +156,7 @@
         return tuple(
             (fingerprint, death)
             for fingerprint, record in self._by_fingerprint.items()
-            if now - record.died_at <= GOSSIP_S
+            if now - record.last_crash_at <= GOSSIP_S
             for death in sorted(record.crash_ids - record.cleared_ids)
         )
 
