--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -79,14 +79,14 @@
         self.last_crash_at = 0.0
 
     @property
-    def held(self) -> int:
+    def active_count(self) -> int:
         """Deaths held against it."""
         return len(self.crash_ids - self.cleared_ids)
 
     @property
     def memory_s(self) -> float:
         """How long after the last death it is still remembered."""
-        quarantined = self.held >= QUARANTINE_CRASHES
+        quarantined = self.active_count >= QUARANTINE_CRASHES
         return SUSPECT_RETENTION_S + (QUARANTINE_S if quarantined else 0.0)
 
 
@@ -130,12 +130,14 @@
     def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
         """Return what may be done with a request of this fingerprint."""
         record = self._by_fingerprint.get(fingerprint)
-        if record is None or record.held == 0:
+        if record is None or record.active_count == 0:
             return NotSuspected()
         age_s = now - record.last_crash_at
-        if record.held >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
-            return Quarantined(record.held, QUARANTINE_S - age_s)
-        return Suspect(record.held) if age_s < record.memory_s else NotSuspected()
+        if record.active_count >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
+            return Quarantined(record.active_count, QUARANTINE_S - age_s)
+        return (
+            Suspect(record.active_count) if age_s < record.memory_s else NotSuspected()
+        )
 
     def clear(self, fingerprint: str) -> None:
         """Forgive it: it finished on a living server.
