--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -84,7 +84,7 @@
         return len(self.crash_ids - self.cleared_ids)
 
     @property
-    def memory_s(self) -> float:
+    def retention_s(self) -> float:
         """How long after the last death it is still remembered."""
         quarantined = self.active_count >= QUARANTINE_CRASHES
         return SUSPECT_RETENTION_S + (QUARANTINE_S if quarantined else 0.0)
@@ -122,7 +122,7 @@
         record = self._record(fingerprint)
         if death in record.crash_ids or len(record.crash_ids) >= _MAX_DEATHS:
             return
-        if now - record.last_crash_at >= record.memory_s:
+        if now - record.last_crash_at >= record.retention_s:
             record.cleared_ids = set(record.crash_ids)
         record.crash_ids.add(death)
         record.last_crash_at = now
@@ -136,7 +136,9 @@
         if record.active_count >= QUARANTINE_CRASHES and age_s < QUARANTINE_S:
             return Quarantined(record.active_count, QUARANTINE_S - age_s)
         return (
-            Suspect(record.active_count) if age_s < record.memory_s else NotSuspected()
+            Suspect(record.active_count)
+            if age_s < record.retention_s
+            else NotSuspected()
         )
 
     def clear(self, fingerprint: str) -> None:
