--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -10,7 +10,7 @@
 # Reason for the limit: every organisation once, with half as much again for those that
 # use two routes; the least recently used history is dropped, which costs one request
 # predicted from its route's mean.
-DEFAULT_HISTORIES = 65_536
+DEFAULT_MAX_HISTORIES = 65_536
 
 # Without any history: a body of English text has about four bytes a token, and the
 # target's mean answer is 860,000 / 3,200 = 270 tokens.
@@ -54,7 +54,7 @@
     routes together, least recently used first out.
     """
 
-    def __init__(self, *, histories: int = DEFAULT_HISTORIES) -> None:
+    def __init__(self, *, histories: int = DEFAULT_MAX_HISTORIES) -> None:
         self._limit = histories
         self._by_key: OrderedDict[tuple[str, str], _History] = OrderedDict()
         self._by_route: OrderedDict[str, _History] = OrderedDict()
