--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -19,7 +19,7 @@
 
 # A history counts as at most so many answers, so that it follows a change of use
 # within some tens of requests and one odd answer moves it by a thirtieth.
-HISTORY_ANSWERS = 30
+HISTORY_WINDOW_ANSWERS = 30
 
 # The route's mean counts as so many answers beside an organisation's own: the first
 # answers of an organisation say little about its mean, since lengths vary widely.
@@ -37,11 +37,11 @@
         self.bytes_per_token = 0.0
 
     def learn(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
-        self.answers = min(self.answers + 1, HISTORY_ANSWERS)
+        self.answers = min(self.answers + 1, HISTORY_WINDOW_ANSWERS)
         self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answers
         if prompt_tokens > 0 and body_bytes > 0:
             seen = body_bytes / prompt_tokens
-            gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_ANSWERS
+            gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_WINDOW_ANSWERS
             self.bytes_per_token += (seen - self.bytes_per_token) * gain
 
 
