--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -23,7 +23,7 @@
 
 # The route's mean counts as so many answers beside an organisation's own: the first
 # answers of an organisation say little about its mean, since lengths vary widely.
-PRIOR_ANSWERS = 4
+PRIOR_WEIGHT_ANSWERS = 4
 
 
 class _History:
@@ -107,8 +107,8 @@
         prior = whole.answer_tokens if whole is not None else DEFAULT_ANSWER_TOKENS
         if own is None:
             return prior
-        weighed = own.answer_tokens * own.answers + prior * PRIOR_ANSWERS
-        return weighed / (own.answers + PRIOR_ANSWERS)
+        weighed = own.answer_tokens * own.answers + prior * PRIOR_WEIGHT_ANSWERS
+        return weighed / (own.answers + PRIOR_WEIGHT_ANSWERS)
 
     @staticmethod
     def _bytes_per_token(own: _History | None, whole: _History | None) -> float:
