--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -76,7 +76,7 @@
             answer = min(answer, float(max_tokens))
         return max(1.0, body_bytes / self._bytes_per_token(own, whole) + answer)
 
-    def learn(
+    def record_answer(
         self,
         organisation: str,
         route: str,
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -139,7 +139,7 @@
         with self._lock:
             self._admission.settle(name, predicted, prompt + tokens, monotonic())
             if whole:
-                self._predictor.learn(name, request.route.path, prompt, tokens)
+                self._predictor.record_answer(name, request.route.path, prompt, tokens)
                 self._suspects.clear(request.fingerprint)
 
     def may_retry(self, request: CallerRequest) -> bool:
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -97,7 +97,7 @@
 
     def decide() -> None:
         predictor.predict("o", "/v1", 1_600, 500)
-        predictor.learn("o", "/v1", 400, 270, body_bytes=1_600)
+        predictor.record_answer("o", "/v1", 400, 270, body_bytes=1_600)
 
     return decide
 
@@ -184,7 +184,7 @@
         for number in range(count):
             name = f"organisation-{number}"
             answer = 270 + number % 7
-            predictor.learn(name, "/v1", 400, answer, body_bytes=1_600 + number)
+            predictor.record_answer(name, "/v1", 400, answer, body_bytes=1_600 + number)
         return predictor
 
     return _bytes(build)
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -212,7 +212,7 @@
         self.first_token.record(begun_at - attempt.sent_at, request.prompt, begun_at)
         request.gap_s = (now - begun_at) / request.answer
         health.record_success((now - attempt.sent_at) / request.answer, now)
-        self.predictor.learn(
+        self.predictor.record_answer(
             request.organisation,
             "/",
             request.prompt,
