--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -36,7 +36,7 @@
         self.answer_tokens = 0.0
         self.bytes_per_token = 0.0
 
-    def learn(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
+    def update(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
         self.answers = min(self.answers + 1, HISTORY_WINDOW_ANSWERS)
         self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answers
         if prompt_tokens > 0 and body_bytes > 0:
@@ -96,7 +96,7 @@
         whole = self._by_route.setdefault(route, _History())
         self._by_route.move_to_end(route)
         for history in (own, whole):
-            history.learn(prompt_tokens, answer_tokens, body_bytes)
+            history.update(prompt_tokens, answer_tokens, body_bytes)
         while len(self._by_key) > self._limit:
             self._by_key.popitem(last=False)
         while len(self._by_route) > self._limit:
