--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -24,7 +24,7 @@
 MIN_RETRY_AFTER_S = 1.0
 
 # Work of a request held at the limit of concurrency, when no answer has been timed.
-_DEFAULT_HOLD_S = 1.0
+_DEFAULT_FINISH_GAP_S = 1.0
 
 
 class AdmissionGrant(NamedTuple):
@@ -41,7 +41,7 @@
     retry_after_s: float
 
 
-class _Account:
+class _OrganisationBudget:
     """One organisation's token bucket and count of requests in progress."""
 
     __slots__ = (
@@ -63,7 +63,7 @@
         self.refilled_at: float | None = None
         self.in_flight = 0
         self.demand = DecayingSum(DEMAND_WINDOW_S)
-        self.finish_gap_s = _DEFAULT_HOLD_S
+        self.finish_gap_s = _DEFAULT_FINISH_GAP_S
         self.finished_at: float | None = None
         self.next_free_at = 0.0
 
@@ -102,7 +102,7 @@
     """
 
     def __init__(self) -> None:
-        self._by_organisation: dict[str, _Account] = {}
+        self._by_organisation: dict[str, _OrganisationBudget] = {}
 
     def __len__(self) -> int:
         return len(self._by_organisation)
@@ -114,7 +114,7 @@
         """
         account = self._by_organisation.get(organisation)
         if account is None:
-            self._by_organisation[organisation] = _Account(allowance, share)
+            self._by_organisation[organisation] = _OrganisationBudget(allowance, share)
             return
         full = allowance.burst * share
         account.tokens = min(account.tokens, full)
@@ -139,11 +139,11 @@
         if account.in_flight >= account.concurrency:
             detail = f"{account.in_flight} requests in progress here"
             wait_s = account.finish_gap_s
-            return _refuse(account, "concurrency", detail, wait_s, now)
+            return _build_refusal(account, "concurrency", detail, wait_s, now)
         if account.tokens <= 0.0:
             detail = f"{account.rate:.0f} tokens/s are used up here"
             wait_s = work / max(account.rate, 1.0)
-            return _refuse(account, "work", detail, wait_s, now)
+            return _build_refusal(account, "work", detail, wait_s, now)
         account.tokens -= work
         account.in_flight += 1
         return AdmissionGrant(work)
@@ -176,8 +176,8 @@
         return max(work, account.in_flight / max(account.allowance.concurrency, 1))
 
 
-def _refuse(
-    account: _Account, limit: str, detail: str, wait_s: float, now: float
+def _build_refusal(
+    account: _OrganisationBudget, limit: str, detail: str, wait_s: float, now: float
 ) -> LimitRefusal:
     """Refuse with a time of its own for every caller to come back.
 
--- a/src/kingcupwheel/decisions/baselines.py
+++ b/src/kingcupwheel/decisions/baselines.py
@@ -26,15 +26,15 @@
     def place(
         self,
         candidates: Sequence[Candidate],
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        draw: Random,
+        rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Draw evenly."""
-        able = select_eligible(candidates, ask)
+        able = select_eligible(candidates, request)
         if isinstance(able, NoServerAvailable):
             return able
-        return SelectedServer(draw.choice(able).name, "random")
+        return SelectedServer(rng.choice(able).name, "random")
 
 
 @placement_policies.register("round-robin")
@@ -42,20 +42,22 @@
     """Each server in its turn."""
 
     def __init__(self) -> None:
-        self._turn = count()
+        self._counter = count()
 
     def place(
         self,
         candidates: Sequence[Candidate],
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        draw: Random,
+        rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the next one."""
-        able = select_eligible(candidates, ask)
+        able = select_eligible(candidates, request)
         if isinstance(able, NoServerAvailable):
             return able
-        return SelectedServer(able[next(self._turn) % len(able)].name, "next in turn")
+        return SelectedServer(
+            able[next(self._counter) % len(able)].name, "next in turn"
+        )
 
 
 @placement_policies.register("least-in-flight")
@@ -65,13 +67,13 @@
     def place(
         self,
         candidates: Sequence[Candidate],
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        draw: Random,
+        rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the least, drawn evenly among equals."""
-        able = select_eligible(candidates, ask)
+        able = select_eligible(candidates, request)
         if isinstance(able, NoServerAvailable):
             return able
-        best = min(able, key=lambda one: (one.own_in_flight, draw.random()))
+        best = min(able, key=lambda one: (one.own_in_flight, rng.random()))
         return SelectedServer(best.name, "fewest in flight")
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -11,7 +11,7 @@
 # A server that has just started has empty caches and has to warm up: given its whole
 # part at once, the first requests on it are the slowest of the group.
 SLOW_START_S = 15.0
-_FIRST_PART = 0.1
+_SLOW_START_MIN_FRACTION = 0.1
 
 # A slow server is given this part of its capacity. Not nothing: it still answers, and
 # a group that loses every slow server loads the others until they are slow too.
@@ -74,7 +74,7 @@
         """The capacity to count on, less than ``capacity`` when in doubt."""
         part = 1.0
         if self.uptime_s < SLOW_START_S:
-            part *= max(_FIRST_PART, self.uptime_s / SLOW_START_S)
+            part *= max(_SLOW_START_MIN_FRACTION, self.uptime_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
             part *= SLOW_CAPACITY_FRACTION
         if self.report_age_s > REPORT_FRESH_S:
--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -10,7 +10,7 @@
 DRAIN_TIME_CONSTANT_S = 10.0
 
 # With less than this seen of a backlog, nothing is known of the rate.
-_LEAST_SEEN_S = 0.5
+_MIN_OBSERVED_S = 0.5
 
 
 class DrainRate:
@@ -26,38 +26,38 @@
     def __init__(self) -> None:
         self._work = 0.0
         self._busy_s = 0.0
-        self._since: float | None = None
+        self._updated_at: float | None = None
 
     def mark_nonempty(self, now: float) -> None:
         """Note that the queue is no longer empty."""
-        self._since = now
+        self._updated_at = now
 
     def mark_empty(self, now: float) -> None:
         """Note that the queue is empty."""
-        self._wait(now)
-        self._since = None
+        self._accumulate_busy_time(now)
+        self._updated_at = None
 
     def record_dequeue(self, work: float, now: float) -> None:
         """Count work that had to wait and was taken at ``now``."""
-        self._wait(now)
+        self._accumulate_busy_time(now)
         self._work += work
 
     def estimate_drain_s(self, work: float, now: float) -> float:
         """Return how long ``work`` takes to drain; 0 while no rate is known."""
-        waited_s = 0.0 if self._since is None else max(0.0, now - self._since)
+        waited_s = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
         busy_s = self._busy_s + waited_s
-        if busy_s < _LEAST_SEEN_S:
+        if busy_s < _MIN_OBSERVED_S:
             return 0.0
         if self._work <= 0.0:
             return busy_s if work > 0.0 else 0.0
         return work * busy_s / self._work
 
-    def _wait(self, now: float) -> None:
+    def _accumulate_busy_time(self, now: float) -> None:
         """Count the time since the last change as time with a backlog."""
-        if self._since is None:
+        if self._updated_at is None:
             return
-        waited_s = max(0.0, now - self._since)
+        waited_s = max(0.0, now - self._updated_at)
         kept = exp(-waited_s / DRAIN_TIME_CONSTANT_S)
         self._work *= kept
         self._busy_s = self._busy_s * kept + waited_s
-        self._since = now
+        self._updated_at = now
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -20,7 +20,7 @@
 # the others have no room for.
 MAX_EJECTED_SHARE = 1 / 2
 
-_OUT_OF_SERVICE = (ServerState.EJECTED, ServerState.PROBING)
+_OUT_OF_SERVICE_STATES = (ServerState.EJECTED, ServerState.PROBING)
 
 
 class ServerLoad(NamedTuple):
@@ -76,7 +76,9 @@
         places = sum(load.capacity for load in serving)
         may_leave = int(len(serving) * MAX_EJECTED_SHARE)
         state_by_name: dict[str, ServerState] = {}
-        for name in sorted(load_by_name, key=lambda name: _rank(health_by_name, name)):
+        for name in sorted(
+            load_by_name, key=lambda name: _update_order(health_by_name, name)
+        ):
             load = load_by_name[name]
             has_room = held <= places - load.capacity * load.is_in_service
             may_eject = may_leave > 0 and has_room
@@ -84,7 +86,7 @@
                 median_s, now, may_eject=may_eject
             )
             state_by_name[name] = state
-            if state in _OUT_OF_SERVICE and load.is_in_service:
+            if state in _OUT_OF_SERVICE_STATES and load.is_in_service:
                 may_leave -= 1
                 places -= load.capacity
         return state_by_name
@@ -95,7 +97,7 @@
     return median(known) if known else 0.0
 
 
-def _rank(
+def _update_order(
     health_by_name: Mapping[str, ServerHealth], name: str
 ) -> tuple[bool, int, str]:
     """Order for judging: the ejected first, then those that fail most."""
--- a/src/kingcupwheel/decisions/hashing.py
+++ b/src/kingcupwheel/decisions/hashing.py
@@ -6,7 +6,7 @@
 
 
 _DIGEST_BYTES = 8
-_RANGE = float(2 ** (8 * _DIGEST_BYTES))
+_HASH_RANGE = float(2 ** (8 * _DIGEST_BYTES))
 
 
 def stable_hash(*parts: str) -> int:
@@ -17,4 +17,4 @@
 
 def stable_fraction(*parts: str) -> float:
     """Return a number from 0 up to 1 that depends on ``parts`` alone."""
-    return stable_hash(*parts) / _RANGE
+    return stable_hash(*parts) / _HASH_RANGE
--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -6,7 +6,7 @@
 
 
 # A sample counts as a fiftieth: about six seconds of an entry's requests at the peak.
-_GAIN = 1 / 50
+_SMOOTHING_GAIN = 1 / 50
 
 # A bound that no sample has confirmed for so long is believed less and less, in
 # seconds: an entry at work sees several a second.
@@ -16,7 +16,7 @@
 
 # A bound of one deviation above the line. Two kept nearly all samples, but with prompts
 # of very different lengths left no time to wait in the queue.
-_DEVIATIONS = 1.0
+_BOUND_DEVIATIONS = 1.0
 
 
 class FirstByteLatencyBound:
@@ -56,7 +56,7 @@
         """Return the seconds that most of that size are below; 0 until one was seen."""
         if self._count == 0:
             return 0.0
-        bound_s = self._line(size) + _DEVIATIONS * self._deviation_s
+        bound_s = self._line(size) + _BOUND_DEVIATIONS * self._deviation_s
         unconfirmed_s = max(0.0, now - self._saw_at - UNCONFIRMED_GRACE_S)
         return bound_s * math.exp2(-unconfirmed_s / UNCONFIRMED_HALF_LIFE_S)
 
@@ -65,7 +65,7 @@
         self._saw_at = now
         error_s = abs(seconds - self._line(size)) if self._count else seconds / 2
         self._count += 1
-        gain = max(_GAIN, 1 / self._count)
+        gain = max(_SMOOTHING_GAIN, 1 / self._count)
         self._deviation_s += (error_s - self._deviation_s) * gain
         self._size += (size - self._size) * gain
         self._time += (seconds - self._time) * gain
--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -24,10 +24,10 @@
 class _Option:
     """Holds the best bids up to its number of places."""
 
-    __slots__ = ("_bids", "_places")
+    __slots__ = ("_bids", "_capacity")
 
     def __init__(self, places: int) -> None:
-        self._places = places
+        self._capacity = places
         self._bids: list[_Bid] = []
 
     @property
@@ -36,7 +36,7 @@
 
     def add_bid(self, bid: _Bid) -> str | None:
         """Return whom it turns away, if anybody."""
-        if len(self._bids) < self._places:
+        if len(self._bids) < self._capacity:
             heappush(self._bids, bid)
             return None
         return heappushpop(self._bids, bid).chooser
@@ -57,7 +57,9 @@
     """
     wanted = min(wanted, len(options))
     option_by_name = _build_options(options, len(choosers) * wanted)
-    preferences_by_chooser = {name: iter(_ranked(name, options)) for name in choosers}
+    preferences_by_chooser = {
+        name: iter(_rank_options(name, options)) for name in choosers
+    }
     unplaced = [chooser for chooser in choosers for _ in range(wanted)]
     while unplaced:
         chooser = unplaced.pop()
@@ -68,9 +70,9 @@
         turned_away = option_by_name[name].add_bid(_Bid(-rank, chooser))
         if turned_away is not None:
             unplaced.append(turned_away)
-    chosen_by_chooser = _by_chooser(choosers, option_by_name)
+    chosen_by_chooser = _group_by_chooser(choosers, option_by_name)
     return {
-        chooser: _topped_up(chooser, chosen, options, wanted)
+        chooser: _fill_up(chooser, chosen, options, wanted)
         for chooser, chosen in chosen_by_chooser.items()
     }
 
@@ -83,11 +85,11 @@
     }
 
 
-def _ranked(chooser: str, options: Sequence[str]) -> list[tuple[int, str]]:
+def _rank_options(chooser: str, options: Sequence[str]) -> list[tuple[int, str]]:
     return sorted((stable_hash(chooser, name), name) for name in options)
 
 
-def _by_chooser(
+def _group_by_chooser(
     choosers: Sequence[str], option_by_name: dict[str, _Option]
 ) -> dict[str, list[str]]:
     names_by_chooser: dict[str, list[str]] = {chooser: [] for chooser in choosers}
@@ -97,10 +99,10 @@
     return names_by_chooser
 
 
-def _topped_up(
+def _fill_up(
     chooser: str, chosen: Sequence[str], options: Sequence[str], wanted: int
 ) -> tuple[str, ...]:
     if len(chosen) == wanted:
         return tuple(chosen)
-    others = [name for _, name in _ranked(chooser, options) if name not in chosen]
+    others = [name for _, name in _rank_options(chooser, options) if name not in chosen]
     return (*chosen, *others[: wanted - len(chosen)])
--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -25,7 +25,7 @@
 MAX_INCARNATIONS = 4096
 
 
-class _Told:
+class _Notice:
     """What one life said; ``absent_at`` is since when it is off the list."""
 
     __slots__ = ("absent_at", "is_leaving", "rests_until")
@@ -40,10 +40,10 @@
     """Keeps what servers asked for; guarded by its owner, times are monotonic."""
 
     def __init__(self) -> None:
-        self._told_by_life: dict[str, _Told] = {}
+        self._notice_by_incarnation: dict[str, _Notice] = {}
 
     def __len__(self) -> int:
-        return len(self._told_by_life)
+        return len(self._notice_by_incarnation)
 
     def record_backoff(self, life: str, for_s: float, now: float) -> bool:
         """Note that a server asks for rest; return whether that is news.
@@ -54,24 +54,24 @@
         known = self.backoff_until(life)
         if until <= now or (known is not None and until <= known):
             return False
-        self._of(life).backoff_until = until
+        self._get_or_create(life).backoff_until = until
         return True
 
     def record_leaving(self, life: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
-        told = self._of(life)
+        told = self._get_or_create(life)
         is_news = not told.is_leaving
         told.is_leaving = True
         return is_news
 
     def is_leaving(self, life: str) -> bool:
         """Return whether it said that it leaves, which holds until it is gone."""
-        told = self._told_by_life.get(life)
+        told = self._notice_by_incarnation.get(life)
         return told is not None and told.is_leaving
 
     def backoff_until(self, life: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
-        told = self._told_by_life.get(life)
+        told = self._notice_by_incarnation.get(life)
         return None if told is None else told.backoff_until
 
     def is_backing_off(self, life: str, now: float) -> bool:
@@ -87,40 +87,40 @@
         """Return, once, the lives whose rest is over."""
         found = tuple(
             life
-            for life, told in self._told_by_life.items()
+            for life, told in self._notice_by_incarnation.items()
             if told.backoff_until is not None and told.backoff_until <= now
         )
         for life in found:
-            if self._told_by_life[life].is_leaving:
-                self._told_by_life[life].backoff_until = None
+            if self._notice_by_incarnation[life].is_leaving:
+                self._notice_by_incarnation[life].backoff_until = None
             else:
-                del self._told_by_life[life]
+                del self._notice_by_incarnation[life]
         return found
 
     def retain(self, lives: Collection[str], now: float) -> tuple[str, ...]:
         """Forget lives that have been off the list for long; return them."""
-        for life, told in self._told_by_life.items():
+        for life, told in self._notice_by_incarnation.items():
             if life in lives:
                 told.absent_at = None
             elif told.absent_at is None:
                 told.absent_at = now
-        return self._forget(
+        return self._remove(
             life
-            for life, told in self._told_by_life.items()
+            for life, told in self._notice_by_incarnation.items()
             if told.absent_at is not None and now - told.absent_at >= ABSENT_RETENTION_S
         )
 
-    def _forget(self, lives: Iterable[str]) -> tuple[str, ...]:
+    def _remove(self, lives: Iterable[str]) -> tuple[str, ...]:
         found = tuple(lives)
         for life in found:
-            del self._told_by_life[life]
+            del self._notice_by_incarnation[life]
         return found
 
-    def _of(self, life: str) -> _Told:
-        found = self._told_by_life.get(life)
+    def _get_or_create(self, life: str) -> _Notice:
+        found = self._notice_by_incarnation.get(life)
         if found is None:
-            if len(self._told_by_life) >= MAX_INCARNATIONS:
+            if len(self._notice_by_incarnation) >= MAX_INCARNATIONS:
                 # The one that said something first.
-                del self._told_by_life[next(iter(self._told_by_life))]
-            found = self._told_by_life[life] = _Told()
+                del self._notice_by_incarnation[next(iter(self._notice_by_incarnation))]
+            found = self._notice_by_incarnation[life] = _Notice()
         return found
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -63,32 +63,32 @@
     def place(
         self,
         candidates: Sequence[Candidate],
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        draw: Random,
+        rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Choose a server among the group's that are within the entry's subset."""
 
 
 def select_eligible(
-    candidates: Sequence[Candidate], ask: PlacementRequest
+    candidates: Sequence[Candidate], request: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
     """Return the servers that may be given ``ask``, or why there are none."""
     known = normalize_ages(candidates)
     up = [candidate for candidate in known if candidate.state not in UNAVAILABLE_STATES]
     if not up:
-        return _none_up(known, ask)
+        return _explain_none_up(known, request)
     with_room = [candidate for candidate in up if not candidate.is_full]
     if not with_room:
-        return _none_with_room(known, ask)
+        return _explain_none_with_capacity(known, request)
     untried = [
         candidate
         for candidate in with_room
-        if candidate.name not in ask.excluded_servers
+        if candidate.name not in request.excluded_servers
     ]
     if not untried:
-        return _none_untried(known, up, ask)
-    if not ask.is_suspect:
+        return _explain_none_untried(known, up, request)
+    if not request.is_suspect:
         return untried
     # Failure: two suspects on one server, which dies. Symptom: the innocent one is
     # blamed twice. Apart, the second death leaves a single cause.
@@ -96,7 +96,9 @@
     return alone or ALL_SERVERS_RUN_SUSPECTS
 
 
-def _none_up(known: Sequence[Candidate], ask: PlacementRequest) -> NoServerAvailable:
+def _explain_none_up(
+    known: Sequence[Candidate], ask: PlacementRequest
+) -> NoServerAvailable:
     """Return what stands in the way of all; an ejected or silent server may be back."""
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
     rests = [one for one in waited_for if one.state is ServerState.BACKING_OFF]
@@ -104,14 +106,14 @@
         return NO_SERVER_IN_SERVICE
     untried = [one for one in rests if one.name not in ask.excluded_servers]
     if not untried:
-        return ALL_SERVERS_TRIED._replace(rest_over_at=_first_over(rests))
+        return ALL_SERVERS_TRIED._replace(rest_over_at=_earliest_backoff_end(rests))
     reason = (
         UNTRIED_SERVERS_BACKING_OFF if ask.excluded_servers else ALL_SERVERS_BACKING_OFF
     )
-    return reason._replace(rest_over_at=_first_over(untried))
+    return reason._replace(rest_over_at=_earliest_backoff_end(untried))
 
 
-def _none_with_room(
+def _explain_none_with_capacity(
     known: Sequence[Candidate], ask: PlacementRequest
 ) -> NoServerAvailable:
     """Return what stands in the way; room on a server already tried is no help."""
@@ -122,12 +124,12 @@
     ]
     if waited_for and all(one.state is ServerState.BACKING_OFF for one in waited_for):
         return UNTRIED_SERVERS_BACKING_OFF._replace(
-            rest_over_at=_first_over(waited_for)
+            rest_over_at=_earliest_backoff_end(waited_for)
         )
     return ALL_SERVERS_FULL
 
 
-def _none_untried(
+def _explain_none_untried(
     known: Sequence[Candidate], up: Sequence[Candidate], ask: PlacementRequest
 ) -> NoServerAvailable:
     if not ask.excluded_servers.issuperset(_names(up)):
@@ -139,10 +141,12 @@
     ]
     if not rests:
         return ALL_SERVERS_TRIED
-    return UNTRIED_SERVERS_BACKING_OFF._replace(rest_over_at=_first_over(rests))
+    return UNTRIED_SERVERS_BACKING_OFF._replace(
+        rest_over_at=_earliest_backoff_end(rests)
+    )
 
 
-def _first_over(rests: Sequence[Candidate]) -> float:
+def _earliest_backoff_end(rests: Sequence[Candidate]) -> float:
     return min(one.backoff_until for one in rests)
 
 
@@ -159,37 +163,37 @@
     def place(
         self,
         candidates: Sequence[Candidate],
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        draw: Random,
+        rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
-        able = select_eligible(correct_load_reports(candidates), ask)
+        able = select_eligible(correct_load_reports(candidates), request)
         if isinstance(able, NoServerAvailable):
             return able
-        proven, probed = _parted(able)
-        if probed and (not proven or _probes(ask, draw)):
-            return SelectedServer(
-                draw.choice(probed).name, "probe of an ejected server"
-            )
+        proven, probed = _split_probed(able)
+        if probed and (not proven or _should_probe(request, rng)):
+            return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
         if not proven:
             # Those left are on probe and busy; others were kept from this ask alone.
             return (
                 UNTRIED_SERVERS_FULL
-                if ask.excluded_servers or ask.is_suspect
+                if request.excluded_servers or request.is_suspect
                 else ALL_SERVERS_FULL
             )
-        home = self._home(proven, ask)
+        home = self._find_affinity_server(proven, request)
         if home is not None:
-            return SelectedServer(home.name, "home of the prefix", _weigh([home]))
-        drawn = _draw(proven, ask, draw)
-        best = min(drawn, key=lambda candidate: _cost(candidate, ask))
+            return SelectedServer(home.name, "home of the prefix", _list_loads([home]))
+        drawn = _sample_pair(proven, request, rng)
+        best = min(drawn, key=lambda candidate: _compute_cost(candidate, request))
         others = [candidate for candidate in drawn if candidate is not best]
         why = "less loaded of two" if others else "the only one with room"
-        return SelectedServer(best.name, why, _weigh([best, *others]))
+        return SelectedServer(best.name, why, _list_loads([best, *others]))
 
     @staticmethod
-    def _home(proven: Sequence[Candidate], ask: PlacementRequest) -> Candidate | None:
+    def _find_affinity_server(
+        proven: Sequence[Candidate], ask: PlacementRequest
+    ) -> Candidate | None:
         """Return the prefix's home by rendezvous hashing, if it has room to spare.
 
         Load: many requests that begin alike. Harm prevented: without the bound the home
@@ -211,35 +215,35 @@
     return {candidate.name for candidate in candidates}
 
 
-def _parted(able: Sequence[Candidate]) -> tuple[list[Candidate], list[Candidate]]:
+def _split_probed(able: Sequence[Candidate]) -> tuple[list[Candidate], list[Candidate]]:
     proven = [one for one in able if one.state is not ServerState.PROBING]
     probed = [one for one in able if one.state is ServerState.PROBING]
     return proven, [one for one in probed if one.own_in_flight == 0]
 
 
-def _probes(ask: PlacementRequest, draw: Random) -> bool:
+def _should_probe(ask: PlacementRequest, draw: Random) -> bool:
     # A probe may fail; only what may be run again is risked.
     return ask.is_repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
 
 
-def _draw(
+def _sample_pair(
     proven: Sequence[Candidate], ask: PlacementRequest, draw: Random
 ) -> list[Candidate]:
     """Draw two different servers, each as often as it has room."""
     if len(proven) <= SAMPLED_SERVERS:
         return list(proven)
     near = [one for one in proven if one.data_centre == ask.data_centre]
-    first = _draw_one(near if ask.prefers_local and near else proven, draw)
-    return [first, _draw_one([one for one in proven if one is not first], draw)]
+    first = _sample_one(near if ask.prefers_local and near else proven, draw)
+    return [first, _sample_one([one for one in proven if one is not first], draw)]
 
 
-def _draw_one(servers: Sequence[Candidate], draw: Random) -> Candidate:
+def _sample_one(servers: Sequence[Candidate], draw: Random) -> Candidate:
     return draw.choices(
         servers, [candidate.effective_capacity for candidate in servers]
     )[0]
 
 
-def _cost(candidate: Candidate, ask: PlacementRequest) -> float:
+def _compute_cost(candidate: Candidate, ask: PlacementRequest) -> float:
     cost = candidate.load_with_next
     if candidate.data_centre != ask.data_centre:
         cost += ask.remote_load_penalty
@@ -248,5 +252,5 @@
     return cost
 
 
-def _weigh(candidates: Sequence[Candidate]) -> tuple[CandidateLoad, ...]:
+def _list_loads(candidates: Sequence[Candidate]) -> tuple[CandidateLoad, ...]:
     return tuple(CandidateLoad(one.name, round(one.load, 3)) for one in candidates)
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/queueing.py
@@ -40,7 +40,7 @@
 
 # Weight of priority p is (p + 1): priority 9 gets ten times the work of priority 0, and
 # none is given nothing, so that no priority starves another.
-_WEIGHT_OF_LOWEST = 1.0
+_LOWEST_PRIORITY_WEIGHT = 1.0
 
 
 class QueuedRequest(NamedTuple):
@@ -72,7 +72,7 @@
 
     def __init__(self, priority: int) -> None:
         self.requests: deque[QueuedRequest] = deque()
-        self.weight = max(0, priority) + _WEIGHT_OF_LOWEST
+        self.weight = max(0, priority) + _LOWEST_PRIORITY_WEIGHT
         self.deficit = 0.0
         self.has_turn = False
         self.backlog = 0.0
@@ -108,15 +108,15 @@
         self._max_wait_s = max_wait_s
         self._quantum = quantum
         self._flow_by_key: dict[tuple[str, int], _Flow] = {}
-        self._turns: deque[tuple[str, int]] = deque()
-        self._waiting_by_id: dict[str, QueuedRequest] = {}
+        self._active_keys: deque[tuple[str, int]] = deque()
+        self._request_by_id: dict[str, QueuedRequest] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._expired: list[QueuedRequest] = []
-        self._drain = DrainRate()
-        self._next_return_at = 0.0
+        self._drain_rate = DrainRate()
+        self._next_retry_at = 0.0
 
     def __len__(self) -> int:
-        return len(self._waiting_by_id)
+        return len(self._request_by_id)
 
     @property
     def queued_work(self) -> float:
@@ -129,32 +129,36 @@
         key = (waiting.organisation, waiting.priority)
         flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
         if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._limit - ahead):
-            wait_s = self._drain.estimate_drain_s(self.queued_work, now)
-            return self._refuse("queue", f"{ahead} requests wait", wait_s, waiting, now)
-        wait_s = self._predicted_wait(flow, waiting.work, now)
+            wait_s = self._drain_rate.estimate_drain_s(self.queued_work, now)
+            return self._build_refusal(
+                "queue", f"{ahead} requests wait", wait_s, waiting, now
+            )
+        wait_s = self._predict_wait_s(flow, waiting.work, now)
         left_s = waiting.deadline_at - now
         if wait_s > left_s:
             detail = f"predicted wait {wait_s:.1f} s, deadline in {left_s:.1f} s"
-            return self._refuse("deadline", detail, wait_s - left_s, waiting, now)
+            return self._build_refusal(
+                "deadline", detail, wait_s - left_s, waiting, now
+            )
         if wait_s > self._max_wait_s:
             detail = f"predicted wait {wait_s:.1f} s"
-            return self._refuse("wait", detail, wait_s, waiting, now)
-        if not self._waiting_by_id:
-            self._drain.mark_nonempty(now)
-        self._add(key, flow, waiting)
+            return self._build_refusal("wait", detail, wait_s, waiting, now)
+        if not self._request_by_id:
+            self._drain_rate.mark_nonempty(now)
+        self._enqueue(key, flow, waiting)
         return Enqueued(ahead, wait_s)
 
     def peek(self, now: float) -> QueuedRequest | None:
         """Return the request whose turn it is, or None if none waits in time."""
         self._drop_expired(now)
         passed = 0
-        while self._turns:
-            flow = self._flow_by_key[self._turns[0]]
+        while self._active_keys:
+            flow = self._flow_by_key[self._active_keys[0]]
             if flow.try_take_turn(self._quantum):
                 return flow.requests[0]
-            self._turns.rotate(-1)
+            self._active_keys.rotate(-1)
             passed += 1
-            if passed == len(self._turns):
+            if passed == len(self._active_keys):
                 self._skip_rounds()
         return None
 
@@ -163,22 +167,22 @@
         waiting = self.peek(now)
         if waiting is None:
             return None
-        key = self._turns[0]
+        key = self._active_keys[0]
         flow = self._flow_by_key[key]
         flow.requests.popleft()
         flow.deficit -= waiting.work
         flow.backlog -= waiting.work
-        del self._waiting_by_id[waiting.request_id]
+        del self._request_by_id[waiting.request_id]
         self._drop_if_empty(key, flow)
         # What finds a place at once says nothing about how fast a backlog drains.
         if now > waiting.queued_at:
-            self._drain.record_dequeue(waiting.work, now)
-        self._note_if_empty(now)
+            self._drain_rate.record_dequeue(waiting.work, now)
+        self._mark_if_empty(now)
         return waiting
 
     def remove(self, request_id: str, now: float) -> QueuedRequest | None:
         """Take a request out, for instance when its caller has left."""
-        waiting = self._waiting_by_id.pop(request_id, None)
+        waiting = self._request_by_id.pop(request_id, None)
         if waiting is None:
             return None
         key = (waiting.organisation, waiting.priority)
@@ -186,7 +190,7 @@
         flow.requests.remove(waiting)
         flow.backlog -= waiting.work
         self._drop_if_empty(key, flow)
-        self._note_if_empty(now)
+        self._mark_if_empty(now)
         return waiting
 
     def take_expired(self, now: float) -> list[QueuedRequest]:
@@ -196,13 +200,15 @@
         self._expired = []
         return expired
 
-    def _add(self, key: tuple[str, int], flow: _Flow, waiting: QueuedRequest) -> None:
+    def _enqueue(
+        self, key: tuple[str, int], flow: _Flow, waiting: QueuedRequest
+    ) -> None:
         if not flow.requests:
             self._flow_by_key[key] = flow
-            self._turns.append(key)
+            self._active_keys.append(key)
         flow.requests.append(waiting)
         flow.backlog += waiting.work
-        self._waiting_by_id[waiting.request_id] = waiting
+        self._request_by_id[waiting.request_id] = waiting
         heappush(self._deadlines, (waiting.deadline_at, waiting.request_id))
 
     def _skip_rounds(self) -> None:
@@ -223,21 +229,21 @@
         if flow.requests:
             return
         del self._flow_by_key[key]
-        self._turns.remove(key)
+        self._active_keys.remove(key)
 
-    def _note_if_empty(self, now: float) -> None:
-        if not self._waiting_by_id:
-            self._drain.mark_empty(now)
+    def _mark_if_empty(self, now: float) -> None:
+        if not self._request_by_id:
+            self._drain_rate.mark_empty(now)
 
     def _drop_expired(self, now: float) -> None:
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heappop(self._deadlines)
-            waiting = self._waiting_by_id.get(request_id)
+            waiting = self._request_by_id.get(request_id)
             if waiting is not None and waiting.deadline_at <= now:
                 self.remove(request_id, now)
                 self._expired.append(waiting)
 
-    def _predicted_wait(self, own: _Flow, work: float, now: float) -> float:
+    def _predict_wait_s(self, own: _Flow, work: float, now: float) -> float:
         """Return the seconds until a new request of ``own`` would be taken.
 
         Until then every other flow is served its weight's part of what ``own`` is, or
@@ -250,9 +256,9 @@
                 before += min(
                     MAX_BACKLOG_REFILLS * flow.backlog, mine * flow.weight / own.weight
                 )
-        return PREDICTED_WAIT_FACTOR * self._drain.estimate_drain_s(before, now)
+        return PREDICTED_WAIT_FACTOR * self._drain_rate.estimate_drain_s(before, now)
 
-    def _refuse(
+    def _build_refusal(
         self, limit: str, detail: str, wait_s: float, waiting: QueuedRequest, now: float
     ) -> LimitRefusal:
         """Refuse with a time to come back at which there may be room.
@@ -263,10 +269,10 @@
         next turn at the pace at which the queue drains, and is spread by its request's
         id, so that a trace can be worked out again.
         """
-        turn_at = max(now + wait_s, self._next_return_at)
+        turn_at = max(now + wait_s, self._next_retry_at)
         base_s = min(max(MIN_RETRY_AFTER_S, turn_at - now), MAX_RETRY_AFTER_S / 2)
-        self._next_return_at = (
-            now + base_s + self._drain.estimate_drain_s(waiting.work, now)
+        self._next_retry_at = (
+            now + base_s + self._drain_rate.estimate_drain_s(waiting.work, now)
         )
         after_s = base_s * (1.0 + stable_fraction(waiting.request_id))
         return LimitRefusal(limit, detail, after_s)
--- a/src/kingcupwheel/decisions/reports.py
+++ b/src/kingcupwheel/decisions/reports.py
@@ -16,10 +16,10 @@
 # A report is doubted when it holds less than this part of what the entry's own attempts
 # there lead to expect. Not more: entries send to a server unevenly, and a report that
 # is right is the best there is.
-_DOUBTED_PART = 1 / 3
+_MIN_PLAUSIBLE_FRACTION = 1 / 3
 
 # With fewer own attempts on a server nothing can be expected of its report.
-_LEAST_OWN = 2
+_MIN_OWN_ATTEMPTS = 2
 
 
 def correct_load_reports(candidates: Sequence[Candidate]) -> list[Candidate]:
@@ -34,18 +34,18 @@
     scales = [
         (one.running + one.queued) / one.own_in_flight_at_report
         for one in candidates
-        if one.own_in_flight_at_report >= _LEAST_OWN
+        if one.own_in_flight_at_report >= _MIN_OWN_ATTEMPTS
     ]
     if not scales:
         return list(candidates)
     scale = max(1.0, median(scales))
-    return [_corrected(one, scale) for one in candidates]
+    return [_correct_load_report(one, scale) for one in candidates]
 
 
-def _corrected(candidate: Candidate, scale: float) -> Candidate:
-    if candidate.own_in_flight_at_report < _LEAST_OWN:
+def _correct_load_report(candidate: Candidate, scale: float) -> Candidate:
+    if candidate.own_in_flight_at_report < _MIN_OWN_ATTEMPTS:
         return candidate
     expected = candidate.own_in_flight_at_report * scale
-    if candidate.running + candidate.queued >= expected * _DOUBTED_PART:
+    if candidate.running + candidate.queued >= expected * _MIN_PLAUSIBLE_FRACTION:
         return candidate
     return replace(candidate, running=round(expected), queued=0)
--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retries.py
@@ -33,16 +33,16 @@
     ) -> None:
         self._share = share
         self._floor = floor
-        self._firsts = DecayingSum(RETRY_TIME_CONSTANT_S)
+        self._first_attempts = DecayingSum(RETRY_TIME_CONSTANT_S)
         self._retries = DecayingSum(RETRY_TIME_CONSTANT_S)
 
     def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
-        self._firsts.add(1.0, now)
+        self._first_attempts.add(1.0, now)
 
     def try_acquire(self, now: float) -> bool:
         """Return whether one more retry is within the budget, and count it if so."""
-        allowed = self._floor + self._share * self._firsts.value(now)
+        allowed = self._floor + self._share * self._first_attempts.value(now)
         if self._retries.value(now) >= allowed:
             return False
         self._retries.add(1.0, now)
@@ -58,23 +58,23 @@
 
     def __init__(self, *, window_s: float) -> None:
         self._window_s = window_s
-        self._firsts: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
         self._retries: deque[float] = deque()
 
     def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
-        self._forget(now)
-        self._firsts.append(now)
+        self._drop_expired(now)
+        self._first_attempts.append(now)
 
     def try_acquire(self, now: float, *, share: float, floor: float) -> bool:
         """Return whether one more is within the budget, and count it if so."""
-        self._forget(now)
-        if len(self._retries) + 1 > floor + share * len(self._firsts):
+        self._drop_expired(now)
+        if len(self._retries) + 1 > floor + share * len(self._first_attempts):
             return False
         self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for counted in (self._firsts, self._retries):
+    def _drop_expired(self, now: float) -> None:
+        for counted in (self._first_attempts, self._retries):
             while counted and counted[0] <= now - self._window_s:
                 counted.popleft()
--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -47,7 +47,7 @@
 _NEVER = float("-inf")
 
 # Demands below this are noise.
-_LEAST_DEMAND = 1e-6
+_MIN_DEMAND = 1e-6
 
 
 class PeerShare(NamedTuple):
@@ -122,7 +122,7 @@
     misses = any(peer.age_s > PEER_STALE_S for peer in peers)
     if misses:
         share = share._replace(missed_at=now)
-    target = equal if misses else _target(demand, peers, equal)
+    target = equal if misses else _compute_target(demand, peers, equal)
     if target <= share.held:
         return share._replace(held=target, wants_since=None)
     wants_since = now if share.wants_more_since is None else share.wants_more_since
@@ -134,7 +134,7 @@
         settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
         return share._replace(wants_since=wants_since)
-    free = 1.0 - share.held - sum(_occupied(peer, equal) for peer in peers)
+    free = 1.0 - share.held - sum(_assumed_held(peer, equal) for peer in peers)
     claims = 1 + sum(peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers)
     if free <= 0.0:
         return share._replace(wants_since=wants_since)
@@ -142,9 +142,9 @@
     return share._replace(held=held, wants_since=wants_since, raised_at=now)
 
 
-def _target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
+def _compute_target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
     total = demand + sum(peer.demand for peer in peers)
-    if total < _LEAST_DEMAND:
+    if total < _MIN_DEMAND:
         return equal
     if total <= 1.0:
         busy = SPARE_BY_DEMAND_FRACTION * demand / total
@@ -161,5 +161,5 @@
     return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
 
 
-def _occupied(peer: PeerShare, equal: float) -> float:
+def _assumed_held(peer: PeerShare, equal: float) -> float:
     return equal if peer.age_s > PEER_RELEASE_S else peer.held
--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -12,19 +12,19 @@
 
 # Parts of the grace, counted from the signal to stop.
 # Everything is taken for so long: callers keep an entry's address for some seconds.
-_TAKING_PART = 0.35
+_ACCEPT_ALL_FRACTION = 0.35
 # The process stays at least so long, so that callers who still have its address are
 # answered and not reset.
-_STAYING_PART = 0.4
+_MIN_UPTIME_FRACTION = 0.4
 # What has not ended by then is ended, which leaves time to tell callers so.
-_ANSWERING_PART = 0.9
+_RESPONSE_FRACTION = 0.9
 # The process ends by then, whatever is in progress.
-_ENDING_PART = 0.95
+_EXIT_FRACTION = 0.95
 # A request is taken late if it may last so many times the longest recent answer: the
 # wait for a place and a server that turns slow come on top.
-_LONGEST_FACTOR = 3.0
+_LATE_DURATION_FACTOR = 3.0
 # What an answer is expected to last at least, in seconds.
-_LEAST_S = 0.3
+_MIN_DURATION_S = 0.3
 
 
 class GracefulShutdown(NamedTuple):
@@ -36,17 +36,17 @@
     @property
     def earliest_exit_at(self) -> float:
         """Until when the process stays, even if nothing is in progress."""
-        return self.started_at + _STAYING_PART * self.grace_s
+        return self.started_at + _MIN_UPTIME_FRACTION * self.grace_s
 
     @property
     def responses_end_at(self) -> float:
         """When requests still in progress get their final answer."""
-        return self.started_at + _ANSWERING_PART * self.grace_s
+        return self.started_at + _RESPONSE_FRACTION * self.grace_s
 
     @property
     def latest_exit_at(self) -> float:
         """When the process ends at the latest."""
-        return self.started_at + _ENDING_PART * self.grace_s
+        return self.started_at + _EXIT_FRACTION * self.grace_s
 
     def may_accept(
         self, now: float, *, over_at: float, longest_s: float | None, streamed: bool
@@ -62,13 +62,13 @@
         entries stop. Harm prevented: an answer that is cut by the end of the process.
         What is refused has not run, and another entry can run it whole.
         """
-        if now <= self.started_at + _TAKING_PART * self.grace_s:
+        if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
         if over_at <= self.responses_end_at:
             return True
         if streamed or longest_s is None:
             return False
-        expected_s = _LONGEST_FACTOR * max(longest_s, _LEAST_S)
+        expected_s = _LATE_DURATION_FACTOR * max(longest_s, _MIN_DURATION_S)
         return now + expected_s <= self.responses_end_at
 
     def may_dispatch(
@@ -80,10 +80,10 @@
         Harm prevented: one that has not run is sent on and cut. Its wait is over, so
         that the longest recent answer is allowed for once.
         """
-        if now <= self.started_at + _TAKING_PART * self.grace_s:
+        if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
         if over_at <= self.responses_end_at:
             return True
         if longest_s is None:
             return False
-        return now + max(longest_s, _LEAST_S) <= self.responses_end_at
+        return now + max(longest_s, _MIN_DURATION_S) <= self.responses_end_at
--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -56,8 +56,8 @@
     for by the others. Own data centre first; ``entry`` has to be among ``entries``.
     """
     home = next(one.data_centre for one in entries if one.name == entry)
-    near = _near_subsets(home, entries, servers, size, spill_part)
-    return _with_spill(entry, home, near[entry], servers, size)
+    near = _select_local_subsets(home, entries, servers, size, spill_part)
+    return _add_remote_servers(entry, home, near[entry], servers, size)
 
 
 def select_all_subsets(
@@ -70,9 +70,9 @@
     """Return the subset of every entry by its name, to see how servers are covered."""
     by_name: dict[str, tuple[str, ...]] = {}
     for home in {one.data_centre for one in entries}:
-        near = _near_subsets(home, entries, servers, size, spill_part)
+        near = _select_local_subsets(home, entries, servers, size, spill_part)
         for entry, own in near.items():
-            by_name[entry] = _with_spill(entry, home, own, servers, size)
+            by_name[entry] = _add_remote_servers(entry, home, own, servers, size)
     return by_name
 
 
@@ -116,24 +116,24 @@
     return max(MIN_ENTRIES, wanted)
 
 
-def _near_subsets(
+def _select_local_subsets(
     home: str,
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
-    spill_part: float,
+    remote_fraction: float,
 ) -> dict[str, tuple[str, ...]]:
     """Return, for each entry of the data centre ``home``, its servers there."""
     near = [one.name for one in servers if one.data_centre == home]
     beside = [one.name for one in entries if one.data_centre == home]
     far = len(servers) - len(near)
-    wanted = max(size - int(size * spill_part), size - far)
+    wanted = max(size - int(size * remote_fraction), size - far)
     if len(near) <= wanted:
         return dict.fromkeys(beside, tuple(near))
     return match_evenly(beside, near, wanted)
 
 
-def _with_spill(
+def _add_remote_servers(
     entry: str,
     home: str,
     near: tuple[str, ...],
--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -30,7 +30,7 @@
 
 # Deaths remembered for one fingerprint: it is refused from the second on, so that more
 # come only from runs that several entries began at the same time.
-_MAX_DEATHS = 16
+_MAX_CRASHES_PER_FINGERPRINT = 16
 
 
 class ServerIncarnation(NamedTuple):
@@ -68,7 +68,7 @@
 SuspicionStatus = NotSuspected | Suspect | Quarantined
 
 
-class _Record:
+class _CrashRecord:
     """What is known of one fingerprint: deaths it was there for, and those forgiven."""
 
     __slots__ = ("deaths", "last_crash_at", "forgiven")
@@ -101,7 +101,7 @@
 
     def __init__(self, *, limit: int = MAX_FINGERPRINTS) -> None:
         self._limit = limit
-        self._by_fingerprint: OrderedDict[str, _Record] = OrderedDict()
+        self._by_fingerprint: OrderedDict[str, _CrashRecord] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._by_fingerprint)
@@ -119,8 +119,11 @@
         several times. Symptom: a bystander is refused after one death. Deaths have
         names, and the same name counts once however it comes.
         """
-        record = self._record(fingerprint)
-        if death in record.crash_ids or len(record.crash_ids) >= _MAX_DEATHS:
+        record = self._get_or_create(fingerprint)
+        if (
+            death in record.crash_ids
+            or len(record.crash_ids) >= _MAX_CRASHES_PER_FINGERPRINT
+        ):
             return
         if now - record.last_crash_at >= record.retention_s:
             record.cleared_ids = set(record.crash_ids)
@@ -164,8 +167,8 @@
             for death in sorted(record.crash_ids - record.cleared_ids)
         )
 
-    def _record(self, fingerprint: str) -> _Record:
-        record = self._by_fingerprint.setdefault(fingerprint, _Record())
+    def _get_or_create(self, fingerprint: str) -> _CrashRecord:
+        record = self._by_fingerprint.setdefault(fingerprint, _CrashRecord())
         self._by_fingerprint.move_to_end(fingerprint)
         while len(self._by_fingerprint) > self._limit:
             self._by_fingerprint.popitem(last=False)
--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work.py
@@ -54,8 +54,8 @@
     routes together, least recently used first out.
     """
 
-    def __init__(self, *, histories: int = DEFAULT_MAX_HISTORIES) -> None:
-        self._limit = histories
+    def __init__(self, *, max_histories: int = DEFAULT_MAX_HISTORIES) -> None:
+        self._limit = max_histories
         self._by_key: OrderedDict[tuple[str, str], _History] = OrderedDict()
         self._by_route: OrderedDict[str, _History] = OrderedDict()
 
