--- a/src/kingcupwheel/decisions/durations.py
+++ b/src/kingcupwheel/decisions/durations.py
@@ -11,24 +11,24 @@
     """Keeps a maximum over the present span and the one before; constant memory."""
 
     def __init__(self) -> None:
-        self._span = 0
-        self._present_s = 0.0
-        self._before_s = 0.0
+        self._window = 0
+        self._current_max_s = 0.0
+        self._previous_max_s = 0.0
 
-    def record(self, seconds: float, now: float) -> None:
+    def record(self, duration_s: float, now: float) -> None:
         """Note an answer that took so long and ended at ``now`` (monotonic)."""
-        self._turn(now)
-        self._present_s = max(self._present_s, seconds)
+        self._advance_window(now)
+        self._current_max_s = max(self._current_max_s, duration_s)
 
     def max_s(self, now: float) -> float | None:
         """Return the seconds that the longest recent answer took, None without any."""
-        self._turn(now)
-        return max(self._present_s, self._before_s) or None
+        self._advance_window(now)
+        return max(self._current_max_s, self._previous_max_s) or None
 
-    def _turn(self, now: float) -> None:
+    def _advance_window(self, now: float) -> None:
         span = int(now // WINDOW_S)
-        if span == self._span:
+        if span == self._window:
             return
-        self._before_s = self._present_s if span == self._span + 1 else 0.0
-        self._present_s = 0.0
-        self._span = span
+        self._previous_max_s = self._current_max_s if span == self._window + 1 else 0.0
+        self._current_max_s = 0.0
+        self._window = span
--- a/src/kingcupwheel/decisions/latency.py
+++ b/src/kingcupwheel/decisions/latency.py
@@ -36,45 +36,49 @@
     __slots__ = (
         "_count",
         "_deviation_s",
-        "_saw_at",
-        "_size",
-        "_size2",
-        "_time",
-        "_time_size",
+        "_updated_at",
+        "_mean_size",
+        "_mean_size_squared",
+        "_mean_time_s",
+        "_mean_time_size",
     )
 
     def __init__(self) -> None:
         self._count = 0
-        self._size = 0.0
-        self._time = 0.0
-        self._size2 = 0.0
-        self._time_size = 0.0
+        self._mean_size = 0.0
+        self._mean_time_s = 0.0
+        self._mean_size_squared = 0.0
+        self._mean_time_size = 0.0
         self._deviation_s = 0.0
-        self._saw_at = 0.0
+        self._updated_at = 0.0
 
     def bound_s(self, size: float, now: float) -> float:
         """Return the seconds that most of that size are below; 0 until one was seen."""
         if self._count == 0:
             return 0.0
-        bound_s = self._line(size) + _BOUND_DEVIATIONS * self._deviation_s
-        unconfirmed_s = max(0.0, now - self._saw_at - UNCONFIRMED_GRACE_S)
+        bound_s = self._predict_s(size) + _BOUND_DEVIATIONS * self._deviation_s
+        unconfirmed_s = max(0.0, now - self._updated_at - UNCONFIRMED_GRACE_S)
         return bound_s * math.exp2(-unconfirmed_s / UNCONFIRMED_HALF_LIFE_S)
 
-    def record(self, seconds: float, size: float, now: float) -> None:
+    def record(self, latency_s: float, size: float, now: float) -> None:
         """Take the time to a first byte into account."""
-        self._saw_at = now
-        error_s = abs(seconds - self._line(size)) if self._count else seconds / 2
+        self._updated_at = now
+        error_s = (
+            abs(latency_s - self._predict_s(size)) if self._count else latency_s / 2
+        )
         self._count += 1
         gain = max(_SMOOTHING_GAIN, 1 / self._count)
         self._deviation_s += (error_s - self._deviation_s) * gain
-        self._size += (size - self._size) * gain
-        self._time += (seconds - self._time) * gain
-        self._size2 += (size * size - self._size2) * gain
-        self._time_size += (seconds * size - self._time_size) * gain
+        self._mean_size += (size - self._mean_size) * gain
+        self._mean_time_s += (latency_s - self._mean_time_s) * gain
+        self._mean_size_squared += (size * size - self._mean_size_squared) * gain
+        self._mean_time_size += (latency_s * size - self._mean_time_size) * gain
 
-    def _line(self, size: float) -> float:
-        variance = self._size2 - self._size * self._size
+    def _predict_s(self, size: float) -> float:
+        variance = self._mean_size_squared - self._mean_size * self._mean_size
         slope = 0.0
         if variance > 0.0:
-            slope = (self._time_size - self._time * self._size) / variance
-        return max(0.0, self._time + slope * (size - self._size))
+            slope = (
+                self._mean_time_size - self._mean_time_s * self._mean_size
+            ) / variance
+        return max(0.0, self._mean_time_s + slope * (size - self._mean_size))
--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -45,43 +45,45 @@
     def __len__(self) -> int:
         return len(self._notice_by_incarnation)
 
-    def record_backoff(self, life: str, for_s: float, now: float) -> bool:
+    def record_backoff(self, incarnation: str, duration_s: float, now: float) -> bool:
         """Note that a server asks for rest; return whether that is news.
 
         A shorter wish does not end an earlier one: answers overtake each other.
         """
-        until = now + min(for_s, MAX_BACKOFF_S)
-        known = self.backoff_until(life)
+        until = now + min(duration_s, MAX_BACKOFF_S)
+        known = self.backoff_until(incarnation)
         if until <= now or (known is not None and until <= known):
             return False
-        self._get_or_create(life).backoff_until = until
+        self._get_or_create(incarnation).backoff_until = until
         return True
 
-    def record_leaving(self, life: str) -> bool:
+    def record_leaving(self, incarnation: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
-        told = self._get_or_create(life)
+        told = self._get_or_create(incarnation)
         is_news = not told.is_leaving
         told.is_leaving = True
         return is_news
 
-    def is_leaving(self, life: str) -> bool:
+    def is_leaving(self, incarnation: str) -> bool:
         """Return whether it said that it leaves, which holds until it is gone."""
-        told = self._notice_by_incarnation.get(life)
+        told = self._notice_by_incarnation.get(incarnation)
         return told is not None and told.is_leaving
 
-    def backoff_until(self, life: str) -> float | None:
+    def backoff_until(self, incarnation: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
-        told = self._notice_by_incarnation.get(life)
+        told = self._notice_by_incarnation.get(incarnation)
         return None if told is None else told.backoff_until
 
-    def is_backing_off(self, life: str, now: float) -> bool:
+    def is_backing_off(self, incarnation: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
-        until = self.backoff_until(life)
+        until = self.backoff_until(incarnation)
         return until is not None and now < until
 
-    def accepts_requests(self, life: str, now: float) -> bool:
+    def accepts_requests(self, incarnation: str, now: float) -> bool:
         """Return whether a request may be sent to it now."""
-        return not self.is_leaving(life) and not self.is_backing_off(life, now)
+        return not self.is_leaving(incarnation) and not self.is_backing_off(
+            incarnation, now
+        )
 
     def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
         """Return, once, the lives whose rest is over."""
@@ -97,10 +99,10 @@
                 del self._notice_by_incarnation[life]
         return found
 
-    def retain(self, lives: Collection[str], now: float) -> tuple[str, ...]:
+    def retain(self, incarnations: Collection[str], now: float) -> tuple[str, ...]:
         """Forget lives that have been off the list for long; return them."""
         for life, told in self._notice_by_incarnation.items():
-            if life in lives:
+            if life in incarnations:
                 told.absent_at = None
             elif told.absent_at is None:
                 told.absent_at = now
@@ -110,17 +112,17 @@
             if told.absent_at is not None and now - told.absent_at >= ABSENT_RETENTION_S
         )
 
-    def _remove(self, lives: Iterable[str]) -> tuple[str, ...]:
-        found = tuple(lives)
+    def _remove(self, incarnations: Iterable[str]) -> tuple[str, ...]:
+        found = tuple(incarnations)
         for life in found:
             del self._notice_by_incarnation[life]
         return found
 
-    def _get_or_create(self, life: str) -> _Notice:
-        found = self._notice_by_incarnation.get(life)
+    def _get_or_create(self, incarnation: str) -> _Notice:
+        found = self._notice_by_incarnation.get(incarnation)
         if found is None:
             if len(self._notice_by_incarnation) >= MAX_INCARNATIONS:
                 # The one that said something first.
                 del self._notice_by_incarnation[next(iter(self._notice_by_incarnation))]
-            found = self._notice_by_incarnation[life] = _Notice()
+            found = self._notice_by_incarnation[incarnation] = _Notice()
         return found
--- a/src/kingcupwheel/decisions/stopping.py
+++ b/src/kingcupwheel/decisions/stopping.py
@@ -49,7 +49,12 @@
         return self.started_at + _EXIT_FRACTION * self.grace_s
 
     def may_accept(
-        self, now: float, *, over_at: float, longest_s: float | None, streamed: bool
+        self,
+        now: float,
+        *,
+        deadline_at: float,
+        longest_recent_s: float | None,
+        is_streamed: bool,
     ) -> bool:
         """Return whether a request that comes at ``now`` is taken.
 
@@ -64,15 +69,15 @@
         """
         if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
-        if over_at <= self.responses_end_at:
+        if deadline_at <= self.responses_end_at:
             return True
-        if streamed or longest_s is None:
+        if is_streamed or longest_recent_s is None:
             return False
-        expected_s = _LATE_DURATION_FACTOR * max(longest_s, _MIN_DURATION_S)
+        expected_s = _LATE_DURATION_FACTOR * max(longest_recent_s, _MIN_DURATION_S)
         return now + expected_s <= self.responses_end_at
 
     def may_dispatch(
-        self, now: float, *, over_at: float, longest_s: float | None
+        self, now: float, *, deadline_at: float, longest_recent_s: float | None
     ) -> bool:
         """Return whether a request that gets its place at ``now`` is sent to a server.
 
@@ -82,8 +87,8 @@
         """
         if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
-        if over_at <= self.responses_end_at:
+        if deadline_at <= self.responses_end_at:
             return True
-        if longest_s is None:
+        if longest_recent_s is None:
             return False
-        return now + max(longest_s, _MIN_DURATION_S) <= self.responses_end_at
+        return now + max(longest_recent_s, _MIN_DURATION_S) <= self.responses_end_at
--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subsets.py
@@ -45,7 +45,7 @@
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = REMOTE_FRACTION,
+    remote_fraction: float = REMOTE_FRACTION,
 ) -> tuple[str, ...]:
     """Return the names of the servers of one group that ``entry`` keeps links to.
 
@@ -56,7 +56,7 @@
     for by the others. Own data centre first; ``entry`` has to be among ``entries``.
     """
     home = next(one.data_centre for one in entries if one.name == entry)
-    near = _select_local_subsets(home, entries, servers, size, spill_part)
+    near = _select_local_subsets(home, entries, servers, size, remote_fraction)
     return _add_remote_servers(entry, home, near[entry], servers, size)
 
 
@@ -65,12 +65,12 @@
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = REMOTE_FRACTION,
+    remote_fraction: float = REMOTE_FRACTION,
 ) -> dict[str, tuple[str, ...]]:
     """Return the subset of every entry by its name, to see how servers are covered."""
     by_name: dict[str, tuple[str, ...]] = {}
     for home in {one.data_centre for one in entries}:
-        near = _select_local_subsets(home, entries, servers, size, spill_part)
+        near = _select_local_subsets(home, entries, servers, size, remote_fraction)
         for entry, own in near.items():
             by_name[entry] = _add_remote_servers(entry, home, own, servers, size)
     return by_name
--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -101,18 +101,18 @@
 
     def __init__(self, *, limit: int = MAX_FINGERPRINTS) -> None:
         self._limit = limit
-        self._by_fingerprint: OrderedDict[str, _CrashRecord] = OrderedDict()
+        self._record_by_fingerprint: OrderedDict[str, _CrashRecord] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._by_fingerprint)
+        return len(self._record_by_fingerprint)
 
     def record_crash(
-        self, fingerprint: str, server_life: ServerIncarnation, now: float
+        self, fingerprint: str, incarnation: ServerIncarnation, now: float
     ) -> None:
         """Note that it ran when this life of a server ended; once for each life."""
-        self.record_crash_id(fingerprint, server_life.crash_id, now)
+        self.record_crash_id(fingerprint, incarnation.crash_id, now)
 
-    def record_crash_id(self, fingerprint: str, death: int, now: float) -> None:
+    def record_crash_id(self, fingerprint: str, crash_id: int, now: float) -> None:
         """Take a death that an agent or a peer tells of, as often as it is told.
 
         Failure: a death told by its agent, and by each peer that heard of it, counts
@@ -121,18 +121,18 @@
         """
         record = self._get_or_create(fingerprint)
         if (
-            death in record.crash_ids
+            crash_id in record.crash_ids
             or len(record.crash_ids) >= _MAX_CRASHES_PER_FINGERPRINT
         ):
             return
         if now - record.last_crash_at >= record.retention_s:
             record.cleared_ids = set(record.crash_ids)
-        record.crash_ids.add(death)
+        record.crash_ids.add(crash_id)
         record.last_crash_at = now
 
     def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
         """Return what may be done with a request of this fingerprint."""
-        record = self._by_fingerprint.get(fingerprint)
+        record = self._record_by_fingerprint.get(fingerprint)
         if record is None or record.active_count == 0:
             return NotSuspected()
         age_s = now - record.last_crash_at
@@ -150,7 +150,7 @@
         The record stays, so that the same old deaths heard again are not held against
         it a second time.
         """
-        record = self._by_fingerprint.get(fingerprint)
+        record = self._record_by_fingerprint.get(fingerprint)
         if record is not None:
             record.cleared_ids = set(record.crash_ids)
 
@@ -162,14 +162,14 @@
         """
         return tuple(
             (fingerprint, death)
-            for fingerprint, record in self._by_fingerprint.items()
+            for fingerprint, record in self._record_by_fingerprint.items()
             if now - record.last_crash_at <= GOSSIP_S
             for death in sorted(record.crash_ids - record.cleared_ids)
         )
 
     def _get_or_create(self, fingerprint: str) -> _CrashRecord:
-        record = self._by_fingerprint.setdefault(fingerprint, _CrashRecord())
-        self._by_fingerprint.move_to_end(fingerprint)
-        while len(self._by_fingerprint) > self._limit:
-            self._by_fingerprint.popitem(last=False)
+        record = self._record_by_fingerprint.setdefault(fingerprint, _CrashRecord())
+        self._record_by_fingerprint.move_to_end(fingerprint)
+        while len(self._record_by_fingerprint) > self._limit:
+            self._record_by_fingerprint.popitem(last=False)
         return record
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -114,9 +114,9 @@
         over_at = request.times.over_at
         if not self._closed and stopping.may_accept(
             now,
-            over_at=over_at,
-            longest_s=self._underway.longest_s(request, now),
-            streamed=request.route.streamed,
+            deadline_at=over_at,
+            longest_recent_s=self._underway.longest_s(request, now),
+            is_streamed=request.route.streamed,
         ):
             return None
         retry_s = _ELSEWHERE_RETRY_S if self._others_live() else _RESTART_RETRY_S
@@ -130,7 +130,9 @@
         now = monotonic()
         over_at = request.times.over_at
         return stopping.may_dispatch(
-            now, over_at=over_at, longest_s=self._underway.longest_s(request, now)
+            now,
+            deadline_at=over_at,
+            longest_recent_s=self._underway.longest_s(request, now),
         )
 
     def _until_sent(self, body: Iterable[bytes], request_id: str) -> Iterator[bytes]:
