--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -46,7 +46,7 @@
 
     __slots__ = (
         "allowance",
-        "at",
+        "refilled_at",
         "demand",
         "finish_gap_s",
         "finished_at",
--- a/src/kingcupwheel/decisions/ages.py
+++ b/src/kingcupwheel/decisions/ages.py
@@ -36,8 +36,8 @@
     return [
         replace(
             one,
-            heard_age_s=one.report_age_s - common_s,
-            started_age_s=max(one.uptime_s, 1e-3) * stretch,
+            report_age_s=one.report_age_s - common_s,
+            uptime_s=max(one.uptime_s, 1e-3) * stretch,
         )
         for one in candidates
     ]
--- a/src/kingcupwheel/decisions/drain.py
+++ b/src/kingcupwheel/decisions/drain.py
@@ -21,7 +21,7 @@
     they have stopped. The time since the last take therefore counts as well.
     """
 
-    __slots__ = ("_busy_s", "_since", "_work")
+    __slots__ = ("_busy_s", "_updated_at", "_work")
 
     def __init__(self) -> None:
         self._work = 0.0
--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/notices.py
@@ -28,7 +28,7 @@
 class _Notice:
     """What one life said; ``absent_at`` is since when it is off the list."""
 
-    __slots__ = ("absent_at", "is_leaving", "rests_until")
+    __slots__ = ("absent_at", "is_leaving", "backoff_until")
 
     def __init__(self) -> None:
         self.is_leaving = False
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -73,7 +73,7 @@
 def select_eligible(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
-    """Return the servers that may be given ``ask``, or why there are none."""
+    """Return the servers that may be given ``request``, or why there are none."""
     known = normalize_ages(candidates)
     up = [candidate for candidate in known if candidate.state not in UNAVAILABLE_STATES]
     if not up:
@@ -97,52 +97,56 @@
 
 
 def _explain_none_up(
-    known: Sequence[Candidate], ask: PlacementRequest
+    known: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
     """Return what stands in the way of all; an ejected or silent server may be back."""
     waited_for = [one for one in known if one.state is not ServerState.LEAVING]
     rests = [one for one in waited_for if one.state is ServerState.BACKING_OFF]
     if not rests or len(rests) < len(waited_for):
         return NO_SERVER_IN_SERVICE
-    untried = [one for one in rests if one.name not in ask.excluded_servers]
+    untried = [one for one in rests if one.name not in request.excluded_servers]
     if not untried:
-        return ALL_SERVERS_TRIED._replace(rest_over_at=_earliest_backoff_end(rests))
+        return ALL_SERVERS_TRIED._replace(backoff_ends_at=_earliest_backoff_end(rests))
     reason = (
-        UNTRIED_SERVERS_BACKING_OFF if ask.excluded_servers else ALL_SERVERS_BACKING_OFF
+        UNTRIED_SERVERS_BACKING_OFF
+        if request.excluded_servers
+        else ALL_SERVERS_BACKING_OFF
     )
-    return reason._replace(rest_over_at=_earliest_backoff_end(untried))
+    return reason._replace(backoff_ends_at=_earliest_backoff_end(untried))
 
 
 def _explain_none_with_capacity(
-    known: Sequence[Candidate], ask: PlacementRequest
+    known: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
     """Return what stands in the way; room on a server already tried is no help."""
     waited_for = [
         one
         for one in known
-        if one.state is not ServerState.LEAVING and one.name not in ask.excluded_servers
+        if one.state is not ServerState.LEAVING
+        and one.name not in request.excluded_servers
     ]
     if waited_for and all(one.state is ServerState.BACKING_OFF for one in waited_for):
         return UNTRIED_SERVERS_BACKING_OFF._replace(
-            rest_over_at=_earliest_backoff_end(waited_for)
+            backoff_ends_at=_earliest_backoff_end(waited_for)
         )
     return ALL_SERVERS_FULL
 
 
 def _explain_none_untried(
-    known: Sequence[Candidate], up: Sequence[Candidate], ask: PlacementRequest
+    known: Sequence[Candidate], up: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
-    if not ask.excluded_servers.issuperset(_names(up)):
+    if not request.excluded_servers.issuperset(_names(up)):
         return UNTRIED_SERVERS_FULL
     rests = [
         one
         for one in known
-        if one.state is ServerState.BACKING_OFF and one.name not in ask.excluded_servers
+        if one.state is ServerState.BACKING_OFF
+        and one.name not in request.excluded_servers
     ]
     if not rests:
         return ALL_SERVERS_TRIED
     return UNTRIED_SERVERS_BACKING_OFF._replace(
-        rest_over_at=_earliest_backoff_end(rests)
+        backoff_ends_at=_earliest_backoff_end(rests)
     )
 
 
@@ -175,7 +179,7 @@
         if probed and (not proven or _should_probe(request, rng)):
             return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
         if not proven:
-            # Those left are on probe and busy; others were kept from this ask alone.
+            # Those left are on probe and busy; others were kept from this request alone.
             return (
                 UNTRIED_SERVERS_FULL
                 if request.excluded_servers or request.is_suspect
@@ -192,19 +196,19 @@
 
     @staticmethod
     def _find_affinity_server(
-        proven: Sequence[Candidate], ask: PlacementRequest
+        proven: Sequence[Candidate], request: PlacementRequest
     ) -> Candidate | None:
         """Return the prefix's home by rendezvous hashing, if it has room to spare.
 
         Load: many requests that begin alike. Harm prevented: without the bound the home
         of a popular prefix is overrun while others idle.
         """
-        if not ask.prefix_key or ask.is_suspect:
+        if not request.prefix_key or request.is_suspect:
             return None
         sound = [one for one in proven if one.state is not ServerState.FAILING]
         if not sound:
             return None
-        home = max(sound, key=lambda one: stable_hash(ask.prefix_key, one.name))
+        home = max(sound, key=lambda one: stable_hash(request.prefix_key, one.name))
         mean = sum(candidate.load for candidate in proven) / len(proven)
         if home.load > min(AFFINITY_MAX_LOAD, mean + AFFINITY_LOAD_MARGIN):
             return None
@@ -221,32 +225,34 @@
     return proven, [one for one in probed if one.own_in_flight == 0]
 
 
-def _should_probe(ask: PlacementRequest, draw: Random) -> bool:
+def _should_probe(request: PlacementRequest, rng: Random) -> bool:
     # A probe may fail; only what may be run again is risked.
-    return ask.is_repeatable and not ask.is_suspect and draw.random() < PROBE_SHARE
+    return (
+        request.is_repeatable and not request.is_suspect and rng.random() < PROBE_SHARE
+    )
 
 
 def _sample_pair(
-    proven: Sequence[Candidate], ask: PlacementRequest, draw: Random
+    proven: Sequence[Candidate], request: PlacementRequest, rng: Random
 ) -> list[Candidate]:
     """Draw two different servers, each as often as it has room."""
     if len(proven) <= SAMPLED_SERVERS:
         return list(proven)
-    near = [one for one in proven if one.data_centre == ask.data_centre]
-    first = _sample_one(near if ask.prefers_local and near else proven, draw)
-    return [first, _sample_one([one for one in proven if one is not first], draw)]
+    near = [one for one in proven if one.data_centre == request.data_centre]
+    first = _sample_one(near if request.prefers_local and near else proven, rng)
+    return [first, _sample_one([one for one in proven if one is not first], rng)]
 
 
-def _sample_one(servers: Sequence[Candidate], draw: Random) -> Candidate:
-    return draw.choices(
+def _sample_one(servers: Sequence[Candidate], rng: Random) -> Candidate:
+    return rng.choices(
         servers, [candidate.effective_capacity for candidate in servers]
     )[0]
 
 
-def _compute_cost(candidate: Candidate, ask: PlacementRequest) -> float:
+def _compute_cost(candidate: Candidate, request: PlacementRequest) -> float:
     cost = candidate.load_with_next
-    if candidate.data_centre != ask.data_centre:
-        cost += ask.remote_load_penalty
+    if candidate.data_centre != request.data_centre:
+        cost += request.remote_load_penalty
     if candidate.state is ServerState.FAILING:
         cost += FAILING_LOAD_PENALTY
     return cost
--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/shares.py
@@ -121,10 +121,10 @@
     equal = 1.0 / (len(peers) + 1)
     misses = any(peer.age_s > PEER_STALE_S for peer in peers)
     if misses:
-        share = share._replace(missed_at=now)
+        share = share._replace(peer_missed_at=now)
     target = equal if misses else _compute_target(demand, peers, equal)
     if target <= share.held:
-        return share._replace(held=target, wants_since=None)
+        return share._replace(held=target, wants_more_since=None)
     wants_since = now if share.wants_more_since is None else share.wants_more_since
     settled_at = max(wants_since, share.raised_at)
     if not misses:
@@ -133,13 +133,13 @@
         # Once the peer has answered what was sent after that, both hear each other.
         settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
-        return share._replace(wants_since=wants_since)
+        return share._replace(wants_more_since=wants_since)
     free = 1.0 - share.held - sum(_assumed_held(peer, equal) for peer in peers)
     claims = 1 + sum(peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers)
     if free <= 0.0:
-        return share._replace(wants_since=wants_since)
+        return share._replace(wants_more_since=wants_since)
     held = min(target, share.held + free / claims)
-    return share._replace(held=held, wants_since=wants_since, raised_at=now)
+    return share._replace(held=held, wants_more_since=wants_since, raised_at=now)
 
 
 def _compute_target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
--- a/src/kingcupwheel/decisions/suspects.py
+++ b/src/kingcupwheel/decisions/suspects.py
@@ -71,7 +71,7 @@
 class _CrashRecord:
     """What is known of one fingerprint: deaths it was there for, and those forgiven."""
 
-    __slots__ = ("deaths", "last_crash_at", "forgiven")
+    __slots__ = ("cleared_ids", "crash_ids", "last_crash_at")
 
     def __init__(self) -> None:
         self.crash_ids: set[int] = set()
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -276,7 +276,8 @@
         plain = [
             replace(
                 _candidate(server, concurrency, now),
-                rests_until=notices.backoff_until(server.known_beat.incarnation) or 0.0,
+                backoff_until=notices.backoff_until(server.known_beat.incarnation)
+                or 0.0,
             )
             for server in servers.values()
         ]
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -143,7 +143,7 @@
             return False
         with self._lock:
             before = self._share(name, len(members))
-            share = before._replace(held=equal, wants_since=None)
+            share = before._replace(held=equal, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limits.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
@@ -194,7 +194,7 @@
                 share = compute_next_share(before, demand, peers, now)
             else:
                 # Left out of the set: the members count on this part being free.
-                share = before._replace(held=0.0, wants_since=None)
+                share = before._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limits.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -37,12 +37,12 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "best = min(drawn, key=lambda candidate: _cost(candidate, ask))",
+            "best = min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
             "best = drawn[0]",
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "near_first=True", "near_first=False"),
+        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
         Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
     ),
     "own-in-flight": (
@@ -55,7 +55,7 @@
     "health": (
         Edit(
             "entry/dispatching.py",
-            "state_by_name = self._health.states(loads, now)",
+            "state_by_name = self._health.update_states(loads, now)",
             "state_by_name = {one.name: ServerState.HEALTHY for one in loads}",
         ),
     ),
@@ -101,7 +101,7 @@
     "retry-budget": (
         Edit(
             "decisions/retries.py",
-            "if len(self._retries) + 1 > floor + share * len(self._firsts):",
+            "if len(self._retries) + 1 > floor + share * len(self._first_attempts):",
             "if floor < 0.0:",
         ),
     ),
