--- a/src/kingcupwheel/agent/runner.py
+++ b/src/kingcupwheel/agent/runner.py
@@ -15,7 +15,7 @@
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import Start
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.decisions.suspects import ServerIncarnation
+from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from kingcupwheel.decisions.health import ServerState
+from kingcupwheel.decisions.server_health import ServerState
 
 
 # A server that has just started has empty caches and has to warm up: given its whole
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/fair_queue.py
@@ -10,7 +10,7 @@
 from kingcupwheel.decisions.admission import MAX_RETRY_AFTER_S
 from kingcupwheel.decisions.admission import MIN_RETRY_AFTER_S
 from kingcupwheel.decisions.admission import LimitRefusal
-from kingcupwheel.decisions.drain import DrainRate
+from kingcupwheel.decisions.drain_rate import DrainRate
 from kingcupwheel.decisions.hashing import stable_fraction
 
 
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.health import ServerHealth
-from kingcupwheel.decisions.health import ServerState
+from kingcupwheel.decisions.server_health import ServerHealth
+from kingcupwheel.decisions.server_health import ServerState
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from kingcupwheel.decisions.ages import normalize_ages
+from kingcupwheel.decisions.age_normalization import normalize_ages
 from kingcupwheel.decisions.candidates import ALL_SERVERS_BACKING_OFF
 from kingcupwheel.decisions.candidates import ALL_SERVERS_FULL
 from kingcupwheel.decisions.candidates import ALL_SERVERS_RUN_SUSPECTS
@@ -19,8 +19,8 @@
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.hashing import stable_hash
-from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.reports import correct_load_reports
+from kingcupwheel.decisions.load_reports import correct_load_reports
+from kingcupwheel.decisions.server_health import ServerState
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -179,7 +179,7 @@
         if probed and (not proven or _should_probe(request, rng)):
             return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
         if not proven:
-            # Those left are on probe and busy; others were kept from this request alone.
+            # Only busy probed servers are left for this request.
             return (
                 UNTRIED_SERVERS_FULL
                 if request.excluded_servers or request.is_suspect
--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from kingcupwheel.decisions.work import DEFAULT_BYTES_PER_TOKEN
+from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -9,13 +9,13 @@
 
 from kingcupwheel.decisions.admission import AdmissionController
 from kingcupwheel.decisions.admission import LimitRefusal
+from kingcupwheel.decisions.crash_suspects import CrashSuspects
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
-from kingcupwheel.decisions.retries import RetryBudget
-from kingcupwheel.decisions.suspects import CrashSuspects
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import Suspect
-from kingcupwheel.decisions.work import DEFAULT_BYTES_PER_TOKEN
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.retry_budget import RetryBudget
+from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 from kingcupwheel.entry.refusals import Refusal
 
 
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -10,7 +10,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions import subsets
+from kingcupwheel.decisions import subset_selection
 
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         self._peer_heard_at: dict[str, float] = {}
         self._leaving_peers: set[str] = set()
         self._senders: frozenset[str] = frozenset()
-        self._live: tuple[subsets.Instance, ...] = ()
+        self._live: tuple[subset_selection.Instance, ...] = ()
         self._live_at = float("-inf")
         self._members_by_organisation: dict[tuple[str, Allowance], tuple[str, ...]] = {}
         self._lock = Lock()
@@ -141,20 +141,22 @@
 
     def _subset(self, agents: list[Instance]) -> list[Instance]:
         size = self._settings.entry.subset
-        names = subsets.select_subset(
+        names = subset_selection.select_subset(
             self._settings.name,
             self._entries_with_self(),
-            [subsets.Instance(one.name, one.data_centre) for one in agents],
+            [subset_selection.Instance(one.name, one.data_centre) for one in agents],
             size,
         )
         wanted = set(names)
         return [one for one in agents if one.name in wanted]
 
-    def _entries_with_self(self) -> list[subsets.Instance]:
+    def _entries_with_self(self) -> list[subset_selection.Instance]:
         entries = [one for one in self._instances if _is_entry(one)]
         by_name = {one.name: one.data_centre for one in entries}
         by_name[self._settings.name] = self._settings.data_centre
-        return [subsets.Instance(name, by_name[name]) for name in sorted(by_name)]
+        return [
+            subset_selection.Instance(name, by_name[name]) for name in sorted(by_name)
+        ]
 
     @property
     def peers(self) -> tuple[Instance, ...]:
@@ -209,7 +211,7 @@
         key = (organisation.name, organisation.allowance)
         members = self._members_by_organisation.get(key)
         if members is None:
-            members = subsets.select_entries(
+            members = subset_selection.select_entries(
                 organisation.name,
                 live,
                 organisation.allowance,
@@ -218,11 +220,11 @@
             self._members_by_organisation[key] = members
         return members
 
-    def _live_entries(self, now: float) -> tuple[subsets.Instance, ...]:
+    def _live_entries(self, now: float) -> tuple[subset_selection.Instance, ...]:
         if now - self._live_at < _LIVE_FOR_S:
             return self._live
         live = tuple(
-            subsets.Instance(one.name, one.data_centre)
+            subset_selection.Instance(one.name, one.data_centre)
             for one in self._instances
             if self._is_live(one, now)
         )
--- a/src/kingcupwheel/entry/servers.py
+++ b/src/kingcupwheel/entry/servers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.notices import ServerNotices
+from kingcupwheel.decisions.server_notices import ServerNotices
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -1,8 +1,8 @@
 """Splits each organisation's allowance over its entries by what they see of it.
 
-The arithmetic is ``decisions.shares``; this module exchanges demands and shares with
-the other entries of each organisation's set, about every heartbeat, for organisations
-in use.
+The arithmetic is ``decisions.allowance_shares``; this module exchanges demands and
+shares with the other entries of each organisation's set, about every heartbeat, for
+organisations in use.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import compute_next_share
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import ShareTold
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -12,7 +12,7 @@
     from kingcupwheel.decisions.candidates import NoServerAvailable
     from kingcupwheel.decisions.candidates import PlacementRequest
     from kingcupwheel.decisions.candidates import SelectedServer
-    from kingcupwheel.decisions.queueing import QueuedRequest
+    from kingcupwheel.decisions.fair_queue import QueuedRequest
 
 
 class Wanted(NamedTuple):
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
+from kingcupwheel.decisions.crash_suspects import CrashSuspects
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import ServerIncarnation
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
-from kingcupwheel.decisions.retries import SlidingWindowRetryBudget
-from kingcupwheel.decisions.suspects import CrashSuspects
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import ServerIncarnation
-from kingcupwheel.decisions.suspects import Suspect
+from kingcupwheel.decisions.retry_budget import SlidingWindowRetryBudget
 from kingcupwheel.forwarding.closures import Closures
 
 
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.stopping import GracefulShutdown
+    from kingcupwheel.decisions.graceful_shutdown import GracefulShutdown
     from kingcupwheel.entry.gateway import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import Suspect
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -5,7 +5,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.durations import RecentMaxDuration
+from kingcupwheel.decisions.max_duration import RecentMaxDuration
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/plugins/kernel.py
+++ b/src/kingcupwheel/plugins/kernel.py
@@ -32,7 +32,7 @@
 
 PLACEMENT_MODULES = (
     "kingcupwheel.decisions.placement",
-    "kingcupwheel.decisions.baselines",
+    "kingcupwheel.decisions.baseline_policies",
 )
 BUILTIN_MODULES = (
     "kingcupwheel.platform.http",
--- a/tests/decisions/builders.py
+++ b/tests/decisions/builders.py
@@ -5,16 +5,16 @@
 from dataclasses import field
 from typing import NamedTuple
 
+from kingcupwheel.decisions.allowance_shares import PEER_RELEASE_S
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import build_idle_peer_share
+from kingcupwheel.decisions.allowance_shares import build_idle_share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
 from kingcupwheel.decisions.candidates import Candidate
-from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.queueing import QueuedRequest
-from kingcupwheel.decisions.shares import PEER_RELEASE_S
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import build_idle_peer_share
-from kingcupwheel.decisions.shares import build_idle_share
-from kingcupwheel.decisions.shares import compute_next_share
-from kingcupwheel.decisions.subsets import Instance
+from kingcupwheel.decisions.fair_queue import QueuedRequest
+from kingcupwheel.decisions.server_health import ServerState
+from kingcupwheel.decisions.subset_selection import Instance
 
 
 def waiting(
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_allowance_shares.py
@@ -4,7 +4,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from kingcupwheel.decisions.shares import PEER_RELEASE_S
+from kingcupwheel.decisions.allowance_shares import PEER_RELEASE_S
 from tests.decisions.builders import ShareSet
 
 
--- a/tests/decisions/test_suspects.py
+++ b/tests/decisions/test_crash_suspects.py
@@ -8,14 +8,14 @@
 
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
+from kingcupwheel.decisions.crash_suspects import QUARANTINE_S
+from kingcupwheel.decisions.crash_suspects import SUSPECT_RETENTION_S
+from kingcupwheel.decisions.crash_suspects import CrashSuspects
+from kingcupwheel.decisions.crash_suspects import NotSuspected
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import ServerIncarnation
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.placement import TwoChoicesPolicy
-from kingcupwheel.decisions.suspects import QUARANTINE_S
-from kingcupwheel.decisions.suspects import SUSPECT_RETENTION_S
-from kingcupwheel.decisions.suspects import CrashSuspects
-from kingcupwheel.decisions.suspects import NotSuspected
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import ServerIncarnation
-from kingcupwheel.decisions.suspects import Suspect
 from tests.decisions.builders import candidates
 
 
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_fair_queue.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from kingcupwheel.decisions.admission import LimitRefusal
-from kingcupwheel.decisions.queueing import MAX_WAIT_S
-from kingcupwheel.decisions.queueing import Enqueued
-from kingcupwheel.decisions.queueing import FairQueue
+from kingcupwheel.decisions.fair_queue import MAX_WAIT_S
+from kingcupwheel.decisions.fair_queue import Enqueued
+from kingcupwheel.decisions.fair_queue import FairQueue
 from tests.decisions.builders import waiting
 
 
--- a/tests/decisions/test_latency.py
+++ b/tests/decisions/test_first_byte_latency.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from kingcupwheel.decisions.latency import FirstByteLatencyBound
+from kingcupwheel.decisions.first_byte_latency import FirstByteLatencyBound
 
 
 def test_the_bound_holds_for_most_prompts_of_any_size_and_follows_a_change() -> None:
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.decisions.ages import normalize_ages
+from kingcupwheel.decisions.age_normalization import normalize_ages
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import NoServerAvailable
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
-from kingcupwheel.decisions.health import ServerState
+from kingcupwheel.decisions.server_health import ServerState
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import placement_policies
 from tests.decisions.builders import candidates
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_server_health.py
@@ -6,10 +6,10 @@
 from kingcupwheel.decisions.group_health import MAX_EJECTED_SHARE
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
-from kingcupwheel.decisions.health import BASE_EJECTION_S
-from kingcupwheel.decisions.health import RECOVERY_PROBES
-from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.retries import RetryBudget
+from kingcupwheel.decisions.retry_budget import RetryBudget
+from kingcupwheel.decisions.server_health import BASE_EJECTION_S
+from kingcupwheel.decisions.server_health import RECOVERY_PROBES
+from kingcupwheel.decisions.server_health import ServerState
 
 
 NAMES = tuple(f"server-{number}" for number in range(6))
--- a/tests/decisions/test_stopping.py
+++ b/tests/decisions/test_stopping.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.decisions.durations import WINDOW_S
-from kingcupwheel.decisions.durations import RecentMaxDuration
-from kingcupwheel.decisions.stopping import GracefulShutdown
+from kingcupwheel.decisions.graceful_shutdown import GracefulShutdown
+from kingcupwheel.decisions.max_duration import WINDOW_S
+from kingcupwheel.decisions.max_duration import RecentMaxDuration
 
 
 STOP = GracefulShutdown(100.0, 8.0)
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subset_selection.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import select_all_subsets
-from kingcupwheel.decisions.subsets import select_entries
-from kingcupwheel.decisions.subsets import select_subset
+from kingcupwheel.decisions.subset_selection import Instance
+from kingcupwheel.decisions.subset_selection import select_all_subsets
+from kingcupwheel.decisions.subset_selection import select_entries
+from kingcupwheel.decisions.subset_selection import select_subset
 from kingcupwheel.manifest.schema import Allowance
 from tests.decisions.builders import fleet
 
--- a/tests/decisions/test_work.py
+++ b/tests/decisions/test_work_predictor.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 
 
 def test_predictions_follow_each_organisations_own_answers() -> None:
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -37,8 +37,8 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "best = min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
-            "best = drawn[0]",
+            "min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
+            "drawn[0]",
         ),
     ),
     "own-data-centre-first": (
@@ -84,23 +84,23 @@
         ),
     ),
     "admission-bounds": (
-        Edit("decisions/queueing.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
+        Edit("decisions/fair_queue.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
     ),
     "fair-flows": (
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + ".g",
             _ONE_FLOW + ".g",
         ),
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + "[",
             _ONE_FLOW + "[",
         ),
     ),
     "retry-budget": (
         Edit(
-            "decisions/retries.py",
+            "decisions/retry_budget.py",
             "if len(self._retries) + 1 > floor + share * len(self._first_attempts):",
             "if floor < 0.0:",
         ),
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.subsets import MIN_ENTRIES
+from kingcupwheel.decisions.subset_selection import MIN_ENTRIES
 from kingcupwheel.trace.outbox import OUTBOX_BYTES
 
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from kingcupwheel.decisions.subsets import ENTRY_WORK_PER_S
+from kingcupwheel.decisions.subset_selection import ENTRY_WORK_PER_S
 from kingcupwheel.settings.schema import EntryLimits
 from kingcupwheel.settings.schema import Timings
 
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -9,20 +9,20 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.admission import AdmissionController
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.fair_queue import FairQueue
+from kingcupwheel.decisions.fair_queue import QueuedRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.placement import TwoChoicesPolicy
-from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import QueuedRequest
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import compute_next_share
-from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import select_entries
-from kingcupwheel.decisions.subsets import select_subset
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.subset_selection import Instance
+from kingcupwheel.decisions.subset_selection import select_entries
+from kingcupwheel.decisions.subset_selection import select_subset
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 from kingcupwheel.manifest.schema import Allowance
 from tools.tables import Table
 
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -13,19 +13,19 @@
 from kingcupwheel.decisions.candidates import Candidate
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
+from kingcupwheel.decisions.fair_queue import FairQueue
+from kingcupwheel.decisions.fair_queue import QueuedRequest
+from kingcupwheel.decisions.first_byte_latency import FirstByteLatencyBound
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
-from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.latency import FirstByteLatencyBound
-from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import QueuedRequest
-from kingcupwheel.decisions.retries import RetryBudget
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.retry_budget import RetryBudget
+from kingcupwheel.decisions.server_health import ServerState
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 from kingcupwheel.plugins.kernel import placement_policies
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.shares import Share
+    from kingcupwheel.decisions.allowance_shares import Share
     from tools.load_model import Attempt
     from tools.load_model import Model
     from tools.load_model import Request
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from kingcupwheel.decisions.queueing import QueuedRequest
+    from kingcupwheel.decisions.fair_queue import QueuedRequest
     from kingcupwheel.manifest.schema import Allowance
     from tools.entry_model import Setup
 
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import compute_next_share
-from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import select_entries
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
+from kingcupwheel.decisions.subset_selection import Instance
+from kingcupwheel.decisions.subset_selection import select_entries
 
 
 if TYPE_CHECKING:
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -7,8 +7,8 @@
 from statistics import pstdev
 from typing import NamedTuple
 
-from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import select_all_subsets
+from kingcupwheel.decisions.subset_selection import Instance
+from kingcupwheel.decisions.subset_selection import select_all_subsets
 from tools.tables import Table
 
 
