--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -79,7 +79,7 @@
         """Take the oldest."""
         return self._requests.popleft() if self._requests else None
 
-    def expired(self, now: float) -> list[QueuedRequest]:
+    def take_expired(self, now: float) -> list[QueuedRequest]:
         """Return none."""
         return []
 
