--- a/src/kingcupwheel/decisions/graceful_shutdown.py
+++ b/src/kingcupwheel/decisions/graceful_shutdown.py
@@ -27,7 +27,7 @@
 _MIN_DURATION_S = 0.3
 
 
-class GracefulShutdown(NamedTuple):
+class ShutdownSchedule(NamedTuple):
     """A planned stop: ``began_at`` is monotonic; the process may live ``grace_s``."""
 
     started_at: float
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -25,7 +25,7 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from kingcupwheel.decisions.graceful_shutdown import GracefulShutdown
+    from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
     from kingcupwheel.forwarding.admitting import Knowledge
     from kingcupwheel.forwarding.admitting import Received
     from kingcupwheel.forwarding.context import ForwardContext
@@ -58,7 +58,7 @@
         self._knowledge = knowledge
         self._name = name
         self._others_live = others_live
-        self._stopping: GracefulShutdown | None = None
+        self._stopping: ShutdownSchedule | None = None
         self._closed = False
         self._underway = Underway()
 
@@ -72,7 +72,7 @@
         """When each request in progress came, monotonic."""
         return self._underway.came_at_by_id
 
-    def stop(self, stopping: GracefulShutdown) -> None:
+    def stop(self, stopping: ShutdownSchedule) -> None:
         """Take only what this planned stop leaves time for, and end the rest in time.
 
         Each answer from now on closes its connection.
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.graceful_shutdown import GracefulShutdown
+from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
@@ -214,7 +214,7 @@
         The grace counts from ``asked_at`` (monotonic), from now if it is not given.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = GracefulShutdown(began, self._forwarding.grace_s)
+        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.stop(stopping)
         self._neighbours.leave()
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.graceful_shutdown import GracefulShutdown
+    from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
     from kingcupwheel.entry.gateway import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        stopping: GracefulShutdown,
+        stopping: ShutdownSchedule,
         application: ForwardApplication,
         callers: HttpServer,
     ) -> None:
