--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -25,7 +25,7 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
+    from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
     from kingcupwheel.forwarding.admitting import Knowledge
     from kingcupwheel.forwarding.admitting import Received
     from kingcupwheel.forwarding.context import ForwardContext
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
+from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
+    from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
     from kingcupwheel.entry.gateway import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
--- a/tests/decisions/test_stopping.py
+++ b/tests/decisions/test_stopping.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.decisions.graceful_shutdown import ShutdownSchedule
 from kingcupwheel.decisions.max_duration import WINDOW_S
 from kingcupwheel.decisions.max_duration import RecentMaxDuration
+from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 
 
 STOP = ShutdownSchedule(100.0, 8.0)
