--- a/src/kingcupwheel/forwarding/currency.py
+++ b/src/kingcupwheel/forwarding/currency.py
@@ -54,7 +54,7 @@
         """Return how long ago it was surely the newest; infinite if never."""
         return self._clock() - self._as_of
 
-    def adopt(self, found: Configuration, as_of: float) -> bool:
+    def update(self, found: Configuration, as_of: float) -> bool:
         """Take a configuration that was the newest at ``as_of``; tell if it is new.
 
         Failure: answers overtake each other, or a stale copy comes late. Symptom: a
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -201,7 +201,7 @@
     if decoded.is_error():
         log.error("configuration-refused", why=decoded.error, source=source)
         return
-    if currency.adopt(decoded.ok, as_of):
+    if currency.update(decoded.ok, as_of):
         routes = sum(len(found) for found in decoded.ok.routes_by_host.values())
         log.info(
             "configuration-adopted",
