--- a/src/kingcupwheel/forwarding/currency.py
+++ b/src/kingcupwheel/forwarding/currency.py
@@ -17,7 +17,7 @@
     from kingcupwheel.forwarding.configuration import Configuration
 
 
-def suspended_too() -> float:
+def boottime_s() -> float:
     """Return seconds of the clock that counts suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -29,7 +29,7 @@
     an answer may be held up on its way.
     """
 
-    def __init__(self, clock: Callable[[], float] = suspended_too) -> None:
+    def __init__(self, clock: Callable[[], float] = boottime_s) -> None:
         self._clock = clock
         self._current: Configuration | None = None
         self._as_of = float("-inf")
