--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -15,7 +15,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.currency import ConfigurationCache
     from kingcupwheel.forwarding.neighbours import Neighbours
     from kingcupwheel.messages.membership import EntryTold
     from kingcupwheel.platform.objects import ObjectStore
@@ -38,7 +38,7 @@
     """One thread beside the followers of the store."""
 
     def __init__(
-        self, store: ObjectStore, currency: Currency, neighbours: Neighbours
+        self, store: ObjectStore, currency: ConfigurationCache, neighbours: Neighbours
     ) -> None:
         self._store = store
         self._currency = currency
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -15,7 +15,7 @@
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerCalls
     from kingcupwheel.forwarding.connections import Connections
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.currency import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
@@ -33,7 +33,7 @@
     """The shared parts; each is safe from any thread."""
 
     data_centre: str
-    currency: Currency
+    currency: ConfigurationCache
     dispatchers: Dispatchers
     book: ServerBook
     calls: ServerCalls
--- a/src/kingcupwheel/forwarding/currency.py
+++ b/src/kingcupwheel/forwarding/currency.py
@@ -22,7 +22,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Currency:
+class ConfigurationCache:
     """Holds the newest configuration; safe from any thread.
 
     ``as_of`` times are of the question that brought the answer, never of the answer:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -17,7 +17,7 @@
 from kingcupwheel.forwarding.caretaking import Caretaker
 from kingcupwheel.forwarding.connections import Connections
 from kingcupwheel.forwarding.context import ForwardContext
-from kingcupwheel.forwarding.currency import Currency
+from kingcupwheel.forwarding.currency import ConfigurationCache
 from kingcupwheel.forwarding.following import ConfigurationFollower
 from kingcupwheel.forwarding.following import StoreFollower
 from kingcupwheel.forwarding.following import configuration_pace
@@ -85,7 +85,7 @@
         self._refresh_at = 0.0
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
-        self._currency = Currency()
+        self._currency = ConfigurationCache()
         self._hub = Hub(
             listen=settings.listen,
             on_message=self._on_message,
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.currency import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.platform.objects import Change
     from kingcupwheel.platform.objects import ObjectStore
@@ -175,7 +175,7 @@
 
     kind = CONFIGURATION_KIND
 
-    def __init__(self, currency: Currency) -> None:
+    def __init__(self, currency: ConfigurationCache) -> None:
         self._currency = currency
 
     def listed(
@@ -195,7 +195,9 @@
             self._currency.confirm(self._currency.version, asked_at)
 
 
-def adopt(currency: Currency, raw: bytes, as_of: float, *, source: str) -> None:
+def adopt(
+    currency: ConfigurationCache, raw: bytes, as_of: float, *, source: str
+) -> None:
     """Decode and adopt a configuration that was the newest at ``as_of``."""
     decoded = decode_configuration(raw)
     if decoded.is_error():
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -22,7 +22,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.currency import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
@@ -48,7 +48,7 @@
     """The other entries; safe from any thread."""
 
     def __init__(
-        self, me: EntryTold, hub: Hub, currency: Currency, guards: Guards
+        self, me: EntryTold, hub: Hub, currency: ConfigurationCache, guards: Guards
     ) -> None:
         self._me = me
         self._hub = hub
