--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -34,7 +34,7 @@
     """Why a wait was ended."""
 
     CALLER_LEFT = "the caller left"
-    TIME_UP = "the time is up"
+    TIMEOUT = "the time is up"
     SILENT = "the server is silent"
     SLOW = "the server is slow"
     STOPPING = "the entry stops"
@@ -79,7 +79,7 @@
     @property
     def is_over(self) -> bool:
         """Whether nothing more can come of the request."""
-        return self._cut in (Cut.CALLER_LEFT, Cut.TIME_UP, Cut.STOPPING)
+        return self._cut in (Cut.CALLER_LEFT, Cut.TIMEOUT, Cut.STOPPING)
 
     def attach(
         self,
@@ -130,7 +130,7 @@
         if caller_gone:
             self.end(Cut.CALLER_LEFT)
         elif now >= self.time_up_at:
-            self.end(Cut.TIME_UP)
+            self.end(Cut.TIMEOUT)
         elif now >= stop_at:
             self.end(Cut.STOPPING)
         elif self._is_silent(now):
