--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -35,7 +35,7 @@
 
     CALLER_LEFT = "the caller left"
     TIMEOUT = "the time is up"
-    SILENT = "the server is silent"
+    SERVER_SILENT = "the server is silent"
     SLOW = "the server is slow"
     STOPPING = "the entry stops"
 
@@ -134,7 +134,7 @@
         elif now >= stop_at:
             self.end(Cut.STOPPING)
         elif self._is_silent(now):
-            self.end(Cut.SILENT)
+            self.end(Cut.SERVER_SILENT)
 
     def _is_silent(self, now: float) -> bool:
         late = self._server is not None and now >= self._silent_at
