--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -36,7 +36,7 @@
     CALLER_LEFT = "the caller left"
     TIMEOUT = "the time is up"
     SERVER_SILENT = "the server is silent"
-    SLOW = "the server is slow"
+    SERVER_SLOW = "the server is slow"
     STOPPING = "the entry stops"
 
 
@@ -194,7 +194,7 @@
                 if one.may_move and one.instance in instances and one.cut is None
             ]
         for one in found:
-            one.end(Cut.SLOW)
+            one.end(Cut.SERVER_SLOW)
         return len(found)
 
     def _run(self) -> None:
