--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -79,8 +79,8 @@
             dispatcher.withdraw(ticket)
             if watched.cut is Cut.CALLER_LEFT:
                 return CALLER_LEFT
-            if watched.cut is Cut.STOPPING:
-                why = Cut.STOPPING.value
+            if watched.cut is Cut.SHUTDOWN:
+                why = Cut.SHUTDOWN.value
                 return Hindered(LEAVING.limit, why, retry_after(request.id))
             return Hindered("time-up", "no place", retry_after(request.id))
         dispatcher.pump()
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -213,7 +213,7 @@
         step = follows(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
-        if step is Follows.TIMEOUT and self._watched.cut is Cut.STOPPING:
+        if step is Follows.TIMEOUT and self._watched.cut is Cut.SHUTDOWN:
             step = Follows.UNKNOWN
         log.info(
             "send-ended",
@@ -252,7 +252,7 @@
                 return found
             self._release(found)
             retry_s = retry_after(self._request.id)
-            found = Hindered(LEAVING.limit, Cut.STOPPING.value, retry_s)
+            found = Hindered(LEAVING.limit, Cut.SHUTDOWN.value, retry_s)
         if isinstance(found, Hindered):
             return self._no_place(found)
         return found
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -37,7 +37,7 @@
     TIMEOUT = "the time is up"
     SERVER_SILENT = "the server is silent"
     SERVER_SLOW = "the server is slow"
-    STOPPING = "the entry stops"
+    SHUTDOWN = "the entry stops"
 
 
 class Watched:
@@ -79,7 +79,7 @@
     @property
     def is_over(self) -> bool:
         """Whether nothing more can come of the request."""
-        return self._cut in (Cut.CALLER_LEFT, Cut.TIMEOUT, Cut.STOPPING)
+        return self._cut in (Cut.CALLER_LEFT, Cut.TIMEOUT, Cut.SHUTDOWN)
 
     def attach(
         self,
@@ -132,7 +132,7 @@
         elif now >= self.time_up_at:
             self.end(Cut.TIMEOUT)
         elif now >= stop_at:
-            self.end(Cut.STOPPING)
+            self.end(Cut.SHUTDOWN)
         elif self._is_silent(now):
             self.end(Cut.SERVER_SILENT)
 
