--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -14,7 +14,7 @@
 from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.endings import retry_after
 from kingcupwheel.forwarding.requests import LEAST_URGENT
-from kingcupwheel.forwarding.watchdog import Cut
+from kingcupwheel.forwarding.watchdog import AbortReason
 
 
 if TYPE_CHECKING:
@@ -77,10 +77,10 @@
             return Hindered(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
-            if watched.cut is Cut.CALLER_LEFT:
+            if watched.cut is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
-            if watched.cut is Cut.SHUTDOWN:
-                why = Cut.SHUTDOWN.value
+            if watched.cut is AbortReason.SHUTDOWN:
+                why = AbortReason.SHUTDOWN.value
                 return Hindered(LEAVING.limit, why, retry_after(request.id))
             return Hindered("time-up", "no place", retry_after(request.id))
         dispatcher.pump()
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -38,7 +38,7 @@
 from kingcupwheel.forwarding.placing import Tried
 from kingcupwheel.forwarding.placing import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
-from kingcupwheel.forwarding.watchdog import Cut
+from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.platform.headers import server_headers
 from kingcupwheel.telemetry.lines import lines_of
@@ -199,7 +199,7 @@
         request = self._request
         self._sends = self._sends.after(came)
         self._tried |= {place.server}
-        if self._watched.cut is Cut.CALLER_LEFT:
+        if self._watched.cut is AbortReason.CALLER_LEFT:
             return CALLER_LEFT
         if came in (Came.LOST, Came.FAILED) and not self._watched.is_over:
             self._dispatcher.failed(place)
@@ -213,7 +213,7 @@
         step = follows(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
-        if step is Follows.TIMEOUT and self._watched.cut is Cut.SHUTDOWN:
+        if step is Follows.TIMEOUT and self._watched.cut is AbortReason.SHUTDOWN:
             step = Follows.UNKNOWN
         log.info(
             "send-ended",
@@ -252,7 +252,7 @@
                 return found
             self._release(found)
             retry_s = retry_after(self._request.id)
-            found = Hindered(LEAVING.limit, Cut.SHUTDOWN.value, retry_s)
+            found = Hindered(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
         if isinstance(found, Hindered):
             return self._no_place(found)
         return found
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -30,7 +30,7 @@
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Cut(Enum):
+class AbortReason(Enum):
     """Why a wait was ended."""
 
     CALLER_LEFT = "the caller left"
@@ -63,11 +63,11 @@
         self._silent_at = float("inf")
         self._silence_s = float("inf")
         self._may_give_up: Callable[[], bool] = lambda: True
-        self._cut: Cut | None = None
+        self._cut: AbortReason | None = None
         self._lock = Lock()
 
     @property
-    def cut(self) -> Cut | None:
+    def cut(self) -> AbortReason | None:
         """Why the wait was ended, if it was; a silent server's end is forgotten."""
         return self._cut
 
@@ -79,7 +79,11 @@
     @property
     def is_over(self) -> bool:
         """Whether nothing more can come of the request."""
-        return self._cut in (Cut.CALLER_LEFT, Cut.TIMEOUT, Cut.SHUTDOWN)
+        return self._cut in (
+            AbortReason.CALLER_LEFT,
+            AbortReason.TIMEOUT,
+            AbortReason.SHUTDOWN,
+        )
 
     def attach(
         self,
@@ -128,19 +132,19 @@
         if self.is_over:
             return
         if caller_gone:
-            self.end(Cut.CALLER_LEFT)
+            self.end(AbortReason.CALLER_LEFT)
         elif now >= self.time_up_at:
-            self.end(Cut.TIMEOUT)
+            self.end(AbortReason.TIMEOUT)
         elif now >= stop_at:
-            self.end(Cut.SHUTDOWN)
+            self.end(AbortReason.SHUTDOWN)
         elif self._is_silent(now):
-            self.end(Cut.SERVER_SILENT)
+            self.end(AbortReason.SERVER_SILENT)
 
     def _is_silent(self, now: float) -> bool:
         late = self._server is not None and now >= self._silent_at
         return late and self._may_give_up()
 
-    def end(self, cut: Cut) -> None:
+    def end(self, cut: AbortReason) -> None:
         """End the wait for this reason; one that is over keeps its own."""
         with self._lock:
             if self.is_over:
@@ -194,7 +198,7 @@
                 if one.may_move and one.instance in instances and one.cut is None
             ]
         for one in found:
-            one.end(Cut.SERVER_SLOW)
+            one.end(AbortReason.SERVER_SLOW)
         return len(found)
 
     def _run(self) -> None:
