--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -54,7 +54,7 @@
         time_up_at: float,
         may_run: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.caller = caller
+        self.caller_socket = caller
         self.may_run = may_run
         self.instance = ""
         self.may_move = False
@@ -229,14 +229,14 @@
     poller = select.poll()
     by_number: dict[int, Watched] = {}
     for one in watched:
-        number = -1 if one.caller is None else one.caller.fileno()
+        number = -1 if one.caller_socket is None else one.caller_socket.fileno()
         if number >= 0:
             by_number[number] = one
             poller.register(number, select.POLLIN)
     if not by_number:
         return set()
     ready = [by_number[number] for number, _ in poller.poll(0)]
-    return {one for one in ready if _has_ended(one.caller)}
+    return {one for one in ready if _has_ended(one.caller_socket)}
 
 
 def _has_ended(caller: socket.socket | None) -> bool:
