--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -247,7 +247,7 @@
             Tried(self._tried, self._suspect, self._context.data_centre),
         )
         if isinstance(found, Place):
-            if self._sends.ran or self._watched.may_run():
+            if self._sends.ran or self._watched.may_dispatch():
                 self._log_place(found)
                 return found
             self._release(found)
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -55,7 +55,7 @@
         may_run: Callable[[], bool] = lambda: True,
     ) -> None:
         self.caller_socket = caller
-        self.may_run = may_run
+        self.may_dispatch = may_run
         self.instance = ""
         self.may_move = False
         self.time_up_at = time_up_at
