--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -302,7 +302,7 @@
             self._sends.after(Came.LOST), self._may, request.times.over_at - now
         )
         silence_s = request.times.silence_s if again else float("inf")
-        self._watched.may_move = again and request.route.resumable
+        self._watched.is_resumable_elsewhere = again and request.route.resumable
         streamed = request.route.streamed
         return self._context.calls.send(
             outgoing,
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -57,7 +57,7 @@
         self.caller_socket = caller
         self.may_dispatch = may_run
         self.instance = ""
-        self.may_move = False
+        self.is_resumable_elsewhere = False
         self.time_up_at = time_up_at
         self._server: socket.socket | None = None
         self._silent_at = float("inf")
@@ -195,7 +195,9 @@
             found = [
                 one
                 for one in self._watched
-                if one.may_move and one.instance in instances and one.cut is None
+                if one.is_resumable_elsewhere
+                and one.instance in instances
+                and one.cut is None
             ]
         for one in found:
             one.end(AbortReason.SERVER_SLOW)
