--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -58,7 +58,7 @@
         self.may_dispatch = may_run
         self.instance = ""
         self.is_resumable_elsewhere = False
-        self.time_up_at = time_up_at
+        self.deadline = time_up_at
         self._server: socket.socket | None = None
         self._silent_at = float("inf")
         self._silence_s = float("inf")
@@ -133,7 +133,7 @@
             return
         if caller_gone:
             self.end(AbortReason.CALLER_LEFT)
-        elif now >= self.time_up_at:
+        elif now >= self.deadline:
             self.end(AbortReason.TIMEOUT)
         elif now >= stop_at:
             self.end(AbortReason.SHUTDOWN)
