--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -121,8 +121,8 @@
             if self.on_data is not None:
                 self.on_data()
             return data
-        if self._watched.cut is not None:
-            raise AnswerLostError(self._watched.cut.value)
+        if self._watched.abort_reason is not None:
+            raise AnswerLostError(self._watched.abort_reason.value)
         self.is_whole = True
         return b""
 
@@ -138,8 +138,8 @@
         return b"".join(parts)
 
     def _why(self, error: Exception) -> str:
-        if self._watched.cut is not None:
-            return self._watched.cut.value
+        if self._watched.abort_reason is not None:
+            return self._watched.abort_reason.value
         return f"cut: {type(error).__name__}"
 
     def end(self, life: str, connections: Connections) -> None:
@@ -258,7 +258,7 @@
             response = connection.getresponse()
             head = read_answer_head(response.status, response.headers)
         except _BROKEN as error:
-            cut = watched.cut
+            cut = watched.abort_reason
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
         watched.progressed()
         if head.attempt and head.attempt != request.attempt:
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -77,9 +77,9 @@
             return Hindered(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
-            if watched.cut is AbortReason.CALLER_LEFT:
+            if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
-            if watched.cut is AbortReason.SHUTDOWN:
+            if watched.abort_reason is AbortReason.SHUTDOWN:
                 why = AbortReason.SHUTDOWN.value
                 return Hindered(LEAVING.limit, why, retry_after(request.id))
             return Hindered("time-up", "no place", retry_after(request.id))
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -199,11 +199,11 @@
         request = self._request
         self._sends = self._sends.after(came)
         self._tried |= {place.server}
-        if self._watched.cut is AbortReason.CALLER_LEFT:
+        if self._watched.abort_reason is AbortReason.CALLER_LEFT:
             return CALLER_LEFT
         if came in (Came.LOST, Came.FAILED) and not self._watched.is_over:
             self._dispatcher.failed(place)
-        if came is Came.LOST and self._watched.cut is None:
+        if came is Came.LOST and self._watched.abort_reason is None:
             self._context.guards.lost(request.fingerprint, place.incarnation)
         left_s = request.times.over_at - monotonic()
         if self._watched.is_over:
@@ -213,7 +213,10 @@
         step = follows(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
-        if step is Follows.TIMEOUT and self._watched.cut is AbortReason.SHUTDOWN:
+        if (
+            step is Follows.TIMEOUT
+            and self._watched.abort_reason is AbortReason.SHUTDOWN
+        ):
             step = Follows.UNKNOWN
         log.info(
             "send-ended",
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -67,7 +67,7 @@
         self._lock = Lock()
 
     @property
-    def cut(self) -> AbortReason | None:
+    def abort_reason(self) -> AbortReason | None:
         """Why the wait was ended, if it was; a silent server's end is forgotten."""
         return self._cut
 
@@ -197,7 +197,7 @@
                 for one in self._watched
                 if one.is_resumable_elsewhere
                 and one.instance in instances
-                and one.cut is None
+                and one.abort_reason is None
             ]
         for one in found:
             one.end(AbortReason.SERVER_SLOW)
