--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -72,7 +72,7 @@
         return self._cut
 
     @property
-    def waits_for_server(self) -> bool:
+    def is_waiting_for_server(self) -> bool:
         """Whether a server has been asked and its answer is awaited."""
         return self._server is not None
 
@@ -219,7 +219,7 @@
         now = monotonic()
         # Those without a server go first: a place that another one's end sets free must
         # not be given to a request that is over as well.
-        for one in sorted(watched, key=lambda one: one.waits_for_server):
+        for one in sorted(watched, key=lambda one: one.is_waiting_for_server):
             one.look(now, caller_gone=one in gone, stop_at=self._end_at)
 
 
