--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -117,7 +117,7 @@
         except _BROKEN as error:
             raise AnswerLostError(self._why(error)) from error
         if data:
-            self._watched.progressed()
+            self._watched.record_progress()
             if self.on_data is not None:
                 self.on_data()
             return data
@@ -260,7 +260,7 @@
         except _BROKEN as error:
             cut = watched.abort_reason
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
-        watched.progressed()
+        watched.record_progress()
         if head.attempt and head.attempt != request.attempt:
             return Lost("the answer was another request's")
         if head.not_run:
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -108,7 +108,7 @@
             self._silent_at = monotonic() + silence_s
             return not self.is_over
 
-    def progressed(self, silence_s: float | None = None) -> None:
+    def record_progress(self, silence_s: float | None = None) -> None:
         """Note that the server sent something; from now on expect it so often."""
         if silence_s is not None:
             self._silence_s = silence_s
