--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -151,7 +151,7 @@
         if self.is_whole:
             self._watched.detach()
         else:
-            self._watched.abandon()
+            self._watched.reset_server()
         head = self.head
         keeps = self.is_whole and head.framed and not head.closes
         if keeps and 200 <= head.status < 300:
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -120,7 +120,7 @@
             self._server = None
             self.instance = ""
 
-    def abandon(self) -> None:
+    def reset_server(self) -> None:
         """Stop watching the socket, whose answer nobody will read to its end."""
         with self._lock:
             if self._server is not None:
