--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -127,7 +127,7 @@
                 _abort(self._server)
         self.detach()
 
-    def look(self, now: float, *, caller_gone: bool, stop_at: float) -> None:
+    def check(self, now: float, *, caller_gone: bool, stop_at: float) -> None:
         """End the wait if it is over; at ``stop_at`` (monotonic) every wait is."""
         if self.is_over:
             return
@@ -220,7 +220,7 @@
         # Those without a server go first: a place that another one's end sets free must
         # not be given to a request that is over as well.
         for one in sorted(watched, key=lambda one: one.is_waiting_for_server):
-            one.look(now, caller_gone=one in gone, stop_at=self._end_at)
+            one.check(now, caller_gone=one in gone, stop_at=self._end_at)
 
 
 def _gone_callers(watched: tuple[Watched, ...]) -> set[Watched]:
