--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -132,19 +132,19 @@
         if self.is_over:
             return
         if caller_gone:
-            self.end(AbortReason.CALLER_LEFT)
+            self.abort(AbortReason.CALLER_LEFT)
         elif now >= self.deadline:
-            self.end(AbortReason.TIMEOUT)
+            self.abort(AbortReason.TIMEOUT)
         elif now >= stop_at:
-            self.end(AbortReason.SHUTDOWN)
+            self.abort(AbortReason.SHUTDOWN)
         elif self._is_silent(now):
-            self.end(AbortReason.SERVER_SILENT)
+            self.abort(AbortReason.SERVER_SILENT)
 
     def _is_silent(self, now: float) -> bool:
         late = self._server is not None and now >= self._silent_at
         return late and self._may_give_up()
 
-    def end(self, cut: AbortReason) -> None:
+    def abort(self, cut: AbortReason) -> None:
         """End the wait for this reason; one that is over keeps its own."""
         with self._lock:
             if self.is_over:
@@ -200,7 +200,7 @@
                 and one.abort_reason is None
             ]
         for one in found:
-            one.end(AbortReason.SERVER_SLOW)
+            one.abort(AbortReason.SERVER_SLOW)
         return len(found)
 
     def _run(self) -> None:
