--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -16,7 +16,7 @@
 from kingcupwheel.forwarding.guards import spread
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
-from kingcupwheel.forwarding.watchdog import Watched
+from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -146,7 +146,7 @@
         if isinstance(request, Refusal):
             self._log_refused(received, request)
             return exchange.pass_on(RefusedAnswer(request), received.id)
-        watched = Watched(
+        watched = WatchedRequest(
             exchange.socket, request.times.over_at, partial(self._may_run, request)
         )
         self._context.watchdog.watch(watched)
@@ -160,7 +160,10 @@
         return self._watched_until_sent(body, watched, None if refused else request)
 
     def _watched_until_sent(
-        self, body: Iterable[bytes], watched: Watched, answered: ForwardRequest | None
+        self,
+        body: Iterable[bytes],
+        watched: WatchedRequest,
+        answered: ForwardRequest | None,
     ) -> Iterator[bytes]:
         """Yield ``body``; how long ``answered`` took tells of what comes later."""
         try:
--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -28,7 +28,7 @@
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import Pulse
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # Read at a time; an event of a stream has some hundred bytes.
 _READ_BYTES = 65_536
@@ -97,7 +97,7 @@
         head: AnswerHead,
         response: BaseHTTPResponse,
         connection: HTTPConnection,
-        watched: Watched,
+        watched: WatchedRequest,
     ) -> None:
         self.head = head
         self._response = response
@@ -180,7 +180,7 @@
         instance: str,
         life: str,
         address: str,
-        watched: Watched,
+        watched: WatchedRequest,
         silence_s: float,
         pulse: Pulse | None,
         fresh: bool,
@@ -217,7 +217,7 @@
         return sent
 
     def _exchange(
-        self, request: Outgoing, connection: HTTPConnection, watched: Watched
+        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
     ) -> Sent:
         try:
             connection.request(
@@ -238,7 +238,7 @@
         self,
         request: Outgoing,
         connection: HTTPConnection,
-        watched: Watched,
+        watched: WatchedRequest,
         why: str,
     ) -> Sent:
         found = self._head(request, connection, watched)
@@ -252,7 +252,7 @@
         return Lost(f"cut while it was sent: {why}", notice)
 
     def _head(
-        self, request: Outgoing, connection: HTTPConnection, watched: Watched
+        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
     ) -> Sent:
         try:
             response = connection.getresponse()
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.dispatching import GroupDispatcher
     from kingcupwheel.forwarding.requests import ForwardRequest
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # How often a thread that waits for a place looks whether the wait is over.
 _LOOK_S = 0.05
@@ -50,7 +50,7 @@
 def wait_for_place(
     dispatcher: GroupDispatcher,
     request: ForwardRequest,
-    watched: Watched,
+    watched: WatchedRequest,
     tried: Tried,
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -51,7 +51,7 @@
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.requests import ForwardRequest
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 log = lines_of("requests")
 
@@ -71,7 +71,7 @@
     """One request's way to its answer; belongs to one thread."""
 
     def __init__(
-        self, context: ForwardContext, request: ForwardRequest, watched: Watched
+        self, context: ForwardContext, request: ForwardRequest, watched: WatchedRequest
     ) -> None:
         self._context = context
         self._request = request
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -40,7 +40,7 @@
     SHUTDOWN = "the entry stops"
 
 
-class Watched:
+class WatchedRequest:
     """One request's waits; its thread attaches the server's socket while it reads.
 
     ``time_up_at`` is monotonic. ``may_run`` tells whether a request that no server has
@@ -158,7 +158,7 @@
     """Looks at every watched request; safe from any thread."""
 
     def __init__(self) -> None:
-        self._watched: set[Watched] = set()
+        self._watched: set[WatchedRequest] = set()
         self._changed = Condition()
         self._stopping = False
         self._end_at = float("inf")
@@ -178,13 +178,13 @@
         """End every wait at this time (monotonic), also those that begin later."""
         self._end_at = at
 
-    def watch(self, watched: Watched) -> None:
+    def watch(self, watched: WatchedRequest) -> None:
         """Look at this request until ``forget``."""
         with self._changed:
             self._watched.add(watched)
             self._changed.notify_all()
 
-    def forget(self, watched: Watched) -> None:
+    def forget(self, watched: WatchedRequest) -> None:
         """Look at it no longer."""
         with self._changed:
             self._watched.discard(watched)
@@ -214,7 +214,7 @@
             with self._changed:
                 self._changed.wait_for(lambda: self._stopping, LOOK_S)
 
-    def _look(self, watched: tuple[Watched, ...]) -> None:
+    def _look(self, watched: tuple[WatchedRequest, ...]) -> None:
         gone = _gone_callers(watched)
         now = monotonic()
         # Those without a server go first: a place that another one's end sets free must
@@ -223,13 +223,13 @@
             one.check(now, caller_gone=one in gone, stop_at=self._end_at)
 
 
-def _gone_callers(watched: tuple[Watched, ...]) -> set[Watched]:
+def _gone_callers(watched: tuple[WatchedRequest, ...]) -> set[WatchedRequest]:
     """Return those whose caller has closed or reset its connection.
 
     Bytes that wait to be read are a further request, not an end.
     """
     poller = select.poll()
-    by_number: dict[int, Watched] = {}
+    by_number: dict[int, WatchedRequest] = {}
     for one in watched:
         number = -1 if one.caller_socket is None else one.caller_socket.fileno()
         if number >= 0:
