--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -78,7 +78,7 @@
         Each answer from now on closes its connection.
         """
         self._stopping = stopping
-        self._context.watchdog.end_by(stopping.answers_end_at)
+        self._context.watchdog.abort_all_at(stopping.answers_end_at)
 
     def close(self) -> None:
         """Take nothing more; what was counted in before is still answered."""
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -174,7 +174,7 @@
             self._stopping = True
             self._changed.notify_all()
 
-    def end_by(self, at: float) -> None:
+    def abort_all_at(self, at: float) -> None:
         """End every wait at this time (monotonic), also those that begin later."""
         self._end_at = at
 
