--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -153,7 +153,7 @@
         try:
             answer = ForwardRun(self._context, request, watched).answer()
         except BaseException:
-            self._context.watchdog.forget(watched)
+            self._context.watchdog.unwatch(watched)
             raise
         body = exchange.pass_on(answer, received.id)
         refused = isinstance(answer, RefusedAnswer)
@@ -169,7 +169,7 @@
         try:
             yield from body
         finally:
-            self._context.watchdog.forget(watched)
+            self._context.watchdog.unwatch(watched)
             if answered is not None:
                 self._underway.answered(answered, monotonic())
 
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -184,7 +184,7 @@
             self._watched.add(watched)
             self._changed.notify_all()
 
-    def forget(self, watched: WatchedRequest) -> None:
+    def unwatch(self, watched: WatchedRequest) -> None:
         """Look at it no longer."""
         with self._changed:
             self._watched.discard(watched)
