--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -286,7 +286,7 @@
     def _evacuate(self) -> None:
         """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
         slow = frozenset(self._context.book.slow())
-        if slow and (moved := self._context.watchdog.evacuate(slow)):
+        if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _note_standstills(self, now: float) -> None:
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -189,7 +189,7 @@
         with self._changed:
             self._watched.discard(watched)
 
-    def evacuate(self, instances: frozenset[str]) -> int:
+    def abort_slow_streams(self, instances: frozenset[str]) -> int:
         """End the waits on slow servers that can go on elsewhere; return how many."""
         with self._changed:
             found = [
