--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -24,7 +24,7 @@
 
 # Between two looks. A caller that left must be noticed, and its server told, within
 # half a second; a plain service's time limit is under a second.
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 
 # On and with no time to linger: closing the socket resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -212,7 +212,7 @@
                 watched = tuple(self._watched)
             self._look(watched)
             with self._changed:
-                self._changed.wait_for(lambda: self._stopping, LOOK_S)
+                self._changed.wait_for(lambda: self._stopping, CHECK_INTERVAL_S)
 
     def _look(self, watched: tuple[WatchedRequest, ...]) -> None:
         gone = _gone_callers(watched)
