--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -162,7 +162,7 @@
         if self._outage.is_on and self._revision:
             away_s = round(self._outage.away_s(monotonic()), 2)
             log.info("store-regained", kind=self._follower.kind, away_s=away_s)
-        self._outage.answered(began)
+        self._outage.record_success(began)
 
     def _note_failure(self, why: PlatformError, began: float) -> None:
         silent = isinstance(why, Unavailable) and why.silent
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -20,7 +20,7 @@
         self._taken_at: float | None = None
         self._since: float | None = None
 
-    def answered(self, asked_at: float) -> None:
+    def record_success(self, asked_at: float) -> None:
         """Note a call that was asked at ``asked_at`` and answered: no outage now."""
         self._taken_at = asked_at
         self._since = None
