--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -166,7 +166,7 @@
 
     def _note_failure(self, why: PlatformError, began: float) -> None:
         silent = isinstance(why, Unavailable) and why.silent
-        if self._outage.failed(began, monotonic(), silent=silent):
+        if self._outage.record_failure(began, monotonic(), silent=silent):
             log.warning("store-lost", kind=self._follower.kind, why=str(why))
 
 
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -25,7 +25,7 @@
         self._taken_at = asked_at
         self._since = None
 
-    def failed(self, asked_at: float, now: float, *, silent: bool) -> bool:
+    def record_failure(self, asked_at: float, now: float, *, silent: bool) -> bool:
         """Note a call that failed at ``now``; return whether it is the first to.
 
         ``silent`` means that nothing came at all, however long the call lasted.
