--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -159,7 +159,7 @@
 
     def _note_answer(self, began: float) -> None:
         self._pause_s = _PAUSE_S
-        if self._outage.is_on and self._revision:
+        if self._outage.is_active and self._revision:
             away_s = round(self._outage.away_s(monotonic()), 2)
             log.info("store-regained", kind=self._follower.kind, away_s=away_s)
         self._outage.record_success(began)
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -39,7 +39,7 @@
         return True
 
     @property
-    def is_on(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a call has failed since the last answer."""
         return self._since is not None
 
