--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -134,7 +134,7 @@
         asked = self._store.listing(self._follower.kind)
         if asked.is_error():
             return asked.error
-        away_s = self._outage.away_s(monotonic())
+        away_s = self._outage.duration_s(monotonic())
         self._follower.listed(asked.ok.objects, asked_at, away_s=away_s)
         self._revision = asked.ok.revision
         return None
@@ -160,7 +160,7 @@
     def _note_answer(self, began: float) -> None:
         self._pause_s = _PAUSE_S
         if self._outage.is_active and self._revision:
-            away_s = round(self._outage.away_s(monotonic()), 2)
+            away_s = round(self._outage.duration_s(monotonic()), 2)
             log.info("store-regained", kind=self._follower.kind, away_s=away_s)
         self._outage.record_success(began)
 
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -43,6 +43,6 @@
         """Whether a call has failed since the last answer."""
         return self._since is not None
 
-    def away_s(self, now: float) -> float:
+    def duration_s(self, now: float) -> float:
         """Return for how long the store may have been away; 0 if no call failed."""
         return 0.0 if self._since is None else now - self._since
