--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 from typing import Protocol
 
-from kingcupwheel.forwarding.outage import Outage
+from kingcupwheel.forwarding.outage import OutageTracker
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
@@ -104,7 +104,7 @@
         self._follower = follower
         self._clock = clock
         self._revision = 0
-        self._outage = Outage()
+        self._outage = OutageTracker()
         self._pause_s = _PAUSE_S
         self._stopping = Event()
         name = f"follow-{follower.kind}"
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -13,7 +13,7 @@
 REFUSED_S = 0.25
 
 
-class Outage:
+class OutageTracker:
     """The longest time for which the store may have been away, in seconds."""
 
     def __init__(self) -> None:
