--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -10,7 +10,7 @@
 
 # A call that fails sooner was refused, in seconds; one that fails later had been taken
 # and was cut off, so the store was there until then.
-REFUSED_S = 0.25
+MAX_REFUSAL_S = 0.25
 
 
 class OutageTracker:
@@ -32,7 +32,7 @@
         """
         if self._since is not None:
             return False
-        if now - asked_at > REFUSED_S and not silent:
+        if now - asked_at > MAX_REFUSAL_S and not silent:
             self._since = now
         else:
             self._since = asked_at if self._taken_at is None else self._taken_at
