--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -194,7 +194,7 @@
         server is given up only when ``may_give_up`` says so. ``may_begin`` is asked in
         the moment before bytes leave, since the place was given earlier.
         """
-        connection = None if fresh else self._connections.take(life)
+        connection = None if fresh else self._connections.acquire(life)
         if connection is None:
             try:
                 connection = self._connections.open(address)
--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -40,7 +40,7 @@
         self._kept_by_life: dict[str, list[_Kept]] = {}
         self._lock = Lock()
 
-    def take(self, life: str) -> HTTPConnection | None:
+    def acquire(self, life: str) -> HTTPConnection | None:
         """Return a kept connection that is still open, or None."""
         while True:
             with self._lock:
