--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -66,7 +66,9 @@
         connection.timeout = _SOCKET_S
         return connection
 
-    def keep(self, life: str, connection: HTTPConnection, idle_s: float | None) -> None:
+    def release(
+        self, life: str, connection: HTTPConnection, idle_s: float | None
+    ) -> None:
         """Keep a connection whose last answer was whole."""
         usable_s = DEFAULT_IDLE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
         if usable_s > 0:
