--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -79,7 +79,7 @@
                     return
         connection.close()
 
-    def forget(self, life: str) -> None:
+    def close_server(self, life: str) -> None:
         """Close what is kept of a server that left, or whose connections are bad."""
         with self._lock:
             kept = self._kept_by_life.pop(life, [])
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -66,17 +66,17 @@
             self.book.rests(place, notice.rest_s, request_id)
         if notice.leaving and self.book.leaves(place, request_id):
             self.metrics.notices.labels("leaving").inc()
-            self.connections.forget(place.incarnation)
+            self.connections.close_server(place.incarnation)
 
     def ended(self, place: Place, answer: ServerAnswer) -> None:
         """Keep the connection of an answer that ended, unless its server leaves."""
         answer.end(place.incarnation, self.connections)
         if self.book.is_leaving(place.incarnation):
-            self.connections.forget(place.incarnation)
+            self.connections.close_server(place.incarnation)
 
     def misdirected(self, place: Place) -> None:
         """Note that another life of a server has its address."""
-        self.connections.forget(place.incarnation)
+        self.connections.close_server(place.incarnation)
         self.book.misdirected(place)
 
     def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -255,7 +255,7 @@
     ) -> None:
         self._context.book.list_is(backends)
         for backend in gone:
-            self._context.connections.forget(backend.life)
+            self._context.connections.close_server(backend.life)
             self._context.pulses.forget(backend.instance)
             if not backend.leaving and not self._context.book.is_leaving(backend.life):
                 self._guards.gone(backend.life)
