--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -24,7 +24,7 @@
     from urllib3 import BaseHTTPResponse
     from urllib3.connection import HTTPConnection
 
-    from kingcupwheel.forwarding.connections import Connections
+    from kingcupwheel.forwarding.connections import ConnectionPool
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import Pulse
@@ -142,7 +142,7 @@
             return self._watched.abort_reason.value
         return f"cut: {type(error).__name__}"
 
-    def end(self, life: str, connections: Connections) -> None:
+    def end(self, life: str, connections: ConnectionPool) -> None:
         """Keep the connection if its answer was whole, else close it.
 
         A server that is still at work on an answer learns by a reset that it is not
@@ -170,7 +170,7 @@
 class ServerCalls:
     """Sends requests to servers; safe from any thread."""
 
-    def __init__(self, connections: Connections) -> None:
+    def __init__(self, connections: ConnectionPool) -> None:
         self._connections = connections
 
     def send(
--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -33,7 +33,7 @@
     until: float
 
 
-class Connections:
+class ConnectionPool:
     """Kept connections by the life of their server; safe from any thread."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -14,7 +14,7 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerCalls
-    from kingcupwheel.forwarding.connections import Connections
+    from kingcupwheel.forwarding.connections import ConnectionPool
     from kingcupwheel.forwarding.currency import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
@@ -37,7 +37,7 @@
     dispatchers: Dispatchers
     book: ServerBook
     calls: ServerCalls
-    connections: Connections
+    connections: ConnectionPool
     guards: Guards
     pulses: Pulses
     watchdog: Watchdog
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -15,7 +15,7 @@
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
 from kingcupwheel.forwarding.caretaking import Caretaker
-from kingcupwheel.forwarding.connections import Connections
+from kingcupwheel.forwarding.connections import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
 from kingcupwheel.forwarding.currency import ConfigurationCache
 from kingcupwheel.forwarding.following import ConfigurationFollower
@@ -100,7 +100,7 @@
             self._forwarding.retry_window_s,
         )
         self._guards = Guards(budget, lambda: self._neighbours.sharing)
-        connections = Connections()
+        connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
             currency=self._currency,
