--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -16,7 +16,7 @@
 
 # How long an idle connection is used again when its server names no time, in seconds.
 # Servers close idle ones after some seconds; a request that crosses the close is lost.
-DEFAULT_IDLE_S = 4.0
+DEFAULT_KEEPALIVE_S = 4.0
 # Taken off a server's own time, for its answer's way and a slow timer.
 _IDLE_MARGIN_S = 1.0
 # How long a connection may take to be established: a hundred times the usual way, and
@@ -70,7 +70,7 @@
         self, life: str, connection: HTTPConnection, idle_s: float | None
     ) -> None:
         """Keep a connection whose last answer was whole."""
-        usable_s = DEFAULT_IDLE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
+        usable_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
         if usable_s > 0:
             with self._lock:
                 kept = self._kept_by_life.setdefault(life, [])
