--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -21,7 +21,7 @@
 _IDLE_MARGIN_S = 1.0
 # How long a connection may take to be established: a hundred times the usual way, and
 # short enough that another server can still answer a plain request in time.
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 # Kept for one server at most: as many as it runs requests from this process.
 _KEPT_AT_MOST = 8
 # A safety net only; waits are bounded by the watchdog.
@@ -55,7 +55,7 @@
     def open(self, address: str) -> HTTPConnection:
         """Return a new connection; raises NotConnectedError."""
         host, _, port = address.rpartition(":")
-        connection = HTTPConnection(host, int(port), timeout=CONNECT_S)
+        connection = HTTPConnection(host, int(port), timeout=CONNECT_TIMEOUT_S)
         try:
             connection.connect()
         except (urllib3.exceptions.HTTPError, OSError) as error:
