--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -33,7 +33,7 @@
     """The shared parts; each is safe from any thread."""
 
     data_centre: str
-    currency: ConfigurationCache
+    configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
     book: ServerBook
     calls: ServerCalls
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -103,7 +103,7 @@
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
-            currency=self._currency,
+            configuration_cache=self._currency,
             dispatchers=dispatchers,
             book=ServerBook(table, dispatchers),
             calls=ServerCalls(connections),
