--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -35,7 +35,7 @@
     data_centre: str
     configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
-    book: ServerBook
+    servers: ServerBook
     calls: ServerCalls
     connections: ConnectionPool
     guards: Guards
@@ -45,11 +45,11 @@
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the group that a service's requests queue for."""
-        return self.book.group_of(service)
+        return self.servers.group_of(service)
 
     def saw_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Take in the load that an answer told."""
-        self.book.saw_load(place, load)
+        self.servers.saw_load(place, load)
 
     def told(self, place: Place, notice: ServerNotice, request_id: str) -> None:
         """Take in what an answer says of its server."""
@@ -63,21 +63,21 @@
             )
         if notice.rest_s:
             self.metrics.notices.labels("rest").inc()
-            self.book.rests(place, notice.rest_s, request_id)
-        if notice.leaving and self.book.leaves(place, request_id):
+            self.servers.rests(place, notice.rest_s, request_id)
+        if notice.leaving and self.servers.leaves(place, request_id):
             self.metrics.notices.labels("leaving").inc()
             self.connections.close_server(place.incarnation)
 
     def ended(self, place: Place, answer: ServerAnswer) -> None:
         """Keep the connection of an answer that ended, unless its server leaves."""
         answer.end(place.incarnation, self.connections)
-        if self.book.is_leaving(place.incarnation):
+        if self.servers.is_leaving(place.incarnation):
             self.connections.close_server(place.incarnation)
 
     def misdirected(self, place: Place) -> None:
         """Note that another life of a server has its address."""
         self.connections.close_server(place.incarnation)
-        self.book.misdirected(place)
+        self.servers.misdirected(place)
 
     def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
         """Note that a server turned a request away: it is full, or its group closed."""
@@ -85,6 +85,6 @@
             service, place.server, quiet_s=self.pulses.of(service).quiet_s(monotonic())
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.book.closed(service)
+            self.servers.closed(service)
         else:
-            self.book.full(place)
+            self.servers.full(place)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -105,7 +105,7 @@
             data_centre=settings.data_centre,
             configuration_cache=self._currency,
             dispatchers=dispatchers,
-            book=ServerBook(table, dispatchers),
+            servers=ServerBook(table, dispatchers),
             calls=ServerCalls(connections),
             connections=connections,
             guards=self._guards,
@@ -116,7 +116,7 @@
         self._greeter = AgentGreeter(
             settings,
             self._hub,
-            self._context.book,
+            self._context.servers,
             self._currency,
             leaving=self._leaving.is_set,
         )
@@ -235,7 +235,9 @@
         )
 
     def _is_ready(self) -> bool:
-        knows = self._currency.current is not None and not self._context.book.is_empty
+        knows = (
+            self._currency.current is not None and not self._context.servers.is_empty
+        )
         return knows and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
@@ -253,11 +255,13 @@
     def _on_servers(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.book.list_is(backends)
+        self._context.servers.list_is(backends)
         for backend in gone:
             self._context.connections.close_server(backend.life)
             self._context.pulses.forget(backend.instance)
-            if not backend.leaving and not self._context.book.is_leaving(backend.life):
+            if not backend.leaving and not self._context.servers.is_leaving(
+                backend.life
+            ):
                 self._guards.gone(backend.life)
 
     def _on_message(self, link: Link, message: Message) -> None:
@@ -276,23 +280,23 @@
     def _on_tick(self, now: float) -> None:
         self._neighbours.on_tick(now)
         self._note_standstills(now)
-        self._context.book.end_rests()
+        self._context.servers.end_rests()
         if now - self._refresh_at >= _REFRESH_S:
             self._refresh_at = now
-            self._context.book.refresh()
+            self._context.servers.refresh()
             self._evacuate()
         self._greeter.on_tick(now)
 
     def _evacuate(self) -> None:
         """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
-        slow = frozenset(self._context.book.slow())
+        slow = frozenset(self._context.servers.slow())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _note_standstills(self, now: float) -> None:
         """Log when all servers of a service fall silent together, and go on."""
         for service, pulse in self._context.pulses.items():
-            streams = self._context.book.in_flight(service)
+            streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
                 event = "service-silent" if pulse.stands_still else "service-heard"
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -317,7 +317,7 @@
             pulse=self._context.pulses.of(request.service) if streamed else None,
             fresh=not request.route.may_rerun,
             may_give_up=partial(self._may_give_up, place),
-            may_begin=partial(self._context.book.may_send, place),
+            may_begin=partial(self._context.servers.may_send, place),
         )
 
     def _may_give_up(self, place: Place) -> bool:
@@ -334,7 +334,7 @@
             now = monotonic()
             if not context.pulses.of(service).others_live(place.server, now):
                 return False
-            if not self._begun and context.book.is_told_full(place, now):
+            if not self._begun and context.servers.is_told_full(place, now):
                 return False
         if self._others_rest(place):
             return False
