--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -36,7 +36,7 @@
     configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
     servers: ServerBook
-    calls: ServerCalls
+    server_client: ServerCalls
     connections: ConnectionPool
     guards: Guards
     pulses: Pulses
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -106,7 +106,7 @@
             configuration_cache=self._currency,
             dispatchers=dispatchers,
             servers=ServerBook(table, dispatchers),
-            calls=ServerCalls(connections),
+            server_client=ServerCalls(connections),
             connections=connections,
             guards=self._guards,
             pulses=Pulses(),
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -307,7 +307,7 @@
         silence_s = request.times.silence_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.resumable
         streamed = request.route.streamed
-        return self._context.calls.send(
+        return self._context.server_client.send(
             outgoing,
             instance=place.server,
             life=place.incarnation,
