--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -37,7 +37,7 @@
     dispatchers: Dispatchers
     servers: ServerBook
     server_client: ServerCalls
-    connections: ConnectionPool
+    connection_pool: ConnectionPool
     guards: Guards
     pulses: Pulses
     watchdog: Watchdog
@@ -66,17 +66,17 @@
             self.servers.rests(place, notice.rest_s, request_id)
         if notice.leaving and self.servers.leaves(place, request_id):
             self.metrics.notices.labels("leaving").inc()
-            self.connections.close_server(place.incarnation)
+            self.connection_pool.close_server(place.incarnation)
 
     def ended(self, place: Place, answer: ServerAnswer) -> None:
         """Keep the connection of an answer that ended, unless its server leaves."""
-        answer.end(place.incarnation, self.connections)
+        answer.end(place.incarnation, self.connection_pool)
         if self.servers.is_leaving(place.incarnation):
-            self.connections.close_server(place.incarnation)
+            self.connection_pool.close_server(place.incarnation)
 
     def misdirected(self, place: Place) -> None:
         """Note that another life of a server has its address."""
-        self.connections.close_server(place.incarnation)
+        self.connection_pool.close_server(place.incarnation)
         self.servers.misdirected(place)
 
     def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -107,7 +107,7 @@
             dispatchers=dispatchers,
             servers=ServerBook(table, dispatchers),
             server_client=ServerCalls(connections),
-            connections=connections,
+            connection_pool=connections,
             guards=self._guards,
             pulses=Pulses(),
             watchdog=Watchdog(),
@@ -257,7 +257,7 @@
     ) -> None:
         self._context.servers.list_is(backends)
         for backend in gone:
-            self._context.connections.close_server(backend.life)
+            self._context.connection_pool.close_server(backend.life)
             self._context.pulses.forget(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
                 backend.life
