--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -39,7 +39,7 @@
     server_client: ServerCalls
     connection_pool: ConnectionPool
     guards: Guards
-    pulses: Pulses
+    liveness: Pulses
     watchdog: Watchdog
     metrics: EntryMetrics
 
@@ -82,7 +82,9 @@
     def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
         """Note that a server turned a request away: it is full, or its group closed."""
         if streamed and self.guards.is_closed(
-            service, place.server, quiet_s=self.pulses.of(service).quiet_s(monotonic())
+            service,
+            place.server,
+            quiet_s=self.liveness.of(service).quiet_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
             self.servers.closed(service)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -109,7 +109,7 @@
             server_client=ServerCalls(connections),
             connection_pool=connections,
             guards=self._guards,
-            pulses=Pulses(),
+            liveness=Pulses(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
@@ -258,7 +258,7 @@
         self._context.servers.list_is(backends)
         for backend in gone:
             self._context.connection_pool.close_server(backend.life)
-            self._context.pulses.forget(backend.instance)
+            self._context.liveness.forget(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
                 backend.life
             ):
@@ -295,7 +295,7 @@
 
     def _note_standstills(self, now: float) -> None:
         """Log when all servers of a service fall silent together, and go on."""
-        for service, pulse in self._context.pulses.items():
+        for service, pulse in self._context.liveness.items():
             streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -314,7 +314,7 @@
             address=place.address,
             watched=self._watched,
             silence_s=silence_s,
-            pulse=self._context.pulses.of(request.service) if streamed else None,
+            pulse=self._context.liveness.of(request.service) if streamed else None,
             fresh=not request.route.may_rerun,
             may_give_up=partial(self._may_give_up, place),
             may_begin=partial(self._context.servers.may_send, place),
@@ -332,7 +332,7 @@
         context, service = self._context, self._request.service
         if self._request.route.streamed:
             now = monotonic()
-            if not context.pulses.of(service).others_live(place.server, now):
+            if not context.liveness.of(service).others_live(place.server, now):
                 return False
             if not self._begun and context.servers.is_told_full(place, now):
                 return False
