--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -47,7 +47,7 @@
         """Return the group that a service's requests queue for."""
         return self.servers.group_of(service)
 
-    def saw_load(self, place: Place, load: ReportedLoad | None) -> None:
+    def record_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Take in the load that an answer told."""
         self.servers.saw_load(place, load)
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -138,7 +138,7 @@
     ) -> Running | WholeAnswer | Refusal | None:
         head = answer.head
         self._context.told(place, head.notice, self._request.id)
-        self._context.saw_load(place, head.load)
+        self._context.record_load(place, head.load)
         is_good = head.status < _SERVER_FAILED
         if is_good and self._request.route.streamed and head.status == 200:
             self._saw_first_byte()
