--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -51,7 +51,9 @@
         """Take in the load that an answer told."""
         self.servers.saw_load(place, load)
 
-    def told(self, place: Place, notice: ServerNotice, request_id: str) -> None:
+    def record_notice(
+        self, place: Place, notice: ServerNotice, request_id: str
+    ) -> None:
         """Take in what an answer says of its server."""
         for header in notice.unreadable:
             self.metrics.notices.labels("unreadable").inc()
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -137,7 +137,7 @@
         self, place: Place, answer: ServerAnswer
     ) -> Running | WholeAnswer | Refusal | None:
         head = answer.head
-        self._context.told(place, head.notice, self._request.id)
+        self._context.record_notice(place, head.notice, self._request.id)
         self._context.record_load(place, head.load)
         is_good = head.status < _SERVER_FAILED
         if is_good and self._request.route.streamed and head.status == 200:
@@ -172,7 +172,7 @@
         ):
             # Before the place is released, which may give it to the next request.
             notice = sent.notice
-            self._context.told(place, notice, self._request.id)
+            self._context.record_notice(place, notice, self._request.id)
         self._release(place)
         match sent:
             case NotSent(why):
