--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -70,7 +70,7 @@
             self.metrics.notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
-    def ended(self, place: Place, answer: ServerAnswer) -> None:
+    def release_connection(self, place: Place, answer: ServerAnswer) -> None:
         """Keep the connection of an answer that ended, unless its server leaves."""
         answer.end(place.incarnation, self.connection_pool)
         if self.servers.is_leaving(place.incarnation):
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -374,7 +374,7 @@
 
     def end(self, place: Place, answer: ServerAnswer) -> None:
         """End an answer's connection and give its place back; called once."""
-        self._context.ended(place, answer)
+        self._context.release_connection(place, answer)
         self._release(place)
 
     def _release(self, place: Place) -> None:
