--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -76,7 +76,7 @@
         if self.servers.is_leaving(place.incarnation):
             self.connection_pool.close_server(place.incarnation)
 
-    def misdirected(self, place: Place) -> None:
+    def record_misdirection(self, place: Place) -> None:
         """Note that another life of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
         self.servers.misdirected(place)
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -182,7 +182,7 @@
             case TurnedAway(why, other_instance, faulty):
                 came = Came.TURNED_AWAY
                 if other_instance and faulty in ("", place.server):
-                    self._context.misdirected(place)
+                    self._context.record_misdirection(place)
                 elif not (notice.rest_s or notice.leaving):
                     request = self._request
                     self._context.turned_away(
