--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -81,7 +81,7 @@
         self.connection_pool.close_server(place.incarnation)
         self.servers.misdirected(place)
 
-    def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
+    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
         """Note that a server turned a request away: it is full, or its group closed."""
         if streamed and self.guards.is_closed(
             service,
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -185,7 +185,7 @@
                     self._context.record_misdirection(place)
                 elif not (notice.rest_s or notice.leaving):
                     request = self._request
-                    self._context.turned_away(
+                    self._context.record_rejection(
                         place, request.service, streamed=request.route.streamed
                     )
             case Lost(why):
