--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -34,7 +34,7 @@
     host: str
     prefix: str
     shares: tuple[ServiceShare, ...]
-    may_rerun: bool
+    is_idempotent: bool
     streamed: bool
     resumable: bool
     answer_s: float
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -59,7 +59,7 @@
         avoid=tried.servers,
         suspect=tried.suspect,
         data_centre=tried.data_centre,
-        repeatable=request.route.may_rerun,
+        repeatable=request.route.is_idempotent,
         far_load=FAR_LOAD,
         near_first=True,
     )
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -79,7 +79,7 @@
         self._group = context.group_of(request.service)
         self._dispatcher = context.dispatchers.of(self._group)
         route = request.route
-        self._may = May(route.may_rerun, route.max_servers, route.aim_s)
+        self._may = May(route.is_idempotent, route.max_servers, route.aim_s)
         self._sends = Sends()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
@@ -315,7 +315,7 @@
             watched=self._watched,
             silence_s=silence_s,
             pulse=self._context.liveness.of(request.service) if streamed else None,
-            fresh=not request.route.may_rerun,
+            fresh=not request.route.is_idempotent,
             may_give_up=partial(self._may_give_up, place),
             may_begin=partial(self._context.servers.may_send, place),
         )
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -50,7 +50,7 @@
     over_at = received_at + whole_s - WAY_S
     if not route.streamed:
         silence_s = whole_s
-        if route.may_rerun and route.max_servers > 1:
+        if route.is_idempotent and route.max_servers > 1:
             silence_s = whole_s * PLAIN_SILENCE_PART
         return Times(over_at, over_at, silence_s)
     patience_s = max(
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -121,7 +121,7 @@
         host=route.host.lower(),
         prefix=route.path_prefix,
         shares=shares or (ServiceShare(route.service, 1.0),),
-        may_rerun=route.kind == "idempotent" or route.resumable,
+        is_idempotent=route.kind == "idempotent" or route.resumable,
         streamed=route.kind == "streaming",
         resumable=route.resumable,
         answer_s=route.timeout_ms / _MS,
