--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -116,7 +116,7 @@
             now,
             over_at=over_at,
             longest_s=self._underway.longest_s(request, now),
-            streamed=request.route.streamed,
+            streamed=request.route.is_streamed,
         ):
             return None
         retry_s = _ELSEWHERE_RETRY_S if self._others_live() else _RESTART_RETRY_S
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -35,7 +35,7 @@
     prefix: str
     shares: tuple[ServiceShare, ...]
     is_idempotent: bool
-    streamed: bool
+    is_streamed: bool
     resumable: bool
     answer_s: float
     aim_s: float
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -140,7 +140,7 @@
         self._context.record_notice(place, head.notice, self._request.id)
         self._context.record_load(place, head.load)
         is_good = head.status < _SERVER_FAILED
-        if is_good and self._request.route.streamed and head.status == 200:
+        if is_good and self._request.route.is_streamed and head.status == 200:
             self._saw_first_byte()
             return Running(place, answer)
         try:
@@ -186,7 +186,7 @@
                 elif not (notice.rest_s or notice.leaving):
                     request = self._request
                     self._context.record_rejection(
-                        place, request.service, streamed=request.route.streamed
+                        place, request.service, streamed=request.route.is_streamed
                     )
             case Lost(why):
                 came = Came.LOST
@@ -306,7 +306,7 @@
         )
         silence_s = request.times.silence_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.resumable
-        streamed = request.route.streamed
+        streamed = request.route.is_streamed
         return self._context.server_client.send(
             outgoing,
             instance=place.server,
@@ -330,7 +330,7 @@
         after such a return 38 callers were told 502, as counted in one day's log.
         """
         context, service = self._context, self._request.service
-        if self._request.route.streamed:
+        if self._request.route.is_streamed:
             now = monotonic()
             if not context.liveness.of(service).others_live(place.server, now):
                 return False
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -48,7 +48,7 @@
     """
     whole_s = route.answer_s if wait_s is None else min(route.answer_s, wait_s)
     over_at = received_at + whole_s - WAY_S
-    if not route.streamed:
+    if not route.is_streamed:
         silence_s = whole_s
         if route.is_idempotent and route.max_servers > 1:
             silence_s = whole_s * PLAIN_SILENCE_PART
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -122,7 +122,7 @@
         prefix=route.path_prefix,
         shares=shares or (ServiceShare(route.service, 1.0),),
         is_idempotent=route.kind == "idempotent" or route.resumable,
-        streamed=route.kind == "streaming",
+        is_streamed=route.kind == "streaming",
         resumable=route.resumable,
         answer_s=route.timeout_ms / _MS,
         aim_s=route.target_latency_ms / _MS,
