--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -36,7 +36,7 @@
     shares: tuple[ServiceShare, ...]
     is_idempotent: bool
     is_streamed: bool
-    resumable: bool
+    is_resumable: bool
     answer_s: float
     aim_s: float
     gap_s: float
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -305,7 +305,7 @@
             self._sends.after(Came.LOST), self._may, request.times.over_at - now
         )
         silence_s = request.times.silence_s if again else float("inf")
-        self._watched.is_resumable_elsewhere = again and request.route.resumable
+        self._watched.is_resumable_elsewhere = again and request.route.is_resumable
         streamed = request.route.is_streamed
         return self._context.server_client.send(
             outgoing,
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -58,6 +58,6 @@
     )
     first_by = min(over_at, received_at + patience_s - WAY_S)
     silence_s = patience_s
-    if route.resumable and route.max_servers > 1:
+    if route.is_resumable and route.max_servers > 1:
         silence_s = patience_s * STREAM_SILENCE_PART
     return Times(over_at, first_by, silence_s)
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -123,7 +123,7 @@
         shares=shares or (ServiceShare(route.service, 1.0),),
         is_idempotent=route.kind == "idempotent" or route.resumable,
         is_streamed=route.kind == "streaming",
-        resumable=route.resumable,
+        is_resumable=route.resumable,
         answer_s=route.timeout_ms / _MS,
         aim_s=route.target_latency_ms / _MS,
         gap_s=route.gap_target_ms / _MS,
