--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -37,7 +37,7 @@
     is_idempotent: bool
     is_streamed: bool
     is_resumable: bool
-    answer_s: float
+    timeout_s: float
     aim_s: float
     gap_s: float
     priority: int
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -46,7 +46,7 @@
     for nobody while others wait. The caller's own wait and the route's time both bound
     it; a stream's caller also leaves when nothing comes.
     """
-    whole_s = route.answer_s if wait_s is None else min(route.answer_s, wait_s)
+    whole_s = route.timeout_s if wait_s is None else min(route.timeout_s, wait_s)
     over_at = received_at + whole_s - WAY_S
     if not route.is_streamed:
         silence_s = whole_s
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -124,7 +124,7 @@
         is_idempotent=route.kind == "idempotent" or route.resumable,
         is_streamed=route.kind == "streaming",
         is_resumable=route.resumable,
-        answer_s=route.timeout_ms / _MS,
+        timeout_s=route.timeout_ms / _MS,
         aim_s=route.target_latency_ms / _MS,
         gap_s=route.gap_target_ms / _MS,
         priority=route.priority,
