--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -38,7 +38,7 @@
     is_streamed: bool
     is_resumable: bool
     timeout_s: float
-    aim_s: float
+    target_latency_s: float
     gap_s: float
     priority: int
     max_servers: int
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -79,7 +79,7 @@
         self._group = context.group_of(request.service)
         self._dispatcher = context.dispatchers.of(self._group)
         route = request.route
-        self._may = May(route.is_idempotent, route.max_servers, route.aim_s)
+        self._may = May(route.is_idempotent, route.max_servers, route.target_latency_s)
         self._sends = Sends()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -54,7 +54,9 @@
             silence_s = whole_s * PLAIN_SILENCE_PART
         return Times(over_at, over_at, silence_s)
     patience_s = max(
-        STREAM_PATIENCE_S, _PATIENCE_AIMS * route.aim_s, _PATIENCE_GAPS * route.gap_s
+        STREAM_PATIENCE_S,
+        _PATIENCE_AIMS * route.target_latency_s,
+        _PATIENCE_GAPS * route.gap_s,
     )
     first_by = min(over_at, received_at + patience_s - WAY_S)
     silence_s = patience_s
