--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -39,7 +39,7 @@
     is_resumable: bool
     timeout_s: float
     target_latency_s: float
-    gap_s: float
+    max_event_gap_s: float
     priority: int
     max_servers: int
     anonymous: bool
@@ -110,10 +110,11 @@
         if found is None or found.engine is None:
             return None
         gaps = [
-            route.gap_s
+            route.max_event_gap_s
             for routes in self.routes_by_host.values()
             for route in routes
-            if route.gap_s > 0 and any(one.service == service for one in route.shares)
+            if route.max_event_gap_s > 0
+            and any(one.service == service for one in route.shares)
         ]
         return found.engine._replace(gap_s=min(gaps, default=0.0))
 
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -56,7 +56,7 @@
     patience_s = max(
         STREAM_PATIENCE_S,
         _PATIENCE_AIMS * route.target_latency_s,
-        _PATIENCE_GAPS * route.gap_s,
+        _PATIENCE_GAPS * route.max_event_gap_s,
     )
     first_by = min(over_at, received_at + patience_s - WAY_S)
     silence_s = patience_s
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -126,7 +126,7 @@
         is_resumable=route.resumable,
         timeout_s=route.timeout_ms / _MS,
         target_latency_s=route.target_latency_ms / _MS,
-        gap_s=route.gap_target_ms / _MS,
+        max_event_gap_s=route.gap_target_ms / _MS,
         priority=route.priority,
         max_servers=route.max_attempts,
         anonymous=route.anonymous,
