--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -75,7 +75,7 @@
         return _denied(NO_ROUTE, knowledge)
     head = read_caller_head(received.headers)
     holder: OrganisationKey | None = None
-    if configuration.has_organisations and not route.anonymous:
+    if configuration.has_organisations and not route.allows_anonymous:
         if knowledge.age_s > knowledge.trusted_s:
             return _too_old(knowledge)
         holder = configuration.holder(head.key)
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -42,7 +42,7 @@
     max_event_gap_s: float
     priority: int
     max_servers: int
-    anonymous: bool
+    allows_anonymous: bool
 
 
 class EngineShape(NamedTuple):
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -129,7 +129,7 @@
         max_event_gap_s=route.gap_target_ms / _MS,
         priority=route.priority,
         max_servers=route.max_attempts,
-        anonymous=route.anonymous,
+        allows_anonymous=route.anonymous,
     )
 
 
