--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -53,7 +53,7 @@
     longest good pause between two events of its streams, 0 if no route tells one.
     """
 
-    layers: int
+    layer_count: int
     experts: int
     places: int
     spare: int
--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -91,9 +91,11 @@
 
     A rank that is missing is given the experts that no other one has.
     """
-    if not all(len(one.places) == shape.layers for one in ranks.values()):
-        return dealt_in_turn(size, shape.layers, shape.experts)
-    return tuple(_layer_of(ranks, size, shape, layer) for layer in range(shape.layers))
+    if not all(len(one.places) == shape.layer_count for one in ranks.values()):
+        return dealt_in_turn(size, shape.layer_count, shape.experts)
+    return tuple(
+        _layer_of(ranks, size, shape, layer) for layer in range(shape.layer_count)
+    )
 
 
 def _layer_of(
