--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -54,7 +54,7 @@
     """
 
     layer_count: int
-    experts: int
+    expert_count: int
     places: int
     spare: int
     copy_s: float
--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -92,7 +92,7 @@
     A rank that is missing is given the experts that no other one has.
     """
     if not all(len(one.places) == shape.layer_count for one in ranks.values()):
-        return dealt_in_turn(size, shape.layer_count, shape.experts)
+        return dealt_in_turn(size, shape.layer_count, shape.expert_count)
     return tuple(
         _layer_of(ranks, size, shape, layer) for layer in range(shape.layer_count)
     )
@@ -102,7 +102,7 @@
     ranks: Mapping[int, Found], size: int, shape: EngineShape, layer: int
 ) -> tuple[tuple[int, ...], ...]:
     held = {expert for one in ranks.values() for expert in one.places[layer]}
-    rest = tuple(one for one in range(shape.experts) if one not in held) or (0,)
+    rest = tuple(one for one in range(shape.expert_count) if one not in held) or (0,)
     return tuple(
         ranks[rank].places[layer] if rank in ranks else rest for rank in range(size)
     )
