--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -56,7 +56,7 @@
     layer_count: int
     expert_count: int
     places: int
-    spare: int
+    max_new_experts: int
     copy_s: float
     gap_s: float = 0.0
 
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -54,7 +54,7 @@
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
         self._popularity = Popularity(shape.layer_count, shape.expert_count)
-        self._bounds = bounds_of(shape.places, shape.spare, shape.copy_s)
+        self._bounds = bounds_of(shape.places, shape.max_new_experts, shape.copy_s)
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
         self._pass_s = 0.0
