--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -57,7 +57,7 @@
     expert_count: int
     places: int
     max_new_experts: int
-    copy_s: float
+    expert_copy_s: float
     gap_s: float = 0.0
 
 
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -54,7 +54,9 @@
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
         self._popularity = Popularity(shape.layer_count, shape.expert_count)
-        self._bounds = bounds_of(shape.places, shape.max_new_experts, shape.copy_s)
+        self._bounds = bounds_of(
+            shape.places, shape.max_new_experts, shape.expert_copy_s
+        )
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
         self._pass_s = 0.0
@@ -99,7 +101,7 @@
         gain = found.skew_before - found.skew_after
         if self._is_short(self._pass_s):
             return gain >= SHORT_PASS_GAIN
-        copying_s = found.copies * self._shape.copy_s
+        copying_s = found.copies * self._shape.expert_copy_s
         return gain >= LEAST_SKEW_GAIN + SKEW_GAIN_A_COPYING_S * copying_s
 
     def _enough(self, skew: float) -> float:
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -147,7 +147,7 @@
                 )
                 if plan is not None:
                     most = _most_copied(self._layers, plan.layers)
-                    copying_s = most * self._shape.copy_s
+                    copying_s = most * self._shape.expert_copy_s
                     pending = (self._now + ORDERS_S + copying_s, plan.layers)
                     changes += 1
                     copies += plan.copies
