--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -58,7 +58,7 @@
     places: int
     max_new_experts: int
     expert_copy_s: float
-    gap_s: float = 0.0
+    max_event_gap_s: float = 0.0
 
 
 class Service(NamedTuple):
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -110,7 +110,7 @@
         return SHORT_PASS_ENOUGH if self._is_short(then_s) else GOOD_ENOUGH
 
     def _is_short(self, pass_s: float) -> bool:
-        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.gap_s
+        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.max_event_gap_s
 
     def _time_passes(self, step: int, now: float) -> None:
         before, self._passed = self._passed, (step, now)
--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -19,7 +19,7 @@
 
 RANKS = 16
 # A copy takes 0.11 s and streams' pauses may be 0.12 s.
-SHAPE = EngineShape(4, 64, 5, 2, 0.111, gap_s=0.12)
+SHAPE = EngineShape(4, 64, 5, 2, 0.111, max_event_gap_s=0.12)
 LOADS = (25.0, 50.0, 75.0)
 SECONDS = 20.0
 SEEDS = (1, 2, 3)
