--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -64,7 +64,7 @@
     if configuration is None:
         return NO_MANIFEST._replace(retry_after_s=_UNKNOWING_RETRY_S)
     limits = configuration.limits
-    if _header_bytes(received) > limits.header_bytes:
+    if _header_bytes(received) > limits.max_header_bytes:
         return HEADERS_TOO_LARGE
     if len(received.body) > limits.body_bytes:
         return BODY_TOO_LARGE
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -71,7 +71,7 @@
 class RequestLimits(NamedTuple):
     """What a caller may send, and how long its connection may stay idle."""
 
-    header_bytes: int = 16_384
+    max_header_bytes: int = 16_384
     body_bytes: int = 4_194_304
     idle_s: float = 15.0
 
