--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -66,7 +66,7 @@
     limits = configuration.limits
     if _header_bytes(received) > limits.max_header_bytes:
         return HEADERS_TOO_LARGE
-    if len(received.body) > limits.body_bytes:
+    if len(received.body) > limits.max_body_bytes:
         return BODY_TOO_LARGE
     host = received.headers.get("host", "").rsplit(":", 1)[0].lower()
     path = received.target.partition("?")[0]
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -103,7 +103,7 @@
     def _body_limit(self) -> int:
         configuration = self._knowledge().configuration
         limits = RequestLimits() if configuration is None else configuration.limits
-        return limits.body_bytes
+        return limits.max_body_bytes
 
     def _refusal_of_stop(self, request: ForwardRequest) -> Refusal | None:
         """Return the refusal of what can't end before this process does."""
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -72,7 +72,7 @@
     """What a caller may send, and how long its connection may stay idle."""
 
     max_header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
+    max_body_bytes: int = 4_194_304
     idle_s: float = 15.0
 
 
