--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -73,7 +73,7 @@
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    idle_s: float = 15.0
+    idle_timeout_s: float = 15.0
 
 
 class OrganisationKey(NamedTuple):
