--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -26,7 +26,7 @@
 
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configuration import ForwardRoute
-    from kingcupwheel.forwarding.configuration import OrganisationKey
+    from kingcupwheel.forwarding.configuration import KeyHolder
 
 # When a caller is asked back by an entry that knows too little, in seconds: the store
 # is asked again within that.
@@ -74,7 +74,7 @@
     if route is None:
         return _denied(NO_ROUTE, knowledge)
     head = read_caller_head(received.headers)
-    holder: OrganisationKey | None = None
+    holder: KeyHolder | None = None
     if configuration.has_organisations and not route.allows_anonymous:
         if knowledge.age_s > knowledge.trusted_s:
             return _too_old(knowledge)
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -76,7 +76,7 @@
     idle_timeout_s: float = 15.0
 
 
-class OrganisationKey(NamedTuple):
+class KeyHolder(NamedTuple):
     """The organisation that holds a key; ``priority`` is None if it names none."""
 
     organisation: str
@@ -92,7 +92,7 @@
     version: int
     routes_by_host: Mapping[str, tuple[ForwardRoute, ...]]
     services_by_name: Mapping[str, Service]
-    holders_by_key_digest: Mapping[bytes, OrganisationKey]
+    holders_by_key_digest: Mapping[bytes, KeyHolder]
     has_organisations: bool
     limits: RequestLimits
     raw: bytes
@@ -118,7 +118,7 @@
         ]
         return found.engine._replace(gap_s=min(gaps, default=0.0))
 
-    def holder(self, key: str) -> OrganisationKey | None:
+    def holder(self, key: str) -> KeyHolder | None:
         """Return who holds the bearer key."""
         return self.holders_by_key_digest.get(key_digest(key))
 
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -9,7 +9,7 @@
 from kingcupwheel.forwarding.configuration import Configuration
 from kingcupwheel.forwarding.configuration import EngineShape
 from kingcupwheel.forwarding.configuration import ForwardRoute
-from kingcupwheel.forwarding.configuration import OrganisationKey
+from kingcupwheel.forwarding.configuration import KeyHolder
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.configuration import Service
 from kingcupwheel.forwarding.configuration import ServiceShare
@@ -143,9 +143,9 @@
     )
 
 
-def _holders(tenants: list[_Tenant]) -> dict[bytes, OrganisationKey]:
+def _holders(tenants: list[_Tenant]) -> dict[bytes, KeyHolder]:
     return {
-        key_digest(key): OrganisationKey(tenant.name, tenant.priority)
+        key_digest(key): KeyHolder(tenant.name, tenant.priority)
         for tenant in tenants
         for key in tenant.api_keys
     }
