--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -70,7 +70,7 @@
         return BODY_TOO_LARGE
     host = received.headers.get("host", "").rsplit(":", 1)[0].lower()
     path = received.target.partition("?")[0]
-    route = configuration.route(host, path)
+    route = configuration.find_route(host, path)
     if route is None:
         return _denied(NO_ROUTE, knowledge)
     head = read_caller_head(received.headers)
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -97,7 +97,7 @@
     limits: RequestLimits
     raw: bytes
 
-    def route(self, host: str, path: str) -> ForwardRoute | None:
+    def find_route(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
