--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -104,7 +104,7 @@
                 return route
         return None
 
-    def engine_of(self, service: str) -> EngineShape | None:
+    def find_engine(self, service: str) -> EngineShape | None:
         """Return a service's engine, with the shortest pause that a route asks for."""
         found = self.services_by_name.get(service)
         if found is None or found.engine is None:
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -238,5 +238,5 @@
             if decoded.is_error():
                 log.error("configuration-refused", why=decoded.error)
                 return None
-            self._shape = decoded.ok.engine_of(self._rank.service)
+            self._shape = decoded.ok.find_engine(self._rank.service)
         return self._shape
