--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -78,7 +78,7 @@
     if configuration.has_organisations and not route.allows_anonymous:
         if knowledge.age_s > knowledge.trusted_s:
             return _too_old(knowledge)
-        holder = configuration.holder(head.key)
+        holder = configuration.find_key_holder(head.key)
         if holder is None:
             return _denied(BAD_KEY, knowledge)
     organisation = "" if holder is None else holder.organisation
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -118,7 +118,7 @@
         ]
         return found.engine._replace(gap_s=min(gaps, default=0.0))
 
-    def holder(self, key: str) -> KeyHolder | None:
+    def find_key_holder(self, key: str) -> KeyHolder | None:
         """Return who holds the bearer key."""
         return self.holders_by_key_digest.get(key_digest(key))
 
