--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -92,7 +92,7 @@
     version: int
     routes_by_host: Mapping[str, tuple[ForwardRoute, ...]]
     services_by_name: Mapping[str, Service]
-    holders_by_key_digest: Mapping[bytes, KeyHolder]
+    key_holders_by_digest: Mapping[bytes, KeyHolder]
     has_organisations: bool
     limits: RequestLimits
     raw: bytes
@@ -120,7 +120,7 @@
 
     def find_key_holder(self, key: str) -> KeyHolder | None:
         """Return who holds the bearer key."""
-        return self.holders_by_key_digest.get(key_digest(key))
+        return self.key_holders_by_digest.get(key_digest(key))
 
 
 def key_digest(key: str) -> bytes:
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -209,6 +209,6 @@
             "configuration-adopted",
             version=decoded.ok.version,
             routes=routes,
-            keys=len(decoded.ok.holders_by_key_digest),
+            keys=len(decoded.ok.key_holders_by_digest),
             source=source,
         )
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -103,7 +103,7 @@
         version=found.version,
         routes_by_host=routes_by_host(tuple(map(_route, found.routes))),
         services_by_name={service.name: service for service in services},
-        holders_by_key_digest=_holders(found.tenants or []),
+        key_holders_by_digest=_holders(found.tenants or []),
         has_organisations=found.tenants is not None,
         limits=RequestLimits(
             limits.max_header_bytes,
