--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -128,7 +128,7 @@
     return hashlib.sha256(key.encode()).digest()
 
 
-def routes_by_host(
+def group_routes_by_host(
     routes: tuple[ForwardRoute, ...],
 ) -> dict[str, tuple[ForwardRoute, ...]]:
     """Group routes by host, those with the longest prefix first."""
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -13,8 +13,8 @@
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.configuration import Service
 from kingcupwheel.forwarding.configuration import ServiceShare
+from kingcupwheel.forwarding.configuration import group_routes_by_host
 from kingcupwheel.forwarding.configuration import key_digest
-from kingcupwheel.forwarding.configuration import routes_by_host
 from kingcupwheel.platform.decoding import decoded
 
 
@@ -101,7 +101,7 @@
     limits = found.limits
     return Configuration(
         version=found.version,
-        routes_by_host=routes_by_host(tuple(map(_route, found.routes))),
+        routes_by_host=group_routes_by_host(tuple(map(_route, found.routes))),
         services_by_name={service.name: service for service in services},
         key_holders_by_digest=_holders(found.tenants or []),
         has_organisations=found.tenants is not None,
