--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -75,7 +75,7 @@
     def known(self) -> int:
         """How many entries are known, alive or not, this one among them."""
         with self._lock:
-            return len(self._peers.told) + 1
+            return len(self._peers.known_entries) + 1
 
     def live(self) -> tuple[EntryTold, ...]:
         """Return the entries that callers may be sent to, this one among them."""
@@ -136,7 +136,7 @@
             for address in self._peers.silent_links(now):
                 self._hub.replace(address)
             self._dead.extend(self._peers.forget_dead(now))
-            peers = self._peers.told
+            peers = self._peers.known_entries
             echoes = {told.name: self._peers.echo_for(told.name) for told in peers}
         every = max(_KNOWN_EVERY, len(peers))
         names_others = self._beats <= _FIRST_BEATS or self._beats % every == 0
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -60,7 +60,7 @@
         self._most = 1
 
     @property
-    def told(self) -> tuple[EntryTold, ...]:
+    def known_entries(self) -> tuple[EntryTold, ...]:
         """Every peer that is known, alive or not."""
         return tuple(peer.told for peer in self._by_name.values())
 
