--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -128,7 +128,7 @@
     def on_tick(self, now: float) -> None:
         """Send heartbeats when it is time; runs on the hub's thread."""
         with self._lock:
-            due = now - self._beat_at >= self._peers.beat_s()
+            due = now - self._beat_at >= self._peers.heartbeat_interval_s()
             if not due:
                 return
             self._beat_at = now
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -64,7 +64,7 @@
         """Every peer that is known, alive or not."""
         return tuple(peer.told for peer in self._by_name.values())
 
-    def beat_s(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Return the seconds between two heartbeats to one peer."""
         return BEAT_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
 
@@ -94,7 +94,7 @@
 
     def live(self, now: float) -> tuple[EntryTold, ...]:
         """Return the peers that callers may be sent to."""
-        silent_s = _MISSED * self.beat_s()
+        silent_s = _MISSED * self.heartbeat_interval_s()
         return tuple(
             peer.told
             for peer in self._by_name.values()
@@ -126,7 +126,7 @@
         Something between two machines may lose track of a connection: it stays silent
         for good while new ones work.
         """
-        limit_s = _MISSED * self.beat_s()
+        limit_s = _MISSED * self.heartbeat_interval_s()
         found: list[str] = []
         for peer in self._by_name.values():
             since_s = now - max(peer.heard_at, peer.links_opened_at)
