--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -92,7 +92,7 @@
             except msgspec.DecodeError as error:
                 log.warning("entry-object-refused", name=one.name, why=str(error))
         with self._lock:
-            self._peers.know(found, monotonic())
+            self._peers.add_known(found, monotonic())
 
     def register(self, store: ObjectStore) -> bool:
         """Put this entry into the store; return whether it is there."""
@@ -165,7 +165,7 @@
         now = monotonic()
         with self._lock:
             is_new = self._peers.heard(beat, now)
-            self._peers.know(beat.known, now)
+            self._peers.add_known(beat.known, now)
         if beat.crashed:
             self._guards.heard(beat.crashed)
         if is_new:
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -68,7 +68,7 @@
         """Return the seconds between two heartbeats to one peer."""
         return BEAT_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
 
-    def know(self, entries: Iterable[EntryTold], now: float) -> None:
+    def add_known(self, entries: Iterable[EntryTold], now: float) -> None:
         """Take in entries that somebody names; only heartbeats tell if they live."""
         for told in entries:
             known = self._by_name.get(told.name)
