--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -164,7 +164,7 @@
         """Take in a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
-            is_new = self._peers.heard(beat, now)
+            is_new = self._peers.record_heartbeat(beat, now)
             self._peers.add_known(beat.known, now)
         if beat.crashed:
             self._guards.heard(beat.crashed)
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -80,7 +80,7 @@
                 # The machine was replaced; one that is heard tells its address itself.
                 self._by_name[told.name] = _Peer(told, now)
 
-    def heard(self, beat: EntryBeat, now: float) -> bool:
+    def record_heartbeat(self, beat: EntryBeat, now: float) -> bool:
         """Take in a heartbeat; return whether its entry is new or lives anew."""
         peer = self._by_name.get(beat.me.name)
         is_new = peer is None or peer.beat is None
