--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -80,7 +80,7 @@
     def live(self) -> tuple[EntryTold, ...]:
         """Return the entries that callers may be sent to, this one among them."""
         with self._lock:
-            others = self._peers.live(monotonic())
+            others = self._peers.live_entries(monotonic())
         return others if self._leaving else (self._me, *others)
 
     def know(self, stored: tuple[StoredObject, ...]) -> None:
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -89,10 +89,10 @@
         restarted = peer.beat is not None and peer.beat.incarnation != beat.incarnation
         peer.beat = beat
         peer.heard_at = now
-        self._most = max(self._most, len(self.live(now)) + 1)
+        self._most = max(self._most, len(self.live_entries(now)) + 1)
         return is_new or restarted
 
-    def live(self, now: float) -> tuple[EntryTold, ...]:
+    def live_entries(self, now: float) -> tuple[EntryTold, ...]:
         """Return the peers that callers may be sent to."""
         silent_s = _MISSED * self.heartbeat_interval_s()
         return tuple(
