--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -69,7 +69,7 @@
     def sharing(self) -> int:
         """How many entries share what is common to the fleet."""
         with self._lock:
-            return self._peers.sharing(monotonic())
+            return self._peers.estimate_fleet_size(monotonic())
 
     @property
     def known(self) -> int:
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -103,7 +103,7 @@
             and now - peer.heard_at <= silent_s
         )
 
-    def sharing(self, now: float) -> int:
+    def estimate_fleet_size(self, now: float) -> int:
         """Return how many entries share what is common to the fleet.
 
         Failure: entries that have just started know nobody, and each takes the whole.
