--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -133,7 +133,7 @@
                 return
             self._beat_at = now
             self._beats += 1
-            for address in self._peers.silent_links(now):
+            for address in self._peers.take_silent_addresses(now):
                 self._hub.replace(address)
             self._dead.extend(self._peers.forget_dead(now))
             peers = self._peers.known_entries
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -120,7 +120,7 @@
         peer = self._by_name.get(name)
         return 0.0 if peer is None or peer.beat is None else peer.beat.sent_at
 
-    def silent_links(self, now: float) -> tuple[str, ...]:
+    def take_silent_addresses(self, now: float) -> tuple[str, ...]:
         """Return addresses to open new connections to, each not too often.
 
         Something between two machines may lose track of a connection: it stays silent
