--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -135,7 +135,7 @@
             self._beats += 1
             for address in self._peers.take_silent_addresses(now):
                 self._hub.replace(address)
-            self._dead.extend(self._peers.forget_dead(now))
+            self._dead.extend(self._peers.remove_expired(now))
             peers = self._peers.known_entries
             echoes = {told.name: self._peers.echo_for(told.name) for told in peers}
         every = max(_KNOWN_EVERY, len(peers))
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -135,7 +135,7 @@
                 found.append(peer.told.address)
         return tuple(found)
 
-    def forget_dead(self, now: float) -> tuple[EntryTold, ...]:
+    def remove_expired(self, now: float) -> tuple[EntryTold, ...]:
         """Drop entries that were not heard for long; return them."""
         dead = tuple(
             peer.told
