--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from kingcupwheel.forwarding.following import adopt
-from kingcupwheel.forwarding.peers import Peers
+from kingcupwheel.forwarding.peers import PeerTable
 from kingcupwheel.forwarding.peers import freshness_of
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import EntryBeat
@@ -54,7 +54,7 @@
         self._hub = hub
         self._currency = currency
         self._guards = guards
-        self._peers = Peers(me)
+        self._peers = PeerTable(me)
         self._incarnation = secrets.token_hex(4)
         self._beat_at = 0.0
         self._beats = 0
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -49,7 +49,7 @@
     as_of: float
 
 
-class Peers:
+class PeerTable:
     """The other entries by name; belongs to one thread, or guarded by its owner."""
 
     def __init__(self, me: EntryTold) -> None:
