--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -42,7 +42,7 @@
         self.links_opened_at = now
 
 
-class Freshness(NamedTuple):
+class VersionConfirmation(NamedTuple):
     """A peer's word that ``version`` was the newest at ``as_of`` of this process."""
 
     version: int
@@ -147,7 +147,7 @@
         return dead
 
 
-def freshness_of(beat: EntryBeat) -> Freshness | None:
+def freshness_of(beat: EntryBeat) -> VersionConfirmation | None:
     """Return what a heartbeat proves of the configuration's age.
 
     Failure: a heartbeat is held up on its way, or its sender is frozen between writing
@@ -157,4 +157,4 @@
     """
     if beat.echo <= 0.0 or beat.age_s < 0.0:
         return None
-    return Freshness(beat.version, beat.echo - beat.age_s)
+    return VersionConfirmation(beat.version, beat.echo - beat.age_s)
