--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.forwarding.following import adopt
 from kingcupwheel.forwarding.peers import PeerTable
-from kingcupwheel.forwarding.peers import freshness_of
+from kingcupwheel.forwarding.peers import confirmation_from
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import EntryBeat
 from kingcupwheel.messages.membership import EntryTold
@@ -172,7 +172,7 @@
             # It knows nobody yet; an answer at once spares it a second alone.
             self._beat_at = 0.0
             log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
-        freshness = freshness_of(beat)
+        freshness = confirmation_from(beat)
         if freshness is not None:
             self._currency.confirm(freshness.version, freshness.as_of)
         if beat.version > self._currency.version:
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -147,7 +147,7 @@
         return dead
 
 
-def freshness_of(beat: EntryBeat) -> VersionConfirmation | None:
+def confirmation_from(beat: EntryBeat) -> VersionConfirmation | None:
     """Return what a heartbeat proves of the configuration's age.
 
     Failure: a heartbeat is held up on its way, or its sender is frozen between writing
