--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -18,7 +18,7 @@
 
 # Between two heartbeats to a peer, in seconds, among up to this many entries; with more
 # of them heartbeats are as much rarer, so that an entry's cost stays the same.
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 _BEAT_ENTRIES = 12
 # Heartbeats missed in a row after which callers are no longer sent to an entry. A link
 # that loses packets holds up two or three.
@@ -66,7 +66,7 @@
 
     def heartbeat_interval_s(self) -> float:
         """Return the seconds between two heartbeats to one peer."""
-        return BEAT_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
+        return HEARTBEAT_INTERVAL_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
 
     def add_known(self, entries: Iterable[EntryTold], now: float) -> None:
         """Take in entries that somebody names; only heartbeats tell if they live."""
