--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -25,7 +25,7 @@
 _MISSED = 3
 # Entries that are taken to share a budget before any other one is known: more than
 # today's users have.
-UNKNOWN_ENTRIES = 12
+DEFAULT_FLEET_SIZE = 12
 # How long an entry that says nothing is still sent heartbeats, in seconds: it may be
 # frozen, or cut off for a while.
 FORGET_S = 60.0
@@ -112,7 +112,7 @@
         """
         known = len(self._by_name) + 1
         if known == 1:
-            return max(self._most, UNKNOWN_ENTRIES)
+            return max(self._most, DEFAULT_FLEET_SIZE)
         return max(self._most, known)
 
     def echo_for(self, name: str) -> float:
