--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -28,7 +28,7 @@
 DEFAULT_FLEET_SIZE = 12
 # How long an entry that says nothing is still sent heartbeats, in seconds: it may be
 # frozen, or cut off for a while.
-FORGET_S = 60.0
+PEER_EXPIRY_S = 60.0
 
 
 class _Peer:
@@ -76,7 +76,7 @@
                 continue
             if known is None:
                 self._by_name[told.name] = _Peer(told, now)
-            elif known.told != told and now - known.heard_at > FORGET_S / 4:
+            elif known.told != told and now - known.heard_at > PEER_EXPIRY_S / 4:
                 # The machine was replaced; one that is heard tells its address itself.
                 self._by_name[told.name] = _Peer(told, now)
 
@@ -140,7 +140,7 @@
         dead = tuple(
             peer.told
             for peer in self._by_name.values()
-            if now - max(peer.heard_at, peer.known_at) > FORGET_S
+            if now - max(peer.heard_at, peer.known_at) > PEER_EXPIRY_S
         )
         for told in dead:
             del self._by_name[told.name]
