--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -99,7 +99,7 @@
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._neighbours.sharing)
+        self._guards = Guards(budget, lambda: self._neighbours.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -66,7 +66,7 @@
         self._lock = Lock()
 
     @property
-    def sharing(self) -> int:
+    def fleet_size(self) -> int:
         """How many entries share what is common to the fleet."""
         with self._lock:
             return self._peers.estimate_fleet_size(monotonic())
