--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -143,14 +143,14 @@
                 self._store,
                 configuration,
                 clock,
-                lambda: configuration_pace(self._neighbours.known),
+                lambda: configuration_pace(self._neighbours.known_count),
             ),
             StoreFollower(
                 self._store,
                 listed,
                 clock,
                 lambda: servers_pace(
-                    self._neighbours.known, self._forwarding.steady_ms / _MS
+                    self._neighbours.known_count, self._forwarding.steady_ms / _MS
                 ),
             ),
         )
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -72,7 +72,7 @@
             return self._peers.estimate_fleet_size(monotonic())
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """How many entries are known, alive or not, this one among them."""
         with self._lock:
             return len(self._peers.known_entries) + 1
