--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -129,7 +129,7 @@
             self._context,
             self._knowledge,
             name=settings.name,
-            others_live=lambda: bool(self._neighbours.live()),
+            others_live=lambda: bool(self._neighbours.live_entries()),
         )
         self._servers = self._make_servers()
         self._caretaker = Caretaker(self._store, self._currency, self._neighbours)
@@ -241,7 +241,7 @@
         return knows and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
-        live = self._neighbours.live()
+        live = self._neighbours.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
         return tuple(one.http for one in live)
@@ -250,7 +250,7 @@
         age_s = min(self._currency.age_s(), 1e6)
         self._metrics.configuration_age.set(age_s)
         self._metrics.configuration_version.set(self._currency.version)
-        self._metrics.live_entries.set(len(self._neighbours.live()))
+        self._metrics.live_entries.set(len(self._neighbours.live_entries()))
 
     def _on_servers(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -77,7 +77,7 @@
         with self._lock:
             return len(self._peers.known_entries) + 1
 
-    def live(self) -> tuple[EntryTold, ...]:
+    def live_entries(self) -> tuple[EntryTold, ...]:
         """Return the entries that callers may be sent to, this one among them."""
         with self._lock:
             others = self._peers.live_entries(monotonic())
@@ -198,7 +198,7 @@
             adopt(self._currency, message.value, float("-inf"), source="peer")
 
     def _note_live(self) -> None:
-        names = frozenset(told.name for told in self.live())
+        names = frozenset(told.name for told in self.live_entries())
         if names != self._live_names:
             gone = sorted(self._live_names - names)
             come = sorted(names - self._live_names)
