--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -70,7 +70,7 @@
     def _know_entries(self) -> bool:
         listed = self._store.listing(ENTRIES_KIND)
         if listed.is_ok():
-            self._neighbours.know(listed.ok.objects)
+            self._neighbours.add_stored(listed.ok.objects)
         return bool(listed.is_ok())
 
     def _ask_again(self) -> None:
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -83,7 +83,7 @@
             others = self._peers.live_entries(monotonic())
         return others if self._leaving else (self._me, *others)
 
-    def know(self, stored: tuple[StoredObject, ...]) -> None:
+    def add_stored(self, stored: tuple[StoredObject, ...]) -> None:
         """Take in the entries that the store lists."""
         found: list[EntryTold] = []
         for one in stored:
