--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -220,7 +220,7 @@
         self._neighbours.leave()
         log.info("leaving", in_progress=self._application.in_progress)
         self._caretaker.stop()
-        self._neighbours.withdraw(self._store)
+        self._neighbours.deregister(self._store)
         cut = PlannedStop(stopping, self._application, self._servers[0]).wait()
         for follower in self._followers:
             follower.stop()
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -108,7 +108,7 @@
         self._revision = written.ok.revision
         return True
 
-    def withdraw(self, store: ObjectStore) -> None:
+    def deregister(self, store: ObjectStore) -> None:
         """Take this entry out of the store, once, if it was put there."""
         if self._revision:
             store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
