--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -62,7 +62,7 @@
             registered = registered or self._neighbours.register(self._store)
             known = known or self._know_entries()
             self._ask_again()
-            for told in self._neighbours.take_dead():
+            for told in self._neighbours.take_expired():
                 self._remove(told)
             done = registered and known
             self._stopping.wait(_LOOK_S if done else _TRY_AGAIN_S)
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -113,7 +113,7 @@
         if self._revision:
             store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
 
-    def take_dead(self) -> tuple[EntryTold, ...]:
+    def take_expired(self) -> tuple[EntryTold, ...]:
         """Return, once, entries not heard for so long that they are gone for good."""
         with self._lock:
             dead = tuple(self._dead)
