--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -217,7 +217,7 @@
         stopping = Stopping(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.stop(stopping)
-        self._neighbours.leave()
+        self._neighbours.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress)
         self._caretaker.stop()
         self._neighbours.deregister(self._store)
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -120,7 +120,7 @@
             self._dead.clear()
         return dead
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell every peer at once that this entry stops."""
         self._leaving = True
         self._beat_at = 0.0
