--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -267,7 +267,7 @@
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
             case EntryBeat():
-                self._neighbours.on_beat(message)
+                self._neighbours.on_heartbeat(message)
             case Beat() | LoadsTold():
                 self._greeter.told(link, message)
             case ManifestWanted():
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -160,7 +160,7 @@
             known=known,
         )
 
-    def on_beat(self, beat: EntryBeat) -> None:
+    def on_heartbeat(self, beat: EntryBeat) -> None:
         """Take in a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
