--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -271,7 +271,7 @@
             case Beat() | LoadsTold():
                 self._greeter.told(link, message)
             case ManifestWanted():
-                self._neighbours.on_wanted(link, message)
+                self._neighbours.on_configuration_request(link, message)
             case ManifestObject():
                 self._neighbours.on_object(message)
             case _:
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -185,7 +185,7 @@
             wanted = ManifestWanted(_CONFIGURATION)
             self._hub.send(Outgoing(beat.me.address, 0), wanted)
 
-    def on_wanted(self, link: Link, message: ManifestWanted) -> None:
+    def on_configuration_request(self, link: Link, message: ManifestWanted) -> None:
         """Hand a peer the configuration that it has not."""
         current = self._currency.current
         if message.key == _CONFIGURATION and current is not None:
