--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -273,7 +273,7 @@
             case ManifestWanted():
                 self._neighbours.on_configuration_request(link, message)
             case ManifestObject():
-                self._neighbours.on_object(message)
+                self._neighbours.on_configuration(message)
             case _:
                 log.warning("message-unexpected", message=type(message).__name__)
 
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -192,7 +192,7 @@
             found = ManifestObject(_CONFIGURATION, current.version, current.raw)
             self._hub.send(link, found)
 
-    def on_object(self, message: ManifestObject) -> None:
+    def on_configuration(self, message: ManifestObject) -> None:
         """Adopt a configuration from a peer; how old it is its heartbeats tell."""
         if message.key == _CONFIGURATION and message.value is not None:
             adopt(self._currency, message.value, float("-inf"), source="peer")
