--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.currency import ConfigurationCache
-    from kingcupwheel.forwarding.neighbours import Neighbours
+    from kingcupwheel.forwarding.neighbours import EntryMembership
     from kingcupwheel.messages.membership import EntryTold
     from kingcupwheel.platform.objects import ObjectStore
 
@@ -38,7 +38,10 @@
     """One thread beside the followers of the store."""
 
     def __init__(
-        self, store: ObjectStore, currency: ConfigurationCache, neighbours: Neighbours
+        self,
+        store: ObjectStore,
+        currency: ConfigurationCache,
+        neighbours: EntryMembership,
     ) -> None:
         self._store = store
         self._currency = currency
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -25,7 +25,7 @@
 from kingcupwheel.forwarding.greeting import AgentGreeter
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
-from kingcupwheel.forwarding.neighbours import Neighbours
+from kingcupwheel.forwarding.neighbours import EntryMembership
 from kingcupwheel.forwarding.pages import AddressesPage
 from kingcupwheel.forwarding.pages import ReadyPage
 from kingcupwheel.forwarding.plannedstop import PlannedStop
@@ -123,7 +123,7 @@
         me = EntryTold(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
-        self._neighbours = Neighbours(me, self._hub, self._currency, self._guards)
+        self._neighbours = EntryMembership(me, self._hub, self._currency, self._guards)
         self._followers = self._make_followers()
         self._application = ForwardApplication(
             self._context,
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -44,7 +44,7 @@
 _ASK_AGAIN_S = 0.5
 
 
-class Neighbours:
+class EntryMembership:
     """The other entries; safe from any thread."""
 
     def __init__(
