--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -34,7 +34,7 @@
 _TRY_AGAIN_S = 1.0
 
 
-class Caretaker:
+class StoreMaintainer:
     """One thread beside the followers of the store."""
 
     def __init__(
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.admitting import Knowledge
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
-from kingcupwheel.forwarding.caretaking import Caretaker
+from kingcupwheel.forwarding.caretaking import StoreMaintainer
 from kingcupwheel.forwarding.connections import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
 from kingcupwheel.forwarding.currency import ConfigurationCache
@@ -132,7 +132,7 @@
             others_live=lambda: bool(self._neighbours.live_entries()),
         )
         self._servers = self._make_servers()
-        self._caretaker = Caretaker(self._store, self._currency, self._neighbours)
+        self._caretaker = StoreMaintainer(self._store, self._currency, self._neighbours)
 
     def _make_followers(self) -> tuple[StoreFollower, ...]:
         clock = self._currency.now
