--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -25,7 +25,7 @@
 # Knowledge of the configuration that is older is asked for anew, in seconds. Watches
 # and peers keep it younger; a slow store or a connection that went silent do not, and
 # what is left until keys are refused is then one slow answer's time.
-ASK_AGAIN_S = 2.6
+CONFIGURATION_REFRESH_AGE_S = 2.6
 # Each entry asks when its knowledge is this much less old, at most: one that asks tells
 # the others with its next heartbeat, so among many few have to.
 _ASK_SPREAD_S = 0.9
@@ -47,7 +47,7 @@
         self._currency = currency
         self._neighbours = neighbours
         self._stopping = Event()
-        self._ask_again_s = ASK_AGAIN_S
+        self._ask_again_s = CONFIGURATION_REFRESH_AGE_S
         self._thread = Thread(target=self._run, name="caretaker", daemon=True)
 
     def start(self) -> None:
@@ -86,7 +86,9 @@
         age_s = self._currency.age_s()
         if self._currency.current is None or age_s < self._ask_again_s:
             return
-        self._ask_again_s = ASK_AGAIN_S - random.random() * _ASK_SPREAD_S
+        self._ask_again_s = (
+            CONFIGURATION_REFRESH_AGE_S - random.random() * _ASK_SPREAD_S
+        )
         asked_at = self._currency.now()
         found = self._store.read(CONFIGURATION_KIND, CONFIGURATION_NAME)
         if found.is_ok() and found.ok is not None:
