--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -269,7 +269,7 @@
             case EntryBeat():
                 self._neighbours.on_heartbeat(message)
             case Beat() | LoadsTold():
-                self._greeter.told(link, message)
+                self._greeter.on_report(link, message)
             case ManifestWanted():
                 self._neighbours.on_configuration_request(link, message)
             case ManifestObject():
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -52,7 +52,7 @@
         self._asked_at = 0.0
         self._heads = LoadHeads(settings.data_centre)
 
-    def told(self, link: Link, message: Beat | LoadsTold) -> None:
+    def on_report(self, link: Link, message: Beat | LoadsTold) -> None:
         """Take in what an agent says of its server, or of those of a data centre."""
         if isinstance(message, Beat):
             self._book.agents_say((_server_told(message),))
