--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -22,7 +22,7 @@
 from kingcupwheel.forwarding.following import StoreFollower
 from kingcupwheel.forwarding.following import configuration_pace
 from kingcupwheel.forwarding.following import servers_pace
-from kingcupwheel.forwarding.greeting import AgentGreeter
+from kingcupwheel.forwarding.greeting import AgentLoadPoller
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
 from kingcupwheel.forwarding.neighbours import EntryMembership
@@ -113,7 +113,7 @@
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
-        self._greeter = AgentGreeter(
+        self._greeter = AgentLoadPoller(
             settings,
             self._hub,
             self._context.servers,
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -32,7 +32,7 @@
 _HELLO_S = 1.0
 
 
-class AgentGreeter:
+class AgentLoadPoller:
     """Belongs to the hub's thread; ``leaving`` tells whether this entry stops."""
 
     def __init__(
