--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -54,7 +54,7 @@
 
     kind: str
 
-    def listed(
+    def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
     ) -> None:
         """Take in a whole list asked for at ``asked_at``."""
@@ -135,7 +135,7 @@
         if asked.is_error():
             return asked.error
         away_s = self._outage.duration_s(monotonic())
-        self._follower.listed(asked.ok.objects, asked_at, away_s=away_s)
+        self._follower.on_list(asked.ok.objects, asked_at, away_s=away_s)
         self._revision = asked.ok.revision
         return None
 
