--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -59,7 +59,7 @@
     ) -> None:
         """Take in a whole list asked for at ``asked_at``."""
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
         """Take in what changed; nothing changed if ``changes`` is empty."""
 
 
@@ -151,7 +151,7 @@
                 log.info("history-gone", kind=kind, revision=asked.error.revision)
                 return None
             return asked.error
-        self._follower.changed(asked.ok.changes, asked_at)
+        self._follower.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
         if asked.ok.changes and pace.pause_s:
             self._stopping.wait(pace.pause_s)
