--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -178,7 +178,7 @@
     def __init__(self, currency: ConfigurationCache) -> None:
         self._currency = currency
 
-    def listed(
+    def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
     ) -> None:
         """Adopt the configuration if it is there."""
