--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -186,7 +186,7 @@
             if found.name == CONFIGURATION_NAME:
                 adopt(self._currency, found.body, asked_at, source="store")
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.removed:
