--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -39,7 +39,7 @@
         self._ended: list[Backend] = []
         self._trusts_at = 0.0
 
-    def listed(
+    def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
     ) -> None:
         """Take in the whole list."""
