--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -53,7 +53,7 @@
             self._seen(stored)
         self._settle()
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
         """Take in what changed."""
         for change in changes:
             if change.removed:
