--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -49,7 +49,7 @@
 _WATCH_SLACK_S = 0.3
 
 
-class KindFollower(Protocol):
+class KindHandler(Protocol):
     """What a follower does with what it finds."""
 
     kind: str
@@ -95,7 +95,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        follower: KindFollower,
+        follower: KindHandler,
         clock: Callable[[], float],
         pace: Callable[[], WatchPace] = WatchPace,
     ) -> None:
