--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -18,7 +18,7 @@
 from kingcupwheel.forwarding.connections import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
 from kingcupwheel.forwarding.currency import ConfigurationCache
-from kingcupwheel.forwarding.following import ConfigurationFollower
+from kingcupwheel.forwarding.following import ConfigurationHandler
 from kingcupwheel.forwarding.following import StoreFollower
 from kingcupwheel.forwarding.following import configuration_pace
 from kingcupwheel.forwarding.following import servers_pace
@@ -136,7 +136,7 @@
 
     def _make_followers(self) -> tuple[StoreFollower, ...]:
         clock = self._currency.now
-        configuration = ConfigurationFollower(self._currency)
+        configuration = ConfigurationHandler(self._currency)
         listed = ServersFollower(self._on_servers)
         return (
             StoreFollower(
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -170,7 +170,7 @@
             log.warning("store-lost", kind=self._follower.kind, why=str(why))
 
 
-class ConfigurationFollower:
+class ConfigurationHandler:
     """Keeps the configuration in force."""
 
     kind = CONFIGURATION_KIND
