--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -31,7 +31,7 @@
 from kingcupwheel.forwarding.plannedstop import PlannedStop
 from kingcupwheel.forwarding.pulse import Pulses
 from kingcupwheel.forwarding.serverbook import ServerBook
-from kingcupwheel.forwarding.serverlist import ServersFollower
+from kingcupwheel.forwarding.serverlist import ServerListHandler
 from kingcupwheel.forwarding.watchdog import Watchdog
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.messages.membership import Beat
@@ -137,7 +137,7 @@
     def _make_followers(self) -> tuple[StoreFollower, ...]:
         clock = self._currency.now
         configuration = ConfigurationHandler(self._currency)
-        listed = ServersFollower(self._on_servers)
+        listed = ServerListHandler(self._on_servers)
         return (
             StoreFollower(
                 self._store,
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -25,7 +25,7 @@
 _AWAY_S = 1.0
 
 
-class ServersFollower:
+class ServerListHandler:
     """Keeps the list of servers; what vanishes in an outage may take a while back."""
 
     kind = SERVERS_KIND
