--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -19,7 +19,7 @@
 from kingcupwheel.forwarding.context import ForwardContext
 from kingcupwheel.forwarding.currency import ConfigurationCache
 from kingcupwheel.forwarding.following import ConfigurationHandler
-from kingcupwheel.forwarding.following import StoreFollower
+from kingcupwheel.forwarding.following import StoreWatcher
 from kingcupwheel.forwarding.following import configuration_pace
 from kingcupwheel.forwarding.following import servers_pace
 from kingcupwheel.forwarding.greeting import AgentLoadPoller
@@ -134,18 +134,18 @@
         self._servers = self._make_servers()
         self._caretaker = StoreMaintainer(self._store, self._currency, self._neighbours)
 
-    def _make_followers(self) -> tuple[StoreFollower, ...]:
+    def _make_followers(self) -> tuple[StoreWatcher, ...]:
         clock = self._currency.now
         configuration = ConfigurationHandler(self._currency)
         listed = ServerListHandler(self._on_servers)
         return (
-            StoreFollower(
+            StoreWatcher(
                 self._store,
                 configuration,
                 clock,
                 lambda: configuration_pace(self._neighbours.known_count),
             ),
-            StoreFollower(
+            StoreWatcher(
                 self._store,
                 listed,
                 clock,
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -89,7 +89,7 @@
     return WatchPace() if entries < MANY_ENTRIES else WatchPace(LONG_WATCH_S)
 
 
-class StoreFollower:
+class StoreWatcher:
     """Lists a kind, then watches it; lists again where the history is gone."""
 
     def __init__(
