--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -63,14 +63,14 @@
         """Take in what changed; nothing changed if ``changes`` is empty."""
 
 
-class WatchPace(NamedTuple):
+class WatchTiming(NamedTuple):
     """How long a watch waits, and the pause after one that brought news, in seconds."""
 
     wait_s: float = WATCH_S
     pause_s: float = 0.0
 
 
-def servers_pace(entries: int, steady_s: float) -> WatchPace:
+def servers_pace(entries: int, steady_s: float) -> WatchTiming:
     """Return the pace of watching servers among so many entries.
 
     Failure: a watch's connection has gone silent, or the store swallowed it. Symptom: a
@@ -78,15 +78,15 @@
     ``steady_s``, after which the platform counts on it.
     """
     if entries < MANY_ENTRIES:
-        return WatchPace()
-    return WatchPace(
+        return WatchTiming()
+    return WatchTiming(
         max(WATCH_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
     )
 
 
-def configuration_pace(entries: int) -> WatchPace:
+def configuration_pace(entries: int) -> WatchTiming:
     """Return the pace of watching the configuration among so many entries."""
-    return WatchPace() if entries < MANY_ENTRIES else WatchPace(LONG_WATCH_S)
+    return WatchTiming() if entries < MANY_ENTRIES else WatchTiming(LONG_WATCH_S)
 
 
 class StoreWatcher:
@@ -97,7 +97,7 @@
         store: ObjectStore,
         follower: KindHandler,
         clock: Callable[[], float],
-        pace: Callable[[], WatchPace] = WatchPace,
+        pace: Callable[[], WatchTiming] = WatchTiming,
     ) -> None:
         self._store = store
         self._pace = pace
