--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -21,7 +21,7 @@
 from kingcupwheel.forwarding.following import ConfigurationHandler
 from kingcupwheel.forwarding.following import StoreWatcher
 from kingcupwheel.forwarding.following import configuration_pace
-from kingcupwheel.forwarding.following import servers_pace
+from kingcupwheel.forwarding.following import server_watch_timing
 from kingcupwheel.forwarding.greeting import AgentLoadPoller
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
@@ -149,7 +149,7 @@
                 self._store,
                 listed,
                 clock,
-                lambda: servers_pace(
+                lambda: server_watch_timing(
                     self._neighbours.known_count, self._forwarding.steady_ms / _MS
                 ),
             ),
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -70,7 +70,7 @@
     pause_s: float = 0.0
 
 
-def servers_pace(entries: int, steady_s: float) -> WatchTiming:
+def server_watch_timing(entries: int, steady_s: float) -> WatchTiming:
     """Return the pace of watching servers among so many entries.
 
     Failure: a watch's connection has gone silent, or the store swallowed it. Symptom: a
