--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -20,7 +20,7 @@
 from kingcupwheel.forwarding.currency import ConfigurationCache
 from kingcupwheel.forwarding.following import ConfigurationHandler
 from kingcupwheel.forwarding.following import StoreWatcher
-from kingcupwheel.forwarding.following import configuration_pace
+from kingcupwheel.forwarding.following import configuration_watch_timing
 from kingcupwheel.forwarding.following import server_watch_timing
 from kingcupwheel.forwarding.greeting import AgentLoadPoller
 from kingcupwheel.forwarding.guards import Budget
@@ -143,7 +143,7 @@
                 self._store,
                 configuration,
                 clock,
-                lambda: configuration_pace(self._neighbours.known_count),
+                lambda: configuration_watch_timing(self._neighbours.known_count),
             ),
             StoreWatcher(
                 self._store,
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -84,7 +84,7 @@
     )
 
 
-def configuration_pace(entries: int) -> WatchTiming:
+def configuration_watch_timing(entries: int) -> WatchTiming:
     """Return the pace of watching the configuration among so many entries."""
     return WatchTiming() if entries < MANY_ENTRIES else WatchTiming(LONG_WATCH_S)
 
