--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -7,7 +7,7 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.following import adopt
+from kingcupwheel.forwarding.following import adopt_configuration
 from kingcupwheel.forwarding.neighbours import ENTRIES_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
@@ -92,7 +92,7 @@
         asked_at = self._currency.now()
         found = self._store.read(CONFIGURATION_KIND, CONFIGURATION_NAME)
         if found.is_ok() and found.ok is not None:
-            adopt(self._currency, found.ok.body, asked_at, source="store")
+            adopt_configuration(self._currency, found.ok.body, asked_at, source="store")
             log.info("asked-again", age_s=round(age_s, 2))
 
     def _remove(self, told: EntryTold) -> None:
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -184,18 +184,22 @@
         """Adopt the configuration if it is there."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
-                adopt(self._currency, found.body, asked_at, source="store")
+                adopt_configuration(
+                    self._currency, found.body, asked_at, source="store"
+                )
 
     def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.removed:
-                adopt(self._currency, change.object.body, asked_at, source="store")
+                adopt_configuration(
+                    self._currency, change.object.body, asked_at, source="store"
+                )
         if not changes:
             self._currency.confirm(self._currency.version, asked_at)
 
 
-def adopt(
+def adopt_configuration(
     currency: ConfigurationCache, raw: bytes, as_of: float, *, source: str
 ) -> None:
     """Decode and adopt a configuration that was the newest at ``as_of``."""
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from kingcupwheel.forwarding.following import adopt
+from kingcupwheel.forwarding.following import adopt_configuration
 from kingcupwheel.forwarding.peers import PeerTable
 from kingcupwheel.forwarding.peers import confirmation_from
 from kingcupwheel.link.links import Outgoing
@@ -195,7 +195,9 @@
     def on_configuration(self, message: ManifestObject) -> None:
         """Adopt a configuration from a peer; how old it is its heartbeats tell."""
         if message.key == _CONFIGURATION and message.value is not None:
-            adopt(self._currency, message.value, float("-inf"), source="peer")
+            adopt_configuration(
+                self._currency, message.value, float("-inf"), source="peer"
+            )
 
     def _note_live(self) -> None:
         names = frozenset(told.name for told in self.live_entries())
