--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -33,7 +33,7 @@
 # How long one watch waits, in seconds, among few entries. An answer without news is
 # what shows that the configuration is still the newest, so the wait bounds the age of
 # that knowledge to twice as much; each call has a price.
-WATCH_S = 1.5
+WATCH_WAIT_S = 1.5
 # From so many entries on, peers' words show that the configuration is the newest, and
 # the few that grow unsure ask (see ``caretaking``); watches of 31 entries took 40 calls
 # a second, half of them for the configuration.
@@ -66,7 +66,7 @@
 class WatchTiming(NamedTuple):
     """How long a watch waits, and the pause after one that brought news, in seconds."""
 
-    wait_s: float = WATCH_S
+    wait_s: float = WATCH_WAIT_S
     pause_s: float = 0.0
 
 
@@ -80,7 +80,7 @@
     if entries < MANY_ENTRIES:
         return WatchTiming()
     return WatchTiming(
-        max(WATCH_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
+        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
     )
 
 
