--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -38,7 +38,7 @@
 # the few that grow unsure ask (see ``caretaking``); watches of 31 entries took 40 calls
 # a second, half of them for the configuration.
 MANY_ENTRIES = 10
-LONG_WATCH_S = 12.0
+LARGE_FLEET_WATCH_WAIT_S = 12.0
 # After news, many entries wait so long for more of it before they watch again: servers
 # that start together were news to each of 31 entries one by one.
 _MORE_NEWS_S = 0.2
@@ -86,7 +86,11 @@
 
 def configuration_watch_timing(entries: int) -> WatchTiming:
     """Return the pace of watching the configuration among so many entries."""
-    return WatchTiming() if entries < MANY_ENTRIES else WatchTiming(LONG_WATCH_S)
+    return (
+        WatchTiming()
+        if entries < MANY_ENTRIES
+        else WatchTiming(LARGE_FLEET_WATCH_WAIT_S)
+    )
 
 
 class StoreWatcher:
