--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -37,7 +37,7 @@
 # From so many entries on, peers' words show that the configuration is the newest, and
 # the few that grow unsure ask (see ``caretaking``); watches of 31 entries took 40 calls
 # a second, half of them for the configuration.
-MANY_ENTRIES = 10
+LARGE_FLEET_ENTRIES = 10
 LARGE_FLEET_WATCH_WAIT_S = 12.0
 # After news, many entries wait so long for more of it before they watch again: servers
 # that start together were news to each of 31 entries one by one.
@@ -77,7 +77,7 @@
     server that leaves is not heard of. Both are found, and the list read anew, within
     ``steady_s``, after which the platform counts on it.
     """
-    if entries < MANY_ENTRIES:
+    if entries < LARGE_FLEET_ENTRIES:
         return WatchTiming()
     return WatchTiming(
         max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
@@ -88,7 +88,7 @@
     """Return the pace of watching the configuration among so many entries."""
     return (
         WatchTiming()
-        if entries < MANY_ENTRIES
+        if entries < LARGE_FLEET_ENTRIES
         else WatchTiming(LARGE_FLEET_WATCH_WAIT_S)
     )
 
