--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -20,7 +20,7 @@
 log = lines_of("servers")
 
 # How long entries that vanished while the store was away may take to come back.
-RETURN_S = 2.2
+REREGISTRATION_GRACE_S = 2.2
 # A store that failed for less was not away: no entry lapses in so short a time.
 _AWAY_S = 1.0
 
@@ -44,7 +44,7 @@
     ) -> None:
         """Take in the whole list."""
         if away_s > _AWAY_S:
-            self._trusts_at = monotonic() + RETURN_S
+            self._trusts_at = monotonic() + REREGISTRATION_GRACE_S
         found = {stored.name: stored for stored in objects}
         for name in tuple(self._by_instance):
             if name not in found:
