--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -27,7 +27,7 @@
 from kingcupwheel.forwarding.guards import Guards
 from kingcupwheel.forwarding.neighbours import EntryMembership
 from kingcupwheel.forwarding.pages import AddressesPage
-from kingcupwheel.forwarding.pages import ReadyPage
+from kingcupwheel.forwarding.pages import ReadinessEndpoint
 from kingcupwheel.forwarding.plannedstop import PlannedStop
 from kingcupwheel.forwarding.pulse import Pulses
 from kingcupwheel.forwarding.serverbook import ServerBook
@@ -159,7 +159,7 @@
         settings = self._settings
         addresses = AddressesPage(self._addresses, self._forwarding.address_keep_s)
         pages = {
-            self._forwarding.ready: ReadyPage(self._is_ready),
+            self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
         }
         if self._forwarding.metrics:
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/pages.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.exchange import Environ
 
 
-class ReadyPage:
+class ReadinessEndpoint:
     """Tells the platform whether this entry can answer callers."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
