--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -26,7 +26,7 @@
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
 from kingcupwheel.forwarding.neighbours import EntryMembership
-from kingcupwheel.forwarding.pages import AddressesPage
+from kingcupwheel.forwarding.pages import AddressesEndpoint
 from kingcupwheel.forwarding.pages import ReadinessEndpoint
 from kingcupwheel.forwarding.plannedstop import PlannedStop
 from kingcupwheel.forwarding.pulse import Pulses
@@ -157,7 +157,7 @@
 
     def _make_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesPage(self._addresses, self._forwarding.address_keep_s)
+        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
         pages = {
             self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/pages.py
@@ -33,7 +33,7 @@
         return (b"",)
 
 
-class AddressesPage:
+class AddressesEndpoint:
     """Tells callers which entries to connect to.
 
     ``addresses`` returns those for a caller in the data centre it is given.
