--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -28,7 +28,7 @@
 from kingcupwheel.forwarding.neighbours import EntryMembership
 from kingcupwheel.forwarding.pages import AddressesEndpoint
 from kingcupwheel.forwarding.pages import ReadinessEndpoint
-from kingcupwheel.forwarding.plannedstop import PlannedStop
+from kingcupwheel.forwarding.plannedstop import GracefulShutdown
 from kingcupwheel.forwarding.pulse import Pulses
 from kingcupwheel.forwarding.serverbook import ServerBook
 from kingcupwheel.forwarding.serverlist import ServerListHandler
@@ -221,7 +221,7 @@
         log.info("leaving", in_progress=self._application.in_progress)
         self._caretaker.stop()
         self._neighbours.deregister(self._store)
-        cut = PlannedStop(stopping, self._application, self._servers[0]).wait()
+        cut = GracefulShutdown(stopping, self._application, self._servers[0]).wait()
         for follower in self._followers:
             follower.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -22,7 +22,7 @@
 _LAST_BYTES_S = 0.5
 
 
-class PlannedStop:
+class GracefulShutdown:
     """One stop of the ``application`` behind the HTTP server ``callers`` use."""
 
     def __init__(
