--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -68,7 +68,7 @@
         return len(self._underway)
 
     @property
-    def came_at_by_id(self) -> dict[str, float]:
+    def received_at_by_id(self) -> dict[str, float]:
         """When each request in progress came, monotonic."""
         return self._underway.came_at_by_id
 
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -63,7 +63,7 @@
         ``came_after_s`` counts from the signal to stop, negative before it.
         """
         now = monotonic()
-        came_at_by_id = self._application.came_at_by_id
+        came_at_by_id = self._application.received_at_by_id
         for request_id, came_at in came_at_by_id.items():
             log.warning(
                 "cut-by-stop",
