--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -72,7 +72,7 @@
         """When each request in progress came, monotonic."""
         return self._underway.came_at_by_id
 
-    def stop(self, stopping: Stopping) -> None:
+    def begin_shutdown(self, stopping: Stopping) -> None:
         """Take only what this planned stop leaves time for, and end the rest in time.
 
         Each answer from now on closes its connection.
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -216,7 +216,7 @@
         began = monotonic() if asked_at is None else asked_at
         stopping = Stopping(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.stop(stopping)
+        self._application.begin_shutdown(stopping)
         self._neighbours.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress)
         self._caretaker.stop()
