--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -80,7 +80,7 @@
         self._stopping = stopping
         self._context.watchdog.abort_all_at(stopping.answers_end_at)
 
-    def close(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Take nothing more; what was counted in before is still answered."""
         self._closed = True
 
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -38,7 +38,7 @@
             Event().wait(_LOOK_S)
         self._wait_for_answers()
         # A request may have come since nothing was in progress; it is answered too.
-        self._application.close()
+        self._application.refuse_new_requests()
         self._wait_for_answers()
         self._wait_for_last_bytes()
         return self._log_cut()
