--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -30,7 +30,7 @@
 
 class _Kept(NamedTuple):
     connection: HTTPConnection
-    until: float
+    expires_at: float
 
 
 class ConnectionPool:
@@ -48,7 +48,7 @@
                 if not kept:
                     return None
                 one = kept.pop()
-            if monotonic() < one.until and _is_quiet(one.connection):
+            if monotonic() < one.expires_at and _is_quiet(one.connection):
                 return one.connection
             one.connection.close()
 
