--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -36,8 +36,8 @@
 
 # When a caller that an entry which stops refuses may come back, in seconds: at once if
 # another entry is there, else when this one may have started again.
-_ELSEWHERE_RETRY_S = 0.05
-_RESTART_RETRY_S = 1.0
+_PEER_RETRY_AFTER_S = 0.05
+_RESTART_RETRY_AFTER_S = 1.0
 
 
 class ForwardApplication:
@@ -52,25 +52,25 @@
         knowledge: Callable[[], Knowledge],
         *,
         name: str,
-        others_live: Callable[[], bool],
+        has_live_peers: Callable[[], bool],
     ) -> None:
         self._context = context
         self._knowledge = knowledge
         self._name = name
-        self._others_live = others_live
+        self._has_live_peers = has_live_peers
         self._stopping: Stopping | None = None
-        self._closed = False
-        self._underway = Underway()
+        self._refuses_new = False
+        self._active_requests = Underway()
 
     @property
     def in_progress(self) -> int:
         """How many requests are not yet answered to their end."""
-        return len(self._underway)
+        return len(self._active_requests)
 
     @property
     def received_at_by_id(self) -> dict[str, float]:
         """When each request in progress came, monotonic."""
-        return self._underway.came_at_by_id
+        return self._active_requests.came_at_by_id
 
     def begin_shutdown(self, stopping: Stopping) -> None:
         """Take only what this planned stop leaves time for, and end the rest in time.
@@ -82,7 +82,7 @@
 
     def refuse_new_requests(self) -> None:
         """Take nothing more; what was counted in before is still answered."""
-        self._closed = True
+        self._refuses_new = True
 
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
@@ -92,37 +92,39 @@
         if self._stopping is not None:
             exchange.close_after()
         received = exchange.received(self._name, self._body_limit())
-        received = received._replace(id=self._underway.enter(received))
+        received = received._replace(id=self._active_requests.enter(received))
         try:
             body = self._answer(exchange, received)
         except BaseException:
-            self._underway.leave(received.id)
+            self._active_requests.leave(received.id)
             raise
-        return self._until_sent(body, received.id)
+        return self._track_until_sent(body, received.id)
 
     def _body_limit(self) -> int:
         configuration = self._knowledge().configuration
         limits = RequestLimits() if configuration is None else configuration.limits
         return limits.max_body_bytes
 
-    def _refusal_of_stop(self, request: ForwardRequest) -> Refusal | None:
+    def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
         """Return the refusal of what can't end before this process does."""
         stopping = self._stopping
         if stopping is None:
             return None
         now = monotonic()
         over_at = request.times.over_at
-        if not self._closed and stopping.takes(
+        if not self._refuses_new and stopping.takes(
             now,
             over_at=over_at,
-            longest_s=self._underway.longest_s(request, now),
+            longest_s=self._active_requests.longest_s(request, now),
             streamed=request.route.is_streamed,
         ):
             return None
-        retry_s = _ELSEWHERE_RETRY_S if self._others_live() else _RESTART_RETRY_S
+        retry_s = (
+            _PEER_RETRY_AFTER_S if self._has_live_peers() else _RESTART_RETRY_AFTER_S
+        )
         return LEAVING._replace(retry_after_s=spread(retry_s, request.id))
 
-    def _may_run(self, request: ForwardRequest) -> bool:
+    def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that no server has may still be sent to one."""
         stopping = self._stopping
         if stopping is None:
@@ -130,24 +132,28 @@
         now = monotonic()
         over_at = request.times.over_at
         return stopping.may_run(
-            now, over_at=over_at, longest_s=self._underway.longest_s(request, now)
+            now,
+            over_at=over_at,
+            longest_s=self._active_requests.longest_s(request, now),
         )
 
-    def _until_sent(self, body: Iterable[bytes], request_id: str) -> Iterator[bytes]:
+    def _track_until_sent(
+        self, body: Iterable[bytes], request_id: str
+    ) -> Iterator[bytes]:
         try:
             yield from body
         finally:
-            self._underway.leave(request_id)
+            self._active_requests.leave(request_id)
 
     def _answer(self, exchange: Exchange, received: Received) -> Iterable[bytes]:
         request = admit(received, self._knowledge())
         if not isinstance(request, Refusal):
-            request = self._refusal_of_stop(request) or request
+            request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
             self._log_refused(received, request)
             return exchange.pass_on(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
-            exchange.socket, request.times.over_at, partial(self._may_run, request)
+            exchange.socket, request.times.over_at, partial(self._may_dispatch, request)
         )
         self._context.watchdog.watch(watched)
         try:
@@ -157,9 +163,9 @@
             raise
         body = exchange.pass_on(answer, received.id)
         refused = isinstance(answer, RefusedAnswer)
-        return self._watched_until_sent(body, watched, None if refused else request)
+        return self._watch_until_sent(body, watched, None if refused else request)
 
-    def _watched_until_sent(
+    def _watch_until_sent(
         self,
         body: Iterable[bytes],
         watched: WatchedRequest,
@@ -171,7 +177,7 @@
         finally:
             self._context.watchdog.unwatch(watched)
             if answered is not None:
-                self._underway.answered(answered, monotonic())
+                self._active_requests.answered(answered, monotonic())
 
     def _log_refused(self, received: Received, refusal: Refusal) -> None:
         knowledge = self._knowledge()
--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -28,10 +28,10 @@
 CONFIGURATION_REFRESH_AGE_S = 2.6
 # Each entry asks when its knowledge is this much less old, at most: one that asks tells
 # the others with its next heartbeat, so among many few have to.
-_ASK_SPREAD_S = 0.9
-_LOOK_S = 0.2
+_REFRESH_AGE_JITTER_S = 0.9
+_POLL_INTERVAL_S = 0.2
 # Between two tries to register or to list the entries, in seconds.
-_TRY_AGAIN_S = 1.0
+_RETRY_INTERVAL_S = 1.0
 
 
 class StoreMaintainer:
@@ -40,14 +40,14 @@
     def __init__(
         self,
         store: ObjectStore,
-        currency: ConfigurationCache,
-        neighbours: EntryMembership,
+        configuration_cache: ConfigurationCache,
+        membership: EntryMembership,
     ) -> None:
         self._store = store
-        self._currency = currency
-        self._neighbours = neighbours
+        self._configuration_cache = configuration_cache
+        self._membership = membership
         self._stopping = Event()
-        self._ask_again_s = CONFIGURATION_REFRESH_AGE_S
+        self._refresh_age_s = CONFIGURATION_REFRESH_AGE_S
         self._thread = Thread(target=self._run, name="caretaker", daemon=True)
 
     def start(self) -> None:
@@ -57,45 +57,47 @@
     def stop(self) -> None:
         """End the thread, so that it does not register an entry that leaves."""
         self._stopping.set()
-        self._thread.join(_TRY_AGAIN_S)
+        self._thread.join(_RETRY_INTERVAL_S)
 
     def _run(self) -> None:
         registered = known = False
         while not self._stopping.is_set():
-            registered = registered or self._neighbours.register(self._store)
-            known = known or self._know_entries()
-            self._ask_again()
-            for told in self._neighbours.take_expired():
-                self._remove(told)
+            registered = registered or self._membership.register(self._store)
+            known = known or self._load_entries()
+            self._refresh_configuration()
+            for told in self._membership.take_expired():
+                self._remove_expired(told)
             done = registered and known
-            self._stopping.wait(_LOOK_S if done else _TRY_AGAIN_S)
+            self._stopping.wait(_POLL_INTERVAL_S if done else _RETRY_INTERVAL_S)
 
-    def _know_entries(self) -> bool:
+    def _load_entries(self) -> bool:
         listed = self._store.listing(ENTRIES_KIND)
         if listed.is_ok():
-            self._neighbours.add_stored(listed.ok.objects)
+            self._membership.add_stored(listed.ok.objects)
         return bool(listed.is_ok())
 
-    def _ask_again(self) -> None:
+    def _refresh_configuration(self) -> None:
         """Ask the store itself once watches and peers have told nothing for long.
 
         Failure: the store takes many times its usual time, or a watch's connection has
         gone silent. Symptom: requests with keys are refused though a call would be
         answered in time.
         """
-        age_s = self._currency.age_s()
-        if self._currency.current is None or age_s < self._ask_again_s:
+        age_s = self._configuration_cache.age_s()
+        if self._configuration_cache.current is None or age_s < self._refresh_age_s:
             return
-        self._ask_again_s = (
-            CONFIGURATION_REFRESH_AGE_S - random.random() * _ASK_SPREAD_S
+        self._refresh_age_s = (
+            CONFIGURATION_REFRESH_AGE_S - random.random() * _REFRESH_AGE_JITTER_S
         )
-        asked_at = self._currency.now()
+        asked_at = self._configuration_cache.now()
         found = self._store.read(CONFIGURATION_KIND, CONFIGURATION_NAME)
         if found.is_ok() and found.ok is not None:
-            adopt_configuration(self._currency, found.ok.body, asked_at, source="store")
+            adopt_configuration(
+                self._configuration_cache, found.ok.body, asked_at, source="store"
+            )
             log.info("asked-again", age_s=round(age_s, 2))
 
-    def _remove(self, told: EntryTold) -> None:
+    def _remove_expired(self, told: EntryTold) -> None:
         """Take an entry that is gone for good out of the store."""
         found = self._store.read(ENTRIES_KIND, told.name)
         if found.is_error() or found.ok is None:
--- a/src/kingcupwheel/forwarding/connections.py
+++ b/src/kingcupwheel/forwarding/connections.py
@@ -18,17 +18,17 @@
 # Servers close idle ones after some seconds; a request that crosses the close is lost.
 DEFAULT_KEEPALIVE_S = 4.0
 # Taken off a server's own time, for its answer's way and a slow timer.
-_IDLE_MARGIN_S = 1.0
+_KEEPALIVE_MARGIN_S = 1.0
 # How long a connection may take to be established: a hundred times the usual way, and
 # short enough that another server can still answer a plain request in time.
 CONNECT_TIMEOUT_S = 0.3
 # Kept for one server at most: as many as it runs requests from this process.
-_KEPT_AT_MOST = 8
+_MAX_IDLE_PER_SERVER = 8
 # A safety net only; waits are bounded by the watchdog.
-_SOCKET_S = 30.0
+_SOCKET_TIMEOUT_S = 30.0
 
 
-class _Kept(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: HTTPConnection
     expires_at: float
 
@@ -37,18 +37,18 @@
     """Kept connections by the life of their server; safe from any thread."""
 
     def __init__(self) -> None:
-        self._kept_by_life: dict[str, list[_Kept]] = {}
+        self._idle_by_incarnation: dict[str, list[_IdleConnection]] = {}
         self._lock = Lock()
 
-    def acquire(self, life: str) -> HTTPConnection | None:
+    def acquire(self, incarnation: str) -> HTTPConnection | None:
         """Return a kept connection that is still open, or None."""
         while True:
             with self._lock:
-                kept = self._kept_by_life.get(life)
+                kept = self._idle_by_incarnation.get(incarnation)
                 if not kept:
                     return None
                 one = kept.pop()
-            if monotonic() < one.expires_at and _is_quiet(one.connection):
+            if monotonic() < one.expires_at and _is_reusable(one.connection):
                 return one.connection
             one.connection.close()
 
@@ -63,31 +63,35 @@
             raise NotConnectedError(f"{type(error).__name__}") from error
         assert connection.sock is not None, "connected"
         # The library sets it on the socket again for each request.
-        connection.timeout = _SOCKET_S
+        connection.timeout = _SOCKET_TIMEOUT_S
         return connection
 
     def release(
-        self, life: str, connection: HTTPConnection, idle_s: float | None
+        self, incarnation: str, connection: HTTPConnection, keepalive_s: float | None
     ) -> None:
         """Keep a connection whose last answer was whole."""
-        usable_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s - _IDLE_MARGIN_S
+        usable_s = (
+            DEFAULT_KEEPALIVE_S
+            if keepalive_s is None
+            else keepalive_s - _KEEPALIVE_MARGIN_S
+        )
         if usable_s > 0:
             with self._lock:
-                kept = self._kept_by_life.setdefault(life, [])
-                if len(kept) < _KEPT_AT_MOST:
-                    kept.append(_Kept(connection, monotonic() + usable_s))
+                kept = self._idle_by_incarnation.setdefault(incarnation, [])
+                if len(kept) < _MAX_IDLE_PER_SERVER:
+                    kept.append(_IdleConnection(connection, monotonic() + usable_s))
                     return
         connection.close()
 
-    def close_server(self, life: str) -> None:
+    def close_server(self, incarnation: str) -> None:
         """Close what is kept of a server that left, or whose connections are bad."""
         with self._lock:
-            kept = self._kept_by_life.pop(life, [])
+            kept = self._idle_by_incarnation.pop(incarnation, [])
         for one in kept:
             one.connection.close()
 
 
-def _is_quiet(connection: HTTPConnection) -> bool:
+def _is_reusable(connection: HTTPConnection) -> bool:
     """Return whether nothing has come since the last answer, not even a close."""
     if connection.sock is None:
         return False
--- a/src/kingcupwheel/forwarding/currency.py
+++ b/src/kingcupwheel/forwarding/currency.py
@@ -31,7 +31,7 @@
 
     def __init__(self, clock: Callable[[], float] = boottime_s) -> None:
         self._clock = clock
-        self._current: Configuration | None = None
+        self._configuration: Configuration | None = None
         self._as_of = float("-inf")
         self._lock = Lock()
 
@@ -42,12 +42,12 @@
     @property
     def current(self) -> Configuration | None:
         """The newest configuration known, None before the first."""
-        return self._current
+        return self._configuration
 
     @property
     def version(self) -> int:
         """Its version, 0 before the first."""
-        current = self._current
+        current = self._configuration
         return 0 if current is None else current.version
 
     def age_s(self) -> float:
@@ -70,7 +70,7 @@
                 return False
             is_new = found.version > self.version
             if is_new:
-                self._current = found
+                self._configuration = found
             self._as_of = max(self._as_of, as_of)
         return is_new
 
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -61,15 +61,15 @@
 _PAGE_THREADS = 2
 _PAGE_CONNECTIONS = 200
 # Between two looks at servers' loads and links, in seconds.
-_TICK_S = 0.1
-_REFRESH_S = 0.5
+_TICK_INTERVAL_S = 0.1
+_REFRESH_INTERVAL_S = 0.5
 # Taken off the time within which a key must stop working: a store that is about to
 # forget its history answers watches for up to a second without news.
 _REVOKE_MARGIN_S = 1.3
 # A denial of a route or key needs knowledge no older than two watches and a slow
 # answer.
-_DENYING_S = 3.6
-_MS = 1000.0
+_MAX_DENIAL_AGE_S = 3.6
+_MS_PER_S = 1000.0
 
 
 class ForwardingDaemon:
@@ -85,12 +85,12 @@
         self._refresh_at = 0.0
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
-        self._currency = ConfigurationCache()
+        self._configuration_cache = ConfigurationCache()
         self._hub = Hub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
-            tick_s=_TICK_S,
+            tick_s=_TICK_INTERVAL_S,
         )
         table = ServerTable(settings.timings)
         dispatchers = Dispatchers(table, data_centre=settings.data_centre)
@@ -99,11 +99,11 @@
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._neighbours.fleet_size)
+        self._guards = Guards(budget, lambda: self._membership.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
-            configuration_cache=self._currency,
+            configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
             servers=ServerBook(table, dispatchers),
             server_client=ServerCalls(connections),
@@ -113,49 +113,53 @@
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
-        self._greeter = AgentLoadPoller(
+        self._load_poller = AgentLoadPoller(
             settings,
             self._hub,
             self._context.servers,
-            self._currency,
-            leaving=self._leaving.is_set,
+            self._configuration_cache,
+            is_leaving=self._leaving.is_set,
         )
         me = EntryTold(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
-        self._neighbours = EntryMembership(me, self._hub, self._currency, self._guards)
-        self._followers = self._make_followers()
+        self._membership = EntryMembership(
+            me, self._hub, self._configuration_cache, self._guards
+        )
+        self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
             self._knowledge,
             name=settings.name,
-            others_live=lambda: bool(self._neighbours.live_entries()),
+            has_live_peers=lambda: bool(self._membership.live_entries()),
+        )
+        self._http_servers = self._make_http_servers()
+        self._store_maintainer = StoreMaintainer(
+            self._store, self._configuration_cache, self._membership
         )
-        self._servers = self._make_servers()
-        self._caretaker = StoreMaintainer(self._store, self._currency, self._neighbours)
 
-    def _make_followers(self) -> tuple[StoreWatcher, ...]:
-        clock = self._currency.now
-        configuration = ConfigurationHandler(self._currency)
-        listed = ServerListHandler(self._on_servers)
+    def _make_watchers(self) -> tuple[StoreWatcher, ...]:
+        clock = self._configuration_cache.now
+        configuration = ConfigurationHandler(self._configuration_cache)
+        listed = ServerListHandler(self._on_server_list)
         return (
             StoreWatcher(
                 self._store,
                 configuration,
                 clock,
-                lambda: configuration_watch_timing(self._neighbours.known_count),
+                lambda: configuration_watch_timing(self._membership.known_count),
             ),
             StoreWatcher(
                 self._store,
                 listed,
                 clock,
                 lambda: server_watch_timing(
-                    self._neighbours.known_count, self._forwarding.steady_ms / _MS
+                    self._membership.known_count, self._forwarding.steady_ms / _MS_PER_S
                 ),
             ),
         )
 
-    def _make_servers(self) -> tuple[HttpServer, ...]:
+    def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
         addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
         pages = {
@@ -188,14 +192,14 @@
 
     def start(self) -> None:
         """Bind, then start every part."""
-        for server in self._servers:
+        for server in self._http_servers:
             server.bind()
         self._hub.start()
         self._context.watchdog.start()
-        for follower in self._followers:
+        for follower in self._watchers:
             follower.start()
-        self._caretaker.start()
-        for server in self._servers:
+        self._store_maintainer.start()
+        for server in self._http_servers:
             server.start()
         log.info("started", pid=os.getpid(), http=self._settings.http)
 
@@ -217,42 +221,45 @@
         stopping = Stopping(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.begin_shutdown(stopping)
-        self._neighbours.announce_leaving()
+        self._membership.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress)
-        self._caretaker.stop()
-        self._neighbours.deregister(self._store)
-        cut = GracefulShutdown(stopping, self._application, self._servers[0]).wait()
-        for follower in self._followers:
+        self._store_maintainer.stop()
+        self._membership.deregister(self._store)
+        cut = GracefulShutdown(
+            stopping, self._application, self._http_servers[0]
+        ).wait()
+        for follower in self._watchers:
             follower.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
     def _knowledge(self) -> Knowledge:
         return Knowledge(
-            self._currency.current,
-            self._currency.age_s(),
-            self._forwarding.revoke_ms / _MS - _REVOKE_MARGIN_S,
-            _DENYING_S,
+            self._configuration_cache.current,
+            self._configuration_cache.age_s(),
+            self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
+            _MAX_DENIAL_AGE_S,
         )
 
     def _is_ready(self) -> bool:
         knows = (
-            self._currency.current is not None and not self._context.servers.is_empty
+            self._configuration_cache.current is not None
+            and not self._context.servers.is_empty
         )
         return knows and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
-        live = self._neighbours.live_entries()
+        live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
         return tuple(one.http for one in live)
 
     def _refresh_metrics(self) -> None:
-        age_s = min(self._currency.age_s(), 1e6)
+        age_s = min(self._configuration_cache.age_s(), 1e6)
         self._metrics.configuration_age.set(age_s)
-        self._metrics.configuration_version.set(self._currency.version)
-        self._metrics.live_entries.set(len(self._neighbours.live_entries()))
+        self._metrics.configuration_version.set(self._configuration_cache.version)
+        self._metrics.live_entries.set(len(self._membership.live_entries()))
 
-    def _on_servers(
+    def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
         self._context.servers.list_is(backends)
@@ -267,33 +274,33 @@
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
             case EntryBeat():
-                self._neighbours.on_heartbeat(message)
+                self._membership.on_heartbeat(message)
             case Beat() | LoadsTold():
-                self._greeter.on_report(link, message)
+                self._load_poller.on_report(link, message)
             case ManifestWanted():
-                self._neighbours.on_configuration_request(link, message)
+                self._membership.on_configuration_request(link, message)
             case ManifestObject():
-                self._neighbours.on_configuration(message)
+                self._membership.on_configuration(message)
             case _:
                 log.warning("message-unexpected", message=type(message).__name__)
 
     def _on_tick(self, now: float) -> None:
-        self._neighbours.on_tick(now)
-        self._note_standstills(now)
+        self._membership.on_tick(now)
+        self._log_stalls(now)
         self._context.servers.end_rests()
-        if now - self._refresh_at >= _REFRESH_S:
+        if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
             self._context.servers.refresh()
-            self._evacuate()
-        self._greeter.on_tick(now)
+            self._abort_slow_streams()
+        self._load_poller.on_tick(now)
 
-    def _evacuate(self) -> None:
+    def _abort_slow_streams(self) -> None:
         """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
         slow = frozenset(self._context.servers.slow())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers.info("streams-moved", servers=sorted(slow), streams=moved)
 
-    def _note_standstills(self, now: float) -> None:
+    def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service fall silent together, and go on."""
         for service, pulse in self._context.liveness.items():
             streams = self._context.servers.in_flight(service)
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -41,12 +41,12 @@
 LARGE_FLEET_WATCH_WAIT_S = 12.0
 # After news, many entries wait so long for more of it before they watch again: servers
 # that start together were news to each of 31 entries one by one.
-_MORE_NEWS_S = 0.2
+_CHANGE_BATCHING_S = 0.2
 # Pause after a failed call, in seconds, and the longest one.
-_PAUSE_S = 0.15
-_LONGEST_PAUSE_S = 0.6
+_RETRY_DELAY_S = 0.15
+_MAX_RETRY_DELAY_S = 0.6
 # Taken off the time within which a watch that hangs must be found.
-_WATCH_SLACK_S = 0.3
+_WATCH_TIMEOUT_MARGIN_S = 0.3
 
 
 class KindHandler(Protocol):
@@ -80,7 +80,8 @@
     if entries < LARGE_FLEET_ENTRIES:
         return WatchTiming()
     return WatchTiming(
-        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
+        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_S - _WATCH_TIMEOUT_MARGIN_S),
+        _CHANGE_BATCHING_S,
     )
 
 
@@ -99,19 +100,19 @@
     def __init__(
         self,
         store: ObjectStore,
-        follower: KindHandler,
+        handler: KindHandler,
         clock: Callable[[], float],
-        pace: Callable[[], WatchTiming] = WatchTiming,
+        timing: Callable[[], WatchTiming] = WatchTiming,
     ) -> None:
         self._store = store
-        self._pace = pace
-        self._follower = follower
+        self._timing = timing
+        self._handler = handler
         self._clock = clock
         self._revision = 0
         self._outage = OutageTracker()
-        self._pause_s = _PAUSE_S
+        self._retry_delay_s = _RETRY_DELAY_S
         self._stopping = Event()
-        name = f"follow-{follower.kind}"
+        name = f"follow-{handler.kind}"
         self._thread = Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
@@ -128,24 +129,24 @@
             asked_at = self._clock()
             why = self._watch(asked_at) if self._revision else self._list(asked_at)
             if why is None:
-                self._note_answer(began)
+                self._record_success(began)
             else:
-                self._note_failure(why, began)
-                self._stopping.wait(self._pause_s)
-                self._pause_s = min(2 * self._pause_s, _LONGEST_PAUSE_S)
+                self._record_failure(why, began)
+                self._stopping.wait(self._retry_delay_s)
+                self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
     def _list(self, asked_at: float) -> PlatformError | None:
-        asked = self._store.listing(self._follower.kind)
+        asked = self._store.listing(self._handler.kind)
         if asked.is_error():
             return asked.error
         away_s = self._outage.duration_s(monotonic())
-        self._follower.on_list(asked.ok.objects, asked_at, away_s=away_s)
+        self._handler.on_list(asked.ok.objects, asked_at, away_s=away_s)
         self._revision = asked.ok.revision
         return None
 
     def _watch(self, asked_at: float) -> PlatformError | None:
-        kind = self._follower.kind
-        pace = self._pace()
+        kind = self._handler.kind
+        pace = self._timing()
         asked = self._store.watch(kind, after=self._revision, wait_s=pace.wait_s)
         if asked.is_error():
             # After any failure the list is read anew: what happened meanwhile may have
@@ -155,23 +156,23 @@
                 log.info("history-gone", kind=kind, revision=asked.error.revision)
                 return None
             return asked.error
-        self._follower.on_changes(asked.ok.changes, asked_at)
+        self._handler.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
         if asked.ok.changes and pace.pause_s:
             self._stopping.wait(pace.pause_s)
         return None
 
-    def _note_answer(self, began: float) -> None:
-        self._pause_s = _PAUSE_S
+    def _record_success(self, began: float) -> None:
+        self._retry_delay_s = _RETRY_DELAY_S
         if self._outage.is_active and self._revision:
             away_s = round(self._outage.duration_s(monotonic()), 2)
-            log.info("store-regained", kind=self._follower.kind, away_s=away_s)
+            log.info("store-regained", kind=self._handler.kind, away_s=away_s)
         self._outage.record_success(began)
 
-    def _note_failure(self, why: PlatformError, began: float) -> None:
+    def _record_failure(self, why: PlatformError, began: float) -> None:
         silent = isinstance(why, Unavailable) and why.silent
         if self._outage.record_failure(began, monotonic(), silent=silent):
-            log.warning("store-lost", kind=self._follower.kind, why=str(why))
+            log.warning("store-lost", kind=self._handler.kind, why=str(why))
 
 
 class ConfigurationHandler:
@@ -179,8 +180,8 @@
 
     kind = CONFIGURATION_KIND
 
-    def __init__(self, currency: ConfigurationCache) -> None:
-        self._currency = currency
+    def __init__(self, cache: ConfigurationCache) -> None:
+        self._cache = cache
 
     def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
@@ -188,30 +189,28 @@
         """Adopt the configuration if it is there."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
-                adopt_configuration(
-                    self._currency, found.body, asked_at, source="store"
-                )
+                adopt_configuration(self._cache, found.body, asked_at, source="store")
 
     def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.removed:
                 adopt_configuration(
-                    self._currency, change.object.body, asked_at, source="store"
+                    self._cache, change.object.body, asked_at, source="store"
                 )
         if not changes:
-            self._currency.confirm(self._currency.version, asked_at)
+            self._cache.confirm(self._cache.version, asked_at)
 
 
 def adopt_configuration(
-    currency: ConfigurationCache, raw: bytes, as_of: float, *, source: str
+    cache: ConfigurationCache, raw: bytes, as_of: float, *, source: str
 ) -> None:
     """Decode and adopt a configuration that was the newest at ``as_of``."""
     decoded = decode_configuration(raw)
     if decoded.is_error():
         log.error("configuration-refused", why=decoded.error, source=source)
         return
-    if currency.update(decoded.ok, as_of):
+    if cache.update(decoded.ok, as_of):
         routes = sum(len(found) for found in decoded.ok.routes_by_host.values())
         log.info(
             "configuration-adopted",
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -29,7 +29,7 @@
 
 # Agents tell loads for some seconds after they were asked; asked so often, one lost
 # question goes unnoticed.
-_HELLO_S = 1.0
+_POLL_INTERVAL_S = 1.0
 
 
 class AgentLoadPoller:
@@ -39,39 +39,39 @@
         self,
         settings: Settings,
         hub: Hub,
-        book: ServerBook,
-        currency: ConfigurationCache,
+        servers: ServerBook,
+        configuration_cache: ConfigurationCache,
         *,
-        leaving: Callable[[], bool],
+        is_leaving: Callable[[], bool],
     ) -> None:
         self._settings = settings
         self._hub = hub
-        self._book = book
-        self._currency = currency
-        self._leaving = leaving
-        self._asked_at = 0.0
+        self._servers = servers
+        self._configuration_cache = configuration_cache
+        self._is_leaving = is_leaving
+        self._polled_at = 0.0
         self._heads = LoadHeads(settings.data_centre)
 
     def on_report(self, link: Link, message: Beat | LoadsTold) -> None:
         """Take in what an agent says of its server, or of those of a data centre."""
         if isinstance(message, Beat):
-            self._book.agents_say((_server_told(message),))
+            self._servers.agents_say((_report_from(message),))
             return
         if isinstance(link, Outgoing):
             self._heads.heard(link.address, monotonic())
-        self._book.agents_say(message.servers)
+        self._servers.agents_say(message.servers)
 
     def on_tick(self, now: float) -> None:
         """Ask when it is time."""
-        current = self._currency.current
-        if current is None or now - self._asked_at < _HELLO_S:
+        current = self._configuration_cache.current
+        if current is None or now - self._polled_at < _POLL_INTERVAL_S:
             return
         port = self._settings.listen.rpartition(":")[2]
-        agents = _agents_beside_engines(self._book.backends, current, port)
+        agents = _engine_agents(self._servers.backends, current, port)
         if not agents:
             # The list of servers is still on its way; it is not waited for a second.
             return
-        self._asked_at = now
+        self._polled_at = now
         if sum(map(len, agents.values())) > DIRECT_AGENTS:
             for head, members, every_s in self._heads.asks(agents, now):
                 self._hub.send(Outgoing(head, 0), LoadsAsk(members, every_s))
@@ -83,11 +83,11 @@
     def _hello(self, current: Configuration) -> Hello:
         settings = self._settings
         return Hello(
-            settings.name, settings.data_centre, current.version, "", self._leaving()
+            settings.name, settings.data_centre, current.version, "", self._is_leaving()
         )
 
 
-def _agents_beside_engines(
+def _engine_agents(
     backends: Iterable[Backend], current: Configuration, port: str
 ) -> dict[str, list[str]]:
     """Return the addresses of agents by data centre."""
@@ -100,7 +100,7 @@
     return found
 
 
-def _server_told(beat: Beat) -> ServerTold:
+def _report_from(beat: Beat) -> ServerTold:
     load = beat.load
     return ServerTold(
         beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -34,34 +34,38 @@
 # The kind of object in the users' store under which entries find each other.
 ENTRIES_KIND = "kingcupwheel-entries"
 # The name under which peers hand each other the configuration.
-_CONFIGURATION = "configuration"
+_CONFIGURATION_KEY = "configuration"
 # Every so many heartbeats, or as many as there are entries, name the other entries, and
 # so do the first of a process: news of an entry that only one peer has found passes on
 # without the store.
-_KNOWN_EVERY = 8
-_FIRST_BEATS = 4
+_FULL_LIST_EVERY = 8
+_FULL_LIST_FIRST = 4
 # How long a peer is left alone after it was asked for the configuration, in seconds.
-_ASK_AGAIN_S = 0.5
+_REQUEST_INTERVAL_S = 0.5
 
 
 class EntryMembership:
     """The other entries; safe from any thread."""
 
     def __init__(
-        self, me: EntryTold, hub: Hub, currency: ConfigurationCache, guards: Guards
+        self,
+        me: EntryTold,
+        hub: Hub,
+        configuration_cache: ConfigurationCache,
+        guards: Guards,
     ) -> None:
         self._me = me
         self._hub = hub
-        self._currency = currency
+        self._configuration_cache = configuration_cache
         self._guards = guards
         self._peers = PeerTable(me)
         self._incarnation = secrets.token_hex(4)
-        self._beat_at = 0.0
-        self._beats = 0
-        self._asked_at = 0.0
+        self._heartbeat_at = 0.0
+        self._heartbeat_count = 0
+        self._requested_at = 0.0
         self._leaving = False
         self._revision = 0
-        self._dead: list[EntryTold] = []
+        self._expired: list[EntryTold] = []
         self._live_names: frozenset[str] = frozenset()
         self._lock = Lock()
 
@@ -116,45 +120,48 @@
     def take_expired(self) -> tuple[EntryTold, ...]:
         """Return, once, entries not heard for so long that they are gone for good."""
         with self._lock:
-            dead = tuple(self._dead)
-            self._dead.clear()
+            dead = tuple(self._expired)
+            self._expired.clear()
         return dead
 
     def announce_leaving(self) -> None:
         """Tell every peer at once that this entry stops."""
         self._leaving = True
-        self._beat_at = 0.0
+        self._heartbeat_at = 0.0
 
     def on_tick(self, now: float) -> None:
         """Send heartbeats when it is time; runs on the hub's thread."""
         with self._lock:
-            due = now - self._beat_at >= self._peers.heartbeat_interval_s()
+            due = now - self._heartbeat_at >= self._peers.heartbeat_interval_s()
             if not due:
                 return
-            self._beat_at = now
-            self._beats += 1
+            self._heartbeat_at = now
+            self._heartbeat_count += 1
             for address in self._peers.take_silent_addresses(now):
                 self._hub.replace(address)
-            self._dead.extend(self._peers.remove_expired(now))
+            self._expired.extend(self._peers.remove_expired(now))
             peers = self._peers.known_entries
             echoes = {told.name: self._peers.echo_for(told.name) for told in peers}
-        every = max(_KNOWN_EVERY, len(peers))
-        names_others = self._beats <= _FIRST_BEATS or self._beats % every == 0
+        every = max(_FULL_LIST_EVERY, len(peers))
+        names_others = (
+            self._heartbeat_count <= _FULL_LIST_FIRST
+            or self._heartbeat_count % every == 0
+        )
         for told in peers:
             known = peers if names_others else ()
-            beat = self._beat(echoes[told.name], known)
+            beat = self._heartbeat(echoes[told.name], known)
             self._hub.send(Outgoing(told.address, 0), beat)
-        self._note_live()
+        self._log_live_changes()
 
-    def _beat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
-        age_s = self._currency.age_s()
+    def _heartbeat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
+        age_s = self._configuration_cache.age_s()
         return EntryBeat(
             me=self._me,
             incarnation=self._incarnation,
             leaving=self._leaving,
-            sent_at=self._currency.now(),
+            sent_at=self._configuration_cache.now(),
             echo=echo,
-            version=self._currency.version,
+            version=self._configuration_cache.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
             crashed=self._guards.crashed,
             known=known,
@@ -170,36 +177,36 @@
             self._guards.heard(beat.crashed)
         if is_new:
             # It knows nobody yet; an answer at once spares it a second alone.
-            self._beat_at = 0.0
+            self._heartbeat_at = 0.0
             log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
         freshness = confirmation_from(beat)
         if freshness is not None:
-            self._currency.confirm(freshness.version, freshness.as_of)
-        if beat.version > self._currency.version:
-            self._ask_for_configuration(beat, now)
-        self._note_live()
-
-    def _ask_for_configuration(self, beat: EntryBeat, now: float) -> None:
-        if now - self._asked_at >= _ASK_AGAIN_S:
-            self._asked_at = now
-            wanted = ManifestWanted(_CONFIGURATION)
+            self._configuration_cache.confirm(freshness.version, freshness.as_of)
+        if beat.version > self._configuration_cache.version:
+            self._request_configuration(beat, now)
+        self._log_live_changes()
+
+    def _request_configuration(self, beat: EntryBeat, now: float) -> None:
+        if now - self._requested_at >= _REQUEST_INTERVAL_S:
+            self._requested_at = now
+            wanted = ManifestWanted(_CONFIGURATION_KEY)
             self._hub.send(Outgoing(beat.me.address, 0), wanted)
 
     def on_configuration_request(self, link: Link, message: ManifestWanted) -> None:
         """Hand a peer the configuration that it has not."""
-        current = self._currency.current
-        if message.key == _CONFIGURATION and current is not None:
-            found = ManifestObject(_CONFIGURATION, current.version, current.raw)
+        current = self._configuration_cache.current
+        if message.key == _CONFIGURATION_KEY and current is not None:
+            found = ManifestObject(_CONFIGURATION_KEY, current.version, current.raw)
             self._hub.send(link, found)
 
     def on_configuration(self, message: ManifestObject) -> None:
         """Adopt a configuration from a peer; how old it is its heartbeats tell."""
-        if message.key == _CONFIGURATION and message.value is not None:
+        if message.key == _CONFIGURATION_KEY and message.value is not None:
             adopt_configuration(
-                self._currency, message.value, float("-inf"), source="peer"
+                self._configuration_cache, message.value, float("-inf"), source="peer"
             )
 
-    def _note_live(self) -> None:
+    def _log_live_changes(self) -> None:
         names = frozenset(told.name for told in self.live_entries())
         if names != self._live_names:
             gone = sorted(self._live_names - names)
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -19,10 +19,10 @@
 # Between two heartbeats to a peer, in seconds, among up to this many entries; with more
 # of them heartbeats are as much rarer, so that an entry's cost stays the same.
 HEARTBEAT_INTERVAL_S = 0.4
-_BEAT_ENTRIES = 12
+_FULL_RATE_ENTRIES = 12
 # Heartbeats missed in a row after which callers are no longer sent to an entry. A link
 # that loses packets holds up two or three.
-_MISSED = 3
+_MAX_MISSED_HEARTBEATS = 3
 # Entries that are taken to share a budget before any other one is known: more than
 # today's users have.
 DEFAULT_FLEET_SIZE = 12
@@ -57,7 +57,7 @@
         self._by_name: dict[str, _Peer] = {}
         # The most entries ever seen alive at once: shares of a common budget are taken
         # by it, since one that is cut off can't tell whether the others died.
-        self._most = 1
+        self._max_live_seen = 1
 
     @property
     def known_entries(self) -> tuple[EntryTold, ...]:
@@ -66,7 +66,9 @@
 
     def heartbeat_interval_s(self) -> float:
         """Return the seconds between two heartbeats to one peer."""
-        return HEARTBEAT_INTERVAL_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
+        return HEARTBEAT_INTERVAL_S * max(
+            1.0, (len(self._by_name) + 1) / _FULL_RATE_ENTRIES
+        )
 
     def add_known(self, entries: Iterable[EntryTold], now: float) -> None:
         """Take in entries that somebody names; only heartbeats tell if they live."""
@@ -89,12 +91,12 @@
         restarted = peer.beat is not None and peer.beat.incarnation != beat.incarnation
         peer.beat = beat
         peer.heard_at = now
-        self._most = max(self._most, len(self.live_entries(now)) + 1)
+        self._max_live_seen = max(self._max_live_seen, len(self.live_entries(now)) + 1)
         return is_new or restarted
 
     def live_entries(self, now: float) -> tuple[EntryTold, ...]:
         """Return the peers that callers may be sent to."""
-        silent_s = _MISSED * self.heartbeat_interval_s()
+        silent_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         return tuple(
             peer.told
             for peer in self._by_name.values()
@@ -112,8 +114,8 @@
         """
         known = len(self._by_name) + 1
         if known == 1:
-            return max(self._most, DEFAULT_FLEET_SIZE)
-        return max(self._most, known)
+            return max(self._max_live_seen, DEFAULT_FLEET_SIZE)
+        return max(self._max_live_seen, known)
 
     def echo_for(self, name: str) -> float:
         """Return the newest clock reading that the peer sent, 0 before the first."""
@@ -126,7 +128,7 @@
         Something between two machines may lose track of a connection: it stays silent
         for good while new ones work.
         """
-        limit_s = _MISSED * self.heartbeat_interval_s()
+        limit_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         found: list[str] = []
         for peer in self._by_name.values():
             since_s = now - max(peer.heard_at, peer.links_opened_at)
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -16,46 +16,49 @@
 
 log = lines_of("requests")
 
-_LOOK_S = 0.05
+_POLL_INTERVAL_S = 0.05
 # How long a stop waits for the last bytes of answers: a caller that has connected and
 # sends nothing must not hold it up.
-_LAST_BYTES_S = 0.5
+_FLUSH_TIMEOUT_S = 0.5
 
 
 class GracefulShutdown:
     """One stop of the ``application`` behind the HTTP server ``callers`` use."""
 
     def __init__(
-        self, stopping: Stopping, application: ForwardApplication, callers: HttpServer
+        self,
+        stopping: Stopping,
+        application: ForwardApplication,
+        http_server: HttpServer,
     ) -> None:
         self._stopping = stopping
         self._application = application
-        self._callers = callers
+        self._http_server = http_server
 
     def wait(self) -> int:
         """Return once the process may end; log and count the requests that it cuts."""
         while monotonic() < self._stopping.stays_until:
-            Event().wait(_LOOK_S)
+            Event().wait(_POLL_INTERVAL_S)
         self._wait_for_answers()
         # A request may have come since nothing was in progress; it is answered too.
         self._application.refuse_new_requests()
         self._wait_for_answers()
-        self._wait_for_last_bytes()
+        self._wait_for_flush()
         return self._log_cut()
 
     def _wait_for_answers(self) -> None:
         while self._application.in_progress and monotonic() < self._stopping.ends_at:
-            Event().wait(_LOOK_S)
+            Event().wait(_POLL_INTERVAL_S)
 
-    def _wait_for_last_bytes(self) -> None:
+    def _wait_for_flush(self) -> None:
         """Wait until the HTTP server has written what the application is done with.
 
         Failure: the process ends between the last event of a stream and the mark that
         ends it. Symptom: the caller has it all and must take it for cut.
         """
-        until = min(monotonic() + _LAST_BYTES_S, self._stopping.ends_at)
-        while not self._callers.is_idle and monotonic() < until:
-            Event().wait(_LOOK_S)
+        until = min(monotonic() + _FLUSH_TIMEOUT_S, self._stopping.ends_at)
+        while not self._http_server.is_idle and monotonic() < until:
+            Event().wait(_POLL_INTERVAL_S)
 
     def _log_cut(self) -> int:
         """Log requests that the end of the process cuts; their threads can't any more.
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -50,26 +50,26 @@
 
     def __init__(
         self,
-        caller: socket.socket | None,
-        time_up_at: float,
-        may_run: Callable[[], bool] = lambda: True,
+        caller_socket: socket.socket | None,
+        deadline: float,
+        may_dispatch: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.caller_socket = caller
-        self.may_dispatch = may_run
+        self.caller_socket = caller_socket
+        self.may_dispatch = may_dispatch
         self.instance = ""
         self.is_resumable_elsewhere = False
-        self.deadline = time_up_at
+        self.deadline = deadline
         self._server: socket.socket | None = None
-        self._silent_at = float("inf")
-        self._silence_s = float("inf")
-        self._may_give_up: Callable[[], bool] = lambda: True
-        self._cut: AbortReason | None = None
+        self._silence_deadline = float("inf")
+        self._silence_timeout_s = float("inf")
+        self._may_abort_silent: Callable[[], bool] = lambda: True
+        self._abort_reason: AbortReason | None = None
         self._lock = Lock()
 
     @property
     def abort_reason(self) -> AbortReason | None:
         """Why the wait was ended, if it was; a silent server's end is forgotten."""
-        return self._cut
+        return self._abort_reason
 
     @property
     def is_waiting_for_server(self) -> bool:
@@ -79,7 +79,7 @@
     @property
     def is_over(self) -> bool:
         """Whether nothing more can come of the request."""
-        return self._cut in (
+        return self._abort_reason in (
             AbortReason.CALLER_LEFT,
             AbortReason.TIMEOUT,
             AbortReason.SHUTDOWN,
@@ -90,7 +90,7 @@
         server: socket.socket,
         silence_s: float,
         instance: str = "",
-        may_give_up: Callable[[], bool] = lambda: True,
+        may_abort_silent: Callable[[], bool] = lambda: True,
     ) -> bool:
         """Watch a server's socket from now on; end it when over, or silent so long.
 
@@ -100,19 +100,19 @@
         """
         with self._lock:
             if not self.is_over:
-                self._cut = None
+                self._abort_reason = None
             self._server = server
             self.instance = instance
-            self._may_give_up = may_give_up
-            self._silence_s = silence_s
-            self._silent_at = monotonic() + silence_s
+            self._may_abort_silent = may_abort_silent
+            self._silence_timeout_s = silence_s
+            self._silence_deadline = monotonic() + silence_s
             return not self.is_over
 
     def record_progress(self, silence_s: float | None = None) -> None:
         """Note that the server sent something; from now on expect it so often."""
         if silence_s is not None:
-            self._silence_s = silence_s
-        self._silent_at = monotonic() + self._silence_s
+            self._silence_timeout_s = silence_s
+        self._silence_deadline = monotonic() + self._silence_timeout_s
 
     def detach(self) -> None:
         """Stop watching the socket, before it is closed or kept for another request."""
@@ -124,34 +124,34 @@
         """Stop watching the socket, whose answer nobody will read to its end."""
         with self._lock:
             if self._server is not None:
-                _abort(self._server)
+                _reset_connection(self._server)
         self.detach()
 
-    def check(self, now: float, *, caller_gone: bool, stop_at: float) -> None:
+    def check(self, now: float, *, is_caller_gone: bool, shutdown_at: float) -> None:
         """End the wait if it is over; at ``stop_at`` (monotonic) every wait is."""
         if self.is_over:
             return
-        if caller_gone:
+        if is_caller_gone:
             self.abort(AbortReason.CALLER_LEFT)
         elif now >= self.deadline:
             self.abort(AbortReason.TIMEOUT)
-        elif now >= stop_at:
+        elif now >= shutdown_at:
             self.abort(AbortReason.SHUTDOWN)
         elif self._is_silent(now):
             self.abort(AbortReason.SERVER_SILENT)
 
     def _is_silent(self, now: float) -> bool:
-        late = self._server is not None and now >= self._silent_at
-        return late and self._may_give_up()
+        late = self._server is not None and now >= self._silence_deadline
+        return late and self._may_abort_silent()
 
-    def abort(self, cut: AbortReason) -> None:
+    def abort(self, reason: AbortReason) -> None:
         """End the wait for this reason; one that is over keeps its own."""
         with self._lock:
             if self.is_over:
                 return
-            self._cut = cut
+            self._abort_reason = reason
             if self._server is not None:
-                _abort(self._server)
+                _reset_connection(self._server)
 
 
 class Watchdog:
@@ -161,7 +161,7 @@
         self._watched: set[WatchedRequest] = set()
         self._changed = Condition()
         self._stopping = False
-        self._end_at = float("inf")
+        self._abort_all_at = float("inf")
         self._thread = Thread(target=self._run, name="watchdog", daemon=True)
 
     def start(self) -> None:
@@ -176,7 +176,7 @@
 
     def abort_all_at(self, at: float) -> None:
         """End every wait at this time (monotonic), also those that begin later."""
-        self._end_at = at
+        self._abort_all_at = at
 
     def watch(self, watched: WatchedRequest) -> None:
         """Look at this request until ``forget``."""
@@ -210,20 +210,20 @@
                 if self._stopping:
                     return
                 watched = tuple(self._watched)
-            self._look(watched)
+            self._check(watched)
             with self._changed:
                 self._changed.wait_for(lambda: self._stopping, CHECK_INTERVAL_S)
 
-    def _look(self, watched: tuple[WatchedRequest, ...]) -> None:
-        gone = _gone_callers(watched)
+    def _check(self, watched: tuple[WatchedRequest, ...]) -> None:
+        gone = _find_gone_callers(watched)
         now = monotonic()
         # Those without a server go first: a place that another one's end sets free must
         # not be given to a request that is over as well.
         for one in sorted(watched, key=lambda one: one.is_waiting_for_server):
-            one.check(now, caller_gone=one in gone, stop_at=self._end_at)
+            one.check(now, is_caller_gone=one in gone, shutdown_at=self._abort_all_at)
 
 
-def _gone_callers(watched: tuple[WatchedRequest, ...]) -> set[WatchedRequest]:
+def _find_gone_callers(watched: tuple[WatchedRequest, ...]) -> set[WatchedRequest]:
     """Return those whose caller has closed or reset its connection.
 
     Bytes that wait to be read are a further request, not an end.
@@ -238,10 +238,10 @@
     if not by_number:
         return set()
     ready = [by_number[number] for number, _ in poller.poll(0)]
-    return {one for one in ready if _has_ended(one.caller_socket)}
+    return {one for one in ready if _is_closed(one.caller_socket)}
 
 
-def _has_ended(caller: socket.socket | None) -> bool:
+def _is_closed(caller: socket.socket | None) -> bool:
     if caller is None:
         return False
     try:
@@ -252,7 +252,7 @@
         return True
 
 
-def _abort(server: socket.socket) -> None:
+def _reset_connection(server: socket.socket) -> None:
     """Wake the thread that reads from the socket, whose close then is a reset.
 
     Failure: the server's machine is frozen and has not acknowledged the request.
