--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -116,7 +116,7 @@
             if route.max_event_gap_s > 0
             and any(one.service == service for one in route.shares)
         ]
-        return found.engine._replace(gap_s=min(gaps, default=0.0))
+        return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
     def find_key_holder(self, key: str) -> KeyHolder | None:
         """Return who holds the bearer key."""
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -55,7 +55,7 @@
     from kingcupwheel.settings.schema import Settings
 
 log = lines_of("process")
-servers = lines_of("servers")
+servers_log = lines_of("servers")
 
 # Threads for pages that are answered at once.
 _PAGE_THREADS = 2
@@ -298,7 +298,7 @@
         """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
         slow = frozenset(self._context.servers.slow())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
-            servers.info("streams-moved", servers=sorted(slow), streams=moved)
+            servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service fall silent together, and go on."""
@@ -307,6 +307,6 @@
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
                 event = "service-silent" if pulse.stands_still else "service-heard"
-                servers.info(
+                servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -32,14 +32,14 @@
 
 
 class _Peer:
-    __slots__ = ("beat", "heard_at", "known_at", "links_opened_at", "told")
+    __slots__ = ("added_at", "connected_at", "entry", "heard_at", "last_heartbeat")
 
-    def __init__(self, told: EntryTold, now: float) -> None:
-        self.told = told
-        self.beat: EntryBeat | None = None
+    def __init__(self, entry: EntryTold, now: float) -> None:
+        self.entry = entry
+        self.last_heartbeat: EntryBeat | None = None
         self.heard_at = float("-inf")
-        self.known_at = now
-        self.links_opened_at = now
+        self.added_at = now
+        self.connected_at = now
 
 
 class VersionConfirmation(NamedTuple):
@@ -62,7 +62,7 @@
     @property
     def known_entries(self) -> tuple[EntryTold, ...]:
         """Every peer that is known, alive or not."""
-        return tuple(peer.told for peer in self._by_name.values())
+        return tuple(peer.entry for peer in self._by_name.values())
 
     def heartbeat_interval_s(self) -> float:
         """Return the seconds between two heartbeats to one peer."""
@@ -78,18 +78,21 @@
                 continue
             if known is None:
                 self._by_name[told.name] = _Peer(told, now)
-            elif known.told != told and now - known.heard_at > PEER_EXPIRY_S / 4:
+            elif known.entry != told and now - known.heard_at > PEER_EXPIRY_S / 4:
                 # The machine was replaced; one that is heard tells its address itself.
                 self._by_name[told.name] = _Peer(told, now)
 
     def record_heartbeat(self, beat: EntryBeat, now: float) -> bool:
         """Take in a heartbeat; return whether its entry is new or lives anew."""
         peer = self._by_name.get(beat.me.name)
-        is_new = peer is None or peer.beat is None
-        if peer is None or peer.told != beat.me:
+        is_new = peer is None or peer.last_heartbeat is None
+        if peer is None or peer.entry != beat.me:
             peer = self._by_name[beat.me.name] = _Peer(beat.me, now)
-        restarted = peer.beat is not None and peer.beat.incarnation != beat.incarnation
-        peer.beat = beat
+        restarted = (
+            peer.last_heartbeat is not None
+            and peer.last_heartbeat.incarnation != beat.incarnation
+        )
+        peer.last_heartbeat = beat
         peer.heard_at = now
         self._max_live_seen = max(self._max_live_seen, len(self.live_entries(now)) + 1)
         return is_new or restarted
@@ -98,10 +101,10 @@
         """Return the peers that callers may be sent to."""
         silent_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         return tuple(
-            peer.told
+            peer.entry
             for peer in self._by_name.values()
-            if peer.beat is not None
-            and not peer.beat.leaving
+            if peer.last_heartbeat is not None
+            and not peer.last_heartbeat.leaving
             and now - peer.heard_at <= silent_s
         )
 
@@ -120,7 +123,11 @@
     def echo_for(self, name: str) -> float:
         """Return the newest clock reading that the peer sent, 0 before the first."""
         peer = self._by_name.get(name)
-        return 0.0 if peer is None or peer.beat is None else peer.beat.sent_at
+        return (
+            0.0
+            if peer is None or peer.last_heartbeat is None
+            else peer.last_heartbeat.sent_at
+        )
 
     def take_silent_addresses(self, now: float) -> tuple[str, ...]:
         """Return addresses to open new connections to, each not too often.
@@ -131,18 +138,18 @@
         limit_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         found: list[str] = []
         for peer in self._by_name.values():
-            since_s = now - max(peer.heard_at, peer.links_opened_at)
+            since_s = now - max(peer.heard_at, peer.connected_at)
             if since_s > limit_s:
-                peer.links_opened_at = now
-                found.append(peer.told.address)
+                peer.connected_at = now
+                found.append(peer.entry.address)
         return tuple(found)
 
     def remove_expired(self, now: float) -> tuple[EntryTold, ...]:
         """Drop entries that were not heard for long; return them."""
         dead = tuple(
-            peer.told
+            peer.entry
             for peer in self._by_name.values()
-            if now - max(peer.heard_at, peer.known_at) > PEER_EXPIRY_S
+            if now - max(peer.heard_at, peer.added_at) > PEER_EXPIRY_S
         )
         for told in dead:
             del self._by_name[told.name]
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -175,7 +175,11 @@
         Edit("forwarding/loadheads.py", "DIRECT_AGENTS = 24", "DIRECT_AGENTS = 10_000"),
     ),
     "long-watches": (
-        Edit("forwarding/following.py", "MANY_ENTRIES = 10", "MANY_ENTRIES = 10_000"),
+        Edit(
+            "forwarding/following.py",
+            "LARGE_FLEET_ENTRIES = 10",
+            "LARGE_FLEET_ENTRIES = 10_000",
+        ),
     ),
 }
 
--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -36,7 +36,7 @@
 WAYS = (
     Way("never move", SHAPE, balances=False),
     # Without a known pause no pass counts as short, so each small gain is taken.
-    Way("every small gain", SHAPE._replace(gap_s=0.0)),
+    Way("every small gain", SHAPE._replace(max_event_gap_s=0.0)),
     Way("kingcupwheel", SHAPE),
 )
 
