--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from kingcupwheel.forwarding.following import adopt_configuration
 from kingcupwheel.forwarding.peers import PeerTable
 from kingcupwheel.forwarding.peers import confirmation_from
+from kingcupwheel.forwarding.storewatch import adopt_configuration
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import EntryBeat
 from kingcupwheel.messages.membership import EntryTold
@@ -22,7 +22,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.currency import ConfigurationCache
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -21,7 +21,7 @@
 
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
-    from kingcupwheel.forwarding.currency import ConfigurationCache
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.serverbook import ServerBook
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/storemaintenance.py
@@ -7,16 +7,16 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.following import adopt_configuration
-from kingcupwheel.forwarding.neighbours import ENTRIES_KIND
+from kingcupwheel.forwarding.entrymembership import ENTRIES_KIND
+from kingcupwheel.forwarding.storewatch import adopt_configuration
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.telemetry.lines import lines_of
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.currency import ConfigurationCache
-    from kingcupwheel.forwarding.neighbours import EntryMembership
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.entrymembership import EntryMembership
     from kingcupwheel.messages.membership import EntryTold
     from kingcupwheel.platform.objects import ObjectStore
 
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/storewatch.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.forwarding.currency import ConfigurationCache
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.platform.objects import Change
     from kingcupwheel.platform.objects import ObjectStore
--- a/tests/forwarding/test_following.py
+++ b/tests/forwarding/test_following.py
@@ -13,14 +13,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.forwarding.following import LARGE_FLEET_ENTRIES
-from kingcupwheel.forwarding.following import LARGE_FLEET_WATCH_WAIT_S
-from kingcupwheel.forwarding.following import WATCH_WAIT_S
-from kingcupwheel.forwarding.following import StoreWatcher
-from kingcupwheel.forwarding.following import WatchTiming
-from kingcupwheel.forwarding.following import configuration_watch_timing
-from kingcupwheel.forwarding.following import server_watch_timing
 from kingcupwheel.forwarding.serverlist import ServerListHandler
+from kingcupwheel.forwarding.storewatch import LARGE_FLEET_ENTRIES
+from kingcupwheel.forwarding.storewatch import LARGE_FLEET_WATCH_WAIT_S
+from kingcupwheel.forwarding.storewatch import WATCH_WAIT_S
+from kingcupwheel.forwarding.storewatch import StoreWatcher
+from kingcupwheel.forwarding.storewatch import WatchTiming
+from kingcupwheel.forwarding.storewatch import configuration_watch_timing
+from kingcupwheel.forwarding.storewatch import server_watch_timing
 from kingcupwheel.platform.errors import Unavailable
 from kingcupwheel.platform.objects import DEFAULT_CALL_S
 from kingcupwheel.platform.objects import Change
