--- a/src/kingcupwheel/forwarding/__init__.py
+++ b/src/kingcupwheel/forwarding/__init__.py
@@ -1,3 +1,3 @@
-"""The way of a request straight to a backend server over HTTP."""
+"""Forwards requests directly to backend servers over HTTP."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that answers callers on the users' platform."""
+"""The WSGI application that serves callers on the users' platform."""
 
 from __future__ import annotations
 
@@ -34,16 +34,17 @@
 
 log = lines_of("requests")
 
-# When a caller that an entry which stops refuses may come back, in seconds: at once if
-# another entry is there, else when this one may have started again.
+# Retry-After of a caller that is refused during a shutdown, in seconds: at once if
+# another entry is live, else when this one may have restarted.
 _PEER_RETRY_AFTER_S = 0.05
 _RESTART_RETRY_AFTER_S = 1.0
 
 
 class ForwardApplication:
-    """Answers callers; ``knowledge`` returns the configuration for a new request.
+    """WSGI application that forwards requests to backend servers.
 
-    ``others_live`` tells whether callers can be sent to another entry.
+    ``knowledge`` returns the configuration for a new request, ``has_live_peers``
+    whether callers can be sent to another entry.
     """
 
     def __init__(
@@ -64,30 +65,30 @@
 
     @property
     def in_progress(self) -> int:
-        """How many requests are not yet answered to their end."""
+        """Number of requests whose answer has not been sent completely."""
         return len(self._active_requests)
 
     @property
     def received_at_by_id(self) -> dict[str, float]:
-        """When each request in progress came, monotonic."""
+        """Monotonic receive time of each request in progress, by its id."""
         return self._active_requests.came_at_by_id
 
     def begin_shutdown(self, stopping: Stopping) -> None:
-        """Take only what this planned stop leaves time for, and end the rest in time.
+        """Accept only requests that can end in time; abort the rest at the deadline.
 
-        Each answer from now on closes its connection.
+        Each further answer closes its connection.
         """
         self._stopping = stopping
         self._context.watchdog.abort_all_at(stopping.answers_end_at)
 
     def refuse_new_requests(self) -> None:
-        """Take nothing more; what was counted in before is still answered."""
+        """Refuse all new requests; those in progress are still answered."""
         self._refuses_new = True
 
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one WSGI request."""
         exchange = Exchange(environ, start_response)
         if self._stopping is not None:
             exchange.close_after()
@@ -106,7 +107,7 @@
         return limits.max_body_bytes
 
     def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
-        """Return the refusal of what can't end before this process does."""
+        """Return a refusal if the request can't end before this process does."""
         stopping = self._stopping
         if stopping is None:
             return None
@@ -125,7 +126,7 @@
         return LEAVING._replace(retry_after_s=spread(retry_s, request.id))
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
-        """Return whether a request that no server has may still be sent to one."""
+        """Return whether a request that was never sent may still be dispatched."""
         stopping = self._stopping
         if stopping is None:
             return True
@@ -171,7 +172,10 @@
         watched: WatchedRequest,
         answered: ForwardRequest | None,
     ) -> Iterator[bytes]:
-        """Yield ``body``; how long ``answered`` took tells of what comes later."""
+        """Yield ``body``, then record the duration of ``answered``.
+
+        The duration is used to predict how long later requests take.
+        """
         try:
             yield from body
         finally:
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -1,6 +1,6 @@
 """The operators' configuration as entries use it: routes, services, keys, limits.
 
-Times are seconds; tokens are counted as the engines count them.
+Times are in seconds. Tokens are counted as the engines count them.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service and its weight among those that share a route's requests."""
+    """A service of a route and its weight in the route's traffic split."""
 
     service: str
     weight: float
 
 
 class ForwardRoute(NamedTuple):
-    """What operators say of the requests under one host and path prefix.
+    """Settings of the requests under one host and path prefix.
 
-    ``may_rerun`` tells that a request may run more than once, ``resumable`` that its
-    stream may be taken up at another server. ``priority`` 0 is the most urgent.
-    ``max_servers`` bounds the servers that may run one request. ``answer_s`` is the
-    longest that a request is kept, ``aim_s`` when an answer is on time.
+    ``is_idempotent`` means that a request may run more than once, ``is_resumable`` that
+    its stream may be resumed at another server. ``priority`` 0 is the most urgent.
+    ``max_servers`` bounds the servers that may run one request. ``timeout_s`` bounds
+    the time of a request, ``target_latency_s`` is the latency of an answer on time.
     """
 
     name: str
@@ -48,9 +48,11 @@
 class EngineShape(NamedTuple):
     """An expert-parallel engine of a service, as far as expert maps need it.
 
-    ``spare`` bounds the experts new to a rank in one layer of one change;
-    ``copy_s`` is how long a rank copies the weights of one expert. ``gap_s`` is the
-    longest good pause between two events of its streams, 0 if no route tells one.
+    ``places`` is the number of expert placements of a rank in one layer.
+    ``max_new_experts`` bounds the experts new to a rank in one layer of one change;
+    ``expert_copy_s`` is the time in which a rank copies the weights of one expert.
+    ``max_event_gap_s`` is the longest acceptable pause between two events of its
+    streams, 0 if no route sets one.
     """
 
     layer_count: int
@@ -69,7 +71,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """What a caller may send, and how long its connection may stay idle."""
+    """Size limits of requests and the idle timeout of callers' connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -77,16 +79,16 @@
 
 
 class KeyHolder(NamedTuple):
-    """The organisation that holds a key; ``priority`` is None if it names none."""
+    """The organisation that holds a key; ``priority`` is None if none is set."""
 
     organisation: str
     priority: int | None
 
 
 class Configuration(NamedTuple):
-    """One version of the configuration; versions only rise.
+    """One version of the configuration; versions only increase.
 
-    ``raw`` is the version as the store holds it, to hand it to peers.
+    ``raw`` is the stored encoding, which is sent to peers unchanged.
     """
 
     version: int
@@ -105,7 +107,7 @@
         return None
 
     def find_engine(self, service: str) -> EngineShape | None:
-        """Return a service's engine, with the shortest pause that a route asks for."""
+        """Return a service's engine, with the smallest event gap of its routes."""
         found = self.services_by_name.get(service)
         if found is None or found.engine is None:
             return None
@@ -119,19 +121,19 @@
         return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
     def find_key_holder(self, key: str) -> KeyHolder | None:
-        """Return who holds the bearer key."""
+        """Return the holder of a bearer key."""
         return self.key_holders_by_digest.get(key_digest(key))
 
 
 def key_digest(key: str) -> bytes:
-    """Return what a key is looked up by; keys themselves are not kept."""
+    """Return the digest by which a key is looked up; keys are not stored."""
     return hashlib.sha256(key.encode()).digest()
 
 
 def group_routes_by_host(
     routes: tuple[ForwardRoute, ...],
 ) -> dict[str, tuple[ForwardRoute, ...]]:
-    """Group routes by host, those with the longest prefix first."""
+    """Group routes by host, longest prefix first."""
     by_host: dict[str, list[ForwardRoute]] = {}
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         by_host.setdefault(route.host, []).append(route)
--- a/src/kingcupwheel/forwarding/configurationcache.py
+++ b/src/kingcupwheel/forwarding/configurationcache.py
@@ -1,7 +1,7 @@
-"""The configuration in force and how old the knowledge of it is.
+"""The configuration in use and its age since it was last confirmed.
 
-Ages count on a clock that goes on while the machine is suspended: a process that wakes
-up must not take what it knew before for fresh.
+Ages are measured on a clock that includes suspended time: a process that resumes must
+not take what it knew before the suspension for current.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 def boottime_s() -> float:
-    """Return seconds of the clock that counts suspended time."""
+    """Return the seconds since boot, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ConfigurationCache:
-    """Holds the newest configuration; safe from any thread.
+    """Holds the newest known configuration; thread-safe.
 
-    ``as_of`` times are of the question that brought the answer, never of the answer:
-    an answer may be held up on its way.
+    ``as_of`` is the time of the request that returned a version, never of its answer:
+    an answer may be delayed.
     """
 
     def __init__(self, clock: Callable[[], float] = boottime_s) -> None:
@@ -36,34 +36,35 @@
         self._lock = Lock()
 
     def now(self) -> float:
-        """Return the time that ``as_of`` is counted on."""
+        """Return the current time on the clock of ``as_of``."""
         return self._clock()
 
     @property
     def current(self) -> Configuration | None:
-        """The newest configuration known, None before the first."""
+        """The newest known configuration, None before the first."""
         return self._configuration
 
     @property
     def version(self) -> int:
-        """Its version, 0 before the first."""
+        """The version of ``current``, 0 before the first."""
         current = self._configuration
         return 0 if current is None else current.version
 
     def age_s(self) -> float:
-        """Return how long ago it was surely the newest; infinite if never."""
+        """Return the time since it was last confirmed as newest; infinite if never."""
         return self._clock() - self._as_of
 
     def update(self, found: Configuration, as_of: float) -> bool:
-        """Take a configuration that was the newest at ``as_of``; tell if it is new.
+        """Store a configuration that was the newest at ``as_of``.
 
-        Failure: answers overtake each other, or a stale copy comes late. Symptom: a
-        route that was dropped works again. Versions only rise, so a lower one is never
-        taken.
+        Returns whether its version is new.
 
-        A newer version became the newest after the one before it was, so it is known to
-        be at least as new. Without that each change would make knowledge that came by a
-        peer, or by a watch that waited long, look too old for requests with keys.
+        Failure: answers overtake each other, or a stale copy arrives late. Symptom: a
+        removed route works again. Versions only increase, so a lower one is ignored.
+
+        A newer version was published after the previous one, so ``as_of`` never
+        decreases. Otherwise each change that came from a peer, or from a watch that
+        waited long, would look too old for requests with keys.
         """
         with self._lock:
             if found.version < self.version:
@@ -75,7 +76,7 @@
         return is_new
 
     def confirm(self, version: int, as_of: float) -> None:
-        """Note that ``version`` was the newest at ``as_of``."""
+        """Record that ``version`` was the newest at ``as_of``."""
         with self._lock:
             if version == self.version:
                 self._as_of = max(self._as_of, as_of)
--- a/src/kingcupwheel/forwarding/connectionpool.py
+++ b/src/kingcupwheel/forwarding/connectionpool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept between requests."""
+"""A pool of keep-alive connections to backend servers."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from kingcupwheel.forwarding.exceptions import NotConnectedError
 
 
-# How long an idle connection is used again when its server names no time, in seconds.
-# Servers close idle ones after some seconds; a request that crosses the close is lost.
+# Keep-alive time of connections to servers that name none, in seconds. Servers close
+# idle connections after some seconds; a request that crosses the close is lost.
 DEFAULT_KEEPALIVE_S = 4.0
-# Taken off a server's own time, for its answer's way and a slow timer.
+# Subtracted from a server's own keep-alive time, for network delay and a late timer.
 _KEEPALIVE_MARGIN_S = 1.0
-# How long a connection may take to be established: a hundred times the usual way, and
-# short enough that another server can still answer a plain request in time.
+# A hundred times the usual connect time, and short enough that another server can
+# still answer a plain request in time.
 CONNECT_TIMEOUT_S = 0.3
-# Kept for one server at most: as many as it runs requests from this process.
+# As many as one server runs requests of this process.
 _MAX_IDLE_PER_SERVER = 8
-# A safety net only; waits are bounded by the watchdog.
+# Fallback only: the watchdog bounds all waits.
 _SOCKET_TIMEOUT_S = 30.0
 
 
@@ -34,20 +34,20 @@
 
 
 class ConnectionPool:
-    """Kept connections by the life of their server; safe from any thread."""
+    """Idle connections by the incarnation of their server; thread-safe."""
 
     def __init__(self) -> None:
         self._idle_by_incarnation: dict[str, list[_IdleConnection]] = {}
         self._lock = Lock()
 
     def acquire(self, incarnation: str) -> HTTPConnection | None:
-        """Return a kept connection that is still open, or None."""
+        """Return an idle connection that is still open, or None."""
         while True:
             with self._lock:
-                kept = self._idle_by_incarnation.get(incarnation)
-                if not kept:
+                idle = self._idle_by_incarnation.get(incarnation)
+                if not idle:
                     return None
-                one = kept.pop()
+                one = idle.pop()
             if monotonic() < one.expires_at and _is_reusable(one.connection):
                 return one.connection
             one.connection.close()
@@ -62,14 +62,14 @@
             connection.close()
             raise NotConnectedError(f"{type(error).__name__}") from error
         assert connection.sock is not None, "connected"
-        # The library sets it on the socket again for each request.
+        # urllib3 sets this timeout on the socket again for each request.
         connection.timeout = _SOCKET_TIMEOUT_S
         return connection
 
     def release(
         self, incarnation: str, connection: HTTPConnection, keepalive_s: float | None
     ) -> None:
-        """Keep a connection whose last answer was whole."""
+        """Return a connection whose last answer was complete to the pool."""
         usable_s = (
             DEFAULT_KEEPALIVE_S
             if keepalive_s is None
@@ -77,22 +77,22 @@
         )
         if usable_s > 0:
             with self._lock:
-                kept = self._idle_by_incarnation.setdefault(incarnation, [])
-                if len(kept) < _MAX_IDLE_PER_SERVER:
-                    kept.append(_IdleConnection(connection, monotonic() + usable_s))
+                idle = self._idle_by_incarnation.setdefault(incarnation, [])
+                if len(idle) < _MAX_IDLE_PER_SERVER:
+                    idle.append(_IdleConnection(connection, monotonic() + usable_s))
                     return
         connection.close()
 
     def close_server(self, incarnation: str) -> None:
-        """Close what is kept of a server that left, or whose connections are bad."""
+        """Close the idle connections of a server that left or has bad connections."""
         with self._lock:
-            kept = self._idle_by_incarnation.pop(incarnation, [])
-        for one in kept:
+            idle = self._idle_by_incarnation.pop(incarnation, [])
+        for one in idle:
             one.connection.close()
 
 
 def _is_reusable(connection: HTTPConnection) -> bool:
-    """Return whether nothing has come since the last answer, not even a close."""
+    """Return whether nothing was received since the last answer, not even a close."""
     if connection.sock is None:
         return False
     with contextlib.suppress(OSError, ValueError):
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -1,4 +1,4 @@
-"""What request threads share: the parts of one entry on the users' platform."""
+"""The components that the request threads of one entry share."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ForwardContext(NamedTuple):
-    """The shared parts; each is safe from any thread."""
+    """The shared components; each is thread-safe."""
 
     data_centre: str
     configuration_cache: ConfigurationCache
@@ -44,17 +44,17 @@
     metrics: EntryMetrics
 
     def group_of(self, service: str) -> ServerGroup:
-        """Return the group that a service's requests queue for."""
+        """Return the server group in whose queue a service's requests wait."""
         return self.servers.group_of(service)
 
     def record_load(self, place: Place, load: ReportedLoad | None) -> None:
-        """Take in the load that an answer told."""
+        """Record the load that an answer reported."""
         self.servers.saw_load(place, load)
 
     def record_notice(
         self, place: Place, notice: ServerNotice, request_id: str
     ) -> None:
-        """Take in what an answer says of its server."""
+        """Record what an answer says about its server: a rest period or a shutdown."""
         for header in notice.unreadable:
             self.metrics.notices.labels("unreadable").inc()
             log.warning(
@@ -71,18 +71,18 @@
             self.connection_pool.close_server(place.incarnation)
 
     def release_connection(self, place: Place, answer: ServerAnswer) -> None:
-        """Keep the connection of an answer that ended, unless its server leaves."""
+        """Release a finished answer's connection; close all if the server leaves."""
         answer.end(place.incarnation, self.connection_pool)
         if self.servers.is_leaving(place.incarnation):
             self.connection_pool.close_server(place.incarnation)
 
     def record_misdirection(self, place: Place) -> None:
-        """Note that another life of a server has its address."""
+        """Record that another incarnation of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
         self.servers.misdirected(place)
 
     def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
-        """Note that a server turned a request away: it is full, or its group closed."""
+        """Record that a server rejected a request: it is full, or its group closed."""
         if streamed and self.guards.is_closed(
             service,
             place.server,
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon on the users' platform: its parts, their start and their stop."""
+"""The entry daemon on the users' platform: wires, starts and stops its components."""
 
 from __future__ import annotations
 
@@ -57,23 +57,23 @@
 log = lines_of("process")
 servers_log = lines_of("servers")
 
-# Threads for pages that are answered at once.
-_PAGE_THREADS = 2
-_PAGE_CONNECTIONS = 200
-# Between two looks at servers' loads and links, in seconds.
+# For endpoints that answer without blocking.
+_ENDPOINT_THREADS = 2
+_ENDPOINT_CONNECTIONS = 200
+# Intervals of the hub's timer and of refreshing servers' loads, in seconds.
 _TICK_INTERVAL_S = 0.1
 _REFRESH_INTERVAL_S = 0.5
-# Taken off the time within which a key must stop working: a store that is about to
-# forget its history answers watches for up to a second without news.
+# Subtracted from the time within which a revoked key must stop working: a store that is
+# about to drop its history answers watches without changes for up to a second.
 _REVOKE_MARGIN_S = 1.3
-# A denial of a route or key needs knowledge no older than two watches and a slow
-# answer.
+# A route or key is denied only by a configuration that is no older than two watches
+# and a slow answer.
 _MAX_DENIAL_AGE_S = 3.6
 _MS_PER_S = 1000.0
 
 
 class ForwardingDaemon:
-    """One entry; ``start`` returns once callers are served."""
+    """One entry process; ``start`` returns once it accepts callers."""
 
     def __init__(self, settings: Settings) -> None:
         assert settings.forwarding is not None, "checked by the caller"
@@ -120,11 +120,11 @@
             self._configuration_cache,
             is_leaving=self._leaving.is_set,
         )
-        me = EntryTold(
+        own_entry = EntryTold(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
         self._membership = EntryMembership(
-            me, self._hub, self._configuration_cache, self._guards
+            own_entry, self._hub, self._configuration_cache, self._guards
         )
         self._watchers = self._make_watchers()
         self._application = ForwardApplication(
@@ -141,7 +141,7 @@
     def _make_watchers(self) -> tuple[StoreWatcher, ...]:
         clock = self._configuration_cache.now
         configuration = ConfigurationHandler(self._configuration_cache)
-        listed = ServerListHandler(self._on_server_list)
+        server_list = ServerListHandler(self._on_server_list)
         return (
             StoreWatcher(
                 self._store,
@@ -151,7 +151,7 @@
             ),
             StoreWatcher(
                 self._store,
-                listed,
+                server_list,
                 clock,
                 lambda: server_watch_timing(
                     self._membership.known_count, self._forwarding.steady_ms / _MS_PER_S
@@ -162,14 +162,14 @@
     def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
         addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
-        pages = {
+        endpoints = {
             self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
         }
         if self._forwarding.metrics:
             refresh = self._refresh_metrics
             page = MetricsPage(self._metrics.registry, refresh)
-            pages[self._forwarding.metrics] = page
+            endpoints[self._forwarding.metrics] = page
         return (
             HttpServer(
                 self._application,
@@ -180,42 +180,42 @@
             ),
             *(
                 HttpServer(
-                    page,
+                    endpoint,
                     listen=listen,
-                    threads=_PAGE_THREADS,
-                    connections=_PAGE_CONNECTIONS,
+                    threads=_ENDPOINT_THREADS,
+                    connections=_ENDPOINT_CONNECTIONS,
                     name=f"{settings.name}-page",
                 )
-                for listen, page in pages.items()
+                for listen, endpoint in endpoints.items()
             ),
         )
 
     def start(self) -> None:
-        """Bind, then start every part."""
+        """Bind all listeners, then start every component."""
         for server in self._http_servers:
             server.bind()
         self._hub.start()
         self._context.watchdog.start()
-        for follower in self._watchers:
-            follower.start()
+        for watcher in self._watchers:
+            watcher.start()
         self._store_maintainer.start()
         for server in self._http_servers:
             server.start()
         log.info("started", pid=os.getpid(), http=self._settings.http)
 
     def reload(self, settings: Settings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply the settings that may change at run time."""
         log.info("reloaded", log_level=settings.log_level.value)
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Stop gracefully: out of the directory, then finish what is in progress.
+        """Stop gracefully: deregister, then finish the requests in progress.
 
         Failure: callers keep this entry's address for some seconds after it has begun
         to leave. Symptom: their connections are refused, or a request that was read is
-        cut. New requests are therefore taken while they can end in time, each on a
-        connection that is closed after its answer, and refused afterwards.
+        aborted. New requests are therefore accepted while they can end in time, each on
+        a connection that is closed after its answer, and refused afterwards.
 
-        The grace counts from ``asked_at`` (monotonic), from now if it is not given.
+        The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
         stopping = Stopping(began, self._forwarding.grace_s)
@@ -228,8 +228,8 @@
         cut = GracefulShutdown(
             stopping, self._application, self._http_servers[0]
         ).wait()
-        for follower in self._watchers:
-            follower.stop()
+        for watcher in self._watchers:
+            watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
     def _knowledge(self) -> Knowledge:
@@ -241,11 +241,11 @@
         )
 
     def _is_ready(self) -> bool:
-        knows = (
+        has_data = (
             self._configuration_cache.current is not None
             and not self._context.servers.is_empty
         )
-        return knows and not self._leaving.is_set()
+        return has_data and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
         live = self._membership.live_entries()
@@ -295,13 +295,16 @@
         self._load_poller.on_tick(now)
 
     def _abort_slow_streams(self) -> None:
-        """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
+        """Abort streams on slow ranks so that they resume elsewhere.
+
+        One slow rank would hold up all the streams of its group.
+        """
         slow = frozenset(self._context.servers.slow())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _log_stalls(self, now: float) -> None:
-        """Log when all servers of a service fall silent together, and go on."""
+        """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
             streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
--- a/src/kingcupwheel/forwarding/endpoints.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -1,4 +1,4 @@
-"""What an entry tells the platform and callers of itself and the other entries."""
+"""HTTP endpoints for the readiness of an entry and the addresses of live entries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReadinessEndpoint:
-    """Tells the platform whether this entry can answer callers."""
+    """Readiness probe of this entry for the platform."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -25,7 +25,7 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
+        """Handle one WSGI request."""
         status = 404
         if environ["PATH_INFO"] == pages.READY_PATH:
             status = 200 if self._is_ready() else 503
@@ -34,9 +34,9 @@
 
 
 class AddressesEndpoint:
-    """Tells callers which entries to connect to.
+    """Serves callers the addresses of the entries to connect to.
 
-    ``addresses`` returns those for a caller in the data centre it is given.
+    ``addresses`` returns those for a caller in a data centre.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
+        """Handle one WSGI request."""
         if environ["PATH_INFO"] != pages.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
--- a/src/kingcupwheel/forwarding/entrymembership.py
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -1,4 +1,4 @@
-"""Heartbeats between entries: who lives, who leaves, which configuration is newest."""
+"""Membership of the entries by heartbeats: liveness, shutdown, configuration."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 log = lines_of("peers")
 
-# The kind of object in the users' store under which entries find each other.
+# The kind of the objects in the users' store under which entries register.
 ENTRIES_KIND = "kingcupwheel-entries"
-# The name under which peers hand each other the configuration.
+# The key under which peers send each other the configuration.
 _CONFIGURATION_KEY = "configuration"
-# Every so many heartbeats, or as many as there are entries, name the other entries, and
-# so do the first of a process: news of an entry that only one peer has found passes on
-# without the store.
+# One heartbeat in so many, or in as many as there are entries if these are more, lists
+# the known entries, and so do the first ones of a process. An entry that only one peer
+# knows thus becomes known to all without the store.
 _FULL_LIST_EVERY = 8
 _FULL_LIST_FIRST = 4
-# How long a peer is left alone after it was asked for the configuration, in seconds.
+# Between two requests for the configuration to peers, in seconds.
 _REQUEST_INTERVAL_S = 0.5
 
 
 class EntryMembership:
-    """The other entries; safe from any thread."""
+    """Registers this entry and tracks the other entries; thread-safe."""
 
     def __init__(
         self,
@@ -71,24 +71,24 @@
 
     @property
     def fleet_size(self) -> int:
-        """How many entries share what is common to the fleet."""
+        """Number of entries that share the budgets of the fleet."""
         with self._lock:
             return self._peers.estimate_fleet_size(monotonic())
 
     @property
     def known_count(self) -> int:
-        """How many entries are known, alive or not, this one among them."""
+        """Number of known entries, live or not, including this one."""
         with self._lock:
             return len(self._peers.known_entries) + 1
 
     def live_entries(self) -> tuple[EntryTold, ...]:
-        """Return the entries that callers may be sent to, this one among them."""
+        """Return the entries that callers may use, including this one."""
         with self._lock:
             others = self._peers.live_entries(monotonic())
         return others if self._leaving else (self._me, *others)
 
     def add_stored(self, stored: tuple[StoredObject, ...]) -> None:
-        """Take in the entries that the store lists."""
+        """Add the entries that the store lists."""
         found: list[EntryTold] = []
         for one in stored:
             try:
@@ -99,7 +99,7 @@
             self._peers.add_known(found, monotonic())
 
     def register(self, store: ObjectStore) -> bool:
-        """Put this entry into the store; return whether it is there."""
+        """Write this entry to the store; return whether that succeeded."""
         body = msgspec.json.encode(self._me)
         written = store.create(ENTRIES_KIND, self._me.name, body)
         if written.is_error() and isinstance(written.error, Conflict):
@@ -113,24 +113,24 @@
         return True
 
     def deregister(self, store: ObjectStore) -> None:
-        """Take this entry out of the store, once, if it was put there."""
+        """Delete this entry from the store if it was registered."""
         if self._revision:
             store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
 
     def take_expired(self) -> tuple[EntryTold, ...]:
-        """Return, once, entries not heard for so long that they are gone for good."""
+        """Return the entries that have expired since the last call."""
         with self._lock:
-            dead = tuple(self._expired)
+            expired = tuple(self._expired)
             self._expired.clear()
-        return dead
+        return expired
 
     def announce_leaving(self) -> None:
-        """Tell every peer at once that this entry stops."""
+        """Announce to every peer, at the next tick, that this entry stops."""
         self._leaving = True
         self._heartbeat_at = 0.0
 
     def on_tick(self, now: float) -> None:
-        """Send heartbeats when it is time; runs on the hub's thread."""
+        """Send heartbeats if the interval has passed; runs on the hub's thread."""
         with self._lock:
             due = now - self._heartbeat_at >= self._peers.heartbeat_interval_s()
             if not due:
@@ -141,16 +141,16 @@
                 self._hub.replace(address)
             self._expired.extend(self._peers.remove_expired(now))
             peers = self._peers.known_entries
-            echoes = {told.name: self._peers.echo_for(told.name) for told in peers}
+            echoes = {peer.name: self._peers.echo_for(peer.name) for peer in peers}
         every = max(_FULL_LIST_EVERY, len(peers))
-        names_others = (
+        includes_known = (
             self._heartbeat_count <= _FULL_LIST_FIRST
             or self._heartbeat_count % every == 0
         )
-        for told in peers:
-            known = peers if names_others else ()
-            beat = self._heartbeat(echoes[told.name], known)
-            self._hub.send(Outgoing(told.address, 0), beat)
+        for peer in peers:
+            known = peers if includes_known else ()
+            beat = self._heartbeat(echoes[peer.name], known)
+            self._hub.send(Outgoing(peer.address, 0), beat)
         self._log_live_changes()
 
     def _heartbeat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
@@ -168,7 +168,7 @@
         )
 
     def on_heartbeat(self, beat: EntryBeat) -> None:
-        """Take in a heartbeat; runs on the hub's thread."""
+        """Handle a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
             is_new = self._peers.record_heartbeat(beat, now)
@@ -176,12 +176,13 @@
         if beat.crashed:
             self._guards.heard(beat.crashed)
         if is_new:
-            # It knows nobody yet; an answer at once spares it a second alone.
+            # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
+            # Otherwise it would know none for up to a second.
             self._heartbeat_at = 0.0
             log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
-        freshness = confirmation_from(beat)
-        if freshness is not None:
-            self._configuration_cache.confirm(freshness.version, freshness.as_of)
+        confirmation = confirmation_from(beat)
+        if confirmation is not None:
+            self._configuration_cache.confirm(confirmation.version, confirmation.as_of)
         if beat.version > self._configuration_cache.version:
             self._request_configuration(beat, now)
         self._log_live_changes()
@@ -193,21 +194,21 @@
             self._hub.send(Outgoing(beat.me.address, 0), wanted)
 
     def on_configuration_request(self, link: Link, message: ManifestWanted) -> None:
-        """Hand a peer the configuration that it has not."""
+        """Send the configuration to a peer that requests it."""
         current = self._configuration_cache.current
         if message.key == _CONFIGURATION_KEY and current is not None:
             found = ManifestObject(_CONFIGURATION_KEY, current.version, current.raw)
             self._hub.send(link, found)
 
     def on_configuration(self, message: ManifestObject) -> None:
-        """Adopt a configuration from a peer; how old it is its heartbeats tell."""
+        """Store a configuration from a peer; its heartbeats confirm the age."""
         if message.key == _CONFIGURATION_KEY and message.value is not None:
             adopt_configuration(
                 self._configuration_cache, message.value, float("-inf"), source="peer"
             )
 
     def _log_live_changes(self) -> None:
-        names = frozenset(told.name for told in self.live_entries())
+        names = frozenset(entry.name for entry in self.live_entries())
         if names != self._live_names:
             gone = sorted(self._live_names - names)
             come = sorted(names - self._live_names)
--- a/src/kingcupwheel/forwarding/exceptions.py
+++ b/src/kingcupwheel/forwarding/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the forwarding layer."""
+"""Exceptions of the forwarding layer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ForwardingError(KingcupwheelError):
-    """Base class of this layer's errors."""
+    """Base class of the exceptions of the forwarding layer."""
 
 
 class NotConnectedError(ForwardingError):
@@ -14,4 +14,4 @@
 
 
 class AnswerLostError(ForwardingError):
-    """The rest of a server's answer can't be had."""
+    """The rest of a server's answer could not be read."""
--- a/src/kingcupwheel/forwarding/gracefulshutdown.py
+++ b/src/kingcupwheel/forwarding/gracefulshutdown.py
@@ -1,4 +1,4 @@
-"""Waits, when an entry stops as planned, until its requests are answered."""
+"""Waits during a planned stop until the requests in progress are answered."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 log = lines_of("requests")
 
 _POLL_INTERVAL_S = 0.05
-# How long a stop waits for the last bytes of answers: a caller that has connected and
-# sends nothing must not hold it up.
+# Bounds the wait for the last bytes of answers: a caller that has connected and sends
+# nothing must not delay the stop.
 _FLUSH_TIMEOUT_S = 0.5
 
 
 class GracefulShutdown:
-    """One stop of the ``application`` behind the HTTP server ``callers`` use."""
+    """One planned stop of the application behind the callers' HTTP server."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         self._http_server = http_server
 
     def wait(self) -> int:
-        """Return once the process may end; log and count the requests that it cuts."""
+        """Wait until the process may end; return the number of aborted requests."""
         while monotonic() < self._stopping.stays_until:
             Event().wait(_POLL_INTERVAL_S)
         self._wait_for_answers()
-        # A request may have come since nothing was in progress; it is answered too.
+        # A request may have arrived in the meantime; it is answered too.
         self._application.refuse_new_requests()
         self._wait_for_answers()
         self._wait_for_flush()
@@ -51,27 +51,28 @@
             Event().wait(_POLL_INTERVAL_S)
 
     def _wait_for_flush(self) -> None:
-        """Wait until the HTTP server has written what the application is done with.
+        """Wait until the HTTP server has written what the application returned.
 
-        Failure: the process ends between the last event of a stream and the mark that
-        ends it. Symptom: the caller has it all and must take it for cut.
+        Failure: the process ends between the last event of a stream and its terminating
+        chunk. Symptom: the caller has every event but must treat the stream as aborted.
         """
         until = min(monotonic() + _FLUSH_TIMEOUT_S, self._stopping.ends_at)
         while not self._http_server.is_idle and monotonic() < until:
             Event().wait(_POLL_INTERVAL_S)
 
     def _log_cut(self) -> int:
-        """Log requests that the end of the process cuts; their threads can't any more.
+        """Log the requests that the end of the process aborts and return their number.
 
-        ``came_after_s`` counts from the signal to stop, negative before it.
+        Their own threads can't log any more. ``came_after_s`` counts from the signal to
+        stop and is negative before it.
         """
         now = monotonic()
-        came_at_by_id = self._application.received_at_by_id
-        for request_id, came_at in came_at_by_id.items():
+        received_at_by_id = self._application.received_at_by_id
+        for request_id, received_at in received_at_by_id.items():
             log.warning(
                 "cut-by-stop",
                 id=request_id,
-                came_after_s=round(came_at - self._stopping.began_at, 3),
-                took_s=round(now - came_at, 3),
+                came_after_s=round(received_at - self._stopping.began_at, 3),
+                took_s=round(now - received_at, 3),
             )
-        return len(came_at_by_id)
+        return len(received_at_by_id)
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -1,4 +1,4 @@
-"""Asks the agents beside engines for their servers' loads, and takes them in."""
+"""Polls the agents of engine servers for the loads of their servers."""
 
 from __future__ import annotations
 
@@ -27,13 +27,16 @@
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
 
-# Agents tell loads for some seconds after they were asked; asked so often, one lost
-# question goes unnoticed.
+# Agents report loads for some seconds after a poll. At this interval one lost poll has
+# no effect.
 _POLL_INTERVAL_S = 1.0
 
 
 class AgentLoadPoller:
-    """Belongs to the hub's thread; ``leaving`` tells whether this entry stops."""
+    """Polls agents for loads; runs on the hub's thread.
+
+    ``is_leaving`` returns whether this entry is shutting down.
+    """
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         self._heads = LoadHeads(settings.data_centre)
 
     def on_report(self, link: Link, message: Beat | LoadsTold) -> None:
-        """Take in what an agent says of its server, or of those of a data centre."""
+        """Record an agent's report of its own server, or of those of a data centre."""
         if isinstance(message, Beat):
             self._servers.agents_say((_report_from(message),))
             return
@@ -62,14 +65,15 @@
         self._servers.agents_say(message.servers)
 
     def on_tick(self, now: float) -> None:
-        """Ask when it is time."""
+        """Poll the agents if the interval has passed."""
         current = self._configuration_cache.current
         if current is None or now - self._polled_at < _POLL_INTERVAL_S:
             return
         port = self._settings.listen.rpartition(":")[2]
         agents = _engine_agents(self._servers.backends, current, port)
         if not agents:
-            # The list of servers is still on its way; it is not waited for a second.
+            # The list of servers is not loaded yet: retry at the next tick instead of
+            # after the interval.
             return
         self._polled_at = now
         if sum(map(len, agents.values())) > DIRECT_AGENTS:
@@ -77,8 +81,8 @@
                 self._hub.send(Outgoing(head, 0), LoadsAsk(members, every_s))
             return
         hello = self._hello(current)
-        for agent in (one for found in agents.values() for one in found):
-            self._hub.send(Outgoing(agent, 0), hello)
+        for address in (one for found in agents.values() for one in found):
+            self._hub.send(Outgoing(address, 0), hello)
 
     def _hello(self, current: Configuration) -> Hello:
         settings = self._settings
@@ -90,7 +94,7 @@
 def _engine_agents(
     backends: Iterable[Backend], current: Configuration, port: str
 ) -> dict[str, list[str]]:
-    """Return the addresses of agents by data centre."""
+    """Return the addresses of engine servers' agents by data centre."""
     found: dict[str, list[str]] = {}
     for backend in backends:
         service = current.services_by_name.get(backend.service)
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -1,7 +1,7 @@
-"""Which entries are alive, from their heartbeats. Pure: times are arguments.
+"""Liveness of the other entries by their heartbeats. Pure: times are arguments.
 
-Callers are sent only to entries that were heard of late. An entry that is asked first
-after a start knows nobody yet and names itself.
+Callers are sent only to entries with a recent heartbeat. An entry that has just started
+knows no peers and returns only its own address.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     from kingcupwheel.messages.membership import EntryBeat
     from kingcupwheel.messages.membership import EntryTold
 
-# Between two heartbeats to a peer, in seconds, among up to this many entries; with more
-# of them heartbeats are as much rarer, so that an entry's cost stays the same.
+# Interval of heartbeats to a peer in a fleet of up to so many entries, in seconds. In a
+# larger fleet it grows in proportion, so that the cost of an entry stays the same.
 HEARTBEAT_INTERVAL_S = 0.4
 _FULL_RATE_ENTRIES = 12
-# Heartbeats missed in a row after which callers are no longer sent to an entry. A link
-# that loses packets holds up two or three.
+# Missed heartbeats after which callers are no longer sent to an entry. A link that
+# loses packets delays two or three.
 _MAX_MISSED_HEARTBEATS = 3
-# Entries that are taken to share a budget before any other one is known: more than
-# today's users have.
+# Number of entries assumed to share a budget while no peer is known: more than in any
+# of the users' fleets.
 DEFAULT_FLEET_SIZE = 12
-# How long an entry that says nothing is still sent heartbeats, in seconds: it may be
-# frozen, or cut off for a while.
+# Time for which a silent entry is still sent heartbeats, in seconds: it may be frozen
+# or cut off for a while.
 PEER_EXPIRY_S = 60.0
 
 
@@ -43,47 +43,50 @@
 
 
 class VersionConfirmation(NamedTuple):
-    """A peer's word that ``version`` was the newest at ``as_of`` of this process."""
+    """A peer's statement that ``version`` was the newest at ``as_of``.
+
+    ``as_of`` is on this process's clock.
+    """
 
     version: int
     as_of: float
 
 
 class PeerTable:
-    """The other entries by name; belongs to one thread, or guarded by its owner."""
+    """The other entries by name; not thread-safe, callers hold a lock."""
 
     def __init__(self, me: EntryTold) -> None:
         self._me = me
         self._by_name: dict[str, _Peer] = {}
-        # The most entries ever seen alive at once: shares of a common budget are taken
-        # by it, since one that is cut off can't tell whether the others died.
+        # Largest number of entries live at once. Common budgets are divided by it, since
+        # an entry that is cut off can't tell whether the others died.
         self._max_live_seen = 1
 
     @property
     def known_entries(self) -> tuple[EntryTold, ...]:
-        """Every peer that is known, alive or not."""
+        """Every known peer, live or not."""
         return tuple(peer.entry for peer in self._by_name.values())
 
     def heartbeat_interval_s(self) -> float:
-        """Return the seconds between two heartbeats to one peer."""
+        """Return the interval of heartbeats to one peer."""
         return HEARTBEAT_INTERVAL_S * max(
             1.0, (len(self._by_name) + 1) / _FULL_RATE_ENTRIES
         )
 
     def add_known(self, entries: Iterable[EntryTold], now: float) -> None:
-        """Take in entries that somebody names; only heartbeats tell if they live."""
-        for told in entries:
-            known = self._by_name.get(told.name)
-            if told.name == self._me.name:
+        """Add entries from a list; only their heartbeats show that they are live."""
+        for entry in entries:
+            known = self._by_name.get(entry.name)
+            if entry.name == self._me.name:
                 continue
             if known is None:
-                self._by_name[told.name] = _Peer(told, now)
-            elif known.entry != told and now - known.heard_at > PEER_EXPIRY_S / 4:
-                # The machine was replaced; one that is heard tells its address itself.
-                self._by_name[told.name] = _Peer(told, now)
+                self._by_name[entry.name] = _Peer(entry, now)
+            elif known.entry != entry and now - known.heard_at > PEER_EXPIRY_S / 4:
+                # The machine was replaced. A live entry sends its own address.
+                self._by_name[entry.name] = _Peer(entry, now)
 
     def record_heartbeat(self, beat: EntryBeat, now: float) -> bool:
-        """Take in a heartbeat; return whether its entry is new or lives anew."""
+        """Record a heartbeat; return whether its entry is new or has restarted."""
         peer = self._by_name.get(beat.me.name)
         is_new = peer is None or peer.last_heartbeat is None
         if peer is None or peer.entry != beat.me:
@@ -109,11 +112,12 @@
         )
 
     def estimate_fleet_size(self, now: float) -> int:
-        """Return how many entries share what is common to the fleet.
+        """Return the number of entries that share the budgets of the fleet.
 
-        Failure: entries that have just started know nobody, and each takes the whole.
-        Symptom: a fleet that restarts at once sends many times its budget. Entries
-        that are known but not heard count, and a few before any is known.
+        Failure: entries that have just started know no peers, and each uses the whole
+        budget. Symptom: a fleet that restarts at once sends many times its budget.
+        Known entries therefore count even if silent, and ``DEFAULT_FLEET_SIZE`` is
+        assumed before any is known.
         """
         known = len(self._by_name) + 1
         if known == 1:
@@ -121,7 +125,7 @@
         return max(self._max_live_seen, known)
 
     def echo_for(self, name: str) -> float:
-        """Return the newest clock reading that the peer sent, 0 before the first."""
+        """Return the newest clock reading from the peer to echo, 0 before the first."""
         peer = self._by_name.get(name)
         return (
             0.0
@@ -130,10 +134,10 @@
         )
 
     def take_silent_addresses(self, now: float) -> tuple[str, ...]:
-        """Return addresses to open new connections to, each not too often.
+        """Return the addresses of silent peers, to reconnect to, at a bounded rate.
 
-        Something between two machines may lose track of a connection: it stays silent
-        for good while new ones work.
+        A device between two machines may lose track of a connection. It then stays
+        silent for good while new connections work.
         """
         limit_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         found: list[str] = []
@@ -145,24 +149,24 @@
         return tuple(found)
 
     def remove_expired(self, now: float) -> tuple[EntryTold, ...]:
-        """Drop entries that were not heard for long; return them."""
-        dead = tuple(
+        """Remove and return the entries that have been silent for long."""
+        expired = tuple(
             peer.entry
             for peer in self._by_name.values()
             if now - max(peer.heard_at, peer.added_at) > PEER_EXPIRY_S
         )
-        for told in dead:
-            del self._by_name[told.name]
-        return dead
+        for entry in expired:
+            del self._by_name[entry.name]
+        return expired
 
 
 def confirmation_from(beat: EntryBeat) -> VersionConfirmation | None:
-    """Return what a heartbeat proves of the configuration's age.
+    """Return what a heartbeat proves about the age of a configuration version.
 
-    Failure: a heartbeat is held up on its way, or its sender is frozen between writing
-    and sending it. Symptom: old knowledge is taken for fresh, and a key that was taken
-    away works for too long. The sender's age is therefore counted from this process's
-    own clock reading that the heartbeat echoes: it was written after that was sent.
+    Failure: a heartbeat is delayed, or its sender is frozen between writing and sending
+    it. Symptom: an old version is taken for current, and a revoked key works for too
+    long. The sender's age is therefore counted from this process's own clock reading
+    that the heartbeat echoes: the heartbeat was written after that reading was sent.
     """
     if beat.echo <= 0.0 or beat.age_s < 0.0:
         return None
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -1,4 +1,4 @@
-"""Follows the users' list of servers: which are there, and which life of each."""
+"""Tracks the users' list of servers and the current incarnation of each."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 log = lines_of("servers")
 
-# How long entries that vanished while the store was away may take to come back.
+# Time in which servers that vanished in an outage may register again, in seconds.
 REREGISTRATION_GRACE_S = 2.2
-# A store that failed for less was not away: no entry lapses in so short a time.
+# A shorter failure is no outage: no registration expires in so short a time.
 _MIN_OUTAGE_S = 1.0
 
 
 class ServerListHandler:
-    """Keeps the list of servers; what vanishes in an outage may take a while back."""
+    """Keeps the list of servers; removals after an outage are delayed."""
 
     kind = SERVERS_KIND
 
@@ -40,10 +40,10 @@
         self._removals_held_until = 0.0
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
+        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
     ) -> None:
-        """Take in the whole list."""
-        if away_s > _MIN_OUTAGE_S:
+        """Handle the complete list."""
+        if outage_s > _MIN_OUTAGE_S:
             self._removals_held_until = monotonic() + REREGISTRATION_GRACE_S
         found = {stored.name: stored for stored in objects}
         for name in tuple(self._by_instance):
@@ -54,7 +54,7 @@
         self._apply_changes()
 
     def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
-        """Take in what changed."""
+        """Handle added, changed and removed servers."""
         for change in changes:
             if change.removed:
                 self._mark_missing(change.object.name)
@@ -79,12 +79,12 @@
         self._by_instance[stored.name] = found
 
     def _drop_unreadable(self, stored: StoredObject, why: str) -> None:
-        """Send nothing new to a server whose entry has been overwritten.
+        """Stop sending requests to a server whose registration is unreadable.
 
-        Failure: another writer puts something else under a server's name. Symptom: what
-        the server writes of itself, such as that it leaves, is not seen, and requests
-        would go on reaching it. What it runs is finished; it writes its own entry anew
-        with its next heartbeat and is used again then.
+        Failure: another writer overwrites the registration of a server. Symptom: what
+        the server writes about itself, such as that it leaves, is not seen, and
+        requests would still be sent to it. Its requests in progress finish. The server
+        writes its registration again with its next heartbeat and is used again then.
         """
         known = self._by_instance.pop(stored.name, None)
         self._missing_since_by_instance.pop(stored.name, None)
@@ -101,11 +101,11 @@
             self._missing_since_by_instance.setdefault(name, monotonic())
 
     def _apply_changes(self) -> None:
-        """Believe what is missing, unless the store has only just come back.
+        """Remove missing servers, unless the store has only just recovered.
 
-        Failure: entries lapse while the store is away, and are written anew by their
-        servers up to two seconds after its return. Symptom: a whole service has no
-        server for that long, though all of them run.
+        Failure: registrations expire during an outage of the store, and their servers
+        write them again up to two seconds after it. Symptom: a whole service has no
+        server for that long, although all of them run.
         """
         gone, self._replaced = self._replaced, []
         if monotonic() >= self._removals_held_until:
--- a/src/kingcupwheel/forwarding/storemaintenance.py
+++ b/src/kingcupwheel/forwarding/storemaintenance.py
@@ -1,4 +1,4 @@
-"""Calls to the store that nobody waits for: registering, asking again, tidying up."""
+"""Background calls to the store: registration, refresh and removal of dead entries."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 log = lines_of("store")
 
-# Knowledge of the configuration that is older is asked for anew, in seconds. Watches
-# and peers keep it younger; a slow store or a connection that went silent do not, and
-# what is left until keys are refused is then one slow answer's time.
+# Age from which the configuration is read from the store again, in seconds. Watches
+# and peers usually confirm it earlier, but not when the store is slow or a connection
+# has gone silent. The time left until keys are refused covers one slow answer.
 CONFIGURATION_REFRESH_AGE_S = 2.6
-# Each entry asks when its knowledge is this much less old, at most: one that asks tells
-# the others with its next heartbeat, so among many few have to.
+# Largest random reduction of that age, in seconds. An entry that reads the store
+# informs the others with its next heartbeat, so in a large fleet few have to read it.
 _REFRESH_AGE_JITTER_S = 0.9
 _POLL_INTERVAL_S = 0.2
-# Between two tries to register or to list the entries, in seconds.
+# Between two attempts to register or to list the entries.
 _RETRY_INTERVAL_S = 1.0
 
 
 class StoreMaintainer:
-    """One thread beside the followers of the store."""
+    """Thread that registers this entry, refreshes data and removes dead entries."""
 
     def __init__(
         self,
@@ -55,19 +55,19 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread, so that it does not register an entry that leaves."""
+        """Stop the thread, so that it does not register an entry that leaves."""
         self._stopping.set()
         self._thread.join(_RETRY_INTERVAL_S)
 
     def _run(self) -> None:
-        registered = known = False
+        registered = listed = False
         while not self._stopping.is_set():
             registered = registered or self._membership.register(self._store)
-            known = known or self._load_entries()
+            listed = listed or self._load_entries()
             self._refresh_configuration()
-            for told in self._membership.take_expired():
-                self._remove_expired(told)
-            done = registered and known
+            for entry in self._membership.take_expired():
+                self._remove_expired(entry)
+            done = registered and listed
             self._stopping.wait(_POLL_INTERVAL_S if done else _RETRY_INTERVAL_S)
 
     def _load_entries(self) -> bool:
@@ -77,10 +77,10 @@
         return bool(listed.is_ok())
 
     def _refresh_configuration(self) -> None:
-        """Ask the store itself once watches and peers have told nothing for long.
+        """Read the store if neither a watch nor a peer has confirmed the version.
 
         Failure: the store takes many times its usual time, or a watch's connection has
-        gone silent. Symptom: requests with keys are refused though a call would be
+        gone silent. Symptom: requests with keys are refused although a read would be
         answered in time.
         """
         age_s = self._configuration_cache.age_s()
@@ -97,12 +97,12 @@
             )
             log.info("asked-again", age_s=round(age_s, 2))
 
-    def _remove_expired(self, told: EntryTold) -> None:
-        """Take an entry that is gone for good out of the store."""
-        found = self._store.read(ENTRIES_KIND, told.name)
+    def _remove_expired(self, entry: EntryTold) -> None:
+        """Delete an expired entry from the store."""
+        found = self._store.read(ENTRIES_KIND, entry.name)
         if found.is_error() or found.ok is None:
             return
         removed = self._store.delete(
-            ENTRIES_KIND, told.name, revision=found.ok.revision
+            ENTRIES_KIND, entry.name, revision=found.ok.revision
         )
-        log.info("entry-removed", name=told.name, removed=removed.is_ok())
+        log.info("entry-removed", name=entry.name, removed=removed.is_ok())
--- a/src/kingcupwheel/forwarding/storewatch.py
+++ b/src/kingcupwheel/forwarding/storewatch.py
@@ -1,4 +1,4 @@
-"""Threads that follow the users' store: the configuration and the list of servers."""
+"""Threads that list and watch the users' store: the configuration and the servers."""
 
 from __future__ import annotations
 
@@ -30,52 +30,52 @@
 
 log = lines_of("store")
 
-# How long one watch waits, in seconds, among few entries. An answer without news is
-# what shows that the configuration is still the newest, so the wait bounds the age of
-# that knowledge to twice as much; each call has a price.
+# How long one watch waits in a small fleet, in seconds. An answer without changes
+# confirms the configuration, so its age is at most twice the wait. A shorter wait costs
+# more calls.
 WATCH_WAIT_S = 1.5
-# From so many entries on, peers' words show that the configuration is the newest, and
-# the few that grow unsure ask (see ``caretaking``); watches of 31 entries took 40 calls
-# a second, half of them for the configuration.
+# Number of entries from which heartbeats of peers confirm the configuration, and only
+# entries whose copy grows old read it (see ``storemaintenance``). Watches of 31 entries
+# took 40 calls a second, half of them for the configuration.
 LARGE_FLEET_ENTRIES = 10
 LARGE_FLEET_WATCH_WAIT_S = 12.0
-# After news, many entries wait so long for more of it before they watch again: servers
-# that start together were news to each of 31 entries one by one.
+# Delay in a large fleet between a change and the next watch, in seconds. It batches
+# changes: servers that start together caused one call each at each of 31 entries.
 _CHANGE_BATCHING_S = 0.2
-# Pause after a failed call, in seconds, and the longest one.
+# Delay after a failed call, in seconds, and its upper bound.
 _RETRY_DELAY_S = 0.15
 _MAX_RETRY_DELAY_S = 0.6
-# Taken off the time within which a watch that hangs must be found.
+# Subtracted from the time within which a watch that hangs must be detected.
 _WATCH_TIMEOUT_MARGIN_S = 0.3
 
 
 class KindHandler(Protocol):
-    """What a follower does with what it finds."""
+    """Handles the objects of one kind that a ``StoreWatcher`` reads."""
 
     kind: str
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
+        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
     ) -> None:
-        """Take in a whole list asked for at ``asked_at``."""
+        """Handle a complete list that was requested at ``asked_at``."""
 
     def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
-        """Take in what changed; nothing changed if ``changes`` is empty."""
+        """Handle the changes of one watch; empty if nothing changed."""
 
 
 class WatchTiming(NamedTuple):
-    """How long a watch waits, and the pause after one that brought news, in seconds."""
+    """Duration of a watch and the delay after one that returned changes, in seconds."""
 
     wait_s: float = WATCH_WAIT_S
     pause_s: float = 0.0
 
 
 def server_watch_timing(entries: int, steady_s: float) -> WatchTiming:
-    """Return the pace of watching servers among so many entries.
+    """Return the timing of watches of servers in a fleet of so many entries.
 
-    Failure: a watch's connection has gone silent, or the store swallowed it. Symptom: a
-    server that leaves is not heard of. Both are found, and the list read anew, within
-    ``steady_s``, after which the platform counts on it.
+    Failure: a watch's connection has gone silent, or the store dropped the watch.
+    Symptom: a server that leaves is not noticed. Both are detected, and the list read
+    again, within ``steady_s``, after which the platform relies on it.
     """
     if entries < LARGE_FLEET_ENTRIES:
         return WatchTiming()
@@ -86,7 +86,7 @@
 
 
 def configuration_watch_timing(entries: int) -> WatchTiming:
-    """Return the pace of watching the configuration among so many entries."""
+    """Return the timing of configuration watches in a fleet of so many entries."""
     return (
         WatchTiming()
         if entries < LARGE_FLEET_ENTRIES
@@ -95,7 +95,10 @@
 
 
 class StoreWatcher:
-    """Lists a kind, then watches it; lists again where the history is gone."""
+    """Thread that lists a kind, then watches it.
+
+    It lists again after a failed watch or when the store has dropped its history.
+    """
 
     def __init__(
         self,
@@ -120,7 +123,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask the thread to end; it does after its watch."""
+        """Ask the thread to stop; it does so after its current watch."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -139,8 +142,8 @@
         asked = self._store.listing(self._handler.kind)
         if asked.is_error():
             return asked.error
-        away_s = self._outage.duration_s(monotonic())
-        self._handler.on_list(asked.ok.objects, asked_at, away_s=away_s)
+        outage_s = self._outage.duration_s(monotonic())
+        self._handler.on_list(asked.ok.objects, asked_at, outage_s=outage_s)
         self._revision = asked.ok.revision
         return None
 
@@ -149,8 +152,8 @@
         pace = self._timing()
         asked = self._store.watch(kind, after=self._revision, wait_s=pace.wait_s)
         if asked.is_error():
-            # After any failure the list is read anew: what happened meanwhile may have
-            # been forgotten, and a list also tells what is missing.
+            # After any failure the list is read again: the store may have dropped
+            # changes that happened meanwhile, and a list also shows what is missing.
             self._revision = 0
             if isinstance(asked.error, HistoryGone):
                 log.info("history-gone", kind=kind, revision=asked.error.revision)
@@ -165,8 +168,8 @@
     def _record_success(self, began: float) -> None:
         self._retry_delay_s = _RETRY_DELAY_S
         if self._outage.is_active and self._revision:
-            away_s = round(self._outage.duration_s(monotonic()), 2)
-            log.info("store-regained", kind=self._handler.kind, away_s=away_s)
+            outage_s = round(self._outage.duration_s(monotonic()), 2)
+            log.info("store-regained", kind=self._handler.kind, away_s=outage_s)
         self._outage.record_success(began)
 
     def _record_failure(self, why: PlatformError, began: float) -> None:
@@ -176,7 +179,7 @@
 
 
 class ConfigurationHandler:
-    """Keeps the configuration in force."""
+    """Stores the configuration that a watcher reads in the cache."""
 
     kind = CONFIGURATION_KIND
 
@@ -184,15 +187,15 @@
         self._cache = cache
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
+        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
     ) -> None:
-        """Adopt the configuration if it is there."""
+        """Store the configuration if the list has it."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
                 adopt_configuration(self._cache, found.body, asked_at, source="store")
 
     def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
-        """Adopt a new version, or note that there is none."""
+        """Store a new version, or confirm the current one if nothing changed."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.removed:
                 adopt_configuration(
@@ -205,7 +208,7 @@
 def adopt_configuration(
     cache: ConfigurationCache, raw: bytes, as_of: float, *, source: str
 ) -> None:
-    """Decode and adopt a configuration that was the newest at ``as_of``."""
+    """Decode a configuration that was the newest at ``as_of`` and store it."""
     decoded = decode_configuration(raw)
     if decoded.is_error():
         log.error("configuration-refused", why=decoded.error, source=source)
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -1,7 +1,7 @@
-"""Ends waits that are over: callers that left, time that is up, servers gone silent.
+"""Aborts requests: callers that left, passed deadlines, silent servers, shutdowns.
 
-Request threads block on their server's socket. One thread looks at all of them a few
-times a second and shuts down the socket of a wait that is over, which wakes its thread.
+Request threads block on their server's socket. One thread checks all of them several
+times a second and shuts down the socket of an aborted request, which wakes its thread.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
     from collections.abc import Callable
 
 
-# Between two looks. A caller that left must be noticed, and its server told, within
-# half a second; a plain service's time limit is under a second.
+# A caller that left must be detected and its server's connection reset within half a
+# second; the timeout of a plain service is under a second.
 CHECK_INTERVAL_S = 0.05
 
-# On and with no time to linger: closing the socket resets the connection.
+# SO_LINGER on with a timeout of 0: closing the socket resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class AbortReason(Enum):
-    """Why a wait was ended."""
+    """Why a request was aborted."""
 
     CALLER_LEFT = "the caller left"
     TIMEOUT = "the time is up"
@@ -41,11 +41,12 @@
 
 
 class WatchedRequest:
-    """One request's waits; its thread attaches the server's socket while it reads.
+    """A request that the watchdog can abort.
 
-    ``time_up_at`` is monotonic. ``may_run`` tells whether a request that no server has
-    may still be sent to one. ``instance`` is the server read from, and ``may_move``
-    tells that its stream can go on at another one.
+    Its thread attaches the server's socket while it reads. ``deadline`` is monotonic.
+    ``may_dispatch`` returns whether a request that was never sent may still be sent.
+    ``instance`` is the server that is read from, ``is_resumable_elsewhere`` whether its
+    stream can be resumed at another one.
     """
 
     def __init__(
@@ -68,17 +69,20 @@
 
     @property
     def abort_reason(self) -> AbortReason | None:
-        """Why the wait was ended, if it was; a silent server's end is forgotten."""
+        """Why the request was aborted, None if it was not.
+
+        A reason that concerns one server is cleared when the next one is attached.
+        """
         return self._abort_reason
 
     @property
     def is_waiting_for_server(self) -> bool:
-        """Whether a server has been asked and its answer is awaited."""
+        """Whether a server is attached and its answer is awaited."""
         return self._server is not None
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more can come of the request."""
+        """Whether the request was aborted for good: no other server may get it."""
         return self._abort_reason in (
             AbortReason.CALLER_LEFT,
             AbortReason.TIMEOUT,
@@ -92,11 +96,11 @@
         instance: str = "",
         may_abort_silent: Callable[[], bool] = lambda: True,
     ) -> bool:
-        """Watch a server's socket from now on; end it when over, or silent so long.
+        """Watch a server's socket; it is reset on an abort or after ``silence_s``.
 
-        Returns False if the wait is over already: nothing may be sent then. A silent
-        server is given up only when ``may_give_up`` says so; it is asked once the
-        silence is too long, and again at each look until it does.
+        Returns False if the request is over already: nothing may be sent then. A read
+        from a silent server is aborted only if ``may_abort_silent`` returns True. It is
+        called once the silence is too long, and again at each check until it does.
         """
         with self._lock:
             if not self.is_over:
@@ -109,26 +113,26 @@
             return not self.is_over
 
     def record_progress(self, silence_s: float | None = None) -> None:
-        """Note that the server sent something; from now on expect it so often."""
+        """Record that the server sent data; ``silence_s`` sets the silence timeout."""
         if silence_s is not None:
             self._silence_timeout_s = silence_s
         self._silence_deadline = monotonic() + self._silence_timeout_s
 
     def detach(self) -> None:
-        """Stop watching the socket, before it is closed or kept for another request."""
+        """Stop watching the socket, before it is closed or returned to the pool."""
         with self._lock:
             self._server = None
             self.instance = ""
 
     def reset_server(self) -> None:
-        """Stop watching the socket, whose answer nobody will read to its end."""
+        """Reset the socket, whose answer will not be read to its end, and detach it."""
         with self._lock:
             if self._server is not None:
                 _reset_connection(self._server)
         self.detach()
 
     def check(self, now: float, *, is_caller_gone: bool, shutdown_at: float) -> None:
-        """End the wait if it is over; at ``stop_at`` (monotonic) every wait is."""
+        """Abort the request if a limit has passed; ``shutdown_at`` is monotonic."""
         if self.is_over:
             return
         if is_caller_gone:
@@ -145,7 +149,10 @@
         return late and self._may_abort_silent()
 
     def abort(self, reason: AbortReason) -> None:
-        """End the wait for this reason; one that is over keeps its own."""
+        """Abort the wait for the server, and the request if the reason is final.
+
+        A request that is over already keeps its reason.
+        """
         with self._lock:
             if self.is_over:
                 return
@@ -155,7 +162,7 @@
 
 
 class Watchdog:
-    """Looks at every watched request; safe from any thread."""
+    """Thread that checks every watched request; its methods are thread-safe."""
 
     def __init__(self) -> None:
         self._watched: set[WatchedRequest] = set()
@@ -169,28 +176,28 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
 
     def abort_all_at(self, at: float) -> None:
-        """End every wait at this time (monotonic), also those that begin later."""
+        """Abort all requests, also later ones, at this time (monotonic)."""
         self._abort_all_at = at
 
     def watch(self, watched: WatchedRequest) -> None:
-        """Look at this request until ``forget``."""
+        """Check this request until ``unwatch``."""
         with self._changed:
             self._watched.add(watched)
             self._changed.notify_all()
 
     def unwatch(self, watched: WatchedRequest) -> None:
-        """Look at it no longer."""
+        """Stop checking this request."""
         with self._changed:
             self._watched.discard(watched)
 
     def abort_slow_streams(self, instances: frozenset[str]) -> int:
-        """End the waits on slow servers that can go on elsewhere; return how many."""
+        """Abort streams on slow servers that can resume elsewhere; return their number."""
         with self._changed:
             found = [
                 one
@@ -217,16 +224,16 @@
     def _check(self, watched: tuple[WatchedRequest, ...]) -> None:
         gone = _find_gone_callers(watched)
         now = monotonic()
-        # Those without a server go first: a place that another one's end sets free must
-        # not be given to a request that is over as well.
+        # Requests without a server go first: a place that another abort frees must not
+        # be given to a request that is over as well.
         for one in sorted(watched, key=lambda one: one.is_waiting_for_server):
             one.check(now, is_caller_gone=one in gone, shutdown_at=self._abort_all_at)
 
 
 def _find_gone_callers(watched: tuple[WatchedRequest, ...]) -> set[WatchedRequest]:
-    """Return those whose caller has closed or reset its connection.
+    """Return the requests whose caller has closed or reset its connection.
 
-    Bytes that wait to be read are a further request, not an end.
+    Bytes that wait to be read are a further request, not a close.
     """
     poller = select.poll()
     by_number: dict[int, WatchedRequest] = {}
@@ -253,14 +260,14 @@
 
 
 def _reset_connection(server: socket.socket) -> None:
-    """Wake the thread that reads from the socket, whose close then is a reset.
+    """Wake the thread that reads from the socket and make its close a reset.
 
     Failure: the server's machine is frozen and has not acknowledged the request.
-    Symptom: after an orderly close the kernel goes on retransmitting, and the server
-    begins the request when its machine wakes, seconds after its caller has left. A
-    reset drops what is not yet delivered.
+    Symptom: after an orderly close the kernel keeps retransmitting, and the server
+    begins the request when its machine resumes, seconds after the caller has left. A
+    reset discards what is not yet delivered.
     """
-    # It may have been closed by the other side already.
+    # The peer may have closed it already.
     with contextlib.suppress(OSError):
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         server.shutdown(socket.SHUT_RDWR)
