--- a/src/kingcupwheel/forwarding/gracefulshutdown.py
+++ b/src/kingcupwheel/forwarding/gracefulshutdown.py
@@ -68,11 +68,11 @@
         """
         now = monotonic()
         received_at_by_id = self._application.received_at_by_id
-        for request_id, received_at in received_at_by_id.items():
+        for request_id, arrived_at in received_at_by_id.items():
             log.warning(
                 "cut-by-stop",
                 id=request_id,
-                came_after_s=round(received_at - self._stopping.began_at, 3),
-                took_s=round(now - received_at, 3),
+                came_after_s=round(arrived_at - self._stopping.began_at, 3),
+                took_s=round(now - arrived_at, 3),
             )
         return len(received_at_by_id)
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -58,7 +58,7 @@
     def __init__(self, me: EntryTold) -> None:
         self._me = me
         self._by_name: dict[str, _Peer] = {}
-        # Largest number of entries live at once. Common budgets are divided by it, since
+        # Largest number of entries live at once. Budgets are divided by it, since
         # an entry that is cut off can't tell whether the others died.
         self._max_live_seen = 1
 
--- a/src/kingcupwheel/forwarding/storemaintenance.py
+++ b/src/kingcupwheel/forwarding/storemaintenance.py
@@ -60,14 +60,14 @@
         self._thread.join(_RETRY_INTERVAL_S)
 
     def _run(self) -> None:
-        registered = listed = False
+        is_registered = has_listed = False
         while not self._stopping.is_set():
-            registered = registered or self._membership.register(self._store)
-            listed = listed or self._load_entries()
+            is_registered = is_registered or self._membership.register(self._store)
+            has_listed = has_listed or self._load_entries()
             self._refresh_configuration()
             for entry in self._membership.take_expired():
                 self._remove_expired(entry)
-            done = registered and listed
+            done = is_registered and has_listed
             self._stopping.wait(_POLL_INTERVAL_S if done else _RETRY_INTERVAL_S)
 
     def _load_entries(self) -> bool:
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -197,7 +197,7 @@
             self._watched.discard(watched)
 
     def abort_slow_streams(self, instances: frozenset[str]) -> int:
-        """Abort streams on slow servers that can resume elsewhere; return their number."""
+        """Abort resumable streams on slow servers; return their number."""
         with self._changed:
             found = [
                 one
