--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -26,7 +26,7 @@
 
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configuration import ForwardRoute
-    from kingcupwheel.forwarding.configuration import OrganisationKey
+    from kingcupwheel.forwarding.configuration import KeyHolder
 
 # When a caller is asked back by an entry that knows too little, in seconds: the store
 # is asked again within that.
@@ -64,21 +64,21 @@
     if configuration is None:
         return NO_MANIFEST._replace(retry_after_s=_UNKNOWING_RETRY_S)
     limits = configuration.limits
-    if _header_bytes(received) > limits.header_bytes:
+    if _header_bytes(received) > limits.max_header_bytes:
         return HEADERS_TOO_LARGE
-    if len(received.body) > limits.body_bytes:
+    if len(received.body) > limits.max_body_bytes:
         return BODY_TOO_LARGE
     host = received.headers.get("host", "").rsplit(":", 1)[0].lower()
     path = received.target.partition("?")[0]
-    route = configuration.route(host, path)
+    route = configuration.find_route(host, path)
     if route is None:
         return _denied(NO_ROUTE, knowledge)
     head = read_caller_head(received.headers)
-    holder: OrganisationKey | None = None
-    if configuration.has_organisations and not route.anonymous:
+    holder: KeyHolder | None = None
+    if configuration.has_organisations and not route.allows_anonymous:
         if knowledge.age_s > knowledge.trusted_s:
             return _too_old(knowledge)
-        holder = configuration.holder(head.key)
+        holder = configuration.find_key_holder(head.key)
         if holder is None:
             return _denied(BAD_KEY, knowledge)
     organisation = "" if holder is None else holder.organisation
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that answers callers on the users' platform."""
+"""The WSGI application that serves callers on the users' platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from kingcupwheel.forwarding.guards import spread
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
-from kingcupwheel.forwarding.watchdog import Watched
+from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -34,16 +34,17 @@
 
 log = lines_of("requests")
 
-# When a caller that an entry which stops refuses may come back, in seconds: at once if
-# another entry is there, else when this one may have started again.
-_ELSEWHERE_RETRY_S = 0.05
-_RESTART_RETRY_S = 1.0
+# Retry-After of a caller that is refused during a shutdown, in seconds: at once if
+# another entry is live, else when this one may have restarted.
+_PEER_RETRY_AFTER_S = 0.05
+_RESTART_RETRY_AFTER_S = 1.0
 
 
 class ForwardApplication:
-    """Answers callers; ``knowledge`` returns the configuration for a new request.
+    """WSGI application that forwards requests to backend servers.
 
-    ``others_live`` tells whether callers can be sent to another entry.
+    ``knowledge`` returns the configuration for a new request, ``has_live_peers``
+    whether callers can be sent to another entry.
     """
 
     def __init__(
@@ -52,78 +53,80 @@
         knowledge: Callable[[], Knowledge],
         *,
         name: str,
-        others_live: Callable[[], bool],
+        has_live_peers: Callable[[], bool],
     ) -> None:
         self._context = context
         self._knowledge = knowledge
         self._name = name
-        self._others_live = others_live
+        self._has_live_peers = has_live_peers
         self._stopping: ShutdownSchedule | None = None
-        self._closed = False
-        self._underway = Underway()
+        self._refuses_new = False
+        self._active_requests = Underway()
 
     @property
     def in_progress(self) -> int:
-        """How many requests are not yet answered to their end."""
-        return len(self._underway)
+        """Number of requests whose answer has not been sent completely."""
+        return len(self._active_requests)
 
     @property
-    def came_at_by_id(self) -> dict[str, float]:
-        """When each request in progress came, monotonic."""
-        return self._underway.came_at_by_id
+    def received_at_by_id(self) -> dict[str, float]:
+        """Monotonic receive time of each request in progress, by its id."""
+        return self._active_requests.came_at_by_id
 
-    def stop(self, stopping: ShutdownSchedule) -> None:
-        """Take only what this planned stop leaves time for, and end the rest in time.
+    def begin_shutdown(self, stopping: ShutdownSchedule) -> None:
+        """Accept only requests that can end in time; abort the rest at the deadline.
 
-        Each answer from now on closes its connection.
+        Each further answer closes its connection.
         """
         self._stopping = stopping
-        self._context.watchdog.end_by(stopping.responses_end_at)
+        self._context.watchdog.abort_all_at(stopping.responses_end_at)
 
-    def close(self) -> None:
-        """Take nothing more; what was counted in before is still answered."""
-        self._closed = True
+    def refuse_new_requests(self) -> None:
+        """Refuse all new requests; those in progress are still answered."""
+        self._refuses_new = True
 
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one WSGI request."""
         exchange = Exchange(environ, start_response)
         if self._stopping is not None:
             exchange.close_after()
         received = exchange.received(self._name, self._body_limit())
-        received = received._replace(id=self._underway.enter(received))
+        received = received._replace(id=self._active_requests.enter(received))
         try:
             body = self._answer(exchange, received)
         except BaseException:
-            self._underway.leave(received.id)
+            self._active_requests.leave(received.id)
             raise
-        return self._until_sent(body, received.id)
+        return self._track_until_sent(body, received.id)
 
     def _body_limit(self) -> int:
         configuration = self._knowledge().configuration
         limits = RequestLimits() if configuration is None else configuration.limits
-        return limits.body_bytes
+        return limits.max_body_bytes
 
-    def _refusal_of_stop(self, request: ForwardRequest) -> Refusal | None:
-        """Return the refusal of what can't end before this process does."""
+    def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
+        """Return a refusal if the request can't end before this process does."""
         stopping = self._stopping
         if stopping is None:
             return None
         now = monotonic()
         over_at = request.times.over_at
-        if not self._closed and stopping.may_accept(
+        if not self._refuses_new and stopping.may_accept(
             now,
             deadline_at=over_at,
-            longest_recent_s=self._underway.longest_s(request, now),
-            is_streamed=request.route.streamed,
+            longest_recent_s=self._active_requests.longest_s(request, now),
+            is_streamed=request.route.is_streamed,
         ):
             return None
-        retry_s = _ELSEWHERE_RETRY_S if self._others_live() else _RESTART_RETRY_S
+        retry_s = (
+            _PEER_RETRY_AFTER_S if self._has_live_peers() else _RESTART_RETRY_AFTER_S
+        )
         return LEAVING._replace(retry_after_s=spread(retry_s, request.id))
 
-    def _may_run(self, request: ForwardRequest) -> bool:
-        """Return whether a request that no server has may still be sent to one."""
+    def _may_dispatch(self, request: ForwardRequest) -> bool:
+        """Return whether a request that was never sent may still be dispatched."""
         stopping = self._stopping
         if stopping is None:
             return True
@@ -132,45 +135,53 @@
         return stopping.may_dispatch(
             now,
             deadline_at=over_at,
-            longest_recent_s=self._underway.longest_s(request, now),
+            longest_recent_s=self._active_requests.longest_s(request, now),
         )
 
-    def _until_sent(self, body: Iterable[bytes], request_id: str) -> Iterator[bytes]:
+    def _track_until_sent(
+        self, body: Iterable[bytes], request_id: str
+    ) -> Iterator[bytes]:
         try:
             yield from body
         finally:
-            self._underway.leave(request_id)
+            self._active_requests.leave(request_id)
 
     def _answer(self, exchange: Exchange, received: Received) -> Iterable[bytes]:
         request = admit(received, self._knowledge())
         if not isinstance(request, Refusal):
-            request = self._refusal_of_stop(request) or request
+            request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
             self._log_refused(received, request)
             return exchange.pass_on(RefusedAnswer(request), received.id)
-        watched = Watched(
-            exchange.socket, request.times.over_at, partial(self._may_run, request)
+        watched = WatchedRequest(
+            exchange.socket, request.times.over_at, partial(self._may_dispatch, request)
         )
         self._context.watchdog.watch(watched)
         try:
             answer = ForwardRun(self._context, request, watched).answer()
         except BaseException:
-            self._context.watchdog.forget(watched)
+            self._context.watchdog.unwatch(watched)
             raise
         body = exchange.pass_on(answer, received.id)
         refused = isinstance(answer, RefusedAnswer)
-        return self._watched_until_sent(body, watched, None if refused else request)
+        return self._watch_until_sent(body, watched, None if refused else request)
 
-    def _watched_until_sent(
-        self, body: Iterable[bytes], watched: Watched, answered: ForwardRequest | None
+    def _watch_until_sent(
+        self,
+        body: Iterable[bytes],
+        watched: WatchedRequest,
+        answered: ForwardRequest | None,
     ) -> Iterator[bytes]:
-        """Yield ``body``; how long ``answered`` took tells of what comes later."""
+        """Yield ``body``, then record the duration of ``answered``.
+
+        The duration is used to predict how long later requests take.
+        """
         try:
             yield from body
         finally:
-            self._context.watchdog.forget(watched)
+            self._context.watchdog.unwatch(watched)
             if answered is not None:
-                self._underway.answered(answered, monotonic())
+                self._active_requests.answered(answered, monotonic())
 
     def _log_refused(self, received: Received, refusal: Refusal) -> None:
         knowledge = self._knowledge()
--- /dev/null
+++ b/src/kingcupwheel/forwarding/connectionpool.py
@@ -0,0 +1,101 @@
+"""A pool of keep-alive connections to backend servers."""
+
+from __future__ import annotations
+
+import contextlib
+import select
+from threading import Lock
+from time import monotonic
+from typing import NamedTuple
+
+import urllib3
+from urllib3.connection import HTTPConnection
+
+from kingcupwheel.forwarding.exceptions import NotConnectedError
+
+
+# Keep-alive time of connections to servers that name none, in seconds. Servers close
+# idle connections after some seconds; a request that crosses the close is lost.
+DEFAULT_KEEPALIVE_S = 4.0
+# Subtracted from a server's own keep-alive time, for network delay and a late timer.
+_KEEPALIVE_MARGIN_S = 1.0
+# A hundred times the usual connect time, and short enough that another server can
+# still answer a plain request in time.
+CONNECT_TIMEOUT_S = 0.3
+# As many as one server runs requests of this process.
+_MAX_IDLE_PER_SERVER = 8
+# Fallback only: the watchdog bounds all waits.
+_SOCKET_TIMEOUT_S = 30.0
+
+
+class _IdleConnection(NamedTuple):
+    connection: HTTPConnection
+    expires_at: float
+
+
+class ConnectionPool:
+    """Idle connections by the incarnation of their server; thread-safe."""
+
+    def __init__(self) -> None:
+        self._idle_by_incarnation: dict[str, list[_IdleConnection]] = {}
+        self._lock = Lock()
+
+    def acquire(self, incarnation: str) -> HTTPConnection | None:
+        """Return an idle connection that is still open, or None."""
+        while True:
+            with self._lock:
+                idle = self._idle_by_incarnation.get(incarnation)
+                if not idle:
+                    return None
+                one = idle.pop()
+            if monotonic() < one.expires_at and _is_reusable(one.connection):
+                return one.connection
+            one.connection.close()
+
+    def open(self, address: str) -> HTTPConnection:
+        """Return a new connection; raises NotConnectedError."""
+        host, _, port = address.rpartition(":")
+        connection = HTTPConnection(host, int(port), timeout=CONNECT_TIMEOUT_S)
+        try:
+            connection.connect()
+        except (urllib3.exceptions.HTTPError, OSError) as error:
+            connection.close()
+            raise NotConnectedError(f"{type(error).__name__}") from error
+        assert connection.sock is not None, "connected"
+        # urllib3 sets this timeout on the socket again for each request.
+        connection.timeout = _SOCKET_TIMEOUT_S
+        return connection
+
+    def release(
+        self, incarnation: str, connection: HTTPConnection, keepalive_s: float | None
+    ) -> None:
+        """Return a connection whose last answer was complete to the pool."""
+        usable_s = (
+            DEFAULT_KEEPALIVE_S
+            if keepalive_s is None
+            else keepalive_s - _KEEPALIVE_MARGIN_S
+        )
+        if usable_s > 0:
+            with self._lock:
+                idle = self._idle_by_incarnation.setdefault(incarnation, [])
+                if len(idle) < _MAX_IDLE_PER_SERVER:
+                    idle.append(_IdleConnection(connection, monotonic() + usable_s))
+                    return
+        connection.close()
+
+    def close_server(self, incarnation: str) -> None:
+        """Close the idle connections of a server that left or has bad connections."""
+        with self._lock:
+            idle = self._idle_by_incarnation.pop(incarnation, [])
+        for one in idle:
+            one.connection.close()
+
+
+def _is_reusable(connection: HTTPConnection) -> bool:
+    """Return whether nothing was received since the last answer, not even a close."""
+    if connection.sock is None:
+        return False
+    with contextlib.suppress(OSError, ValueError):
+        readable, _, _ = select.select([connection.sock], [], [], 0)
+        return not readable
+    return False
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -1,4 +1,4 @@
-"""What an entry tells the platform and callers of itself and the other entries."""
+"""HTTP endpoints for the readiness of an entry and the addresses of live entries."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     from kingcupwheel.forwarding.exchange import Environ
 
 
-class ReadyPage:
-    """Tells the platform whether this entry can answer callers."""
+class ReadinessEndpoint:
+    """Readiness probe of this entry for the platform."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -25,7 +25,7 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
+        """Handle one WSGI request."""
         status = 404
         if environ["PATH_INFO"] == pages.READY_PATH:
             status = 200 if self._is_ready() else 503
@@ -33,10 +33,10 @@
         return (b"",)
 
 
-class AddressesPage:
-    """Tells callers which entries to connect to.
+class AddressesEndpoint:
+    """Serves callers the addresses of the entries to connect to.
 
-    ``addresses`` returns those for a caller in the data centre it is given.
+    ``addresses`` returns those for a caller in a data centre.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
+        """Handle one WSGI request."""
         if environ["PATH_INFO"] != pages.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
--- /dev/null
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -0,0 +1,216 @@
+"""Membership of the entries by heartbeats: liveness, shutdown, configuration."""
+
+from __future__ import annotations
+
+import secrets
+from threading import Lock
+from time import monotonic
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from kingcupwheel.forwarding.peers import PeerTable
+from kingcupwheel.forwarding.peers import confirmation_from
+from kingcupwheel.forwarding.storewatch import adopt_configuration
+from kingcupwheel.link.links import Outgoing
+from kingcupwheel.messages.membership import EntryBeat
+from kingcupwheel.messages.membership import EntryTold
+from kingcupwheel.messages.membership import ManifestObject
+from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.platform.errors import Conflict
+from kingcupwheel.telemetry.lines import lines_of
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.guards import Guards
+    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.links import Link
+    from kingcupwheel.platform.objects import ObjectStore
+    from kingcupwheel.platform.objects import StoredObject
+
+log = lines_of("peers")
+
+# The kind of the objects in the users' store under which entries register.
+ENTRIES_KIND = "kingcupwheel-entries"
+# The key under which peers send each other the configuration.
+_CONFIGURATION_KEY = "configuration"
+# One heartbeat in so many, or in as many as there are entries if these are more, lists
+# the known entries, and so do the first ones of a process. An entry that only one peer
+# knows thus becomes known to all without the store.
+_FULL_LIST_EVERY = 8
+_FULL_LIST_FIRST = 4
+# Between two requests for the configuration to peers, in seconds.
+_REQUEST_INTERVAL_S = 0.5
+
+
+class EntryMembership:
+    """Registers this entry and tracks the other entries; thread-safe."""
+
+    def __init__(
+        self,
+        me: EntryTold,
+        hub: Hub,
+        configuration_cache: ConfigurationCache,
+        guards: Guards,
+    ) -> None:
+        self._me = me
+        self._hub = hub
+        self._configuration_cache = configuration_cache
+        self._guards = guards
+        self._peers = PeerTable(me)
+        self._incarnation = secrets.token_hex(4)
+        self._heartbeat_at = 0.0
+        self._heartbeat_count = 0
+        self._requested_at = 0.0
+        self._leaving = False
+        self._revision = 0
+        self._expired: list[EntryTold] = []
+        self._live_names: frozenset[str] = frozenset()
+        self._lock = Lock()
+
+    @property
+    def fleet_size(self) -> int:
+        """Number of entries that share the budgets of the fleet."""
+        with self._lock:
+            return self._peers.estimate_fleet_size(monotonic())
+
+    @property
+    def known_count(self) -> int:
+        """Number of known entries, live or not, including this one."""
+        with self._lock:
+            return len(self._peers.known_entries) + 1
+
+    def live_entries(self) -> tuple[EntryTold, ...]:
+        """Return the entries that callers may use, including this one."""
+        with self._lock:
+            others = self._peers.live_entries(monotonic())
+        return others if self._leaving else (self._me, *others)
+
+    def add_stored(self, stored: tuple[StoredObject, ...]) -> None:
+        """Add the entries that the store lists."""
+        found: list[EntryTold] = []
+        for one in stored:
+            try:
+                found.append(msgspec.json.decode(one.body, type=EntryTold))
+            except msgspec.DecodeError as error:
+                log.warning("entry-object-refused", name=one.name, why=str(error))
+        with self._lock:
+            self._peers.add_known(found, monotonic())
+
+    def register(self, store: ObjectStore) -> bool:
+        """Write this entry to the store; return whether that succeeded."""
+        body = msgspec.json.encode(self._me)
+        written = store.create(ENTRIES_KIND, self._me.name, body)
+        if written.is_error() and isinstance(written.error, Conflict):
+            written = store.replace(
+                ENTRIES_KIND, self._me.name, body, revision=written.error.version
+            )
+        if written.is_error():
+            log.warning("registration-failed", why=str(written.error))
+            return False
+        self._revision = written.ok.revision
+        return True
+
+    def deregister(self, store: ObjectStore) -> None:
+        """Delete this entry from the store if it was registered."""
+        if self._revision:
+            store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
+
+    def take_expired(self) -> tuple[EntryTold, ...]:
+        """Return the entries that have expired since the last call."""
+        with self._lock:
+            expired = tuple(self._expired)
+            self._expired.clear()
+        return expired
+
+    def announce_leaving(self) -> None:
+        """Announce to every peer, at the next tick, that this entry stops."""
+        self._leaving = True
+        self._heartbeat_at = 0.0
+
+    def on_tick(self, now: float) -> None:
+        """Send heartbeats if the interval has passed; runs on the hub's thread."""
+        with self._lock:
+            due = now - self._heartbeat_at >= self._peers.heartbeat_interval_s()
+            if not due:
+                return
+            self._heartbeat_at = now
+            self._heartbeat_count += 1
+            for address in self._peers.take_silent_addresses(now):
+                self._hub.replace(address)
+            self._expired.extend(self._peers.remove_expired(now))
+            peers = self._peers.known_entries
+            echoes = {peer.name: self._peers.echo_for(peer.name) for peer in peers}
+        every = max(_FULL_LIST_EVERY, len(peers))
+        includes_known = (
+            self._heartbeat_count <= _FULL_LIST_FIRST
+            or self._heartbeat_count % every == 0
+        )
+        for peer in peers:
+            known = peers if includes_known else ()
+            beat = self._heartbeat(echoes[peer.name], known)
+            self._hub.send(Outgoing(peer.address, 0), beat)
+        self._log_live_changes()
+
+    def _heartbeat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
+        age_s = self._configuration_cache.age_s()
+        return EntryBeat(
+            me=self._me,
+            incarnation=self._incarnation,
+            leaving=self._leaving,
+            sent_at=self._configuration_cache.now(),
+            echo=echo,
+            version=self._configuration_cache.version,
+            age_s=age_s if age_s < 3600.0 else -1.0,
+            crashed=self._guards.crashed,
+            known=known,
+        )
+
+    def on_heartbeat(self, beat: EntryBeat) -> None:
+        """Handle a heartbeat; runs on the hub's thread."""
+        now = monotonic()
+        with self._lock:
+            is_new = self._peers.record_heartbeat(beat, now)
+            self._peers.add_known(beat.known, now)
+        if beat.crashed:
+            self._guards.heard(beat.crashed)
+        if is_new:
+            # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
+            # Otherwise it would know none for up to a second.
+            self._heartbeat_at = 0.0
+            log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
+        confirmation = confirmation_from(beat)
+        if confirmation is not None:
+            self._configuration_cache.confirm(confirmation.version, confirmation.as_of)
+        if beat.version > self._configuration_cache.version:
+            self._request_configuration(beat, now)
+        self._log_live_changes()
+
+    def _request_configuration(self, beat: EntryBeat, now: float) -> None:
+        if now - self._requested_at >= _REQUEST_INTERVAL_S:
+            self._requested_at = now
+            wanted = ManifestWanted(_CONFIGURATION_KEY)
+            self._hub.send(Outgoing(beat.me.address, 0), wanted)
+
+    def on_configuration_request(self, link: Link, message: ManifestWanted) -> None:
+        """Send the configuration to a peer that requests it."""
+        current = self._configuration_cache.current
+        if message.key == _CONFIGURATION_KEY and current is not None:
+            found = ManifestObject(_CONFIGURATION_KEY, current.version, current.raw)
+            self._hub.send(link, found)
+
+    def on_configuration(self, message: ManifestObject) -> None:
+        """Store a configuration from a peer; its heartbeats confirm the age."""
+        if message.key == _CONFIGURATION_KEY and message.value is not None:
+            adopt_configuration(
+                self._configuration_cache, message.value, float("-inf"), source="peer"
+            )
+
+    def _log_live_changes(self) -> None:
+        names = frozenset(entry.name for entry in self.live_entries())
+        if names != self._live_names:
+            gone = sorted(self._live_names - names)
+            come = sorted(names - self._live_names)
+            self._live_names = names
+            log.info("live-entries", count=len(names), come=come, gone=gone)
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -1,7 +1,7 @@
-"""Ends waits that are over: callers that left, time that is up, servers gone silent.
+"""Aborts requests: callers that left, passed deadlines, silent servers, shutdowns.
 
-Request threads block on their server's socket. One thread looks at all of them a few
-times a second and shuts down the socket of a wait that is over, which wakes its thread.
+Request threads block on their server's socket. One thread checks all of them several
+times a second and shuts down the socket of an aborted request, which wakes its thread.
 """
 
 from __future__ import annotations
@@ -22,142 +22,153 @@
     from collections.abc import Callable
 
 
-# Between two looks. A caller that left must be noticed, and its server told, within
-# half a second; a plain service's time limit is under a second.
-LOOK_S = 0.05
+# A caller that left must be detected and its server's connection reset within half a
+# second; the timeout of a plain service is under a second.
+CHECK_INTERVAL_S = 0.05
 
-# On and with no time to linger: closing the socket resets the connection.
+# SO_LINGER on with a timeout of 0: closing the socket resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Cut(Enum):
-    """Why a wait was ended."""
+class AbortReason(Enum):
+    """Why a request was aborted."""
 
     CALLER_LEFT = "the caller left"
-    TIME_UP = "the time is up"
-    SILENT = "the server is silent"
-    SLOW = "the server is slow"
-    STOPPING = "the entry stops"
+    TIMEOUT = "the time is up"
+    SERVER_SILENT = "the server is silent"
+    SERVER_SLOW = "the server is slow"
+    SHUTDOWN = "the entry stops"
 
 
-class Watched:
-    """One request's waits; its thread attaches the server's socket while it reads.
+class WatchedRequest:
+    """A request that the watchdog can abort.
 
-    ``time_up_at`` is monotonic. ``may_run`` tells whether a request that no server has
-    may still be sent to one. ``instance`` is the server read from, and ``may_move``
-    tells that its stream can go on at another one.
+    Its thread attaches the server's socket while it reads. ``deadline`` is monotonic.
+    ``may_dispatch`` returns whether a request that was never sent may still be sent.
+    ``instance`` is the server that is read from, ``is_resumable_elsewhere`` whether its
+    stream can be resumed at another one.
     """
 
     def __init__(
         self,
-        caller: socket.socket | None,
-        time_up_at: float,
-        may_run: Callable[[], bool] = lambda: True,
+        caller_socket: socket.socket | None,
+        deadline: float,
+        may_dispatch: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.caller = caller
-        self.may_run = may_run
+        self.caller_socket = caller_socket
+        self.may_dispatch = may_dispatch
         self.instance = ""
-        self.may_move = False
-        self.time_up_at = time_up_at
+        self.is_resumable_elsewhere = False
+        self.deadline = deadline
         self._server: socket.socket | None = None
-        self._silent_at = float("inf")
-        self._silence_s = float("inf")
-        self._may_give_up: Callable[[], bool] = lambda: True
-        self._cut: Cut | None = None
+        self._silence_deadline = float("inf")
+        self._silence_timeout_s = float("inf")
+        self._may_abort_silent: Callable[[], bool] = lambda: True
+        self._abort_reason: AbortReason | None = None
         self._lock = Lock()
 
     @property
-    def cut(self) -> Cut | None:
-        """Why the wait was ended, if it was; a silent server's end is forgotten."""
-        return self._cut
+    def abort_reason(self) -> AbortReason | None:
+        """Why the request was aborted, None if it was not.
+
+        A reason that concerns one server is cleared when the next one is attached.
+        """
+        return self._abort_reason
 
     @property
-    def waits_for_server(self) -> bool:
-        """Whether a server has been asked and its answer is awaited."""
+    def is_waiting_for_server(self) -> bool:
+        """Whether a server is attached and its answer is awaited."""
         return self._server is not None
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more can come of the request."""
-        return self._cut in (Cut.CALLER_LEFT, Cut.TIME_UP, Cut.STOPPING)
+        """Whether the request was aborted for good: no other server may get it."""
+        return self._abort_reason in (
+            AbortReason.CALLER_LEFT,
+            AbortReason.TIMEOUT,
+            AbortReason.SHUTDOWN,
+        )
 
     def attach(
         self,
         server: socket.socket,
         silence_s: float,
         instance: str = "",
-        may_give_up: Callable[[], bool] = lambda: True,
+        may_abort_silent: Callable[[], bool] = lambda: True,
     ) -> bool:
-        """Watch a server's socket from now on; end it when over, or silent so long.
+        """Watch a server's socket; it is reset on an abort or after ``silence_s``.
 
-        Returns False if the wait is over already: nothing may be sent then. A silent
-        server is given up only when ``may_give_up`` says so; it is asked once the
-        silence is too long, and again at each look until it does.
+        Returns False if the request is over already: nothing may be sent then. A read
+        from a silent server is aborted only if ``may_abort_silent`` returns True. It is
+        called once the silence is too long, and again at each check until it does.
         """
         with self._lock:
             if not self.is_over:
-                self._cut = None
+                self._abort_reason = None
             self._server = server
             self.instance = instance
-            self._may_give_up = may_give_up
-            self._silence_s = silence_s
-            self._silent_at = monotonic() + silence_s
+            self._may_abort_silent = may_abort_silent
+            self._silence_timeout_s = silence_s
+            self._silence_deadline = monotonic() + silence_s
             return not self.is_over
 
-    def progressed(self, silence_s: float | None = None) -> None:
-        """Note that the server sent something; from now on expect it so often."""
+    def record_progress(self, silence_s: float | None = None) -> None:
+        """Record that the server sent data; ``silence_s`` sets the silence timeout."""
         if silence_s is not None:
-            self._silence_s = silence_s
-        self._silent_at = monotonic() + self._silence_s
+            self._silence_timeout_s = silence_s
+        self._silence_deadline = monotonic() + self._silence_timeout_s
 
     def detach(self) -> None:
-        """Stop watching the socket, before it is closed or kept for another request."""
+        """Stop watching the socket, before it is closed or returned to the pool."""
         with self._lock:
             self._server = None
             self.instance = ""
 
-    def abandon(self) -> None:
-        """Stop watching the socket, whose answer nobody will read to its end."""
+    def reset_server(self) -> None:
+        """Reset the socket, whose answer will not be read to its end, and detach it."""
         with self._lock:
             if self._server is not None:
-                _abort(self._server)
+                _reset_connection(self._server)
         self.detach()
 
-    def look(self, now: float, *, caller_gone: bool, stop_at: float) -> None:
-        """End the wait if it is over; at ``stop_at`` (monotonic) every wait is."""
+    def check(self, now: float, *, is_caller_gone: bool, shutdown_at: float) -> None:
+        """Abort the request if a limit has passed; ``shutdown_at`` is monotonic."""
         if self.is_over:
             return
-        if caller_gone:
-            self.end(Cut.CALLER_LEFT)
-        elif now >= self.time_up_at:
-            self.end(Cut.TIME_UP)
-        elif now >= stop_at:
-            self.end(Cut.STOPPING)
+        if is_caller_gone:
+            self.abort(AbortReason.CALLER_LEFT)
+        elif now >= self.deadline:
+            self.abort(AbortReason.TIMEOUT)
+        elif now >= shutdown_at:
+            self.abort(AbortReason.SHUTDOWN)
         elif self._is_silent(now):
-            self.end(Cut.SILENT)
+            self.abort(AbortReason.SERVER_SILENT)
 
     def _is_silent(self, now: float) -> bool:
-        late = self._server is not None and now >= self._silent_at
-        return late and self._may_give_up()
+        late = self._server is not None and now >= self._silence_deadline
+        return late and self._may_abort_silent()
 
-    def end(self, cut: Cut) -> None:
-        """End the wait for this reason; one that is over keeps its own."""
+    def abort(self, reason: AbortReason) -> None:
+        """Abort the wait for the server, and the request if the reason is final.
+
+        A request that is over already keeps its reason.
+        """
         with self._lock:
             if self.is_over:
                 return
-            self._cut = cut
+            self._abort_reason = reason
             if self._server is not None:
-                _abort(self._server)
+                _reset_connection(self._server)
 
 
 class Watchdog:
-    """Looks at every watched request; safe from any thread."""
+    """Thread that checks every watched request; its methods are thread-safe."""
 
     def __init__(self) -> None:
-        self._watched: set[Watched] = set()
+        self._watched: set[WatchedRequest] = set()
         self._changed = Condition()
         self._stopping = False
-        self._end_at = float("inf")
+        self._abort_all_at = float("inf")
         self._thread = Thread(target=self._run, name="watchdog", daemon=True)
 
     def start(self) -> None:
@@ -165,36 +176,38 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
 
-    def end_by(self, at: float) -> None:
-        """End every wait at this time (monotonic), also those that begin later."""
-        self._end_at = at
+    def abort_all_at(self, at: float) -> None:
+        """Abort all requests, also later ones, at this time (monotonic)."""
+        self._abort_all_at = at
 
-    def watch(self, watched: Watched) -> None:
-        """Look at this request until ``forget``."""
+    def watch(self, watched: WatchedRequest) -> None:
+        """Check this request until ``unwatch``."""
         with self._changed:
             self._watched.add(watched)
             self._changed.notify_all()
 
-    def forget(self, watched: Watched) -> None:
-        """Look at it no longer."""
+    def unwatch(self, watched: WatchedRequest) -> None:
+        """Stop checking this request."""
         with self._changed:
             self._watched.discard(watched)
 
-    def evacuate(self, instances: frozenset[str]) -> int:
-        """End the waits on slow servers that can go on elsewhere; return how many."""
+    def abort_slow_streams(self, instances: frozenset[str]) -> int:
+        """Abort resumable streams on slow servers; return their number."""
         with self._changed:
             found = [
                 one
                 for one in self._watched
-                if one.may_move and one.instance in instances and one.cut is None
+                if one.is_resumable_elsewhere
+                and one.instance in instances
+                and one.abort_reason is None
             ]
         for one in found:
-            one.end(Cut.SLOW)
+            one.abort(AbortReason.SERVER_SLOW)
         return len(found)
 
     def _run(self) -> None:
@@ -204,38 +217,38 @@
                 if self._stopping:
                     return
                 watched = tuple(self._watched)
-            self._look(watched)
+            self._check(watched)
             with self._changed:
-                self._changed.wait_for(lambda: self._stopping, LOOK_S)
+                self._changed.wait_for(lambda: self._stopping, CHECK_INTERVAL_S)
 
-    def _look(self, watched: tuple[Watched, ...]) -> None:
-        gone = _gone_callers(watched)
+    def _check(self, watched: tuple[WatchedRequest, ...]) -> None:
+        gone = _find_gone_callers(watched)
         now = monotonic()
-        # Those without a server go first: a place that another one's end sets free must
-        # not be given to a request that is over as well.
-        for one in sorted(watched, key=lambda one: one.waits_for_server):
-            one.look(now, caller_gone=one in gone, stop_at=self._end_at)
+        # Requests without a server go first: a place that another abort frees must not
+        # be given to a request that is over as well.
+        for one in sorted(watched, key=lambda one: one.is_waiting_for_server):
+            one.check(now, is_caller_gone=one in gone, shutdown_at=self._abort_all_at)
 
 
-def _gone_callers(watched: tuple[Watched, ...]) -> set[Watched]:
-    """Return those whose caller has closed or reset its connection.
+def _find_gone_callers(watched: tuple[WatchedRequest, ...]) -> set[WatchedRequest]:
+    """Return the requests whose caller has closed or reset its connection.
 
-    Bytes that wait to be read are a further request, not an end.
+    Bytes that wait to be read are a further request, not a close.
     """
     poller = select.poll()
-    by_number: dict[int, Watched] = {}
+    by_number: dict[int, WatchedRequest] = {}
     for one in watched:
-        number = -1 if one.caller is None else one.caller.fileno()
+        number = -1 if one.caller_socket is None else one.caller_socket.fileno()
         if number >= 0:
             by_number[number] = one
             poller.register(number, select.POLLIN)
     if not by_number:
         return set()
     ready = [by_number[number] for number, _ in poller.poll(0)]
-    return {one for one in ready if _has_ended(one.caller)}
+    return {one for one in ready if _is_closed(one.caller_socket)}
 
 
-def _has_ended(caller: socket.socket | None) -> bool:
+def _is_closed(caller: socket.socket | None) -> bool:
     if caller is None:
         return False
     try:
@@ -246,15 +259,15 @@
         return True
 
 
-def _abort(server: socket.socket) -> None:
-    """Wake the thread that reads from the socket, whose close then is a reset.
+def _reset_connection(server: socket.socket) -> None:
+    """Wake the thread that reads from the socket and make its close a reset.
 
     Failure: the server's machine is frozen and has not acknowledged the request.
-    Symptom: after an orderly close the kernel goes on retransmitting, and the server
-    begins the request when its machine wakes, seconds after its caller has left. A
-    reset drops what is not yet delivered.
+    Symptom: after an orderly close the kernel keeps retransmitting, and the server
+    begins the request when its machine resumes, seconds after the caller has left. A
+    reset discards what is not yet delivered.
     """
-    # It may have been closed by the other side already.
+    # The peer may have closed it already.
     with contextlib.suppress(OSError):
         server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         server.shutdown(socket.SHUT_RDWR)
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -9,12 +9,12 @@
 from kingcupwheel.forwarding.configuration import Configuration
 from kingcupwheel.forwarding.configuration import EngineShape
 from kingcupwheel.forwarding.configuration import ForwardRoute
-from kingcupwheel.forwarding.configuration import OrganisationKey
+from kingcupwheel.forwarding.configuration import KeyHolder
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.configuration import Service
 from kingcupwheel.forwarding.configuration import ServiceShare
+from kingcupwheel.forwarding.configuration import group_routes_by_host
 from kingcupwheel.forwarding.configuration import key_digest
-from kingcupwheel.forwarding.configuration import routes_by_host
 from kingcupwheel.platform.decoding import decoded
 
 
@@ -101,9 +101,9 @@
     limits = found.limits
     return Configuration(
         version=found.version,
-        routes_by_host=routes_by_host(tuple(map(_route, found.routes))),
+        routes_by_host=group_routes_by_host(tuple(map(_route, found.routes))),
         services_by_name={service.name: service for service in services},
-        holders_by_key_digest=_holders(found.tenants or []),
+        key_holders_by_digest=_holders(found.tenants or []),
         has_organisations=found.tenants is not None,
         limits=RequestLimits(
             limits.max_header_bytes,
@@ -121,15 +121,15 @@
         host=route.host.lower(),
         prefix=route.path_prefix,
         shares=shares or (ServiceShare(route.service, 1.0),),
-        may_rerun=route.kind == "idempotent" or route.resumable,
-        streamed=route.kind == "streaming",
-        resumable=route.resumable,
-        answer_s=route.timeout_ms / _MS,
-        aim_s=route.target_latency_ms / _MS,
-        gap_s=route.gap_target_ms / _MS,
+        is_idempotent=route.kind == "idempotent" or route.resumable,
+        is_streamed=route.kind == "streaming",
+        is_resumable=route.resumable,
+        timeout_s=route.timeout_ms / _MS,
+        target_latency_s=route.target_latency_ms / _MS,
+        max_event_gap_s=route.gap_target_ms / _MS,
         priority=route.priority,
         max_servers=route.max_attempts,
-        anonymous=route.anonymous,
+        allows_anonymous=route.anonymous,
     )
 
 
@@ -143,9 +143,9 @@
     )
 
 
-def _holders(tenants: list[_Tenant]) -> dict[bytes, OrganisationKey]:
+def _holders(tenants: list[_Tenant]) -> dict[bytes, KeyHolder]:
     return {
-        key_digest(key): OrganisationKey(tenant.name, tenant.priority)
+        key_digest(key): KeyHolder(tenant.name, tenant.priority)
         for tenant in tenants
         for key in tenant.api_keys
     }
