--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -17,7 +17,7 @@
     PLACES = "places"
 
 
-class RankAsk(Message, frozen=True):
+class RankAsk(Message, frozen=True, tag="RankAsk"):
     """Coordinator to agent: carry out an order, then tell the state.
 
     With an order the agent gives it again until the state shows it, for ``wait_ms`` at
@@ -30,7 +30,7 @@
     wait_ms: int = 0
 
 
-class RankTold(Message, frozen=True):
+class RankTold(Message, frozen=True, tag="RankTold"):
     """Answers ``RankAsk``; ``state`` is None if the server did not answer.
 
     ``counts`` is one byte for each expert, layer by layer: choices since the last
@@ -45,7 +45,7 @@
     places: tuple[tuple[int, ...], ...] = ()
 
 
-class BranchAsk(Message, frozen=True):
+class BranchAsk(Message, frozen=True, tag="BranchAsk"):
     """Coordinator to the head of a branch: ask ``members`` this, and gather."""
 
     number: int
@@ -53,7 +53,7 @@
     members: tuple[str, ...]
 
 
-class BranchTold(Message, frozen=True):
+class BranchTold(Message, frozen=True, tag="BranchTold"):
     """Answers ``BranchAsk``: what members told by address; silent ones are left out.
 
     Their counts are summed into ``counts`` and ``scale``, as in ``RankTold``.
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -17,7 +17,7 @@
     leaving: bool
 
 
-class Load(Message, frozen=True):
+class Load(Message, frozen=True, tag="Load"):
     """Load of one backend server as its agent sees it.
 
     ``running`` and ``queued`` count attempts, ``capacity`` is the concurrency limit,
@@ -35,7 +35,7 @@
     pace: float = 1.0
 
 
-class Beat(Message, frozen=True):
+class Beat(Message, frozen=True, tag="Beat"):
     """Agent to entry, about every second and at once when leaving starts.
 
     ``token`` rolls with the agent's own clock; a dispatch that names an old one is
@@ -57,7 +57,7 @@
     born_ms: int = 0
 
 
-class LoadsAsk(Message, frozen=True):
+class LoadsAsk(Message, frozen=True, tag="LoadsAsk"):
     """Entry to the agent that tells loads for its data centre, about every second.
 
     ``members`` are the addresses of the agents whose servers' loads are wanted,
@@ -83,13 +83,13 @@
     born_ms: int = 0
 
 
-class LoadsTold(Message, frozen=True):
+class LoadsTold(Message, frozen=True, tag="LoadsTold"):
     """Answers ``LoadsAsk`` as often as it asks; members not heard are left out."""
 
     servers: tuple[ServerTold, ...]
 
 
-class PeerBeat(Message, frozen=True):
+class PeerBeat(Message, frozen=True, tag="PeerBeat"):
     """Entry to peer entry, about every second: what the peer may need to know.
 
     ``crashed`` as in ``Beat``, of all deaths heard of lately.
@@ -103,7 +103,7 @@
     crashed: tuple[tuple[str, int], ...]
 
 
-class EntryTold(Message, frozen=True):
+class EntryTold(Message, frozen=True, tag="EntryTold"):
     """An entry that the sender has heard of or from: where it is and which life."""
 
     name: str
@@ -112,7 +112,7 @@
     data_centre: str
 
 
-class EntryBeat(Message, frozen=True):
+class EntryBeat(Message, frozen=True, tag="EntryBeat"):
     """Entry to entry on the users' platform, about twice a second.
 
     ``sent_at`` is the sender's own clock; ``echo`` the newest ``sent_at`` that it has
@@ -131,7 +131,7 @@
     known: tuple[EntryTold, ...]
 
 
-class ManifestWanted(Message, frozen=True):
+class ManifestWanted(Message, frozen=True, tag="ManifestWanted"):
     """To a peer: send this object of the manifest (the index or a shard)."""
 
     key: str
@@ -160,23 +160,23 @@
     leaving: bool
 
 
-class InstancesWanted(Message, frozen=True):
+class InstancesWanted(Message, frozen=True, tag="InstancesWanted"):
     """Entry to peer: which instances do you know? Asked when the platform is down."""
 
     name: str
 
 
-class InstancesFound(Message, frozen=True):
+class InstancesFound(Message, frozen=True, tag="InstancesFound"):
     """Answers ``InstancesWanted``."""
 
     instances: tuple[InstanceInfo, ...]
 
 
-class StatusWanted(Message, frozen=True):
+class StatusWanted(Message, frozen=True, tag="StatusWanted"):
     """To an entry or agent: say how you are."""
 
 
-class StatusFound(Message, frozen=True):
+class StatusFound(Message, frozen=True, tag="StatusFound"):
     """Answers ``StatusWanted``; ``role`` is ``entry`` or ``agent``.
 
     ``manifest_version`` is the version in force there, 0 before the first one.
@@ -189,7 +189,7 @@
     leaving: bool
 
 
-class ShareTold(Message, frozen=True):
+class ShareTold(Message, frozen=True, tag="ShareTold"):
     """An entry's demand on an organisation's allowance, and the share it holds.
 
     Both are fractions of the whole allowance; ``wants`` tells that it would hold more.
@@ -201,7 +201,7 @@
     wants: bool
 
 
-class ShareBeat(Message, frozen=True):
+class ShareBeat(Message, frozen=True, tag="ShareBeat"):
     """Entry to entry, about every second while they share an organisation in use.
 
     ``sent_at`` is the sender's own monotonic clock; ``echo`` the newest ``sent_at``
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -64,7 +64,7 @@
     suspect: bool
 
 
-class Resume(Message, frozen=True):
+class Resume(Message, frozen=True, tag="Resume"):
     """Entry to agent: send what the attempt's answer holds from ``offset`` on.
 
     The agent answers ``Head`` (when known) and the frames, or ``Unseen``. ``claim_id``
@@ -86,14 +86,14 @@
     offset: int
 
 
-class Cancel(Message, frozen=True):
+class Cancel(Message, frozen=True, tag="Cancel"):
     """Entry to agent: the caller left; stop the work and free the answer."""
 
     request_id: str
     attempt: int
 
 
-class Entomb(Message, frozen=True):
+class Entomb(Message, frozen=True, tag="Entomb"):
     """Entry to agent: refuse dispatches of this claim below ``fence`` from now on."""
 
     claim_id: str
@@ -101,7 +101,7 @@
     incarnation: str
 
 
-class Entombed(Message, frozen=True):
+class Entombed(Message, frozen=True, tag="Entombed"):
     """Agent to entry: answers ``Entomb``.
 
     ``ran`` tells that a dispatch of the claim was accepted before; it is then named.
@@ -117,7 +117,7 @@
     attempt: int
 
 
-class Accepted(Message, frozen=True):
+class Accepted(Message, frozen=True, tag="Accepted"):
     """Agent to entry: the attempt is the agent's now; it waits or runs."""
 
     request_id: str
@@ -141,7 +141,7 @@
     BAD_REQUEST = "bad-request"
 
 
-class NotRun(Message, frozen=True):
+class NotRun(Message, frozen=True, tag="NotRun"):
     """Agent to entry: the attempt never started on the server, and never will."""
 
     request_id: str
@@ -149,7 +149,7 @@
     reason: Refusal
 
 
-class Head(Message, frozen=True):
+class Head(Message, frozen=True, tag="Head"):
     """Agent to entry: status and headers of the server's answer."""
 
     request_id: str
@@ -158,7 +158,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class Data(Message, frozen=True):
+class Data(Message, frozen=True, tag="Data"):
     """Agent to entry: bytes of the answer's body at ``offset``."""
 
     request_id: str
@@ -167,7 +167,7 @@
     data: bytes
 
 
-class End(Message, frozen=True):
+class End(Message, frozen=True, tag="End"):
     """Agent to entry: the attempt has ended.
 
     ``length`` is the whole body's length in bytes; ``outcome`` is RAN for a whole
@@ -181,7 +181,7 @@
     detail: str
 
 
-class Running(Message, frozen=True):
+class Running(Message, frozen=True, tag="Running"):
     """Agent to entry, about every second: these attempts are still alive here.
 
     It tells a slow answer from a link gone silent.
@@ -190,7 +190,7 @@
     attempts: tuple[tuple[str, int], ...]
 
 
-class Unseen(Message, frozen=True):
+class Unseen(Message, frozen=True, tag="Unseen"):
     """Agent to entry: answers ``Resume``; this agent's life never saw the attempt.
 
     ``cancelled`` tells that a ``Cancel`` was noted, so that a dispatch that comes
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -5,13 +5,13 @@
 from kingcupwheel.messages.base import Message
 
 
-class TraceWanted(Message, frozen=True):
+class TraceWanted(Message, frozen=True, tag="TraceWanted"):
     """To an entry or agent: send the events you hold of this request."""
 
     request_id: str
 
 
-class TraceFound(Message, frozen=True):
+class TraceFound(Message, frozen=True, tag="TraceFound"):
     """Answers ``TraceWanted``; ``events`` is an encoded list of trace events."""
 
     request_id: str
@@ -20,11 +20,11 @@
     complete: bool
 
 
-class BurnWanted(Message, frozen=True):
+class BurnWanted(Message, frozen=True, tag="BurnWanted"):
     """To an entry: send your counts against service-level goals."""
 
 
-class BurnFound(Message, frozen=True):
+class BurnFound(Message, frozen=True, tag="BurnFound"):
     """Answers ``BurnWanted``; ``part`` is an encoded ``burn.records.BurnPart``."""
 
     process: str
