--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.agent.adapters.base import ServerState
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Load
 
 
@@ -106,12 +106,12 @@
         self._probe = probe
         self._manifest_version = manifest_version
 
-    def beat(self, *, now: float) -> Beat:
+    def beat(self, *, now: float) -> AgentHeartbeat:
         """Return the message for every entry that listens."""
         settings = self._settings
         with self._runner.lock:
             runs = self._runner.runs
-            return Beat(
+            return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
                 data_centre=settings.data_centre,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.servers import Silent
 from kingcupwheel.link.links import Incoming
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstanceInfo
 from kingcupwheel.messages.membership import InstancesFound
@@ -78,7 +78,7 @@
     def on_message(self, link: Link, message: Message) -> None:
         """Take one message."""
         match message, link:
-            case Beat(), Outgoing(address):
+            case AgentHeartbeat(), Outgoing(address):
                 self._on_beat(address, message)
             case (
                 Accepted() | Head() | Data() | End() | NotRun() | Unseen(),
@@ -134,7 +134,7 @@
             case _:
                 logger.warning("Message %s not expected.", type(message).__name__)
 
-    def _on_beat(self, address: str, beat: Beat) -> None:
+    def _on_beat(self, address: str, beat: AgentHeartbeat) -> None:
         restarted = self._context.servers.heard(address, beat, monotonic())
         if restarted is not None:
             self._on_finding(restarted)
--- a/src/kingcupwheel/entry/servers.py
+++ b/src/kingcupwheel/entry/servers.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.messages.membership import Beat
+    from kingcupwheel.messages.membership import AgentHeartbeat
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.settings.schema import Timings
 
@@ -42,7 +42,7 @@
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
-        self.beat: Beat | None = None
+        self.beat: AgentHeartbeat | None = None
         self.heard_at = 0.0
         self.first_heard_at = 0.0
         self.replaced_at = 0.0
@@ -78,7 +78,7 @@
         return self.instance.leaving or (self.beat is not None and self.beat.leaving)
 
     @property
-    def known_beat(self) -> Beat:
+    def known_beat(self) -> AgentHeartbeat:
         """The latest heartbeat of a server that was heard."""
         assert self.beat is not None, "only servers that were heard are placed on"
         return self.beat
@@ -160,7 +160,7 @@
             if server is not None:
                 server.in_flight = max(0, server.in_flight - 1)
 
-    def heard(self, address: str, beat: Beat, now: float) -> Restarted | None:
+    def heard(self, address: str, beat: AgentHeartbeat, now: float) -> Restarted | None:
         """Take in a heartbeat; tell if it is from a new life of the agent."""
         with self._lock:
             server = self._by_address.get(address)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -34,7 +34,7 @@
 from kingcupwheel.forwarding.serverlist import ServersFollower
 from kingcupwheel.forwarding.watchdog import Watchdog
 from kingcupwheel.link.hub import Hub
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryBeat
 from kingcupwheel.messages.membership import EntryTold
 from kingcupwheel.messages.membership import LoadsTold
@@ -264,7 +264,7 @@
         match message:
             case EntryBeat():
                 self._neighbours.on_beat(message)
-            case Beat() | LoadsTold():
+            case AgentHeartbeat() | LoadsTold():
                 self._greeter.told(link, message)
             case ManifestWanted():
                 self._neighbours.on_wanted(link, message)
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -8,7 +8,7 @@
 from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
 from kingcupwheel.forwarding.loadheads import LoadHeads
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import LoadsAsk
 from kingcupwheel.messages.membership import LoadsTold
@@ -52,9 +52,9 @@
         self._asked_at = 0.0
         self._heads = LoadHeads(settings.data_centre)
 
-    def told(self, link: Link, message: Beat | LoadsTold) -> None:
+    def told(self, link: Link, message: AgentHeartbeat | LoadsTold) -> None:
         """Take in what an agent says of its server, or of those of a data centre."""
-        if isinstance(message, Beat):
+        if isinstance(message, AgentHeartbeat):
             self._book.agents_say((_server_told(message),))
             return
         if isinstance(link, Outgoing):
@@ -100,7 +100,7 @@
     return found
 
 
-def _server_told(beat: Beat) -> ServerTold:
+def _server_told(beat: AgentHeartbeat) -> ServerTold:
     load = beat.load
     return ServerTold(
         beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -14,7 +14,7 @@
 
 from kingcupwheel.forwarding.addressclaims import AddressClaims
 from kingcupwheel.manifest.schema import ServerGroup
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Load
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.telemetry.lines import lines_of
@@ -363,8 +363,8 @@
     )
 
 
-def _beat(backend: Backend, load: Load, *, up: bool = True) -> Beat:
-    return Beat(
+def _beat(backend: Backend, load: Load, *, up: bool = True) -> AgentHeartbeat:
+    return AgentHeartbeat(
         name=backend.instance,
         group=backend.service,
         data_centre=backend.data_centre,
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.membership import Beat
+    from kingcupwheel.messages.membership import AgentHeartbeat
     from kingcupwheel.messages.membership import LoadsAsk
 
 # Members are asked to tell their loads so often, in seconds; they go on for four.
@@ -63,7 +63,7 @@
             asker.every_s = message.every_s
             asker.at = now
 
-    def told(self, link: Link, beat: Beat, now: float) -> None:
+    def told(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
         """Take in the load of a member."""
         if not isinstance(link, Outgoing):
             return
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -24,7 +24,7 @@
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import Load
 from kingcupwheel.messages.membership import LoadsAsk
@@ -147,7 +147,7 @@
                 self._panel.told(message)
             case LoadsAsk():
                 self._board.asked(link, message, monotonic())
-            case Beat():
+            case AgentHeartbeat():
                 self._board.told(link, message, monotonic())
             case Hello():
                 with self._lock:
@@ -192,7 +192,7 @@
             return
         state = asked.ok
         load = Load(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
-        beat = Beat(
+        beat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
             data_centre="",
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -17,7 +17,7 @@
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryBeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstancesFound
@@ -69,7 +69,7 @@
     | Running
     | Unseen
     | Hello
-    | Beat
+    | AgentHeartbeat
     | PeerBeat
     | ManifestWanted
     | ManifestObject
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -35,7 +35,7 @@
     pace: float = 1.0
 
 
-class Beat(Message, frozen=True, tag="Beat"):
+class AgentHeartbeat(Message, frozen=True, tag="Beat"):
     """Agent to entry, about every second and at once when leaving starts.
 
     ``token`` rolls with the agent's own clock; a dispatch that names an old one is
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -14,7 +14,7 @@
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.link.links import Traffic
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import Load
 
@@ -31,7 +31,7 @@
     """Answers each Hello with a heartbeat."""
 
     def __init__(self, name: str, group: str) -> None:
-        self._beat = Beat(
+        self._beat = AgentHeartbeat(
             name,
             group,
             "dc-1",
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -16,7 +16,7 @@
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.messages.codec import MsgpackCodec
 from kingcupwheel.messages.expertmaps import MapReply
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import Load
 from kingcupwheel.messages.membership import PeerBeat
@@ -55,7 +55,7 @@
         Point(
             count,
             _size(
-                Beat(
+                AgentHeartbeat(
                     PROCESS,
                     "parts-model",
                     "curitiba-north",
