--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.messages.membership import AgentHeartbeat
-from kingcupwheel.messages.membership import Load
+from kingcupwheel.messages.membership import BackendLoad
 
 
 if TYPE_CHECKING:
@@ -124,10 +124,10 @@
                 crashed=self._runner.crashes.told(now=now),
             )
 
-    def _load(self) -> Load:
+    def _load(self) -> BackendLoad:
         runs = self._runner.runs
         running, queued = runs.running, runs.queued
-        return Load(
+        return BackendLoad(
             running=len(running),
             queued=len(queued),
             capacity=runs.capacity,
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -15,7 +15,7 @@
 from kingcupwheel.forwarding.addressclaims import AddressClaims
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.messages.membership import AgentHeartbeat
-from kingcupwheel.messages.membership import Load
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -253,7 +253,7 @@
         if told.pace >= AVOIDED_PACE:
             self._slow_at[address] = now
         up = told.up and not self._avoided(backend, now)
-        load = Load(told.running, told.queued, 0, 0.0, 0.0, 0.0, told.pace)
+        load = BackendLoad(told.running, told.queued, 0, 0.0, 0.0, 0.0, told.pace)
         self._heard(backend, load, now, up=up)
 
     def _reborn(self, backend: Backend, born_ms: int, now: float) -> Backend:
@@ -313,7 +313,7 @@
             self._dispatchers.pump(service)
 
     def _heard(
-        self, backend: Backend, told: Load, now: float, *, up: bool = True
+        self, backend: Backend, told: BackendLoad, now: float, *, up: bool = True
     ) -> None:
         current = self._backends_by_address.get(backend.address)
         if current is None or current.life != backend.life:
@@ -336,8 +336,8 @@
     return max(1, int(places / (pace * pace)))
 
 
-def _load(running: int, waiting: int) -> Load:
-    return Load(running, waiting, 0, 0.0, 0.0, 0.0)
+def _load(running: int, waiting: int) -> BackendLoad:
+    return BackendLoad(running, waiting, 0, 0.0, 0.0, 0.0)
 
 
 def _groups(backends: Iterable[Backend]) -> dict[str, ServerGroup]:
@@ -363,7 +363,7 @@
     )
 
 
-def _beat(backend: Backend, load: Load, *, up: bool = True) -> AgentHeartbeat:
+def _beat(backend: Backend, load: BackendLoad, *, up: bool = True) -> AgentHeartbeat:
     return AgentHeartbeat(
         name=backend.instance,
         group=backend.service,
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -25,8 +25,8 @@
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
 from kingcupwheel.messages.membership import LoadsAsk
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
@@ -191,7 +191,7 @@
         if asked.is_error():
             return
         state = asked.ok
-        load = Load(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
+        load = BackendLoad(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
         beat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -17,7 +17,7 @@
     leaving: bool
 
 
-class Load(Message, frozen=True, tag="Load"):
+class BackendLoad(Message, frozen=True, tag="Load"):
     """Load of one backend server as its agent sees it.
 
     ``running`` and ``queued`` count attempts, ``capacity`` is the concurrency limit,
@@ -49,7 +49,7 @@
     data_centre: str
     incarnation: str
     token: int
-    load: Load
+    load: BackendLoad
     leaving: bool
     server_up: bool
     manifest_version: int
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -15,8 +15,8 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.link.links import Traffic
 from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
             "dc-1",
             f"incarnation-{name}",
             1,
-            Load(0, 0, 16, 0.0, 0.0, 0.1),
+            BackendLoad(0, 0, 16, 0.0, 0.0, 0.1),
             False,
             True,
             0,
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -17,8 +17,8 @@
 from kingcupwheel.messages.codec import MsgpackCodec
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
 from kingcupwheel.messages.membership import PeerBeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import ShareTold
@@ -50,7 +50,7 @@
 
 def beat_bytes() -> list[Point]:
     """Return the size of a heartbeat by the number of suspects it names."""
-    load = Load(12, 3, 16, 5400.5, 2300.25, 0.75)
+    load = BackendLoad(12, 3, 16, 5400.5, 2300.25, 0.75)
     return [
         Point(
             count,
