--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -10,7 +10,7 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsAsk
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import LoadsTold
 from kingcupwheel.messages.membership import ServerTold
 
@@ -74,7 +74,7 @@
         self._asked_at = now
         if sum(map(len, agents.values())) > DIRECT_AGENTS:
             for head, members, every_s in self._heads.asks(agents, now):
-                self._hub.send(Outgoing(head, 0), LoadsAsk(members, every_s))
+                self._hub.send(Outgoing(head, 0), LoadsRequest(members, every_s))
             return
         hello = self._hello(current)
         for agent in (one for found in agents.values() for one in found):
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -22,7 +22,7 @@
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.membership import AgentHeartbeat
-    from kingcupwheel.messages.membership import LoadsAsk
+    from kingcupwheel.messages.membership import LoadsRequest
 
 # Members are asked to tell their loads so often, in seconds; they go on for four.
 _GREET_S = 1.0
@@ -55,7 +55,7 @@
         self._greeted_at = float("-inf")
         self._lock = Lock()
 
-    def asked(self, link: Link, message: LoadsAsk, now: float) -> None:
+    def asked(self, link: Link, message: LoadsRequest, now: float) -> None:
         """Tell an entry the loads of these members for a while."""
         with self._lock:
             asker = self._askers.setdefault(link, _Asker())
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -27,7 +27,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsAsk
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
@@ -145,7 +145,7 @@
                 pass
             case RankTold() | BranchTold():
                 self._panel.told(message)
-            case LoadsAsk():
+            case LoadsRequest():
                 self._board.asked(link, message, monotonic())
             case AgentHeartbeat():
                 self._board.told(link, message, monotonic())
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -22,7 +22,7 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstancesFound
 from kingcupwheel.messages.membership import InstancesWanted
-from kingcupwheel.messages.membership import LoadsAsk
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import LoadsTold
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
@@ -88,7 +88,7 @@
     | RankTold
     | BranchAsk
     | BranchTold
-    | LoadsAsk
+    | LoadsRequest
     | LoadsTold
     | EntryBeat
 )
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -57,7 +57,7 @@
     born_ms: int = 0
 
 
-class LoadsAsk(Message, frozen=True, tag="LoadsAsk"):
+class LoadsRequest(Message, frozen=True, tag="LoadsAsk"):
     """Entry to the agent that tells loads for its data centre, about every second.
 
     ``members`` are the addresses of the agents whose servers' loads are wanted,
