--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -37,7 +37,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryBeat
 from kingcupwheel.messages.membership import EntryTold
-from kingcupwheel.messages.membership import LoadsTold
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
 from kingcupwheel.platform.objects import ObjectStore
@@ -264,7 +264,7 @@
         match message:
             case EntryBeat():
                 self._neighbours.on_beat(message)
-            case AgentHeartbeat() | LoadsTold():
+            case AgentHeartbeat() | LoadsReply():
                 self._greeter.told(link, message)
             case ManifestWanted():
                 self._neighbours.on_wanted(link, message)
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -10,8 +10,8 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
-from kingcupwheel.messages.membership import LoadsTold
 from kingcupwheel.messages.membership import ServerTold
 
 
@@ -52,7 +52,7 @@
         self._asked_at = 0.0
         self._heads = LoadHeads(settings.data_centre)
 
-    def told(self, link: Link, message: AgentHeartbeat | LoadsTold) -> None:
+    def told(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
         """Take in what an agent says of its server, or of those of a data centre."""
         if isinstance(message, AgentHeartbeat):
             self._book.agents_say((_server_told(message),))
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -14,7 +14,7 @@
 
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsTold
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ServerTold
 
 
@@ -97,7 +97,7 @@
         for link, asker in askers:
             if now - asker.told_at >= asker.every_s:
                 asker.told_at = now
-                self._hub.send(link, LoadsTold(_fresh(asker, heard, now)))
+                self._hub.send(link, LoadsReply(_fresh(asker, heard, now)))
 
 
 def _fresh(
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -22,8 +22,8 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstancesFound
 from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
-from kingcupwheel.messages.membership import LoadsTold
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
 from kingcupwheel.messages.membership import PeerBeat
@@ -89,7 +89,7 @@
     | BranchAsk
     | BranchTold
     | LoadsRequest
-    | LoadsTold
+    | LoadsReply
     | EntryBeat
 )
 
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -83,7 +83,7 @@
     born_ms: int = 0
 
 
-class LoadsTold(Message, frozen=True, tag="LoadsTold"):
+class LoadsReply(Message, frozen=True, tag="LoadsTold"):
     """Answers ``LoadsAsk`` as often as it asks; members not heard are left out."""
 
     servers: tuple[ServerTold, ...]
