--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -12,7 +12,7 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
-from kingcupwheel.messages.membership import ServerTold
+from kingcupwheel.messages.membership import ReportedServerLoad
 
 
 if TYPE_CHECKING:
@@ -100,8 +100,8 @@
     return found
 
 
-def _server_told(beat: AgentHeartbeat) -> ServerTold:
+def _server_told(beat: AgentHeartbeat) -> ReportedServerLoad:
     load = beat.load
-    return ServerTold(
+    return ReportedServerLoad(
         beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
     )
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -28,7 +28,7 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.heads import ReportedLoad
-    from kingcupwheel.messages.membership import ServerTold
+    from kingcupwheel.messages.membership import ReportedServerLoad
 
 log = lines_of("servers")
 
@@ -229,7 +229,7 @@
             self._claims.refute(backend, now)
             self._apply(now)
 
-    def agents_say(self, told: Iterable[ServerTold]) -> None:
+    def agents_say(self, told: Iterable[ReportedServerLoad]) -> None:
         """Take in what the agents beside servers say."""
         now = monotonic()
         services: set[str] = set()
@@ -241,7 +241,9 @@
         for service in services:
             self._dispatchers.pump(service)
 
-    def _agent_says(self, backend: Backend, told: ServerTold, now: float) -> None:
+    def _agent_says(
+        self, backend: Backend, told: ReportedServerLoad, now: float
+    ) -> None:
         address = backend.address
         if told.born_ms and backend.born_ms:
             if told.born_ms < backend.born_ms:
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -15,7 +15,7 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import LoadsReply
-from kingcupwheel.messages.membership import ServerTold
+from kingcupwheel.messages.membership import ReportedServerLoad
 
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 
 
 class _Heard(NamedTuple):
-    told: ServerTold
+    told: ReportedServerLoad
     at: float
 
 
@@ -68,7 +68,7 @@
         if not isinstance(link, Outgoing):
             return
         load = beat.load
-        told = ServerTold(
+        told = ReportedServerLoad(
             beat.name,
             load.running,
             load.queued,
@@ -102,6 +102,6 @@
 
 def _fresh(
     asker: _Asker, heard: dict[str, _Heard], now: float
-) -> tuple[ServerTold, ...]:
+) -> tuple[ReportedServerLoad, ...]:
     found = (heard[member] for member in asker.members if member in heard)
     return tuple(one.told for one in found if now - one.at <= _FRESH_S)
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -68,7 +68,7 @@
     every_s: float
 
 
-class ServerTold(msgspec.Struct, frozen=True, array_like=True):
+class ReportedServerLoad(msgspec.Struct, frozen=True, array_like=True):
     """A server's load as the agent beside it told a moment ago.
 
     ``address`` is the server's; ``born_ms`` tells which life of it (0: not told); the
@@ -86,7 +86,7 @@
 class LoadsReply(Message, frozen=True, tag="LoadsTold"):
     """Answers ``LoadsAsk`` as often as it asks; members not heard are left out."""
 
-    servers: tuple[ServerTold, ...]
+    servers: tuple[ReportedServerLoad, ...]
 
 
 class PeerBeat(Message, frozen=True, tag="PeerBeat"):
