--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -24,7 +24,7 @@
 from kingcupwheel.messages.membership import InstancesWanted
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.messages.membership import PeerBeat
+from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
 from kingcupwheel.messages.membership import StatusWanted
@@ -105,7 +105,7 @@
     def _on_peer_message(self, link: Link, message: Message) -> None:
         send = self._context.hub.send
         match message:
-            case PeerBeat():
+            case PeerHeartbeat():
                 self._on_peer_beat(link, message)
             case ManifestWanted(key):
                 send(link, self._keeper.object_for(key))
@@ -143,7 +143,7 @@
         self._keeper.heard(beat.manifest_version, "", address)
         self._context.dispatchers.pump(beat.group)
 
-    def _on_peer_beat(self, link: Link, beat: PeerBeat) -> None:
+    def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
         self._membership.heard(beat, monotonic())
         if beat.crashed:
             self._context.limits.heard(beat.crashed)
@@ -223,9 +223,9 @@
         for peer in self._membership.peers:
             context.hub.send(Outgoing(peer.address, 0), beat)
 
-    def _peer_beat(self) -> PeerBeat:
+    def _peer_beat(self) -> PeerHeartbeat:
         context = self._context
-        return PeerBeat(
+        return PeerHeartbeat(
             context.settings.name,
             context.settings.data_centre,
             self._keeper.version,
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -20,7 +20,7 @@
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.manifest.schema import Allowance
     from kingcupwheel.manifest.schema import Organisation
-    from kingcupwheel.messages.membership import PeerBeat
+    from kingcupwheel.messages.membership import PeerHeartbeat
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
@@ -171,7 +171,7 @@
         nearest_last = _ring_after(entries, self._settings.name)
         return frozenset(one.name for one in nearest_last[-_PEERS:])
 
-    def heard(self, beat: PeerBeat, now: float) -> None:
+    def heard(self, beat: PeerHeartbeat, now: float) -> None:
         """Take in a peer's heartbeat."""
         self._peer_heard_at[beat.name] = now
         if beat.leaving:
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -26,7 +26,7 @@
 from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.messages.membership import PeerBeat
+from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
 from kingcupwheel.messages.membership import StatusWanted
@@ -70,7 +70,7 @@
     | Unseen
     | Hello
     | AgentHeartbeat
-    | PeerBeat
+    | PeerHeartbeat
     | ManifestWanted
     | ManifestObject
     | InstancesWanted
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -89,7 +89,7 @@
     servers: tuple[ReportedServerLoad, ...]
 
 
-class PeerBeat(Message, frozen=True, tag="PeerBeat"):
+class PeerHeartbeat(Message, frozen=True, tag="PeerBeat"):
     """Entry to peer entry, about every second: what the peer may need to know.
 
     ``crashed`` as in ``Beat``, of all deaths heard of lately.
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -19,7 +19,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import PeerBeat
+from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import ShareTold
 from kingcupwheel.platform.client import Instance
@@ -85,7 +85,7 @@
         Point(
             count,
             _size(
-                PeerBeat(
+                PeerHeartbeat(
                     PROCESS, "curitiba-north", 720, _DIGEST, False, suspects(count)
                 )
             ),
