--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.forwarding.neighbours import Neighbours
-    from kingcupwheel.messages.membership import EntryTold
+    from kingcupwheel.messages.membership import EntryInfo
     from kingcupwheel.platform.objects import ObjectStore
 
 log = lines_of("store")
@@ -90,7 +90,7 @@
             adopt(self._currency, found.ok.body, asked_at, source="store")
             log.info("asked-again", age_s=round(age_s, 2))
 
-    def _remove(self, told: EntryTold) -> None:
+    def _remove(self, told: EntryInfo) -> None:
         """Take an entry that is gone for good out of the store."""
         found = self._store.read(ENTRIES_KIND, told.name)
         if found.is_error() or found.ok is None:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -36,7 +36,7 @@
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryBeat
-from kingcupwheel.messages.membership import EntryTold
+from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
@@ -120,7 +120,7 @@
             self._currency,
             leaving=self._leaving.is_set,
         )
-        me = EntryTold(
+        me = EntryInfo(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
         self._neighbours = Neighbours(me, self._hub, self._currency, self._guards)
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.peers import freshness_of
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import EntryBeat
-from kingcupwheel.messages.membership import EntryTold
+from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
 from kingcupwheel.platform.errors import Conflict
@@ -48,7 +48,7 @@
     """The other entries; safe from any thread."""
 
     def __init__(
-        self, me: EntryTold, hub: Hub, currency: Currency, guards: Guards
+        self, me: EntryInfo, hub: Hub, currency: Currency, guards: Guards
     ) -> None:
         self._me = me
         self._hub = hub
@@ -61,7 +61,7 @@
         self._asked_at = 0.0
         self._leaving = False
         self._revision = 0
-        self._dead: list[EntryTold] = []
+        self._dead: list[EntryInfo] = []
         self._live_names: frozenset[str] = frozenset()
         self._lock = Lock()
 
@@ -77,7 +77,7 @@
         with self._lock:
             return len(self._peers.told) + 1
 
-    def live(self) -> tuple[EntryTold, ...]:
+    def live(self) -> tuple[EntryInfo, ...]:
         """Return the entries that callers may be sent to, this one among them."""
         with self._lock:
             others = self._peers.live(monotonic())
@@ -85,10 +85,10 @@
 
     def know(self, stored: tuple[StoredObject, ...]) -> None:
         """Take in the entries that the store lists."""
-        found: list[EntryTold] = []
+        found: list[EntryInfo] = []
         for one in stored:
             try:
-                found.append(msgspec.json.decode(one.body, type=EntryTold))
+                found.append(msgspec.json.decode(one.body, type=EntryInfo))
             except msgspec.DecodeError as error:
                 log.warning("entry-object-refused", name=one.name, why=str(error))
         with self._lock:
@@ -113,7 +113,7 @@
         if self._revision:
             store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
 
-    def take_dead(self) -> tuple[EntryTold, ...]:
+    def take_dead(self) -> tuple[EntryInfo, ...]:
         """Return, once, entries not heard for so long that they are gone for good."""
         with self._lock:
             dead = tuple(self._dead)
@@ -146,7 +146,7 @@
             self._hub.send(Outgoing(told.address, 0), beat)
         self._note_live()
 
-    def _beat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
+    def _beat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryBeat:
         age_s = self._currency.age_s()
         return EntryBeat(
             me=self._me,
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.messages.membership import EntryBeat
-    from kingcupwheel.messages.membership import EntryTold
+    from kingcupwheel.messages.membership import EntryInfo
 
 # Between two heartbeats to a peer, in seconds, among up to this many entries; with more
 # of them heartbeats are as much rarer, so that an entry's cost stays the same.
@@ -34,7 +34,7 @@
 class _Peer:
     __slots__ = ("beat", "heard_at", "known_at", "links_opened_at", "told")
 
-    def __init__(self, told: EntryTold, now: float) -> None:
+    def __init__(self, told: EntryInfo, now: float) -> None:
         self.told = told
         self.beat: EntryBeat | None = None
         self.heard_at = float("-inf")
@@ -52,7 +52,7 @@
 class Peers:
     """The other entries by name; belongs to one thread, or guarded by its owner."""
 
-    def __init__(self, me: EntryTold) -> None:
+    def __init__(self, me: EntryInfo) -> None:
         self._me = me
         self._by_name: dict[str, _Peer] = {}
         # The most entries ever seen alive at once: shares of a common budget are taken
@@ -60,7 +60,7 @@
         self._most = 1
 
     @property
-    def told(self) -> tuple[EntryTold, ...]:
+    def told(self) -> tuple[EntryInfo, ...]:
         """Every peer that is known, alive or not."""
         return tuple(peer.told for peer in self._by_name.values())
 
@@ -68,7 +68,7 @@
         """Return the seconds between two heartbeats to one peer."""
         return BEAT_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
 
-    def know(self, entries: Iterable[EntryTold], now: float) -> None:
+    def know(self, entries: Iterable[EntryInfo], now: float) -> None:
         """Take in entries that somebody names; only heartbeats tell if they live."""
         for told in entries:
             known = self._by_name.get(told.name)
@@ -92,7 +92,7 @@
         self._most = max(self._most, len(self.live(now)) + 1)
         return is_new or restarted
 
-    def live(self, now: float) -> tuple[EntryTold, ...]:
+    def live(self, now: float) -> tuple[EntryInfo, ...]:
         """Return the peers that callers may be sent to."""
         silent_s = _MISSED * self.beat_s()
         return tuple(
@@ -135,7 +135,7 @@
                 found.append(peer.told.address)
         return tuple(found)
 
-    def forget_dead(self, now: float) -> tuple[EntryTold, ...]:
+    def forget_dead(self, now: float) -> tuple[EntryInfo, ...]:
         """Drop entries that were not heard for long; return them."""
         dead = tuple(
             peer.told
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -103,7 +103,7 @@
     crashed: tuple[tuple[str, int], ...]
 
 
-class EntryTold(Message, frozen=True, tag="EntryTold"):
+class EntryInfo(Message, frozen=True, tag="EntryTold"):
     """An entry that the sender has heard of or from: where it is and which life."""
 
     name: str
@@ -120,7 +120,7 @@
     before this was sent; negative if that is not known. ``known`` are other entries.
     """
 
-    me: EntryTold
+    me: EntryInfo
     incarnation: str
     leaving: bool
     sent_at: float
@@ -128,7 +128,7 @@
     version: int
     age_s: float
     crashed: tuple[tuple[str, int], ...]
-    known: tuple[EntryTold, ...]
+    known: tuple[EntryInfo, ...]
 
 
 class ManifestWanted(Message, frozen=True, tag="ManifestWanted"):
