--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -35,7 +35,7 @@
 from kingcupwheel.forwarding.watchdog import Watchdog
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.messages.membership import AgentHeartbeat
-from kingcupwheel.messages.membership import EntryBeat
+from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
@@ -262,7 +262,7 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case EntryBeat():
+            case EntryHeartbeat():
                 self._neighbours.on_beat(message)
             case AgentHeartbeat() | LoadsReply():
                 self._greeter.told(link, message)
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -13,7 +13,7 @@
 from kingcupwheel.forwarding.peers import Peers
 from kingcupwheel.forwarding.peers import freshness_of
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import EntryBeat
+from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestWanted
@@ -146,9 +146,9 @@
             self._hub.send(Outgoing(told.address, 0), beat)
         self._note_live()
 
-    def _beat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryBeat:
+    def _beat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
         age_s = self._currency.age_s()
-        return EntryBeat(
+        return EntryHeartbeat(
             me=self._me,
             incarnation=self._incarnation,
             leaving=self._leaving,
@@ -160,7 +160,7 @@
             known=known,
         )
 
-    def on_beat(self, beat: EntryBeat) -> None:
+    def on_beat(self, beat: EntryHeartbeat) -> None:
         """Take in a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
@@ -179,7 +179,7 @@
             self._ask_for_configuration(beat, now)
         self._note_live()
 
-    def _ask_for_configuration(self, beat: EntryBeat, now: float) -> None:
+    def _ask_for_configuration(self, beat: EntryHeartbeat, now: float) -> None:
         if now - self._asked_at >= _ASK_AGAIN_S:
             self._asked_at = now
             wanted = ManifestWanted(_CONFIGURATION)
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.messages.membership import EntryBeat
+    from kingcupwheel.messages.membership import EntryHeartbeat
     from kingcupwheel.messages.membership import EntryInfo
 
 # Between two heartbeats to a peer, in seconds, among up to this many entries; with more
@@ -36,7 +36,7 @@
 
     def __init__(self, told: EntryInfo, now: float) -> None:
         self.told = told
-        self.beat: EntryBeat | None = None
+        self.beat: EntryHeartbeat | None = None
         self.heard_at = float("-inf")
         self.known_at = now
         self.links_opened_at = now
@@ -80,7 +80,7 @@
                 # The machine was replaced; one that is heard tells its address itself.
                 self._by_name[told.name] = _Peer(told, now)
 
-    def heard(self, beat: EntryBeat, now: float) -> bool:
+    def heard(self, beat: EntryHeartbeat, now: float) -> bool:
         """Take in a heartbeat; return whether its entry is new or lives anew."""
         peer = self._by_name.get(beat.me.name)
         is_new = peer is None or peer.beat is None
@@ -147,7 +147,7 @@
         return dead
 
 
-def freshness_of(beat: EntryBeat) -> Freshness | None:
+def freshness_of(beat: EntryHeartbeat) -> Freshness | None:
     """Return what a heartbeat proves of the configuration's age.
 
     Failure: a heartbeat is held up on its way, or its sender is frozen between writing
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -18,7 +18,7 @@
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
-from kingcupwheel.messages.membership import EntryBeat
+from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstancesFound
 from kingcupwheel.messages.membership import InstancesWanted
@@ -90,7 +90,7 @@
     | BranchTold
     | LoadsRequest
     | LoadsReply
-    | EntryBeat
+    | EntryHeartbeat
 )
 
 
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -112,7 +112,7 @@
     data_centre: str
 
 
-class EntryBeat(Message, frozen=True, tag="EntryBeat"):
+class EntryHeartbeat(Message, frozen=True, tag="EntryBeat"):
     """Entry to entry on the users' platform, about twice a second.
 
     ``sent_at`` is the sender's own clock; ``echo`` the newest ``sent_at`` that it has
