--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -26,7 +26,7 @@
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import StatusFound
 from kingcupwheel.messages.membership import StatusWanted
 from kingcupwheel.messages.runs import Running
@@ -213,7 +213,7 @@
                 self._hub.send(link, self._recorder.found(request_id))
             case StatusWanted():
                 self._hub.send(link, self._status())
-            case ManifestWanted(key):
+            case ManifestRequest(key):
                 self._hub.send(link, self._manifest.object_for(key))
             case ManifestObject():
                 self._manifest.found(message)
--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -20,7 +20,7 @@
 from kingcupwheel.link.links import Incoming
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
     def _fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         link = Incoming(bytes.fromhex(address))
         with self._asking:
-            self._send(link, ManifestWanted(key))
+            self._send(link, ManifestRequest(key))
             return self._wait(key)
 
     def _wait(self, key: str) -> Result[ManifestObject | None, str]:
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -23,7 +23,7 @@
 from kingcupwheel.messages.membership import InstancesFound
 from kingcupwheel.messages.membership import InstancesWanted
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
@@ -107,7 +107,7 @@
         match message:
             case PeerHeartbeat():
                 self._on_peer_beat(link, message)
-            case ManifestWanted(key):
+            case ManifestRequest(key):
                 send(link, self._keeper.object_for(key))
             case ManifestObject():
                 self._fetcher.found(message)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -39,7 +39,7 @@
 from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.objects import ObjectStore
 from kingcupwheel.plugins.kernel import load_placements
 from kingcupwheel.telemetry.lines import lines_of
@@ -266,7 +266,7 @@
                 self._neighbours.on_beat(message)
             case AgentHeartbeat() | LoadsReply():
                 self._greeter.told(link, message)
-            case ManifestWanted():
+            case ManifestRequest():
                 self._neighbours.on_wanted(link, message)
             case ManifestObject():
                 self._neighbours.on_object(message)
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -16,7 +16,7 @@
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -182,10 +182,10 @@
     def _ask_for_configuration(self, beat: EntryHeartbeat, now: float) -> None:
         if now - self._asked_at >= _ASK_AGAIN_S:
             self._asked_at = now
-            wanted = ManifestWanted(_CONFIGURATION)
+            wanted = ManifestRequest(_CONFIGURATION)
             self._hub.send(Outgoing(beat.me.address, 0), wanted)
 
-    def on_wanted(self, link: Link, message: ManifestWanted) -> None:
+    def on_wanted(self, link: Link, message: ManifestRequest) -> None:
         """Hand a peer the configuration that it has not."""
         current = self._currency.current
         if message.key == _CONFIGURATION and current is not None:
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -25,7 +25,7 @@
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
@@ -71,7 +71,7 @@
     | Hello
     | AgentHeartbeat
     | PeerHeartbeat
-    | ManifestWanted
+    | ManifestRequest
     | ManifestObject
     | InstancesWanted
     | ShareBeat
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -131,7 +131,7 @@
     known: tuple[EntryInfo, ...]
 
 
-class ManifestWanted(Message, frozen=True, tag="ManifestWanted"):
+class ManifestRequest(Message, frozen=True, tag="ManifestWanted"):
     """To a peer: send this object of the manifest (the index or a shard)."""
 
     key: str
