--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -28,7 +28,7 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
 from kingcupwheel.plugins.kernel import load_builtin
@@ -220,4 +220,4 @@
 
     def _ask_seeds(self) -> None:
         for address in self._settings.seeds:
-            self._hub.send(Outgoing(address, 0), InstancesWanted(self._settings.name))
+            self._hub.send(Outgoing(address, 0), InstancesRequest(self._settings.name))
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -21,7 +21,7 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstanceInfo
 from kingcupwheel.messages.membership import InstancesFound
-from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
@@ -129,7 +129,7 @@
                 send(link, self._burn.found(now=time.time()))
             case StatusWanted():
                 send(link, self._status())
-            case InstancesWanted():
+            case InstancesRequest():
                 send(link, self._instances())
             case _:
                 logger.warning("Message %s not expected.", type(message).__name__)
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -21,7 +21,7 @@
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstancesFound
-from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import ManifestObject
@@ -73,7 +73,7 @@
     | PeerHeartbeat
     | ManifestRequest
     | ManifestObject
-    | InstancesWanted
+    | InstancesRequest
     | ShareBeat
     | InstancesFound
     | StatusWanted
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -160,7 +160,7 @@
     leaving: bool
 
 
-class InstancesWanted(Message, frozen=True, tag="InstancesWanted"):
+class InstancesRequest(Message, frozen=True, tag="InstancesWanted"):
     """Entry to peer: which instances do you know? Asked when the platform is down."""
 
     name: str
