--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -20,7 +20,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstanceInfo
-from kingcupwheel.messages.membership import InstancesFound
+from kingcupwheel.messages.membership import InstancesReply
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
@@ -111,7 +111,7 @@
                 send(link, self._keeper.object_for(key))
             case ManifestObject():
                 self._fetcher.found(message)
-            case InstancesFound(instances):
+            case InstancesReply(instances):
                 self._on_instances(instances)
             case ShareBeat():
                 self._sharing.heard(message, monotonic())
@@ -162,9 +162,9 @@
             instances = tuple(Instance(*msgspec.structs.astuple(one)) for one in infos)
             self._membership.adopt(instances)
 
-    def _instances(self) -> InstancesFound:
+    def _instances(self) -> InstancesReply:
         infos = tuple(InstanceInfo(*one) for one in self._membership.instances)
-        return InstancesFound(infos)
+        return InstancesReply(infos)
 
     def _status(self) -> StatusFound:
         settings = self._context.settings
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -20,7 +20,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import InstancesFound
+from kingcupwheel.messages.membership import InstancesReply
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import LoadsRequest
@@ -75,7 +75,7 @@
     | ManifestObject
     | InstancesRequest
     | ShareBeat
-    | InstancesFound
+    | InstancesReply
     | StatusWanted
     | StatusFound
     | TraceWanted
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -166,7 +166,7 @@
     name: str
 
 
-class InstancesFound(Message, frozen=True, tag="InstancesFound"):
+class InstancesReply(Message, frozen=True, tag="InstancesFound"):
     """Answers ``InstancesWanted``."""
 
     instances: tuple[InstanceInfo, ...]
