--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -28,7 +28,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
+from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.traces import TraceWanted
 from kingcupwheel.metrics.client import Metrics
@@ -211,7 +211,7 @@
                 self._hello(link, message, now)
             case TraceWanted(request_id):
                 self._hub.send(link, self._recorder.found(request_id))
-            case StatusWanted():
+            case StatusRequest():
                 self._hub.send(link, self._status())
             case ManifestRequest(key):
                 self._hub.send(link, self._manifest.object_for(key))
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -27,7 +27,7 @@
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
+from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
@@ -127,7 +127,7 @@
                 send(link, self._context.recorder.found(request_id))
             case BurnWanted():
                 send(link, self._burn.found(now=time.time()))
-            case StatusWanted():
+            case StatusRequest():
                 send(link, self._status())
             case InstancesRequest():
                 send(link, self._instances())
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/status.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.link.asking import Asker
 from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
+from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.utils.structs import Record
 
 
@@ -65,7 +65,7 @@
             for instance in batch
             if instance.address.rpartition(":")[2].isdecimal()
         }
-        found |= asker.ask(address_by_process, StatusWanted(), StatusFound)
+        found |= asker.ask(address_by_process, StatusRequest(), StatusFound)
     return found
 
 
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -29,7 +29,7 @@
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
 from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
+from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import Cancel
@@ -76,7 +76,7 @@
     | InstancesRequest
     | ShareBeat
     | InstancesReply
-    | StatusWanted
+    | StatusRequest
     | StatusFound
     | TraceWanted
     | TraceFound
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -172,7 +172,7 @@
     instances: tuple[InstanceInfo, ...]
 
 
-class StatusWanted(Message, frozen=True, tag="StatusWanted"):
+class StatusRequest(Message, frozen=True, tag="StatusWanted"):
     """To an entry or agent: say how you are."""
 
 
