--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -27,7 +27,7 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
-from kingcupwheel.messages.membership import StatusFound
+from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.traces import TraceWanted
@@ -229,9 +229,9 @@
         if not known:
             self._hub.send(link, self._heartbeat.beat(now=now))
 
-    def _status(self) -> StatusFound:
+    def _status(self) -> StatusReply:
         settings = self._settings
-        return StatusFound(
+        return StatusReply(
             settings.name,
             settings.role.value,
             settings.data_centre,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -26,7 +26,7 @@
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import StatusFound
+from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Data
@@ -166,9 +166,9 @@
         infos = tuple(InstanceInfo(*one) for one in self._membership.instances)
         return InstancesReply(infos)
 
-    def _status(self) -> StatusFound:
+    def _status(self) -> StatusReply:
         settings = self._context.settings
-        return StatusFound(
+        return StatusReply(
             settings.name,
             settings.role.value,
             settings.data_centre,
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/status.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.link.asking import Asker
-from kingcupwheel.messages.membership import StatusFound
+from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.utils.structs import Record
 
@@ -51,28 +51,28 @@
 
 def ask_status(
     instances: Iterable[Instance], timeout_s: float
-) -> dict[str, StatusFound]:
+) -> dict[str, StatusReply]:
     """Return the answers of live processes by instance name.
 
     Each batch of 400 processes takes ``timeout_s`` at most; who does not answer in that
     time, or is listed without an address, is left out.
     """
     asker = Asker(timeout_s=timeout_s)
-    found: dict[str, StatusFound] = {}
+    found: dict[str, StatusReply] = {}
     for batch in _batches(instances):
         address_by_process = {
             instance.name: instance.address
             for instance in batch
             if instance.address.rpartition(":")[2].isdecimal()
         }
-        found |= asker.ask(address_by_process, StatusRequest(), StatusFound)
+        found |= asker.ask(address_by_process, StatusRequest(), StatusReply)
     return found
 
 
 def rollout(
     version: int,
     instances: Iterable[Instance],
-    found_by_name: Mapping[str, StatusFound],
+    found_by_name: Mapping[str, StatusReply],
 ) -> Rollout:
     """Sort the listed processes by whether they are on ``version``."""
     there: list[Process] = []
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -28,7 +28,7 @@
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import StatusFound
+from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
@@ -77,7 +77,7 @@
     | ShareBeat
     | InstancesReply
     | StatusRequest
-    | StatusFound
+    | StatusReply
     | TraceWanted
     | TraceFound
     | BurnWanted
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -176,7 +176,7 @@
     """To an entry or agent: say how you are."""
 
 
-class StatusFound(Message, frozen=True, tag="StatusFound"):
+class StatusReply(Message, frozen=True, tag="StatusFound"):
     """Answers ``StatusWanted``; ``role`` is ``entry`` or ``agent``.
 
     ``manifest_version`` is the version in force there, 0 before the first one.
