--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -16,7 +16,7 @@
 from kingcupwheel.decisions.shares import next_share
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import ShareTold
+from kingcupwheel.messages.membership import ShareReport
 
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
     def __init__(self, now: float) -> None:
         self.echoed_at = now
         self.sent_at = -1.0
-        self.told_by_organisation: dict[str, ShareTold] = {}
+        self.told_by_organisation: dict[str, ShareReport] = {}
 
 
 class Sharing:
@@ -109,7 +109,7 @@
 
     def renew(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
-        told_by_peer: dict[str, list[ShareTold]] = {}
+        told_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limits.demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
@@ -158,7 +158,7 @@
             self._used_at[organisation] = now
         return now - self._used_at.get(organisation, now) > _IDLE_S
 
-    def _told(self, organisation: str) -> list[ShareTold]:
+    def _told(self, organisation: str) -> list[ShareReport]:
         """Return what the other entries told last of the organisation."""
         with self._lock:
             told = [
@@ -179,7 +179,7 @@
         demand: float,
         members: tuple[str, ...],
         now: float,
-    ) -> ShareTold:
+    ) -> ShareReport:
         name = organisation.name
         with self._lock:
             before = self._share(name, len(members))
@@ -195,7 +195,7 @@
                 share = before._replace(held=0.0, wants_since=None)
             self._share_by_organisation[name] = share
         self._limits.set_share(organisation, share.usable(max(1, len(members))))
-        return ShareTold(name, demand, share.held, share.wants)
+        return ShareReport(name, demand, share.held, share.wants)
 
     def _peer_share(
         self, member: str, organisation: str, members: int, now: float
@@ -208,7 +208,7 @@
             return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
         return PeerShare(told.demand, told.held, told.wants, age_s)
 
-    def _tell(self, member: str, shares: tuple[ShareTold, ...], now: float) -> None:
+    def _tell(self, member: str, shares: tuple[ShareReport, ...], now: float) -> None:
         address = self._membership.address_of(member)
         if not address:
             return
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -189,7 +189,7 @@
     leaving: bool
 
 
-class ShareTold(Message, frozen=True, tag="ShareTold"):
+class ShareReport(Message, frozen=True, tag="ShareTold"):
     """An entry's demand on an organisation's allowance, and the share it holds.
 
     Both are fractions of the whole allowance; ``wants`` tells that it would hold more.
@@ -211,4 +211,4 @@
     name: str
     sent_at: float
     echo: float
-    shares: tuple[ShareTold, ...]
+    shares: tuple[ShareReport, ...]
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -21,7 +21,7 @@
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import PeerHeartbeat
 from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import ShareTold
+from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.batches import make_parts
 from kingcupwheel.trace.recorder import Recorder
@@ -105,7 +105,7 @@
                     12345.678901,
                     12344.567891,
                     tuple(
-                        ShareTold(f"organisation-{number}", 0.123456789, 0.5, False)
+                        ShareReport(f"organisation-{number}", 0.123456789, 0.5, False)
                         for number in range(count)
                     ),
                 )
