--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -25,7 +25,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
-from kingcupwheel.messages.membership import ShareBeat
+from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
@@ -113,7 +113,7 @@
                 self._fetcher.found(message)
             case InstancesReply(instances):
                 self._on_instances(instances)
-            case ShareBeat():
+            case ShareHeartbeat():
                 self._sharing.heard(message, monotonic())
             case Hello():
                 pass
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -15,7 +15,7 @@
 from kingcupwheel.decisions.shares import Share
 from kingcupwheel.decisions.shares import next_share
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import ShareBeat
+from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 
 
@@ -90,7 +90,7 @@
             self._share_by_organisation[organisation] = known
         return known
 
-    def heard(self, beat: ShareBeat, now: float) -> None:
+    def heard(self, beat: ShareHeartbeat, now: float) -> None:
         """Take in what another entry tells; called on the hub's thread.
 
         An organisation not in use here takes part as well: its share is lent only by
@@ -214,4 +214,4 @@
             return
         with self._lock:
             echo = self._peer_by_name.setdefault(member, _Peer(now)).sent_at
-        self._send(Outgoing(address, 0), ShareBeat(self._name, now, echo, shares))
+        self._send(Outgoing(address, 0), ShareHeartbeat(self._name, now, echo, shares))
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -27,7 +27,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import PeerHeartbeat
-from kingcupwheel.messages.membership import ShareBeat
+from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
@@ -74,7 +74,7 @@
     | ManifestRequest
     | ManifestObject
     | InstancesRequest
-    | ShareBeat
+    | ShareHeartbeat
     | InstancesReply
     | StatusRequest
     | StatusReply
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -201,7 +201,7 @@
     wants: bool
 
 
-class ShareBeat(Message, frozen=True, tag="ShareBeat"):
+class ShareHeartbeat(Message, frozen=True, tag="ShareBeat"):
     """Entry to entry, about every second while they share an organisation in use.
 
     ``sent_at`` is the sender's own monotonic clock; ``echo`` the newest ``sent_at``
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -20,7 +20,7 @@
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import PeerHeartbeat
-from kingcupwheel.messages.membership import ShareBeat
+from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.batches import make_parts
@@ -100,7 +100,7 @@
         Point(
             count,
             _size(
-                ShareBeat(
+                ShareHeartbeat(
                     PROCESS,
                     12345.678901,
                     12344.567891,
