--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -23,7 +23,7 @@
 from kingcupwheel.messages.runs import Entomb
 from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Resume
+from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Queued
@@ -67,7 +67,7 @@
         match message:
             case Dispatch():
                 self._dispatch(link, message)
-            case Resume():
+            case ResumeRequest():
                 self._resume(link, message)
             case Ack():
                 name = AttemptKey(message.request_id, message.attempt)
@@ -124,7 +124,7 @@
         if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
             self._send(link, _unknown(name))
 
-    def _resume(self, link: Link, message: Resume) -> None:
+    def _resume(self, link: Link, message: ResumeRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
         key = self._known_key(name, message.claim_id)
         subscriber = Subscriber(
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -17,7 +17,7 @@
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import Cancel
 from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Resume
+from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.trace.events import Resumed
 
 
@@ -141,7 +141,9 @@
         offset = self._following.offset
         event = Resumed(self._server, self._inbox.key.attempt, offset, why)
         self._recorder.record(self._traced_as, event)
-        self._send(Resume(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id))
+        self._send(
+            ResumeRequest(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id)
+        )
 
     def _acknowledge_some(self) -> None:
         offset = self._following.offset
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -40,7 +40,7 @@
 from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import NotRun
-from kingcupwheel.messages.runs import Resume
+from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnFound
@@ -56,7 +56,7 @@
 
 AnyMessage = (
     Dispatch
-    | Resume
+    | ResumeRequest
     | Ack
     | Cancel
     | Entomb
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -64,7 +64,7 @@
     suspect: bool
 
 
-class Resume(Message, frozen=True, tag="Resume"):
+class ResumeRequest(Message, frozen=True, tag="Resume"):
     """Entry to agent: send what the attempt's answer holds from ``offset`` on.
 
     The agent answers ``Head`` (when known) and the frames, or ``Unseen``. ``claim_id``
