--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -17,7 +17,7 @@
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
+from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Entomb
@@ -72,7 +72,7 @@
             case Ack():
                 name = AttemptKey(message.request_id, message.attempt)
                 self._store.acknowledge(name, link, message.offset)
-            case Cancel():
+            case CancelRequest():
                 self._cancel(link, message)
             case Entomb():
                 with self._runner.lock:
@@ -150,7 +150,7 @@
         with self._runner.lock:
             return self._runner.runs.accepted_for(claim_id) or name
 
-    def _cancel(self, link: Link, message: Cancel) -> None:
+    def _cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
         key = self._store.key_at(name, link) or name
         if self._store.unsubscribe(name, link):
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.inbox import LinkReplaced
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
+from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.trace.events import Resumed
@@ -153,7 +153,7 @@
 
     def cancel(self) -> None:
         """Tell the agent that the answer is not wanted any more."""
-        self._send(Cancel(*self._inbox.key))
+        self._send(CancelRequest(*self._inbox.key))
 
     def _send(self, message: Message) -> None:
         self._hub.send(Outgoing(self._inbox.address, 0), message)
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -32,7 +32,7 @@
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
+from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
@@ -58,7 +58,7 @@
     Dispatch
     | ResumeRequest
     | Ack
-    | Cancel
+    | CancelRequest
     | Entomb
     | Entombed
     | Accepted
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -86,7 +86,7 @@
     offset: int
 
 
-class Cancel(Message, frozen=True, tag="Cancel"):
+class CancelRequest(Message, frozen=True, tag="Cancel"):
     """Entry to agent: the caller left; stop the work and free the answer."""
 
     request_id: str
