--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -20,10 +20,10 @@
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entomb
 from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResumeRequest
+from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Queued
@@ -74,7 +74,7 @@
                 self._store.acknowledge(name, link, message.offset)
             case CancelRequest():
                 self._cancel(link, message)
-            case Entomb():
+            case TombstoneRequest():
                 with self._runner.lock:
                     answer = self._runner.runs.entomb(message, now=monotonic())
                 self._send(link, answer)
--- a/src/kingcupwheel/agent/runs.py
+++ b/src/kingcupwheel/agent/runs.py
@@ -28,7 +28,7 @@
     from kingcupwheel.agent.attempts import CancelDecision
     from kingcupwheel.agent.attempts import Decision
     from kingcupwheel.messages.runs import Dispatch
-    from kingcupwheel.messages.runs import Entomb
+    from kingcupwheel.messages.runs import TombstoneRequest
 
 _NO_ATTEMPT = AttemptKey("", 0)
 
@@ -120,7 +120,7 @@
             return self._refuse(key, reason, now)
         return self._accept(dispatch, now)
 
-    def entomb(self, entomb: Entomb, *, now: float) -> Entombed:
+    def entomb(self, entomb: TombstoneRequest, *, now: float) -> Entombed:
         """Refuse lower fences of the claim from now on, or tell what already ran."""
         ours = entomb.incarnation == self._incarnation
         ran = None
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -33,9 +33,9 @@
 from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.runs import Entomb
 from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Joined
 
@@ -254,7 +254,7 @@
 
     def _entomb(self, held: Held, inbox: Inbox) -> Finding:
         record = held.record
-        order = Entomb(held.claim_id, record.fence, record.incarnation)
+        order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
         self._context.inboxes.listen_for_claim(held.claim_id, inbox)
         try:
             answer = self._entombed(order, inbox, record)
@@ -271,7 +271,7 @@
         return self._lost(held, "the agent does not answer")
 
     def _entombed(
-        self, order: Entomb, inbox: Inbox, record: ClaimRecord
+        self, order: TombstoneRequest, inbox: Inbox, record: ClaimRecord
     ) -> Entombed | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -36,12 +36,12 @@
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entomb
 from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnFound
 from kingcupwheel.messages.traces import BurnWanted
@@ -59,7 +59,7 @@
     | ResumeRequest
     | Ack
     | CancelRequest
-    | Entomb
+    | TombstoneRequest
     | Entombed
     | Accepted
     | NotRun
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -93,7 +93,7 @@
     attempt: int
 
 
-class Entomb(Message, frozen=True, tag="Entomb"):
+class TombstoneRequest(Message, frozen=True, tag="Entomb"):
     """Entry to agent: refuse dispatches of this claim below ``fence`` from now on."""
 
     claim_id: str
