--- a/src/kingcupwheel/agent/runs.py
+++ b/src/kingcupwheel/agent/runs.py
@@ -20,8 +20,8 @@
 from kingcupwheel.agent.claimed import Claims
 from kingcupwheel.agent.remembered import Remembered
 from kingcupwheel.agent.waiting import WaitingQueue
-from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Refusal
+from kingcupwheel.messages.runs import TombstoneReply
 
 
 if TYPE_CHECKING:
@@ -120,14 +120,14 @@
             return self._refuse(key, reason, now)
         return self._accept(dispatch, now)
 
-    def entomb(self, entomb: TombstoneRequest, *, now: float) -> Entombed:
+    def entomb(self, entomb: TombstoneRequest, *, now: float) -> TombstoneReply:
         """Refuse lower fences of the claim from now on, or tell what already ran."""
         ours = entomb.incarnation == self._incarnation
         ran = None
         if ours:
             ran = self._claims.entomb(entomb.claim_id, entomb.fence, now=now)
         key = ran or _NO_ATTEMPT
-        return Entombed(
+        return TombstoneReply(
             claim_id=entomb.claim_id,
             fence=entomb.fence,
             incarnation=self._incarnation,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -31,10 +31,10 @@
 from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnWanted
 from kingcupwheel.messages.traces import TraceWanted
@@ -89,7 +89,7 @@
                 self._context.inboxes.deliver(key, message)
             case Running(attempts), Outgoing(address):
                 self._on_running(address, message, attempts)
-            case Entombed(claim_id), Outgoing(address):
+            case TombstoneReply(claim_id), Outgoing(address):
                 self._context.servers.alive(address, monotonic())
                 self._context.inboxes.deliver_claim(claim_id, message)
             case _:
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -33,8 +33,8 @@
 from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Joined
@@ -261,23 +261,23 @@
         finally:
             self._context.inboxes.forget_claim(held.claim_id)
         match answer:
-            case Entombed(accepted=True, ran=False):
+            case TombstoneReply(accepted=True, ran=False):
                 return Free(held)
-            case Entombed(accepted=True):
+            case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
                 return Again()
-            case Entombed():
+            case TombstoneReply():
                 return self._lost(held, "the agent restarted after the claim")
         return self._lost(held, "the agent does not answer")
 
     def _entombed(
         self, order: TombstoneRequest, inbox: Inbox, record: ClaimRecord
-    ) -> Entombed | None:
+    ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
             self._context.hub.send(Outgoing(record.address, 0), order)
             match inbox.get(_ASK_AGAIN_S):
-                case Entombed() as answer:
+                case TombstoneReply() as answer:
                     return answer
                 case AgentGone():
                     return None
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -36,11 +36,11 @@
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entombed
 from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnFound
@@ -60,7 +60,7 @@
     | Ack
     | CancelRequest
     | TombstoneRequest
-    | Entombed
+    | TombstoneReply
     | Accepted
     | NotRun
     | Head
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -101,7 +101,7 @@
     incarnation: str
 
 
-class Entombed(Message, frozen=True, tag="Entombed"):
+class TombstoneReply(Message, frozen=True, tag="Entombed"):
     """Agent to entry: answers ``Entomb``.
 
     ``ran`` tells that a dispatch of the claim was accepted before; it is then named.
