--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -15,8 +15,8 @@
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
+from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
@@ -110,7 +110,7 @@
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
         name = key_of(dispatch)
         self._store.open(name, keep=dispatch.claim is not None)
-        self._send(link, Accepted(*name, running))
+        self._send(link, AttemptAccepted(*name, running))
         self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
 
     def _join(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
@@ -118,7 +118,7 @@
         self._recorder.record(
             name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
         )
-        self._send(link, Accepted(*name, True))
+        self._send(link, AttemptAccepted(*name, True))
         subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
         replaced = self._peers.older_links(link)
         if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.messages.runs import Accepted
+from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Head
@@ -107,7 +107,7 @@
         match message:
             case Data(offset=offset, data=data):
                 return self._on_data(offset, data)
-            case Accepted(running=running):
+            case AttemptAccepted(running=running):
                 return Started(running)
             case Head(status=status, headers=headers):
                 return self._on_head(status, headers)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -28,7 +28,7 @@
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.messages.runs import Accepted
+from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Head
@@ -81,7 +81,7 @@
             case AgentHeartbeat(), Outgoing(address):
                 self._on_beat(address, message)
             case (
-                Accepted() | Head() | Data() | End() | NotRun() | Unseen(),
+                AttemptAccepted() | Head() | Data() | End() | NotRun() | Unseen(),
                 Outgoing(address),
             ):
                 self._context.servers.alive(address, monotonic())
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -30,8 +30,8 @@
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.messages.runs import Accepted
 from kingcupwheel.messages.runs import Ack
+from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
@@ -61,7 +61,7 @@
     | CancelRequest
     | TombstoneRequest
     | TombstoneReply
-    | Accepted
+    | AttemptAccepted
     | NotRun
     | Head
     | Data
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -117,7 +117,7 @@
     attempt: int
 
 
-class Accepted(Message, frozen=True, tag="Accepted"):
+class AttemptAccepted(Message, frozen=True, tag="Accepted"):
     """Agent to entry: the attempt is the agent's now; it waits or runs."""
 
     request_id: str
