--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -17,10 +17,10 @@
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import TombstoneRequest
@@ -105,7 +105,7 @@
                 case Refuse(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
                     self._recorder.record(name.request_id, note)
-                    self._send(link, NotRun(*name, reason))
+                    self._send(link, AttemptRefused(*name, reason))
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
         name = key_of(dispatch)
@@ -140,7 +140,7 @@
             incarnation = self._runner.runs.incarnation
             cancelled = self._runner.runs.is_cancelled(name)
         if reason is not None:
-            self._send(link, NotRun(*name, reason))
+            self._send(link, AttemptRefused(*name, reason))
         else:
             self._send(link, Unseen(*name, incarnation, cancelled))
 
@@ -159,7 +159,7 @@
         if reason is not None:
             self._send(link, reason)
 
-    def _stop(self, key: AttemptKey) -> NotRun | None:
+    def _stop(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
             decision = self._runner.runs.cancel(key, now=monotonic())
         match decision:
@@ -167,7 +167,7 @@
                 self._runner.stop(key)
             case Refuse(_, reason):
                 self._store.refuse(key, reason)
-                return NotRun(*key, reason)
+                return AttemptRefused(*key, reason)
             case Ignore():
                 pass
         return None
--- a/src/kingcupwheel/agent/store.py
+++ b/src/kingcupwheel/agent/store.py
@@ -9,7 +9,7 @@
 from kingcupwheel.agent.answers import AnswerHead
 from kingcupwheel.agent.answers import Subscriber
 from kingcupwheel.agent.expiring import ExpiringMap
-from kingcupwheel.messages.runs import NotRun
+from kingcupwheel.messages.runs import AttemptRefused
 
 
 if TYPE_CHECKING:
@@ -184,7 +184,7 @@
                 return
             for subscriber in list(answer.subscribers.values()):
                 self._by_place.pop(subscriber.place, None)
-                self._send(subscriber.link, NotRun(*subscriber.name, reason))
+                self._send(subscriber.link, AttemptRefused(*subscriber.name, reason))
 
     def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
         """Free what has reached the caller and send on within the credit."""
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -11,10 +11,10 @@
 from typing import NamedTuple
 
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import Refusal
 from kingcupwheel.messages.runs import Unseen
@@ -113,7 +113,7 @@
                 return self._on_head(status, headers)
             case End(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
-            case NotRun(reason=reason):
+            case AttemptRefused(reason=reason):
                 return NotStarted(reason)
             case Unseen(incarnation=incarnation, cancelled=cancelled):
                 return NeverSeen(incarnation, cancelled)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -29,10 +29,10 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import Unseen
@@ -81,7 +81,12 @@
             case AgentHeartbeat(), Outgoing(address):
                 self._on_beat(address, message)
             case (
-                AttemptAccepted() | Head() | Data() | End() | NotRun() | Unseen(),
+                AttemptAccepted()
+                | Head()
+                | Data()
+                | End()
+                | AttemptRefused()
+                | Unseen(),
                 Outgoing(address),
             ):
                 self._context.servers.alive(address, monotonic())
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -32,12 +32,12 @@
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import TombstoneReply
@@ -62,7 +62,7 @@
     | TombstoneRequest
     | TombstoneReply
     | AttemptAccepted
-    | NotRun
+    | AttemptRefused
     | Head
     | Data
     | End
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -141,7 +141,7 @@
     BAD_REQUEST = "bad-request"
 
 
-class NotRun(Message, frozen=True, tag="NotRun"):
+class AttemptRefused(Message, frozen=True, tag="NotRun"):
     """Agent to entry: the attempt never started on the server, and never will."""
 
     request_id: str
