--- a/src/kingcupwheel/agent/answers.py
+++ b/src/kingcupwheel/agent/answers.py
@@ -12,8 +12,8 @@
 
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.messages.runs import ResponseHead
 
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
         end = self.end
         if offset != end.length:
             return [end.message(name, NOT_HELD)]
-        head = [] if self.head is None else [Head(*name, *self.head)]
+        head = [] if self.head is None else [ResponseHead(*name, *self.head)]
         return [*head, end.message(name, end.detail)]
 
 
@@ -166,7 +166,7 @@
         messages: list[Message] = []
         if self.head is not None and not subscriber.head_sent:
             subscriber.head_sent = True
-            messages.append(Head(*subscriber.name, *self.head))
+            messages.append(ResponseHead(*subscriber.name, *self.head))
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent >= self.end.length:
             subscriber.end_sent = True
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -14,9 +14,9 @@
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import Refusal
+from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import Unseen
 
 
@@ -109,7 +109,7 @@
                 return self._on_data(offset, data)
             case AttemptAccepted(running=running):
                 return Started(running)
-            case Head(status=status, headers=headers):
+            case ResponseHead(status=status, headers=headers):
                 return self._on_head(status, headers)
             case End(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -32,7 +32,7 @@
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
+from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import Unseen
@@ -82,7 +82,7 @@
                 self._on_beat(address, message)
             case (
                 AttemptAccepted()
-                | Head()
+                | ResponseHead()
                 | Data()
                 | End()
                 | AttemptRefused()
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -37,7 +37,7 @@
 from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
+from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import TombstoneReply
@@ -63,7 +63,7 @@
     | TombstoneReply
     | AttemptAccepted
     | AttemptRefused
-    | Head
+    | ResponseHead
     | Data
     | End
     | Running
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -149,7 +149,7 @@
     reason: Refusal
 
 
-class Head(Message, frozen=True, tag="Head"):
+class ResponseHead(Message, frozen=True, tag="Head"):
     """Agent to entry: status and headers of the server's answer."""
 
     request_id: str
