--- a/src/kingcupwheel/agent/answers.py
+++ b/src/kingcupwheel/agent/answers.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 
 
@@ -180,7 +180,7 @@
             start = subscriber.sent
             stop = min(until, start + _FRAME_BYTES)
             data = bytes(self._body[start - self._base : stop - self._base])
-            messages.append(Data(*subscriber.name, start, data))
+            messages.append(ResponseData(*subscriber.name, start, data))
             subscriber.sent = stop
         return messages
 
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -12,10 +12,10 @@
 
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptRefused
-from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import Refusal
+from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import Unseen
 
@@ -105,7 +105,7 @@
     def on(self, message: Message) -> Step:
         """Return what ``message`` brings."""
         match message:
-            case Data(offset=offset, data=data):
+            case ResponseData(offset=offset, data=data):
                 return self._on_data(offset, data)
             case AttemptAccepted(running=running):
                 return Started(running)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -30,8 +30,8 @@
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptRefused
-from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import End
+from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import Running
 from kingcupwheel.messages.runs import TombstoneReply
@@ -83,7 +83,7 @@
             case (
                 AttemptAccepted()
                 | ResponseHead()
-                | Data()
+                | ResponseData()
                 | End()
                 | AttemptRefused()
                 | Unseen(),
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -34,9 +34,9 @@
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import CancelRequest
-from kingcupwheel.messages.runs import Data
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import End
+from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import Running
@@ -64,7 +64,7 @@
     | AttemptAccepted
     | AttemptRefused
     | ResponseHead
-    | Data
+    | ResponseData
     | End
     | Running
     | Unseen
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -158,7 +158,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class Data(Message, frozen=True, tag="Data"):
+class ResponseData(Message, frozen=True, tag="Data"):
     """Agent to entry: bytes of the answer's body at ``offset``."""
 
     request_id: str
