--- a/src/kingcupwheel/agent/answers.py
+++ b/src/kingcupwheel/agent/answers.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.messages.runs import End
+from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
@@ -40,9 +40,11 @@
     outcome: Outcome
     detail: str
 
-    def message(self, name: AttemptKey, detail: str) -> End:
+    def message(self, name: AttemptKey, detail: str) -> AttemptEnd:
         """Return the message that tells it."""
-        return End(name.request_id, name.attempt, self.length, self.outcome, detail)
+        return AttemptEnd(
+            name.request_id, name.attempt, self.length, self.outcome, detail
+        )
 
 
 class Ended(NamedTuple):
@@ -189,4 +191,4 @@
         # entry that it lacks some; waiting would not bring them back.
         subscriber.end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
-        return [End(*subscriber.name, self.length, outcome, NOT_HELD)]
+        return [AttemptEnd(*subscriber.name, self.length, outcome, NOT_HELD)]
--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -17,10 +17,10 @@
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
-from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import TombstoneRequest
@@ -173,6 +173,6 @@
         return None
 
 
-def _unknown(name: AttemptKey) -> End:
+def _unknown(name: AttemptKey) -> AttemptEnd:
     detail = "older than this agent's memory"
-    return End(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
+    return AttemptEnd(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
-from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import Refusal
 from kingcupwheel.messages.runs import ResponseData
@@ -111,7 +111,7 @@
                 return Started(running)
             case ResponseHead(status=status, headers=headers):
                 return self._on_head(status, headers)
-            case End(length=length, outcome=outcome, detail=detail):
+            case AttemptEnd(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
             case AttemptRefused(reason=reason):
                 return NotStarted(reason)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -29,8 +29,8 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
-from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import Running
@@ -84,7 +84,7 @@
                 AttemptAccepted()
                 | ResponseHead()
                 | ResponseData()
-                | End()
+                | AttemptEnd()
                 | AttemptRefused()
                 | Unseen(),
                 Outgoing(address),
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -32,10 +32,10 @@
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import AttemptAccepted
+from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
-from kingcupwheel.messages.runs import End
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import ResumeRequest
@@ -65,7 +65,7 @@
     | AttemptRefused
     | ResponseHead
     | ResponseData
-    | End
+    | AttemptEnd
     | Running
     | Unseen
     | Hello
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -167,7 +167,7 @@
     data: bytes
 
 
-class End(Message, frozen=True, tag="End"):
+class AttemptEnd(Message, frozen=True, tag="End"):
     """Agent to entry: the attempt has ended.
 
     ``length`` is the whole body's length in bytes; ``outcome`` is RAN for a whole
