--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -29,7 +29,7 @@
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.traces import TraceWanted
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.events import EventMetrics
@@ -261,7 +261,7 @@
         for link in self._peers.listening(now=now):
             self._hub.send(link, beat)
         for link, names in self._store.alive().items():
-            self._hub.send(link, Running(tuple(names)))
+            self._hub.send(link, RunningAttempts(tuple(names)))
 
     def _tell_death(self) -> None:
         now = monotonic()
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -33,7 +33,7 @@
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
-from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnWanted
@@ -92,7 +92,7 @@
                 self._context.servers.alive(address, monotonic())
                 key = AttemptKey(message.request_id, message.attempt)
                 self._context.inboxes.deliver(key, message)
-            case Running(attempts), Outgoing(address):
+            case RunningAttempts(attempts), Outgoing(address):
                 self._on_running(address, message, attempts)
             case TombstoneReply(claim_id), Outgoing(address):
                 self._context.servers.alive(address, monotonic())
@@ -101,7 +101,10 @@
                 self._on_peer_message(link, message)
 
     def _on_running(
-        self, address: str, message: Running, attempts: tuple[tuple[str, int], ...]
+        self,
+        address: str,
+        message: RunningAttempts,
+        attempts: tuple[tuple[str, int], ...],
     ) -> None:
         self._context.servers.alive(address, monotonic())
         for request_id, attempt in attempts:
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -39,7 +39,7 @@
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import ResumeRequest
-from kingcupwheel.messages.runs import Running
+from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.runs import Unseen
@@ -66,7 +66,7 @@
     | ResponseHead
     | ResponseData
     | AttemptEnd
-    | Running
+    | RunningAttempts
     | Unseen
     | Hello
     | AgentHeartbeat
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -181,7 +181,7 @@
     detail: str
 
 
-class Running(Message, frozen=True, tag="Running"):
+class RunningAttempts(Message, frozen=True, tag="Running"):
     """Agent to entry, about every second: these attempts are still alive here.
 
     It tells a slow answer from a link gone silent.
