--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -19,12 +19,12 @@
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
+from kingcupwheel.messages.runs import AttemptUnknown
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import ResumeRequest
 from kingcupwheel.messages.runs import TombstoneRequest
-from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Queued
 from kingcupwheel.trace.events import Resumed
@@ -142,7 +142,7 @@
         if reason is not None:
             self._send(link, AttemptRefused(*name, reason))
         else:
-            self._send(link, Unseen(*name, incarnation, cancelled))
+            self._send(link, AttemptUnknown(*name, incarnation, cancelled))
 
     def _known_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
         if claim_id is None or self._store.knows(name):
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -13,11 +13,11 @@
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
+from kingcupwheel.messages.runs import AttemptUnknown
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import Refusal
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
-from kingcupwheel.messages.runs import Unseen
 
 
 if TYPE_CHECKING:
@@ -115,7 +115,7 @@
                 return self._on_end(length, outcome, detail)
             case AttemptRefused(reason=reason):
                 return NotStarted(reason)
-            case Unseen(incarnation=incarnation, cancelled=cancelled):
+            case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
                 return NeverSeen(incarnation, cancelled)
         return Nothing()
 
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -31,11 +31,11 @@
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
+from kingcupwheel.messages.runs import AttemptUnknown
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
-from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnWanted
 from kingcupwheel.messages.traces import TraceWanted
 from kingcupwheel.platform.client import Instance
@@ -86,7 +86,7 @@
                 | ResponseData()
                 | AttemptEnd()
                 | AttemptRefused()
-                | Unseen(),
+                | AttemptUnknown(),
                 Outgoing(address),
             ):
                 self._context.servers.alive(address, monotonic())
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -34,6 +34,7 @@
 from kingcupwheel.messages.runs import AttemptAccepted
 from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
+from kingcupwheel.messages.runs import AttemptUnknown
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.messages.runs import ResponseData
@@ -42,7 +43,6 @@
 from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
-from kingcupwheel.messages.runs import Unseen
 from kingcupwheel.messages.traces import BurnFound
 from kingcupwheel.messages.traces import BurnWanted
 from kingcupwheel.messages.traces import TraceFound
@@ -67,7 +67,7 @@
     | ResponseData
     | AttemptEnd
     | RunningAttempts
-    | Unseen
+    | AttemptUnknown
     | Hello
     | AgentHeartbeat
     | PeerHeartbeat
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -190,7 +190,7 @@
     attempts: tuple[tuple[str, int], ...]
 
 
-class Unseen(Message, frozen=True, tag="Unseen"):
+class AttemptUnknown(Message, frozen=True, tag="Unseen"):
     """Agent to entry: answers ``Resume``; this agent's life never saw the attempt.
 
     ``cancelled`` tells that a ``Cancel`` was noted, so that a dispatch that comes
