--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.messages.runs import Dispatch
-    from kingcupwheel.messages.runs import Refusal
+    from kingcupwheel.messages.runs import DispatchRefusal
 
 
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
@@ -51,7 +51,7 @@
     """It never started and never will."""
 
     key: AttemptKey
-    reason: Refusal
+    reason: DispatchRefusal
 
 
 class Forgotten(NamedTuple):
--- a/src/kingcupwheel/agent/claimed.py
+++ b/src/kingcupwheel/agent/claimed.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.agent.expiring import ExpiringMap
-from kingcupwheel.messages.runs import Refusal
+from kingcupwheel.messages.runs import DispatchRefusal
 
 
 if TYPE_CHECKING:
@@ -44,11 +44,15 @@
         """Return the attempt that was accepted for the claim, or None."""
         return self._state(claim_id).accepted
 
-    def see(self, ref: ClaimRef, *, now: float) -> Refusal | None:
+    def see(self, ref: ClaimRef, *, now: float) -> DispatchRefusal | None:
         """Raise the claim's fence, or say why a dispatch with this one is refused."""
         state = self._state(ref.claim_id)
         if ref.fence < state.fence:
-            return Refusal.ENTOMBED if state.entombed else Refusal.LOW_FENCE
+            return (
+                DispatchRefusal.ENTOMBED
+                if state.entombed
+                else DispatchRefusal.LOW_FENCE
+            )
         if ref.fence > state.fence:
             state = ClaimState(ref.fence, False, state.accepted)
         self._by_id.put(ref.claim_id, state, now=now)
--- a/src/kingcupwheel/agent/remembered.py
+++ b/src/kingcupwheel/agent/remembered.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.agent.attempts import AttemptKey
-    from kingcupwheel.messages.runs import Refusal
+    from kingcupwheel.messages.runs import DispatchRefusal
 
 # A copy of a dispatch carries the token of the first one and is refused as stale
 # ``token_s`` after that token, so a refusal kept twice as long outlives every copy.
@@ -27,7 +27,7 @@
         refused_s = _MEMORY_PER_TOKEN_LIFE * token_s
         self._ended_s = max(_MEMORY_S, refused_s)
         self._ended: ExpiringMap[AttemptKey, bool] = ExpiringMap(life_s=self._ended_s)
-        self._tombstones: ExpiringMap[AttemptKey, Refusal] = ExpiringMap(
+        self._tombstones: ExpiringMap[AttemptKey, DispatchRefusal] = ExpiringMap(
             life_s=refused_s
         )
         self._cancelled: ExpiringMap[AttemptKey, bool] = ExpiringMap(life_s=refused_s)
@@ -41,7 +41,7 @@
         """Return whether the attempt ran and ended."""
         return self._ended.get(key) is not None
 
-    def refused(self, key: AttemptKey) -> Refusal | None:
+    def refused(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
         return self._tombstones.get(key)
 
@@ -53,7 +53,7 @@
         """Note that the attempt ran and ended."""
         self._ended.put(key, True, now=now)
 
-    def refuse(self, key: AttemptKey, reason: Refusal, *, now: float) -> None:
+    def refuse(self, key: AttemptKey, reason: DispatchRefusal, *, now: float) -> None:
         """Note that the attempt never ran; a copy of its dispatch is told the same."""
         self._tombstones.put(key, reason, now=now)
 
--- a/src/kingcupwheel/agent/runs.py
+++ b/src/kingcupwheel/agent/runs.py
@@ -20,7 +20,7 @@
 from kingcupwheel.agent.claimed import Claims
 from kingcupwheel.agent.remembered import Remembered
 from kingcupwheel.agent.waiting import WaitingQueue
-from kingcupwheel.messages.runs import Refusal
+from kingcupwheel.messages.runs import DispatchRefusal
 from kingcupwheel.messages.runs import TombstoneReply
 
 
@@ -98,7 +98,7 @@
         """Return the attempt that was accepted for the claim, or None."""
         return self._claims.accepted(claim_id)
 
-    def refused(self, key: AttemptKey) -> Refusal | None:
+    def refused(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
         return self._remembered.refused(key)
 
@@ -150,8 +150,8 @@
             return Stop(key) if running.claim is None else Ignore()
         waiting = self._queue.remove(key)
         if waiting is not None:
-            self._never_ran(waiting, Refusal.CANCELLED, now)
-            return Refuse(key, Refusal.CANCELLED)
+            self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
+            return Refuse(key, DispatchRefusal.CANCELLED)
         if not self._remembered.ended(key):
             self._remembered.cancel(key, now=now)
         return Ignore()
@@ -167,21 +167,21 @@
         dispatch = self._running.pop(key, None)
         if dispatch is None:
             return []
-        return self._never_ran(dispatch, Refusal.SERVER_UNREACHABLE, now)
+        return self._never_ran(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
 
     def leave(self, *, now: float) -> list[Refuse]:
         """Take no new work from now on; what only waits is refused."""
         self._leaving = True
         refusals = []
         for dispatch in self._queue.clear():
-            refusals += self._never_ran(dispatch, Refusal.LEAVING, now)
+            refusals += self._never_ran(dispatch, DispatchRefusal.LEAVING, now)
         return refusals
 
     def advance(self, *, now: float) -> list[Start | Refuse]:
         """Start what has a place now, and refuse what waited past its deadline."""
         steps: list[Start | Refuse] = []
         for late in self._queue.expire(now=now):
-            steps += self._never_ran(late, Refusal.EXPIRED, now)
+            steps += self._never_ran(late, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
             dispatch = self._queue.pop()
             if dispatch is None:
@@ -217,40 +217,42 @@
     def _is_open(self, key: AttemptKey) -> bool:
         return key in self._running or key in self._queue
 
-    def _refusal(self, dispatch: Dispatch, now: float) -> Refusal | None:
+    def _refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
         key = key_of(dispatch)
         reason = self._remembered.refused(key)
         reason = reason or self._refusal_of_sender(dispatch, now)
         if reason is None and self._remembered.cancelled(key):
-            reason = Refusal.CANCELLED
+            reason = DispatchRefusal.CANCELLED
         if reason is None and dispatch.claim is not None:
             reason = self._claims.see(dispatch.claim, now=now)
         return reason or self._refusal_under_load(dispatch)
 
-    def _refusal_of_sender(self, dispatch: Dispatch, now: float) -> Refusal | None:
+    def _refusal_of_sender(
+        self, dispatch: Dispatch, now: float
+    ) -> DispatchRefusal | None:
         if dispatch.incarnation != self._incarnation:
-            return Refusal.WRONG_INCARNATION
+            return DispatchRefusal.WRONG_INCARNATION
         # A copy that was held up (a link thought dead, this process paused) names an
         # old token. Without this check it would run long after the entry gave it up,
         # and tombstones would have to be kept for ever.
         age_ms = self.token(now=now) - dispatch.token
         if age_ms < 0 or age_ms > self._token_s * 1000:
-            return Refusal.STALE_TOKEN
+            return DispatchRefusal.STALE_TOKEN
         return None
 
-    def _refusal_under_load(self, dispatch: Dispatch) -> Refusal | None:
+    def _refusal_under_load(self, dispatch: Dispatch) -> DispatchRefusal | None:
         if self._leaving:
-            return Refusal.LEAVING
+            return DispatchRefusal.LEAVING
         if not is_sendable(dispatch):
-            return Refusal.BAD_REQUEST
+            return DispatchRefusal.BAD_REQUEST
         if dispatch.deadline_s is not None and dispatch.deadline_s <= 0:
-            return Refusal.EXPIRED
+            return DispatchRefusal.EXPIRED
         # Made for a request that may crash its server: beside another suspect neither
         # could be cleared by the death, so a suspect is the only one of its kind here.
         if dispatch.suspect and self._has_suspect():
-            return Refusal.SUSPECT_BUSY
+            return DispatchRefusal.SUSPECT_BUSY
         if len(self._running) >= self._capacity and self._queue.full:
-            return Refusal.FULL
+            return DispatchRefusal.FULL
         return None
 
     def _has_suspect(self) -> bool:
@@ -265,12 +267,12 @@
             return Start(dispatch)
         return Wait(self._queue.push(dispatch, now=now))
 
-    def _refuse(self, key: AttemptKey, reason: Refusal, now: float) -> Refuse:
+    def _refuse(self, key: AttemptKey, reason: DispatchRefusal, now: float) -> Refuse:
         self._remembered.refuse(key, reason, now=now)
         return Refuse(key, reason)
 
     def _never_ran(
-        self, dispatch: Dispatch, reason: Refusal, now: float
+        self, dispatch: Dispatch, reason: DispatchRefusal, now: float
     ) -> list[Refuse]:
         """Refuse an accepted attempt and all that were joined to it."""
         if dispatch.claim is not None:
--- a/src/kingcupwheel/agent/store.py
+++ b/src/kingcupwheel/agent/store.py
@@ -21,8 +21,8 @@
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
+    from kingcupwheel.messages.runs import DispatchRefusal
     from kingcupwheel.messages.runs import Outcome
-    from kingcupwheel.messages.runs import Refusal
 
 # How long it is remembered how the answer of an attempt that may not be repeated ended,
 # after its bytes were freed: as long as its claim can be found.
@@ -176,7 +176,7 @@
             self._flush(answer)
             return length
 
-    def refuse(self, key: AttemptKey, reason: Refusal) -> None:
+    def refuse(self, key: AttemptKey, reason: DispatchRefusal) -> None:
         """Tell every subscriber that the attempt never ran, and forget it."""
         with self._changed:
             answer = self._by_key.pop(key, None)
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -14,8 +14,8 @@
 from kingcupwheel.messages.runs import AttemptEnd
 from kingcupwheel.messages.runs import AttemptRefused
 from kingcupwheel.messages.runs import AttemptUnknown
+from kingcupwheel.messages.runs import DispatchRefusal
 from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Refusal
 from kingcupwheel.messages.runs import ResponseData
 from kingcupwheel.messages.runs import ResponseHead
 
@@ -57,7 +57,7 @@
 class NotStarted(NamedTuple):
     """The last step: the agent did not run it and never will."""
 
-    reason: Refusal
+    reason: DispatchRefusal
 
 
 class NeverSeen(NamedTuple):
--- a/src/kingcupwheel/messages/runs.py
+++ b/src/kingcupwheel/messages/runs.py
@@ -125,7 +125,7 @@
     running: bool
 
 
-class Refusal(StrEnum):
+class DispatchRefusal(StrEnum):
     """Why an agent did not run a dispatch."""
 
     WRONG_INCARNATION = "wrong-incarnation"
@@ -146,7 +146,7 @@
 
     request_id: str
     attempt: int
-    reason: Refusal
+    reason: DispatchRefusal
 
 
 class ResponseHead(Message, frozen=True, tag="Head"):
