--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -11,7 +11,7 @@
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
+from kingcupwheel.messages.lockstep import ReplyContent
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -41,7 +41,7 @@
 class Question(NamedTuple):
     """What one agent is asked."""
 
-    tell: Tell = Tell.STATE
+    tell: ReplyContent = ReplyContent.STATE
     order: RankOrder | None = None
     wait_s: float = 0.0
 
@@ -103,7 +103,7 @@
     def _parts(self, questions: Mapping[str, Question]) -> list[_Part]:
         now = monotonic()
         # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
-        members: dict[tuple[str, Tell, int], list[str]] = {}
+        members: dict[tuple[str, ReplyContent, int], list[str]] = {}
         for address, question in questions.items():
             head = self._heads_by_agent.get(address, address)
             if now < self._silent_until_by_head.get(head, 0.0):
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -10,7 +10,7 @@
 from kingcupwheel.lockstep.shown import is_shown
 from kingcupwheel.lockstep.shown import is_void
 from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
+from kingcupwheel.messages.lockstep import ReplyContent
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -49,13 +49,13 @@
         if ask.order is not None:
             state = self._give(ask, state)
         match ask.tell:
-            case Tell.COUNTS:
+            case ReplyContent.COUNTS:
                 scale, counts = self._new_counts()
                 return RankTold(ask.number, state, counts, scale)
-            case Tell.PLACES:
+            case ReplyContent.PLACES:
                 places = self._client.places()
                 return RankTold(ask.number, state, places=places.default_value(()))
-            case Tell.STATE:
+            case ReplyContent.STATE:
                 return RankTold(ask.number, state)
 
     def _give(self, ask: RankAsk, state: RankState | None) -> RankState | None:
--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -10,7 +10,7 @@
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.rosters import heads_of
 from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import Tell
+from kingcupwheel.messages.lockstep import ReplyContent
 
 
 if TYPE_CHECKING:
@@ -50,9 +50,9 @@
         """Return states and experts of every rank that can be reached."""
         self._panel.branch(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.ask(
-            dict.fromkeys(servers_by_agent, Question(Tell.PLACES))
+            dict.fromkeys(servers_by_agent, Question(ReplyContent.PLACES))
         )
-        asks = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
+        asks = dict.fromkeys(servers_by_agent, RankAsk(0, ReplyContent.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
         self._ask_servers(asks, servers, answers)
         return answers
@@ -63,7 +63,7 @@
         Servers are not asked for their counts: from afar that holds up every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
-        answers = self._panel.ask(dict.fromkeys(agents, Question(Tell.COUNTS)))
+        answers = self._panel.ask(dict.fromkeys(agents, Question(ReplyContent.COUNTS)))
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
@@ -72,7 +72,7 @@
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
         answers = self._panel.ask(dict.fromkeys(asked, Question()))
-        asks = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
+        asks = dict.fromkeys(agents, RankAsk(0, ReplyContent.STATE))
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
 
@@ -89,10 +89,12 @@
             if isinstance(want.order, Hold | Release):
                 self._direct.give(roster.server_of(agent), want.order)
                 questions[agent] = Question()
-                asks[agent] = RankAsk(0, Tell.STATE)
+                asks[agent] = RankAsk(0, ReplyContent.STATE)
             else:
-                questions[agent] = Question(Tell.STATE, want.order, wait_s)
-                asks[agent] = RankAsk(0, Tell.STATE, want.order, int(wait_s * 1000))
+                questions[agent] = Question(ReplyContent.STATE, want.order, wait_s)
+                asks[agent] = RankAsk(
+                    0, ReplyContent.STATE, want.order, int(wait_s * 1000)
+                )
         answers = self._panel.ask(
             {one: asked for one, asked in questions.items() if one not in self._silent}
         )
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -9,7 +9,7 @@
 from kingcupwheel.messages.base import Message
 
 
-class Tell(StrEnum):
+class ReplyContent(StrEnum):
     """What an answer is to hold beside the rank's state."""
 
     STATE = "state"
@@ -25,7 +25,7 @@
     """
 
     number: int
-    tell: Tell
+    tell: ReplyContent
     order: RankOrder | None = None
     wait_ms: int = 0
 
