--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.lockstep import ReplyContent
 from kingcupwheel.telemetry.lines import lines_of
@@ -161,7 +161,7 @@
     def _send(self, number: int, part: _Part) -> None:
         question = part.question
         wait_ms = int(question.wait_s * 1000)
-        ask = RankAsk(number, question.tell, question.order, wait_ms)
+        ask = RankStateRequest(number, question.tell, question.order, wait_ms)
         message = BranchAsk(number, ask, part.members) if part.is_branch else ask
         self._hub.send(Outgoing(part.address, 0), message)
 
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -19,7 +19,7 @@
 
     from kingcupwheel.lockstep.state import RankCounts
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.messages.lockstep import RankAsk
+    from kingcupwheel.messages.lockstep import RankStateRequest
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
@@ -43,7 +43,7 @@
         self._metrics = metrics
         self._counted: RankCounts | None = None
 
-    def carry_out(self, ask: RankAsk) -> RankTold:
+    def carry_out(self, ask: RankStateRequest) -> RankTold:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
         state = self._state()
         if ask.order is not None:
@@ -58,7 +58,7 @@
             case ReplyContent.STATE:
                 return RankTold(ask.number, state)
 
-    def _give(self, ask: RankAsk, state: RankState | None) -> RankState | None:
+    def _give(self, ask: RankStateRequest, state: RankState | None) -> RankState | None:
         order = ask.order
         assert order is not None, "only asks with an order are given"
         until = monotonic() + ask.wait_ms / 1000
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -22,7 +22,7 @@
 from kingcupwheel.lockstep.rosters import Beside
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
@@ -74,7 +74,7 @@
         self._client = RankClient(f"http://{self._rank.server}")
         self._metrics = RankMetrics()
         self._carrier = OrderCarrier(self._client, self._metrics)
-        self._asks: Queue[tuple[Link, RankAsk]] = Queue(_QUEUED)
+        self._asks: Queue[tuple[Link, RankStateRequest]] = Queue(_QUEUED)
         self._entries: dict[Link, float] = {}
         self._shape: EngineShape | None = None
         self._servers_by_agent: dict[str, Beside] = {}
@@ -137,7 +137,7 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case RankAsk():
+            case RankStateRequest():
                 self._queue(link, message)
             case BranchAsk():
                 self._gatherer.ask(link, message, monotonic())
@@ -159,7 +159,7 @@
         self._gatherer.on_tick(now)
         self._board.on_tick(now)
 
-    def _queue(self, link: Link, ask: RankAsk) -> None:
+    def _queue(self, link: Link, ask: RankStateRequest) -> None:
         try:
             self._asks.put_nowait((link, ask))
         except Full:
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -14,7 +14,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import RankAsk
+    from kingcupwheel.messages.lockstep import RankStateRequest
     from kingcupwheel.messages.lockstep import RankTold
 
 log = lines_of("maps")
@@ -43,7 +43,9 @@
         given = self._clients[server].give(order)
         log.debug("order-given", order=type(order).__name__, answer=str(given))
 
-    def ask(self, asks_by_server: Mapping[str, RankAsk]) -> dict[str, RankTold]:
+    def ask(
+        self, asks_by_server: Mapping[str, RankStateRequest]
+    ) -> dict[str, RankTold]:
         """Return what servers tell, by address; silent ones are left out."""
         if not asks_by_server:
             return {}
@@ -64,5 +66,5 @@
         return {server: one for server, one in told.items() if one.state is not None}
 
 
-def _ask(server: str, ask: RankAsk) -> RankTold:
+def _ask(server: str, ask: RankStateRequest) -> RankTold:
     return OrderCarrier(RankClient(f"http://{server}")).carry_out(ask)
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -12,7 +12,7 @@
 from kingcupwheel.lockstep.asking import ANSWER_S
 from kingcupwheel.lockstep.carrying import packed
 from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import RankStateRequest
 
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
             asked = tuple(branch.missing.items())
         for number, address in asked:
             ask = message.ask
-            passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
+            passed = RankStateRequest(number, ask.tell, ask.order, ask.wait_ms)
             self._hub.send(Outgoing(address, 0), passed)
 
     def told(self, message: RankTold) -> bool:
--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -9,7 +9,7 @@
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.rosters import heads_of
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import ReplyContent
 
 
@@ -52,7 +52,7 @@
         answers = self._panel.ask(
             dict.fromkeys(servers_by_agent, Question(ReplyContent.PLACES))
         )
-        asks = dict.fromkeys(servers_by_agent, RankAsk(0, ReplyContent.PLACES))
+        asks = dict.fromkeys(servers_by_agent, RankStateRequest(0, ReplyContent.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
         self._ask_servers(asks, servers, answers)
         return answers
@@ -72,7 +72,7 @@
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
         answers = self._panel.ask(dict.fromkeys(asked, Question()))
-        asks = dict.fromkeys(agents, RankAsk(0, ReplyContent.STATE))
+        asks = dict.fromkeys(agents, RankStateRequest(0, ReplyContent.STATE))
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
 
@@ -83,16 +83,16 @@
         what carries them out must not be lost together.
         """
         questions: dict[str, Question] = {}
-        asks: dict[str, RankAsk] = {}
+        asks: dict[str, RankStateRequest] = {}
         for want in wanted:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
                 self._direct.give(roster.server_of(agent), want.order)
                 questions[agent] = Question()
-                asks[agent] = RankAsk(0, ReplyContent.STATE)
+                asks[agent] = RankStateRequest(0, ReplyContent.STATE)
             else:
                 questions[agent] = Question(ReplyContent.STATE, want.order, wait_s)
-                asks[agent] = RankAsk(
+                asks[agent] = RankStateRequest(
                     0, ReplyContent.STATE, want.order, int(wait_s * 1000)
                 )
         answers = self._panel.ask(
@@ -102,7 +102,10 @@
         return answers
 
     def _ask_servers(
-        self, asks: Mapping[str, RankAsk], servers: Mapping[str, str], answers: Answers
+        self,
+        asks: Mapping[str, RankStateRequest],
+        servers: Mapping[str, str],
+        answers: Answers,
     ) -> None:
         """Ask the servers whose agents are not among ``answers``, and add theirs."""
         agents_by_server = {
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -15,7 +15,7 @@
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryHeartbeat
@@ -84,7 +84,7 @@
     | BurnFound
     | MapOrder
     | MapReply
-    | RankAsk
+    | RankStateRequest
     | RankTold
     | BranchAsk
     | BranchTold
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -17,7 +17,7 @@
     PLACES = "places"
 
 
-class RankAsk(Message, frozen=True, tag="RankAsk"):
+class RankStateRequest(Message, frozen=True, tag="RankAsk"):
     """Coordinator to agent: carry out an order, then tell the state.
 
     With an order the agent gives it again until the state shows it, for ``wait_ms`` at
@@ -49,7 +49,7 @@
     """Coordinator to the head of a branch: ask ``members`` this, and gather."""
 
     number: int
-    ask: RankAsk
+    ask: RankStateRequest
     members: tuple[str, ...]
 
 
