--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -9,8 +9,8 @@
 
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.messages.lockstep import BranchAsk
+from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
-from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.lockstep import ReplyContent
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -68,7 +68,7 @@
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
         self._number = 0
-        self._waited: dict[int, RankTold | BranchTold | None] = {}
+        self._waited: dict[int, RankStateReply | BranchTold | None] = {}
         self._unanswered_by_address: dict[str, int] = {}
         self._heads_by_agent: Mapping[str, str] = {}
         self._silent_until_by_head: dict[str, float] = {}
@@ -78,14 +78,14 @@
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
-    def told(self, message: RankTold | BranchTold) -> None:
+    def told(self, message: RankStateReply | BranchTold) -> None:
         """Take in an answer."""
         with self._changed:
             if message.number in self._waited:
                 self._waited[message.number] = message
                 self._changed.notify_all()
 
-    def ask(self, questions: Mapping[str, Question]) -> dict[str, RankTold]:
+    def ask(self, questions: Mapping[str, Question]) -> dict[str, RankStateReply]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
@@ -134,7 +134,7 @@
 
     def _exchange(
         self, parts: Iterable[_Part]
-    ) -> tuple[dict[str, RankTold], tuple[_Part, ...]]:
+    ) -> tuple[dict[str, RankStateReply], tuple[_Part, ...]]:
         """Send each part; return answers by address, and the parts without any."""
         parts_by_number = {self._next(): part for part in parts}
         began = monotonic()
@@ -149,7 +149,7 @@
                 max(0.0, began + longest_s - monotonic()),
             )
             waited, self._waited = self._waited, {}
-        answers: dict[str, RankTold] = {}
+        answers: dict[str, RankStateReply] = {}
         for number, answer in waited.items():
             if answer is not None:
                 answers.update(_by_address(parts_by_number[number], answer))
@@ -170,7 +170,7 @@
         return self._number
 
     def _note_silence(
-        self, questions: Mapping[str, Question], answers: Mapping[str, RankTold]
+        self, questions: Mapping[str, Question], answers: Mapping[str, RankStateReply]
     ) -> None:
         for address in questions:
             if address in answers:
@@ -183,14 +183,16 @@
             self._unanswered_by_address[address] = unanswered
 
 
-def _by_address(part: _Part, answer: RankTold | BranchTold) -> dict[str, RankTold]:
-    if isinstance(answer, RankTold):
+def _by_address(
+    part: _Part, answer: RankStateReply | BranchTold
+) -> dict[str, RankStateReply]:
+    if isinstance(answer, RankStateReply):
         return {part.address: answer}
     told = dict(answer.told)
     if answer.counts and told:
         first = next(iter(told))
         one = told[first]
-        told[first] = RankTold(
+        told[first] = RankStateReply(
             one.number, one.state, answer.counts, answer.scale, one.places
         )
     return told
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -24,7 +24,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change import Layers
     from kingcupwheel.lockstep.group import Group
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
 
@@ -60,7 +60,11 @@
         self._pass_s = 0.0
 
     def take(
-        self, group: Group, layers: Layers, answers: Iterable[RankTold], now: float
+        self,
+        group: Group,
+        layers: Layers,
+        answers: Iterable[RankStateReply],
+        now: float,
     ) -> Plan | None:
         """Return the map to change to from ``layers``, or None to leave it.
 
@@ -138,7 +142,7 @@
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
-def counts_of(answers: Iterable[RankTold]) -> list[list[int]]:
+def counts_of(answers: Iterable[RankStateReply]) -> list[list[int]]:
     """Return each answer's choices, layer by layer in one list."""
     return [
         [count * told.scale for count in told.counts] for told in answers if told.counts
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -9,7 +9,7 @@
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.lockstep.shown import is_shown
 from kingcupwheel.lockstep.shown import is_void
-from kingcupwheel.messages.lockstep import RankTold
+from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import ReplyContent
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -43,7 +43,7 @@
         self._metrics = metrics
         self._counted: RankCounts | None = None
 
-    def carry_out(self, ask: RankStateRequest) -> RankTold:
+    def carry_out(self, ask: RankStateRequest) -> RankStateReply:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
         state = self._state()
         if ask.order is not None:
@@ -51,12 +51,14 @@
         match ask.tell:
             case ReplyContent.COUNTS:
                 scale, counts = self._new_counts()
-                return RankTold(ask.number, state, counts, scale)
+                return RankStateReply(ask.number, state, counts, scale)
             case ReplyContent.PLACES:
                 places = self._client.places()
-                return RankTold(ask.number, state, places=places.default_value(()))
+                return RankStateReply(
+                    ask.number, state, places=places.default_value(())
+                )
             case ReplyContent.STATE:
-                return RankTold(ask.number, state)
+                return RankStateReply(ask.number, state)
 
     def _give(self, ask: RankStateRequest, state: RankState | None) -> RankState | None:
         order = ask.order
--- a/src/kingcupwheel/lockstep/charge.py
+++ b/src/kingcupwheel/lockstep/charge.py
@@ -18,7 +18,7 @@
     from kingcupwheel.lockstep.change import Phase
     from kingcupwheel.lockstep.rosters import Roster
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
 
@@ -68,7 +68,7 @@
         self.phase = Idle()
         self.is_left = True
 
-    def take_in(self, answers: Mapping[str, RankTold]) -> bool:
+    def take_in(self, answers: Mapping[str, RankStateReply]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
         for rank, agent in self.roster.agents_by_rank.items():
             told = answers.get(agent)
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -22,8 +22,8 @@
 from kingcupwheel.lockstep.rosters import Beside
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
+from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
-from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
@@ -141,9 +141,9 @@
                 self._queue(link, message)
             case BranchAsk():
                 self._gatherer.ask(link, message, monotonic())
-            case RankTold() if self._gatherer.told(message):
+            case RankStateReply() if self._gatherer.told(message):
                 pass
-            case RankTold() | BranchTold():
+            case RankStateReply() | BranchTold():
                 self._panel.told(message)
             case LoadsRequest():
                 self._board.asked(link, message, monotonic())
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -14,8 +14,8 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.orders import RankOrder
+    from kingcupwheel.messages.lockstep import RankStateReply
     from kingcupwheel.messages.lockstep import RankStateRequest
-    from kingcupwheel.messages.lockstep import RankTold
 
 log = lines_of("maps")
 
@@ -45,7 +45,7 @@
 
     def ask(
         self, asks_by_server: Mapping[str, RankStateRequest]
-    ) -> dict[str, RankTold]:
+    ) -> dict[str, RankStateReply]:
         """Return what servers tell, by address; silent ones are left out."""
         if not asks_by_server:
             return {}
@@ -66,5 +66,5 @@
         return {server: one for server, one in told.items() if one.state is not None}
 
 
-def _ask(server: str, ask: RankStateRequest) -> RankTold:
+def _ask(server: str, ask: RankStateRequest) -> RankStateReply:
     return OrderCarrier(RankClient(f"http://{server}")).carry_out(ask)
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -19,7 +19,7 @@
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.lockstep import BranchAsk
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 # Numbers of questions of a head begin here: an agent may coordinate one group's maps
 # and be asked for a branch at the same time, and answers are told apart by number.
@@ -34,10 +34,10 @@
         self.number = ask.number
         self.until = until
         self.missing: dict[int, str] = {}
-        self.told: dict[str, RankTold] = {}
+        self.told: dict[str, RankStateReply] = {}
         self.counts: list[int] = []
 
-    def take(self, message: RankTold) -> None:
+    def take(self, message: RankStateReply) -> None:
         """Take in a member's answer; its counts are summed."""
         address = self.missing.pop(message.number)
         self.told[address] = msgspec.structs.replace(message, counts=b"", scale=1)
@@ -84,7 +84,7 @@
             passed = RankStateRequest(number, ask.tell, ask.order, ask.wait_ms)
             self._hub.send(Outgoing(address, 0), passed)
 
-    def told(self, message: RankTold) -> bool:
+    def told(self, message: RankStateReply) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
         with self._lock:
             branch = self._branches_by_number.pop(message.number, None)
--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -21,7 +21,7 @@
     from kingcupwheel.lockstep.change import Want
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.rosters import Roster
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 Answers = dict[str, "RankTold"]
 
--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change import Layers
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 
 class Beside(NamedTuple):
@@ -66,7 +66,7 @@
     places: tuple[tuple[int, ...], ...]
 
 
-def ranks_of(own: RankState, answers: Mapping[str, RankTold]) -> dict[int, Found]:
+def ranks_of(own: RankState, answers: Mapping[str, RankStateReply]) -> dict[int, Found]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
         told.state.rank: Found(agent, told.state, told.places)
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -15,8 +15,8 @@
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
+from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
-from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import Hello
@@ -85,7 +85,7 @@
     | MapOrder
     | MapReply
     | RankStateRequest
-    | RankTold
+    | RankStateReply
     | BranchAsk
     | BranchTold
     | LoadsRequest
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -30,7 +30,7 @@
     wait_ms: int = 0
 
 
-class RankTold(Message, frozen=True, tag="RankTold"):
+class RankStateReply(Message, frozen=True, tag="RankTold"):
     """Answers ``RankAsk``; ``state`` is None if the server did not answer.
 
     ``counts`` is one byte for each expert, layer by layer: choices since the last
@@ -60,6 +60,6 @@
     """
 
     number: int
-    told: dict[str, RankTold]
+    told: dict[str, RankStateReply]
     counts: bytes = b""
     scale: int = 1
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -20,7 +20,7 @@
 from kingcupwheel.lockstep.group import Group
 from kingcupwheel.lockstep.planning import dealt_in_turn
 from kingcupwheel.lockstep.state import RankState
-from kingcupwheel.messages.lockstep import RankTold
+from kingcupwheel.messages.lockstep import RankStateReply
 
 
 if TYPE_CHECKING:
@@ -266,12 +266,12 @@
             },
         )
 
-    def _told(self) -> list[RankTold]:
+    def _told(self) -> list[RankStateReply]:
         told = []
         for counts in self._counts:
             scale = max(1, round(max(counts)) // 255 + 1)
             packed = bytes(round(count / scale) for count in counts)
-            told.append(RankTold(0, None, packed, scale))
+            told.append(RankStateReply(0, None, packed, scale))
         self._counts = [self._no_counts() for _ in self._ranks]
         return told
 
