--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.lockstep import BranchAsk
+from kingcupwheel.messages.lockstep import BranchRequest
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import ReplyContent
@@ -162,7 +162,7 @@
         question = part.question
         wait_ms = int(question.wait_s * 1000)
         ask = RankStateRequest(number, question.tell, question.order, wait_ms)
-        message = BranchAsk(number, ask, part.members) if part.is_branch else ask
+        message = BranchRequest(number, ask, part.members) if part.is_branch else ask
         self._hub.send(Outgoing(part.address, 0), message)
 
     def _next(self) -> int:
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -20,7 +20,7 @@
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.lockstep.rosters import Beside
-from kingcupwheel.messages.lockstep import BranchAsk
+from kingcupwheel.messages.lockstep import BranchRequest
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
@@ -139,7 +139,7 @@
         match message:
             case RankStateRequest():
                 self._queue(link, message)
-            case BranchAsk():
+            case BranchRequest():
                 self._gatherer.ask(link, message, monotonic())
             case RankStateReply() if self._gatherer.told(message):
                 pass
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.lockstep import BranchAsk
+    from kingcupwheel.messages.lockstep import BranchRequest
     from kingcupwheel.messages.lockstep import RankStateReply
 
 # Numbers of questions of a head begin here: an agent may coordinate one group's maps
@@ -29,7 +29,7 @@
 class _Branch:
     """One question under way."""
 
-    def __init__(self, link: Link, ask: BranchAsk, until: float) -> None:
+    def __init__(self, link: Link, ask: BranchRequest, until: float) -> None:
         self.link = link
         self.number = ask.number
         self.until = until
@@ -69,7 +69,7 @@
         self._branches_by_number: dict[int, _Branch] = {}
         self._lock = Lock()
 
-    def ask(self, link: Link, message: BranchAsk, now: float) -> None:
+    def ask(self, link: Link, message: BranchRequest, now: float) -> None:
         """Pass a question on to the members of its branch."""
         wait_s = message.ask.wait_ms / 1000
         branch = _Branch(link, message, now + wait_s + ANSWER_S)
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -13,7 +13,7 @@
 from kingcupwheel.messages.exceptions import BadMessage
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
-from kingcupwheel.messages.lockstep import BranchAsk
+from kingcupwheel.messages.lockstep import BranchRequest
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
@@ -86,7 +86,7 @@
     | MapReply
     | RankStateRequest
     | RankStateReply
-    | BranchAsk
+    | BranchRequest
     | BranchTold
     | LoadsRequest
     | LoadsReply
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -45,7 +45,7 @@
     places: tuple[tuple[int, ...], ...] = ()
 
 
-class BranchAsk(Message, frozen=True, tag="BranchAsk"):
+class BranchRequest(Message, frozen=True, tag="BranchAsk"):
     """Coordinator to the head of a branch: ask ``members`` this, and gather."""
 
     number: int
