--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -21,7 +21,7 @@
 
     from kingcupwheel.link.hub import Hub
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import BranchTold
+    from kingcupwheel.messages.lockstep import BranchReply
 
 log = lines_of("maps")
 
@@ -68,7 +68,7 @@
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
         self._number = 0
-        self._waited: dict[int, RankStateReply | BranchTold | None] = {}
+        self._waited: dict[int, RankStateReply | BranchReply | None] = {}
         self._unanswered_by_address: dict[str, int] = {}
         self._heads_by_agent: Mapping[str, str] = {}
         self._silent_until_by_head: dict[str, float] = {}
@@ -78,7 +78,7 @@
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
-    def told(self, message: RankStateReply | BranchTold) -> None:
+    def told(self, message: RankStateReply | BranchReply) -> None:
         """Take in an answer."""
         with self._changed:
             if message.number in self._waited:
@@ -184,7 +184,7 @@
 
 
 def _by_address(
-    part: _Part, answer: RankStateReply | BranchTold
+    part: _Part, answer: RankStateReply | BranchReply
 ) -> dict[str, RankStateReply]:
     if isinstance(answer, RankStateReply):
         return {part.address: answer}
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -20,8 +20,8 @@
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.lockstep.rosters import Beside
+from kingcupwheel.messages.lockstep import BranchReply
 from kingcupwheel.messages.lockstep import BranchRequest
-from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -143,7 +143,7 @@
                 self._gatherer.ask(link, message, monotonic())
             case RankStateReply() if self._gatherer.told(message):
                 pass
-            case RankStateReply() | BranchTold():
+            case RankStateReply() | BranchReply():
                 self._panel.told(message)
             case LoadsRequest():
                 self._board.asked(link, message, monotonic())
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -11,7 +11,7 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.lockstep.asking import ANSWER_S
 from kingcupwheel.lockstep.carrying import packed
-from kingcupwheel.messages.lockstep import BranchTold
+from kingcupwheel.messages.lockstep import BranchReply
 from kingcupwheel.messages.lockstep import RankStateRequest
 
 
@@ -48,12 +48,12 @@
         for index, found in enumerate(message.counts):
             self.counts[index] += found * message.scale
 
-    def answer(self) -> BranchTold:
+    def answer(self) -> BranchReply:
         """Return what was told so far."""
         if not self.counts:
-            return BranchTold(self.number, self.told)
+            return BranchReply(self.number, self.told)
         scale, counts = packed(self.counts)
-        return BranchTold(self.number, self.told, counts, scale)
+        return BranchReply(self.number, self.told, counts, scale)
 
 
 class Gatherer:
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -13,8 +13,8 @@
 from kingcupwheel.messages.exceptions import BadMessage
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
+from kingcupwheel.messages.lockstep import BranchReply
 from kingcupwheel.messages.lockstep import BranchRequest
-from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -87,7 +87,7 @@
     | RankStateRequest
     | RankStateReply
     | BranchRequest
-    | BranchTold
+    | BranchReply
     | LoadsRequest
     | LoadsReply
     | EntryHeartbeat
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -53,7 +53,7 @@
     members: tuple[str, ...]
 
 
-class BranchTold(Message, frozen=True, tag="BranchTold"):
+class BranchReply(Message, frozen=True, tag="BranchTold"):
     """Answers ``BranchAsk``: what members told by address; silent ones are left out.
 
     Their counts are summed into ``counts`` and ``scale``, as in ``RankTold``.
