--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -30,7 +30,7 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.runs import RunningAttempts
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
@@ -209,7 +209,7 @@
         match message:
             case Hello():
                 self._hello(link, message, now)
-            case TraceWanted(request_id):
+            case TraceRequest(request_id):
                 self._hub.send(link, self._recorder.found(request_id))
             case StatusRequest():
                 self._hub.send(link, self._status())
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -37,7 +37,7 @@
 from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.traces import BurnWanted
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.platform.client import Instance
 
 
@@ -131,7 +131,7 @@
     def _on_question(self, link: Link, message: Message) -> None:
         send = self._context.hub.send
         match message:
-            case TraceWanted(request_id):
+            case TraceRequest(request_id):
                 send(link, self._context.recorder.found(request_id))
             case BurnWanted():
                 send(link, self._burn.found(now=time.time()))
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -46,7 +46,7 @@
 from kingcupwheel.messages.traces import BurnFound
 from kingcupwheel.messages.traces import BurnWanted
 from kingcupwheel.messages.traces import TraceFound
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.plugins.kernel import codecs
 
 
@@ -78,7 +78,7 @@
     | InstancesReply
     | StatusRequest
     | StatusReply
-    | TraceWanted
+    | TraceRequest
     | TraceFound
     | BurnWanted
     | BurnFound
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -5,7 +5,7 @@
 from kingcupwheel.messages.base import Message
 
 
-class TraceWanted(Message, frozen=True, tag="TraceWanted"):
+class TraceRequest(Message, frozen=True, tag="TraceWanted"):
     """To an entry or agent: send the events you hold of this request."""
 
     request_id: str
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -16,7 +16,7 @@
 from expression import Result
 
 from kingcupwheel.messages.traces import TraceFound
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Received
@@ -144,7 +144,7 @@
             for process in processes
             if (address := directory.address_by_process.get(process))
         }
-        return self._asker.ask(addresses, TraceWanted(request_id), TraceFound)
+        return self._asker.ask(addresses, TraceRequest(request_id), TraceFound)
 
     def _part(
         self,
