--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -45,7 +45,7 @@
 from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.traces import BurnFound
 from kingcupwheel.messages.traces import BurnWanted
-from kingcupwheel.messages.traces import TraceFound
+from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.plugins.kernel import codecs
 
@@ -79,7 +79,7 @@
     | StatusRequest
     | StatusReply
     | TraceRequest
-    | TraceFound
+    | TraceReply
     | BurnWanted
     | BurnFound
     | MapOrder
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -11,7 +11,7 @@
     request_id: str
 
 
-class TraceFound(Message, frozen=True, tag="TraceFound"):
+class TraceReply(Message, frozen=True, tag="TraceFound"):
     """Answers ``TraceWanted``; ``events`` is an encoded list of trace events."""
 
     request_id: str
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -15,7 +15,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.messages.traces import TraceFound
+from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import Finished
@@ -64,8 +64,8 @@
         self,
         address_by_process: Mapping[str, str],
         question: Message,
-        answer: type[TraceFound],
-    ) -> dict[str, TraceFound]:
+        answer: type[TraceReply],
+    ) -> dict[str, TraceReply]:
         """Return the answers by process, without those that did not come in time."""
 
 
@@ -138,18 +138,18 @@
 
     def _ask(
         self, processes: tuple[str, ...], request_id: str, directory: _Directory
-    ) -> dict[str, TraceFound]:
+    ) -> dict[str, TraceReply]:
         addresses = {
             process: address
             for process in processes
             if (address := directory.address_by_process.get(process))
         }
-        return self._asker.ask(addresses, TraceRequest(request_id), TraceFound)
+        return self._asker.ask(addresses, TraceRequest(request_id), TraceReply)
 
     def _part(
         self,
         process: str,
-        found: TraceFound | None,
+        found: TraceReply | None,
         request_id: str,
         parsed: RequestId,
         told_at: float | None,
@@ -198,7 +198,7 @@
         return tuple(part for part in parts if part.events)
 
 
-def _decode(found: TraceFound | None) -> tuple[TraceEvent, ...]:
+def _decode(found: TraceReply | None) -> tuple[TraceEvent, ...]:
     if found is None:
         return ()
     try:
@@ -218,7 +218,7 @@
 def _gaps(
     process: str,
     entry: str,
-    found: TraceFound | None,
+    found: TraceReply | None,
     events: tuple[TraceEvent, ...],
     stored: BatchEvents,
     told_at: float | None,
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kingcupwheel.messages.traces import TraceFound
+from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.trace.events import EVENT_DECODER
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import TraceEvent
@@ -106,7 +106,7 @@
             encoded = tuple(story.encoded) if story else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
-    def found(self, request_id: str) -> TraceFound:
+    def found(self, request_id: str) -> TraceReply:
         """Answer ``TraceWanted``: the events held, and whether none was let go.
 
         ``complete`` is False if events of the request may have been recorded by an
@@ -117,7 +117,7 @@
             story = self._stories_by_request_id.get(request_id)
             complete = self._covers(request_id) and not (story and story.capped)
         payload = msgspec.msgpack.encode(events)
-        return TraceFound(request_id, self._process, payload, complete)
+        return TraceReply(request_id, self._process, payload, complete)
 
     def drain(self) -> Drained:
         """Hand over the events that are not yet in a batch."""
