--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -15,7 +15,7 @@
 from kingcupwheel.burn.merging import merge
 from kingcupwheel.burn.records import PART_DECODER
 from kingcupwheel.messages.traces import BurnFound
-from kingcupwheel.messages.traces import BurnWanted
+from kingcupwheel.messages.traces import BurnRequest
 
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         return Error(EntriesUnknown("the platform's list can't be read"))
     else:
         trouble = "The platform's list can't be read; only entries named were asked."
-    answers = asker.ask(addresses, BurnWanted(), BurnFound)
+    answers = asker.ask(addresses, BurnRequest(), BurnFound)
     parts = []
     silent = set(addresses)
     for process, answer in answers.items():
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -36,7 +36,7 @@
 from kingcupwheel.messages.runs import ResponseHead
 from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
-from kingcupwheel.messages.traces import BurnWanted
+from kingcupwheel.messages.traces import BurnRequest
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.platform.client import Instance
 
@@ -133,7 +133,7 @@
         match message:
             case TraceRequest(request_id):
                 send(link, self._context.recorder.found(request_id))
-            case BurnWanted():
+            case BurnRequest():
                 send(link, self._burn.found(now=time.time()))
             case StatusRequest():
                 send(link, self._status())
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -44,7 +44,7 @@
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
 from kingcupwheel.messages.traces import BurnFound
-from kingcupwheel.messages.traces import BurnWanted
+from kingcupwheel.messages.traces import BurnRequest
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.plugins.kernel import codecs
@@ -80,7 +80,7 @@
     | StatusReply
     | TraceRequest
     | TraceReply
-    | BurnWanted
+    | BurnRequest
     | BurnFound
     | MapOrder
     | MapReply
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -20,7 +20,7 @@
     complete: bool
 
 
-class BurnWanted(Message, frozen=True, tag="BurnWanted"):
+class BurnRequest(Message, frozen=True, tag="BurnWanted"):
     """To an entry: send your counts against service-level goals."""
 
 
