--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -31,7 +31,7 @@
 from kingcupwheel.burn.records import ScopeCounts
 from kingcupwheel.burn.tallies import MINUTE_S
 from kingcupwheel.burn.tallies import Tally
-from kingcupwheel.messages.traces import BurnFound
+from kingcupwheel.messages.traces import BurnReply
 
 
 if TYPE_CHECKING:
@@ -81,9 +81,9 @@
             self._time(observed, now)
             return self._count(observed, now)
 
-    def found(self, *, now: float) -> BurnFound:
+    def found(self, *, now: float) -> BurnReply:
         """Answer ``BurnWanted``."""
-        return BurnFound(self._process, msgspec.msgpack.encode(self.part(now=now)))
+        return BurnReply(self._process, msgspec.msgpack.encode(self.part(now=now)))
 
     def part(self, *, now: float) -> BurnPart:
         """Return everything counted, as of ``now``."""
--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -14,7 +14,7 @@
 from kingcupwheel.burn.merging import BurnReport
 from kingcupwheel.burn.merging import merge
 from kingcupwheel.burn.records import PART_DECODER
-from kingcupwheel.messages.traces import BurnFound
+from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
 
 
@@ -32,8 +32,8 @@
         self,
         address_by_process: Mapping[str, str],
         question: Message,
-        answer: type[BurnFound],
-    ) -> dict[str, BurnFound]:
+        answer: type[BurnReply],
+    ) -> dict[str, BurnReply]:
         """Return the answers by process, without those that did not come in time."""
 
 
@@ -59,7 +59,7 @@
         return Error(EntriesUnknown("the platform's list can't be read"))
     else:
         trouble = "The platform's list can't be read; only entries named were asked."
-    answers = asker.ask(addresses, BurnRequest(), BurnFound)
+    answers = asker.ask(addresses, BurnRequest(), BurnReply)
     parts = []
     silent = set(addresses)
     for process, answer in answers.items():
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -43,7 +43,7 @@
 from kingcupwheel.messages.runs import RunningAttempts
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
-from kingcupwheel.messages.traces import BurnFound
+from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
@@ -81,7 +81,7 @@
     | TraceRequest
     | TraceReply
     | BurnRequest
-    | BurnFound
+    | BurnReply
     | MapOrder
     | MapReply
     | RankStateRequest
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -24,7 +24,7 @@
     """To an entry: send your counts against service-level goals."""
 
 
-class BurnFound(Message, frozen=True, tag="BurnFound"):
+class BurnReply(Message, frozen=True, tag="BurnFound"):
     """Answers ``BurnWanted``; ``part`` is an encoded ``burn.records.BurnPart``."""
 
     process: str
