--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -16,7 +16,7 @@
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import open_platform
-from kingcupwheel.link.asking import Asker
+from kingcupwheel.link.asking import QueryClient
 
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     """
     gathered = gather(
         open_platform(url),
-        Asker(timeout_s=timeout_s),
+        QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         now=time.time(),
     )
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -17,7 +17,7 @@
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import open_platform
-from kingcupwheel.link.asking import Asker
+from kingcupwheel.link.asking import QueryClient
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimView
 from kingcupwheel.trace.claims import find_claim
@@ -75,7 +75,7 @@
     claim = wanted.ok
     finder = Finder(
         client,
-        Asker(timeout_s=timeout_s),
+        QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         agents=(claim.agent,) if claim.agent else (),
     )
--- a/src/kingcupwheel/link/asking.py
+++ b/src/kingcupwheel/link/asking.py
@@ -23,7 +23,7 @@
 _TRIES = 8
 
 
-class Asker:
+class QueryClient:
     """Asks processes over their own sockets; belongs to one thread.
 
     A process that is gone, paused or cut off costs ``timeout_s`` once, however many
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/status.py
@@ -5,7 +5,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from kingcupwheel.link.asking import Asker
+from kingcupwheel.link.asking import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.utils.structs import Record
@@ -57,7 +57,7 @@
     Each batch of 400 processes takes ``timeout_s`` at most; who does not answer in that
     time, or is listed without an address, is left out.
     """
-    asker = Asker(timeout_s=timeout_s)
+    asker = QueryClient(timeout_s=timeout_s)
     found: dict[str, StatusReply] = {}
     for batch in _batches(instances):
         address_by_process = {
