--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -21,7 +21,7 @@
 from kingcupwheel.agent.runner import Runner
 from kingcupwheel.agent.runs import Runs
 from kingcupwheel.agent.store import AnswerStore
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.membership import Hello
@@ -77,7 +77,7 @@
             listener=EventMetrics(self._metrics, settings.role),
         )
         self._peers = Peers(hello_s=timings.gone_s, gone_s=timings.give_up_s)
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         runs = Runs(
--- a/src/kingcupwheel/agent/maps.py
+++ b/src/kingcupwheel/agent/maps.py
@@ -13,7 +13,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.schema import ExpertLayout
     from kingcupwheel.manifest.schema import ServerGroup
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        hub: Hub,
+        hub: MessageHub,
         platform: PlatformClient,
         name: str,
         group: str,
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -16,7 +16,7 @@
     from kingcupwheel.entry.limits import Limits
     from kingcupwheel.entry.observing import Observer
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
     from kingcupwheel.trace.recorder import Recorder
 
@@ -25,7 +25,7 @@
     """The shared parts; each is safe from any thread."""
 
     settings: Settings
-    hub: Hub
+    hub: MessageHub
     servers: ServerTable
     inboxes: Inboxes
     dispatchers: Dispatchers
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -24,7 +24,7 @@
 from kingcupwheel.entry.recording import Recording
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.entry.sharing import Sharing
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
@@ -70,7 +70,7 @@
         self._retention = ClaimRetention(
             client, retention_s=lambda: self._kept().claims_h * _HOUR_S
         )
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.manifest.schema import Allowance
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.membership import PeerHeartbeat
@@ -47,7 +47,7 @@
         settings: Settings,
         client: PlatformClient,
         servers: ServerTable,
-        hub: Hub,
+        hub: MessageHub,
         *,
         leaving: Event,
         ask_seeds: Callable[[], None],
--- a/src/kingcupwheel/entry/peers.py
+++ b/src/kingcupwheel/entry/peers.py
@@ -17,7 +17,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.membership import ManifestObject
 
 # How long one peer is given for one object of at most a megabyte.
@@ -27,7 +27,7 @@
 class PeerFetcher:
     """Asks a peer for an object of the manifest; one question at a time."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._found: SimpleQueue[ManifestObject] = SimpleQueue()
         self._lock = Lock()
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.following import Step
     from kingcupwheel.entry.inbox import Inbox
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         inbox: Inbox,
-        hub: Hub,
+        hub: MessageHub,
         recorder: Recorder,
         *,
         traced_as: str,
--- a/src/kingcupwheel/expertmaps/leader.py
+++ b/src/kingcupwheel/expertmaps/leader.py
@@ -34,7 +34,7 @@
     from kingcupwheel.expertmaps.phases import Event
     from kingcupwheel.expertmaps.phases import Phase
     from kingcupwheel.expertmaps.protocol import AnyOrder
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.manifest.schema import ExpertLayout
     from kingcupwheel.messages.expertmaps import MapReply
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         *,
-        hub: Hub,
+        hub: MessageHub,
         group: str,
         name: str,
         layout: ExpertLayout,
--- a/src/kingcupwheel/expertmaps/rank_worker.py
+++ b/src/kingcupwheel/expertmaps/rank_worker.py
@@ -22,7 +22,7 @@
     from kingcupwheel.expertmaps.protocol import AnyOrder
     from kingcupwheel.expertmaps.protocol import AnyReply
     from kingcupwheel.expertmaps.rank_api import RankApi
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.expertmaps import MapOrder
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         *,
-        hub: Hub,
+        hub: MessageHub,
         rank_api: RankApi,
         learn_fence: Callable[[], int | None],
         agent: str,
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.rank_api import RankApi
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.schema import ExpertLayout
     from kingcupwheel.messages.base import Message
@@ -72,7 +72,7 @@
     def __init__(
         self,
         *,
-        hub: Hub,
+        hub: MessageHub,
         platform: PlatformClient,
         rank_api: RankApi,
         name: str,
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -33,7 +33,7 @@
 from kingcupwheel.forwarding.serverbook import ServerBook
 from kingcupwheel.forwarding.serverlist import ServersFollower
 from kingcupwheel.forwarding.watchdog import Watchdog
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
@@ -86,7 +86,7 @@
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
         self._currency = Currency()
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -23,7 +23,7 @@
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.forwarding.serverbook import ServerBook
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
 
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: Settings,
-        hub: Hub,
+        hub: MessageHub,
         book: ServerBook,
         currency: Currency,
         *,
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.forwarding.guards import Guards
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.platform.objects import ObjectStore
     from kingcupwheel.platform.objects import StoredObject
@@ -48,7 +48,7 @@
     """The other entries; safe from any thread."""
 
     def __init__(
-        self, me: EntryInfo, hub: Hub, currency: Currency, guards: Guards
+        self, me: EntryInfo, hub: MessageHub, currency: Currency, guards: Guards
     ) -> None:
         self._me = me
         self._hub = hub
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -59,7 +59,7 @@
 _Command = _Send | _Replace | _Drop
 
 
-class Hub:
+class MessageHub:
     """Sends and receives messages; ``send`` and the like are safe from any thread.
 
     ``on_message`` and ``on_tick`` are called on the hub's thread; ``on_tick`` gets the
--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.lockstep.orders import RankOrder
     from kingcupwheel.messages.lockstep import BranchReply
 
@@ -65,7 +65,7 @@
 class Panel:
     """Questions to agents by address; ``told`` may be called from any thread."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._number = 0
         self._waited: dict[int, RankStateReply | BranchReply | None] = {}
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -19,7 +19,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.membership import AgentHeartbeat
     from kingcupwheel.messages.membership import LoadsRequest
@@ -47,7 +47,7 @@
 class LoadBoard:
     """The loads of the members that entries asked for; safe from any thread."""
 
-    def __init__(self, name: str, hub: Hub) -> None:
+    def __init__(self, name: str, hub: MessageHub) -> None:
         self._hub = hub
         self._hello = Hello(name, "", 0, "", leaving=False)
         self._askers: dict[Link, _Asker] = {}
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.gateway import HttpServer
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.asking import Panel
 from kingcupwheel.lockstep.boards import LoadBoard
 from kingcupwheel.lockstep.carrying import OrderCarrier
@@ -80,7 +80,7 @@
         self._servers_by_agent: dict[str, Beside] = {}
         self._lock = Lock()
         self._stopping = Event()
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -16,7 +16,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.lockstep import BranchRequest
     from kingcupwheel.messages.lockstep import RankStateReply
@@ -63,7 +63,7 @@
     frozen, and the others' answers must not wait for it.
     """
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._numbers = count(_FIRST_NUMBER)
         self._branches_by_number: dict[int, _Branch] = {}
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -17,7 +17,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.platform.client import PlatformClient
 
 TIMINGS = Timings()
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -11,7 +11,7 @@
 
 import click
 
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.link.links import Traffic
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -43,7 +43,7 @@
             0,
             (),
         )
-        self.hub = Hub(
+        self.hub = MessageHub(
             listen=_LISTEN, on_message=self._on_message, on_tick=lambda _: None
         )
         self.hub.start()
@@ -60,7 +60,7 @@
         self._hello = Hello(name, "dc-1", 0, "", False)
         self._link = Outgoing(address, 0)
         self._next_beat = 0.0
-        self.hub = Hub(
+        self.hub = MessageHub(
             listen=_LISTEN, on_message=lambda *_: None, on_tick=self._on_tick
         )
         self.hub.start()
@@ -71,7 +71,7 @@
             self.hub.send(self._link, self._hello)
 
 
-def traffic_of(hubs: list[Hub]) -> Traffic:
+def traffic_of(hubs: list[MessageHub]) -> Traffic:
     """Return what passed all hubs together."""
     seen = [hub.traffic for hub in hubs]
     return Traffic(
