--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import TimedOut
 from kingcupwheel.entry.tickets import Wanted
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.runs import ClaimRef
 from kingcupwheel.messages.runs import Dispatch
 from kingcupwheel.trace.events import Alternative
@@ -140,7 +140,7 @@
         assert inbox is not None, "attempt numbers are not reused"
         claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
         message = _dispatch_of(self._plan, key, place, claim)
-        context.hub.send(Outgoing(place.address, 0), message)
+        context.hub.send(OutgoingLink(place.address, 0), message)
         self._record(Dispatched(place.server, self._count))
         return AnswerReader(
             inbox,
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -25,7 +25,7 @@
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.entry.sharing import Sharing
 from kingcupwheel.link.hub import MessageHub
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.messages.membership import InstancesRequest
@@ -220,4 +220,6 @@
 
     def _ask_seeds(self) -> None:
         for address in self._settings.seeds:
-            self._hub.send(Outgoing(address, 0), InstancesRequest(self._settings.name))
+            self._hub.send(
+                OutgoingLink(address, 0), InstancesRequest(self._settings.name)
+            )
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.servers import Restarted
 from kingcupwheel.entry.servers import Silent
 from kingcupwheel.link.links import Incoming
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstanceInfo
@@ -78,7 +78,7 @@
     def on_message(self, link: Link, message: Message) -> None:
         """Take one message."""
         match message, link:
-            case AgentHeartbeat(), Outgoing(address):
+            case AgentHeartbeat(), OutgoingLink(address):
                 self._on_beat(address, message)
             case (
                 AttemptAccepted()
@@ -87,14 +87,14 @@
                 | AttemptEnd()
                 | AttemptRefused()
                 | AttemptUnknown(),
-                Outgoing(address),
+                OutgoingLink(address),
             ):
                 self._context.servers.alive(address, monotonic())
                 key = AttemptKey(message.request_id, message.attempt)
                 self._context.inboxes.deliver(key, message)
-            case RunningAttempts(attempts), Outgoing(address):
+            case RunningAttempts(attempts), OutgoingLink(address):
                 self._on_running(address, message, attempts)
-            case TombstoneReply(claim_id), Outgoing(address):
+            case TombstoneReply(claim_id), OutgoingLink(address):
                 self._context.servers.alive(address, monotonic())
                 self._context.inboxes.deliver_claim(claim_id, message)
             case _:
@@ -155,7 +155,7 @@
         self._membership.heard(beat, monotonic())
         if beat.crashed:
             self._context.limits.heard(beat.crashed)
-        if isinstance(link, Outgoing):
+        if isinstance(link, OutgoingLink):
             address = link.address
         else:
             address = self._membership.address_of(beat.name)
@@ -226,10 +226,10 @@
         name, data_centre = context.settings.name, context.settings.data_centre
         hello = Hello(name, data_centre, version, digest, leaving)
         for address in context.servers.addresses:
-            context.hub.send(Outgoing(address, 0), hello)
+            context.hub.send(OutgoingLink(address, 0), hello)
         beat = self._peer_beat()
         for peer in self._membership.peers:
-            context.hub.send(Outgoing(peer.address, 0), beat)
+            context.hub.send(OutgoingLink(peer.address, 0), beat)
 
     def _peer_beat(self) -> PeerHeartbeat:
         context = self._context
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -32,7 +32,7 @@
 from kingcupwheel.entry.refusals import claim_unreachable
 from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.visiting import Visit
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.runs import Outcome
 from kingcupwheel.messages.runs import TombstoneReply
 from kingcupwheel.messages.runs import TombstoneRequest
@@ -275,7 +275,7 @@
     ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
-            self._context.hub.send(Outgoing(record.address, 0), order)
+            self._context.hub.send(OutgoingLink(record.address, 0), order)
             match inbox.get(_ASK_AGAIN_S):
                 case TombstoneReply() as answer:
                     return answer
--- a/src/kingcupwheel/entry/peers.py
+++ b/src/kingcupwheel/entry/peers.py
@@ -12,7 +12,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import ManifestRequest
 
 
@@ -39,7 +39,7 @@
     def fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         """Return the peer's answer, or why there is none."""
         with self._lock:
-            self._hub.send(Outgoing(address, 0), ManifestRequest(key))
+            self._hub.send(OutgoingLink(address, 0), ManifestRequest(key))
             return self._wait(address, key)
 
     def _wait(self, address: str, key: str) -> Result[ManifestObject | None, str]:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import Elapsed
 from kingcupwheel.entry.inbox import LinkReplaced
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.runs import Ack
 from kingcupwheel.messages.runs import CancelRequest
 from kingcupwheel.messages.runs import Outcome
@@ -156,4 +156,4 @@
         self._send(CancelRequest(*self._inbox.key))
 
     def _send(self, message: Message) -> None:
-        self._hub.send(Outgoing(self._inbox.address, 0), message)
+        self._hub.send(OutgoingLink(self._inbox.address, 0), message)
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -14,7 +14,7 @@
 from kingcupwheel.decisions.shares import PeerShare
 from kingcupwheel.decisions.shares import Share
 from kingcupwheel.decisions.shares import next_share
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 
@@ -55,7 +55,7 @@
         limits: Limits,
         membership: Membership,
         *,
-        send: Callable[[Outgoing, Message], None],
+        send: Callable[[OutgoingLink, Message], None],
         organisation_named: Callable[[str], Organisation | None],
     ) -> None:
         self._name = name
@@ -214,4 +214,6 @@
             return
         with self._lock:
             echo = self._peer_by_name.setdefault(member, _Peer(now)).sent_at
-        self._send(Outgoing(address, 0), ShareHeartbeat(self._name, now, echo, shares))
+        self._send(
+            OutgoingLink(address, 0), ShareHeartbeat(self._name, now, echo, shares)
+        )
--- a/src/kingcupwheel/expertmaps/leader.py
+++ b/src/kingcupwheel/expertmaps/leader.py
@@ -25,7 +25,7 @@
 from kingcupwheel.expertmaps.protocol import decode_reply
 from kingcupwheel.expertmaps.protocol import encode
 from kingcupwheel.expertmaps.rebalancer import Rebalancer
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.expertmaps import MapOrder
 
 
@@ -199,4 +199,4 @@
         message = MapOrder(
             self._group, self._fence, self._serial, self._name, encode(order)
         )
-        self._hub.send(Outgoing(address, 0), message)
+        self._hub.send(OutgoingLink(address, 0), message)
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -20,7 +20,7 @@
 from kingcupwheel.expertmaps.lease import fence_of
 from kingcupwheel.expertmaps.lease import lease_key
 from kingcupwheel.expertmaps.rank_worker import RankWorker
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
 
@@ -137,7 +137,7 @@
                 if message.fence >= (self._worker.fence or 0):
                     self._heard = monotonic()
                 self._worker.take(link, message)
-            case MapReply(), Outgoing(address) if message.group == self._group:
+            case MapReply(), OutgoingLink(address) if message.group == self._group:
                 now = monotonic()
                 # A holder that was paused finds answers waiting before its next tick.
                 if self._lease.holding(now) is not None:
--- a/src/kingcupwheel/forwarding/greeting.py
+++ b/src/kingcupwheel/forwarding/greeting.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
 from kingcupwheel.forwarding.loadheads import LoadHeads
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import LoadsReply
@@ -57,7 +57,7 @@
         if isinstance(message, AgentHeartbeat):
             self._book.agents_say((_server_told(message),))
             return
-        if isinstance(link, Outgoing):
+        if isinstance(link, OutgoingLink):
             self._heads.heard(link.address, monotonic())
         self._book.agents_say(message.servers)
 
@@ -74,11 +74,11 @@
         self._asked_at = now
         if sum(map(len, agents.values())) > DIRECT_AGENTS:
             for head, members, every_s in self._heads.asks(agents, now):
-                self._hub.send(Outgoing(head, 0), LoadsRequest(members, every_s))
+                self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
             return
         hello = self._hello(current)
         for agent in (one for found in agents.values() for one in found):
-            self._hub.send(Outgoing(agent, 0), hello)
+            self._hub.send(OutgoingLink(agent, 0), hello)
 
     def _hello(self, current: Configuration) -> Hello:
         settings = self._settings
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -12,7 +12,7 @@
 from kingcupwheel.forwarding.following import adopt
 from kingcupwheel.forwarding.peers import Peers
 from kingcupwheel.forwarding.peers import freshness_of
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import ManifestObject
@@ -143,7 +143,7 @@
         for told in peers:
             known = peers if names_others else ()
             beat = self._beat(echoes[told.name], known)
-            self._hub.send(Outgoing(told.address, 0), beat)
+            self._hub.send(OutgoingLink(told.address, 0), beat)
         self._note_live()
 
     def _beat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
@@ -183,7 +183,7 @@
         if now - self._asked_at >= _ASK_AGAIN_S:
             self._asked_at = now
             wanted = ManifestRequest(_CONFIGURATION)
-            self._hub.send(Outgoing(beat.me.address, 0), wanted)
+            self._hub.send(OutgoingLink(beat.me.address, 0), wanted)
 
     def on_wanted(self, link: Link, message: ManifestRequest) -> None:
         """Hand a peer the configuration that it has not."""
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -20,7 +20,7 @@
 
 from kingcupwheel.link.exceptions import CannotListenError
 from kingcupwheel.link.links import Incoming
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.link.links import Traffic
 from kingcupwheel.messages.codec import MsgpackCodec
 
@@ -188,7 +188,7 @@
         self._counts[3] += len(frame)
         try:
             match link:
-                case Outgoing(address, _):
+                case OutgoingLink(address, _):
                     self._dealer(address).send(frame, zmq.NOBLOCK)
                 case Incoming(identity):
                     self._router.send_multipart((identity, frame), zmq.NOBLOCK)
@@ -223,7 +223,7 @@
             self._receive_router()
         for address, dealer in list(self._dealers_by_address.items()):
             if dealer in ready:
-                link = Outgoing(address, self._generation_by_address[address])
+                link = OutgoingLink(address, self._generation_by_address[address])
                 self._receive_dealer(link, dealer)
 
     def _receive_router(self) -> None:
@@ -235,7 +235,7 @@
             if len(frames) == 1:
                 self._deliver(Incoming(identity), frames[0])
 
-    def _receive_dealer(self, link: Outgoing, dealer: zmq.Socket[bytes]) -> None:
+    def _receive_dealer(self, link: OutgoingLink, dealer: zmq.Socket[bytes]) -> None:
         for _ in range(_BATCH):
             if dealer.closed:
                 return
--- a/src/kingcupwheel/link/links.py
+++ b/src/kingcupwheel/link/links.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Outgoing(NamedTuple):
+class OutgoingLink(NamedTuple):
     """A link this process opened to ``address`` (``IP:port``).
 
     ``generation`` rises each time the link is replaced by a new connection.
@@ -21,7 +21,7 @@
     identity: bytes
 
 
-Link = Outgoing | Incoming
+Link = OutgoingLink | Incoming
 
 
 class Traffic(NamedTuple):
--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.lockstep import BranchRequest
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
@@ -163,7 +163,7 @@
         wait_ms = int(question.wait_s * 1000)
         ask = RankStateRequest(number, question.tell, question.order, wait_ms)
         message = BranchRequest(number, ask, part.members) if part.is_branch else ask
-        self._hub.send(Outgoing(part.address, 0), message)
+        self._hub.send(OutgoingLink(part.address, 0), message)
 
     def _next(self) -> int:
         self._number += 1
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ReportedServerLoad
@@ -65,7 +65,7 @@
 
     def told(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
         """Take in the load of a member."""
-        if not isinstance(link, Outgoing):
+        if not isinstance(link, OutgoingLink):
             return
         load = beat.load
         told = ReportedServerLoad(
@@ -93,7 +93,7 @@
         if now - self._greeted_at >= _GREET_S:
             self._greeted_at = now
             for member in {one for _, asker in askers for one in asker.members}:
-                self._hub.send(Outgoing(member, 0), self._hello)
+                self._hub.send(OutgoingLink(member, 0), self._hello)
         for link, asker in askers:
             if now - asker.told_at >= asker.every_s:
                 asker.told_at = now
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.lockstep.asking import ANSWER_S
 from kingcupwheel.lockstep.carrying import packed
 from kingcupwheel.messages.lockstep import BranchReply
@@ -82,7 +82,7 @@
         for number, address in asked:
             ask = message.ask
             passed = RankStateRequest(number, ask.tell, ask.order, ask.wait_ms)
-            self._hub.send(Outgoing(address, 0), passed)
+            self._hub.send(OutgoingLink(address, 0), passed)
 
     def told(self, message: RankStateReply) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -12,7 +12,7 @@
 import click
 
 from kingcupwheel.link.hub import MessageHub
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.link.links import Traffic
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
@@ -58,7 +58,7 @@
 
     def __init__(self, name: str, address: str) -> None:
         self._hello = Hello(name, "dc-1", 0, "", False)
-        self._link = Outgoing(address, 0)
+        self._link = OutgoingLink(address, 0)
         self._next_beat = 0.0
         self.hub = MessageHub(
             listen=_LISTEN, on_message=lambda *_: None, on_tick=self._on_tick
