--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -17,7 +17,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.link.links import Incoming
+from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.messages.membership import ManifestRequest
@@ -84,7 +84,7 @@
 
     def heard(self, link: Link, version: int, digest: str) -> None:
         """Note the version that an entry names on ``link``; never blocks."""
-        if isinstance(link, Incoming):
+        if isinstance(link, IncomingLink):
             self._keeper.heard(version, digest, link.identity.hex())
 
     def object_for(self, key: str) -> ManifestObject:
@@ -96,7 +96,7 @@
         self._found.put(message)
 
     def _fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
-        link = Incoming(bytes.fromhex(address))
+        link = IncomingLink(bytes.fromhex(address))
         with self._asking:
             self._send(link, ManifestRequest(key))
             return self._wait(key)
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.servers import Gone
 from kingcupwheel.entry.servers import Restarted
 from kingcupwheel.entry.servers import Silent
-from kingcupwheel.link.links import Incoming
+from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
@@ -162,7 +162,10 @@
         self._keeper.heard(beat.manifest_version, beat.manifest_digest, address)
         # An entry that started in an outage is on nobody's list, so nobody sends it
         # heartbeats; without an answer it would never hear of the manifest.
-        if isinstance(link, Incoming) and beat.manifest_version < self._keeper.version:
+        if (
+            isinstance(link, IncomingLink)
+            and beat.manifest_version < self._keeper.version
+        ):
             self._context.hub.send(link, self._peer_beat())
 
     def _on_instances(self, infos: tuple[InstanceInfo, ...]) -> None:
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -19,7 +19,7 @@
 import zmq
 
 from kingcupwheel.link.exceptions import CannotListenError
-from kingcupwheel.link.links import Incoming
+from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.link.links import Traffic
 from kingcupwheel.messages.codec import MsgpackCodec
@@ -190,7 +190,7 @@
             match link:
                 case OutgoingLink(address, _):
                     self._dealer(address).send(frame, zmq.NOBLOCK)
-                case Incoming(identity):
+                case IncomingLink(identity):
                     self._router.send_multipart((identity, frame), zmq.NOBLOCK)
         except zmq.ZMQError:
             logger.debug("Message to %s dropped.", link)
@@ -233,7 +233,7 @@
             except zmq.Again:
                 return
             if len(frames) == 1:
-                self._deliver(Incoming(identity), frames[0])
+                self._deliver(IncomingLink(identity), frames[0])
 
     def _receive_dealer(self, link: OutgoingLink, dealer: zmq.Socket[bytes]) -> None:
         for _ in range(_BATCH):
--- a/src/kingcupwheel/link/links.py
+++ b/src/kingcupwheel/link/links.py
@@ -15,13 +15,13 @@
     generation: int
 
 
-class Incoming(NamedTuple):
+class IncomingLink(NamedTuple):
     """A link another process opened to this one."""
 
     identity: bytes
 
 
-Link = OutgoingLink | Incoming
+Link = OutgoingLink | IncomingLink
 
 
 class Traffic(NamedTuple):
