--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -21,7 +21,7 @@
 from kingcupwheel.link.exceptions import CannotListenError
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
-from kingcupwheel.link.links import Traffic
+from kingcupwheel.link.links import TrafficCounts
 from kingcupwheel.messages.codec import MsgpackCodec
 
 
@@ -94,9 +94,9 @@
         self._counts = [0, 0, 0, 0]
 
     @property
-    def traffic(self) -> Traffic:
+    def traffic(self) -> TrafficCounts:
         """What has passed so far."""
-        return Traffic(*self._counts)
+        return TrafficCounts(*self._counts)
 
     @property
     def port(self) -> int:
--- a/src/kingcupwheel/link/links.py
+++ b/src/kingcupwheel/link/links.py
@@ -24,7 +24,7 @@
 Link = OutgoingLink | IncomingLink
 
 
-class Traffic(NamedTuple):
+class TrafficCounts(NamedTuple):
     """Messages and payload bytes that passed a hub since it started."""
 
     messages_in: int
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -13,7 +13,7 @@
 
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
-from kingcupwheel.link.links import Traffic
+from kingcupwheel.link.links import TrafficCounts
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
@@ -71,10 +71,10 @@
             self.hub.send(self._link, self._hello)
 
 
-def traffic_of(hubs: list[MessageHub]) -> Traffic:
+def traffic_of(hubs: list[MessageHub]) -> TrafficCounts:
     """Return what passed all hubs together."""
     seen = [hub.traffic for hub in hubs]
-    return Traffic(
+    return TrafficCounts(
         sum(one.messages_in for one in seen),
         sum(one.messages_out for one in seen),
         sum(one.bytes_in for one in seen),
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Traffic
+from kingcupwheel.link.links import TrafficCounts
 from tools.capacity_slopes import Point
 from tools.fleet import Fleet
 from tools.processes import Process
@@ -109,11 +109,11 @@
     )
 
 
-def _traffic(crowd: Process) -> Traffic:
-    return Traffic(*map(int, crowd.first_line().split()))
+def _traffic(crowd: Process) -> TrafficCounts:
+    return TrafficCounts(*map(int, crowd.first_line().split()))
 
 
-def _latest(crowd: Process) -> Traffic:
+def _latest(crowd: Process) -> TrafficCounts:
     """Return the newest line: older ones come at once, the next within a second."""
     while True:
         asked = time.monotonic()
