--- a/src/kingcupwheel/telemetry/lines.py
+++ b/src/kingcupwheel/telemetry/lines.py
@@ -21,7 +21,7 @@
 
 # Lines that wait for the reader: some ten seconds of an entry's at its usual rate,
 # about a megabyte.
-QUEUED_LINES = 4_000
+MAX_QUEUED_LINES = 4_000
 
 _FIELDS = "fields"
 _PART = "part"
@@ -128,7 +128,7 @@
     """Sends every line of this process to standard output; one a process."""
 
     def __init__(self, process: str, level: str) -> None:
-        queue: Queue[Any] = Queue(QUEUED_LINES)
+        queue: Queue[Any] = Queue(MAX_QUEUED_LINES)
         stream = logging.StreamHandler(sys.stdout)
         stream.setFormatter(JsonFormatter(process))
         self._queue = queue
