--- a/src/kingcupwheel/telemetry/lines.py
+++ b/src/kingcupwheel/telemetry/lines.py
@@ -27,7 +27,7 @@
 _PART = "part"
 
 
-class Lines:
+class StructuredLogger:
     """Writes the lines of one part of a process."""
 
     def __init__(self, part: str) -> None:
@@ -63,9 +63,9 @@
             self._logger.log(level, event, extra=extra, exc_info=exc_info)
 
 
-def lines_of(part: str) -> Lines:
+def lines_of(part: str) -> StructuredLogger:
     """Return the lines of a part, such as ``requests`` or ``maps``."""
-    return Lines(part)
+    return StructuredLogger(part)
 
 
 class JsonFormatter(logging.Formatter):
