--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -20,7 +20,7 @@
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.exceptions import KingcupwheelError
 from kingcupwheel.settings.loader import load_settings
-from kingcupwheel.telemetry.lines import LineLog
+from kingcupwheel.telemetry.lines import JsonLogOutput
 from kingcupwheel.telemetry.lines import lines_of
 from kingcupwheel.utils.logs import configure_logs
 
@@ -140,12 +140,12 @@
     os._exit(ExitCode.OK)
 
 
-def _configure_logs(settings: Settings) -> LineLog | None:
+def _configure_logs(settings: Settings) -> JsonLogOutput | None:
     """Log in the way of the deployment; structured lines on the users' platform."""
     if settings.forwarding is None and settings.rank is None:
         configure_logs(settings.name, settings.log_level.value)
         return None
-    return LineLog(settings.name, settings.log_level.value)
+    return JsonLogOutput(settings.name, settings.log_level.value)
 
 
 def _made(make: Callable[[Settings], Daemon], settings: Settings) -> Daemon:
--- a/src/kingcupwheel/telemetry/lines.py
+++ b/src/kingcupwheel/telemetry/lines.py
@@ -124,7 +124,7 @@
             self.dropped = lost
 
 
-class LineLog:
+class JsonLogOutput:
     """Sends every line of this process to standard output; one a process."""
 
     def __init__(self, process: str, level: str) -> None:
