--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -130,7 +130,7 @@
     def _withheld(self, place: Place) -> None:
         """Give back a place that a notice overtook; the next one is on another life."""
         self._release(place)
-        self._context.metrics.sends.labels("withheld").inc()
+        self._context.metrics.ended_sends.labels("withheld").inc()
         log.info("send-withheld", id=self._request.id, server=place.incarnation)
 
     def _answered(
@@ -229,7 +229,7 @@
             budget=budget,
             follows=step.value,
         )
-        self._context.metrics.sends.labels(came.value).inc()
+        self._context.metrics.ended_sends.labels(came.value).inc()
         rest_s = self._dispatcher.rest_left_s() if step is Follows.REFUSE else 0.0
         return refusal_after(step, why, request.id, rest_s)
 
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -37,7 +37,7 @@
             ["service", "status", "how"],
             registry=registry,
         )
-        self.sends = Counter(
+        self.ended_sends = Counter(
             "kingcupwheel_sends_ended",
             "Sends to servers without an answer to pass on, by what came of them.",
             ["came"],
