--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -54,7 +54,7 @@
     def told(self, place: Place, notice: ServerNotice, request_id: str) -> None:
         """Take in what an answer says of its server."""
         for header in notice.unreadable:
-            self.metrics.notices.labels("unreadable").inc()
+            self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
                 server=place.incarnation,
@@ -62,10 +62,10 @@
                 id=request_id,
             )
         if notice.rest_s:
-            self.metrics.notices.labels("rest").inc()
+            self.metrics.server_notices.labels("rest").inc()
             self.book.rests(place, notice.rest_s, request_id)
         if notice.leaving and self.book.leaves(place, request_id):
-            self.metrics.notices.labels("leaving").inc()
+            self.metrics.server_notices.labels("leaving").inc()
             self.connections.forget(place.incarnation)
 
     def ended(self, place: Place, answer: ServerAnswer) -> None:
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -43,7 +43,7 @@
             ["came"],
             registry=registry,
         )
-        self.notices = Counter(
+        self.server_notices = Counter(
             "kingcupwheel_server_notices",
             "What servers said of themselves in answers, by kind.",
             ["kind"],
