--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -49,7 +49,7 @@
             ["kind"],
             registry=registry,
         )
-        self.took = Histogram(
+        self.answer_seconds = Histogram(
             "kingcupwheel_answer_seconds",
             "From a request's arrival to its answer's end.",
             ["service"],
@@ -81,7 +81,7 @@
     def finished(self, service: str, status: int, how: str, took_s: float) -> None:
         """Count a request's end."""
         self.answers.labels(service, str(status), how).inc()
-        self.took.labels(service).observe(took_s)
+        self.answer_seconds.labels(service).observe(took_s)
 
 
 class RankMetrics:
