--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -266,7 +266,7 @@
 
     def _log_place(self, place: Place) -> None:
         request = self._request
-        self._context.metrics.queue_wait.observe(place.waited_s)
+        self._context.metrics.queue_wait_seconds.observe(place.waited_s)
         log.info(
             "placed",
             id=request.id,
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -56,7 +56,7 @@
             buckets=_LATENCY_BUCKETS,
             registry=registry,
         )
-        self.queue_wait = Histogram(
+        self.queue_wait_seconds = Histogram(
             "kingcupwheel_queue_wait_seconds",
             "Wait for a place on a server.",
             buckets=_WAIT_BUCKETS,
