--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -246,7 +246,7 @@
 
     def _refresh_metrics(self) -> None:
         age_s = min(self._currency.age_s(), 1e6)
-        self._metrics.configuration_age.set(age_s)
+        self._metrics.configuration_age_seconds.set(age_s)
         self._metrics.configuration_version.set(self._currency.version)
         self._metrics.live_entries.set(len(self._neighbours.live()))
 
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -62,7 +62,7 @@
             buckets=_WAIT_BUCKETS,
             registry=registry,
         )
-        self.configuration_age = Gauge(
+        self.configuration_age_seconds = Gauge(
             "kingcupwheel_configuration_age_seconds",
             "How long ago the configuration was surely the newest.",
             registry=registry,
