--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -176,7 +176,7 @@
         if knowledge.configuration is not None:
             version = knowledge.configuration.version
         took_s = monotonic() - received.at
-        self._context.metrics.finished("", refusal.status, refusal.limit, took_s)
+        self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
         log.info(
             "refused",
             id=received.id,
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -393,7 +393,7 @@
         """Log the request's end as its caller sees it."""
         request = self._request
         took_s = monotonic() - request.received_at
-        self._context.metrics.finished(request.service, status, how, took_s)
+        self._context.metrics.record_answer(request.service, status, how, took_s)
         log.info(
             "finished",
             id=request.id,
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -78,7 +78,7 @@
             registry=registry,
         )
 
-    def finished(self, service: str, status: int, how: str, took_s: float) -> None:
+    def record_answer(self, service: str, status: int, how: str, took_s: float) -> None:
         """Count a request's end."""
         self.answers.labels(service, str(status), how).inc()
         self.answer_seconds.labels(service).observe(took_s)
