--- a/src/kingcupwheel/lockstep/ordering.py
+++ b/src/kingcupwheel/lockstep/ordering.py
@@ -115,7 +115,7 @@
         assert not isinstance(change, Idle), "it was under way"
         version = change.over if isinstance(change, Voiding) else change.version
         log.info("change-voided", version=version, ms=round(took_s * 1000))
-        self._metrics.changes.labels("voided").inc()
+        self._metrics.map_changes.labels("voided").inc()
         charge.leave()
 
     def _released(self, charge: Charge, change: Phase) -> None:
@@ -124,13 +124,13 @@
         assert isinstance(change, Arming | Releasing), "nothing else is released"
         if change.layers:
             log.info("change-released", version=change.version, ms=round(took_s * 1000))
-            self._metrics.changes.labels("released").inc()
+            self._metrics.map_changes.labels("released").inc()
             self._metrics.change_took.observe(took_s)
             charge.layers = change.layers
         else:
             # Completed for a former life: only the ranks know what it holds.
             log.info("change-completed", version=change.version)
-            self._metrics.changes.labels("completed").inc()
+            self._metrics.map_changes.labels("completed").inc()
             charge.leave()
 
     def _give_up_if_stuck(self, charge: Charge) -> None:
@@ -140,5 +140,5 @@
         """
         if charge.change_took_s > PREPARING_LIMIT_S:
             log.warning("change-stuck", version=charge.group.own.version)
-            self._metrics.changes.labels("stuck").inc()
+            self._metrics.map_changes.labels("stuck").inc()
             charge.leave()
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -96,7 +96,7 @@
             ["order", "answer"],
             registry=registry,
         )
-        self.changes = Counter(
+        self.map_changes = Counter(
             "kingcupwheel_map_changes",
             "Changes of expert maps that this agent coordinated, by their end.",
             ["end"],
