--- a/src/kingcupwheel/lockstep/ordering.py
+++ b/src/kingcupwheel/lockstep/ordering.py
@@ -125,7 +125,7 @@
         if change.layers:
             log.info("change-released", version=change.version, ms=round(took_s * 1000))
             self._metrics.map_changes.labels("released").inc()
-            self._metrics.change_took.observe(took_s)
+            self._metrics.map_change_seconds.observe(took_s)
             charge.layers = change.layers
         else:
             # Completed for a former life: only the ranks know what it holds.
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -102,7 +102,7 @@
             ["end"],
             registry=registry,
         )
-        self.change_took = Histogram(
+        self.map_change_seconds = Histogram(
             "kingcupwheel_map_change_seconds",
             "From a change's plan to its release.",
             buckets=_CHANGE_BUCKETS,
