--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -143,7 +143,7 @@
         plan = charge.balancer.take(group, charge.layers, answers.values(), began)
         if plan is not None:
             charge.begin(Preparing(group.highest + 1, plan.layers))
-            self._metrics.copies.inc(plan.copies)
+            self._metrics.expert_copies.inc(plan.copies)
             self._metrics.skew.set(plan.skew_before)
             return 0.0
         return max(_LEAST_PAUSE_S, COUNT_S - (monotonic() - began))
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -108,7 +108,7 @@
             buckets=_CHANGE_BUCKETS,
             registry=registry,
         )
-        self.copies = Counter(
+        self.expert_copies = Counter(
             "kingcupwheel_map_copies",
             "Copies of experts that planned changes asked for.",
             registry=registry,
