--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -144,6 +144,6 @@
         if plan is not None:
             charge.begin(Preparing(group.highest + 1, plan.layers))
             self._metrics.expert_copies.inc(plan.copies)
-            self._metrics.skew.set(plan.skew_before)
+            self._metrics.rank_time_skew.set(plan.skew_before)
             return 0.0
         return max(_LEAST_PAUSE_S, COUNT_S - (monotonic() - began))
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -113,7 +113,7 @@
             "Copies of experts that planned changes asked for.",
             registry=registry,
         )
-        self.skew = Gauge(
+        self.rank_time_skew = Gauge(
             "kingcupwheel_map_skew",
             "Slowest rank over the mean of all ranks when a change was last planned.",
             registry=registry,
