--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -132,7 +132,7 @@
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
         answers, silent = self._reach.counts(charge.roster)
-        self._metrics.silent.inc(silent)
+        self._metrics.unanswered_requests.inc(silent)
         if not charge.take_in(answers):
             return LOOK_S
         group = charge.group
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -118,7 +118,7 @@
             "Slowest rank over the mean of all ranks when a change was last planned.",
             registry=registry,
         )
-        self.silent = Counter(
+        self.unanswered_requests = Counter(
             "kingcupwheel_agents_silent",
             "Questions that agents of the group left unanswered.",
             registry=registry,
