--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -44,7 +44,7 @@
 from kingcupwheel.plugins.kernel import load_placements
 from kingcupwheel.telemetry.lines import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.telemetry.metrics import MetricsApp
 
 
 if TYPE_CHECKING:
@@ -164,7 +164,7 @@
         }
         if self._forwarding.metrics:
             refresh = self._refresh_metrics
-            page = MetricsPage(self._metrics.registry, refresh)
+            page = MetricsApp(self._metrics.registry, refresh)
             pages[self._forwarding.metrics] = page
         return (
             HttpServer(
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -36,7 +36,7 @@
 from kingcupwheel.platform.servers import SERVERS_KIND
 from kingcupwheel.platform.servers import decode_server
 from kingcupwheel.telemetry.lines import lines_of
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.telemetry.metrics import MetricsApp
 from kingcupwheel.telemetry.metrics import RankMetrics
 
 
@@ -103,7 +103,7 @@
         if not self._rank.metrics:
             return None
         return HttpServer(
-            MetricsPage(self._metrics.registry),
+            MetricsApp(self._metrics.registry),
             listen=self._rank.metrics,
             threads=1,
             connections=_PAGE_CONNECTIONS,
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -125,7 +125,7 @@
         )
 
 
-class MetricsPage:
+class MetricsApp:
     """Serves a registry as text, on whatever path it is asked."""
 
     def __init__(
