--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -27,7 +27,7 @@
     from expression import Result
 
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.platform.client import Versioned
+    from kingcupwheel.platform.client import VersionedValue
     from kingcupwheel.platform.errors import PlatformError
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
@@ -73,7 +73,7 @@
     return f"leases/{group}"
 
 
-def fence_of(found: Versioned | None) -> int:
+def fence_of(found: VersionedValue | None) -> int:
     """Return the fence of the lease as read from the platform, 0 without a lease."""
     if found is None:
         return 0
@@ -179,7 +179,7 @@
                 logger.warning("Lease %s passed to another process.", self._key)
             self._holding = None
 
-    def _is_own(self, found: Versioned | None) -> bool:
+    def _is_own(self, found: VersionedValue | None) -> bool:
         if found is None:
             return False
         nonce = _decode(found).nonce
@@ -199,7 +199,7 @@
         self._holding = Holding(attempt.fence or version, version, until)
 
 
-def _decode(found: Versioned) -> LeaseRecord:
+def _decode(found: VersionedValue) -> LeaseRecord:
     try:
         return msgspec.json.decode(found.value, type=LeaseRecord)
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -35,7 +35,7 @@
     from kingcupwheel.manifest.holder import ChangeListener
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.platform.client import Versioned
+    from kingcupwheel.platform.client import VersionedValue
 
 # Asks the peer at an address for an object; the error says why there was no answer.
 FetchFromPeer = Callable[[str, str], Result[ManifestObject | None, str]]
@@ -183,7 +183,7 @@
             return monotonic() - begun >= _LEAST_WATCH_S
         return self._adopt_from_platform(found.ok)
 
-    def _adopt_from_platform(self, found: Versioned) -> bool:
+    def _adopt_from_platform(self, found: VersionedValue) -> bool:
         if found.version <= self.version:
             logger.warning("The platform answered old version %d.", found.version)
             return False
--- a/src/kingcupwheel/manifest/submitting.py
+++ b/src/kingcupwheel/manifest/submitting.py
@@ -32,7 +32,7 @@
     from kingcupwheel.manifest.exceptions import BadObject
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.platform.client import Versioned
+    from kingcupwheel.platform.client import VersionedValue
 
 # Tries to write one shard that another submitter is writing or removing meanwhile.
 _SHARD_TRIES = 5
@@ -171,7 +171,9 @@
         return _who_won(index, found.ok, expected)
 
 
-def _who_won(index: Index, found: Versioned, expected: int) -> Result[Won, SubmitError]:
+def _who_won(
+    index: Index, found: VersionedValue, expected: int
+) -> Result[Won, SubmitError]:
     current: Result[Index, BadObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission == index.submission:
         return Ok(Won(found.version, superseded=False))
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -19,7 +19,7 @@
     from kingcupwheel.metrics.client import Metrics
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.platform.client import Versioned
+    from kingcupwheel.platform.client import VersionedValue
     from kingcupwheel.platform.errors import PlatformError
 
 T = TypeVar("T")
@@ -32,7 +32,7 @@
         self._client = client
         self._metrics = metrics
 
-    def read(self, key: str) -> Result[Versioned | None, PlatformError]:
+    def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
         return self._metered("read", lambda: self._client.read(key))
 
@@ -60,7 +60,7 @@
 
     def watch(
         self, key: str, *, after: int, timeout_s: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedValue | None, PlatformError]:
         """Wait for the object to pass version ``after``; its time is not a metric."""
         found = self._client.watch(key, after=after, timeout_s=timeout_s)
         self._count("watch", found)
--- a/src/kingcupwheel/platform/client.py
+++ b/src/kingcupwheel/platform/client.py
@@ -20,7 +20,7 @@
 MAX_VALUE_BYTES = 1_000_000
 
 
-class Versioned(NamedTuple):
+class VersionedValue(NamedTuple):
     """An object's value at a version; versions of a key only rise."""
 
     key: str
@@ -47,7 +47,7 @@
 class PlatformClient(Protocol):
     """Calls block for at most the client's timeout; they are safe from any thread."""
 
-    def read(self, key: str) -> Result[Versioned | None, PlatformError]:
+    def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
 
     def create(self, key: str, value: bytes) -> Result[int, PlatformError]:
@@ -66,7 +66,7 @@
 
     def watch(
         self, key: str, *, after: int, timeout_s: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedValue | None, PlatformError]:
         """Wait for the object to pass version ``after``; None when time runs out."""
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -24,7 +24,7 @@
 from expression import Result
 
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.platform.client import Versioned
+from kingcupwheel.platform.client import VersionedValue
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import PlatformError
 from kingcupwheel.platform.errors import RateLimited
@@ -101,7 +101,7 @@
         self._free = BoundedSemaphore(settings.connections)
         self._listed = _Listed("", ())
 
-    def read(self, key: str) -> Result[Versioned | None, PlatformError]:
+    def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
         return self._call(_Call("GET", _object_path(key), key)).bind(
             lambda response: _versioned(key, response, 404)
@@ -132,7 +132,7 @@
 
     def watch(
         self, key: str, *, after: int, timeout_s: float
-    ) -> Result[Versioned | None, PlatformError]:
+    ) -> Result[VersionedValue | None, PlatformError]:
         """Wait for the object to pass version ``after``; None when time runs out."""
         query = urlencode({"watch": after, "timeout": timeout_s})
         call = _Call("GET", f"{_object_path(key)}?{query}", key)
@@ -251,13 +251,13 @@
 
 def _versioned(
     key: str, response: BaseHTTPResponse, *absent: int
-) -> Result[Versioned | None, PlatformError]:
+) -> Result[VersionedValue | None, PlatformError]:
     if response.status in absent:
         return Ok(None)
     version = _version(response)
     if response.status != 200 or version == 0:
         return Error(_unexpected(response))
-    return Ok(Versioned(key, version, response.data))
+    return Ok(VersionedValue(key, version, response.data))
 
 
 def _new_version(response: BaseHTTPResponse) -> Result[int, PlatformError]:
