--- a/src/kingcupwheel/platform/decoding.py
+++ b/src/kingcupwheel/platform/decoding.py
@@ -15,7 +15,7 @@
 
 # When a server started, in Unix milliseconds; 0 where it is not told. Numbers beyond
 # what a float holds exactly are no times.
-Born = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+StartTimeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 def decoded(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -17,7 +17,7 @@
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.state import RankCounts
 from kingcupwheel.lockstep.state import RankState
-from kingcupwheel.platform.decoding import Born
+from kingcupwheel.platform.decoding import StartTimeMs
 from kingcupwheel.platform.decoding import decoded
 
 
@@ -59,14 +59,14 @@
     waiting: int = msgspec.field(default=0, name="QueueDepth")
     pace: float = 1.0
     # Tells a server's lives apart; Unix milliseconds.
-    born: Born = 0
+    born: StartTimeMs = 0
 
 
 class _Counts(msgspec.Struct):
     epoch: int = 0
     # Set by set, in one list.
     counts: list[int] = msgspec.field(default_factory=list, name="Counts")
-    born: Born = 0
+    born: StartTimeMs = 0
 
 
 class _Held(msgspec.Struct):
--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -14,7 +14,7 @@
 from expression import Result
 
 from kingcupwheel.forwarding.backends import Backend
-from kingcupwheel.platform.decoding import Born
+from kingcupwheel.platform.decoding import StartTimeMs
 from kingcupwheel.platform.decoding import decoded
 from kingcupwheel.utils.numbers import whole_number
 
@@ -41,7 +41,7 @@
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     # Unix milliseconds of its start; told apart from the rest in lower case.
-    born: Born = msgspec.field(default=0, name="born")
+    born: StartTimeMs = msgspec.field(default=0, name="born")
 
 
 def decode_server(stored: StoredObject) -> Result[Backend, str]:
