--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -15,7 +15,7 @@
 from kingcupwheel.forwarding.configuration import ServiceShare
 from kingcupwheel.forwarding.configuration import key_digest
 from kingcupwheel.forwarding.configuration import routes_by_host
-from kingcupwheel.platform.decoding import decoded
+from kingcupwheel.platform.decoding import decode_json
 
 
 if TYPE_CHECKING:
@@ -93,7 +93,9 @@
 
 def decode_configuration(raw: bytes) -> Result[Configuration, str]:
     """Return the configuration in the store's bytes, or what is wrong with them."""
-    return decoded(raw, _Configuration).map(lambda found: _configuration(found, raw))
+    return decode_json(raw, _Configuration).map(
+        lambda found: _configuration(found, raw)
+    )
 
 
 def _configuration(found: _Configuration, raw: bytes) -> Configuration:
--- a/src/kingcupwheel/platform/decoding.py
+++ b/src/kingcupwheel/platform/decoding.py
@@ -18,7 +18,7 @@
 StartTimeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-def decoded(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
+def decode_json(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
     """Return ``raw`` as a ``kind``, or what is wrong with it.
 
     Nested deeply enough it exhausts the decoder's recursion and not only its grammar.
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -18,7 +18,7 @@
 from kingcupwheel.lockstep.state import RankCounts
 from kingcupwheel.lockstep.state import RankState
 from kingcupwheel.platform.decoding import StartTimeMs
-from kingcupwheel.platform.decoding import decoded
+from kingcupwheel.platform.decoding import decode_json
 
 
 if TYPE_CHECKING:
@@ -126,19 +126,19 @@
 
 def decode_state(raw: bytes) -> Result[RankState, str]:
     """Return a server's report."""
-    return decoded(raw, _Report).map(_state)
+    return decode_json(raw, _Report).map(_state)
 
 
 def decode_counts(raw: bytes) -> Result[RankCounts, str]:
     """Return what a rank counted."""
-    return decoded(raw, _Counts).map(
+    return decode_json(raw, _Counts).map(
         lambda got: RankCounts(got.epoch, tuple(got.counts), got.born)
     )
 
 
 def decode_places(raw: bytes) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return a rank's experts by layer."""
-    return decoded(raw, _Lists).map(_places)
+    return decode_json(raw, _Lists).map(_places)
 
 
 def _state(report: _Report) -> RankState:
--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -15,7 +15,7 @@
 
 from kingcupwheel.forwarding.backends import Backend
 from kingcupwheel.platform.decoding import StartTimeMs
-from kingcupwheel.platform.decoding import decoded
+from kingcupwheel.platform.decoding import decode_json
 from kingcupwheel.utils.numbers import whole_number
 
 
@@ -48,7 +48,7 @@
     """Return the server, or why this entry names none."""
     if not _is_header_word(stored.name):
         return Error("no server has such a name")
-    read = decoded(stored.body, _Server)
+    read = decode_json(stored.body, _Server)
     if read.is_error():
         return Error(read.error)
     found = read.ok
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from kingcupwheel.platform.decoding import decoded
+from kingcupwheel.platform.decoding import decode_json
 from kingcupwheel.platform.stored import Change
 from kingcupwheel.platform.stored import Changes
 from kingcupwheel.platform.stored import Page
@@ -69,17 +69,17 @@
 
 def decode_object(raw: bytes) -> Result[StoredObject, str]:
     """Return one object, or what is wrong with it."""
-    return decoded(raw, _ObjectSent).map(_stored)
+    return decode_json(raw, _ObjectSent).map(_stored)
 
 
 def decode_page(raw: bytes) -> Result[Page, str]:
     """Return a part of a list; objects that can't be read are left out."""
-    return decoded(raw, _PageSent).map(_page)
+    return decode_json(raw, _PageSent).map(_page)
 
 
 def decode_changes(raw: bytes) -> Result[Changes, str]:
     """Return what a watch tells; events that can't be read are left out."""
-    return decoded(raw, _EventsSent).map(_changes)
+    return decode_json(raw, _EventsSent).map(_changes)
 
 
 def _readable(raws: list[msgspec.Raw], kind: type[T]) -> list[T]:
@@ -91,7 +91,7 @@
     """
     found: list[T] = []
     for raw in raws:
-        read = decoded(raw, kind)
+        read = decode_json(raw, kind)
         if read.is_error():
             log.warning("object-unreadable", why=read.error, begins=_begins(raw))
         else:
