--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -18,7 +18,7 @@
 from kingcupwheel.forwarding.requests import ForwardRequest
 from kingcupwheel.forwarding.requests import fingerprint
 from kingcupwheel.forwarding.times import times_of
-from kingcupwheel.platform.headers import read_caller_head
+from kingcupwheel.platform.headers import read_request_headers
 
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
     route = configuration.route(host, path)
     if route is None:
         return _denied(NO_ROUTE, knowledge)
-    head = read_caller_head(received.headers)
+    head = read_request_headers(received.headers)
     holder: OrganisationKey | None = None
     if configuration.has_organisations and not route.anonymous:
         if knowledge.age_s > knowledge.trusted_s:
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -56,7 +56,7 @@
 _URGENT_MOST = 9
 
 
-def read_caller_head(headers: Mapping[str, str]) -> CallerHead:
+def read_request_headers(headers: Mapping[str, str]) -> CallerHead:
     """Return what a request's headers (by lower-case name) say."""
     key = headers.get("authorization", "")
     prompt, answer = _pair(headers.get(_USAGE, ""))
