--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.exceptions import NotConnectedError
 from kingcupwheel.forwarding.heads import NO_NOTICE
-from kingcupwheel.platform.headers import read_answer_head
+from kingcupwheel.platform.headers import read_response_headers
 
 
 if TYPE_CHECKING:
@@ -256,7 +256,7 @@
     ) -> Sent:
         try:
             response = connection.getresponse()
-            head = read_answer_head(response.status, response.headers)
+            head = read_response_headers(response.status, response.headers)
         except _BROKEN as error:
             cut = watched.cut
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -93,7 +93,7 @@
     return sent
 
 
-def read_answer_head(status: int, headers: HTTPHeaderDict) -> AnswerHead:
+def read_response_headers(status: int, headers: HTTPHeaderDict) -> AnswerHead:
     """Return what a server's answer says of itself."""
     passed = tuple(
         (name, value)
