--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import body_of
 from kingcupwheel.forwarding.admitting import Received
-from kingcupwheel.platform.headers import attempt_of
+from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
 
 
@@ -64,7 +64,7 @@
             self.close_after()
         own = str(new_request_id(entry, now=self._at))
         return Received(
-            id=attempt_of(headers) or own,
+            id=read_attempt_id(headers) or own,
             method=str(self._environ["REQUEST_METHOD"]),
             target=target,
             headers=headers,
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -73,7 +73,7 @@
     )
 
 
-def attempt_of(headers: Mapping[str, str]) -> str:
+def read_attempt_id(headers: Mapping[str, str]) -> str:
     """Return the caller's name for this send, empty if it gives none."""
     return headers.get(_ATTEMPT, "")
 
