--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -40,7 +40,7 @@
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import Cut
 from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.platform.headers import server_headers
+from kingcupwheel.platform.headers import build_server_headers
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -294,7 +294,7 @@
         outgoing = Outgoing(
             request.method,
             request.target,
-            server_headers(request.headers, call),
+            build_server_headers(request.headers, call),
             request.body,
             request.head.attempt,
         )
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -78,7 +78,9 @@
     return headers.get(_ATTEMPT, "")
 
 
-def server_headers(headers: Mapping[str, str], call: ServerCall) -> dict[str, str]:
+def build_server_headers(
+    headers: Mapping[str, str], call: ServerCall
+) -> dict[str, str]:
     """Return the headers to send to a server for the caller's ``headers``."""
     sent = {name: value for name, value in headers.items() if name not in _DROPPED}
     sent["host"] = headers.get("host", "")
