--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -77,7 +77,7 @@
 class _Listed(NamedTuple):
     """The list of instances as last read; ``tag`` is empty if it has none."""
 
-    tag: str
+    etag: str
     instances: tuple[Instance, ...]
 
 
@@ -150,7 +150,7 @@
         few change in an hour, and every entry reads them every few seconds.
         """
         last = self._listed
-        headers = {"If-None-Match": last.tag} if last.tag else {}
+        headers = {"If-None-Match": last.etag} if last.etag else {}
         asked = self._call(_Call("GET", "/v1/instances", headers=headers))
         if asked.is_ok() and asked.ok.status == _NOT_MODIFIED:
             return Ok(last.instances)
