--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -70,7 +70,7 @@
     headers: dict[str, str] | None = None
 
     @property
-    def writes(self) -> bool:
+    def is_write(self) -> bool:
         return self.method != "GET"
 
 
@@ -202,7 +202,7 @@
         except _NOT_SENT as error:
             return Error(Unavailable(_brief(error), sent=False))
         except urllib3.exceptions.HTTPError as error:
-            return Error(Unavailable(_brief(error), sent=call.writes))
+            return Error(Unavailable(_brief(error), sent=call.is_write))
         refusal = _refusal(call, response)
         return Ok(response) if refusal is None else Error(refusal)
 
@@ -223,7 +223,7 @@
         return RateLimited(_retry_after_s(response))
     if status >= 500:
         # A gateway may answer so after passing the write on: its effect is in doubt.
-        return Unavailable(f"status {status}", sent=call.writes)
+        return Unavailable(f"status {status}", sent=call.is_write)
     if status >= 400 and status != 404:
         return Rejected(status, response.reason or "")
     return None
