--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -15,7 +15,7 @@
 from kingcupwheel.platform.configuration import decode_configuration
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.platform.objects import DEFAULT_CALL_S
+from kingcupwheel.platform.objects import DEFAULT_CALL_TIMEOUT_S
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -80,7 +80,7 @@
     if entries < MANY_ENTRIES:
         return WatchPace()
     return WatchPace(
-        max(WATCH_S, steady_s - DEFAULT_CALL_S - _WATCH_SLACK_S), _MORE_NEWS_S
+        max(WATCH_S, steady_s - DEFAULT_CALL_TIMEOUT_S - _WATCH_SLACK_S), _MORE_NEWS_S
     )
 
 
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -39,7 +39,7 @@
 
 # Callers of the store take what it returns from here as well.
 __all__ = [
-    "DEFAULT_CALL_S",
+    "DEFAULT_CALL_TIMEOUT_S",
     "Change",
     "Changes",
     "Listing",
@@ -49,7 +49,7 @@
 
 # What a call may take beyond the time that a watch waits, in seconds: three hundred
 # times the store's usual answer.
-DEFAULT_CALL_S = 1.2
+DEFAULT_CALL_TIMEOUT_S = 1.2
 # A list ends after so many pages, so that one that never ends holds nobody.
 _PAGES_AT_MOST = 400
 
@@ -57,7 +57,7 @@
 class ObjectStore:
     """Calls block for at most their timeout; safe from any thread."""
 
-    def __init__(self, url: str, *, call_s: float = DEFAULT_CALL_S) -> None:
+    def __init__(self, url: str, *, call_s: float = DEFAULT_CALL_TIMEOUT_S) -> None:
         self._calls = StoreCalls(url, connect_s=call_s)
         self._call_s = call_s
 
