--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -68,7 +68,7 @@
             self._stopping.wait(_LOOK_S if done else _TRY_AGAIN_S)
 
     def _know_entries(self) -> bool:
-        listed = self._store.listing(ENTRIES_KIND)
+        listed = self._store.list_objects(ENTRIES_KIND)
         if listed.is_ok():
             self._neighbours.know(listed.ok.objects)
         return bool(listed.is_ok())
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -131,7 +131,7 @@
                 self._pause_s = min(2 * self._pause_s, _LONGEST_PAUSE_S)
 
     def _list(self, asked_at: float) -> PlatformError | None:
-        asked = self._store.listing(self._follower.kind)
+        asked = self._store.list_objects(self._follower.kind)
         if asked.is_error():
             return asked.error
         away_s = self._outage.away_s(monotonic())
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -213,7 +213,7 @@
 
         While the store is away those found last serve: a held pass can't wait for it.
         """
-        listed = self._store.listing(SERVERS_KIND, stale=True)
+        listed = self._store.list_objects(SERVERS_KIND, stale=True)
         if listed.is_error():
             log.warning("store-lost", kind=SERVERS_KIND, why=str(listed.error))
             return self._servers_by_agent
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -69,7 +69,7 @@
             return Ok(None)
         return asked.bind(lambda answer: read_answer(answer, decode_object))
 
-    def listing(
+    def list_objects(
         self, kind: str, *, stale: bool = False
     ) -> Result[Listing, PlatformError]:
         """Return every object of the kind, page by page.
