--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -18,7 +18,7 @@
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import PlatformError
 from kingcupwheel.platform.errors import WatchError
-from kingcupwheel.platform.storecalls import StoreCalls
+from kingcupwheel.platform.storecalls import StoreHttpClient
 from kingcupwheel.platform.storecalls import read_answer
 from kingcupwheel.platform.storecoding import decode_changes
 from kingcupwheel.platform.storecoding import decode_object
@@ -58,7 +58,7 @@
     """Calls block for at most their timeout; safe from any thread."""
 
     def __init__(self, url: str, *, call_s: float = DEFAULT_CALL_TIMEOUT_S) -> None:
-        self._calls = StoreCalls(url, connect_s=call_s)
+        self._calls = StoreHttpClient(url, connect_s=call_s)
         self._call_s = call_s
 
     def read(self, kind: str, name: str) -> Result[StoredObject | None, PlatformError]:
--- a/src/kingcupwheel/platform/storecalls.py
+++ b/src/kingcupwheel/platform/storecalls.py
@@ -27,7 +27,7 @@
 _RETRY_AFTER_S = 0.5
 
 
-class StoreCalls:
+class StoreHttpClient:
     """Calls block for at most their timeout; safe from any thread.
 
     ``connect_s`` is the longest time to connect, in seconds.
