--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -19,7 +19,7 @@
 from kingcupwheel.platform.errors import PlatformError
 from kingcupwheel.platform.errors import WatchError
 from kingcupwheel.platform.storecalls import StoreHttpClient
-from kingcupwheel.platform.storecalls import read_answer
+from kingcupwheel.platform.storecalls import decode_response
 from kingcupwheel.platform.storecoding import decode_changes
 from kingcupwheel.platform.storecoding import decode_object
 from kingcupwheel.platform.storecoding import decode_page
@@ -67,7 +67,7 @@
         asked = self._calls.call("GET", path, self._call_s)
         if asked.is_ok() and asked.ok.status == 404:
             return Ok(None)
-        return asked.bind(lambda answer: read_answer(answer, decode_object))
+        return asked.bind(lambda answer: decode_response(answer, decode_object))
 
     def list_objects(
         self, kind: str, *, stale: bool = False
@@ -105,7 +105,7 @@
             return Error(asked.error)
         if asked.ok.status == 410:
             return Error(HistoryGone(after))
-        changes = read_answer(asked.ok, decode_changes)
+        changes = decode_response(asked.ok, decode_changes)
         return Error(changes.error) if changes.is_error() else Ok(changes.ok)
 
     def create(
@@ -140,7 +140,7 @@
         if query:
             path = f"{path}?{urlencode(query)}"
         asked = self._calls.call("GET", path, self._call_s)
-        return asked.bind(lambda answer: read_answer(answer, decode_page))
+        return asked.bind(lambda answer: decode_response(answer, decode_page))
 
     def _write(
         self,
@@ -154,7 +154,7 @@
         asked = self._calls.call(method, path, self._call_s, written)
         if asked.is_ok() and asked.ok.status in (404, 409):
             return Error(Conflict(name, _revision_found(asked.ok)))
-        return asked.bind(lambda answer: read_answer(answer, decode_object))
+        return asked.bind(lambda answer: decode_response(answer, decode_object))
 
 
 def _kind_path(kind: str) -> str:
--- a/src/kingcupwheel/platform/storecalls.py
+++ b/src/kingcupwheel/platform/storecalls.py
@@ -68,7 +68,7 @@
         return Ok(response)
 
 
-def read_answer(
+def decode_response(
     response: BaseHTTPResponse, decode: Callable[[bytes], Result[T, str]]
 ) -> Result[T, PlatformError]:
     """Return the decoded body; ``Rejected`` for another status or another shape."""
