--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -24,7 +24,7 @@
 
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.platform.errors import PlatformError
-    from kingcupwheel.platform.objects import Change
+    from kingcupwheel.platform.objects import ObjectChange
     from kingcupwheel.platform.objects import ObjectStore
     from kingcupwheel.platform.objects import StoredObject
 
@@ -59,7 +59,7 @@
     ) -> None:
         """Take in a whole list asked for at ``asked_at``."""
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Take in what changed; nothing changed if ``changes`` is empty."""
 
 
@@ -186,7 +186,7 @@
             if found.name == CONFIGURATION_NAME:
                 adopt(self._currency, found.body, asked_at, source="store")
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.removed:
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.forwarding.backends import Backend
-    from kingcupwheel.platform.objects import Change
+    from kingcupwheel.platform.objects import ObjectChange
     from kingcupwheel.platform.objects import StoredObject
 
 log = lines_of("servers")
@@ -53,7 +53,7 @@
             self._seen(stored)
         self._settle()
 
-    def changed(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Take in what changed."""
         for change in changes:
             if change.removed:
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -24,9 +24,9 @@
 from kingcupwheel.platform.storecoding import decode_object
 from kingcupwheel.platform.storecoding import decode_page
 from kingcupwheel.platform.storecoding import encode_object
-from kingcupwheel.platform.stored import Change
 from kingcupwheel.platform.stored import Changes
 from kingcupwheel.platform.stored import Listing
+from kingcupwheel.platform.stored import ObjectChange
 from kingcupwheel.platform.stored import StoredObject
 
 
@@ -40,7 +40,7 @@
 # Callers of the store take what it returns from here as well.
 __all__ = [
     "DEFAULT_CALL_TIMEOUT_S",
-    "Change",
+    "ObjectChange",
     "Changes",
     "Listing",
     "ObjectStore",
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from kingcupwheel.platform.decoding import decode_json
-from kingcupwheel.platform.stored import Change
 from kingcupwheel.platform.stored import Changes
+from kingcupwheel.platform.stored import ObjectChange
 from kingcupwheel.platform.stored import Page
 from kingcupwheel.platform.stored import StoredObject
 from kingcupwheel.telemetry.lines import lines_of
@@ -122,5 +122,5 @@
 
 def _changes(found: _EventsSent) -> Changes:
     events = _readable(found.events, _EventSent)
-    changes = (Change(_stored(one.object), one.tombstone) for one in events)
+    changes = (ObjectChange(_stored(one.object), one.tombstone) for one in events)
     return Changes(tuple(changes), found.store_revision)
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -26,7 +26,7 @@
     revision: int
 
 
-class Change(NamedTuple):
+class ObjectChange(NamedTuple):
     """An object that was written, or with ``removed`` is gone."""
 
     object: StoredObject
@@ -36,7 +36,7 @@
 class Changes(NamedTuple):
     """What happened since a revision, and the one to go on from."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[ObjectChange, ...]
     revision: int
 
 
