--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -24,10 +24,10 @@
 from kingcupwheel.platform.storecoding import decode_object
 from kingcupwheel.platform.storecoding import decode_page
 from kingcupwheel.platform.storecoding import encode_object
-from kingcupwheel.platform.stored import Changes
 from kingcupwheel.platform.stored import Listing
 from kingcupwheel.platform.stored import ObjectChange
 from kingcupwheel.platform.stored import StoredObject
+from kingcupwheel.platform.stored import WatchResult
 
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 __all__ = [
     "DEFAULT_CALL_TIMEOUT_S",
     "ObjectChange",
-    "Changes",
+    "WatchResult",
     "Listing",
     "ObjectStore",
     "StoredObject",
@@ -96,7 +96,7 @@
 
     def watch(
         self, kind: str, *, after: int, wait_s: float
-    ) -> Result[Changes, WatchError]:
+    ) -> Result[WatchResult, WatchError]:
         """Return what changed after a revision, as soon as there is something."""
         query = urlencode({"Watch": after, "WaitMs": int(wait_s * 1000)})
         path = f"{_kind_path(kind)}?{query}"
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from kingcupwheel.platform.decoding import decode_json
-from kingcupwheel.platform.stored import Changes
 from kingcupwheel.platform.stored import ObjectChange
 from kingcupwheel.platform.stored import Page
 from kingcupwheel.platform.stored import StoredObject
+from kingcupwheel.platform.stored import WatchResult
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -77,7 +77,7 @@
     return decode_json(raw, _PageSent).map(_page)
 
 
-def decode_changes(raw: bytes) -> Result[Changes, str]:
+def decode_changes(raw: bytes) -> Result[WatchResult, str]:
     """Return what a watch tells; events that can't be read are left out."""
     return decode_json(raw, _EventsSent).map(_changes)
 
@@ -120,7 +120,7 @@
     )
 
 
-def _changes(found: _EventsSent) -> Changes:
+def _changes(found: _EventsSent) -> WatchResult:
     events = _readable(found.events, _EventSent)
     changes = (ObjectChange(_stored(one.object), one.tombstone) for one in events)
-    return Changes(tuple(changes), found.store_revision)
+    return WatchResult(tuple(changes), found.store_revision)
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -33,7 +33,7 @@
     removed: bool
 
 
-class Changes(NamedTuple):
+class WatchResult(NamedTuple):
     """What happened since a revision, and the one to go on from."""
 
     changes: tuple[ObjectChange, ...]
