--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -24,8 +24,8 @@
 from kingcupwheel.platform.storecoding import decode_object
 from kingcupwheel.platform.storecoding import decode_page
 from kingcupwheel.platform.storecoding import encode_object
-from kingcupwheel.platform.stored import Listing
 from kingcupwheel.platform.stored import ObjectChange
+from kingcupwheel.platform.stored import ObjectList
 from kingcupwheel.platform.stored import StoredObject
 from kingcupwheel.platform.stored import WatchResult
 
@@ -42,7 +42,7 @@
     "DEFAULT_CALL_TIMEOUT_S",
     "ObjectChange",
     "WatchResult",
-    "Listing",
+    "ObjectList",
     "ObjectStore",
     "StoredObject",
 ]
@@ -71,7 +71,7 @@
 
     def list_objects(
         self, kind: str, *, stale: bool = False
-    ) -> Result[Listing, PlatformError]:
+    ) -> Result[ObjectList, PlatformError]:
         """Return every object of the kind, page by page.
 
         ``stale`` is cheap and may be seconds old. Watch from the first page's
@@ -92,7 +92,7 @@
             if page.ok.after in ("", after):
                 break
             after = page.ok.after
-        return Ok(Listing(tuple(objects), revision))
+        return Ok(ObjectList(tuple(objects), revision))
 
     def watch(
         self, kind: str, *, after: int, wait_s: float
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -19,7 +19,7 @@
     leaving: bool
 
 
-class Listing(NamedTuple):
+class ObjectList(NamedTuple):
     """The objects of a kind and the revision to watch from."""
 
     objects: tuple[StoredObject, ...]
