--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -35,7 +35,7 @@
 
     from urllib3 import BaseHTTPResponse
 
-    from kingcupwheel.platform.stored import Page
+    from kingcupwheel.platform.stored import ObjectPage
 
 # Callers of the store take what it returns from here as well.
 __all__ = [
@@ -135,7 +135,9 @@
             return Error(Conflict(name, 0))
         return Ok(None)
 
-    def _page(self, kind: str, query: dict[str, str]) -> Result[Page, PlatformError]:
+    def _page(
+        self, kind: str, query: dict[str, str]
+    ) -> Result[ObjectPage, PlatformError]:
         path = _kind_path(kind)
         if query:
             path = f"{path}?{urlencode(query)}"
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.platform.decoding import decode_json
 from kingcupwheel.platform.stored import ObjectChange
-from kingcupwheel.platform.stored import Page
+from kingcupwheel.platform.stored import ObjectPage
 from kingcupwheel.platform.stored import StoredObject
 from kingcupwheel.platform.stored import WatchResult
 from kingcupwheel.telemetry.lines import lines_of
@@ -72,7 +72,7 @@
     return decode_json(raw, _ObjectSent).map(_stored)
 
 
-def decode_page(raw: bytes) -> Result[Page, str]:
+def decode_page(raw: bytes) -> Result[ObjectPage, str]:
     """Return a part of a list; objects that can't be read are left out."""
     return decode_json(raw, _PageSent).map(_page)
 
@@ -103,10 +103,10 @@
     return bytes(raw)[:_LOGGED_BYTES].decode(errors="replace")
 
 
-def _page(found: _PageSent) -> Page:
+def _page(found: _PageSent) -> ObjectPage:
     objects = tuple(map(_stored, _readable(found.items, _ObjectSent)))
     after = objects[-1].name if found.more and objects else ""
-    return Page(objects, found.store_revision, after)
+    return ObjectPage(objects, found.store_revision, after)
 
 
 def _stored(item: _ObjectSent) -> StoredObject:
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -40,7 +40,7 @@
     revision: int
 
 
-class Page(NamedTuple):
+class ObjectPage(NamedTuple):
     """A part of a list; the next one begins after the name ``after``, if any."""
 
     objects: tuple[StoredObject, ...]
