--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -63,7 +63,7 @@
             places=found.slots,
             leaving=found.state == "draining" or stored.leaving,
             cold_s=found.cold_remaining_ms / _MS,
-            created=stored.created,
+            created=stored.created_revision,
             born_ms=found.born,
         )
     )
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -114,7 +114,7 @@
     return StoredObject(
         name=metadata.name,
         revision=metadata.revision,
-        created=metadata.created,
+        created_revision=metadata.created,
         body=bytes(item.spec),
         leaving=metadata.deleting,
     )
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -14,7 +14,7 @@
 
     name: str
     revision: int
-    created: int
+    created_revision: int
     body: bytes
     leaving: bool
 
