--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -61,7 +61,7 @@
             address=found.address,
             data_centre=found.zone,
             places=found.slots,
-            leaving=found.state == "draining" or stored.leaving,
+            leaving=found.state == "draining" or stored.is_deleting,
             cold_s=found.cold_remaining_ms / _MS,
             created=stored.created_revision,
             born_ms=found.born,
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -116,7 +116,7 @@
         revision=metadata.revision,
         created_revision=metadata.created,
         body=bytes(item.spec),
-        leaving=metadata.deleting,
+        is_deleting=metadata.deleting,
     )
 
 
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -16,7 +16,7 @@
     revision: int
     created_revision: int
     body: bytes
-    leaving: bool
+    is_deleting: bool
 
 
 class ObjectList(NamedTuple):
