--- a/src/kingcupwheel/platform/pages.py
+++ b/src/kingcupwheel/platform/pages.py
@@ -14,7 +14,7 @@
 READY_PATH = "/v1/ready"
 ADDRESSES_PATH = "/v1/resolve"
 # The most addresses that callers take from one answer.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 class _Addresses(msgspec.Struct, rename="pascal"):
@@ -30,4 +30,4 @@
 
 def addresses_body(addresses: Iterable[str], keep_s: float) -> bytes:
     """Return the answer to a caller that asks where to connect."""
-    return msgspec.json.encode(_Addresses(list(addresses)[:MOST_ADDRESSES], keep_s))
+    return msgspec.json.encode(_Addresses(list(addresses)[:MAX_ADDRESSES], keep_s))
