--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/pages.py
@@ -52,7 +52,7 @@
         if environ["PATH_INFO"] != pages.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
-        asked = pages.asked_data_centre(str(environ.get("QUERY_STRING", "")))
+        asked = pages.parse_data_centre(str(environ.get("QUERY_STRING", "")))
         found = self._addresses(asked)
         if not found:
             start_response(status_line(503), [("Content-Length", "0")])
--- a/src/kingcupwheel/platform/pages.py
+++ b/src/kingcupwheel/platform/pages.py
@@ -23,7 +23,7 @@
     ttl_s: float
 
 
-def asked_data_centre(query: str) -> str:
+def parse_data_centre(query: str) -> str:
     """Return the data centre of the caller that asks for addresses."""
     return parse_qs(query).get("Zone", [""])[0]
 
