--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/pages.py
@@ -57,7 +57,7 @@
         if not found:
             start_response(status_line(503), [("Content-Length", "0")])
             return (b"",)
-        body = pages.addresses_body(found, self._keep_s)
+        body = pages.encode_addresses(found, self._keep_s)
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
--- a/src/kingcupwheel/platform/pages.py
+++ b/src/kingcupwheel/platform/pages.py
@@ -28,6 +28,6 @@
     return parse_qs(query).get("Zone", [""])[0]
 
 
-def addresses_body(addresses: Iterable[str], keep_s: float) -> bytes:
+def encode_addresses(addresses: Iterable[str], keep_s: float) -> bytes:
     """Return the answer to a caller that asks where to connect."""
     return msgspec.json.encode(_Addresses(list(addresses)[:MAX_ADDRESSES], keep_s))
