--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -86,7 +86,7 @@
         return state
 
     def _state(self) -> RankState | None:
-        asked = self._client.state()
+        asked = self._client.fetch_state()
         return asked.ok if asked.is_ok() else None
 
     def _new_counts(self) -> tuple[int, bytes]:
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -187,7 +187,7 @@
             links = tuple(self._entries)
         if not links:
             return
-        asked = self._client.state()
+        asked = self._client.fetch_state()
         if asked.is_error():
             return
         state = asked.ok
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -72,7 +72,7 @@
 
     def look(self) -> Charge | float:
         """Return the charge to take, or the seconds until the next look."""
-        own = self._client.state()
+        own = self._client.fetch_state()
         if own.is_error() or not own.ok.is_open:
             return LOOK_S
         rescues = own.ok.rank != FIRST
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -86,7 +86,7 @@
             url, maxsize=2, timeout=urllib3.Timeout(total=_CALL_S), retries=False
         )
 
-    def state(self) -> Result[RankState, str]:
+    def fetch_state(self) -> Result[RankState, str]:
         """Return the server's report."""
         return self._get("/v1/report").bind(decode_state)
 
