--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -90,7 +90,7 @@
         return asked.ok if asked.is_ok() else None
 
     def _new_counts(self) -> tuple[int, bytes]:
-        asked = self._client.counts()
+        asked = self._client.fetch_counts()
         if asked.is_error():
             return 1, b""
         now = asked.ok
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -90,7 +90,7 @@
         """Return the server's report."""
         return self._get("/v1/report").bind(decode_state)
 
-    def counts(self) -> Result[RankCounts, str]:
+    def fetch_counts(self) -> Result[RankCounts, str]:
         """Return how often this rank's requests chose each expert since its start."""
         return self._get("/v1/picked").bind(decode_counts)
 
