--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -53,7 +53,7 @@
                 scale, counts = self._new_counts()
                 return RankStateReply(ask.number, state, counts, scale)
             case ReplyContent.PLACES:
-                places = self._client.places()
+                places = self._client.fetch_placement()
                 return RankStateReply(
                     ask.number, state, places=places.default_value(())
                 )
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -94,7 +94,7 @@
         """Return how often this rank's requests chose each expert since its start."""
         return self._get("/v1/picked").bind(decode_counts)
 
-    def places(self) -> Result[tuple[tuple[int, ...], ...], str]:
+    def fetch_placement(self) -> Result[tuple[tuple[int, ...], ...], str]:
         """Return this rank's experts by layer of the map in force."""
         return self._get("/v1/picked?Lists=1").bind(decode_places)
 
