--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -71,7 +71,7 @@
             if now >= until:
                 break
             if now - given_at >= _AGAIN_S:
-                given = self._client.give(order)
+                given = self._client.send_order(order)
                 kind = type(order).__name__
                 log.debug("order-given", order=kind, answer=str(given))
                 if self._metrics is not None:
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -40,7 +40,7 @@
         """Give an order once; whether it was carried out is for the report to show."""
         if server not in self._clients:
             self._clients = {server: RankClient(f"http://{server}")}
-        given = self._clients[server].give(order)
+        given = self._clients[server].send_order(order)
         log.debug("order-given", order=type(order).__name__, answer=str(given))
 
     def ask(
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -98,7 +98,7 @@
         """Return this rank's experts by layer of the map in force."""
         return self._get("/v1/picked?Lists=1").bind(decode_places)
 
-    def give(self, order: RankOrder) -> Result[int, str]:
+    def send_order(self, order: RankOrder) -> Result[int, str]:
         """Return the status; an order without an answer may still be carried out."""
         body = msgspec.json.encode(_body(order))
         headers = {"Content-Type": "application/json"}
