--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -96,7 +96,7 @@
 
     def fetch_placement(self) -> Result[tuple[tuple[int, ...], ...], str]:
         """Return this rank's experts by layer of the map in force."""
-        return self._get("/v1/picked?Lists=1").bind(decode_places)
+        return self._get("/v1/picked?Lists=1").bind(decode_placement)
 
     def send_order(self, order: RankOrder) -> Result[int, str]:
         """Return the status; an order without an answer may still be carried out."""
@@ -136,7 +136,7 @@
     )
 
 
-def decode_places(raw: bytes) -> Result[tuple[tuple[int, ...], ...], str]:
+def decode_placement(raw: bytes) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return a rank's experts by layer."""
     return decode_json(raw, _Lists).map(_places)
 
