--- a/src/kingcupwheel/link/asking.py
+++ b/src/kingcupwheel/link/asking.py
@@ -20,7 +20,7 @@
 
 # Answers read from one process before it is taken to have none: a process that sends
 # anything else without end must not hold up the command.
-_TRIES = 8
+_MAX_FRAMES_PER_PROCESS = 8
 
 
 class QueryClient:
@@ -46,7 +46,7 @@
             poller = zmq.Poller()
             process_by_dealer = {}
             for process, address in address_by_process.items():
-                dealer = _open(context, address)
+                dealer = _connect(context, address)
                 dealer.send(frame)
                 process_by_dealer[dealer] = process
                 poller.register(dealer, zmq.POLLIN)
@@ -64,7 +64,7 @@
     ) -> dict[str, Answer]:
         found: dict[str, Answer] = {}
         end = monotonic() + self._timeout_s
-        tries = _TRIES * len(process_by_dealer)
+        tries = _MAX_FRAMES_PER_PROCESS * len(process_by_dealer)
         while len(found) < len(process_by_dealer) and tries:
             left_ms = int((end - monotonic()) * 1000)
             ready = poller.poll(left_ms) if left_ms > 0 else []
@@ -78,7 +78,9 @@
         return found
 
 
-def _open(context: zmq.Context[zmq.Socket[bytes]], address: str) -> zmq.Socket[bytes]:
+def _connect(
+    context: zmq.Context[zmq.Socket[bytes]], address: str
+) -> zmq.Socket[bytes]:
     dealer = context.socket(zmq.DEALER)
     dealer.setsockopt(zmq.LINGER, 0)
     dealer.connect(f"tcp://{address}")
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -35,28 +35,28 @@
 
 # Messages taken from one socket before the others get their turn: a flood on one link
 # must not hold up the heartbeats of the rest.
-_BATCH = 64
+_MAX_MESSAGES_PER_TURN = 64
 # Messages waiting for one peer. Past it a DEALER refuses and a ROUTER drops; both are
 # mended by resuming at an offset, so the bound only has to keep memory in check.
-_HIGH_WATER = 4096
+_HIGH_WATER_MARK_MESSAGES = 4096
 # How long a closing hub lets the last frames of answers leave.
 _LINGER_MS = 1000
 
 
-class _Send(NamedTuple):
+class _SendCommand(NamedTuple):
     link: Link
     message: Message
 
 
-class _Replace(NamedTuple):
+class _ReconnectCommand(NamedTuple):
     address: str
 
 
-class _Drop(NamedTuple):
+class _DisconnectCommand(NamedTuple):
     address: str
 
 
-_Command = _Send | _Replace | _Drop
+_Command = _SendCommand | _ReconnectCommand | _DisconnectCommand
 
 
 class MessageHub:
@@ -119,24 +119,24 @@
 
         A message for an older generation of a link goes out on the newest one.
         """
-        self._commands.append(_Send(link, message))
+        self._commands.append(_SendCommand(link, message))
         self._wake()
 
     def replace(self, address: str) -> None:
         """Close the outgoing link to ``address`` and open a new connection."""
-        self._commands.append(_Replace(address))
+        self._commands.append(_ReconnectCommand(address))
         self._wake()
 
     def drop(self, address: str) -> None:
         """Close the outgoing link to ``address``."""
-        self._commands.append(_Drop(address))
+        self._commands.append(_DisconnectCommand(address))
         self._wake()
 
     def _bind(self, listen: str) -> zmq.Socket[bytes]:
         router = self._context.socket(zmq.ROUTER)
         router.setsockopt(zmq.LINGER, _LINGER_MS)
-        router.setsockopt(zmq.SNDHWM, _HIGH_WATER)
-        router.setsockopt(zmq.RCVHWM, _HIGH_WATER)
+        router.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK_MESSAGES)
+        router.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK_MESSAGES)
         try:
             router.bind(f"tcp://{listen}")
         except zmq.ZMQError as error:
@@ -174,12 +174,12 @@
             self._wake_out.recv(4096)
         while self._commands:
             match self._commands.popleft():
-                case _Send(link, message):
+                case _SendCommand(link, message):
                     self._send(link, message)
-                case _Replace(address):
+                case _ReconnectCommand(address):
                     self._close_dealer(address)
                     self._dealer(address)
-                case _Drop(address):
+                case _DisconnectCommand(address):
                     self._close_dealer(address)
 
     def _send(self, link: Link, message: Message) -> None:
@@ -201,8 +201,8 @@
             return dealer
         dealer = self._context.socket(zmq.DEALER)
         dealer.setsockopt(zmq.LINGER, 0)
-        dealer.setsockopt(zmq.SNDHWM, _HIGH_WATER)
-        dealer.setsockopt(zmq.RCVHWM, _HIGH_WATER)
+        dealer.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK_MESSAGES)
+        dealer.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK_MESSAGES)
         dealer.setsockopt(zmq.RECONNECT_IVL, 100)
         dealer.setsockopt(zmq.RECONNECT_IVL_MAX, 2000)
         dealer.connect(f"tcp://{address}")
@@ -227,7 +227,7 @@
                 self._receive_dealer(link, dealer)
 
     def _receive_router(self) -> None:
-        for _ in range(_BATCH):
+        for _ in range(_MAX_MESSAGES_PER_TURN):
             try:
                 identity, *frames = self._router.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
@@ -236,7 +236,7 @@
                 self._deliver(IncomingLink(identity), frames[0])
 
     def _receive_dealer(self, link: OutgoingLink, dealer: zmq.Socket[bytes]) -> None:
-        for _ in range(_BATCH):
+        for _ in range(_MAX_MESSAGES_PER_TURN):
             if dealer.closed:
                 return
             try:
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -29,10 +29,10 @@
 _MBIT_BITS = 1e6
 _MBYTE_BITS = 8e6
 # A link that is told to carry nothing would divide by zero.
-_LEAST_LINK_MBPS = 1e-3
+_MIN_LINK_MBPS = 1e-3
 
 
-class _Split(msgspec.Struct, rename="pascal"):
+class _TrafficSplit(msgspec.Struct, rename="pascal"):
     service: str
     weight: float
 
@@ -44,7 +44,7 @@
     kind: str = "non_idempotent"
     # One or the other is given: all requests to one service, or parts of them.
     service: str = ""
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficSplit] = []
     timeout_ms: float = 8000.0
     target_latency_ms: float = 500.0
     gap_target_ms: float = 0.0
@@ -94,18 +94,20 @@
 def decode_configuration(raw: bytes) -> Result[Configuration, str]:
     """Return the configuration in the store's bytes, or what is wrong with them."""
     return decode_json(raw, _Configuration).map(
-        lambda found: _configuration(found, raw)
+        lambda found: _build_configuration(found, raw)
     )
 
 
-def _configuration(found: _Configuration, raw: bytes) -> Configuration:
-    services = (Service(one.name, _engine(one.engine)) for one in found.services)
+def _build_configuration(found: _Configuration, raw: bytes) -> Configuration:
+    services = (
+        Service(one.name, _build_engine_shape(one.engine)) for one in found.services
+    )
     limits = found.limits
     return Configuration(
         version=found.version,
-        routes_by_host=routes_by_host(tuple(map(_route, found.routes))),
+        routes_by_host=routes_by_host(tuple(map(_build_route, found.routes))),
         services_by_name={service.name: service for service in services},
-        holders_by_key_digest=_holders(found.tenants or []),
+        holders_by_key_digest=_index_holders(found.tenants or []),
         has_organisations=found.tenants is not None,
         limits=RequestLimits(
             limits.max_header_bytes,
@@ -116,7 +118,7 @@
     )
 
 
-def _route(route: _Route) -> ForwardRoute:
+def _build_route(route: _Route) -> ForwardRoute:
     shares = tuple(ServiceShare(one.service, one.weight) for one in route.traffic_split)
     return ForwardRoute(
         name=route.name,
@@ -135,17 +137,17 @@
     )
 
 
-def _engine(engine: _Engine | None) -> EngineShape | None:
+def _build_engine_shape(engine: _Engine | None) -> EngineShape | None:
     if engine is None or not engine.layers:
         return None
-    link_mbps = max(engine.link_mbps, _LEAST_LINK_MBPS)
+    link_mbps = max(engine.link_mbps, _MIN_LINK_MBPS)
     copy_s = engine.expert_mb * _MBYTE_BITS / (link_mbps * _MBIT_BITS)
     return EngineShape(
         engine.layers, engine.experts, engine.places, engine.spare, copy_s
     )
 
 
-def _holders(tenants: list[_Tenant]) -> dict[bytes, OrganisationKey]:
+def _index_holders(tenants: list[_Tenant]) -> dict[bytes, OrganisationKey]:
     return {
         key_digest(key): OrganisationKey(tenant.name, tenant.priority)
         for tenant in tenants
--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -44,13 +44,13 @@
 
 # Connections kept open for watches; a process needs one for the manifest and a few more
 # for leases. Further ones are opened and closed as needed.
-_WATCH_CONNECTIONS = 4
+_MAX_IDLE_WATCH_CONNECTIONS = 4
 # The least time given to a call that had to wait for a connection.
-_LEAST_CALL_S = 0.05
+_MIN_CALL_TIMEOUT_S = 0.05
 _DEFAULT_RETRY_AFTER_S = 1.0
 _NOT_MODIFIED = 304
 # Failures before a request can have reached the platform.
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.NameResolutionError,
@@ -60,7 +60,7 @@
 )
 
 
-class _Call(NamedTuple):
+class _HttpCall(NamedTuple):
     """One HTTP call; ``writes`` tells that losing its answer leaves doubt."""
 
     method: str
@@ -74,7 +74,7 @@
         return self.method != "GET"
 
 
-class _Listed(NamedTuple):
+class _InstanceListCache(NamedTuple):
     """The list of instances as last read; ``tag`` is empty if it has none."""
 
     etag: str
@@ -96,15 +96,19 @@
         origin = f"{url.scheme}://{url.netloc}"
         self._base = url.path.rstrip("/")
         self._timeout_s = settings.timeout_s
-        self._calls = urllib3.connection_from_url(origin, maxsize=settings.connections)
-        self._watches = urllib3.connection_from_url(origin, maxsize=_WATCH_CONNECTIONS)
-        self._free = BoundedSemaphore(settings.connections)
-        self._listed = _Listed("", ())
+        self._call_pool = urllib3.connection_from_url(
+            origin, maxsize=settings.connections
+        )
+        self._watch_pool = urllib3.connection_from_url(
+            origin, maxsize=_MAX_IDLE_WATCH_CONNECTIONS
+        )
+        self._free_connections = BoundedSemaphore(settings.connections)
+        self._instance_cache = _InstanceListCache("", ())
 
     def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
-        return self._call(_Call("GET", _object_path(key), key)).bind(
-            lambda response: _versioned(key, response, 404)
+        return self._call(_HttpCall("GET", _object_path(key), key)).bind(
+            lambda response: _read_versioned_value(key, response, 404)
         )
 
     def create(self, key: str, value: bytes) -> Result[int, PlatformError]:
@@ -120,14 +124,14 @@
     def delete(self, key: str, *, version: int) -> Result[None, PlatformError]:
         """Remove the object if it is at ``version``."""
         headers = {"If-Match": f'"{version}"'}
-        call = _Call("DELETE", _object_path(key), key, headers=headers)
-        return self._call(call).bind(lambda response: _expect(response, 200, 204))
+        call = _HttpCall("DELETE", _object_path(key), key, headers=headers)
+        return self._call(call).bind(lambda response: _check_status(response, 200, 204))
 
     def keys(self, prefix: str) -> Result[tuple[str, ...], PlatformError]:
         """Return the keys that start with ``prefix``, sorted."""
-        call = _Call("GET", f"/v1/objects?{urlencode({'prefix': prefix})}")
+        call = _HttpCall("GET", f"/v1/objects?{urlencode({'prefix': prefix})}")
         return self._call(call).bind(
-            lambda response: _decoded(response, tuple[str, ...])
+            lambda response: _decode_body(response, tuple[str, ...])
         )
 
     def watch(
@@ -135,12 +139,12 @@
     ) -> Result[VersionedValue | None, PlatformError]:
         """Wait for the object to pass version ``after``; None when time runs out."""
         query = urlencode({"watch": after, "timeout": timeout_s})
-        call = _Call("GET", f"{_object_path(key)}?{query}", key)
+        call = _HttpCall("GET", f"{_object_path(key)}?{query}", key)
         timeout = urllib3.Timeout(
             connect=self._timeout_s, read=timeout_s + self._timeout_s
         )
-        return self._send(self._watches, call, timeout).bind(
-            lambda response: _versioned(key, response, 304, 404)
+        return self._send(self._watch_pool, call, timeout).bind(
+            lambda response: _read_versioned_value(key, response, 304, 404)
         )
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
@@ -149,45 +153,52 @@
         Asked for only if it has changed: 1,370 instances are some 150 KB, of which a
         few change in an hour, and every entry reads them every few seconds.
         """
-        last = self._listed
+        last = self._instance_cache
         headers = {"If-None-Match": last.etag} if last.etag else {}
-        asked = self._call(_Call("GET", "/v1/instances", headers=headers))
+        asked = self._call(_HttpCall("GET", "/v1/instances", headers=headers))
         if asked.is_ok() and asked.ok.status == _NOT_MODIFIED:
             return Ok(last.instances)
-        return asked.bind(_instances).map(lambda found: self._list(found, asked.ok))
+        return asked.bind(_decode_instances).map(
+            lambda found: self._cache_instances(found, asked.ok)
+        )
 
-    def _list(
+    def _cache_instances(
         self, found: tuple[Instance, ...], response: BaseHTTPResponse
     ) -> tuple[Instance, ...]:
-        self._listed = _Listed(response.headers.get("ETag", ""), found)
+        self._instance_cache = _InstanceListCache(
+            response.headers.get("ETag", ""), found
+        )
         return found
 
     def _write(
         self, key: str, value: bytes, headers: dict[str, str]
     ) -> Result[int, PlatformError]:
-        call = _Call("PUT", _object_path(key), key, value, headers)
-        return self._call(call).bind(_new_version)
+        call = _HttpCall("PUT", _object_path(key), key, value, headers)
+        return self._call(call).bind(_read_new_version)
 
-    def _call(self, call: _Call) -> Result[BaseHTTPResponse, PlatformError]:
+    def _call(self, call: _HttpCall) -> Result[BaseHTTPResponse, PlatformError]:
         deadline = monotonic() + self._timeout_s
-        with self._slot() as free:
+        with self._reserve_connection() as free:
             if not free:
                 return Error(Unavailable("no free connection", sent=False))
-            left_s = max(_LEAST_CALL_S, deadline - monotonic())
+            left_s = max(_MIN_CALL_TIMEOUT_S, deadline - monotonic())
             timeout = urllib3.Timeout(total=left_s)
-            return self._send(self._calls, call, timeout)
+            return self._send(self._call_pool, call, timeout)
 
     @contextmanager
-    def _slot(self) -> Iterator[bool]:
-        free = self._free.acquire(timeout=self._timeout_s)
+    def _reserve_connection(self) -> Iterator[bool]:
+        free = self._free_connections.acquire(timeout=self._timeout_s)
         try:
             yield free
         finally:
             if free:
-                self._free.release()
+                self._free_connections.release()
 
     def _send(
-        self, pool: urllib3.HTTPConnectionPool, call: _Call, timeout: urllib3.Timeout
+        self,
+        pool: urllib3.HTTPConnectionPool,
+        call: _HttpCall,
+        timeout: urllib3.Timeout,
     ) -> Result[BaseHTTPResponse, PlatformError]:
         try:
             response = pool.request(
@@ -199,11 +210,11 @@
                 retries=False,
                 redirect=False,
             )
-        except _NOT_SENT as error:
-            return Error(Unavailable(_brief(error), sent=False))
+        except _NOT_SENT_ERRORS as error:
+            return Error(Unavailable(_describe_error(error), sent=False))
         except urllib3.exceptions.HTTPError as error:
-            return Error(Unavailable(_brief(error), sent=call.is_write))
-        refusal = _refusal(call, response)
+            return Error(Unavailable(_describe_error(error), sent=call.is_write))
+        refusal = _response_error(call, response)
         return Ok(response) if refusal is None else Error(refusal)
 
 
@@ -211,16 +222,18 @@
     return "/v1/objects/" + quote(key, safe="/")
 
 
-def _brief(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return f"{type(error).__name__}: {error}"
 
 
-def _refusal(call: _Call, response: BaseHTTPResponse) -> PlatformError | None:
+def _response_error(
+    call: _HttpCall, response: BaseHTTPResponse
+) -> PlatformError | None:
     status = response.status
     if status in (409, 412):
-        return Conflict(call.key, _version(response))
+        return Conflict(call.key, _parse_version(response))
     if status == 429:
-        return RateLimited(_retry_after_s(response))
+        return RateLimited(_parse_retry_after_s(response))
     if status >= 500:
         # A gateway may answer so after passing the write on: its effect is in doubt.
         return Unavailable(f"status {status}", sent=call.is_write)
@@ -229,52 +242,54 @@
     return None
 
 
-def _version(response: BaseHTTPResponse) -> int:
+def _parse_version(response: BaseHTTPResponse) -> int:
     tag = response.headers.get("ETag", "").removeprefix("W/").strip('"')
     return int(tag) if tag.isdecimal() else 0
 
 
-def _retry_after_s(response: BaseHTTPResponse) -> float:
+def _parse_retry_after_s(response: BaseHTTPResponse) -> float:
     text = response.headers.get("Retry-After", "")
     return float(text) if text.isdecimal() else _DEFAULT_RETRY_AFTER_S
 
 
-def _unexpected(response: BaseHTTPResponse) -> PlatformError:
+def _unexpected_status_error(response: BaseHTTPResponse) -> PlatformError:
     return Rejected(response.status, response.reason or "unexpected answer")
 
 
-def _expect(response: BaseHTTPResponse, *statuses: int) -> Result[None, PlatformError]:
+def _check_status(
+    response: BaseHTTPResponse, *statuses: int
+) -> Result[None, PlatformError]:
     if response.status in statuses:
         return Ok(None)
-    return Error(_unexpected(response))
+    return Error(_unexpected_status_error(response))
 
 
-def _versioned(
+def _read_versioned_value(
     key: str, response: BaseHTTPResponse, *absent: int
 ) -> Result[VersionedValue | None, PlatformError]:
     if response.status in absent:
         return Ok(None)
-    version = _version(response)
+    version = _parse_version(response)
     if response.status != 200 or version == 0:
-        return Error(_unexpected(response))
+        return Error(_unexpected_status_error(response))
     return Ok(VersionedValue(key, version, response.data))
 
 
-def _new_version(response: BaseHTTPResponse) -> Result[int, PlatformError]:
-    version = _version(response)
+def _read_new_version(response: BaseHTTPResponse) -> Result[int, PlatformError]:
+    version = _parse_version(response)
     if response.status not in (200, 201, 204) or version == 0:
-        return Error(_unexpected(response))
+        return Error(_unexpected_status_error(response))
     return Ok(version)
 
 
-def _instances(
+def _decode_instances(
     response: BaseHTTPResponse,
 ) -> Result[tuple[Instance, ...], PlatformError]:
     # NamedTuples decode from arrays; the list holds objects.
-    return _decoded(response, list[dict[str, str | bool]]).bind(_named_instances)
+    return _decode_body(response, list[dict[str, str | bool]]).bind(_convert_instances)
 
 
-def _named_instances(
+def _convert_instances(
     items: list[dict[str, str | bool]],
 ) -> Result[tuple[Instance, ...], PlatformError]:
     try:
@@ -284,9 +299,9 @@
         return Error(Rejected(200, f"bad instance list: {error}"))
 
 
-def _decoded(response: BaseHTTPResponse, kind: type[T]) -> Result[T, PlatformError]:
+def _decode_body(response: BaseHTTPResponse, kind: type[T]) -> Result[T, PlatformError]:
     if response.status != 200:
-        return Error(_unexpected(response))
+        return Error(_unexpected_status_error(response))
     try:
         return Ok(msgspec.json.decode(response.data, type=kind))
     except msgspec.DecodeError as error:
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -51,20 +51,22 @@
 # times the store's usual answer.
 DEFAULT_CALL_TIMEOUT_S = 1.2
 # A list ends after so many pages, so that one that never ends holds nobody.
-_PAGES_AT_MOST = 400
+_MAX_PAGES = 400
 
 
 class ObjectStore:
     """Calls block for at most their timeout; safe from any thread."""
 
-    def __init__(self, url: str, *, call_s: float = DEFAULT_CALL_TIMEOUT_S) -> None:
-        self._calls = StoreHttpClient(url, connect_s=call_s)
-        self._call_s = call_s
+    def __init__(
+        self, url: str, *, call_timeout_s: float = DEFAULT_CALL_TIMEOUT_S
+    ) -> None:
+        self._calls = StoreHttpClient(url, connect_s=call_timeout_s)
+        self._call_timeout_s = call_timeout_s
 
     def read(self, kind: str, name: str) -> Result[StoredObject | None, PlatformError]:
         """Return the object, or None if there is none."""
         path = _object_path(kind, name)
-        asked = self._calls.call("GET", path, self._call_s)
+        asked = self._calls.call("GET", path, self._call_timeout_s)
         if asked.is_ok() and asked.ok.status == 404:
             return Ok(None)
         return asked.bind(lambda answer: decode_response(answer, decode_object))
@@ -80,11 +82,11 @@
         objects: list[StoredObject] = []
         revision = 0
         after = ""
-        for _ in range(_PAGES_AT_MOST):
+        for _ in range(_MAX_PAGES):
             query = {"After": after} if after else {}
             if stale:
                 query["StaleOk"] = "1"
-            page = self._page(kind, query)
+            page = self._read_page(kind, query)
             if page.is_error():
                 return Error(page.error)
             revision = revision or page.ok.revision
@@ -100,7 +102,7 @@
         """Return what changed after a revision, as soon as there is something."""
         query = urlencode({"Watch": after, "WaitMs": int(wait_s * 1000)})
         path = f"{_kind_path(kind)}?{query}"
-        asked = self._calls.call("GET", path, wait_s + self._call_s)
+        asked = self._calls.call("GET", path, wait_s + self._call_timeout_s)
         if asked.is_error():
             return Error(asked.error)
         if asked.ok.status == 410:
@@ -128,20 +130,20 @@
     ) -> Result[None, PlatformError]:
         """Remove an object if it is at ``revision``; one that is gone is no error."""
         path = f"{_object_path(kind, name)}?Revision={revision}"
-        asked = self._calls.call("DELETE", path, self._call_s)
+        asked = self._calls.call("DELETE", path, self._call_timeout_s)
         if asked.is_error():
             return Error(asked.error)
         if asked.ok.status == 409:
             return Error(Conflict(name, 0))
         return Ok(None)
 
-    def _page(
+    def _read_page(
         self, kind: str, query: dict[str, str]
     ) -> Result[ObjectPage, PlatformError]:
         path = _kind_path(kind)
         if query:
             path = f"{path}?{urlencode(query)}"
-        asked = self._calls.call("GET", path, self._call_s)
+        asked = self._calls.call("GET", path, self._call_timeout_s)
         return asked.bind(lambda answer: decode_response(answer, decode_page))
 
     def _write(
@@ -153,9 +155,9 @@
         body: bytes,
     ) -> Result[StoredObject, PlatformError]:
         written = encode_object(metadata, body)
-        asked = self._calls.call(method, path, self._call_s, written)
+        asked = self._calls.call(method, path, self._call_timeout_s, written)
         if asked.is_ok() and asked.ok.status in (404, 409):
-            return Error(Conflict(name, _revision_found(asked.ok)))
+            return Error(Conflict(name, _conflicting_revision(asked.ok)))
         return asked.bind(lambda answer: decode_response(answer, decode_object))
 
 
@@ -167,7 +169,7 @@
     return f"{_kind_path(kind)}/{quote(name, safe='')}"
 
 
-def _revision_found(response: BaseHTTPResponse) -> int:
+def _conflicting_revision(response: BaseHTTPResponse) -> int:
     """Return the revision that a refused write met, 0 if there is no object."""
     found = decode_object(response.data)
     return found.map(lambda stored: stored.revision).default_value(0)
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -25,10 +25,10 @@
     from kingcupwheel.lockstep.orders import RankOrder
 
 # A server answers in a millisecond or two.
-_CALL_S = 0.25
+_CALL_TIMEOUT_S = 0.25
 # An order that gets no answer is given again, so a short wait costs nothing; each one
 # lost holds up its whole group's change for as long.
-_ORDER_CALL_S = 0.05
+_ORDER_TIMEOUT_S = 0.05
 
 
 class _Group(msgspec.Struct):
@@ -69,13 +69,13 @@
     born: StartTimeMs = 0
 
 
-class _Held(msgspec.Struct):
+class _HeldExperts(msgspec.Struct):
     # This rank's experts, set by set.
     experts: list[list[int]] = msgspec.field(default_factory=list, name="Experts")
 
 
-class _Lists(msgspec.Struct):
-    map: _Held | None = msgspec.field(default=None, name="Map")
+class _PlacementReport(msgspec.Struct):
+    map: _HeldExperts | None = msgspec.field(default=None, name="Map")
 
 
 class RankClient:
@@ -83,7 +83,10 @@
 
     def __init__(self, url: str) -> None:
         self._pool = urllib3.connection_from_url(
-            url, maxsize=2, timeout=urllib3.Timeout(total=_CALL_S), retries=False
+            url,
+            maxsize=2,
+            timeout=urllib3.Timeout(total=_CALL_TIMEOUT_S),
+            retries=False,
         )
 
     def fetch_state(self) -> Result[RankState, str]:
@@ -100,7 +103,7 @@
 
     def send_order(self, order: RankOrder) -> Result[int, str]:
         """Return the status; an order without an answer may still be carried out."""
-        body = msgspec.json.encode(_body(order))
+        body = msgspec.json.encode(_order_body(order))
         headers = {"Content-Type": "application/json"}
         try:
             response = self._pool.request(
@@ -108,7 +111,7 @@
                 "/v1/order",
                 body=body,
                 headers=headers,
-                timeout=urllib3.Timeout(total=_ORDER_CALL_S),
+                timeout=urllib3.Timeout(total=_ORDER_TIMEOUT_S),
             )
         except urllib3.exceptions.HTTPError as error:
             return Error(f"{type(error).__name__}")
@@ -126,7 +129,7 @@
 
 def decode_state(raw: bytes) -> Result[RankState, str]:
     """Return a server's report."""
-    return decode_json(raw, _Report).map(_state)
+    return decode_json(raw, _Report).map(_build_state)
 
 
 def decode_counts(raw: bytes) -> Result[RankCounts, str]:
@@ -138,10 +141,10 @@
 
 def decode_placement(raw: bytes) -> Result[tuple[tuple[int, ...], ...], str]:
     """Return a rank's experts by layer."""
-    return decode_json(raw, _Lists).map(_places)
+    return decode_json(raw, _PlacementReport).map(_build_placement)
 
 
-def _state(report: _Report) -> RankState:
+def _build_state(report: _Report) -> RankState:
     group = report.group or _Group()
     return RankState(
         group=group.name,
@@ -161,13 +164,13 @@
     )
 
 
-def _places(lists: _Lists) -> tuple[tuple[int, ...], ...]:
+def _build_placement(lists: _PlacementReport) -> tuple[tuple[int, ...], ...]:
     if lists.map is None:
         return ()
     return tuple(tuple(layer) for layer in lists.map.experts)
 
 
-def _body(order: RankOrder) -> dict[str, object]:
+def _order_body(order: RankOrder) -> dict[str, object]:
     match order:
         case Prepare(epoch, version, layers):
             return {"Op": "prepare", "epoch": epoch, "Version": version, "Map": layers}
--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -26,12 +26,12 @@
 SERVERS_KIND = "servers"
 
 _MS = 1000.0
-_MOST_PORT = 65_535
+_MAX_PORT = 65_535
 # The id goes out in a header of each request; no server has a longer one.
-_MOST_NAME = 200
+_MAX_NAME_LENGTH = 200
 
 
-class _Server(msgspec.Struct, rename="pascal"):
+class _ServerEntry(msgspec.Struct, rename="pascal"):
     """All fields that every server writes; an entry without one is another writer's."""
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
@@ -46,9 +46,9 @@
 
 def decode_server(stored: StoredObject) -> Result[Backend, str]:
     """Return the server, or why this entry names none."""
-    if not _is_header_word(stored.name):
+    if not _is_header_token(stored.name):
         return Error("no server has such a name")
-    read = decode_json(stored.body, _Server)
+    read = decode_json(stored.body, _ServerEntry)
     if read.is_error():
         return Error(read.error)
     found = read.ok
@@ -69,9 +69,9 @@
     )
 
 
-def _is_header_word(name: str) -> bool:
+def _is_header_token(name: str) -> bool:
     readable = name.isascii() and name.isprintable() and " " not in name
-    return readable and 0 < len(name) <= _MOST_NAME
+    return readable and 0 < len(name) <= _MAX_NAME_LENGTH
 
 
 def _is_address(text: str) -> bool:
@@ -80,4 +80,4 @@
         IPv4Address(host)
     except AddressValueError:
         return False
-    return 0 < (whole_number(port) or 0) <= _MOST_PORT
+    return 0 < (whole_number(port) or 0) <= _MAX_PORT
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -25,10 +25,10 @@
 log = lines_of("store")
 
 # Of an object that can't be read so much goes into the log.
-_LOGGED_BYTES = 120
+_MAX_LOGGED_BYTES = 120
 
 
-class _MetadataSent(msgspec.Struct, rename="pascal"):
+class _Metadata(msgspec.Struct, rename="pascal"):
     name: str = ""
     revision: int = 0
     # A revision too, not a time.
@@ -37,12 +37,12 @@
     deleting: bool = False
 
 
-class _ObjectSent(msgspec.Struct, rename="pascal"):
-    metadata: _MetadataSent
+class _ObjectRecord(msgspec.Struct, rename="pascal"):
+    metadata: _Metadata
     spec: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class _PageSent(msgspec.Struct, rename="pascal"):
+class _PageRecord(msgspec.Struct, rename="pascal"):
     # Decoded one by one: an object of another shape must not cost the others.
     items: list[msgspec.Raw] = []
     more: bool = False
@@ -50,13 +50,13 @@
     store_revision: int = 0
 
 
-class _EventSent(msgspec.Struct, rename="pascal"):
-    object: _ObjectSent
+class _EventRecord(msgspec.Struct, rename="pascal"):
+    object: _ObjectRecord
     # The object is gone; it is sent as it was last.
     tombstone: bool = False
 
 
-class _EventsSent(msgspec.Struct):
+class _EventsRecord(msgspec.Struct):
     # Alone among the store's own fields it comes in lower case.
     events: list[msgspec.Raw] = []
     store_revision: int = msgspec.field(default=0, name="StoreRevision")
@@ -69,20 +69,20 @@
 
 def decode_object(raw: bytes) -> Result[StoredObject, str]:
     """Return one object, or what is wrong with it."""
-    return decode_json(raw, _ObjectSent).map(_stored)
+    return decode_json(raw, _ObjectRecord).map(_build_object)
 
 
 def decode_page(raw: bytes) -> Result[ObjectPage, str]:
     """Return a part of a list; objects that can't be read are left out."""
-    return decode_json(raw, _PageSent).map(_page)
+    return decode_json(raw, _PageRecord).map(_build_page)
 
 
 def decode_changes(raw: bytes) -> Result[WatchResult, str]:
     """Return what a watch tells; events that can't be read are left out."""
-    return decode_json(raw, _EventsSent).map(_changes)
+    return decode_json(raw, _EventsRecord).map(_build_changes)
 
 
-def _readable(raws: list[msgspec.Raw], kind: type[T]) -> list[T]:
+def _decode_valid(raws: list[msgspec.Raw], kind: type[T]) -> list[T]:
     """Return those of ``raws`` that can be read as a ``kind``.
 
     Failure: another writer has put an object of another shape beside the servers'.
@@ -93,23 +93,23 @@
     for raw in raws:
         read = decode_json(raw, kind)
         if read.is_error():
-            log.warning("object-unreadable", why=read.error, begins=_begins(raw))
+            log.warning("object-unreadable", why=read.error, begins=_log_excerpt(raw))
         else:
             found.append(read.ok)
     return found
 
 
-def _begins(raw: msgspec.Raw) -> str:
-    return bytes(raw)[:_LOGGED_BYTES].decode(errors="replace")
+def _log_excerpt(raw: msgspec.Raw) -> str:
+    return bytes(raw)[:_MAX_LOGGED_BYTES].decode(errors="replace")
 
 
-def _page(found: _PageSent) -> ObjectPage:
-    objects = tuple(map(_stored, _readable(found.items, _ObjectSent)))
+def _build_page(found: _PageRecord) -> ObjectPage:
+    objects = tuple(map(_build_object, _decode_valid(found.items, _ObjectRecord)))
     after = objects[-1].name if found.more and objects else ""
     return ObjectPage(objects, found.store_revision, after)
 
 
-def _stored(item: _ObjectSent) -> StoredObject:
+def _build_object(item: _ObjectRecord) -> StoredObject:
     metadata = item.metadata
     return StoredObject(
         name=metadata.name,
@@ -120,7 +120,7 @@
     )
 
 
-def _changes(found: _EventsSent) -> WatchResult:
-    events = _readable(found.events, _EventSent)
-    changes = (ObjectChange(_stored(one.object), one.tombstone) for one in events)
+def _build_changes(found: _EventsRecord) -> WatchResult:
+    events = _decode_valid(found.events, _EventRecord)
+    changes = (ObjectChange(_build_object(one.object), one.tombstone) for one in events)
     return WatchResult(tuple(changes), found.store_revision)
--- a/src/kingcupwheel/telemetry/lines.py
+++ b/src/kingcupwheel/telemetry/lines.py
@@ -109,9 +109,9 @@
             self.dropped += 1
             return
         if self.dropped:
-            self._tell_dropped()
+            self._report_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         lost, self.dropped = self.dropped, 0
         told = logging.LogRecord(
             "kingcupwheel.lines.log", logging.WARNING, "", 0, "lines-dropped", (), None
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -19,10 +19,10 @@
 
 # Bounds of latency buckets in seconds: around the aims of plain answers (0.2) and of
 # first events (0.5), and up to the longest route's time.
-_LATENCY_BUCKETS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 4, 8)
+_LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 4, 8)
 # A change takes some 0.25 s; past 4 s it is given up.
-_CHANGE_BUCKETS = (0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
-_WAIT_BUCKETS = (0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2)
+_MAP_CHANGE_BUCKETS_S = (0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
+_QUEUE_WAIT_BUCKETS_S = (0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2)
 
 
 class EntryMetrics:
@@ -53,13 +53,13 @@
             "kingcupwheel_answer_seconds",
             "From a request's arrival to its answer's end.",
             ["service"],
-            buckets=_LATENCY_BUCKETS,
+            buckets=_LATENCY_BUCKETS_S,
             registry=registry,
         )
         self.queue_wait_seconds = Histogram(
             "kingcupwheel_queue_wait_seconds",
             "Wait for a place on a server.",
-            buckets=_WAIT_BUCKETS,
+            buckets=_QUEUE_WAIT_BUCKETS_S,
             registry=registry,
         )
         self.configuration_age_seconds = Gauge(
@@ -105,7 +105,7 @@
         self.map_change_seconds = Histogram(
             "kingcupwheel_map_change_seconds",
             "From a change's plan to its release.",
-            buckets=_CHANGE_BUCKETS,
+            buckets=_MAP_CHANGE_BUCKETS_S,
             registry=registry,
         )
         self.expert_copies = Counter(
