--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -23,7 +23,7 @@
     from kingcupwheel.lockstep.rosters import Roster
     from kingcupwheel.messages.lockstep import RankStateReply
 
-Answers = dict[str, "RankTold"]
+Answers = dict[str, "RankStateReply"]
 
 
 class RankReach:
