--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -149,7 +149,7 @@
     def _beat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
         age_s = self._currency.age_s()
         return EntryHeartbeat(
-            me=self._me,
+            sender=self._me,
             incarnation=self._incarnation,
             leaving=self._leaving,
             sent_at=self._currency.now(),
@@ -171,7 +171,7 @@
         if is_new:
             # It knows nobody yet; an answer at once spares it a second alone.
             self._beat_at = 0.0
-            log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
+            log.info("entry-heard", name=beat.sender.name, incarnation=beat.incarnation)
         freshness = freshness_of(beat)
         if freshness is not None:
             self._currency.confirm(freshness.version, freshness.as_of)
@@ -183,7 +183,7 @@
         if now - self._asked_at >= _ASK_AGAIN_S:
             self._asked_at = now
             wanted = ManifestRequest(_CONFIGURATION)
-            self._hub.send(OutgoingLink(beat.me.address, 0), wanted)
+            self._hub.send(OutgoingLink(beat.sender.address, 0), wanted)
 
     def on_wanted(self, link: Link, message: ManifestRequest) -> None:
         """Hand a peer the configuration that it has not."""
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -82,10 +82,10 @@
 
     def heard(self, beat: EntryHeartbeat, now: float) -> bool:
         """Take in a heartbeat; return whether its entry is new or lives anew."""
-        peer = self._by_name.get(beat.me.name)
+        peer = self._by_name.get(beat.sender.name)
         is_new = peer is None or peer.beat is None
-        if peer is None or peer.told != beat.me:
-            peer = self._by_name[beat.me.name] = _Peer(beat.me, now)
+        if peer is None or peer.told != beat.sender:
+            peer = self._by_name[beat.sender.name] = _Peer(beat.sender, now)
         restarted = peer.beat is not None and peer.beat.incarnation != beat.incarnation
         peer.beat = beat
         peer.heard_at = now
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -120,7 +120,7 @@
     before this was sent; negative if that is not known. ``known`` are other entries.
     """
 
-    me: EntryInfo
+    sender: EntryInfo
     incarnation: str
     leaving: bool
     sent_at: float
