--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -157,7 +157,7 @@
             version=self._currency.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
             crashed=self._guards.crashed,
-            known=known,
+            known_entries=known,
         )
 
     def on_beat(self, beat: EntryHeartbeat) -> None:
@@ -165,7 +165,7 @@
         now = monotonic()
         with self._lock:
             is_new = self._peers.heard(beat, now)
-            self._peers.know(beat.known, now)
+            self._peers.know(beat.known_entries, now)
         if beat.crashed:
             self._guards.heard(beat.crashed)
         if is_new:
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -128,7 +128,7 @@
     version: int
     age_s: float
     crashed: tuple[tuple[str, int], ...]
-    known: tuple[EntryInfo, ...]
+    known_entries: tuple[EntryInfo, ...]
 
 
 class ManifestRequest(Message, frozen=True, tag="ManifestWanted"):
