--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -206,7 +206,7 @@
         if told is None:
             # Not in use there: it begins with an equal part as soon as it is.
             return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
-        return PeerShare(told.demand, told.held, told.wants, age_s)
+        return PeerShare(told.demand, told.held, told.wants_more, age_s)
 
     def _tell(self, member: str, shares: tuple[ShareReport, ...], now: float) -> None:
         address = self._membership.address_of(member)
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -198,7 +198,7 @@
     organisation: str
     demand: float
     held: float
-    wants: bool
+    wants_more: bool
 
 
 class ShareHeartbeat(Message, frozen=True, tag="ShareBeat"):
