--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -48,7 +48,7 @@
         state = self._state()
         if ask.order is not None:
             state = self._give(ask, state)
-        match ask.tell:
+        match ask.content:
             case ReplyContent.COUNTS:
                 scale, counts = self._new_counts()
                 return RankStateReply(ask.number, state, counts, scale)
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -81,7 +81,7 @@
             asked = tuple(branch.missing.items())
         for number, address in asked:
             ask = message.ask
-            passed = RankStateRequest(number, ask.tell, ask.order, ask.wait_ms)
+            passed = RankStateRequest(number, ask.content, ask.order, ask.wait_ms)
             self._hub.send(OutgoingLink(address, 0), passed)
 
     def told(self, message: RankStateReply) -> bool:
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -25,7 +25,7 @@
     """
 
     number: int
-    tell: ReplyContent
+    content: ReplyContent
     order: RankOrder | None = None
     wait_ms: int = 0
 
