--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -193,6 +193,6 @@
         first = next(iter(told))
         one = told[first]
         told[first] = RankStateReply(
-            one.number, one.state, answer.counts, answer.scale, one.places
+            one.number, one.state, answer.counts, answer.scale, one.placement
         )
     return told
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -55,7 +55,7 @@
             case ReplyContent.PLACES:
                 places = self._client.fetch_placement()
                 return RankStateReply(
-                    ask.number, state, places=places.default_value(())
+                    ask.number, state, placement=places.default_value(())
                 )
             case ReplyContent.STATE:
                 return RankStateReply(ask.number, state)
--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -69,7 +69,7 @@
 def ranks_of(own: RankState, answers: Mapping[str, RankStateReply]) -> dict[int, Found]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
-        told.state.rank: Found(agent, told.state, told.places)
+        told.state.rank: Found(agent, told.state, told.placement)
         for agent, told in answers.items()
         if told.state is not None
         and told.state.epoch == own.epoch
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -42,7 +42,7 @@
     state: RankState | None
     counts: bytes = b""
     scale: int = 1
-    places: tuple[tuple[int, ...], ...] = ()
+    placement: tuple[tuple[int, ...], ...] = ()
 
 
 class BranchRequest(Message, frozen=True, tag="BranchAsk"):
