--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -71,7 +71,7 @@
 
     def ask(self, link: Link, message: BranchRequest, now: float) -> None:
         """Pass a question on to the members of its branch."""
-        wait_s = message.ask.wait_ms / 1000
+        wait_s = message.request.wait_ms / 1000
         branch = _Branch(link, message, now + wait_s + ANSWER_S)
         with self._lock:
             for address in message.members:
@@ -80,7 +80,7 @@
                 self._branches_by_number[number] = branch
             asked = tuple(branch.missing.items())
         for number, address in asked:
-            ask = message.ask
+            ask = message.request
             passed = RankStateRequest(number, ask.content, ask.order, ask.wait_ms)
             self._hub.send(OutgoingLink(address, 0), passed)
 
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -49,7 +49,7 @@
     """Coordinator to the head of a branch: ask ``members`` this, and gather."""
 
     number: int
-    ask: RankStateRequest
+    request: RankStateRequest
     members: tuple[str, ...]
 
 
