--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -188,7 +188,7 @@
 ) -> dict[str, RankStateReply]:
     if isinstance(answer, RankStateReply):
         return {part.address: answer}
-    told = dict(answer.told)
+    told = dict(answer.reply_by_address)
     if answer.counts and told:
         first = next(iter(told))
         one = told[first]
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -60,6 +60,6 @@
     """
 
     number: int
-    told: dict[str, RankStateReply]
+    reply_by_address: dict[str, RankStateReply]
     counts: bytes = b""
     scale: int = 1
