--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -201,7 +201,7 @@
         match finding:
             case Silent(address):
                 logger.warning("Link to %s is silent; opening a new one.", address)
-                self._context.hub.replace(address)
+                self._context.hub.reconnect(address)
                 for inbox in inboxes.at(address):
                     inbox.put(LinkReplaced())
             case Gone(address):
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -134,7 +134,7 @@
             self._beat_at = now
             self._beats += 1
             for address in self._peers.silent_links(now):
-                self._hub.replace(address)
+                self._hub.reconnect(address)
             self._dead.extend(self._peers.forget_dead(now))
             peers = self._peers.told
             echoes = {told.name: self._peers.echo_for(told.name) for told in peers}
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -122,7 +122,7 @@
         self._commands.append(_SendCommand(link, message))
         self._wake()
 
-    def replace(self, address: str) -> None:
+    def reconnect(self, address: str) -> None:
         """Close the outgoing link to ``address`` and open a new connection."""
         self._commands.append(_ReconnectCommand(address))
         self._wake()
--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -178,7 +178,7 @@
                 continue
             unanswered = self._unanswered_by_address.get(address, 0) + 1
             if unanswered >= _SILENT_QUESTIONS:
-                self._hub.replace(address)
+                self._hub.reconnect(address)
                 unanswered = 0
             self._unanswered_by_address[address] = unanswered
 
