--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -117,7 +117,7 @@
                 self._chosen = self._choose()
                 self._expect(self._find_senders())
             for address in self._servers.keep(self._chosen, monotonic()):
-                self._hub.drop(address)
+                self._hub.disconnect(address)
 
     def _expect(self, senders: frozenset[str]) -> None:
         """Judge by their heartbeats only entries that send this one any.
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -127,7 +127,7 @@
         self._commands.append(_ReconnectCommand(address))
         self._wake()
 
-    def drop(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the outgoing link to ``address``."""
         self._commands.append(_DisconnectCommand(address))
         self._wake()
