--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -189,7 +189,7 @@
     def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
-            if change.object.name == CONFIGURATION_NAME and not change.removed:
+            if change.object.name == CONFIGURATION_NAME and not change.is_removed:
                 adopt(self._currency, change.object.body, asked_at, source="store")
         if not changes:
             self._currency.confirm(self._currency.version, asked_at)
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -56,7 +56,7 @@
     def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Take in what changed."""
         for change in changes:
-            if change.removed:
+            if change.is_removed:
                 self._missing(change.object.name)
             else:
                 self._seen(change.object)
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/stored.py
@@ -30,7 +30,7 @@
     """An object that was written, or with ``removed`` is gone."""
 
     object: StoredObject
-    removed: bool
+    is_removed: bool
 
 
 class WatchResult(NamedTuple):
