--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -91,12 +91,12 @@
         self._poller.register(self._wake_out, zmq.POLLIN)
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="hub", daemon=True)
-        self._counts = [0, 0, 0, 0]
+        self._traffic_counts = [0, 0, 0, 0]
 
     @property
     def traffic(self) -> TrafficCounts:
         """What has passed so far."""
-        return TrafficCounts(*self._counts)
+        return TrafficCounts(*self._traffic_counts)
 
     @property
     def port(self) -> int:
@@ -153,11 +153,11 @@
         next_tick = monotonic()
         while not self._stopping.is_set():
             next_tick = self._tick(next_tick)
-            self._carry_out()
+            self._run_commands()
             timeout_ms = max(0, int((next_tick - monotonic()) * 1000))
             self._receive(dict(self._poller.poll(timeout_ms)))
-        self._carry_out()
-        self._close()
+        self._run_commands()
+        self._close_sockets()
 
     def _tick(self, next_tick: float) -> float:
         now = monotonic()
@@ -169,7 +169,7 @@
             logger.exception("Tick failed.")
         return now + self._tick_s
 
-    def _carry_out(self) -> None:
+    def _run_commands(self) -> None:
         with contextlib.suppress(BlockingIOError):
             self._wake_out.recv(4096)
         while self._commands:
@@ -178,24 +178,24 @@
                     self._send(link, message)
                 case _ReconnectCommand(address):
                     self._close_dealer(address)
-                    self._dealer(address)
+                    self._open_dealer(address)
                 case _DisconnectCommand(address):
                     self._close_dealer(address)
 
     def _send(self, link: Link, message: Message) -> None:
         frame = self._codec.encode(message)
-        self._counts[1] += 1
-        self._counts[3] += len(frame)
+        self._traffic_counts[1] += 1
+        self._traffic_counts[3] += len(frame)
         try:
             match link:
                 case OutgoingLink(address, _):
-                    self._dealer(address).send(frame, zmq.NOBLOCK)
+                    self._open_dealer(address).send(frame, zmq.NOBLOCK)
                 case IncomingLink(identity):
                     self._router.send_multipart((identity, frame), zmq.NOBLOCK)
         except zmq.ZMQError:
             logger.debug("Message to %s dropped.", link)
 
-    def _dealer(self, address: str) -> zmq.Socket[bytes]:
+    def _open_dealer(self, address: str) -> zmq.Socket[bytes]:
         dealer = self._dealers_by_address.get(address)
         if dealer is not None:
             return dealer
@@ -246,8 +246,8 @@
             self._deliver(link, frame)
 
     def _deliver(self, link: Link, frame: bytes) -> None:
-        self._counts[0] += 1
-        self._counts[2] += len(frame)
+        self._traffic_counts[0] += 1
+        self._traffic_counts[2] += len(frame)
         result = self._codec.decode(frame)
         if result.is_error():
             logger.warning("Bad message from %s: %s.", link, result.error.detail)
@@ -257,7 +257,7 @@
         except Exception:
             logger.exception("Handler failed.")
 
-    def _close(self) -> None:
+    def _close_sockets(self) -> None:
         for address in list(self._dealers_by_address):
             self._close_dealer(address)
         self._router.close()
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -120,14 +120,14 @@
         closes="close" in headers.get("connection", "").lower(),
         idle_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
-        notice=_read_notice(headers, turned_away=not_run and status == 503),
+        notice=_read_notice(headers, is_refused=not_run and status == 503),
         passed=passed,
     )
 
 
-def _read_notice(headers: HTTPHeaderDict, *, turned_away: bool) -> ServerNotice:
+def _read_notice(headers: HTTPHeaderDict, *, is_refused: bool) -> ServerNotice:
     leaving = _header_values(headers, _SERVER_LEAVING)
-    rest = _header_values(headers, _RETRY_AFTER) if turned_away else []
+    rest = _header_values(headers, _RETRY_AFTER) if is_refused else []
     rest_s = _parse_retry_after_s(rest)
     unreadable = []
     if leaving not in ([], ["0"], ["1"]):
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/objects.py
@@ -60,7 +60,7 @@
     def __init__(
         self, url: str, *, call_timeout_s: float = DEFAULT_CALL_TIMEOUT_S
     ) -> None:
-        self._calls = StoreHttpClient(url, connect_s=call_timeout_s)
+        self._calls = StoreHttpClient(url, connect_timeout_s=call_timeout_s)
         self._call_timeout_s = call_timeout_s
 
     def read(self, kind: str, name: str) -> Result[StoredObject | None, PlatformError]:
--- a/src/kingcupwheel/platform/storecalls.py
+++ b/src/kingcupwheel/platform/storecalls.py
@@ -33,9 +33,9 @@
     ``connect_s`` is the longest time to connect, in seconds.
     """
 
-    def __init__(self, url: str, *, connect_s: float) -> None:
+    def __init__(self, url: str, *, connect_timeout_s: float) -> None:
         self._pool = urllib3.connection_from_url(url, maxsize=4)
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
 
     def call(
         self, method: str, path: str, timeout_s: float, body: bytes | None = None
@@ -51,7 +51,9 @@
                 path,
                 body=body,
                 headers={"Content-Type": "application/json"} if body else None,
-                timeout=urllib3.Timeout(connect=self._connect_s, read=timeout_s),
+                timeout=urllib3.Timeout(
+                    connect=self._connect_timeout_s, read=timeout_s
+                ),
                 retries=False,
                 redirect=False,
             )
