--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -16,7 +16,7 @@
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import open_platform
-from kingcupwheel.link.asking import QueryClient
+from kingcupwheel.link.query_client import QueryClient
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -17,7 +17,7 @@
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import open_platform
-from kingcupwheel.link.asking import QueryClient
+from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimView
 from kingcupwheel.trace.claims import find_claim
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/status.py
@@ -5,7 +5,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from kingcupwheel.link.asking import QueryClient
+from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.utils.structs import Record
