--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -20,8 +20,8 @@
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.exceptions import KingcupwheelError
 from kingcupwheel.settings.loader import load_settings
-from kingcupwheel.telemetry.lines import JsonLogOutput
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import JsonLogOutput
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.utils.logs import configure_logs
 
 
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -17,7 +17,7 @@
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
 from kingcupwheel.forwarding.watchdog import Watched
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -11,7 +11,7 @@
 from kingcupwheel.forwarding.neighbours import ENTRIES_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -42,7 +42,7 @@
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.objects import ObjectStore
 from kingcupwheel.plugins.kernel import load_placements
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
 from kingcupwheel.telemetry.metrics import MetricsApp
 
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -16,7 +16,7 @@
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import Unavailable
 from kingcupwheel.platform.objects import DEFAULT_CALL_TIMEOUT_S
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -18,7 +18,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.errors import Conflict
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/plannedstop.py
+++ b/src/kingcupwheel/forwarding/plannedstop.py
@@ -6,7 +6,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -41,7 +41,7 @@
 from kingcupwheel.forwarding.watchdog import Cut
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.headers import build_server_headers
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -17,7 +17,7 @@
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.platform.servers import SERVERS_KIND
 from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -11,7 +11,7 @@
 from kingcupwheel.forwarding.events import EventSplitter
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.outcomes import Came
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.utils.numbers import whole_number
 
 
--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -12,7 +12,7 @@
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import RankStateRequest
 from kingcupwheel.messages.lockstep import ReplyContent
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -14,7 +14,7 @@
 from kingcupwheel.lockstep.planning import bounds_of
 from kingcupwheel.lockstep.planning import plan
 from kingcupwheel.lockstep.popularity import Popularity
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -11,7 +11,7 @@
 from kingcupwheel.lockstep.shown import is_void
 from kingcupwheel.messages.lockstep import RankStateReply
 from kingcupwheel.messages.lockstep import ReplyContent
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/charge.py
+++ b/src/kingcupwheel/lockstep/charge.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.lockstep.change import Idle
 from kingcupwheel.lockstep.group import Group
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -22,7 +22,7 @@
 from kingcupwheel.lockstep.reaching import RankReach
 from kingcupwheel.lockstep.taking import LOOK_S
 from kingcupwheel.lockstep.taking import ChargeTaker
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -35,7 +35,7 @@
 from kingcupwheel.platform.ranks import RankClient
 from kingcupwheel.platform.servers import SERVERS_KIND
 from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import MetricsApp
 from kingcupwheel.telemetry.metrics import RankMetrics
 
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.lockstep.carrying import OrderCarrier
 from kingcupwheel.platform.ranks import RankClient
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/ordering.py
+++ b/src/kingcupwheel/lockstep/ordering.py
@@ -15,7 +15,7 @@
 from kingcupwheel.lockstep.change import ended
 from kingcupwheel.lockstep.change import wants
 from kingcupwheel.lockstep.group import FIRST
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -26,7 +26,7 @@
 from kingcupwheel.lockstep.rosters import layers_of
 from kingcupwheel.lockstep.rosters import ranks_of
 from kingcupwheel.lockstep.standstill import Standstill
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/platform/storecoding.py
+++ b/src/kingcupwheel/platform/storecoding.py
@@ -12,7 +12,7 @@
 from kingcupwheel.platform.stored import ObjectPage
 from kingcupwheel.platform.stored import StoredObject
 from kingcupwheel.platform.stored import WatchResult
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
--- a/tests/telemetry/test_lines.py
+++ b/tests/telemetry/test_json_logs.py
@@ -10,8 +10,8 @@
 import pytest
 
 from kingcupwheel.telemetry import lines
-from kingcupwheel.telemetry.lines import JsonLogOutput
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import JsonLogOutput
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
