--- a/src/kingcupwheel/forwarding/caretaking.py
+++ b/src/kingcupwheel/forwarding/caretaking.py
@@ -18,7 +18,7 @@
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.forwarding.neighbours import Neighbours
     from kingcupwheel.messages.membership import EntryInfo
-    from kingcupwheel.platform.objects import ObjectStore
+    from kingcupwheel.platform.object_store import ObjectStore
 
 log = lines_of("store")
 
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -40,7 +40,7 @@
 from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
-from kingcupwheel.platform.objects import ObjectStore
+from kingcupwheel.platform.object_store import ObjectStore
 from kingcupwheel.plugins.kernel import load_placements
 from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/following.py
@@ -15,7 +15,7 @@
 from kingcupwheel.platform.configuration import decode_configuration
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.platform.objects import DEFAULT_CALL_TIMEOUT_S
+from kingcupwheel.platform.object_store import DEFAULT_CALL_TIMEOUT_S
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
@@ -24,9 +24,9 @@
 
     from kingcupwheel.forwarding.currency import Currency
     from kingcupwheel.platform.errors import PlatformError
-    from kingcupwheel.platform.objects import ObjectChange
-    from kingcupwheel.platform.objects import ObjectStore
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectChange
+    from kingcupwheel.platform.object_store import ObjectStore
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("store")
 
--- a/src/kingcupwheel/forwarding/neighbours.py
+++ b/src/kingcupwheel/forwarding/neighbours.py
@@ -26,8 +26,8 @@
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.platform.objects import ObjectStore
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectStore
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("peers")
 
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable
 
     from kingcupwheel.forwarding.backends import Backend
-    from kingcupwheel.platform.objects import ObjectChange
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectChange
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("servers")
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -31,7 +31,7 @@
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
-from kingcupwheel.platform.objects import ObjectStore
+from kingcupwheel.platform.object_store import ObjectStore
 from kingcupwheel.platform.ranks import RankClient
 from kingcupwheel.platform.servers import SERVERS_KIND
 from kingcupwheel.platform.servers import decode_server
--- a/tests/forwarding/test_following.py
+++ b/tests/forwarding/test_following.py
@@ -22,11 +22,11 @@
 from kingcupwheel.forwarding.following import servers_pace
 from kingcupwheel.forwarding.serverlist import ServersFollower
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.platform.objects import DEFAULT_CALL_TIMEOUT_S
-from kingcupwheel.platform.objects import ObjectChange
-from kingcupwheel.platform.objects import ObjectList
-from kingcupwheel.platform.objects import StoredObject
-from kingcupwheel.platform.objects import WatchResult
+from kingcupwheel.platform.object_store import DEFAULT_CALL_TIMEOUT_S
+from kingcupwheel.platform.object_store import ObjectChange
+from kingcupwheel.platform.object_store import ObjectList
+from kingcupwheel.platform.object_store import StoredObject
+from kingcupwheel.platform.object_store import WatchResult
 from tests.forwarding.fleet import until
 from tests.platform.builders import server_entry
 
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_object_store.py
@@ -9,7 +9,7 @@
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.platform.objects import ObjectStore
+from kingcupwheel.platform.object_store import ObjectStore
 from tests.standins.object_store import PAGE
 from tests.standins.object_store import Door
 from tests.standins.object_store import Faults
