--- a/src/kingcupwheel/platform/object_store.py
+++ b/src/kingcupwheel/platform/object_store.py
@@ -18,8 +18,8 @@
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import PlatformError
 from kingcupwheel.platform.errors import WatchError
-from kingcupwheel.platform.storecalls import StoreHttpClient
-from kingcupwheel.platform.storecalls import decode_response
+from kingcupwheel.platform.store_client import StoreHttpClient
+from kingcupwheel.platform.store_client import decode_response
 from kingcupwheel.platform.storecoding import decode_changes
 from kingcupwheel.platform.storecoding import decode_object
 from kingcupwheel.platform.storecoding import decode_page
