--- a/src/kingcupwheel/platform/object_store.py
+++ b/src/kingcupwheel/platform/object_store.py
@@ -20,10 +20,10 @@
 from kingcupwheel.platform.errors import WatchError
 from kingcupwheel.platform.store_client import StoreHttpClient
 from kingcupwheel.platform.store_client import decode_response
-from kingcupwheel.platform.storecoding import decode_changes
-from kingcupwheel.platform.storecoding import decode_object
-from kingcupwheel.platform.storecoding import decode_page
-from kingcupwheel.platform.storecoding import encode_object
+from kingcupwheel.platform.store_codec import decode_changes
+from kingcupwheel.platform.store_codec import decode_object
+from kingcupwheel.platform.store_codec import decode_page
+from kingcupwheel.platform.store_codec import encode_object
 from kingcupwheel.platform.stored import ObjectChange
 from kingcupwheel.platform.stored import ObjectList
 from kingcupwheel.platform.stored import StoredObject
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -18,8 +18,8 @@
 from kingcupwheel.platform.ranks import decode_placement
 from kingcupwheel.platform.ranks import decode_state
 from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.platform.storecoding import decode_changes
-from kingcupwheel.platform.storecoding import decode_page
+from kingcupwheel.platform.store_codec import decode_changes
+from kingcupwheel.platform.store_codec import decode_page
 from kingcupwheel.platform.stored import StoredObject
 from tests.platform.builders import server_entry
 
