--- a/src/kingcupwheel/platform/object_store.py
+++ b/src/kingcupwheel/platform/object_store.py
@@ -24,10 +24,10 @@
 from kingcupwheel.platform.store_codec import decode_object
 from kingcupwheel.platform.store_codec import decode_page
 from kingcupwheel.platform.store_codec import encode_object
-from kingcupwheel.platform.stored import ObjectChange
-from kingcupwheel.platform.stored import ObjectList
-from kingcupwheel.platform.stored import StoredObject
-from kingcupwheel.platform.stored import WatchResult
+from kingcupwheel.platform.store_types import ObjectChange
+from kingcupwheel.platform.store_types import ObjectList
+from kingcupwheel.platform.store_types import StoredObject
+from kingcupwheel.platform.store_types import WatchResult
 
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 
     from urllib3 import BaseHTTPResponse
 
-    from kingcupwheel.platform.stored import ObjectPage
+    from kingcupwheel.platform.store_types import ObjectPage
 
 # Callers of the store take what it returns from here as well.
 __all__ = [
--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/servers.py
@@ -20,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.platform.stored import StoredObject
+    from kingcupwheel.platform.store_types import StoredObject
 
 # Each object is one server and is named by its id, which it may keep from life to life.
 SERVERS_KIND = "servers"
--- a/src/kingcupwheel/platform/store_codec.py
+++ b/src/kingcupwheel/platform/store_codec.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from kingcupwheel.platform.decoding import decode_json
-from kingcupwheel.platform.stored import ObjectChange
-from kingcupwheel.platform.stored import ObjectPage
-from kingcupwheel.platform.stored import StoredObject
-from kingcupwheel.platform.stored import WatchResult
+from kingcupwheel.platform.store_types import ObjectChange
+from kingcupwheel.platform.store_types import ObjectPage
+from kingcupwheel.platform.store_types import StoredObject
+from kingcupwheel.platform.store_types import WatchResult
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -20,7 +20,7 @@
 from kingcupwheel.platform.servers import decode_server
 from kingcupwheel.platform.store_codec import decode_changes
 from kingcupwheel.platform.store_codec import decode_page
-from kingcupwheel.platform.stored import StoredObject
+from kingcupwheel.platform.store_types import StoredObject
 from tests.platform.builders import server_entry
 
 
