--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -20,7 +20,7 @@
     from kingcupwheel.lockstep.state import RankCounts
     from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.messages.lockstep import RankStateRequest
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -32,7 +32,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.asking import Panel
     from kingcupwheel.lockstep.rosters import Beside
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.carrying import OrderCarrier
-from kingcupwheel.platform.ranks import RankClient
+from kingcupwheel.platform.rank_client import RankClient
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -37,7 +37,7 @@
     from kingcupwheel.lockstep.reaching import RankReach
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
 
 log = lines_of("maps")
 
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -14,9 +14,9 @@
 from kingcupwheel.platform.configuration import decode_configuration
 from kingcupwheel.platform.headers import read_request_headers
 from kingcupwheel.platform.headers import read_response_headers
-from kingcupwheel.platform.ranks import decode_counts
-from kingcupwheel.platform.ranks import decode_placement
-from kingcupwheel.platform.ranks import decode_state
+from kingcupwheel.platform.rank_client import decode_counts
+from kingcupwheel.platform.rank_client import decode_placement
+from kingcupwheel.platform.rank_client import decode_state
 from kingcupwheel.platform.servers import decode_server
 from kingcupwheel.platform.store_codec import decode_changes
 from kingcupwheel.platform.store_codec import decode_page
