--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -5,8 +5,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.platform.servers import SERVERS_KIND
-from kingcupwheel.platform.servers import decode_server
+from kingcupwheel.platform.server_entries import SERVERS_KIND
+from kingcupwheel.platform.server_entries import decode_server
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -33,8 +33,8 @@
 from kingcupwheel.platform.configuration import decode_configuration
 from kingcupwheel.platform.object_store import ObjectStore
 from kingcupwheel.platform.rank_client import RankClient
-from kingcupwheel.platform.servers import SERVERS_KIND
-from kingcupwheel.platform.servers import decode_server
+from kingcupwheel.platform.server_entries import SERVERS_KIND
+from kingcupwheel.platform.server_entries import decode_server
 from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import MetricsApp
 from kingcupwheel.telemetry.metrics import RankMetrics
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -17,7 +17,7 @@
 from kingcupwheel.platform.rank_client import decode_counts
 from kingcupwheel.platform.rank_client import decode_placement
 from kingcupwheel.platform.rank_client import decode_state
-from kingcupwheel.platform.servers import decode_server
+from kingcupwheel.platform.server_entries import decode_server
 from kingcupwheel.platform.store_codec import decode_changes
 from kingcupwheel.platform.store_codec import decode_page
 from kingcupwheel.platform.store_types import StoredObject
