--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -91,7 +91,7 @@
 
 
 class Heartbeat:
-    """Makes the ``Beat`` of this moment."""
+    """Makes the ``AgentHeartbeat`` of this moment."""
 
     def __init__(
         self,
--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -82,7 +82,7 @@
             return self._count(observed, now)
 
     def found(self, *, now: float) -> BurnReply:
-        """Answer ``BurnWanted``."""
+        """Answer ``BurnRequest``."""
         return BurnReply(self._process, msgspec.msgpack.encode(self.part(now=now)))
 
     def part(self, *, now: float) -> BurnPart:
--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -26,7 +26,7 @@
 
 
 class BurnAsker(Protocol):
-    """Asks live processes; ``link.asking.Asker`` does."""
+    """Asks live processes; ``link.query_client.QueryClient`` does."""
 
     def ask(
         self,
--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -36,7 +36,8 @@
 # tell the outcome; a larger one is passed on as it comes, to bound the entry's memory.
 WHOLE_ANSWER_BYTES = 256 * 1024
 # How long one wait for the next bytes lasts before the caller is looked at again. There
-# is no limit on the whole: an agent that says ``Running`` is alive, however slow.
+# is no limit on the whole: an agent that sends ``RunningAttempts`` is alive, however
+# slow.
 _WAIT_S = 1.0
 _EVENT_STREAM = "text/event-stream"
 _LEFT = Ended(Outcome.UNKNOWN, "the caller left")
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -130,8 +130,8 @@
     def dispatch(self, place: Place, held: Held | None) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
 
-        After a link was replaced only ``Resume`` is sent: a second copy of a dispatch
-        would make ``wrong incarnation`` an unsafe ground for ``not-run``.
+        After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
+        dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
         """
         context = self._context
         request = self._plan.request
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -99,8 +99,8 @@
 
         A connection that broke is made anew below this process, and heartbeats come
         again, but the agent still sends the answer to the old one. Symptom: a link that
-        is alive and an attempt of which nothing is heard, not even ``Running``. Asking
-        again gives the agent the new way; asking needlessly does no harm.
+        is alive and an attempt of which nothing is heard, not even ``RunningAttempts``.
+        Asking again gives the agent the new way; asking needlessly does no harm.
         """
         now = monotonic()
         if not isinstance(item, Elapsed):
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/pages.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.exchange import status_line
-from kingcupwheel.platform import pages
+from kingcupwheel.platform import entry_endpoints
 
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     ) -> Iterable[bytes]:
         """Answer one question."""
         status = 404
-        if environ["PATH_INFO"] == pages.READY_PATH:
+        if environ["PATH_INFO"] == entry_endpoints.READY_PATH:
             status = 200 if self._is_ready() else 503
         start_response(status_line(status), [("Content-Length", "0")])
         return (b"",)
@@ -49,15 +49,15 @@
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         """Answer one question."""
-        if environ["PATH_INFO"] != pages.ADDRESSES_PATH:
+        if environ["PATH_INFO"] != entry_endpoints.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
-        asked = pages.parse_data_centre(str(environ.get("QUERY_STRING", "")))
+        asked = entry_endpoints.parse_data_centre(str(environ.get("QUERY_STRING", "")))
         found = self._addresses(asked)
         if not found:
             start_response(status_line(503), [("Content-Length", "0")])
             return (b"",)
-        body = pages.encode_addresses(found, self._keep_s)
+        body = entry_endpoints.encode_addresses(found, self._keep_s)
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
--- a/src/kingcupwheel/messages/__init__.py
+++ b/src/kingcupwheel/messages/__init__.py
@@ -1,3 +1,3 @@
-"""Typed messages between the system's own processes."""
+"""Typed messages that entries, agents and the command line exchange."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/messages/attempts.py
+++ b/src/kingcupwheel/messages/attempts.py
@@ -1,7 +1,7 @@
-"""Messages about one attempt to run a request, between an entry and an agent.
+"""Messages between an entry and an agent about one attempt to run a request.
 
-An attempt is named by ``request_id`` and ``attempt``. Offsets count bytes of the
-answer's body from its start.
+``request_id`` and ``attempt`` identify an attempt. Offsets are in bytes from the start
+of the response body.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class Outcome(StrEnum):
-    """What became of an attempt, as told to the caller.
+    """Outcome of an attempt, as reported to the caller.
 
-    ``RAN``: the backend server ran it to an answer (whatever its status).
-    ``NOT_RUN``: it surely never started on a backend server.
+    ``RAN``: the backend server ran it and sent a response (of any status).
+    ``NOT_RUN``: it is certain that it never started on a backend server.
     ``UNKNOWN``: it may have run, wholly or in part.
     """
 
@@ -25,9 +25,9 @@
 
 
 class ClaimRef(Message, frozen=True):
-    """The claim that a dispatch of a non-repeatable request acts for.
+    """Reference to the claim that covers a dispatch of a non-repeatable request.
 
-    ``claim_id`` is the claim's digest, ``fence`` its fencing number at dispatch.
+    ``claim_id`` is the claim's digest, ``fence`` its fencing token at dispatch.
     """
 
     claim_id: str
@@ -37,10 +37,10 @@
 class Dispatch(Message, frozen=True):
     """Entry to agent: run this request.
 
-    ``incarnation`` is the agent's life that the entry means; ``token`` the rolling
-    clock token of the agent's last heartbeat (see ``Beat``). ``deadline_s`` is the time
-    that was left when this was sent, in seconds. ``work`` is predicted work in tokens.
-    ``credit`` is how many bytes of body the agent may send before an ``Ack``.
+    ``incarnation`` is the agent incarnation that may run it; ``token`` is the clock
+    token of its last heartbeat (see ``AgentHeartbeat``). ``deadline_s`` is the time
+    left when this was sent. ``work`` is the predicted work in tokens. ``credit`` is how
+    many body bytes the agent may send before an ``Ack``.
     """
 
     request_id: str
@@ -65,10 +65,11 @@
 
 
 class ResumeRequest(Message, frozen=True, tag="Resume"):
-    """Entry to agent: send what the attempt's answer holds from ``offset`` on.
+    """Entry to agent: send the attempt's response from ``offset`` on.
 
-    The agent answers ``Head`` (when known) and the frames, or ``Unseen``. ``claim_id``
-    lets an entry that did not make the dispatch find the attempt by its claim.
+    The agent replies with ``ResponseHead`` (once known) and the following frames, or
+    with ``AttemptUnknown``. ``claim_id`` lets an entry that did not send the dispatch
+    find the attempt by its claim.
     """
 
     request_id: str
@@ -79,7 +80,7 @@
 
 
 class Ack(Message, frozen=True):
-    """Entry to agent: bytes before ``offset`` have reached the caller."""
+    """Entry to agent: the bytes before ``offset`` have reached the caller."""
 
     request_id: str
     attempt: int
@@ -87,14 +88,14 @@
 
 
 class CancelRequest(Message, frozen=True, tag="Cancel"):
-    """Entry to agent: the caller left; stop the work and free the answer."""
+    """Entry to agent: the caller left; stop the work and discard the response."""
 
     request_id: str
     attempt: int
 
 
 class TombstoneRequest(Message, frozen=True, tag="Entomb"):
-    """Entry to agent: refuse dispatches of this claim below ``fence`` from now on."""
+    """Entry to agent: from now on refuse this claim's dispatches below ``fence``."""
 
     claim_id: str
     fence: int
@@ -102,10 +103,11 @@
 
 
 class TombstoneReply(Message, frozen=True, tag="Entombed"):
-    """Agent to entry: answers ``Entomb``.
+    """Reply to ``TombstoneRequest``.
 
-    ``ran`` tells that a dispatch of the claim was accepted before; it is then named.
-    ``accepted`` is False for another incarnation: nothing was promised.
+    ``ran`` is True if a dispatch of the claim was accepted before; ``request_id`` and
+    ``attempt`` then identify it. ``accepted`` is False if the request was for another
+    incarnation: the tombstone is not kept.
     """
 
     claim_id: str
@@ -118,7 +120,7 @@
 
 
 class AttemptAccepted(Message, frozen=True, tag="Accepted"):
-    """Agent to entry: the attempt is the agent's now; it waits or runs."""
+    """Agent to entry: the agent has accepted the attempt, which is queued or runs."""
 
     request_id: str
     attempt: int
@@ -126,7 +128,7 @@
 
 
 class DispatchRefusal(StrEnum):
-    """Why an agent did not run a dispatch."""
+    """Why an agent refused a dispatch."""
 
     WRONG_INCARNATION = "wrong-incarnation"
     STALE_TOKEN = "stale-token"
@@ -142,7 +144,7 @@
 
 
 class AttemptRefused(Message, frozen=True, tag="NotRun"):
-    """Agent to entry: the attempt never started on the server, and never will."""
+    """Agent to entry: the attempt never started on the server and never will."""
 
     request_id: str
     attempt: int
@@ -150,7 +152,7 @@
 
 
 class ResponseHead(Message, frozen=True, tag="Head"):
-    """Agent to entry: status and headers of the server's answer."""
+    """Agent to entry: status and headers of the server's response."""
 
     request_id: str
     attempt: int
@@ -159,7 +161,7 @@
 
 
 class ResponseData(Message, frozen=True, tag="Data"):
-    """Agent to entry: bytes of the answer's body at ``offset``."""
+    """Agent to entry: bytes of the response body at ``offset``."""
 
     request_id: str
     attempt: int
@@ -170,8 +172,8 @@
 class AttemptEnd(Message, frozen=True, tag="End"):
     """Agent to entry: the attempt has ended.
 
-    ``length`` is the whole body's length in bytes; ``outcome`` is RAN for a whole
-    answer and UNKNOWN for one cut short; ``detail`` says why in a few words.
+    ``length`` is the length of the whole body in bytes. ``outcome`` is RAN for a
+    complete response and UNKNOWN for a truncated one; ``detail`` gives the reason.
     """
 
     request_id: str
@@ -182,19 +184,19 @@
 
 
 class RunningAttempts(Message, frozen=True, tag="Running"):
-    """Agent to entry, about every second: these attempts are still alive here.
+    """Heartbeat of running attempts from an agent to an entry, about every second.
 
-    It tells a slow answer from a link gone silent.
+    It distinguishes a slow response from a dead link.
     """
 
     attempts: tuple[tuple[str, int], ...]
 
 
 class AttemptUnknown(Message, frozen=True, tag="Unseen"):
-    """Agent to entry: answers ``Resume``; this agent's life never saw the attempt.
+    """Reply to ``ResumeRequest``: this agent incarnation never received the attempt.
 
-    ``cancelled`` tells that a ``Cancel`` was noted, so that a dispatch that comes
-    later is refused.
+    ``cancelled`` is True if a ``CancelRequest`` was recorded, so that a later dispatch
+    is refused.
     """
 
     request_id: str
--- a/src/kingcupwheel/messages/base.py
+++ b/src/kingcupwheel/messages/base.py
@@ -1,4 +1,4 @@
-"""The base of all messages between the system's own processes."""
+"""Base class of the messages between processes."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """An immutable message.
+    """An immutable message, encoded as a tagged msgpack array.
 
-    It travels as a tagged msgpack array: a frame for each token is the hot path, and
-    arrays spare the field names.
+    Every token of a stream is a message of its own; arrays save the field names on
+    this hot path.
     """
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -1,4 +1,4 @@
-"""The msgpack codec of all messages."""
+"""msgpack codec of the messages between processes."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
 @codecs.register("msgpack")
 class MsgpackCodec:
-    """Encodes messages; an instance belongs to one thread."""
+    """Encodes and decodes messages; not thread-safe."""
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
@@ -105,11 +105,11 @@
         )
 
     def encode(self, message: Message) -> bytes:
-        """Return ``message`` as one frame."""
+        """Return ``message`` encoded as one frame."""
         return self._encoder.encode(message)
 
     def decode(self, frame: bytes) -> Result[Message, BadMessage]:
-        """Return the message in ``frame``, or why it is none."""
+        """Return the message in ``frame``, or why it can't be decoded."""
         try:
             return Ok(self._decoder.decode(frame))
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
--- a/src/kingcupwheel/messages/exceptions.py
+++ b/src/kingcupwheel/messages/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the message layer."""
+"""Errors of the message codec."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class BadMessage(NamedTuple):
-    """A frame that is no message of this version; ``detail`` says why."""
+    """A frame that can't be decoded as a known message; ``detail`` says why."""
 
     detail: str
--- a/src/kingcupwheel/messages/expertmaps.py
+++ b/src/kingcupwheel/messages/expertmaps.py
@@ -1,7 +1,8 @@
 """Messages between the coordinator of a group's expert map and the group's agents.
 
-Each carries the coordinator's ``fence`` (its lease's version); an agent refuses one
-that is lower than it has seen. A map version is ``(fence, counter)`` and never reused.
+Each carries the coordinator's ``fence``, a fencing token (the version of its lease); an
+agent refuses a fence lower than the highest it has seen. A map version is
+``(fence, counter)`` and is never reused.
 """
 
 from __future__ import annotations
@@ -12,7 +13,8 @@
 class MapOrder(Message, frozen=True):
     """Coordinator to agent: one order for the agent's rank.
 
-    ``order`` is an encoded ``expertmaps.protocol`` order; ``serial`` pairs the reply.
+    ``order`` is an encoded order of ``expertmaps.protocol``. ``serial`` is the
+    correlation number that the reply repeats.
     """
 
     group: str
@@ -23,9 +25,9 @@
 
 
 class MapReply(Message, frozen=True):
-    """Agent to coordinator: the answer of ``rank`` to the order with that ``serial``.
+    """Agent to coordinator: the reply of ``rank`` to the order with that ``serial``.
 
-    ``fence`` is that of the order, so that an answer to a former holder is told apart.
+    ``fence`` repeats the order's, which identifies replies to a former lease holder.
     """
 
     group: str
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, leaving, and what rides on them."""
+"""Heartbeats, membership, and the data that heartbeats carry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Hello(Message, frozen=True):
-    """Entry to agent or peer, about every second on a used link."""
+    """Heartbeat from an entry to an agent or peer, about every second on used links."""
 
     name: str
     data_centre: str
@@ -18,12 +18,12 @@
 
 
 class BackendLoad(Message, frozen=True, tag="Load"):
-    """Load of one backend server as its agent sees it.
+    """Load of one backend server as measured by its agent.
 
     ``running`` and ``queued`` count attempts, ``capacity`` is the concurrency limit,
-    ``work`` is the predicted work outstanding in tokens, ``rate`` the tokens per second
-    of late, ``age_s`` the age of the server's own report in seconds. ``pace`` is how
-    many times its usual time the server takes, 1 where it does not say.
+    ``work`` the predicted outstanding work in tokens, ``rate`` the recent throughput in
+    tokens per second, ``age_s`` the age of the server's own report. ``pace`` is the
+    server's slowdown relative to its usual time, 1 if unknown.
     """
 
     running: int
@@ -36,12 +36,15 @@
 
 
 class AgentHeartbeat(Message, frozen=True, tag="Beat"):
-    """Agent to entry, about every second and at once when leaving starts.
+    """Heartbeat from an agent to an entry.
 
-    ``token`` rolls with the agent's own clock; a dispatch that names an old one is
-    refused, which bounds how long tombstones live. ``crashed`` are pairs of a
-    fingerprint that was running when the server died and the death's name, for a while.
-    ``born_ms`` is when the server itself started (Unix milliseconds, 0: not told).
+    Sent about every second, and at once when leaving starts.
+
+    ``token`` changes with the agent's clock; a dispatch with an old one is refused,
+    which bounds how long tombstones are kept. ``crashed`` pairs the fingerprint of each
+    request that was running when the server crashed with an id of the crash; pairs are
+    repeated for a while. ``born_ms`` is the server's start time (Unix milliseconds, 0
+    if unknown).
     """
 
     name: str
@@ -58,10 +61,10 @@
 
 
 class LoadsRequest(Message, frozen=True, tag="LoadsAsk"):
-    """Entry to the agent that tells loads for its data centre, about every second.
+    """Entry to the agent that reports loads for its data centre, about every second.
 
-    ``members`` are the addresses of the agents whose servers' loads are wanted,
-    ``every_s`` how often they are to be told.
+    ``members`` are the addresses of the agents whose servers' loads are requested,
+    ``every_s`` is the reporting interval.
     """
 
     members: tuple[str, ...]
@@ -69,10 +72,10 @@
 
 
 class ReportedServerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A server's load as the agent beside it told a moment ago.
+    """A server's load as last reported by its own agent.
 
-    ``address`` is the server's; ``born_ms`` tells which life of it (0: not told); the
-    rest as in ``Load`` and ``Beat``.
+    ``address`` is the server's; ``born_ms`` identifies its incarnation (0 if unknown).
+    The other fields are as in ``BackendLoad`` and ``AgentHeartbeat``.
     """
 
     address: str
@@ -84,15 +87,15 @@
 
 
 class LoadsReply(Message, frozen=True, tag="LoadsTold"):
-    """Answers ``LoadsAsk`` as often as it asks; members not heard are left out."""
+    """Repeated reply to ``LoadsRequest``; members without a report are left out."""
 
     servers: tuple[ReportedServerLoad, ...]
 
 
 class PeerHeartbeat(Message, frozen=True, tag="PeerBeat"):
-    """Entry to peer entry, about every second: what the peer may need to know.
+    """Heartbeat from an entry to a peer entry, about every second.
 
-    ``crashed`` as in ``Beat``, of all deaths heard of lately.
+    ``crashed`` is as in ``AgentHeartbeat``, for all recently reported crashes.
     """
 
     name: str
@@ -104,7 +107,7 @@
 
 
 class EntryInfo(Message, frozen=True, tag="EntryTold"):
-    """An entry that the sender has heard of or from: where it is and which life."""
+    """Addresses of an entry that the sender knows, directly or from another entry."""
 
     name: str
     address: str
@@ -113,14 +116,14 @@
 
 
 class EntryHeartbeat(Message, frozen=True, tag="EntryBeat"):
-    """Entry to entry on the users' platform, about twice a second.
+    """Heartbeat between entries on the users' platform, about twice a second.
 
-    ``sent_at`` is the sender's own clock; ``echo`` the newest ``sent_at`` that it has
-    had from the receiver. ``version`` of the configuration was the newest ``age_s``
-    before this was sent; negative if that is not known. ``known`` are other entries.
+    ``sent_at`` is read from the sender's clock; ``echo`` is the newest ``sent_at`` that
+    the sender received from the receiver. Configuration ``version`` was the newest one
+    ``age_s`` before this was sent; a negative age means unknown.
     """
 
-    sender: EntryInfo
+    sender: EntryInfo = msgspec.field(name="me")
     incarnation: str
     leaving: bool
     sent_at: float
@@ -128,19 +131,19 @@
     version: int
     age_s: float
     crashed: tuple[tuple[str, int], ...]
-    known_entries: tuple[EntryInfo, ...]
+    known_entries: tuple[EntryInfo, ...] = msgspec.field(name="known")
 
 
 class ManifestRequest(Message, frozen=True, tag="ManifestWanted"):
-    """To a peer: send this object of the manifest (the index or a shard)."""
+    """To a peer: request an object of the manifest (the index or a shard)."""
 
     key: str
 
 
 class ManifestObject(Message, frozen=True):
-    """Answers ``ManifestWanted``; ``value`` is None if unknown.
+    """Reply to ``ManifestRequest``; ``value`` is None if the key is unknown.
 
-    ``version`` is the index's.
+    ``version`` is that of the index.
     """
 
     key: str
@@ -149,7 +152,7 @@
 
 
 class InstanceInfo(Message, frozen=True):
-    """One instance of the platform's list, as one entry tells another."""
+    """An instance of the platform's list, as one entry passes it to another."""
 
     name: str
     role: str
@@ -161,25 +164,25 @@
 
 
 class InstancesRequest(Message, frozen=True, tag="InstancesWanted"):
-    """Entry to peer: which instances do you know? Asked when the platform is down."""
+    """Entry to peer: request the known instances while the platform is down."""
 
     name: str
 
 
 class InstancesReply(Message, frozen=True, tag="InstancesFound"):
-    """Answers ``InstancesWanted``."""
+    """Reply to ``InstancesRequest``."""
 
     instances: tuple[InstanceInfo, ...]
 
 
 class StatusRequest(Message, frozen=True, tag="StatusWanted"):
-    """To an entry or agent: say how you are."""
+    """To an entry or agent: request its status."""
 
 
 class StatusReply(Message, frozen=True, tag="StatusFound"):
-    """Answers ``StatusWanted``; ``role`` is ``entry`` or ``agent``.
+    """Reply to ``StatusRequest``; ``role`` is ``entry`` or ``agent``.
 
-    ``manifest_version`` is the version in force there, 0 before the first one.
+    ``manifest_version`` is the version in force, 0 before the first one.
     """
 
     name: str
@@ -192,20 +195,21 @@
 class ShareReport(Message, frozen=True, tag="ShareTold"):
     """An entry's demand on an organisation's allowance, and the share it holds.
 
-    Both are fractions of the whole allowance; ``wants`` tells that it would hold more.
+    ``demand`` and ``held`` are fractions of the whole allowance; ``wants_more`` says
+    that the entry could use a larger share.
     """
 
     organisation: str
     demand: float
     held: float
-    wants_more: bool
+    wants_more: bool = msgspec.field(name="wants")
 
 
 class ShareHeartbeat(Message, frozen=True, tag="ShareBeat"):
-    """Entry to entry, about every second while they share an organisation in use.
+    """Heartbeat between entries that share an active organisation, about every second.
 
-    ``sent_at`` is the sender's own monotonic clock; ``echo`` the newest ``sent_at``
-    that the sender has had from the receiver, negative before the first.
+    ``sent_at`` is read from the sender's monotonic clock; ``echo`` is the newest
+    ``sent_at`` that the sender received from the receiver, negative before the first.
     """
 
     name: str
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -1,4 +1,4 @@
-"""Questions about what became of a request, between processes and the command line."""
+"""Messages by which the command line queries traces and SLO counts of processes."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TraceRequest(Message, frozen=True, tag="TraceWanted"):
-    """To an entry or agent: send the events you hold of this request."""
+    """To an entry or agent: request its trace events of this request."""
 
     request_id: str
 
 
 class TraceReply(Message, frozen=True, tag="TraceFound"):
-    """Answers ``TraceWanted``; ``events`` is an encoded list of trace events."""
+    """Reply to ``TraceRequest``; ``events`` is an encoded list of trace events."""
 
     request_id: str
     process: str
@@ -21,11 +21,11 @@
 
 
 class BurnRequest(Message, frozen=True, tag="BurnWanted"):
-    """To an entry: send your counts against service-level goals."""
+    """To an entry: request its counts against service-level objectives."""
 
 
 class BurnReply(Message, frozen=True, tag="BurnFound"):
-    """Answers ``BurnWanted``; ``part`` is an encoded ``burn.records.BurnPart``."""
+    """Reply to ``BurnRequest``; ``part`` is an encoded ``burn.records.BurnPart``."""
 
     process: str
     part: bytes
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -58,7 +58,7 @@
 
 
 class TraceAsker(Protocol):
-    """Asks live processes; ``link.asking.Asker`` does."""
+    """Asks live processes; ``link.query_client.QueryClient`` does."""
 
     def ask(
         self,
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -107,7 +107,7 @@
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
     def found(self, request_id: str) -> TraceReply:
-        """Answer ``TraceWanted``: the events held, and whether none was let go.
+        """Answer ``TraceRequest``: the events held, and whether none was let go.
 
         ``complete`` is False if events of the request may have been recorded by an
         earlier life of this process, pushed out by newer requests or left out.
