--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -24,11 +24,11 @@
     from urllib3 import BaseHTTPResponse
     from urllib3.connection import HTTPConnection
 
-    from kingcupwheel.forwarding.connections import Connections
+    from kingcupwheel.forwarding.connectionpool import ConnectionPool
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import Pulse
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # Read at a time; an event of a stream has some hundred bytes.
 _READ_BYTES = 65_536
@@ -97,7 +97,7 @@
         head: AnswerHead,
         response: BaseHTTPResponse,
         connection: HTTPConnection,
-        watched: Watched,
+        watched: WatchedRequest,
     ) -> None:
         self.head = head
         self._response = response
@@ -117,12 +117,12 @@
         except _BROKEN as error:
             raise AnswerLostError(self._why(error)) from error
         if data:
-            self._watched.progressed()
+            self._watched.record_progress()
             if self.on_data is not None:
                 self.on_data()
             return data
-        if self._watched.cut is not None:
-            raise AnswerLostError(self._watched.cut.value)
+        if self._watched.abort_reason is not None:
+            raise AnswerLostError(self._watched.abort_reason.value)
         self.is_whole = True
         return b""
 
@@ -138,11 +138,11 @@
         return b"".join(parts)
 
     def _why(self, error: Exception) -> str:
-        if self._watched.cut is not None:
-            return self._watched.cut.value
+        if self._watched.abort_reason is not None:
+            return self._watched.abort_reason.value
         return f"cut: {type(error).__name__}"
 
-    def end(self, life: str, connections: Connections) -> None:
+    def end(self, life: str, connections: ConnectionPool) -> None:
         """Keep the connection if its answer was whole, else close it.
 
         A server that is still at work on an answer learns by a reset that it is not
@@ -151,11 +151,11 @@
         if self.is_whole:
             self._watched.detach()
         else:
-            self._watched.abandon()
+            self._watched.reset_server()
         head = self.head
         keeps = self.is_whole and head.framed and not head.closes
         if keeps and 200 <= head.status < 300:
-            connections.keep(life, self._connection, head.idle_s)
+            connections.release(life, self._connection, head.idle_s)
             return
         # An answer that came before its request was read leaves bytes on the way; its
         # connection is not used again.
@@ -170,7 +170,7 @@
 class ServerCalls:
     """Sends requests to servers; safe from any thread."""
 
-    def __init__(self, connections: Connections) -> None:
+    def __init__(self, connections: ConnectionPool) -> None:
         self._connections = connections
 
     def send(
@@ -180,7 +180,7 @@
         instance: str,
         life: str,
         address: str,
-        watched: Watched,
+        watched: WatchedRequest,
         silence_s: float,
         pulse: Pulse | None,
         fresh: bool,
@@ -194,7 +194,7 @@
         server is given up only when ``may_give_up`` says so. ``may_begin`` is asked in
         the moment before bytes leave, since the place was given earlier.
         """
-        connection = None if fresh else self._connections.take(life)
+        connection = None if fresh else self._connections.acquire(life)
         if connection is None:
             try:
                 connection = self._connections.open(address)
@@ -217,7 +217,7 @@
         return sent
 
     def _exchange(
-        self, request: Outgoing, connection: HTTPConnection, watched: Watched
+        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
     ) -> Sent:
         try:
             connection.request(
@@ -238,7 +238,7 @@
         self,
         request: Outgoing,
         connection: HTTPConnection,
-        watched: Watched,
+        watched: WatchedRequest,
         why: str,
     ) -> Sent:
         found = self._head(request, connection, watched)
@@ -252,15 +252,15 @@
         return Lost(f"cut while it was sent: {why}", notice)
 
     def _head(
-        self, request: Outgoing, connection: HTTPConnection, watched: Watched
+        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
     ) -> Sent:
         try:
             response = connection.getresponse()
             head = read_response_headers(response.status, response.headers)
         except _BROKEN as error:
-            cut = watched.cut
+            cut = watched.abort_reason
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
-        watched.progressed()
+        watched.record_progress()
         if head.attempt and head.attempt != request.attempt:
             return Lost("the answer was another request's")
         if head.not_run:
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -34,15 +34,15 @@
     host: str
     prefix: str
     shares: tuple[ServiceShare, ...]
-    may_rerun: bool
-    streamed: bool
-    resumable: bool
-    answer_s: float
-    aim_s: float
-    gap_s: float
+    is_idempotent: bool
+    is_streamed: bool
+    is_resumable: bool
+    timeout_s: float
+    target_latency_s: float
+    max_event_gap_s: float
     priority: int
     max_servers: int
-    anonymous: bool
+    allows_anonymous: bool
 
 
 class EngineShape(NamedTuple):
@@ -53,12 +53,12 @@
     longest good pause between two events of its streams, 0 if no route tells one.
     """
 
-    layers: int
-    experts: int
+    layer_count: int
+    expert_count: int
     places: int
-    spare: int
-    copy_s: float
-    gap_s: float = 0.0
+    max_new_experts: int
+    expert_copy_s: float
+    max_event_gap_s: float = 0.0
 
 
 class Service(NamedTuple):
@@ -71,12 +71,12 @@
 class RequestLimits(NamedTuple):
     """What a caller may send, and how long its connection may stay idle."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
+    idle_timeout_s: float = 15.0
 
 
-class OrganisationKey(NamedTuple):
+class KeyHolder(NamedTuple):
     """The organisation that holds a key; ``priority`` is None if it names none."""
 
     organisation: str
@@ -92,34 +92,35 @@
     version: int
     routes_by_host: Mapping[str, tuple[ForwardRoute, ...]]
     services_by_name: Mapping[str, Service]
-    holders_by_key_digest: Mapping[bytes, OrganisationKey]
+    key_holders_by_digest: Mapping[bytes, KeyHolder]
     has_organisations: bool
     limits: RequestLimits
     raw: bytes
 
-    def route(self, host: str, path: str) -> ForwardRoute | None:
+    def find_route(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
-    def engine_of(self, service: str) -> EngineShape | None:
+    def find_engine(self, service: str) -> EngineShape | None:
         """Return a service's engine, with the shortest pause that a route asks for."""
         found = self.services_by_name.get(service)
         if found is None or found.engine is None:
             return None
         gaps = [
-            route.gap_s
+            route.max_event_gap_s
             for routes in self.routes_by_host.values()
             for route in routes
-            if route.gap_s > 0 and any(one.service == service for one in route.shares)
+            if route.max_event_gap_s > 0
+            and any(one.service == service for one in route.shares)
         ]
-        return found.engine._replace(gap_s=min(gaps, default=0.0))
+        return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
-    def holder(self, key: str) -> OrganisationKey | None:
+    def find_key_holder(self, key: str) -> KeyHolder | None:
         """Return who holds the bearer key."""
-        return self.holders_by_key_digest.get(key_digest(key))
+        return self.key_holders_by_digest.get(key_digest(key))
 
 
 def key_digest(key: str) -> bytes:
@@ -127,7 +128,7 @@
     return hashlib.sha256(key.encode()).digest()
 
 
-def routes_by_host(
+def group_routes_by_host(
     routes: tuple[ForwardRoute, ...],
 ) -> dict[str, tuple[ForwardRoute, ...]]:
     """Group routes by host, those with the longest prefix first."""
--- a/src/kingcupwheel/forwarding/currency.py
+++ b/src/kingcupwheel/forwarding/configurationcache.py
@@ -17,21 +17,21 @@
     from kingcupwheel.forwarding.configuration import Configuration
 
 
-def suspended_too() -> float:
+def boottime_s() -> float:
     """Return seconds of the clock that counts suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Currency:
+class ConfigurationCache:
     """Holds the newest configuration; safe from any thread.
 
     ``as_of`` times are of the question that brought the answer, never of the answer:
     an answer may be held up on its way.
     """
 
-    def __init__(self, clock: Callable[[], float] = suspended_too) -> None:
+    def __init__(self, clock: Callable[[], float] = boottime_s) -> None:
         self._clock = clock
-        self._current: Configuration | None = None
+        self._configuration: Configuration | None = None
         self._as_of = float("-inf")
         self._lock = Lock()
 
@@ -42,19 +42,19 @@
     @property
     def current(self) -> Configuration | None:
         """The newest configuration known, None before the first."""
-        return self._current
+        return self._configuration
 
     @property
     def version(self) -> int:
         """Its version, 0 before the first."""
-        current = self._current
+        current = self._configuration
         return 0 if current is None else current.version
 
     def age_s(self) -> float:
         """Return how long ago it was surely the newest; infinite if never."""
         return self._clock() - self._as_of
 
-    def adopt(self, found: Configuration, as_of: float) -> bool:
+    def update(self, found: Configuration, as_of: float) -> bool:
         """Take a configuration that was the newest at ``as_of``; tell if it is new.
 
         Failure: answers overtake each other, or a stale copy comes late. Symptom: a
@@ -70,7 +70,7 @@
                 return False
             is_new = found.version > self.version
             if is_new:
-                self._current = found
+                self._configuration = found
             self._as_of = max(self._as_of, as_of)
         return is_new
 
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -14,8 +14,8 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerCalls
-    from kingcupwheel.forwarding.connections import Connections
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.connectionpool import ConnectionPool
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
@@ -33,25 +33,27 @@
     """The shared parts; each is safe from any thread."""
 
     data_centre: str
-    currency: Currency
+    configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
-    book: ServerBook
-    calls: ServerCalls
-    connections: Connections
+    servers: ServerBook
+    server_client: ServerCalls
+    connection_pool: ConnectionPool
     guards: Guards
-    pulses: Pulses
+    liveness: Pulses
     watchdog: Watchdog
     metrics: EntryMetrics
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the group that a service's requests queue for."""
-        return self.book.group_of(service)
+        return self.servers.group_of(service)
 
-    def saw_load(self, place: Place, load: ReportedLoad | None) -> None:
+    def record_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Take in the load that an answer told."""
-        self.book.saw_load(place, load)
+        self.servers.saw_load(place, load)
 
-    def told(self, place: Place, notice: ServerNotice, request_id: str) -> None:
+    def record_notice(
+        self, place: Place, notice: ServerNotice, request_id: str
+    ) -> None:
         """Take in what an answer says of its server."""
         for header in notice.unreadable:
             self.metrics.server_notices.labels("unreadable").inc()
@@ -63,28 +65,30 @@
             )
         if notice.rest_s:
             self.metrics.server_notices.labels("rest").inc()
-            self.book.rests(place, notice.rest_s, request_id)
-        if notice.leaving and self.book.leaves(place, request_id):
+            self.servers.rests(place, notice.rest_s, request_id)
+        if notice.leaving and self.servers.leaves(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
-            self.connections.forget(place.incarnation)
+            self.connection_pool.close_server(place.incarnation)
 
-    def ended(self, place: Place, answer: ServerAnswer) -> None:
+    def release_connection(self, place: Place, answer: ServerAnswer) -> None:
         """Keep the connection of an answer that ended, unless its server leaves."""
-        answer.end(place.incarnation, self.connections)
-        if self.book.is_leaving(place.incarnation):
-            self.connections.forget(place.incarnation)
+        answer.end(place.incarnation, self.connection_pool)
+        if self.servers.is_leaving(place.incarnation):
+            self.connection_pool.close_server(place.incarnation)
 
-    def misdirected(self, place: Place) -> None:
+    def record_misdirection(self, place: Place) -> None:
         """Note that another life of a server has its address."""
-        self.connections.forget(place.incarnation)
-        self.book.misdirected(place)
+        self.connection_pool.close_server(place.incarnation)
+        self.servers.misdirected(place)
 
-    def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
+    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
         """Note that a server turned a request away: it is full, or its group closed."""
         if streamed and self.guards.is_closed(
-            service, place.server, quiet_s=self.pulses.of(service).quiet_s(monotonic())
+            service,
+            place.server,
+            quiet_s=self.liveness.of(service).quiet_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.book.closed(service)
+            self.servers.closed(service)
         else:
-            self.book.full(place)
+            self.servers.full(place)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -14,24 +14,24 @@
 from kingcupwheel.forwarding.admitting import Knowledge
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
-from kingcupwheel.forwarding.caretaking import Caretaker
-from kingcupwheel.forwarding.connections import Connections
+from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+from kingcupwheel.forwarding.connectionpool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
-from kingcupwheel.forwarding.currency import Currency
-from kingcupwheel.forwarding.following import ConfigurationFollower
-from kingcupwheel.forwarding.following import StoreFollower
-from kingcupwheel.forwarding.following import configuration_pace
-from kingcupwheel.forwarding.following import servers_pace
-from kingcupwheel.forwarding.greeting import AgentGreeter
+from kingcupwheel.forwarding.endpoints import AddressesEndpoint
+from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
+from kingcupwheel.forwarding.entrymembership import EntryMembership
+from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
-from kingcupwheel.forwarding.neighbours import Neighbours
-from kingcupwheel.forwarding.pages import AddressesPage
-from kingcupwheel.forwarding.pages import ReadyPage
-from kingcupwheel.forwarding.plannedstop import PlannedStop
+from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import Pulses
 from kingcupwheel.forwarding.serverbook import ServerBook
-from kingcupwheel.forwarding.serverlist import ServersFollower
+from kingcupwheel.forwarding.serverlist import ServerListHandler
+from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
+from kingcupwheel.forwarding.storewatch import ConfigurationHandler
+from kingcupwheel.forwarding.storewatch import StoreWatcher
+from kingcupwheel.forwarding.storewatch import configuration_watch_timing
+from kingcupwheel.forwarding.storewatch import server_watch_timing
 from kingcupwheel.forwarding.watchdog import Watchdog
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -55,21 +55,21 @@
     from kingcupwheel.settings.schema import Settings
 
 log = lines_of("process")
-servers = lines_of("servers")
+servers_log = lines_of("servers")
 
 # Threads for pages that are answered at once.
 _PAGE_THREADS = 2
 _PAGE_CONNECTIONS = 200
 # Between two looks at servers' loads and links, in seconds.
-_TICK_S = 0.1
-_REFRESH_S = 0.5
+_TICK_INTERVAL_S = 0.1
+_REFRESH_INTERVAL_S = 0.5
 # Taken off the time within which a key must stop working: a store that is about to
 # forget its history answers watches for up to a second without news.
 _REVOKE_MARGIN_S = 1.3
 # A denial of a route or key needs knowledge no older than two watches and a slow
 # answer.
-_DENYING_S = 3.6
-_MS = 1000.0
+_MAX_DENIAL_AGE_S = 3.6
+_MS_PER_S = 1000.0
 
 
 class ForwardingDaemon:
@@ -85,12 +85,12 @@
         self._refresh_at = 0.0
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
-        self._currency = Currency()
+        self._configuration_cache = ConfigurationCache()
         self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
-            tick_s=_TICK_S,
+            tick_s=_TICK_INTERVAL_S,
         )
         table = ServerTable(settings.timings)
         dispatchers = Dispatchers(table, data_centre=settings.data_centre)
@@ -99,67 +99,71 @@
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._neighbours.sharing)
-        connections = Connections()
+        self._guards = Guards(budget, lambda: self._membership.fleet_size)
+        connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
-            currency=self._currency,
+            configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            book=ServerBook(table, dispatchers),
-            calls=ServerCalls(connections),
-            connections=connections,
+            servers=ServerBook(table, dispatchers),
+            server_client=ServerCalls(connections),
+            connection_pool=connections,
             guards=self._guards,
-            pulses=Pulses(),
+            liveness=Pulses(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
-        self._greeter = AgentGreeter(
+        self._load_poller = AgentLoadPoller(
             settings,
             self._hub,
-            self._context.book,
-            self._currency,
-            leaving=self._leaving.is_set,
+            self._context.servers,
+            self._configuration_cache,
+            is_leaving=self._leaving.is_set,
         )
         me = EntryInfo(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
-        self._neighbours = Neighbours(me, self._hub, self._currency, self._guards)
-        self._followers = self._make_followers()
+        self._membership = EntryMembership(
+            me, self._hub, self._configuration_cache, self._guards
+        )
+        self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
             self._knowledge,
             name=settings.name,
-            others_live=lambda: bool(self._neighbours.live()),
+            has_live_peers=lambda: bool(self._membership.live_entries()),
+        )
+        self._http_servers = self._make_http_servers()
+        self._store_maintainer = StoreMaintainer(
+            self._store, self._configuration_cache, self._membership
         )
-        self._servers = self._make_servers()
-        self._caretaker = Caretaker(self._store, self._currency, self._neighbours)
 
-    def _make_followers(self) -> tuple[StoreFollower, ...]:
-        clock = self._currency.now
-        configuration = ConfigurationFollower(self._currency)
-        listed = ServersFollower(self._on_servers)
+    def _make_watchers(self) -> tuple[StoreWatcher, ...]:
+        clock = self._configuration_cache.now
+        configuration = ConfigurationHandler(self._configuration_cache)
+        listed = ServerListHandler(self._on_server_list)
         return (
-            StoreFollower(
+            StoreWatcher(
                 self._store,
                 configuration,
                 clock,
-                lambda: configuration_pace(self._neighbours.known),
+                lambda: configuration_watch_timing(self._membership.known_count),
             ),
-            StoreFollower(
+            StoreWatcher(
                 self._store,
                 listed,
                 clock,
-                lambda: servers_pace(
-                    self._neighbours.known, self._forwarding.steady_ms / _MS
+                lambda: server_watch_timing(
+                    self._membership.known_count, self._forwarding.steady_ms / _MS_PER_S
                 ),
             ),
         )
 
-    def _make_servers(self) -> tuple[HttpServer, ...]:
+    def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesPage(self._addresses, self._forwarding.address_keep_s)
+        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
         pages = {
-            self._forwarding.ready: ReadyPage(self._is_ready),
+            self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
         }
         if self._forwarding.metrics:
@@ -188,14 +192,14 @@
 
     def start(self) -> None:
         """Bind, then start every part."""
-        for server in self._servers:
+        for server in self._http_servers:
             server.bind()
         self._hub.start()
         self._context.watchdog.start()
-        for follower in self._followers:
+        for follower in self._watchers:
             follower.start()
-        self._caretaker.start()
-        for server in self._servers:
+        self._store_maintainer.start()
+        for server in self._http_servers:
             server.start()
         log.info("started", pid=os.getpid(), http=self._settings.http)
 
@@ -216,86 +220,93 @@
         began = monotonic() if asked_at is None else asked_at
         stopping = Stopping(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.stop(stopping)
-        self._neighbours.leave()
+        self._application.begin_shutdown(stopping)
+        self._membership.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress)
-        self._caretaker.stop()
-        self._neighbours.withdraw(self._store)
-        cut = PlannedStop(stopping, self._application, self._servers[0]).wait()
-        for follower in self._followers:
+        self._store_maintainer.stop()
+        self._membership.deregister(self._store)
+        cut = GracefulShutdown(
+            stopping, self._application, self._http_servers[0]
+        ).wait()
+        for follower in self._watchers:
             follower.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
     def _knowledge(self) -> Knowledge:
         return Knowledge(
-            self._currency.current,
-            self._currency.age_s(),
-            self._forwarding.revoke_ms / _MS - _REVOKE_MARGIN_S,
-            _DENYING_S,
+            self._configuration_cache.current,
+            self._configuration_cache.age_s(),
+            self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
+            _MAX_DENIAL_AGE_S,
         )
 
     def _is_ready(self) -> bool:
-        knows = self._currency.current is not None and not self._context.book.is_empty
+        knows = (
+            self._configuration_cache.current is not None
+            and not self._context.servers.is_empty
+        )
         return knows and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
-        live = self._neighbours.live()
+        live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
         return tuple(one.http for one in live)
 
     def _refresh_metrics(self) -> None:
-        age_s = min(self._currency.age_s(), 1e6)
+        age_s = min(self._configuration_cache.age_s(), 1e6)
         self._metrics.configuration_age_seconds.set(age_s)
-        self._metrics.configuration_version.set(self._currency.version)
-        self._metrics.live_entries.set(len(self._neighbours.live()))
+        self._metrics.configuration_version.set(self._configuration_cache.version)
+        self._metrics.live_entries.set(len(self._membership.live_entries()))
 
-    def _on_servers(
+    def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.book.list_is(backends)
+        self._context.servers.list_is(backends)
         for backend in gone:
-            self._context.connections.forget(backend.life)
-            self._context.pulses.forget(backend.instance)
-            if not backend.leaving and not self._context.book.is_leaving(backend.life):
+            self._context.connection_pool.close_server(backend.life)
+            self._context.liveness.forget(backend.instance)
+            if not backend.leaving and not self._context.servers.is_leaving(
+                backend.life
+            ):
                 self._guards.gone(backend.life)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
             case EntryHeartbeat():
-                self._neighbours.on_beat(message)
+                self._membership.on_heartbeat(message)
             case AgentHeartbeat() | LoadsReply():
-                self._greeter.told(link, message)
+                self._load_poller.on_report(link, message)
             case ManifestRequest():
-                self._neighbours.on_wanted(link, message)
+                self._membership.on_configuration_request(link, message)
             case ManifestObject():
-                self._neighbours.on_object(message)
+                self._membership.on_configuration(message)
             case _:
                 log.warning("message-unexpected", message=type(message).__name__)
 
     def _on_tick(self, now: float) -> None:
-        self._neighbours.on_tick(now)
-        self._note_standstills(now)
-        self._context.book.end_rests()
-        if now - self._refresh_at >= _REFRESH_S:
+        self._membership.on_tick(now)
+        self._log_stalls(now)
+        self._context.servers.end_rests()
+        if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.book.refresh()
-            self._evacuate()
-        self._greeter.on_tick(now)
+            self._context.servers.refresh()
+            self._abort_slow_streams()
+        self._load_poller.on_tick(now)
 
-    def _evacuate(self) -> None:
+    def _abort_slow_streams(self) -> None:
         """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
-        slow = frozenset(self._context.book.slow())
-        if slow and (moved := self._context.watchdog.evacuate(slow)):
-            servers.info("streams-moved", servers=sorted(slow), streams=moved)
+        slow = frozenset(self._context.servers.slow())
+        if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
+            servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
-    def _note_standstills(self, now: float) -> None:
+    def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service fall silent together, and go on."""
-        for service, pulse in self._context.pulses.items():
-            streams = self._context.book.in_flight(service)
+        for service, pulse in self._context.liveness.items():
+            streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
                 event = "service-silent" if pulse.stands_still else "service-heard"
-                servers.info(
+                servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.exchange import Environ
 
 
-class ReadyPage:
+class ReadinessEndpoint:
     """Tells the platform whether this entry can answer callers."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
@@ -33,7 +33,7 @@
         return (b"",)
 
 
-class AddressesPage:
+class AddressesEndpoint:
     """Tells callers which entries to connect to.
 
     ``addresses`` returns those for a caller in the data centre it is given.
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -18,38 +18,38 @@
 
 # Between two heartbeats to a peer, in seconds, among up to this many entries; with more
 # of them heartbeats are as much rarer, so that an entry's cost stays the same.
-BEAT_S = 0.4
-_BEAT_ENTRIES = 12
+HEARTBEAT_INTERVAL_S = 0.4
+_FULL_RATE_ENTRIES = 12
 # Heartbeats missed in a row after which callers are no longer sent to an entry. A link
 # that loses packets holds up two or three.
-_MISSED = 3
+_MAX_MISSED_HEARTBEATS = 3
 # Entries that are taken to share a budget before any other one is known: more than
 # today's users have.
-UNKNOWN_ENTRIES = 12
+DEFAULT_FLEET_SIZE = 12
 # How long an entry that says nothing is still sent heartbeats, in seconds: it may be
 # frozen, or cut off for a while.
-FORGET_S = 60.0
+PEER_EXPIRY_S = 60.0
 
 
 class _Peer:
-    __slots__ = ("beat", "heard_at", "known_at", "links_opened_at", "told")
+    __slots__ = ("added_at", "connected_at", "entry", "heard_at", "last_heartbeat")
 
-    def __init__(self, told: EntryInfo, now: float) -> None:
-        self.told = told
-        self.beat: EntryHeartbeat | None = None
+    def __init__(self, entry: EntryInfo, now: float) -> None:
+        self.entry = entry
+        self.last_heartbeat: EntryHeartbeat | None = None
         self.heard_at = float("-inf")
-        self.known_at = now
-        self.links_opened_at = now
+        self.added_at = now
+        self.connected_at = now
 
 
-class Freshness(NamedTuple):
+class VersionConfirmation(NamedTuple):
     """A peer's word that ``version`` was the newest at ``as_of`` of this process."""
 
     version: int
     as_of: float
 
 
-class Peers:
+class PeerTable:
     """The other entries by name; belongs to one thread, or guarded by its owner."""
 
     def __init__(self, me: EntryInfo) -> None:
@@ -57,18 +57,20 @@
         self._by_name: dict[str, _Peer] = {}
         # The most entries ever seen alive at once: shares of a common budget are taken
         # by it, since one that is cut off can't tell whether the others died.
-        self._most = 1
+        self._max_live_seen = 1
 
     @property
-    def told(self) -> tuple[EntryInfo, ...]:
+    def known_entries(self) -> tuple[EntryInfo, ...]:
         """Every peer that is known, alive or not."""
-        return tuple(peer.told for peer in self._by_name.values())
+        return tuple(peer.entry for peer in self._by_name.values())
 
-    def beat_s(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Return the seconds between two heartbeats to one peer."""
-        return BEAT_S * max(1.0, (len(self._by_name) + 1) / _BEAT_ENTRIES)
+        return HEARTBEAT_INTERVAL_S * max(
+            1.0, (len(self._by_name) + 1) / _FULL_RATE_ENTRIES
+        )
 
-    def know(self, entries: Iterable[EntryInfo], now: float) -> None:
+    def add_known(self, entries: Iterable[EntryInfo], now: float) -> None:
         """Take in entries that somebody names; only heartbeats tell if they live."""
         for told in entries:
             known = self._by_name.get(told.name)
@@ -76,34 +78,37 @@
                 continue
             if known is None:
                 self._by_name[told.name] = _Peer(told, now)
-            elif known.told != told and now - known.heard_at > FORGET_S / 4:
+            elif known.entry != told and now - known.heard_at > PEER_EXPIRY_S / 4:
                 # The machine was replaced; one that is heard tells its address itself.
                 self._by_name[told.name] = _Peer(told, now)
 
-    def heard(self, beat: EntryHeartbeat, now: float) -> bool:
+    def record_heartbeat(self, beat: EntryHeartbeat, now: float) -> bool:
         """Take in a heartbeat; return whether its entry is new or lives anew."""
         peer = self._by_name.get(beat.sender.name)
-        is_new = peer is None or peer.beat is None
-        if peer is None or peer.told != beat.sender:
+        is_new = peer is None or peer.last_heartbeat is None
+        if peer is None or peer.entry != beat.sender:
             peer = self._by_name[beat.sender.name] = _Peer(beat.sender, now)
-        restarted = peer.beat is not None and peer.beat.incarnation != beat.incarnation
-        peer.beat = beat
+        restarted = (
+            peer.last_heartbeat is not None
+            and peer.last_heartbeat.incarnation != beat.incarnation
+        )
+        peer.last_heartbeat = beat
         peer.heard_at = now
-        self._most = max(self._most, len(self.live(now)) + 1)
+        self._max_live_seen = max(self._max_live_seen, len(self.live_entries(now)) + 1)
         return is_new or restarted
 
-    def live(self, now: float) -> tuple[EntryInfo, ...]:
+    def live_entries(self, now: float) -> tuple[EntryInfo, ...]:
         """Return the peers that callers may be sent to."""
-        silent_s = _MISSED * self.beat_s()
+        silent_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         return tuple(
-            peer.told
+            peer.entry
             for peer in self._by_name.values()
-            if peer.beat is not None
-            and not peer.beat.leaving
+            if peer.last_heartbeat is not None
+            and not peer.last_heartbeat.leaving
             and now - peer.heard_at <= silent_s
         )
 
-    def sharing(self, now: float) -> int:
+    def estimate_fleet_size(self, now: float) -> int:
         """Return how many entries share what is common to the fleet.
 
         Failure: entries that have just started know nobody, and each takes the whole.
@@ -112,42 +117,46 @@
         """
         known = len(self._by_name) + 1
         if known == 1:
-            return max(self._most, UNKNOWN_ENTRIES)
-        return max(self._most, known)
+            return max(self._max_live_seen, DEFAULT_FLEET_SIZE)
+        return max(self._max_live_seen, known)
 
     def echo_for(self, name: str) -> float:
         """Return the newest clock reading that the peer sent, 0 before the first."""
         peer = self._by_name.get(name)
-        return 0.0 if peer is None or peer.beat is None else peer.beat.sent_at
+        return (
+            0.0
+            if peer is None or peer.last_heartbeat is None
+            else peer.last_heartbeat.sent_at
+        )
 
-    def silent_links(self, now: float) -> tuple[str, ...]:
+    def take_silent_addresses(self, now: float) -> tuple[str, ...]:
         """Return addresses to open new connections to, each not too often.
 
         Something between two machines may lose track of a connection: it stays silent
         for good while new ones work.
         """
-        limit_s = _MISSED * self.beat_s()
+        limit_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         found: list[str] = []
         for peer in self._by_name.values():
-            since_s = now - max(peer.heard_at, peer.links_opened_at)
+            since_s = now - max(peer.heard_at, peer.connected_at)
             if since_s > limit_s:
-                peer.links_opened_at = now
-                found.append(peer.told.address)
+                peer.connected_at = now
+                found.append(peer.entry.address)
         return tuple(found)
 
-    def forget_dead(self, now: float) -> tuple[EntryInfo, ...]:
+    def remove_expired(self, now: float) -> tuple[EntryInfo, ...]:
         """Drop entries that were not heard for long; return them."""
         dead = tuple(
-            peer.told
+            peer.entry
             for peer in self._by_name.values()
-            if now - max(peer.heard_at, peer.known_at) > FORGET_S
+            if now - max(peer.heard_at, peer.added_at) > PEER_EXPIRY_S
         )
         for told in dead:
             del self._by_name[told.name]
         return dead
 
 
-def freshness_of(beat: EntryHeartbeat) -> Freshness | None:
+def confirmation_from(beat: EntryHeartbeat) -> VersionConfirmation | None:
     """Return what a heartbeat proves of the configuration's age.
 
     Failure: a heartbeat is held up on its way, or its sender is frozen between writing
@@ -157,4 +166,4 @@
     """
     if beat.echo <= 0.0 or beat.age_s < 0.0:
         return None
-    return Freshness(beat.version, beat.echo - beat.age_s)
+    return VersionConfirmation(beat.version, beat.echo - beat.age_s)
--- a/src/kingcupwheel/forwarding/following.py
+++ b/src/kingcupwheel/forwarding/storewatch.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 from typing import Protocol
 
-from kingcupwheel.forwarding.outage import Outage
+from kingcupwheel.forwarding.outage import OutageTracker
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.platform.object_store import ObjectChange
     from kingcupwheel.platform.object_store import ObjectStore
@@ -33,81 +33,86 @@
 # How long one watch waits, in seconds, among few entries. An answer without news is
 # what shows that the configuration is still the newest, so the wait bounds the age of
 # that knowledge to twice as much; each call has a price.
-WATCH_S = 1.5
+WATCH_WAIT_S = 1.5
 # From so many entries on, peers' words show that the configuration is the newest, and
 # the few that grow unsure ask (see ``caretaking``); watches of 31 entries took 40 calls
 # a second, half of them for the configuration.
-MANY_ENTRIES = 10
-LONG_WATCH_S = 12.0
+LARGE_FLEET_ENTRIES = 10
+LARGE_FLEET_WATCH_WAIT_S = 12.0
 # After news, many entries wait so long for more of it before they watch again: servers
 # that start together were news to each of 31 entries one by one.
-_MORE_NEWS_S = 0.2
+_CHANGE_BATCHING_S = 0.2
 # Pause after a failed call, in seconds, and the longest one.
-_PAUSE_S = 0.15
-_LONGEST_PAUSE_S = 0.6
+_RETRY_DELAY_S = 0.15
+_MAX_RETRY_DELAY_S = 0.6
 # Taken off the time within which a watch that hangs must be found.
-_WATCH_SLACK_S = 0.3
+_WATCH_TIMEOUT_MARGIN_S = 0.3
 
 
-class KindFollower(Protocol):
+class KindHandler(Protocol):
     """What a follower does with what it finds."""
 
     kind: str
 
-    def listed(
+    def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
     ) -> None:
         """Take in a whole list asked for at ``asked_at``."""
 
-    def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Take in what changed; nothing changed if ``changes`` is empty."""
 
 
-class WatchPace(NamedTuple):
+class WatchTiming(NamedTuple):
     """How long a watch waits, and the pause after one that brought news, in seconds."""
 
-    wait_s: float = WATCH_S
+    wait_s: float = WATCH_WAIT_S
     pause_s: float = 0.0
 
 
-def servers_pace(entries: int, steady_s: float) -> WatchPace:
+def server_watch_timing(entries: int, steady_s: float) -> WatchTiming:
     """Return the pace of watching servers among so many entries.
 
     Failure: a watch's connection has gone silent, or the store swallowed it. Symptom: a
     server that leaves is not heard of. Both are found, and the list read anew, within
     ``steady_s``, after which the platform counts on it.
     """
-    if entries < MANY_ENTRIES:
-        return WatchPace()
-    return WatchPace(
-        max(WATCH_S, steady_s - DEFAULT_CALL_TIMEOUT_S - _WATCH_SLACK_S), _MORE_NEWS_S
+    if entries < LARGE_FLEET_ENTRIES:
+        return WatchTiming()
+    return WatchTiming(
+        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_TIMEOUT_S - _WATCH_TIMEOUT_MARGIN_S),
+        _CHANGE_BATCHING_S,
     )
 
 
-def configuration_pace(entries: int) -> WatchPace:
+def configuration_watch_timing(entries: int) -> WatchTiming:
     """Return the pace of watching the configuration among so many entries."""
-    return WatchPace() if entries < MANY_ENTRIES else WatchPace(LONG_WATCH_S)
+    return (
+        WatchTiming()
+        if entries < LARGE_FLEET_ENTRIES
+        else WatchTiming(LARGE_FLEET_WATCH_WAIT_S)
+    )
 
 
-class StoreFollower:
+class StoreWatcher:
     """Lists a kind, then watches it; lists again where the history is gone."""
 
     def __init__(
         self,
         store: ObjectStore,
-        follower: KindFollower,
+        handler: KindHandler,
         clock: Callable[[], float],
-        pace: Callable[[], WatchPace] = WatchPace,
+        timing: Callable[[], WatchTiming] = WatchTiming,
     ) -> None:
         self._store = store
-        self._pace = pace
-        self._follower = follower
+        self._timing = timing
+        self._handler = handler
         self._clock = clock
         self._revision = 0
-        self._outage = Outage()
-        self._pause_s = _PAUSE_S
+        self._outage = OutageTracker()
+        self._retry_delay_s = _RETRY_DELAY_S
         self._stopping = Event()
-        name = f"follow-{follower.kind}"
+        name = f"follow-{handler.kind}"
         self._thread = Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
@@ -124,24 +129,24 @@
             asked_at = self._clock()
             why = self._watch(asked_at) if self._revision else self._list(asked_at)
             if why is None:
-                self._note_answer(began)
+                self._record_success(began)
             else:
-                self._note_failure(why, began)
-                self._stopping.wait(self._pause_s)
-                self._pause_s = min(2 * self._pause_s, _LONGEST_PAUSE_S)
+                self._record_failure(why, began)
+                self._stopping.wait(self._retry_delay_s)
+                self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
     def _list(self, asked_at: float) -> PlatformError | None:
-        asked = self._store.list_objects(self._follower.kind)
+        asked = self._store.list_objects(self._handler.kind)
         if asked.is_error():
             return asked.error
-        away_s = self._outage.away_s(monotonic())
-        self._follower.listed(asked.ok.objects, asked_at, away_s=away_s)
+        away_s = self._outage.duration_s(monotonic())
+        self._handler.on_list(asked.ok.objects, asked_at, away_s=away_s)
         self._revision = asked.ok.revision
         return None
 
     def _watch(self, asked_at: float) -> PlatformError | None:
-        kind = self._follower.kind
-        pace = self._pace()
+        kind = self._handler.kind
+        pace = self._timing()
         asked = self._store.watch(kind, after=self._revision, wait_s=pace.wait_s)
         if asked.is_error():
             # After any failure the list is read anew: what happened meanwhile may have
@@ -151,62 +156,66 @@
                 log.info("history-gone", kind=kind, revision=asked.error.revision)
                 return None
             return asked.error
-        self._follower.changed(asked.ok.changes, asked_at)
+        self._handler.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
         if asked.ok.changes and pace.pause_s:
             self._stopping.wait(pace.pause_s)
         return None
 
-    def _note_answer(self, began: float) -> None:
-        self._pause_s = _PAUSE_S
-        if self._outage.is_on and self._revision:
-            away_s = round(self._outage.away_s(monotonic()), 2)
-            log.info("store-regained", kind=self._follower.kind, away_s=away_s)
-        self._outage.answered(began)
+    def _record_success(self, began: float) -> None:
+        self._retry_delay_s = _RETRY_DELAY_S
+        if self._outage.is_active and self._revision:
+            away_s = round(self._outage.duration_s(monotonic()), 2)
+            log.info("store-regained", kind=self._handler.kind, away_s=away_s)
+        self._outage.record_success(began)
 
-    def _note_failure(self, why: PlatformError, began: float) -> None:
+    def _record_failure(self, why: PlatformError, began: float) -> None:
         silent = isinstance(why, Unavailable) and why.silent
-        if self._outage.failed(began, monotonic(), silent=silent):
-            log.warning("store-lost", kind=self._follower.kind, why=str(why))
+        if self._outage.record_failure(began, monotonic(), silent=silent):
+            log.warning("store-lost", kind=self._handler.kind, why=str(why))
 
 
-class ConfigurationFollower:
+class ConfigurationHandler:
     """Keeps the configuration in force."""
 
     kind = CONFIGURATION_KIND
 
-    def __init__(self, currency: Currency) -> None:
-        self._currency = currency
+    def __init__(self, cache: ConfigurationCache) -> None:
+        self._cache = cache
 
-    def listed(
+    def on_list(
         self, objects: tuple[StoredObject, ...], asked_at: float, *, away_s: float
     ) -> None:
         """Adopt the configuration if it is there."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
-                adopt(self._currency, found.body, asked_at, source="store")
+                adopt_configuration(self._cache, found.body, asked_at, source="store")
 
-    def changed(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Adopt a new version, or note that there is none."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.is_removed:
-                adopt(self._currency, change.object.body, asked_at, source="store")
+                adopt_configuration(
+                    self._cache, change.object.body, asked_at, source="store"
+                )
         if not changes:
-            self._currency.confirm(self._currency.version, asked_at)
+            self._cache.confirm(self._cache.version, asked_at)
 
 
-def adopt(currency: Currency, raw: bytes, as_of: float, *, source: str) -> None:
+def adopt_configuration(
+    cache: ConfigurationCache, raw: bytes, as_of: float, *, source: str
+) -> None:
     """Decode and adopt a configuration that was the newest at ``as_of``."""
     decoded = decode_configuration(raw)
     if decoded.is_error():
         log.error("configuration-refused", why=decoded.error, source=source)
         return
-    if currency.adopt(decoded.ok, as_of):
+    if cache.update(decoded.ok, as_of):
         routes = sum(len(found) for found in decoded.ok.routes_by_host.values())
         log.info(
             "configuration-adopted",
             version=decoded.ok.version,
             routes=routes,
-            keys=len(decoded.ok.holders_by_key_digest),
+            keys=len(decoded.ok.key_holders_by_digest),
             source=source,
         )
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -46,18 +46,20 @@
     for nobody while others wait. The caller's own wait and the route's time both bound
     it; a stream's caller also leaves when nothing comes.
     """
-    whole_s = route.answer_s if wait_s is None else min(route.answer_s, wait_s)
+    whole_s = route.timeout_s if wait_s is None else min(route.timeout_s, wait_s)
     over_at = received_at + whole_s - WAY_S
-    if not route.streamed:
+    if not route.is_streamed:
         silence_s = whole_s
-        if route.may_rerun and route.max_servers > 1:
+        if route.is_idempotent and route.max_servers > 1:
             silence_s = whole_s * PLAIN_SILENCE_PART
         return Times(over_at, over_at, silence_s)
     patience_s = max(
-        STREAM_PATIENCE_S, _PATIENCE_AIMS * route.aim_s, _PATIENCE_GAPS * route.gap_s
+        STREAM_PATIENCE_S,
+        _PATIENCE_AIMS * route.target_latency_s,
+        _PATIENCE_GAPS * route.max_event_gap_s,
     )
     first_by = min(over_at, received_at + patience_s - WAY_S)
     silence_s = patience_s
-    if route.resumable and route.max_servers > 1:
+    if route.is_resumable and route.max_servers > 1:
         silence_s = patience_s * STREAM_SILENCE_PART
     return Times(over_at, first_by, silence_s)
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -53,8 +53,10 @@
 
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
-        self._popularity = Popularity(shape.layers, shape.experts)
-        self._bounds = bounds_of(shape.places, shape.spare, shape.copy_s)
+        self._popularity = Popularity(shape.layer_count, shape.expert_count)
+        self._bounds = bounds_of(
+            shape.places, shape.max_new_experts, shape.expert_copy_s
+        )
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
         self._pass_s = 0.0
@@ -103,7 +105,7 @@
         gain = found.skew_before - found.skew_after
         if self._is_short(self._pass_s):
             return gain >= SHORT_PASS_GAIN
-        copying_s = found.copies * self._shape.copy_s
+        copying_s = found.copies * self._shape.expert_copy_s
         return gain >= LEAST_SKEW_GAIN + SKEW_GAIN_A_COPYING_S * copying_s
 
     def _enough(self, skew: float) -> float:
@@ -112,7 +114,7 @@
         return SHORT_PASS_ENOUGH if self._is_short(then_s) else GOOD_ENOUGH
 
     def _is_short(self, pass_s: float) -> bool:
-        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.gap_s
+        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.max_event_gap_s
 
     def _time_passes(self, step: int, now: float) -> None:
         before, self._passed = self._passed, (step, now)
