--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -24,11 +24,11 @@
 from kingcupwheel.entry.recording import Recording
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.entry.sharing import Sharing
-from kingcupwheel.link.hub import Hub
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.hub import MessageHub
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
 from kingcupwheel.plugins.kernel import load_builtin
@@ -70,7 +70,7 @@
         self._retention = ClaimRetention(
             client, retention_s=lambda: self._kept().claims_h * _HOUR_S
         )
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
@@ -220,4 +220,6 @@
 
     def _ask_seeds(self) -> None:
         for address in self._settings.seeds:
-            self._hub.send(Outgoing(address, 0), InstancesWanted(self._settings.name))
+            self._hub.send(
+                OutgoingLink(address, 0), InstancesRequest(self._settings.name)
+            )
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -15,29 +15,29 @@
 from kingcupwheel.entry.servers import Gone
 from kingcupwheel.entry.servers import Restarted
 from kingcupwheel.entry.servers import Silent
-from kingcupwheel.link.links import Incoming
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.link.links import IncomingLink
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.attempts import AttemptAccepted
+from kingcupwheel.messages.attempts import AttemptEnd
+from kingcupwheel.messages.attempts import AttemptRefused
+from kingcupwheel.messages.attempts import AttemptUnknown
+from kingcupwheel.messages.attempts import ResponseData
+from kingcupwheel.messages.attempts import ResponseHead
+from kingcupwheel.messages.attempts import RunningAttempts
+from kingcupwheel.messages.attempts import TombstoneReply
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import InstanceInfo
-from kingcupwheel.messages.membership import InstancesFound
-from kingcupwheel.messages.membership import InstancesWanted
+from kingcupwheel.messages.membership import InstancesReply
+from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.messages.membership import PeerBeat
-from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
-from kingcupwheel.messages.runs import Accepted
-from kingcupwheel.messages.runs import Data
-from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entombed
-from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
-from kingcupwheel.messages.runs import Running
-from kingcupwheel.messages.runs import Unseen
-from kingcupwheel.messages.traces import BurnWanted
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.membership import ManifestRequest
+from kingcupwheel.messages.membership import PeerHeartbeat
+from kingcupwheel.messages.membership import ShareHeartbeat
+from kingcupwheel.messages.membership import StatusReply
+from kingcupwheel.messages.membership import StatusRequest
+from kingcupwheel.messages.traces import BurnRequest
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.platform.client import Instance
 
 
@@ -78,25 +78,33 @@
     def on_message(self, link: Link, message: Message) -> None:
         """Take one message."""
         match message, link:
-            case Beat(), Outgoing(address):
+            case AgentHeartbeat(), OutgoingLink(address):
                 self._on_beat(address, message)
             case (
-                Accepted() | Head() | Data() | End() | NotRun() | Unseen(),
-                Outgoing(address),
+                AttemptAccepted()
+                | ResponseHead()
+                | ResponseData()
+                | AttemptEnd()
+                | AttemptRefused()
+                | AttemptUnknown(),
+                OutgoingLink(address),
             ):
                 self._context.servers.alive(address, monotonic())
                 key = AttemptKey(message.request_id, message.attempt)
                 self._context.inboxes.deliver(key, message)
-            case Running(attempts), Outgoing(address):
+            case RunningAttempts(attempts), OutgoingLink(address):
                 self._on_running(address, message, attempts)
-            case Entombed(claim_id), Outgoing(address):
+            case TombstoneReply(claim_id), OutgoingLink(address):
                 self._context.servers.alive(address, monotonic())
                 self._context.inboxes.deliver_claim(claim_id, message)
             case _:
                 self._on_peer_message(link, message)
 
     def _on_running(
-        self, address: str, message: Running, attempts: tuple[tuple[str, int], ...]
+        self,
+        address: str,
+        message: RunningAttempts,
+        attempts: tuple[tuple[str, int], ...],
     ) -> None:
         self._context.servers.alive(address, monotonic())
         for request_id, attempt in attempts:
@@ -105,15 +113,15 @@
     def _on_peer_message(self, link: Link, message: Message) -> None:
         send = self._context.hub.send
         match message:
-            case PeerBeat():
+            case PeerHeartbeat():
                 self._on_peer_beat(link, message)
-            case ManifestWanted(key):
+            case ManifestRequest(key):
                 send(link, self._keeper.object_for(key))
             case ManifestObject():
                 self._fetcher.found(message)
-            case InstancesFound(instances):
+            case InstancesReply(instances):
                 self._on_instances(instances)
-            case ShareBeat():
+            case ShareHeartbeat():
                 self._sharing.heard(message, monotonic())
             case Hello():
                 pass
@@ -123,18 +131,18 @@
     def _on_question(self, link: Link, message: Message) -> None:
         send = self._context.hub.send
         match message:
-            case TraceWanted(request_id):
+            case TraceRequest(request_id):
                 send(link, self._context.recorder.found(request_id))
-            case BurnWanted():
+            case BurnRequest():
                 send(link, self._burn.found(now=time.time()))
-            case StatusWanted():
+            case StatusRequest():
                 send(link, self._status())
-            case InstancesWanted():
+            case InstancesRequest():
                 send(link, self._instances())
             case _:
                 logger.warning("Message %s not expected.", type(message).__name__)
 
-    def _on_beat(self, address: str, beat: Beat) -> None:
+    def _on_beat(self, address: str, beat: AgentHeartbeat) -> None:
         restarted = self._context.servers.heard(address, beat, monotonic())
         if restarted is not None:
             self._on_finding(restarted)
@@ -143,18 +151,21 @@
         self._keeper.heard(beat.manifest_version, "", address)
         self._context.dispatchers.pump(beat.group)
 
-    def _on_peer_beat(self, link: Link, beat: PeerBeat) -> None:
+    def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
         self._membership.heard(beat, monotonic())
         if beat.crashed:
             self._context.limits.heard(beat.crashed)
-        if isinstance(link, Outgoing):
+        if isinstance(link, OutgoingLink):
             address = link.address
         else:
             address = self._membership.address_of(beat.name)
         self._keeper.heard(beat.manifest_version, beat.manifest_digest, address)
         # An entry that started in an outage is on nobody's list, so nobody sends it
         # heartbeats; without an answer it would never hear of the manifest.
-        if isinstance(link, Incoming) and beat.manifest_version < self._keeper.version:
+        if (
+            isinstance(link, IncomingLink)
+            and beat.manifest_version < self._keeper.version
+        ):
             self._context.hub.send(link, self._peer_beat())
 
     def _on_instances(self, infos: tuple[InstanceInfo, ...]) -> None:
@@ -162,13 +173,13 @@
             instances = tuple(Instance(*msgspec.structs.astuple(one)) for one in infos)
             self._membership.adopt(instances)
 
-    def _instances(self) -> InstancesFound:
+    def _instances(self) -> InstancesReply:
         infos = tuple(InstanceInfo(*one) for one in self._membership.instances)
-        return InstancesFound(infos)
+        return InstancesReply(infos)
 
-    def _status(self) -> StatusFound:
+    def _status(self) -> StatusReply:
         settings = self._context.settings
-        return StatusFound(
+        return StatusReply(
             settings.name,
             settings.role.value,
             settings.data_centre,
@@ -190,7 +201,7 @@
         match finding:
             case Silent(address):
                 logger.warning("Link to %s is silent; opening a new one.", address)
-                self._context.hub.replace(address)
+                self._context.hub.reconnect(address)
                 for inbox in inboxes.at(address):
                     inbox.put(LinkReplaced())
             case Gone(address):
@@ -218,14 +229,14 @@
         name, data_centre = context.settings.name, context.settings.data_centre
         hello = Hello(name, data_centre, version, digest, leaving)
         for address in context.servers.addresses:
-            context.hub.send(Outgoing(address, 0), hello)
+            context.hub.send(OutgoingLink(address, 0), hello)
         beat = self._peer_beat()
         for peer in self._membership.peers:
-            context.hub.send(Outgoing(peer.address, 0), beat)
+            context.hub.send(OutgoingLink(peer.address, 0), beat)
 
-    def _peer_beat(self) -> PeerBeat:
+    def _peer_beat(self) -> PeerHeartbeat:
         context = self._context
-        return PeerBeat(
+        return PeerHeartbeat(
             context.settings.name,
             context.settings.data_centre,
             self._keeper.version,
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -32,10 +32,10 @@
 from kingcupwheel.entry.refusals import claim_unreachable
 from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.visiting import Visit
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.runs import Entomb
-from kingcupwheel.messages.runs import Entombed
-from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.messages.attempts import TombstoneReply
+from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Joined
 
@@ -254,30 +254,30 @@
 
     def _entomb(self, held: Held, inbox: Inbox) -> Finding:
         record = held.record
-        order = Entomb(held.claim_id, record.fence, record.incarnation)
+        order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
         self._context.inboxes.listen_for_claim(held.claim_id, inbox)
         try:
             answer = self._entombed(order, inbox, record)
         finally:
             self._context.inboxes.forget_claim(held.claim_id)
         match answer:
-            case Entombed(accepted=True, ran=False):
+            case TombstoneReply(accepted=True, ran=False):
                 return Free(held)
-            case Entombed(accepted=True):
+            case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
                 return Again()
-            case Entombed():
+            case TombstoneReply():
                 return self._lost(held, "the agent restarted after the claim")
         return self._lost(held, "the agent does not answer")
 
     def _entombed(
-        self, order: Entomb, inbox: Inbox, record: ClaimRecord
-    ) -> Entombed | None:
+        self, order: TombstoneRequest, inbox: Inbox, record: ClaimRecord
+    ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
-            self._context.hub.send(Outgoing(record.address, 0), order)
+            self._context.hub.send(OutgoingLink(record.address, 0), order)
             match inbox.get(_ASK_AGAIN_S):
-                case Entombed() as answer:
+                case TombstoneReply() as answer:
                     return answer
                 case AgentGone():
                     return None
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -17,10 +17,10 @@
     from collections.abc import Callable
 
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.manifest.schema import Allowance
     from kingcupwheel.manifest.schema import Organisation
-    from kingcupwheel.messages.membership import PeerBeat
+    from kingcupwheel.messages.membership import PeerHeartbeat
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
@@ -47,7 +47,7 @@
         settings: Settings,
         client: PlatformClient,
         servers: ServerTable,
-        hub: Hub,
+        hub: MessageHub,
         *,
         leaving: Event,
         ask_seeds: Callable[[], None],
@@ -117,7 +117,7 @@
                 self._chosen = self._choose()
                 self._expect(self._find_senders())
             for address in self._servers.keep(self._chosen, monotonic()):
-                self._hub.drop(address)
+                self._hub.disconnect(address)
 
     def _expect(self, senders: frozenset[str]) -> None:
         """Judge by their heartbeats only entries that send this one any.
@@ -173,7 +173,7 @@
         nearest_last = _ring_after(entries, self._settings.name)
         return frozenset(one.name for one in nearest_last[-_PEERS:])
 
-    def heard(self, beat: PeerBeat, now: float) -> None:
+    def heard(self, beat: PeerHeartbeat, now: float) -> None:
         """Take in a peer's heartbeat."""
         self._peer_heard_at[beat.name] = now
         if beat.leaving:
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -14,9 +14,9 @@
 from kingcupwheel.decisions.allowance_shares import PeerShare
 from kingcupwheel.decisions.allowance_shares import Share
 from kingcupwheel.decisions.allowance_shares import compute_next_share
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import ShareTold
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.membership import ShareHeartbeat
+from kingcupwheel.messages.membership import ShareReport
 
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
     def __init__(self, now: float) -> None:
         self.echoed_at = now
         self.sent_at = -1.0
-        self.told_by_organisation: dict[str, ShareTold] = {}
+        self.told_by_organisation: dict[str, ShareReport] = {}
 
 
 class Sharing:
@@ -55,7 +55,7 @@
         limits: Limits,
         membership: Membership,
         *,
-        send: Callable[[Outgoing, Message], None],
+        send: Callable[[OutgoingLink, Message], None],
         organisation_named: Callable[[str], Organisation | None],
     ) -> None:
         self._name = name
@@ -90,7 +90,7 @@
             self._share_by_organisation[organisation] = known
         return known
 
-    def heard(self, beat: ShareBeat, now: float) -> None:
+    def heard(self, beat: ShareHeartbeat, now: float) -> None:
         """Take in what another entry tells; called on the hub's thread.
 
         An organisation not in use here takes part as well: its share is lent only by
@@ -109,7 +109,7 @@
 
     def renew(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
-        told_by_peer: dict[str, list[ShareTold]] = {}
+        told_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limits.demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
@@ -160,7 +160,7 @@
             self._used_at[organisation] = now
         return now - self._used_at.get(organisation, now) > _IDLE_S
 
-    def _told(self, organisation: str) -> list[ShareTold]:
+    def _told(self, organisation: str) -> list[ShareReport]:
         """Return what the other entries told last of the organisation."""
         with self._lock:
             told = [
@@ -181,7 +181,7 @@
         demand: float,
         members: tuple[str, ...],
         now: float,
-    ) -> ShareTold:
+    ) -> ShareReport:
         name = organisation.name
         with self._lock:
             before = self._share(name, len(members))
@@ -199,7 +199,7 @@
         self._limits.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
         )
-        return ShareTold(name, demand, share.held, share.wants_more)
+        return ShareReport(name, demand, share.held, share.wants_more)
 
     def _peer_share(
         self, member: str, organisation: str, members: int, now: float
@@ -210,12 +210,14 @@
         if told is None:
             # Not in use there: it begins with an equal part as soon as it is.
             return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
-        return PeerShare(told.demand, told.held, told.wants, age_s)
+        return PeerShare(told.demand, told.held, told.wants_more, age_s)
 
-    def _tell(self, member: str, shares: tuple[ShareTold, ...], now: float) -> None:
+    def _tell(self, member: str, shares: tuple[ShareReport, ...], now: float) -> None:
         address = self._membership.address_of(member)
         if not address:
             return
         with self._lock:
             echo = self._peer_by_name.setdefault(member, _Peer(now)).sent_at
-        self._send(Outgoing(address, 0), ShareBeat(self._name, now, echo, shares))
+        self._send(
+            OutgoingLink(address, 0), ShareHeartbeat(self._name, now, echo, shares)
+        )
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
     ) -> None:
         """Record what an answer says about its server: a rest period or a shutdown."""
         for header in notice.unreadable:
-            self.metrics.notices.labels("unreadable").inc()
+            self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
                 server=place.incarnation,
@@ -64,10 +64,10 @@
                 id=request_id,
             )
         if notice.rest_s:
-            self.metrics.notices.labels("rest").inc()
+            self.metrics.server_notices.labels("rest").inc()
             self.servers.rests(place, notice.rest_s, request_id)
         if notice.leaving and self.servers.leaves(place, request_id):
-            self.metrics.notices.labels("leaving").inc()
+            self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
     def release_connection(self, place: Place, answer: ServerAnswer) -> None:
--- a/src/kingcupwheel/forwarding/entrymembership.py
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -12,22 +12,22 @@
 from kingcupwheel.forwarding.peers import PeerTable
 from kingcupwheel.forwarding.peers import confirmation_from
 from kingcupwheel.forwarding.storewatch import adopt_configuration
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import EntryBeat
-from kingcupwheel.messages.membership import EntryTold
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.membership import EntryHeartbeat
+from kingcupwheel.messages.membership import EntryInfo
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.errors import Conflict
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.platform.objects import ObjectStore
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectStore
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("peers")
 
@@ -49,8 +49,8 @@
 
     def __init__(
         self,
-        me: EntryTold,
-        hub: Hub,
+        me: EntryInfo,
+        hub: MessageHub,
         configuration_cache: ConfigurationCache,
         guards: Guards,
     ) -> None:
@@ -65,7 +65,7 @@
         self._requested_at = 0.0
         self._leaving = False
         self._revision = 0
-        self._expired: list[EntryTold] = []
+        self._expired: list[EntryInfo] = []
         self._live_names: frozenset[str] = frozenset()
         self._lock = Lock()
 
@@ -81,7 +81,7 @@
         with self._lock:
             return len(self._peers.known_entries) + 1
 
-    def live_entries(self) -> tuple[EntryTold, ...]:
+    def live_entries(self) -> tuple[EntryInfo, ...]:
         """Return the entries that callers may use, including this one."""
         with self._lock:
             others = self._peers.live_entries(monotonic())
@@ -89,10 +89,10 @@
 
     def add_stored(self, stored: tuple[StoredObject, ...]) -> None:
         """Add the entries that the store lists."""
-        found: list[EntryTold] = []
+        found: list[EntryInfo] = []
         for one in stored:
             try:
-                found.append(msgspec.json.decode(one.body, type=EntryTold))
+                found.append(msgspec.json.decode(one.body, type=EntryInfo))
             except msgspec.DecodeError as error:
                 log.warning("entry-object-refused", name=one.name, why=str(error))
         with self._lock:
@@ -117,7 +117,7 @@
         if self._revision:
             store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
 
-    def take_expired(self) -> tuple[EntryTold, ...]:
+    def take_expired(self) -> tuple[EntryInfo, ...]:
         """Return the entries that have expired since the last call."""
         with self._lock:
             expired = tuple(self._expired)
@@ -138,7 +138,7 @@
             self._heartbeat_at = now
             self._heartbeat_count += 1
             for address in self._peers.take_silent_addresses(now):
-                self._hub.replace(address)
+                self._hub.reconnect(address)
             self._expired.extend(self._peers.remove_expired(now))
             peers = self._peers.known_entries
             echoes = {peer.name: self._peers.echo_for(peer.name) for peer in peers}
@@ -150,13 +150,13 @@
         for peer in peers:
             known = peers if includes_known else ()
             beat = self._heartbeat(echoes[peer.name], known)
-            self._hub.send(Outgoing(peer.address, 0), beat)
+            self._hub.send(OutgoingLink(peer.address, 0), beat)
         self._log_live_changes()
 
-    def _heartbeat(self, echo: float, known: tuple[EntryTold, ...]) -> EntryBeat:
+    def _heartbeat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
         age_s = self._configuration_cache.age_s()
-        return EntryBeat(
-            me=self._me,
+        return EntryHeartbeat(
+            sender=self._me,
             incarnation=self._incarnation,
             leaving=self._leaving,
             sent_at=self._configuration_cache.now(),
@@ -164,22 +164,22 @@
             version=self._configuration_cache.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
             crashed=self._guards.crashed,
-            known=known,
+            known_entries=known,
         )
 
-    def on_heartbeat(self, beat: EntryBeat) -> None:
+    def on_heartbeat(self, beat: EntryHeartbeat) -> None:
         """Handle a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
             is_new = self._peers.record_heartbeat(beat, now)
-            self._peers.add_known(beat.known, now)
+            self._peers.add_known(beat.known_entries, now)
         if beat.crashed:
             self._guards.heard(beat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
             self._heartbeat_at = 0.0
-            log.info("entry-heard", name=beat.me.name, incarnation=beat.incarnation)
+            log.info("entry-heard", name=beat.sender.name, incarnation=beat.incarnation)
         confirmation = confirmation_from(beat)
         if confirmation is not None:
             self._configuration_cache.confirm(confirmation.version, confirmation.as_of)
@@ -187,13 +187,13 @@
             self._request_configuration(beat, now)
         self._log_live_changes()
 
-    def _request_configuration(self, beat: EntryBeat, now: float) -> None:
+    def _request_configuration(self, beat: EntryHeartbeat, now: float) -> None:
         if now - self._requested_at >= _REQUEST_INTERVAL_S:
             self._requested_at = now
-            wanted = ManifestWanted(_CONFIGURATION_KEY)
-            self._hub.send(Outgoing(beat.me.address, 0), wanted)
+            wanted = ManifestRequest(_CONFIGURATION_KEY)
+            self._hub.send(OutgoingLink(beat.sender.address, 0), wanted)
 
-    def on_configuration_request(self, link: Link, message: ManifestWanted) -> None:
+    def on_configuration_request(self, link: Link, message: ManifestRequest) -> None:
         """Send the configuration to a peer that requests it."""
         current = self._configuration_cache.current
         if message.key == _CONFIGURATION_KEY and current is not None:
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -5,17 +5,17 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.platform.servers import SERVERS_KIND
-from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.platform.server_entries import SERVERS_KIND
+from kingcupwheel.platform.server_entries import decode_server
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from kingcupwheel.forwarding.backends import Backend
-    from kingcupwheel.platform.objects import Change
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectChange
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("servers")
 
@@ -53,10 +53,10 @@
             self._record(stored)
         self._apply_changes()
 
-    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Handle added, changed and removed servers."""
         for change in changes:
-            if change.removed:
+            if change.is_removed:
                 self._mark_missing(change.object.name)
             else:
                 self._record(change.object)
--- a/src/kingcupwheel/forwarding/storemaintenance.py
+++ b/src/kingcupwheel/forwarding/storemaintenance.py
@@ -11,14 +11,14 @@
 from kingcupwheel.forwarding.storewatch import adopt_configuration
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.entrymembership import EntryMembership
-    from kingcupwheel.messages.membership import EntryTold
-    from kingcupwheel.platform.objects import ObjectStore
+    from kingcupwheel.messages.membership import EntryInfo
+    from kingcupwheel.platform.object_store import ObjectStore
 
 log = lines_of("store")
 
@@ -71,7 +71,7 @@
             self._stopping.wait(_POLL_INTERVAL_S if done else _RETRY_INTERVAL_S)
 
     def _load_entries(self) -> bool:
-        listed = self._store.listing(ENTRIES_KIND)
+        listed = self._store.list_objects(ENTRIES_KIND)
         if listed.is_ok():
             self._membership.add_stored(listed.ok.objects)
         return bool(listed.is_ok())
@@ -97,7 +97,7 @@
             )
             log.info("asked-again", age_s=round(age_s, 2))
 
-    def _remove_expired(self, entry: EntryTold) -> None:
+    def _remove_expired(self, entry: EntryInfo) -> None:
         """Delete an expired entry from the store."""
         found = self._store.read(ENTRIES_KIND, entry.name)
         if found.is_error() or found.ok is None:
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -19,9 +19,9 @@
 import zmq
 
 from kingcupwheel.link.exceptions import CannotListenError
-from kingcupwheel.link.links import Incoming
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.link.links import Traffic
+from kingcupwheel.link.links import IncomingLink
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.link.links import TrafficCounts
 from kingcupwheel.messages.codec import MsgpackCodec
 
 
@@ -35,31 +35,31 @@
 
 # Messages taken from one socket before the others get their turn: a flood on one link
 # must not hold up the heartbeats of the rest.
-_BATCH = 64
+_MAX_MESSAGES_PER_TURN = 64
 # Messages waiting for one peer. Past it a DEALER refuses and a ROUTER drops; both are
 # mended by resuming at an offset, so the bound only has to keep memory in check.
-_HIGH_WATER = 4096
+_HIGH_WATER_MARK_MESSAGES = 4096
 # How long a closing hub lets the last frames of answers leave.
 _LINGER_MS = 1000
 
 
-class _Send(NamedTuple):
+class _SendCommand(NamedTuple):
     link: Link
     message: Message
 
 
-class _Replace(NamedTuple):
+class _ReconnectCommand(NamedTuple):
     address: str
 
 
-class _Drop(NamedTuple):
+class _DisconnectCommand(NamedTuple):
     address: str
 
 
-_Command = _Send | _Replace | _Drop
+_Command = _SendCommand | _ReconnectCommand | _DisconnectCommand
 
 
-class Hub:
+class MessageHub:
     """Sends and receives messages; ``send`` and the like are safe from any thread.
 
     ``on_message`` and ``on_tick`` are called on the hub's thread; ``on_tick`` gets the
@@ -91,12 +91,12 @@
         self._poller.register(self._wake_out, zmq.POLLIN)
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="hub", daemon=True)
-        self._counts = [0, 0, 0, 0]
+        self._traffic_counts = [0, 0, 0, 0]
 
     @property
-    def traffic(self) -> Traffic:
+    def traffic(self) -> TrafficCounts:
         """What has passed so far."""
-        return Traffic(*self._counts)
+        return TrafficCounts(*self._traffic_counts)
 
     @property
     def port(self) -> int:
@@ -119,24 +119,24 @@
 
         A message for an older generation of a link goes out on the newest one.
         """
-        self._commands.append(_Send(link, message))
+        self._commands.append(_SendCommand(link, message))
         self._wake()
 
-    def replace(self, address: str) -> None:
+    def reconnect(self, address: str) -> None:
         """Close the outgoing link to ``address`` and open a new connection."""
-        self._commands.append(_Replace(address))
+        self._commands.append(_ReconnectCommand(address))
         self._wake()
 
-    def drop(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the outgoing link to ``address``."""
-        self._commands.append(_Drop(address))
+        self._commands.append(_DisconnectCommand(address))
         self._wake()
 
     def _bind(self, listen: str) -> zmq.Socket[bytes]:
         router = self._context.socket(zmq.ROUTER)
         router.setsockopt(zmq.LINGER, _LINGER_MS)
-        router.setsockopt(zmq.SNDHWM, _HIGH_WATER)
-        router.setsockopt(zmq.RCVHWM, _HIGH_WATER)
+        router.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK_MESSAGES)
+        router.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK_MESSAGES)
         try:
             router.bind(f"tcp://{listen}")
         except zmq.ZMQError as error:
@@ -153,11 +153,11 @@
         next_tick = monotonic()
         while not self._stopping.is_set():
             next_tick = self._tick(next_tick)
-            self._carry_out()
+            self._run_commands()
             timeout_ms = max(0, int((next_tick - monotonic()) * 1000))
             self._receive(dict(self._poller.poll(timeout_ms)))
-        self._carry_out()
-        self._close()
+        self._run_commands()
+        self._close_sockets()
 
     def _tick(self, next_tick: float) -> float:
         now = monotonic()
@@ -169,40 +169,40 @@
             logger.exception("Tick failed.")
         return now + self._tick_s
 
-    def _carry_out(self) -> None:
+    def _run_commands(self) -> None:
         with contextlib.suppress(BlockingIOError):
             self._wake_out.recv(4096)
         while self._commands:
             match self._commands.popleft():
-                case _Send(link, message):
+                case _SendCommand(link, message):
                     self._send(link, message)
-                case _Replace(address):
+                case _ReconnectCommand(address):
                     self._close_dealer(address)
-                    self._dealer(address)
-                case _Drop(address):
+                    self._open_dealer(address)
+                case _DisconnectCommand(address):
                     self._close_dealer(address)
 
     def _send(self, link: Link, message: Message) -> None:
         frame = self._codec.encode(message)
-        self._counts[1] += 1
-        self._counts[3] += len(frame)
+        self._traffic_counts[1] += 1
+        self._traffic_counts[3] += len(frame)
         try:
             match link:
-                case Outgoing(address, _):
-                    self._dealer(address).send(frame, zmq.NOBLOCK)
-                case Incoming(identity):
+                case OutgoingLink(address, _):
+                    self._open_dealer(address).send(frame, zmq.NOBLOCK)
+                case IncomingLink(identity):
                     self._router.send_multipart((identity, frame), zmq.NOBLOCK)
         except zmq.ZMQError:
             logger.debug("Message to %s dropped.", link)
 
-    def _dealer(self, address: str) -> zmq.Socket[bytes]:
+    def _open_dealer(self, address: str) -> zmq.Socket[bytes]:
         dealer = self._dealers_by_address.get(address)
         if dealer is not None:
             return dealer
         dealer = self._context.socket(zmq.DEALER)
         dealer.setsockopt(zmq.LINGER, 0)
-        dealer.setsockopt(zmq.SNDHWM, _HIGH_WATER)
-        dealer.setsockopt(zmq.RCVHWM, _HIGH_WATER)
+        dealer.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK_MESSAGES)
+        dealer.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK_MESSAGES)
         dealer.setsockopt(zmq.RECONNECT_IVL, 100)
         dealer.setsockopt(zmq.RECONNECT_IVL_MAX, 2000)
         dealer.connect(f"tcp://{address}")
@@ -223,20 +223,20 @@
             self._receive_router()
         for address, dealer in list(self._dealers_by_address.items()):
             if dealer in ready:
-                link = Outgoing(address, self._generation_by_address[address])
+                link = OutgoingLink(address, self._generation_by_address[address])
                 self._receive_dealer(link, dealer)
 
     def _receive_router(self) -> None:
-        for _ in range(_BATCH):
+        for _ in range(_MAX_MESSAGES_PER_TURN):
             try:
                 identity, *frames = self._router.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
             if len(frames) == 1:
-                self._deliver(Incoming(identity), frames[0])
+                self._deliver(IncomingLink(identity), frames[0])
 
-    def _receive_dealer(self, link: Outgoing, dealer: zmq.Socket[bytes]) -> None:
-        for _ in range(_BATCH):
+    def _receive_dealer(self, link: OutgoingLink, dealer: zmq.Socket[bytes]) -> None:
+        for _ in range(_MAX_MESSAGES_PER_TURN):
             if dealer.closed:
                 return
             try:
@@ -246,8 +246,8 @@
             self._deliver(link, frame)
 
     def _deliver(self, link: Link, frame: bytes) -> None:
-        self._counts[0] += 1
-        self._counts[2] += len(frame)
+        self._traffic_counts[0] += 1
+        self._traffic_counts[2] += len(frame)
         result = self._codec.decode(frame)
         if result.is_error():
             logger.warning("Bad message from %s: %s.", link, result.error.detail)
@@ -257,7 +257,7 @@
         except Exception:
             logger.exception("Handler failed.")
 
-    def _close(self) -> None:
+    def _close_sockets(self) -> None:
         for address in list(self._dealers_by_address):
             self._close_dealer(address)
         self._router.close()
--- a/src/kingcupwheel/lockstep/boards.py
+++ b/src/kingcupwheel/lockstep/boards.py
@@ -12,17 +12,17 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsTold
-from kingcupwheel.messages.membership import ServerTold
+from kingcupwheel.messages.membership import LoadsReply
+from kingcupwheel.messages.membership import ReportedServerLoad
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.membership import Beat
-    from kingcupwheel.messages.membership import LoadsAsk
+    from kingcupwheel.messages.membership import AgentHeartbeat
+    from kingcupwheel.messages.membership import LoadsRequest
 
 # Members are asked to tell their loads so often, in seconds; they go on for four.
 _GREET_S = 1.0
@@ -40,14 +40,14 @@
 
 
 class _Heard(NamedTuple):
-    told: ServerTold
+    told: ReportedServerLoad
     at: float
 
 
 class LoadBoard:
     """The loads of the members that entries asked for; safe from any thread."""
 
-    def __init__(self, name: str, hub: Hub) -> None:
+    def __init__(self, name: str, hub: MessageHub) -> None:
         self._hub = hub
         self._hello = Hello(name, "", 0, "", leaving=False)
         self._askers: dict[Link, _Asker] = {}
@@ -55,7 +55,7 @@
         self._greeted_at = float("-inf")
         self._lock = Lock()
 
-    def asked(self, link: Link, message: LoadsAsk, now: float) -> None:
+    def asked(self, link: Link, message: LoadsRequest, now: float) -> None:
         """Tell an entry the loads of these members for a while."""
         with self._lock:
             asker = self._askers.setdefault(link, _Asker())
@@ -63,12 +63,12 @@
             asker.every_s = message.every_s
             asker.at = now
 
-    def told(self, link: Link, beat: Beat, now: float) -> None:
+    def told(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
         """Take in the load of a member."""
-        if not isinstance(link, Outgoing):
+        if not isinstance(link, OutgoingLink):
             return
         load = beat.load
-        told = ServerTold(
+        told = ReportedServerLoad(
             beat.name,
             load.running,
             load.queued,
@@ -93,15 +93,15 @@
         if now - self._greeted_at >= _GREET_S:
             self._greeted_at = now
             for member in {one for _, asker in askers for one in asker.members}:
-                self._hub.send(Outgoing(member, 0), self._hello)
+                self._hub.send(OutgoingLink(member, 0), self._hello)
         for link, asker in askers:
             if now - asker.told_at >= asker.every_s:
                 asker.told_at = now
-                self._hub.send(link, LoadsTold(_fresh(asker, heard, now)))
+                self._hub.send(link, LoadsReply(_fresh(asker, heard, now)))
 
 
 def _fresh(
     asker: _Asker, heard: dict[str, _Heard], now: float
-) -> tuple[ServerTold, ...]:
+) -> tuple[ReportedServerLoad, ...]:
     found = (heard[member] for member in asker.members if member in heard)
     return tuple(one.told for one in found if now - one.at <= _FRESH_S)
--- a/src/kingcupwheel/lockstep/carrying.py
+++ b/src/kingcupwheel/lockstep/carrying.py
@@ -9,9 +9,9 @@
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.lockstep.shown import is_shown
 from kingcupwheel.lockstep.shown import is_void
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import ReplyContent
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
 
     from kingcupwheel.lockstep.state import RankCounts
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.messages.lockstep import RankAsk
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.messages.lockstep import RankStateRequest
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
@@ -43,22 +43,24 @@
         self._metrics = metrics
         self._counted: RankCounts | None = None
 
-    def carry_out(self, ask: RankAsk) -> RankTold:
+    def carry_out(self, ask: RankStateRequest) -> RankStateReply:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
         state = self._state()
         if ask.order is not None:
             state = self._give(ask, state)
-        match ask.tell:
-            case Tell.COUNTS:
+        match ask.content:
+            case ReplyContent.COUNTS:
                 scale, counts = self._new_counts()
-                return RankTold(ask.number, state, counts, scale)
-            case Tell.PLACES:
-                places = self._client.places()
-                return RankTold(ask.number, state, places=places.default_value(()))
-            case Tell.STATE:
-                return RankTold(ask.number, state)
-
-    def _give(self, ask: RankAsk, state: RankState | None) -> RankState | None:
+                return RankStateReply(ask.number, state, counts, scale)
+            case ReplyContent.PLACES:
+                places = self._client.fetch_placement()
+                return RankStateReply(
+                    ask.number, state, placement=places.default_value(())
+                )
+            case ReplyContent.STATE:
+                return RankStateReply(ask.number, state)
+
+    def _give(self, ask: RankStateRequest, state: RankState | None) -> RankState | None:
         order = ask.order
         assert order is not None, "only asks with an order are given"
         until = monotonic() + ask.wait_ms / 1000
@@ -69,7 +71,7 @@
             if now >= until:
                 break
             if now - given_at >= _AGAIN_S:
-                given = self._client.give(order)
+                given = self._client.send_order(order)
                 kind = type(order).__name__
                 log.debug("order-given", order=kind, answer=str(given))
                 if self._metrics is not None:
@@ -84,11 +86,11 @@
         return state
 
     def _state(self) -> RankState | None:
-        asked = self._client.state()
+        asked = self._client.fetch_state()
         return asked.ok if asked.is_ok() else None
 
     def _new_counts(self) -> tuple[int, bytes]:
-        asked = self._client.counts()
+        asked = self._client.fetch_counts()
         if asked.is_error():
             return 1, b""
         now = asked.ok
--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.carrying import OrderCarrier
-from kingcupwheel.platform.ranks import RankClient
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.platform.rank_client import RankClient
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import RankAsk
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
+    from kingcupwheel.messages.lockstep import RankStateRequest
 
 log = lines_of("maps")
 
@@ -40,10 +40,12 @@
         """Give an order once; whether it was carried out is for the report to show."""
         if server not in self._clients:
             self._clients = {server: RankClient(f"http://{server}")}
-        given = self._clients[server].give(order)
+        given = self._clients[server].send_order(order)
         log.debug("order-given", order=type(order).__name__, answer=str(given))
 
-    def ask(self, asks_by_server: Mapping[str, RankAsk]) -> dict[str, RankTold]:
+    def ask(
+        self, asks_by_server: Mapping[str, RankStateRequest]
+    ) -> dict[str, RankStateReply]:
         """Return what servers tell, by address; silent ones are left out."""
         if not asks_by_server:
             return {}
@@ -64,5 +66,5 @@
         return {server: one for server, one in told.items() if one.state is not None}
 
 
-def _ask(server: str, ask: RankAsk) -> RankTold:
+def _ask(server: str, ask: RankStateRequest) -> RankStateReply:
     return OrderCarrier(RankClient(f"http://{server}")).carry_out(ask)
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -26,7 +26,7 @@
 from kingcupwheel.lockstep.rosters import layers_of
 from kingcupwheel.lockstep.rosters import ranks_of
 from kingcupwheel.lockstep.standstill import Standstill
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     from kingcupwheel.lockstep.reaching import RankReach
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.state import RankState
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
 
 log = lines_of("maps")
 
@@ -72,7 +72,7 @@
 
     def look(self) -> Charge | float:
         """Return the charge to take, or the seconds until the next look."""
-        own = self._client.state()
+        own = self._client.fetch_state()
         if own.is_error() or not own.ok.is_open:
             return LOOK_S
         rescues = own.ok.rank != FIRST
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -1,4 +1,4 @@
-"""The msgpack codec of all messages."""
+"""msgpack codec of the messages between processes."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.messages.attempts import Ack
+from kingcupwheel.messages.attempts import AttemptAccepted
+from kingcupwheel.messages.attempts import AttemptEnd
+from kingcupwheel.messages.attempts import AttemptRefused
+from kingcupwheel.messages.attempts import AttemptUnknown
+from kingcupwheel.messages.attempts import CancelRequest
+from kingcupwheel.messages.attempts import Dispatch
+from kingcupwheel.messages.attempts import ResponseData
+from kingcupwheel.messages.attempts import ResponseHead
+from kingcupwheel.messages.attempts import ResumeRequest
+from kingcupwheel.messages.attempts import RunningAttempts
+from kingcupwheel.messages.attempts import TombstoneReply
+from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.messages.exceptions import BadMessage
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
-from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.membership import Beat
-from kingcupwheel.messages.membership import EntryBeat
+from kingcupwheel.messages.lockstep import BranchReply
+from kingcupwheel.messages.lockstep import BranchRequest
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import InstancesFound
-from kingcupwheel.messages.membership import InstancesWanted
-from kingcupwheel.messages.membership import LoadsAsk
-from kingcupwheel.messages.membership import LoadsTold
+from kingcupwheel.messages.membership import InstancesReply
+from kingcupwheel.messages.membership import InstancesRequest
+from kingcupwheel.messages.membership import LoadsReply
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.messages.membership import PeerBeat
-from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
-from kingcupwheel.messages.runs import Accepted
-from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
-from kingcupwheel.messages.runs import Data
-from kingcupwheel.messages.runs import Dispatch
-from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entomb
-from kingcupwheel.messages.runs import Entombed
-from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
-from kingcupwheel.messages.runs import Resume
-from kingcupwheel.messages.runs import Running
-from kingcupwheel.messages.runs import Unseen
-from kingcupwheel.messages.traces import BurnFound
-from kingcupwheel.messages.traces import BurnWanted
-from kingcupwheel.messages.traces import TraceFound
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.membership import ManifestRequest
+from kingcupwheel.messages.membership import PeerHeartbeat
+from kingcupwheel.messages.membership import ShareHeartbeat
+from kingcupwheel.messages.membership import StatusReply
+from kingcupwheel.messages.membership import StatusRequest
+from kingcupwheel.messages.traces import BurnReply
+from kingcupwheel.messages.traces import BurnRequest
+from kingcupwheel.messages.traces import TraceReply
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.plugins.kernel import codecs
 
 
@@ -56,47 +56,47 @@
 
 AnyMessage = (
     Dispatch
-    | Resume
+    | ResumeRequest
     | Ack
-    | Cancel
-    | Entomb
-    | Entombed
-    | Accepted
-    | NotRun
-    | Head
-    | Data
-    | End
-    | Running
-    | Unseen
+    | CancelRequest
+    | TombstoneRequest
+    | TombstoneReply
+    | AttemptAccepted
+    | AttemptRefused
+    | ResponseHead
+    | ResponseData
+    | AttemptEnd
+    | RunningAttempts
+    | AttemptUnknown
     | Hello
-    | Beat
-    | PeerBeat
-    | ManifestWanted
+    | AgentHeartbeat
+    | PeerHeartbeat
+    | ManifestRequest
     | ManifestObject
-    | InstancesWanted
-    | ShareBeat
-    | InstancesFound
-    | StatusWanted
-    | StatusFound
-    | TraceWanted
-    | TraceFound
-    | BurnWanted
-    | BurnFound
+    | InstancesRequest
+    | ShareHeartbeat
+    | InstancesReply
+    | StatusRequest
+    | StatusReply
+    | TraceRequest
+    | TraceReply
+    | BurnRequest
+    | BurnReply
     | MapOrder
     | MapReply
-    | RankAsk
-    | RankTold
-    | BranchAsk
-    | BranchTold
-    | LoadsAsk
-    | LoadsTold
-    | EntryBeat
+    | RankStateRequest
+    | RankStateReply
+    | BranchRequest
+    | BranchReply
+    | LoadsRequest
+    | LoadsReply
+    | EntryHeartbeat
 )
 
 
 @codecs.register("msgpack")
 class MsgpackCodec:
-    """Encodes messages; an instance belongs to one thread."""
+    """Encodes and decodes messages; not thread-safe."""
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
@@ -105,11 +105,11 @@
         )
 
     def encode(self, message: Message) -> bytes:
-        """Return ``message`` as one frame."""
+        """Return ``message`` encoded as one frame."""
         return self._encoder.encode(message)
 
     def decode(self, frame: bytes) -> Result[Message, BadMessage]:
-        """Return the message in ``frame``, or why it is none."""
+        """Return the message in ``frame``, or why it can't be decoded."""
         try:
             return Ok(self._decoder.decode(frame))
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -1,18 +1,18 @@
-"""Questions about what became of a request, between processes and the command line."""
+"""Messages by which the command line queries traces and SLO counts of processes."""
 
 from __future__ import annotations
 
 from kingcupwheel.messages.base import Message
 
 
-class TraceWanted(Message, frozen=True):
-    """To an entry or agent: send the events you hold of this request."""
+class TraceRequest(Message, frozen=True, tag="TraceWanted"):
+    """To an entry or agent: request its trace events of this request."""
 
     request_id: str
 
 
-class TraceFound(Message, frozen=True):
-    """Answers ``TraceWanted``; ``events`` is an encoded list of trace events."""
+class TraceReply(Message, frozen=True, tag="TraceFound"):
+    """Reply to ``TraceRequest``; ``events`` is an encoded list of trace events."""
 
     request_id: str
     process: str
@@ -20,12 +20,12 @@
     complete: bool
 
 
-class BurnWanted(Message, frozen=True):
-    """To an entry: send your counts against service-level goals."""
+class BurnRequest(Message, frozen=True, tag="BurnWanted"):
+    """To an entry: request its counts against service-level objectives."""
 
 
-class BurnFound(Message, frozen=True):
-    """Answers ``BurnWanted``; ``part`` is an encoded ``burn.records.BurnPart``."""
+class BurnReply(Message, frozen=True, tag="BurnFound"):
+    """Reply to ``BurnRequest``; ``part`` is an encoded ``burn.records.BurnPart``."""
 
     process: str
     part: bytes
--- a/src/kingcupwheel/platform/decoding.py
+++ b/src/kingcupwheel/platform/decoding.py
@@ -15,10 +15,10 @@
 
 # When a server started, in Unix milliseconds; 0 where it is not told. Numbers beyond
 # what a float holds exactly are no times.
-Born = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+StartTimeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-def decoded(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
+def decode_json(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
     """Return ``raw`` as a ``kind``, or what is wrong with it.
 
     Nested deeply enough it exhausts the decoder's recursion and not only its grammar.
--- a/src/kingcupwheel/platform/stored.py
+++ b/src/kingcupwheel/platform/store_types.py
@@ -14,33 +14,33 @@
 
     name: str
     revision: int
-    created: int
+    created_revision: int
     body: bytes
-    leaving: bool
+    is_deleting: bool
 
 
-class Listing(NamedTuple):
+class ObjectList(NamedTuple):
     """The objects of a kind and the revision to watch from."""
 
     objects: tuple[StoredObject, ...]
     revision: int
 
 
-class Change(NamedTuple):
+class ObjectChange(NamedTuple):
     """An object that was written, or with ``removed`` is gone."""
 
     object: StoredObject
-    removed: bool
+    is_removed: bool
 
 
-class Changes(NamedTuple):
+class WatchResult(NamedTuple):
     """What happened since a revision, and the one to go on from."""
 
-    changes: tuple[Change, ...]
+    changes: tuple[ObjectChange, ...]
     revision: int
 
 
-class Page(NamedTuple):
+class ObjectPage(NamedTuple):
     """A part of a list; the next one begins after the name ``after``, if any."""
 
     objects: tuple[StoredObject, ...]
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -19,10 +19,10 @@
 
 # Bounds of latency buckets in seconds: around the aims of plain answers (0.2) and of
 # first events (0.5), and up to the longest route's time.
-_LATENCY_BUCKETS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 4, 8)
+_LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 4, 8)
 # A change takes some 0.25 s; past 4 s it is given up.
-_CHANGE_BUCKETS = (0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
-_WAIT_BUCKETS = (0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2)
+_MAP_CHANGE_BUCKETS_S = (0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
+_QUEUE_WAIT_BUCKETS_S = (0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2)
 
 
 class EntryMetrics:
@@ -37,32 +37,32 @@
             ["service", "status", "how"],
             registry=registry,
         )
-        self.sends = Counter(
+        self.ended_sends = Counter(
             "kingcupwheel_sends_ended",
             "Sends to servers without an answer to pass on, by what came of them.",
             ["came"],
             registry=registry,
         )
-        self.notices = Counter(
+        self.server_notices = Counter(
             "kingcupwheel_server_notices",
             "What servers said of themselves in answers, by kind.",
             ["kind"],
             registry=registry,
         )
-        self.took = Histogram(
+        self.answer_seconds = Histogram(
             "kingcupwheel_answer_seconds",
             "From a request's arrival to its answer's end.",
             ["service"],
-            buckets=_LATENCY_BUCKETS,
+            buckets=_LATENCY_BUCKETS_S,
             registry=registry,
         )
-        self.queue_wait = Histogram(
+        self.queue_wait_seconds = Histogram(
             "kingcupwheel_queue_wait_seconds",
             "Wait for a place on a server.",
-            buckets=_WAIT_BUCKETS,
+            buckets=_QUEUE_WAIT_BUCKETS_S,
             registry=registry,
         )
-        self.configuration_age = Gauge(
+        self.configuration_age_seconds = Gauge(
             "kingcupwheel_configuration_age_seconds",
             "How long ago the configuration was surely the newest.",
             registry=registry,
@@ -78,10 +78,10 @@
             registry=registry,
         )
 
-    def finished(self, service: str, status: int, how: str, took_s: float) -> None:
+    def record_answer(self, service: str, status: int, how: str, took_s: float) -> None:
         """Count a request's end."""
         self.answers.labels(service, str(status), how).inc()
-        self.took.labels(service).observe(took_s)
+        self.answer_seconds.labels(service).observe(took_s)
 
 
 class RankMetrics:
@@ -96,36 +96,36 @@
             ["order", "answer"],
             registry=registry,
         )
-        self.changes = Counter(
+        self.map_changes = Counter(
             "kingcupwheel_map_changes",
             "Changes of expert maps that this agent coordinated, by their end.",
             ["end"],
             registry=registry,
         )
-        self.change_took = Histogram(
+        self.map_change_seconds = Histogram(
             "kingcupwheel_map_change_seconds",
             "From a change's plan to its release.",
-            buckets=_CHANGE_BUCKETS,
+            buckets=_MAP_CHANGE_BUCKETS_S,
             registry=registry,
         )
-        self.copies = Counter(
+        self.expert_copies = Counter(
             "kingcupwheel_map_copies",
             "Copies of experts that planned changes asked for.",
             registry=registry,
         )
-        self.skew = Gauge(
+        self.rank_time_skew = Gauge(
             "kingcupwheel_map_skew",
             "Slowest rank over the mean of all ranks when a change was last planned.",
             registry=registry,
         )
-        self.silent = Counter(
+        self.unanswered_requests = Counter(
             "kingcupwheel_agents_silent",
             "Questions that agents of the group left unanswered.",
             registry=registry,
         )
 
 
-class MetricsPage:
+class MetricsApp:
     """Serves a registry as text, on whatever path it is asked."""
 
     def __init__(
