--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -72,7 +72,7 @@
     "full-servers-are-not-silent": (
         Edit(
             "forwarding/runs.py",
-            "if not self._begun and context.book.is_told_full(place, now):",
+            "if not self._begun and context.servers.is_told_full(place, now):",
             "if now < 0.0:",
         ),
     ),
