--- a/src/kingcupwheel/agent/answers.py
+++ b/src/kingcupwheel/agent/answers.py
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.messages.runs import Data
-from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import Outcome
+from kingcupwheel.messages.attempts import AttemptEnd
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.messages.attempts import ResponseData
+from kingcupwheel.messages.attempts import ResponseHead
 
 
 if TYPE_CHECKING:
@@ -40,9 +40,11 @@
     outcome: Outcome
     detail: str
 
-    def message(self, name: AttemptKey, detail: str) -> End:
+    def message(self, name: AttemptKey, detail: str) -> AttemptEnd:
         """Return the message that tells it."""
-        return End(name.request_id, name.attempt, self.length, self.outcome, detail)
+        return AttemptEnd(
+            name.request_id, name.attempt, self.length, self.outcome, detail
+        )
 
 
 class Ended(NamedTuple):
@@ -61,7 +63,7 @@
         end = self.end
         if offset != end.length:
             return [end.message(name, NOT_HELD)]
-        head = [] if self.head is None else [Head(*name, *self.head)]
+        head = [] if self.head is None else [ResponseHead(*name, *self.head)]
         return [*head, end.message(name, end.detail)]
 
 
@@ -166,7 +168,7 @@
         messages: list[Message] = []
         if self.head is not None and not subscriber.head_sent:
             subscriber.head_sent = True
-            messages.append(Head(*subscriber.name, *self.head))
+            messages.append(ResponseHead(*subscriber.name, *self.head))
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent >= self.end.length:
             subscriber.end_sent = True
@@ -180,7 +182,7 @@
             start = subscriber.sent
             stop = min(until, start + _FRAME_BYTES)
             data = bytes(self._body[start - self._base : stop - self._base])
-            messages.append(Data(*subscriber.name, start, data))
+            messages.append(ResponseData(*subscriber.name, start, data))
             subscriber.sent = stop
         return messages
 
@@ -189,4 +191,4 @@
         # entry that it lacks some; waiting would not bring them back.
         subscriber.end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
-        return [End(*subscriber.name, self.length, outcome, NOT_HELD)]
+        return [AttemptEnd(*subscriber.name, self.length, outcome, NOT_HELD)]
--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/handler.py
@@ -15,16 +15,16 @@
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.messages.runs import Accepted
-from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
-from kingcupwheel.messages.runs import Dispatch
-from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Entomb
-from kingcupwheel.messages.runs import NotRun
-from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Resume
-from kingcupwheel.messages.runs import Unseen
+from kingcupwheel.messages.attempts import Ack
+from kingcupwheel.messages.attempts import AttemptAccepted
+from kingcupwheel.messages.attempts import AttemptEnd
+from kingcupwheel.messages.attempts import AttemptRefused
+from kingcupwheel.messages.attempts import AttemptUnknown
+from kingcupwheel.messages.attempts import CancelRequest
+from kingcupwheel.messages.attempts import Dispatch
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.messages.attempts import ResumeRequest
+from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Queued
 from kingcupwheel.trace.events import Resumed
@@ -67,14 +67,14 @@
         match message:
             case Dispatch():
                 self._dispatch(link, message)
-            case Resume():
+            case ResumeRequest():
                 self._resume(link, message)
             case Ack():
                 name = AttemptKey(message.request_id, message.attempt)
                 self._store.acknowledge(name, link, message.offset)
-            case Cancel():
+            case CancelRequest():
                 self._cancel(link, message)
-            case Entomb():
+            case TombstoneRequest():
                 with self._runner.lock:
                     answer = self._runner.runs.entomb(message, now=monotonic())
                 self._send(link, answer)
@@ -105,12 +105,12 @@
                 case Refuse(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
                     self._recorder.record(name.request_id, note)
-                    self._send(link, NotRun(*name, reason))
+                    self._send(link, AttemptRefused(*name, reason))
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
         name = key_of(dispatch)
         self._store.open(name, keep=dispatch.claim is not None)
-        self._send(link, Accepted(*name, running))
+        self._send(link, AttemptAccepted(*name, running))
         self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
 
     def _join(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
@@ -118,13 +118,13 @@
         self._recorder.record(
             name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
         )
-        self._send(link, Accepted(*name, True))
+        self._send(link, AttemptAccepted(*name, True))
         subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
         replaced = self._peers.older_links(link)
         if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
             self._send(link, _unknown(name))
 
-    def _resume(self, link: Link, message: Resume) -> None:
+    def _resume(self, link: Link, message: ResumeRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
         key = self._known_key(name, message.claim_id)
         subscriber = Subscriber(
@@ -140,9 +140,9 @@
             incarnation = self._runner.runs.incarnation
             cancelled = self._runner.runs.is_cancelled(name)
         if reason is not None:
-            self._send(link, NotRun(*name, reason))
+            self._send(link, AttemptRefused(*name, reason))
         else:
-            self._send(link, Unseen(*name, incarnation, cancelled))
+            self._send(link, AttemptUnknown(*name, incarnation, cancelled))
 
     def _known_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
         if claim_id is None or self._store.knows(name):
@@ -150,7 +150,7 @@
         with self._runner.lock:
             return self._runner.runs.accepted_for(claim_id) or name
 
-    def _cancel(self, link: Link, message: Cancel) -> None:
+    def _cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
         key = self._store.key_at(name, link) or name
         if self._store.unsubscribe(name, link):
@@ -159,7 +159,7 @@
         if reason is not None:
             self._send(link, reason)
 
-    def _stop(self, key: AttemptKey) -> NotRun | None:
+    def _stop(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
             decision = self._runner.runs.cancel(key, now=monotonic())
         match decision:
@@ -167,12 +167,12 @@
                 self._runner.stop(key)
             case Refuse(_, reason):
                 self._store.refuse(key, reason)
-                return NotRun(*key, reason)
+                return AttemptRefused(*key, reason)
             case Ignore():
                 pass
         return None
 
 
-def _unknown(name: AttemptKey) -> End:
+def _unknown(name: AttemptKey) -> AttemptEnd:
     detail = "older than this agent's memory"
-    return End(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
+    return AttemptEnd(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.agent.adapters.base import ServerState
-from kingcupwheel.messages.membership import Beat
-from kingcupwheel.messages.membership import Load
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
 
 
 class Heartbeat:
-    """Makes the ``Beat`` of this moment."""
+    """Makes the ``AgentHeartbeat`` of this moment."""
 
     def __init__(
         self,
@@ -106,12 +106,12 @@
         self._probe = probe
         self._manifest_version = manifest_version
 
-    def beat(self, *, now: float) -> Beat:
+    def beat(self, *, now: float) -> AgentHeartbeat:
         """Return the message for every entry that listens."""
         settings = self._settings
         with self._runner.lock:
             runs = self._runner.runs
-            return Beat(
+            return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
                 data_centre=settings.data_centre,
@@ -124,10 +124,10 @@
                 crashed=self._runner.crashes.told(now=now),
             )
 
-    def _load(self) -> Load:
+    def _load(self) -> BackendLoad:
         runs = self._runner.runs
         running, queued = runs.running, runs.queued
-        return Load(
+        return BackendLoad(
             running=len(running),
             queued=len(queued),
             capacity=runs.capacity,
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -15,9 +15,9 @@
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import TimedOut
 from kingcupwheel.entry.tickets import Wanted
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.runs import ClaimRef
-from kingcupwheel.messages.runs import Dispatch
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.attempts import ClaimRef
+from kingcupwheel.messages.attempts import Dispatch
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Placed
@@ -130,8 +130,8 @@
     def dispatch(self, place: Place, held: Held | None) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
 
-        After a link was replaced only ``Resume`` is sent: a second copy of a dispatch
-        would make ``wrong incarnation`` an unsafe ground for ``not-run``.
+        After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
+        dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
         """
         context = self._context
         request = self._plan.request
@@ -140,7 +140,7 @@
         assert inbox is not None, "attempt numbers are not reused"
         claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
         message = _dispatch_of(self._plan, key, place, claim)
-        context.hub.send(Outgoing(place.address, 0), message)
+        context.hub.send(OutgoingLink(place.address, 0), message)
         self._record(Dispatched(place.server, self._count))
         return AnswerReader(
             inbox,
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -17,7 +17,7 @@
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
 from kingcupwheel.forwarding.watchdog import WatchedRequest
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -189,7 +189,7 @@
         if knowledge.configuration is not None:
             version = knowledge.configuration.version
         took_s = monotonic() - received.at
-        self._context.metrics.finished("", refusal.status, refusal.limit, took_s)
+        self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
         log.info(
             "refused",
             id=received.id,
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -33,18 +33,18 @@
 from kingcupwheel.forwarding.storewatch import configuration_watch_timing
 from kingcupwheel.forwarding.storewatch import server_watch_timing
 from kingcupwheel.forwarding.watchdog import Watchdog
-from kingcupwheel.link.hub import Hub
-from kingcupwheel.messages.membership import Beat
-from kingcupwheel.messages.membership import EntryBeat
-from kingcupwheel.messages.membership import EntryTold
-from kingcupwheel.messages.membership import LoadsTold
+from kingcupwheel.link.hub import MessageHub
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import EntryHeartbeat
+from kingcupwheel.messages.membership import EntryInfo
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.platform.objects import ObjectStore
+from kingcupwheel.messages.membership import ManifestRequest
+from kingcupwheel.platform.object_store import ObjectStore
 from kingcupwheel.plugins.kernel import load_placements
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.telemetry.metrics import MetricsApp
 
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
         self._configuration_cache = ConfigurationCache()
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
@@ -120,7 +120,7 @@
             self._configuration_cache,
             is_leaving=self._leaving.is_set,
         )
-        own_entry = EntryTold(
+        own_entry = EntryInfo(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
         self._membership = EntryMembership(
@@ -168,7 +168,7 @@
         }
         if self._forwarding.metrics:
             refresh = self._refresh_metrics
-            page = MetricsPage(self._metrics.registry, refresh)
+            page = MetricsApp(self._metrics.registry, refresh)
             endpoints[self._forwarding.metrics] = page
         return (
             HttpServer(
@@ -255,7 +255,7 @@
 
     def _refresh_metrics(self) -> None:
         age_s = min(self._configuration_cache.age_s(), 1e6)
-        self._metrics.configuration_age.set(age_s)
+        self._metrics.configuration_age_seconds.set(age_s)
         self._metrics.configuration_version.set(self._configuration_cache.version)
         self._metrics.live_entries.set(len(self._membership.live_entries()))
 
@@ -273,11 +273,11 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case EntryBeat():
+            case EntryHeartbeat():
                 self._membership.on_heartbeat(message)
-            case Beat() | LoadsTold():
+            case AgentHeartbeat() | LoadsReply():
                 self._load_poller.on_report(link, message)
-            case ManifestWanted():
+            case ManifestRequest():
                 self._membership.on_configuration_request(link, message)
             case ManifestObject():
                 self._membership.on_configuration(message)
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -7,12 +7,12 @@
 
 from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
 from kingcupwheel.forwarding.loadheads import LoadHeads
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsAsk
-from kingcupwheel.messages.membership import LoadsTold
-from kingcupwheel.messages.membership import ServerTold
+from kingcupwheel.messages.membership import LoadsReply
+from kingcupwheel.messages.membership import LoadsRequest
+from kingcupwheel.messages.membership import ReportedServerLoad
 
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.serverbook import ServerBook
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         settings: Settings,
-        hub: Hub,
+        hub: MessageHub,
         servers: ServerBook,
         configuration_cache: ConfigurationCache,
         *,
@@ -55,12 +55,12 @@
         self._polled_at = 0.0
         self._heads = LoadHeads(settings.data_centre)
 
-    def on_report(self, link: Link, message: Beat | LoadsTold) -> None:
+    def on_report(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
         """Record an agent's report of its own server, or of those of a data centre."""
-        if isinstance(message, Beat):
+        if isinstance(message, AgentHeartbeat):
             self._servers.agents_say((_report_from(message),))
             return
-        if isinstance(link, Outgoing):
+        if isinstance(link, OutgoingLink):
             self._heads.heard(link.address, monotonic())
         self._servers.agents_say(message.servers)
 
@@ -78,11 +78,11 @@
         self._polled_at = now
         if sum(map(len, agents.values())) > DIRECT_AGENTS:
             for head, members, every_s in self._heads.asks(agents, now):
-                self._hub.send(Outgoing(head, 0), LoadsAsk(members, every_s))
+                self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
             return
         hello = self._hello(current)
         for address in (one for found in agents.values() for one in found):
-            self._hub.send(Outgoing(address, 0), hello)
+            self._hub.send(OutgoingLink(address, 0), hello)
 
     def _hello(self, current: Configuration) -> Hello:
         settings = self._settings
@@ -104,8 +104,8 @@
     return found
 
 
-def _report_from(beat: Beat) -> ServerTold:
+def _report_from(beat: AgentHeartbeat) -> ReportedServerLoad:
     load = beat.load
-    return ServerTold(
+    return ReportedServerLoad(
         beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
     )
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.messages.membership import EntryBeat
-    from kingcupwheel.messages.membership import EntryTold
+    from kingcupwheel.messages.membership import EntryHeartbeat
+    from kingcupwheel.messages.membership import EntryInfo
 
 # Interval of heartbeats to a peer in a fleet of up to so many entries, in seconds. In a
 # larger fleet it grows in proportion, so that the cost of an entry stays the same.
@@ -34,9 +34,9 @@
 class _Peer:
     __slots__ = ("added_at", "connected_at", "entry", "heard_at", "last_heartbeat")
 
-    def __init__(self, entry: EntryTold, now: float) -> None:
+    def __init__(self, entry: EntryInfo, now: float) -> None:
         self.entry = entry
-        self.last_heartbeat: EntryBeat | None = None
+        self.last_heartbeat: EntryHeartbeat | None = None
         self.heard_at = float("-inf")
         self.added_at = now
         self.connected_at = now
@@ -55,7 +55,7 @@
 class PeerTable:
     """The other entries by name; not thread-safe, callers hold a lock."""
 
-    def __init__(self, me: EntryTold) -> None:
+    def __init__(self, me: EntryInfo) -> None:
         self._me = me
         self._by_name: dict[str, _Peer] = {}
         # Largest number of entries live at once. Budgets are divided by it, since
@@ -63,7 +63,7 @@
         self._max_live_seen = 1
 
     @property
-    def known_entries(self) -> tuple[EntryTold, ...]:
+    def known_entries(self) -> tuple[EntryInfo, ...]:
         """Every known peer, live or not."""
         return tuple(peer.entry for peer in self._by_name.values())
 
@@ -73,7 +73,7 @@
             1.0, (len(self._by_name) + 1) / _FULL_RATE_ENTRIES
         )
 
-    def add_known(self, entries: Iterable[EntryTold], now: float) -> None:
+    def add_known(self, entries: Iterable[EntryInfo], now: float) -> None:
         """Add entries from a list; only their heartbeats show that they are live."""
         for entry in entries:
             known = self._by_name.get(entry.name)
@@ -85,12 +85,12 @@
                 # The machine was replaced. A live entry sends its own address.
                 self._by_name[entry.name] = _Peer(entry, now)
 
-    def record_heartbeat(self, beat: EntryBeat, now: float) -> bool:
+    def record_heartbeat(self, beat: EntryHeartbeat, now: float) -> bool:
         """Record a heartbeat; return whether its entry is new or has restarted."""
-        peer = self._by_name.get(beat.me.name)
+        peer = self._by_name.get(beat.sender.name)
         is_new = peer is None or peer.last_heartbeat is None
-        if peer is None or peer.entry != beat.me:
-            peer = self._by_name[beat.me.name] = _Peer(beat.me, now)
+        if peer is None or peer.entry != beat.sender:
+            peer = self._by_name[beat.sender.name] = _Peer(beat.sender, now)
         restarted = (
             peer.last_heartbeat is not None
             and peer.last_heartbeat.incarnation != beat.incarnation
@@ -100,7 +100,7 @@
         self._max_live_seen = max(self._max_live_seen, len(self.live_entries(now)) + 1)
         return is_new or restarted
 
-    def live_entries(self, now: float) -> tuple[EntryTold, ...]:
+    def live_entries(self, now: float) -> tuple[EntryInfo, ...]:
         """Return the peers that callers may be sent to."""
         silent_s = _MAX_MISSED_HEARTBEATS * self.heartbeat_interval_s()
         return tuple(
@@ -148,7 +148,7 @@
                 found.append(peer.entry.address)
         return tuple(found)
 
-    def remove_expired(self, now: float) -> tuple[EntryTold, ...]:
+    def remove_expired(self, now: float) -> tuple[EntryInfo, ...]:
         """Remove and return the entries that have been silent for long."""
         expired = tuple(
             peer.entry
@@ -160,7 +160,7 @@
         return expired
 
 
-def confirmation_from(beat: EntryBeat) -> VersionConfirmation | None:
+def confirmation_from(beat: EntryHeartbeat) -> VersionConfirmation | None:
     """Return what a heartbeat proves about the age of a configuration version.
 
     Failure: a heartbeat is delayed, or its sender is frozen between writing and sending
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -39,9 +39,9 @@
 from kingcupwheel.forwarding.placing import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import AbortReason
-from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.platform.headers import server_headers
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.platform.headers import build_server_headers
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -130,7 +130,7 @@
     def _withheld(self, place: Place) -> None:
         """Give back a place that a notice overtook; the next one is on another life."""
         self._release(place)
-        self._context.metrics.sends.labels("withheld").inc()
+        self._context.metrics.ended_sends.labels("withheld").inc()
         log.info("send-withheld", id=self._request.id, server=place.incarnation)
 
     def _answered(
@@ -232,7 +232,7 @@
             budget=budget,
             follows=step.value,
         )
-        self._context.metrics.sends.labels(came.value).inc()
+        self._context.metrics.ended_sends.labels(came.value).inc()
         rest_s = self._dispatcher.rest_left_s() if step is Follows.REFUSE else 0.0
         return refusal_after(step, why, request.id, rest_s)
 
@@ -269,7 +269,7 @@
 
     def _log_place(self, place: Place) -> None:
         request = self._request
-        self._context.metrics.queue_wait.observe(place.waited_s)
+        self._context.metrics.queue_wait_seconds.observe(place.waited_s)
         log.info(
             "placed",
             id=request.id,
@@ -297,7 +297,7 @@
         outgoing = Outgoing(
             request.method,
             request.target,
-            server_headers(request.headers, call),
+            build_server_headers(request.headers, call),
             request.body,
             request.head.attempt,
         )
@@ -396,7 +396,7 @@
         """Log the request's end as its caller sees it."""
         request = self._request
         took_s = monotonic() - request.received_at
-        self._context.metrics.finished(request.service, status, how, took_s)
+        self._context.metrics.record_answer(request.service, status, how, took_s)
         log.info(
             "finished",
             id=request.id,
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -14,10 +14,10 @@
 
 from kingcupwheel.forwarding.addressclaims import AddressClaims
 from kingcupwheel.manifest.schema import ServerGroup
-from kingcupwheel.messages.membership import Beat
-from kingcupwheel.messages.membership import Load
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.heads import ReportedLoad
-    from kingcupwheel.messages.membership import ServerTold
+    from kingcupwheel.messages.membership import ReportedServerLoad
 
 log = lines_of("servers")
 
@@ -229,7 +229,7 @@
             self._claims.refute(backend, now)
             self._apply(now)
 
-    def agents_say(self, told: Iterable[ServerTold]) -> None:
+    def agents_say(self, told: Iterable[ReportedServerLoad]) -> None:
         """Take in what the agents beside servers say."""
         now = monotonic()
         services: set[str] = set()
@@ -241,7 +241,9 @@
         for service in services:
             self._dispatchers.pump(service)
 
-    def _agent_says(self, backend: Backend, told: ServerTold, now: float) -> None:
+    def _agent_says(
+        self, backend: Backend, told: ReportedServerLoad, now: float
+    ) -> None:
         address = backend.address
         if told.born_ms and backend.born_ms:
             if told.born_ms < backend.born_ms:
@@ -253,7 +255,7 @@
         if told.pace >= AVOIDED_PACE:
             self._slow_at[address] = now
         up = told.up and not self._avoided(backend, now)
-        load = Load(told.running, told.queued, 0, 0.0, 0.0, 0.0, told.pace)
+        load = BackendLoad(told.running, told.queued, 0, 0.0, 0.0, 0.0, told.pace)
         self._heard(backend, load, now, up=up)
 
     def _reborn(self, backend: Backend, born_ms: int, now: float) -> Backend:
@@ -313,7 +315,7 @@
             self._dispatchers.pump(service)
 
     def _heard(
-        self, backend: Backend, told: Load, now: float, *, up: bool = True
+        self, backend: Backend, told: BackendLoad, now: float, *, up: bool = True
     ) -> None:
         current = self._backends_by_address.get(backend.address)
         if current is None or current.life != backend.life:
@@ -336,8 +338,8 @@
     return max(1, int(places / (pace * pace)))
 
 
-def _load(running: int, waiting: int) -> Load:
-    return Load(running, waiting, 0, 0.0, 0.0, 0.0)
+def _load(running: int, waiting: int) -> BackendLoad:
+    return BackendLoad(running, waiting, 0, 0.0, 0.0, 0.0)
 
 
 def _groups(backends: Iterable[Backend]) -> dict[str, ServerGroup]:
@@ -363,8 +365,8 @@
     )
 
 
-def _beat(backend: Backend, load: Load, *, up: bool = True) -> Beat:
-    return Beat(
+def _beat(backend: Backend, load: BackendLoad, *, up: bool = True) -> AgentHeartbeat:
+    return AgentHeartbeat(
         name=backend.instance,
         group=backend.service,
         data_centre=backend.data_centre,
--- a/src/kingcupwheel/forwarding/storewatch.py
+++ b/src/kingcupwheel/forwarding/storewatch.py
@@ -15,8 +15,8 @@
 from kingcupwheel.platform.configuration import decode_configuration
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.platform.objects import DEFAULT_CALL_S
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.platform.object_store import DEFAULT_CALL_TIMEOUT_S
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -24,9 +24,9 @@
 
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
-    from kingcupwheel.platform.objects import Change
-    from kingcupwheel.platform.objects import ObjectStore
-    from kingcupwheel.platform.objects import StoredObject
+    from kingcupwheel.platform.object_store import ObjectChange
+    from kingcupwheel.platform.object_store import ObjectStore
+    from kingcupwheel.platform.object_store import StoredObject
 
 log = lines_of("store")
 
@@ -59,7 +59,7 @@
     ) -> None:
         """Handle a complete list that was requested at ``asked_at``."""
 
-    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Handle the changes of one watch; empty if nothing changed."""
 
 
@@ -80,7 +80,7 @@
     if entries < LARGE_FLEET_ENTRIES:
         return WatchTiming()
     return WatchTiming(
-        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_S - _WATCH_TIMEOUT_MARGIN_S),
+        max(WATCH_WAIT_S, steady_s - DEFAULT_CALL_TIMEOUT_S - _WATCH_TIMEOUT_MARGIN_S),
         _CHANGE_BATCHING_S,
     )
 
@@ -139,7 +139,7 @@
                 self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
     def _list(self, asked_at: float) -> PlatformError | None:
-        asked = self._store.listing(self._handler.kind)
+        asked = self._store.list_objects(self._handler.kind)
         if asked.is_error():
             return asked.error
         outage_s = self._outage.duration_s(monotonic())
@@ -194,10 +194,10 @@
             if found.name == CONFIGURATION_NAME:
                 adopt_configuration(self._cache, found.body, asked_at, source="store")
 
-    def on_changes(self, changes: tuple[Change, ...], asked_at: float) -> None:
+    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
         """Store a new version, or confirm the current one if nothing changed."""
         for change in changes:
-            if change.object.name == CONFIGURATION_NAME and not change.removed:
+            if change.object.name == CONFIGURATION_NAME and not change.is_removed:
                 adopt_configuration(
                     self._cache, change.object.body, asked_at, source="store"
                 )
--- a/src/kingcupwheel/link/links.py
+++ b/src/kingcupwheel/link/links.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Outgoing(NamedTuple):
+class OutgoingLink(NamedTuple):
     """A link this process opened to ``address`` (``IP:port``).
 
     ``generation`` rises each time the link is replaced by a new connection.
@@ -15,16 +15,16 @@
     generation: int
 
 
-class Incoming(NamedTuple):
+class IncomingLink(NamedTuple):
     """A link another process opened to this one."""
 
     identity: bytes
 
 
-Link = Outgoing | Incoming
+Link = OutgoingLink | IncomingLink
 
 
-class Traffic(NamedTuple):
+class TrafficCounts(NamedTuple):
     """Messages and payload bytes that passed a hub since it started."""
 
     messages_in: int
--- a/src/kingcupwheel/lockstep/asking.py
+++ b/src/kingcupwheel/lockstep/asking.py
@@ -7,21 +7,21 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.lockstep import BranchRequest
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.lockstep import ReplyContent
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import BranchTold
+    from kingcupwheel.messages.lockstep import BranchReply
 
 log = lines_of("maps")
 
@@ -41,7 +41,7 @@
 class Question(NamedTuple):
     """What one agent is asked."""
 
-    tell: Tell = Tell.STATE
+    tell: ReplyContent = ReplyContent.STATE
     order: RankOrder | None = None
     wait_s: float = 0.0
 
@@ -65,10 +65,10 @@
 class Panel:
     """Questions to agents by address; ``told`` may be called from any thread."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._number = 0
-        self._waited: dict[int, RankTold | BranchTold | None] = {}
+        self._waited: dict[int, RankStateReply | BranchReply | None] = {}
         self._unanswered_by_address: dict[str, int] = {}
         self._heads_by_agent: Mapping[str, str] = {}
         self._silent_until_by_head: dict[str, float] = {}
@@ -78,14 +78,14 @@
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
-    def told(self, message: RankTold | BranchTold) -> None:
+    def told(self, message: RankStateReply | BranchReply) -> None:
         """Take in an answer."""
         with self._changed:
             if message.number in self._waited:
                 self._waited[message.number] = message
                 self._changed.notify_all()
 
-    def ask(self, questions: Mapping[str, Question]) -> dict[str, RankTold]:
+    def ask(self, questions: Mapping[str, Question]) -> dict[str, RankStateReply]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
@@ -103,7 +103,7 @@
     def _parts(self, questions: Mapping[str, Question]) -> list[_Part]:
         now = monotonic()
         # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
-        members: dict[tuple[str, Tell, int], list[str]] = {}
+        members: dict[tuple[str, ReplyContent, int], list[str]] = {}
         for address, question in questions.items():
             head = self._heads_by_agent.get(address, address)
             if now < self._silent_until_by_head.get(head, 0.0):
@@ -134,7 +134,7 @@
 
     def _exchange(
         self, parts: Iterable[_Part]
-    ) -> tuple[dict[str, RankTold], tuple[_Part, ...]]:
+    ) -> tuple[dict[str, RankStateReply], tuple[_Part, ...]]:
         """Send each part; return answers by address, and the parts without any."""
         parts_by_number = {self._next(): part for part in parts}
         began = monotonic()
@@ -149,7 +149,7 @@
                 max(0.0, began + longest_s - monotonic()),
             )
             waited, self._waited = self._waited, {}
-        answers: dict[str, RankTold] = {}
+        answers: dict[str, RankStateReply] = {}
         for number, answer in waited.items():
             if answer is not None:
                 answers.update(_by_address(parts_by_number[number], answer))
@@ -161,16 +161,16 @@
     def _send(self, number: int, part: _Part) -> None:
         question = part.question
         wait_ms = int(question.wait_s * 1000)
-        ask = RankAsk(number, question.tell, question.order, wait_ms)
-        message = BranchAsk(number, ask, part.members) if part.is_branch else ask
-        self._hub.send(Outgoing(part.address, 0), message)
+        ask = RankStateRequest(number, question.tell, question.order, wait_ms)
+        message = BranchRequest(number, ask, part.members) if part.is_branch else ask
+        self._hub.send(OutgoingLink(part.address, 0), message)
 
     def _next(self) -> int:
         self._number += 1
         return self._number
 
     def _note_silence(
-        self, questions: Mapping[str, Question], answers: Mapping[str, RankTold]
+        self, questions: Mapping[str, Question], answers: Mapping[str, RankStateReply]
     ) -> None:
         for address in questions:
             if address in answers:
@@ -178,19 +178,21 @@
                 continue
             unanswered = self._unanswered_by_address.get(address, 0) + 1
             if unanswered >= _SILENT_QUESTIONS:
-                self._hub.replace(address)
+                self._hub.reconnect(address)
                 unanswered = 0
             self._unanswered_by_address[address] = unanswered
 
 
-def _by_address(part: _Part, answer: RankTold | BranchTold) -> dict[str, RankTold]:
-    if isinstance(answer, RankTold):
+def _by_address(
+    part: _Part, answer: RankStateReply | BranchReply
+) -> dict[str, RankStateReply]:
+    if isinstance(answer, RankStateReply):
         return {part.address: answer}
-    told = dict(answer.told)
+    told = dict(answer.reply_by_address)
     if answer.counts and told:
         first = next(iter(told))
         one = told[first]
-        told[first] = RankTold(
-            one.number, one.state, answer.counts, answer.scale, one.places
+        told[first] = RankStateReply(
+            one.number, one.state, answer.counts, answer.scale, one.placement
         )
     return told
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -22,7 +22,7 @@
 from kingcupwheel.lockstep.reaching import RankReach
 from kingcupwheel.lockstep.taking import LOOK_S
 from kingcupwheel.lockstep.taking import ChargeTaker
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.asking import Panel
     from kingcupwheel.lockstep.rosters import Beside
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
@@ -132,7 +132,7 @@
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
         answers, silent = self._reach.counts(charge.roster)
-        self._metrics.silent.inc(silent)
+        self._metrics.unanswered_requests.inc(silent)
         if not charge.take_in(answers):
             return LOOK_S
         group = charge.group
@@ -143,7 +143,7 @@
         plan = charge.balancer.take(group, charge.layers, answers.values(), began)
         if plan is not None:
             charge.begin(Preparing(group.highest + 1, plan.layers))
-            self._metrics.copies.inc(plan.copies)
-            self._metrics.skew.set(plan.skew_before)
+            self._metrics.expert_copies.inc(plan.copies)
+            self._metrics.rank_time_skew.set(plan.skew_before)
             return 0.0
         return max(_LEAST_PAUSE_S, COUNT_S - (monotonic() - began))
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -13,30 +13,30 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.gateway import HttpServer
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.asking import Panel
 from kingcupwheel.lockstep.boards import LoadBoard
 from kingcupwheel.lockstep.carrying import OrderCarrier
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.lockstep.rosters import Beside
-from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.lockstep import BranchReply
+from kingcupwheel.messages.lockstep import BranchRequest
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
-from kingcupwheel.messages.membership import LoadsAsk
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
-from kingcupwheel.platform.objects import ObjectStore
-from kingcupwheel.platform.ranks import RankClient
-from kingcupwheel.platform.servers import SERVERS_KIND
-from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.telemetry.lines import lines_of
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.platform.object_store import ObjectStore
+from kingcupwheel.platform.rank_client import RankClient
+from kingcupwheel.platform.server_entries import SERVERS_KIND
+from kingcupwheel.platform.server_entries import decode_server
+from kingcupwheel.telemetry.json_logs import lines_of
+from kingcupwheel.telemetry.metrics import MetricsApp
 from kingcupwheel.telemetry.metrics import RankMetrics
 
 
@@ -74,13 +74,13 @@
         self._client = RankClient(f"http://{self._rank.server}")
         self._metrics = RankMetrics()
         self._carrier = OrderCarrier(self._client, self._metrics)
-        self._asks: Queue[tuple[Link, RankAsk]] = Queue(_QUEUED)
+        self._asks: Queue[tuple[Link, RankStateRequest]] = Queue(_QUEUED)
         self._entries: dict[Link, float] = {}
         self._shape: EngineShape | None = None
         self._servers_by_agent: dict[str, Beside] = {}
         self._lock = Lock()
         self._stopping = Event()
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
@@ -103,7 +103,7 @@
         if not self._rank.metrics:
             return None
         return HttpServer(
-            MetricsPage(self._metrics.registry),
+            MetricsApp(self._metrics.registry),
             listen=self._rank.metrics,
             threads=1,
             connections=_PAGE_CONNECTIONS,
@@ -137,17 +137,17 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case RankAsk():
+            case RankStateRequest():
                 self._queue(link, message)
-            case BranchAsk():
+            case BranchRequest():
                 self._gatherer.ask(link, message, monotonic())
-            case RankTold() if self._gatherer.told(message):
+            case RankStateReply() if self._gatherer.told(message):
                 pass
-            case RankTold() | BranchTold():
+            case RankStateReply() | BranchReply():
                 self._panel.told(message)
-            case LoadsAsk():
+            case LoadsRequest():
                 self._board.asked(link, message, monotonic())
-            case Beat():
+            case AgentHeartbeat():
                 self._board.told(link, message, monotonic())
             case Hello():
                 with self._lock:
@@ -159,7 +159,7 @@
         self._gatherer.on_tick(now)
         self._board.on_tick(now)
 
-    def _queue(self, link: Link, ask: RankAsk) -> None:
+    def _queue(self, link: Link, ask: RankStateRequest) -> None:
         try:
             self._asks.put_nowait((link, ask))
         except Full:
@@ -187,12 +187,12 @@
             links = tuple(self._entries)
         if not links:
             return
-        asked = self._client.state()
+        asked = self._client.fetch_state()
         if asked.is_error():
             return
         state = asked.ok
-        load = Load(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
-        beat = Beat(
+        load = BackendLoad(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
+        beat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
             data_centre="",
@@ -213,7 +213,7 @@
 
         While the store is away those found last serve: a held pass can't wait for it.
         """
-        listed = self._store.listing(SERVERS_KIND, stale=True)
+        listed = self._store.list_objects(SERVERS_KIND, stale=True)
         if listed.is_error():
             log.warning("store-lost", kind=SERVERS_KIND, why=str(listed.error))
             return self._servers_by_agent
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.lockstep.asking import ANSWER_S
 from kingcupwheel.lockstep.carrying import packed
-from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import BranchReply
+from kingcupwheel.messages.lockstep import RankStateRequest
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.lockstep import BranchAsk
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import BranchRequest
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 # Numbers of questions of a head begin here: an agent may coordinate one group's maps
 # and be asked for a branch at the same time, and answers are told apart by number.
@@ -29,15 +29,15 @@
 class _Branch:
     """One question under way."""
 
-    def __init__(self, link: Link, ask: BranchAsk, until: float) -> None:
+    def __init__(self, link: Link, ask: BranchRequest, until: float) -> None:
         self.link = link
         self.number = ask.number
         self.until = until
         self.missing: dict[int, str] = {}
-        self.told: dict[str, RankTold] = {}
+        self.told: dict[str, RankStateReply] = {}
         self.counts: list[int] = []
 
-    def take(self, message: RankTold) -> None:
+    def take(self, message: RankStateReply) -> None:
         """Take in a member's answer; its counts are summed."""
         address = self.missing.pop(message.number)
         self.told[address] = msgspec.structs.replace(message, counts=b"", scale=1)
@@ -48,12 +48,12 @@
         for index, found in enumerate(message.counts):
             self.counts[index] += found * message.scale
 
-    def answer(self) -> BranchTold:
+    def answer(self) -> BranchReply:
         """Return what was told so far."""
         if not self.counts:
-            return BranchTold(self.number, self.told)
+            return BranchReply(self.number, self.told)
         scale, counts = packed(self.counts)
-        return BranchTold(self.number, self.told, counts, scale)
+        return BranchReply(self.number, self.told, counts, scale)
 
 
 class Gatherer:
@@ -63,15 +63,15 @@
     frozen, and the others' answers must not wait for it.
     """
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._numbers = count(_FIRST_NUMBER)
         self._branches_by_number: dict[int, _Branch] = {}
         self._lock = Lock()
 
-    def ask(self, link: Link, message: BranchAsk, now: float) -> None:
+    def ask(self, link: Link, message: BranchRequest, now: float) -> None:
         """Pass a question on to the members of its branch."""
-        wait_s = message.ask.wait_ms / 1000
+        wait_s = message.request.wait_ms / 1000
         branch = _Branch(link, message, now + wait_s + ANSWER_S)
         with self._lock:
             for address in message.members:
@@ -80,11 +80,11 @@
                 self._branches_by_number[number] = branch
             asked = tuple(branch.missing.items())
         for number, address in asked:
-            ask = message.ask
-            passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
-            self._hub.send(Outgoing(address, 0), passed)
+            ask = message.request
+            passed = RankStateRequest(number, ask.content, ask.order, ask.wait_ms)
+            self._hub.send(OutgoingLink(address, 0), passed)
 
-    def told(self, message: RankTold) -> bool:
+    def told(self, message: RankStateReply) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
         with self._lock:
             branch = self._branches_by_number.pop(message.number, None)
--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -9,8 +9,8 @@
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.rosters import heads_of
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import Tell
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.lockstep import ReplyContent
 
 
 if TYPE_CHECKING:
@@ -21,9 +21,9 @@
     from kingcupwheel.lockstep.change import Want
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.rosters import Roster
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
-Answers = dict[str, "RankTold"]
+Answers = dict[str, "RankStateReply"]
 
 
 class RankReach:
@@ -50,9 +50,9 @@
         """Return states and experts of every rank that can be reached."""
         self._panel.branch(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.ask(
-            dict.fromkeys(servers_by_agent, Question(Tell.PLACES))
+            dict.fromkeys(servers_by_agent, Question(ReplyContent.PLACES))
         )
-        asks = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
+        asks = dict.fromkeys(servers_by_agent, RankStateRequest(0, ReplyContent.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
         self._ask_servers(asks, servers, answers)
         return answers
@@ -63,7 +63,7 @@
         Servers are not asked for their counts: from afar that holds up every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
-        answers = self._panel.ask(dict.fromkeys(agents, Question(Tell.COUNTS)))
+        answers = self._panel.ask(dict.fromkeys(agents, Question(ReplyContent.COUNTS)))
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
@@ -72,7 +72,7 @@
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
         answers = self._panel.ask(dict.fromkeys(asked, Question()))
-        asks = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
+        asks = dict.fromkeys(agents, RankStateRequest(0, ReplyContent.STATE))
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
 
@@ -83,16 +83,18 @@
         what carries them out must not be lost together.
         """
         questions: dict[str, Question] = {}
-        asks: dict[str, RankAsk] = {}
+        asks: dict[str, RankStateRequest] = {}
         for want in wanted:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
                 self._direct.give(roster.server_of(agent), want.order)
                 questions[agent] = Question()
-                asks[agent] = RankAsk(0, Tell.STATE)
+                asks[agent] = RankStateRequest(0, ReplyContent.STATE)
             else:
-                questions[agent] = Question(Tell.STATE, want.order, wait_s)
-                asks[agent] = RankAsk(0, Tell.STATE, want.order, int(wait_s * 1000))
+                questions[agent] = Question(ReplyContent.STATE, want.order, wait_s)
+                asks[agent] = RankStateRequest(
+                    0, ReplyContent.STATE, want.order, int(wait_s * 1000)
+                )
         answers = self._panel.ask(
             {one: asked for one, asked in questions.items() if one not in self._silent}
         )
@@ -100,7 +102,10 @@
         return answers
 
     def _ask_servers(
-        self, asks: Mapping[str, RankAsk], servers: Mapping[str, str], answers: Answers
+        self,
+        asks: Mapping[str, RankStateRequest],
+        servers: Mapping[str, str],
+        answers: Answers,
     ) -> None:
         """Ask the servers whose agents are not among ``answers``, and add theirs."""
         agents_by_server = {
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, leaving, and what rides on them."""
+"""Heartbeats, membership, and the data that heartbeats carry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Hello(Message, frozen=True):
-    """Entry to agent or peer, about every second on a used link."""
+    """Heartbeat from an entry to an agent or peer, about every second on used links."""
 
     name: str
     data_centre: str
@@ -17,13 +17,13 @@
     leaving: bool
 
 
-class Load(Message, frozen=True):
-    """Load of one backend server as its agent sees it.
+class BackendLoad(Message, frozen=True, tag="Load"):
+    """Load of one backend server as measured by its agent.
 
     ``running`` and ``queued`` count attempts, ``capacity`` is the concurrency limit,
-    ``work`` is the predicted work outstanding in tokens, ``rate`` the tokens per second
-    of late, ``age_s`` the age of the server's own report in seconds. ``pace`` is how
-    many times its usual time the server takes, 1 where it does not say.
+    ``work`` the predicted outstanding work in tokens, ``rate`` the recent throughput in
+    tokens per second, ``age_s`` the age of the server's own report. ``pace`` is the
+    server's slowdown relative to its usual time, 1 if unknown.
     """
 
     running: int
@@ -35,13 +35,16 @@
     pace: float = 1.0
 
 
-class Beat(Message, frozen=True):
-    """Agent to entry, about every second and at once when leaving starts.
+class AgentHeartbeat(Message, frozen=True, tag="Beat"):
+    """Heartbeat from an agent to an entry.
 
-    ``token`` rolls with the agent's own clock; a dispatch that names an old one is
-    refused, which bounds how long tombstones live. ``crashed`` are pairs of a
-    fingerprint that was running when the server died and the death's name, for a while.
-    ``born_ms`` is when the server itself started (Unix milliseconds, 0: not told).
+    Sent about every second, and at once when leaving starts.
+
+    ``token`` changes with the agent's clock; a dispatch with an old one is refused,
+    which bounds how long tombstones are kept. ``crashed`` pairs the fingerprint of each
+    request that was running when the server crashed with an id of the crash; pairs are
+    repeated for a while. ``born_ms`` is the server's start time (Unix milliseconds, 0
+    if unknown).
     """
 
     name: str
@@ -49,7 +52,7 @@
     data_centre: str
     incarnation: str
     token: int
-    load: Load
+    load: BackendLoad
     leaving: bool
     server_up: bool
     manifest_version: int
@@ -57,22 +60,22 @@
     born_ms: int = 0
 
 
-class LoadsAsk(Message, frozen=True):
-    """Entry to the agent that tells loads for its data centre, about every second.
+class LoadsRequest(Message, frozen=True, tag="LoadsAsk"):
+    """Entry to the agent that reports loads for its data centre, about every second.
 
-    ``members`` are the addresses of the agents whose servers' loads are wanted,
-    ``every_s`` how often they are to be told.
+    ``members`` are the addresses of the agents whose servers' loads are requested,
+    ``every_s`` is the reporting interval.
     """
 
     members: tuple[str, ...]
     every_s: float
 
 
-class ServerTold(msgspec.Struct, frozen=True, array_like=True):
-    """A server's load as the agent beside it told a moment ago.
+class ReportedServerLoad(msgspec.Struct, frozen=True, array_like=True):
+    """A server's load as last reported by its own agent.
 
-    ``address`` is the server's; ``born_ms`` tells which life of it (0: not told); the
-    rest as in ``Load`` and ``Beat``.
+    ``address`` is the server's; ``born_ms`` identifies its incarnation (0 if unknown).
+    The other fields are as in ``BackendLoad`` and ``AgentHeartbeat``.
     """
 
     address: str
@@ -83,16 +86,16 @@
     born_ms: int = 0
 
 
-class LoadsTold(Message, frozen=True):
-    """Answers ``LoadsAsk`` as often as it asks; members not heard are left out."""
+class LoadsReply(Message, frozen=True, tag="LoadsTold"):
+    """Repeated reply to ``LoadsRequest``; members without a report are left out."""
 
-    servers: tuple[ServerTold, ...]
+    servers: tuple[ReportedServerLoad, ...]
 
 
-class PeerBeat(Message, frozen=True):
-    """Entry to peer entry, about every second: what the peer may need to know.
+class PeerHeartbeat(Message, frozen=True, tag="PeerBeat"):
+    """Heartbeat from an entry to a peer entry, about every second.
 
-    ``crashed`` as in ``Beat``, of all deaths heard of lately.
+    ``crashed`` is as in ``AgentHeartbeat``, for all recently reported crashes.
     """
 
     name: str
@@ -103,8 +106,8 @@
     crashed: tuple[tuple[str, int], ...]
 
 
-class EntryTold(Message, frozen=True):
-    """An entry that the sender has heard of or from: where it is and which life."""
+class EntryInfo(Message, frozen=True, tag="EntryTold"):
+    """Addresses of an entry that the sender knows, directly or from another entry."""
 
     name: str
     address: str
@@ -112,15 +115,15 @@
     data_centre: str
 
 
-class EntryBeat(Message, frozen=True):
-    """Entry to entry on the users' platform, about twice a second.
+class EntryHeartbeat(Message, frozen=True, tag="EntryBeat"):
+    """Heartbeat between entries on the users' platform, about twice a second.
 
-    ``sent_at`` is the sender's own clock; ``echo`` the newest ``sent_at`` that it has
-    had from the receiver. ``version`` of the configuration was the newest ``age_s``
-    before this was sent; negative if that is not known. ``known`` are other entries.
+    ``sent_at`` is read from the sender's clock; ``echo`` is the newest ``sent_at`` that
+    the sender received from the receiver. Configuration ``version`` was the newest one
+    ``age_s`` before this was sent; a negative age means unknown.
     """
 
-    me: EntryTold
+    sender: EntryInfo = msgspec.field(name="me")
     incarnation: str
     leaving: bool
     sent_at: float
@@ -128,19 +131,19 @@
     version: int
     age_s: float
     crashed: tuple[tuple[str, int], ...]
-    known: tuple[EntryTold, ...]
+    known_entries: tuple[EntryInfo, ...] = msgspec.field(name="known")
 
 
-class ManifestWanted(Message, frozen=True):
-    """To a peer: send this object of the manifest (the index or a shard)."""
+class ManifestRequest(Message, frozen=True, tag="ManifestWanted"):
+    """To a peer: request an object of the manifest (the index or a shard)."""
 
     key: str
 
 
 class ManifestObject(Message, frozen=True):
-    """Answers ``ManifestWanted``; ``value`` is None if unknown.
+    """Reply to ``ManifestRequest``; ``value`` is None if the key is unknown.
 
-    ``version`` is the index's.
+    ``version`` is that of the index.
     """
 
     key: str
@@ -149,7 +152,7 @@
 
 
 class InstanceInfo(Message, frozen=True):
-    """One instance of the platform's list, as one entry tells another."""
+    """An instance of the platform's list, as one entry passes it to another."""
 
     name: str
     role: str
@@ -160,26 +163,26 @@
     leaving: bool
 
 
-class InstancesWanted(Message, frozen=True):
-    """Entry to peer: which instances do you know? Asked when the platform is down."""
+class InstancesRequest(Message, frozen=True, tag="InstancesWanted"):
+    """Entry to peer: request the known instances while the platform is down."""
 
     name: str
 
 
-class InstancesFound(Message, frozen=True):
-    """Answers ``InstancesWanted``."""
+class InstancesReply(Message, frozen=True, tag="InstancesFound"):
+    """Reply to ``InstancesRequest``."""
 
     instances: tuple[InstanceInfo, ...]
 
 
-class StatusWanted(Message, frozen=True):
-    """To an entry or agent: say how you are."""
+class StatusRequest(Message, frozen=True, tag="StatusWanted"):
+    """To an entry or agent: request its status."""
 
 
-class StatusFound(Message, frozen=True):
-    """Answers ``StatusWanted``; ``role`` is ``entry`` or ``agent``.
+class StatusReply(Message, frozen=True, tag="StatusFound"):
+    """Reply to ``StatusRequest``; ``role`` is ``entry`` or ``agent``.
 
-    ``manifest_version`` is the version in force there, 0 before the first one.
+    ``manifest_version`` is the version in force, 0 before the first one.
     """
 
     name: str
@@ -189,26 +192,27 @@
     leaving: bool
 
 
-class ShareTold(Message, frozen=True):
+class ShareReport(Message, frozen=True, tag="ShareTold"):
     """An entry's demand on an organisation's allowance, and the share it holds.
 
-    Both are fractions of the whole allowance; ``wants`` tells that it would hold more.
+    ``demand`` and ``held`` are fractions of the whole allowance; ``wants_more`` says
+    that the entry could use a larger share.
     """
 
     organisation: str
     demand: float
     held: float
-    wants: bool
+    wants_more: bool = msgspec.field(name="wants")
 
 
-class ShareBeat(Message, frozen=True):
-    """Entry to entry, about every second while they share an organisation in use.
+class ShareHeartbeat(Message, frozen=True, tag="ShareBeat"):
+    """Heartbeat between entries that share an active organisation, about every second.
 
-    ``sent_at`` is the sender's own monotonic clock; ``echo`` the newest ``sent_at``
-    that the sender has had from the receiver, negative before the first.
+    ``sent_at`` is read from the sender's monotonic clock; ``echo`` is the newest
+    ``sent_at`` that the sender received from the receiver, negative before the first.
     """
 
     name: str
     sent_at: float
     echo: float
-    shares: tuple[ShareTold, ...]
+    shares: tuple[ShareReport, ...]
--- a/src/kingcupwheel/platform/objects.py
+++ b/src/kingcupwheel/platform/object_store.py
@@ -18,16 +18,16 @@
 from kingcupwheel.platform.errors import HistoryGone
 from kingcupwheel.platform.errors import PlatformError
 from kingcupwheel.platform.errors import WatchError
-from kingcupwheel.platform.storecalls import StoreCalls
-from kingcupwheel.platform.storecalls import read_answer
-from kingcupwheel.platform.storecoding import decode_changes
-from kingcupwheel.platform.storecoding import decode_object
-from kingcupwheel.platform.storecoding import decode_page
-from kingcupwheel.platform.storecoding import encode_object
-from kingcupwheel.platform.stored import Change
-from kingcupwheel.platform.stored import Changes
-from kingcupwheel.platform.stored import Listing
-from kingcupwheel.platform.stored import StoredObject
+from kingcupwheel.platform.store_client import StoreHttpClient
+from kingcupwheel.platform.store_client import decode_response
+from kingcupwheel.platform.store_codec import decode_changes
+from kingcupwheel.platform.store_codec import decode_object
+from kingcupwheel.platform.store_codec import decode_page
+from kingcupwheel.platform.store_codec import encode_object
+from kingcupwheel.platform.store_types import ObjectChange
+from kingcupwheel.platform.store_types import ObjectList
+from kingcupwheel.platform.store_types import StoredObject
+from kingcupwheel.platform.store_types import WatchResult
 
 
 if TYPE_CHECKING:
@@ -35,43 +35,45 @@
 
     from urllib3 import BaseHTTPResponse
 
-    from kingcupwheel.platform.stored import Page
+    from kingcupwheel.platform.store_types import ObjectPage
 
 # Callers of the store take what it returns from here as well.
 __all__ = [
-    "DEFAULT_CALL_S",
-    "Change",
-    "Changes",
-    "Listing",
+    "DEFAULT_CALL_TIMEOUT_S",
+    "ObjectChange",
+    "WatchResult",
+    "ObjectList",
     "ObjectStore",
     "StoredObject",
 ]
 
 # What a call may take beyond the time that a watch waits, in seconds: three hundred
 # times the store's usual answer.
-DEFAULT_CALL_S = 1.2
+DEFAULT_CALL_TIMEOUT_S = 1.2
 # A list ends after so many pages, so that one that never ends holds nobody.
-_PAGES_AT_MOST = 400
+_MAX_PAGES = 400
 
 
 class ObjectStore:
     """Calls block for at most their timeout; safe from any thread."""
 
-    def __init__(self, url: str, *, call_s: float = DEFAULT_CALL_S) -> None:
-        self._calls = StoreCalls(url, connect_s=call_s)
-        self._call_s = call_s
+    def __init__(
+        self, url: str, *, call_timeout_s: float = DEFAULT_CALL_TIMEOUT_S
+    ) -> None:
+        self._calls = StoreHttpClient(url, connect_timeout_s=call_timeout_s)
+        self._call_timeout_s = call_timeout_s
 
     def read(self, kind: str, name: str) -> Result[StoredObject | None, PlatformError]:
         """Return the object, or None if there is none."""
         path = _object_path(kind, name)
-        asked = self._calls.call("GET", path, self._call_s)
+        asked = self._calls.call("GET", path, self._call_timeout_s)
         if asked.is_ok() and asked.ok.status == 404:
             return Ok(None)
-        return asked.bind(lambda answer: read_answer(answer, decode_object))
+        return asked.bind(lambda answer: decode_response(answer, decode_object))
 
-    def listing(
+    def list_objects(
         self, kind: str, *, stale: bool = False
-    ) -> Result[Listing, PlatformError]:
+    ) -> Result[ObjectList, PlatformError]:
         """Return every object of the kind, page by page.
 
         ``stale`` is cheap and may be seconds old. Watch from the first page's
@@ -80,11 +82,11 @@
         objects: list[StoredObject] = []
         revision = 0
         after = ""
-        for _ in range(_PAGES_AT_MOST):
+        for _ in range(_MAX_PAGES):
             query = {"After": after} if after else {}
             if stale:
                 query["StaleOk"] = "1"
-            page = self._page(kind, query)
+            page = self._read_page(kind, query)
             if page.is_error():
                 return Error(page.error)
             revision = revision or page.ok.revision
@@ -92,20 +94,20 @@
             if page.ok.after in ("", after):
                 break
             after = page.ok.after
-        return Ok(Listing(tuple(objects), revision))
+        return Ok(ObjectList(tuple(objects), revision))
 
     def watch(
         self, kind: str, *, after: int, wait_s: float
-    ) -> Result[Changes, WatchError]:
+    ) -> Result[WatchResult, WatchError]:
         """Return what changed after a revision, as soon as there is something."""
         query = urlencode({"Watch": after, "WaitMs": int(wait_s * 1000)})
         path = f"{_kind_path(kind)}?{query}"
-        asked = self._calls.call("GET", path, wait_s + self._call_s)
+        asked = self._calls.call("GET", path, wait_s + self._call_timeout_s)
         if asked.is_error():
             return Error(asked.error)
         if asked.ok.status == 410:
             return Error(HistoryGone(after))
-        changes = read_answer(asked.ok, decode_changes)
+        changes = decode_response(asked.ok, decode_changes)
         return Error(changes.error) if changes.is_error() else Ok(changes.ok)
 
     def create(
@@ -128,19 +130,21 @@
     ) -> Result[None, PlatformError]:
         """Remove an object if it is at ``revision``; one that is gone is no error."""
         path = f"{_object_path(kind, name)}?Revision={revision}"
-        asked = self._calls.call("DELETE", path, self._call_s)
+        asked = self._calls.call("DELETE", path, self._call_timeout_s)
         if asked.is_error():
             return Error(asked.error)
         if asked.ok.status == 409:
             return Error(Conflict(name, 0))
         return Ok(None)
 
-    def _page(self, kind: str, query: dict[str, str]) -> Result[Page, PlatformError]:
+    def _read_page(
+        self, kind: str, query: dict[str, str]
+    ) -> Result[ObjectPage, PlatformError]:
         path = _kind_path(kind)
         if query:
             path = f"{path}?{urlencode(query)}"
-        asked = self._calls.call("GET", path, self._call_s)
-        return asked.bind(lambda answer: read_answer(answer, decode_page))
+        asked = self._calls.call("GET", path, self._call_timeout_s)
+        return asked.bind(lambda answer: decode_response(answer, decode_page))
 
     def _write(
         self,
@@ -151,10 +155,10 @@
         body: bytes,
     ) -> Result[StoredObject, PlatformError]:
         written = encode_object(metadata, body)
-        asked = self._calls.call(method, path, self._call_s, written)
+        asked = self._calls.call(method, path, self._call_timeout_s, written)
         if asked.is_ok() and asked.ok.status in (404, 409):
-            return Error(Conflict(name, _revision_found(asked.ok)))
-        return asked.bind(lambda answer: read_answer(answer, decode_object))
+            return Error(Conflict(name, _conflicting_revision(asked.ok)))
+        return asked.bind(lambda answer: decode_response(answer, decode_object))
 
 
 def _kind_path(kind: str) -> str:
@@ -165,7 +169,7 @@
     return f"{_kind_path(kind)}/{quote(name, safe='')}"
 
 
-def _revision_found(response: BaseHTTPResponse) -> int:
+def _conflicting_revision(response: BaseHTTPResponse) -> int:
     """Return the revision that a refused write met, 0 if there is no object."""
     found = decode_object(response.data)
     return found.map(lambda stored: stored.revision).default_value(0)
--- a/src/kingcupwheel/telemetry/lines.py
+++ b/src/kingcupwheel/telemetry/json_logs.py
@@ -21,13 +21,13 @@
 
 # Lines that wait for the reader: some ten seconds of an entry's at its usual rate,
 # about a megabyte.
-QUEUED_LINES = 4_000
+MAX_QUEUED_LINES = 4_000
 
 _FIELDS = "fields"
 _PART = "part"
 
 
-class Lines:
+class StructuredLogger:
     """Writes the lines of one part of a process."""
 
     def __init__(self, part: str) -> None:
@@ -63,9 +63,9 @@
             self._logger.log(level, event, extra=extra, exc_info=exc_info)
 
 
-def lines_of(part: str) -> Lines:
+def lines_of(part: str) -> StructuredLogger:
     """Return the lines of a part, such as ``requests`` or ``maps``."""
-    return Lines(part)
+    return StructuredLogger(part)
 
 
 class JsonFormatter(logging.Formatter):
@@ -109,9 +109,9 @@
             self.dropped += 1
             return
         if self.dropped:
-            self._tell_dropped()
+            self._report_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         lost, self.dropped = self.dropped, 0
         told = logging.LogRecord(
             "kingcupwheel.lines.log", logging.WARNING, "", 0, "lines-dropped", (), None
@@ -124,11 +124,11 @@
             self.dropped = lost
 
 
-class LineLog:
+class JsonLogOutput:
     """Sends every line of this process to standard output; one a process."""
 
     def __init__(self, process: str, level: str) -> None:
-        queue: Queue[Any] = Queue(QUEUED_LINES)
+        queue: Queue[Any] = Queue(MAX_QUEUED_LINES)
         stream = logging.StreamHandler(sys.stdout)
         stream.setFormatter(JsonFormatter(process))
         self._queue = queue
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -11,12 +11,12 @@
 
 import click
 
-from kingcupwheel.link.hub import Hub
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.link.links import Traffic
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.link.hub import MessageHub
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.link.links import TrafficCounts
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
 
 
 if TYPE_CHECKING:
@@ -31,19 +31,19 @@
     """Answers each Hello with a heartbeat."""
 
     def __init__(self, name: str, group: str) -> None:
-        self._beat = Beat(
+        self._beat = AgentHeartbeat(
             name,
             group,
             "dc-1",
             f"incarnation-{name}",
             1,
-            Load(0, 0, 16, 0.0, 0.0, 0.1),
+            BackendLoad(0, 0, 16, 0.0, 0.0, 0.1),
             False,
             True,
             0,
             (),
         )
-        self.hub = Hub(
+        self.hub = MessageHub(
             listen=_LISTEN, on_message=self._on_message, on_tick=lambda _: None
         )
         self.hub.start()
@@ -58,9 +58,9 @@
 
     def __init__(self, name: str, address: str) -> None:
         self._hello = Hello(name, "dc-1", 0, "", False)
-        self._link = Outgoing(address, 0)
+        self._link = OutgoingLink(address, 0)
         self._next_beat = 0.0
-        self.hub = Hub(
+        self.hub = MessageHub(
             listen=_LISTEN, on_message=lambda *_: None, on_tick=self._on_tick
         )
         self.hub.start()
@@ -71,10 +71,10 @@
             self.hub.send(self._link, self._hello)
 
 
-def traffic_of(hubs: list[Hub]) -> Traffic:
+def traffic_of(hubs: list[MessageHub]) -> TrafficCounts:
     """Return what passed all hubs together."""
     seen = [hub.traffic for hub in hubs]
-    return Traffic(
+    return TrafficCounts(
         sum(one.messages_in for one in seen),
         sum(one.messages_out for one in seen),
         sum(one.bytes_in for one in seen),
