--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -27,7 +27,7 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this life: no other one has it."""
         return f"{self.instance}@{self.born_ms}" if self.born_ms else self.instance
 
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -264,12 +264,12 @@
     ) -> None:
         self._context.servers.list_is(backends)
         for backend in gone:
-            self._context.connection_pool.close_server(backend.life)
+            self._context.connection_pool.close_server(backend.incarnation)
             self._context.liveness.forget(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
-                backend.life
+                backend.incarnation
             ):
-                self._guards.gone(backend.life)
+                self._guards.gone(backend.incarnation)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -101,7 +101,7 @@
         self._servers.keep(tuple(map(_instance, by_address.values())), now)
         for address, backend in by_address.items():
             known = before.get(address)
-            if known is None or known.life != backend.life:
+            if known is None or known.incarnation != backend.incarnation:
                 self._new_life(backend, now)
         for service in {backend.service for backend in by_address.values()}:
             self._dispatchers.pump(service)
@@ -140,7 +140,7 @@
         what it tells of its load and room is of the former life.
         """
         backend = self._backends_by_address.get(place.address)
-        if backend is None or backend.life != place.incarnation:
+        if backend is None or backend.incarnation != place.incarnation:
             return None
         return backend
 
@@ -199,7 +199,7 @@
             self._dispatchers.pump(service)
 
     def _forget_notices(self, now: float) -> None:
-        lives = {one.life for one in tuple(self._backends_by_address.values())}
+        lives = {one.incarnation for one in tuple(self._backends_by_address.values())}
         with self._servers.lock:
             forgotten = self._servers.notices.retain(lives, now)
         for life in forgotten:
@@ -226,7 +226,7 @@
         if backend is None or backend.instance != place.server:
             return
         now = monotonic()
-        log.info("claim-refuted", server=backend.life, address=backend.address)
+        log.info("claim-refuted", server=backend.incarnation, address=backend.address)
         with self._listing:
             self._claims.refute(backend, now)
             self._apply(now)
@@ -263,7 +263,7 @@
     def _reborn(self, backend: Backend, born_ms: int, now: float) -> Backend:
         """Know a server's new life by its agent's word, ahead of the list."""
         found = backend._replace(born_ms=born_ms)
-        log.info("server-reborn", server=found.life, before=backend.life)
+        log.info("server-reborn", server=found.incarnation, before=backend.incarnation)
         with self._lock:
             self._backends_by_address[backend.address] = found
         self._new_life(found, now)
@@ -320,7 +320,7 @@
         self, backend: Backend, told: BackendLoad, now: float, *, up: bool = True
     ) -> None:
         current = self._backends_by_address.get(backend.address)
-        if current is None or current.life != backend.life:
+        if current is None or current.incarnation != backend.incarnation:
             return
         load = msgspec.structs.replace(
             told, capacity=places_at_pace(backend.places, told.pace)
@@ -372,7 +372,7 @@
         name=backend.instance,
         group=backend.service,
         data_centre=backend.data_centre,
-        incarnation=backend.life,
+        incarnation=backend.incarnation,
         token=0,
         load=load,
         leaving=backend.leaving,
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -70,11 +70,17 @@
         found = decoded.ok
         self._missing_since_by_instance.pop(stored.name, None)
         known = self._by_instance.get(stored.name)
-        if known is not None and found.life != known.life:
+        if known is not None and found.incarnation != known.incarnation:
             if found.is_before(known):
-                log.info("former-life-ignored", server=found.life, known=known.life)
+                log.info(
+                    "former-life-ignored",
+                    server=found.incarnation,
+                    known=known.incarnation,
+                )
                 return
-            log.info("server-reborn", server=found.life, before=known.life)
+            log.info(
+                "server-reborn", server=found.incarnation, before=known.incarnation
+            )
             self._replaced.append(known)
         self._by_instance[stored.name] = found
 
@@ -113,5 +119,5 @@
                 del self._missing_since_by_instance[name]
                 gone.append(self._by_instance.pop(name))
         for backend in gone:
-            log.info("server-gone", server=backend.life, address=backend.address)
+            log.info("server-gone", server=backend.incarnation, address=backend.address)
         self._on_change(tuple(self._by_instance.values()), tuple(gone))
