--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -38,7 +38,7 @@
 
     def refute(self, backend: Backend, now: float) -> None:
         """Note that the server at its address says that it is not this one."""
-        found = _Refuted(backend.born_ms, now + REFUTED_S)
+        found = _Refuted(backend.started_at_ms, now + REFUTED_S)
         self._refuted[_claim(backend)] = found
 
     def holders(
@@ -56,7 +56,7 @@
             backend = _latest(one, before.get(one.address))
             known = by_address.get(backend.address)
             refuted = self._refuted.get(_claim(backend))
-            if refuted is not None and backend.born_ms <= refuted.born_ms:
+            if refuted is not None and backend.started_at_ms <= refuted.born_ms:
                 continue
             if known is None or known.is_before(backend):
                 by_address[backend.address] = backend
@@ -71,6 +71,6 @@
     """Return the listed server, in the life that its agent has told already."""
     if known is None or known.instance != listed.instance:
         return listed
-    if listed.born_ms and listed.born_ms < known.born_ms:
-        return listed._replace(born_ms=known.born_ms)
+    if listed.started_at_ms and listed.started_at_ms < known.started_at_ms:
+        return listed._replace(born_ms=known.started_at_ms)
     return listed
--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -24,15 +24,19 @@
     leaving: bool
     cold_s: float
     created: int
-    born_ms: int = 0
+    started_at_ms: int = 0
 
     @property
     def incarnation(self) -> str:
         """The name of this life: no other one has it."""
-        return f"{self.instance}@{self.born_ms}" if self.born_ms else self.instance
+        return (
+            f"{self.instance}@{self.started_at_ms}"
+            if self.started_at_ms
+            else self.instance
+        )
 
     def is_before(self, other: Backend) -> bool:
         """Return whether this life began before the other one, as far as is told."""
-        if self.born_ms and other.born_ms:
-            return self.born_ms < other.born_ms
+        if self.started_at_ms and other.started_at_ms:
+            return self.started_at_ms < other.started_at_ms
         return self.created < other.created
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -247,11 +247,11 @@
         self, backend: Backend, told: ReportedServerLoad, now: float
     ) -> None:
         address = backend.address
-        if told.born_ms and backend.born_ms:
-            if told.born_ms < backend.born_ms:
+        if told.born_ms and backend.started_at_ms:
+            if told.born_ms < backend.started_at_ms:
                 # On its way since before the server started anew.
                 return
-            if told.born_ms > backend.born_ms:
+            if told.born_ms > backend.started_at_ms:
                 backend = self._reborn(backend, told.born_ms, now)
         self._agent_heard_at[address] = now
         if told.pace >= AVOIDED_PACE:
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -64,7 +64,7 @@
             leaving=found.state == "draining" or stored.is_deleting,
             cold_s=found.cold_remaining_ms / _MS,
             created=stored.created_revision,
-            born_ms=found.born,
+            started_at_ms=found.born,
         )
     )
 
