--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -22,7 +22,7 @@
     data_centre: str
     places: int
     leaving: bool
-    cold_s: float
+    warmup_left_s: float
     created: int
     started_at_ms: int = 0
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -109,7 +109,7 @@
     def _new_life(self, backend: Backend, now: float) -> None:
         self._servers.heard(backend.address, _beat(backend, _load(0, 0)), now)
         self._heard(backend, _load(0, 0), now)
-        if backend.cold_s <= 0.0:
+        if backend.warmup_left_s <= 0.0:
             # Placement gives a server that has just started little at first, for its
             # caches; the platform says that this one is not slow.
             with self._servers.lock:
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -62,7 +62,7 @@
             data_centre=found.zone,
             places=found.slots,
             leaving=found.state == "draining" or stored.is_deleting,
-            cold_s=found.cold_remaining_ms / _MS,
+            warmup_left_s=found.cold_remaining_ms / _MS,
             created=stored.created_revision,
             started_at_ms=found.born,
         )
