--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -23,7 +23,7 @@
     places: int
     leaving: bool
     warmup_left_s: float
-    created: int
+    created_revision: int
     started_at_ms: int = 0
 
     @property
@@ -39,4 +39,4 @@
         """Return whether this life began before the other one, as far as is told."""
         if self.started_at_ms and other.started_at_ms:
             return self.started_at_ms < other.started_at_ms
-        return self.created < other.created
+        return self.created_revision < other.created_revision
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -63,7 +63,7 @@
             places=found.slots,
             leaving=found.state == "draining" or stored.is_deleting,
             warmup_left_s=found.cold_remaining_ms / _MS,
-            created=stored.created_revision,
+            created_revision=stored.created_revision,
             started_at_ms=found.born,
         )
     )
