--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -58,7 +58,7 @@
             refuted = self._refuted.get(_claim(backend))
             if refuted is not None and backend.started_at_ms <= refuted.born_ms:
                 continue
-            if known is None or known.is_before(backend):
+            if known is None or known.started_before(backend):
                 by_address[backend.address] = backend
         return by_address
 
--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -35,7 +35,7 @@
             else self.instance
         )
 
-    def is_before(self, other: Backend) -> bool:
+    def started_before(self, other: Backend) -> bool:
         """Return whether this life began before the other one, as far as is told."""
         if self.started_at_ms and other.started_at_ms:
             return self.started_at_ms < other.started_at_ms
--- a/src/kingcupwheel/forwarding/serverlist.py
+++ b/src/kingcupwheel/forwarding/serverlist.py
@@ -71,7 +71,7 @@
         self._missing_since_by_instance.pop(stored.name, None)
         known = self._by_instance.get(stored.name)
         if known is not None and found.incarnation != known.incarnation:
-            if found.is_before(known):
+            if found.started_before(known):
                 log.info(
                     "former-life-ignored",
                     server=found.incarnation,
