--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -41,7 +41,7 @@
         found = _Refuted(backend.started_at_ms, now + REFUTED_S)
         self._refuted[_claim(backend)] = found
 
-    def holders(
+    def owners_by_address(
         self, listed: Iterable[Backend], before: Mapping[str, Backend], now: float
     ) -> dict[str, Backend]:
         """Return one server by address: of several entries the latest not refuted.
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -95,7 +95,7 @@
         """Use the servers listed last, less those whose claim was refuted."""
         with self._lock:
             before = self._backends_by_address
-            by_address = self._claims.holders(self._listed, before, now)
+            by_address = self._claims.owners_by_address(self._listed, before, now)
             self._backends_by_address = by_address
             self._groups_by_service = _groups(by_address.values())
         self._servers.keep(tuple(map(_instance, by_address.values())), now)
