--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -20,7 +20,7 @@
 # An entry whose address another server has is passed over for so long, in seconds: a
 # wrong one then costs one request turned away in ten seconds, and one that was right
 # after all is soon used again.
-REFUTED_S = 10.0
+REFUTATION_TTL_S = 10.0
 
 
 class _Refuted(NamedTuple):
@@ -38,7 +38,7 @@
 
     def refute(self, backend: Backend, now: float) -> None:
         """Note that the server at its address says that it is not this one."""
-        found = _Refuted(backend.started_at_ms, now + REFUTED_S)
+        found = _Refuted(backend.started_at_ms, now + REFUTATION_TTL_S)
         self._refuted[_claim(backend)] = found
 
     def owners_by_address(
