--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._turned_away_at: dict[str, float] = {}
 
-    def turned_away(self, server: str, *, quiet_s: float, now: float) -> bool:
+    def record_rejection(self, server: str, *, quiet_s: float, now: float) -> bool:
         """Note a request turned away; return whether the whole service does that.
 
         ``quiet_s`` is how long ago any server of the service sent something.
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -122,7 +122,7 @@
         """Note a request turned away; return whether the whole service does that."""
         with self._lock:
             closures = self._closures_by_service.setdefault(service, Closures())
-            return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())
+            return closures.record_rejection(server, quiet_s=quiet_s, now=monotonic())
 
     def _of(self, service: str) -> SlidingWindowRetryBudget:
         found = self._budgets_by_service.get(service)
