--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -19,7 +19,7 @@
 WITHIN_S = 1.0
 
 
-class Closures:
+class ClosedServiceDetector:
     """What one entry was told by a service's servers; guarded by its owner."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -14,7 +14,7 @@
 from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retry_budget import SlidingWindowRetryBudget
-from kingcupwheel.forwarding.closures import Closures
+from kingcupwheel.forwarding.closures import ClosedServiceDetector
 
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
         self._suspects = CrashSuspects()
         self._lost: deque[tuple[float, str, str]] = deque(maxlen=_LOST_AT_MOST)
         self._budgets_by_service: dict[str, SlidingWindowRetryBudget] = {}
-        self._closures_by_service: dict[str, Closures] = {}
+        self._closures_by_service: dict[str, ClosedServiceDetector] = {}
         self._lock = Lock()
 
     def verdict(self, fingerprint: str) -> Quarantined | Suspect | None:
@@ -121,7 +121,9 @@
     def is_closed(self, service: str, server: str, *, quiet_s: float) -> bool:
         """Note a request turned away; return whether the whole service does that."""
         with self._lock:
-            closures = self._closures_by_service.setdefault(service, Closures())
+            closures = self._closures_by_service.setdefault(
+                service, ClosedServiceDetector()
+            )
             return closures.record_rejection(server, quiet_s=quiet_s, now=monotonic())
 
     def _of(self, service: str) -> SlidingWindowRetryBudget:
