--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -15,7 +15,7 @@
 
 # Servers that have to turn requests away within this time, in seconds: one alone may
 # shed part of its work.
-SERVERS = 2
+MIN_REJECTING_SERVERS = 2
 WITHIN_S = 1.0
 
 
@@ -34,4 +34,7 @@
             name: at for name, at in self._turned_away_at.items() if now - at < WITHIN_S
         }
         self._turned_away_at[server] = now
-        return len(self._turned_away_at) >= SERVERS and quiet_s > STANDSTILL_S
+        return (
+            len(self._turned_away_at) >= MIN_REJECTING_SERVERS
+            and quiet_s > STANDSTILL_S
+        )
