--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -16,7 +16,7 @@
 # Servers that have to turn requests away within this time, in seconds: one alone may
 # shed part of its work.
 MIN_REJECTING_SERVERS = 2
-WITHIN_S = 1.0
+REJECTION_WINDOW_S = 1.0
 
 
 class ClosedServiceDetector:
@@ -31,7 +31,9 @@
         ``quiet_s`` is how long ago any server of the service sent something.
         """
         self._turned_away_at = {
-            name: at for name, at in self._turned_away_at.items() if now - at < WITHIN_S
+            name: at
+            for name, at in self._turned_away_at.items()
+            if now - at < REJECTION_WINDOW_S
         }
         self._turned_away_at[server] = now
         return (
