--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from kingcupwheel.forwarding.pulse import STANDSTILL_S
+from kingcupwheel.forwarding.pulse import STALL_THRESHOLD_S
 
 
 # Servers that have to turn requests away within this time, in seconds: one alone may
@@ -38,5 +38,5 @@
         self._turned_away_at[server] = now
         return (
             len(self._turned_away_at) >= MIN_REJECTING_SERVERS
-            and quiet_s > STANDSTILL_S
+            and quiet_s > STALL_THRESHOLD_S
         )
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -11,7 +11,7 @@
 
 # A service whose last sign of life is older stands still as a whole, in seconds. Its
 # streams send an event each 0.06 s; passes are seldom longer than 0.1.
-STANDSTILL_S = 0.4
+STALL_THRESHOLD_S = 0.4
 
 
 class Pulse:
@@ -28,7 +28,7 @@
     def others_live(self, server: str, now: float) -> bool:
         """Return whether another server sent something of late."""
         return any(
-            now - at <= STANDSTILL_S
+            now - at <= STALL_THRESHOLD_S
             for name, at in tuple(self._last_by_server.items())
             if name != server
         )
@@ -42,7 +42,7 @@
 
         ``streams`` are those under way; without any there is nothing to hear.
         """
-        still = streams > 0 and STANDSTILL_S < self.quiet_s(now) < float("inf")
+        still = streams > 0 and STALL_THRESHOLD_S < self.quiet_s(now) < float("inf")
         turned = still != self.stands_still
         self.stands_still = still
         return turned
