--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -309,7 +309,7 @@
             streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
-                event = "service-silent" if pulse.stands_still else "service-heard"
+                event = "service-silent" if pulse.is_stalled else "service-heard"
                 servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._last_by_server: dict[str, float] = {}
-        self.stands_still = False
+        self.is_stalled = False
 
     def beat(self, server: str, now: float) -> None:
         """Note that a server sent something."""
@@ -43,8 +43,8 @@
         ``streams`` are those under way; without any there is nothing to hear.
         """
         still = streams > 0 and STALL_THRESHOLD_S < self.quiet_s(now) < float("inf")
-        turned = still != self.stands_still
-        self.stands_still = still
+        turned = still != self.is_stalled
+        self.is_stalled = still
         return turned
 
     def forget(self, server: str) -> None:
