--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -164,7 +164,7 @@
 
 
 def _beat(pulse: Pulse, instance: str) -> None:
-    pulse.beat(instance, monotonic())
+    pulse.record_activity(instance, monotonic())
 
 
 class ServerCalls:
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -21,7 +21,7 @@
         self._last_by_server: dict[str, float] = {}
         self.is_stalled = False
 
-    def beat(self, server: str, now: float) -> None:
+    def record_activity(self, server: str, now: float) -> None:
         """Note that a server sent something."""
         self._last_by_server[server] = now
 
