--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -25,7 +25,7 @@
         """Note that a server sent something."""
         self._last_by_server[server] = now
 
-    def others_live(self, server: str, now: float) -> bool:
+    def is_other_server_active(self, server: str, now: float) -> bool:
         """Return whether another server sent something of late."""
         return any(
             now - at <= STALL_THRESHOLD_S
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -334,7 +334,9 @@
         context, service = self._context, self._request.service
         if self._request.route.is_streamed:
             now = monotonic()
-            if not context.liveness.of(service).others_live(place.server, now):
+            if not context.liveness.of(service).is_other_server_active(
+                place.server, now
+            ):
                 return False
             if not self._begun and context.servers.is_told_full(place, now):
                 return False
