--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -307,7 +307,7 @@
         """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
             streams = self._context.servers.in_flight(service)
-            quiet_s = pulse.quiet_s(now)
+            quiet_s = pulse.idle_s(now)
             if pulse.turned(streams=streams, now=now):
                 event = "service-silent" if pulse.is_stalled else "service-heard"
                 servers_log.info(
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -33,7 +33,7 @@
             if name != server
         )
 
-    def quiet_s(self, now: float) -> float:
+    def idle_s(self, now: float) -> float:
         """Return how long ago any server sent something; infinite if never."""
         return now - max(tuple(self._last_by_server.values()), default=float("-inf"))
 
@@ -42,7 +42,7 @@
 
         ``streams`` are those under way; without any there is nothing to hear.
         """
-        still = streams > 0 and STALL_THRESHOLD_S < self.quiet_s(now) < float("inf")
+        still = streams > 0 and STALL_THRESHOLD_S < self.idle_s(now) < float("inf")
         turned = still != self.is_stalled
         self.is_stalled = still
         return turned
