--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -37,7 +37,7 @@
         """Return how long ago any server sent something; infinite if never."""
         return now - max(tuple(self._last_by_server.values()), default=float("-inf"))
 
-    def turned(self, *, streams: int, now: float) -> bool:
+    def update_stalled(self, *, streams: int, now: float) -> bool:
         """Return whether the service has just come to stand still, or gone on.
 
         ``streams`` are those under way; without any there is nothing to hear.
