--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -47,7 +47,7 @@
         self.is_stalled = still
         return turned
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop a server that left."""
         self._last_by_server.pop(server, None)
 
@@ -69,4 +69,4 @@
     def forget(self, server: str) -> None:
         """Drop a server that left, whatever its service."""
         for pulse in tuple(self._by_service.values()):
-            pulse.forget(server)
+            pulse.remove_server(server)
