--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -86,7 +86,7 @@
         if streamed and self.guards.is_closed(
             service,
             place.server,
-            quiet_s=self.liveness.of(service).idle_s(monotonic()),
+            quiet_s=self.liveness.for_service(service).idle_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
             self.servers.closed(service)
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         self._by_service: dict[str, Pulse] = {}
 
-    def of(self, service: str) -> Pulse:
+    def for_service(self, service: str) -> Pulse:
         """Return the service's pulse."""
         return self._by_service.setdefault(service, Pulse())
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -316,7 +316,9 @@
             address=place.address,
             watched=self._watched,
             silence_s=silence_s,
-            pulse=self._context.liveness.of(request.service) if streamed else None,
+            pulse=self._context.liveness.for_service(request.service)
+            if streamed
+            else None,
             fresh=not request.route.is_idempotent,
             may_give_up=partial(self._may_give_up, place),
             may_begin=partial(self._context.servers.may_send, place),
@@ -334,7 +336,7 @@
         context, service = self._context, self._request.service
         if self._request.route.is_streamed:
             now = monotonic()
-            if not context.liveness.of(service).is_other_server_active(
+            if not context.liveness.for_service(service).is_other_server_active(
                 place.server, now
             ):
                 return False
