--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -265,7 +265,7 @@
         self._context.servers.list_is(backends)
         for backend in gone:
             self._context.connection_pool.close_server(backend.incarnation)
-            self._context.liveness.forget(backend.instance)
+            self._context.liveness.remove_server(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
                 backend.incarnation
             ):
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -66,7 +66,7 @@
         """Return every service's pulse."""
         return tuple(self._by_service.items())
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop a server that left, whatever its service."""
         for pulse in tuple(self._by_service.values()):
             pulse.remove_server(server)
