--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -27,7 +27,7 @@
     from kingcupwheel.forwarding.connectionpool import ConnectionPool
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulse
+    from kingcupwheel.forwarding.pulse import LivenessTracker
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # Read at a time; an event of a stream has some hundred bytes.
@@ -163,7 +163,7 @@
         self._connection.close()
 
 
-def _beat(pulse: Pulse, instance: str) -> None:
+def _beat(pulse: LivenessTracker, instance: str) -> None:
     pulse.record_activity(instance, monotonic())
 
 
@@ -182,7 +182,7 @@
         address: str,
         watched: WatchedRequest,
         silence_s: float,
-        pulse: Pulse | None,
+        pulse: LivenessTracker | None,
         fresh: bool,
         may_give_up: Callable[[], bool],
         may_begin: Callable[[], bool],
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -14,7 +14,7 @@
 STALL_THRESHOLD_S = 0.4
 
 
-class Pulse:
+class LivenessTracker:
     """The signs of life of one service's servers, as one entry sees them."""
 
     def __init__(self) -> None:
@@ -56,13 +56,13 @@
     """Pulses by service."""
 
     def __init__(self) -> None:
-        self._by_service: dict[str, Pulse] = {}
+        self._by_service: dict[str, LivenessTracker] = {}
 
-    def for_service(self, service: str) -> Pulse:
+    def for_service(self, service: str) -> LivenessTracker:
         """Return the service's pulse."""
-        return self._by_service.setdefault(service, Pulse())
+        return self._by_service.setdefault(service, LivenessTracker())
 
-    def items(self) -> tuple[tuple[str, Pulse], ...]:
+    def items(self) -> tuple[tuple[str, LivenessTracker], ...]:
         """Return every service's pulse."""
         return tuple(self._by_service.items())
 
