--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -19,7 +19,7 @@
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulses
+    from kingcupwheel.forwarding.pulse import LivenessTrackers
     from kingcupwheel.forwarding.serverbook import ServerBook
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
@@ -39,7 +39,7 @@
     server_client: ServerCalls
     connection_pool: ConnectionPool
     guards: Guards
-    liveness: Pulses
+    liveness: LivenessTrackers
     watchdog: Watchdog
     metrics: EntryMetrics
 
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -24,7 +24,7 @@
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
-from kingcupwheel.forwarding.pulse import Pulses
+from kingcupwheel.forwarding.pulse import LivenessTrackers
 from kingcupwheel.forwarding.serverbook import ServerBook
 from kingcupwheel.forwarding.serverlist import ServerListHandler
 from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
@@ -109,7 +109,7 @@
             server_client=ServerCalls(connections),
             connection_pool=connections,
             guards=self._guards,
-            liveness=Pulses(),
+            liveness=LivenessTrackers(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/pulse.py
@@ -52,7 +52,7 @@
         self._last_by_server.pop(server, None)
 
 
-class Pulses:
+class LivenessTrackers:
     """Pulses by service."""
 
     def __init__(self) -> None:
