--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -112,7 +112,7 @@
         if stopping is None:
             return None
         now = monotonic()
-        over_at = request.times.over_at
+        over_at = request.times.deadline
         if not self._refuses_new and stopping.may_accept(
             now,
             deadline_at=over_at,
@@ -131,7 +131,7 @@
         if stopping is None:
             return True
         now = monotonic()
-        over_at = request.times.over_at
+        over_at = request.times.deadline
         return stopping.may_dispatch(
             now,
             deadline_at=over_at,
@@ -154,7 +154,9 @@
             self._log_refused(received, request)
             return exchange.pass_on(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
-            exchange.socket, request.times.over_at, partial(self._may_dispatch, request)
+            exchange.socket,
+            request.times.deadline,
+            partial(self._may_dispatch, request),
         )
         self._context.watchdog.watch(watched)
         try:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -207,7 +207,7 @@
             self._dispatcher.failed(place)
         if came is Came.LOST and self._watched.abort_reason is None:
             self._context.guards.lost(request.fingerprint, place.incarnation)
-        left_s = request.times.over_at - monotonic()
+        left_s = request.times.deadline - monotonic()
         if self._watched.is_over:
             left_s = 0.0
         wants = may_go_again(self._sends, self._may, left_s)
@@ -291,7 +291,7 @@
         self._begun = False
         call = ServerCall(
             instance=place.server,
-            left_s=max(0.001, request.times.over_at - now),
+            left_s=max(0.001, request.times.deadline - now),
             organisation=request.organisation,
             priority=request.priority,
             last_event=self._last_event,
@@ -304,7 +304,7 @@
             request.head.attempt,
         )
         again = may_go_again(
-            self._sends.after(Came.LOST), self._may, request.times.over_at - now
+            self._sends.after(Came.LOST), self._may, request.times.deadline - now
         )
         silence_s = request.times.silence_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.is_resumable
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -34,7 +34,7 @@
     ``silence_s`` is how long a server may send nothing before another one is tried.
     """
 
-    over_at: float
+    deadline: float
     first_by: float
     silence_s: float
 
