--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -350,7 +350,10 @@
     def _others_rest(self, place: Place) -> bool:
         """Return whether all other servers rest until another send is too late."""
         rest_s = self._dispatcher.rest_left_s(self._tried | {place.server})
-        return rest_s > 0.0 and monotonic() + rest_s >= self._request.times.first_by
+        return (
+            rest_s > 0.0
+            and monotonic() + rest_s >= self._request.times.first_byte_deadline
+        )
 
     def _saw_first_byte(self) -> None:
         """Note how long the server took; waits before this send were not its own."""
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -35,7 +35,7 @@
     """
 
     deadline: float
-    first_by: float
+    first_byte_deadline: float
     silence_s: float
 
 
