--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -306,7 +306,7 @@
         again = may_go_again(
             self._sends.after(Came.LOST), self._may, request.times.deadline - now
         )
-        silence_s = request.times.silence_s if again else float("inf")
+        silence_s = request.times.silence_timeout_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.is_resumable
         streamed = request.route.is_streamed
         return self._context.server_client.send(
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -36,7 +36,7 @@
 
     deadline: float
     first_byte_deadline: float
-    silence_s: float
+    silence_timeout_s: float
 
 
 def times_of(route: ForwardRoute, received_at: float, wait_s: float | None) -> Times:
