--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.requests import ForwardRequest
 from kingcupwheel.forwarding.requests import fingerprint
-from kingcupwheel.forwarding.times import times_of
+from kingcupwheel.forwarding.times import deadlines_for
 from kingcupwheel.platform.headers import read_request_headers
 
 
@@ -98,7 +98,7 @@
         body=received.body,
         fingerprint=fingerprint(organisation, received.target, received.body),
         received_at=received.at,
-        times=times_of(route, received.at, head.wait_s),
+        times=deadlines_for(route, received.at, head.wait_s),
         version=configuration.version,
         version_age_s=knowledge.age_s,
     )
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -39,7 +39,9 @@
     silence_timeout_s: float
 
 
-def times_of(route: ForwardRoute, received_at: float, wait_s: float | None) -> Times:
+def deadlines_for(
+    route: ForwardRoute, received_at: float, wait_s: float | None
+) -> Times:
     """Return the times of a request that came at ``received_at``.
 
     Failure: a request waits for longer than its caller does. Symptom: a server works
