--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -13,7 +13,7 @@
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
     from kingcupwheel.forwarding.heads import CallerHead
-    from kingcupwheel.forwarding.times import Times
+    from kingcupwheel.forwarding.times import Deadlines
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
 LEAST_URGENT = 9
@@ -40,7 +40,7 @@
     body: bytes
     fingerprint: str
     received_at: float
-    times: Times
+    times: Deadlines
     version: int
     version_age_s: float
 
--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -28,7 +28,7 @@
 PLAIN_SILENCE_PART = 0.45
 
 
-class Times(NamedTuple):
+class Deadlines(NamedTuple):
     """When a request is over, and when its first byte must be on its way.
 
     ``silence_s`` is how long a server may send nothing before another one is tried.
@@ -41,7 +41,7 @@
 
 def deadlines_for(
     route: ForwardRoute, received_at: float, wait_s: float | None
-) -> Times:
+) -> Deadlines:
     """Return the times of a request that came at ``received_at``.
 
     Failure: a request waits for longer than its caller does. Symptom: a server works
@@ -54,7 +54,7 @@
         silence_s = whole_s
         if route.is_idempotent and route.max_servers > 1:
             silence_s = whole_s * PLAIN_SILENCE_PART
-        return Times(over_at, over_at, silence_s)
+        return Deadlines(over_at, over_at, silence_s)
     patience_s = max(
         STREAM_PATIENCE_S,
         _PATIENCE_AIMS * route.target_latency_s,
@@ -64,4 +64,4 @@
     silence_s = patience_s
     if route.is_resumable and route.max_servers > 1:
         silence_s = patience_s * STREAM_SILENCE_PART
-    return Times(over_at, first_by, silence_s)
+    return Deadlines(over_at, first_by, silence_s)
