--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -13,7 +13,7 @@
     from kingcupwheel.forwarding.configuration import ForwardRoute
 
 # Taken off the time that a caller waits, for the way there and back and a late timer.
-WAY_S = 0.04
+NETWORK_ALLOWANCE_S = 0.04
 
 # Callers leave a stream that sends nothing for so long, or for the larger of these
 # multiples of its aim and its longest good pause.
@@ -49,7 +49,7 @@
     it; a stream's caller also leaves when nothing comes.
     """
     whole_s = route.timeout_s if wait_s is None else min(route.timeout_s, wait_s)
-    over_at = received_at + whole_s - WAY_S
+    over_at = received_at + whole_s - NETWORK_ALLOWANCE_S
     if not route.is_streamed:
         silence_s = whole_s
         if route.is_idempotent and route.max_servers > 1:
@@ -60,7 +60,7 @@
         _PATIENCE_AIMS * route.target_latency_s,
         _PATIENCE_GAPS * route.max_event_gap_s,
     )
-    first_by = min(over_at, received_at + patience_s - WAY_S)
+    first_by = min(over_at, received_at + patience_s - NETWORK_ALLOWANCE_S)
     silence_s = patience_s
     if route.is_resumable and route.max_servers > 1:
         silence_s = patience_s * STREAM_SILENCE_PART
