--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -17,7 +17,7 @@
 
 # Callers leave a stream that sends nothing for so long, or for the larger of these
 # multiples of its aim and its longest good pause.
-STREAM_PATIENCE_S = 2.0
+MIN_STREAM_PATIENCE_S = 2.0
 _PATIENCE_AIMS = 4.0
 _PATIENCE_GAPS = 8.0
 
@@ -56,7 +56,7 @@
             silence_s = whole_s * PLAIN_SILENCE_PART
         return Deadlines(over_at, over_at, silence_s)
     patience_s = max(
-        STREAM_PATIENCE_S,
+        MIN_STREAM_PATIENCE_S,
         _PATIENCE_AIMS * route.target_latency_s,
         _PATIENCE_GAPS * route.max_event_gap_s,
     )
