--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -23,7 +23,7 @@
 
 # A stream's server that sends nothing for this part of its caller's patience is given
 # up while another one can still go on in time.
-STREAM_SILENCE_PART = 0.55
+STREAM_SILENCE_FRACTION = 0.55
 # The same for plain answers that may be had from another server, as a part of the time.
 PLAIN_SILENCE_PART = 0.45
 
@@ -63,5 +63,5 @@
     first_by = min(over_at, received_at + patience_s - NETWORK_ALLOWANCE_S)
     silence_s = patience_s
     if route.is_resumable and route.max_servers > 1:
-        silence_s = patience_s * STREAM_SILENCE_PART
+        silence_s = patience_s * STREAM_SILENCE_FRACTION
     return Deadlines(over_at, first_by, silence_s)
