--- a/src/kingcupwheel/forwarding/times.py
+++ b/src/kingcupwheel/forwarding/times.py
@@ -25,7 +25,7 @@
 # up while another one can still go on in time.
 STREAM_SILENCE_FRACTION = 0.55
 # The same for plain answers that may be had from another server, as a part of the time.
-PLAIN_SILENCE_PART = 0.45
+PLAIN_SILENCE_FRACTION = 0.45
 
 
 class Deadlines(NamedTuple):
@@ -53,7 +53,7 @@
     if not route.is_streamed:
         silence_s = whole_s
         if route.is_idempotent and route.max_servers > 1:
-            silence_s = whole_s * PLAIN_SILENCE_PART
+            silence_s = whole_s * PLAIN_SILENCE_FRACTION
         return Deadlines(over_at, over_at, silence_s)
     patience_s = max(
         MIN_STREAM_PATIENCE_S,
