--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -98,7 +98,7 @@
         body=received.body,
         fingerprint=fingerprint(organisation, received.target, received.body),
         received_at=received.at,
-        times=deadlines_for(route, received.at, head.wait_s),
+        deadlines=deadlines_for(route, received.at, head.wait_s),
         version=configuration.version,
         version_age_s=knowledge.age_s,
     )
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -112,7 +112,7 @@
         if stopping is None:
             return None
         now = monotonic()
-        over_at = request.times.deadline
+        over_at = request.deadlines.deadline
         if not self._refuses_new and stopping.may_accept(
             now,
             deadline_at=over_at,
@@ -131,7 +131,7 @@
         if stopping is None:
             return True
         now = monotonic()
-        over_at = request.times.deadline
+        over_at = request.deadlines.deadline
         return stopping.may_dispatch(
             now,
             deadline_at=over_at,
@@ -155,7 +155,7 @@
             return exchange.pass_on(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
             exchange.socket,
-            request.times.deadline,
+            request.deadlines.deadline,
             partial(self._may_dispatch, request),
         )
         self._context.watchdog.watch(watched)
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -93,5 +93,5 @@
         priority=max(0, LEAST_URGENT - request.priority),
         work=request.work,
         size=request.head.prompt_tokens,
-        first_by=request.times.first_byte_deadline,
+        first_by=request.deadlines.first_byte_deadline,
     )
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -40,7 +40,7 @@
     body: bytes
     fingerprint: str
     received_at: float
-    times: Deadlines
+    deadlines: Deadlines
     version: int
     version_age_s: float
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -207,7 +207,7 @@
             self._dispatcher.failed(place)
         if came is Came.LOST and self._watched.abort_reason is None:
             self._context.guards.lost(request.fingerprint, place.incarnation)
-        left_s = request.times.deadline - monotonic()
+        left_s = request.deadlines.deadline - monotonic()
         if self._watched.is_over:
             left_s = 0.0
         wants = may_go_again(self._sends, self._may, left_s)
@@ -291,7 +291,7 @@
         self._begun = False
         call = ServerCall(
             instance=place.server,
-            left_s=max(0.001, request.times.deadline - now),
+            left_s=max(0.001, request.deadlines.deadline - now),
             organisation=request.organisation,
             priority=request.priority,
             last_event=self._last_event,
@@ -304,9 +304,9 @@
             request.head.attempt,
         )
         again = may_go_again(
-            self._sends.after(Came.LOST), self._may, request.times.deadline - now
+            self._sends.after(Came.LOST), self._may, request.deadlines.deadline - now
         )
-        silence_s = request.times.silence_timeout_s if again else float("inf")
+        silence_s = request.deadlines.silence_timeout_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.is_resumable
         streamed = request.route.is_streamed
         return self._context.server_client.send(
@@ -352,7 +352,7 @@
         rest_s = self._dispatcher.rest_left_s(self._tried | {place.server})
         return (
             rest_s > 0.0
-            and monotonic() + rest_s >= self._request.times.first_byte_deadline
+            and monotonic() + rest_s >= self._request.deadlines.first_byte_deadline
         )
 
     def _saw_first_byte(self) -> None:
