--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -55,7 +55,7 @@
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = PlacementRequest(
-        work=request.work,
+        work=request.predicted_work,
         excluded_servers=tried.servers,
         is_suspect=tried.suspect,
         data_centre=tried.data_centre,
@@ -91,7 +91,7 @@
         request_id=request.id,
         organisation=request.organisation,
         priority=max(0, LEAST_URGENT - request.priority),
-        work=request.work,
+        work=request.predicted_work,
         size=request.head.prompt_tokens,
         first_by=request.deadlines.first_byte_deadline,
     )
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -45,7 +45,7 @@
     version_age_s: float
 
     @property
-    def work(self) -> float:
+    def predicted_work(self) -> float:
         """Predicted work in prompt tokens; one written costs about ten read."""
         return max(1.0, self.head.prompt_tokens + 10.0 * self.head.answer_tokens)
 
