--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.endings import retry_after
-from kingcupwheel.forwarding.requests import LEAST_URGENT
+from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
 
@@ -90,7 +90,7 @@
     return Wanted(
         request_id=request.id,
         organisation=request.organisation,
-        priority=max(0, LEAST_URGENT - request.priority),
+        priority=max(0, LOWEST_PRIORITY - request.priority),
         work=request.predicted_work,
         size=request.head.prompt_tokens,
         first_by=request.deadlines.first_byte_deadline,
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.times import Deadlines
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 class ForwardRequest(NamedTuple):
