--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.requests import ForwardRequest
-from kingcupwheel.forwarding.requests import fingerprint
+from kingcupwheel.forwarding.requests import request_fingerprint
 from kingcupwheel.forwarding.times import deadlines_for
 from kingcupwheel.platform.headers import read_request_headers
 
@@ -96,7 +96,7 @@
         headers=received.headers,
         head=head,
         body=received.body,
-        fingerprint=fingerprint(organisation, received.target, received.body),
+        fingerprint=request_fingerprint(organisation, received.target, received.body),
         received_at=received.at,
         deadlines=deadlines_for(route, received.at, head.wait_s),
         version=configuration.version,
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -50,7 +50,7 @@
         return max(1.0, self.head.prompt_tokens + 10.0 * self.head.answer_tokens)
 
 
-def fingerprint(organisation: str, target: str, body: bytes) -> str:
+def request_fingerprint(organisation: str, target: str, body: bytes) -> str:
     """Return what names this request when it comes again, empty without a body."""
     if not body:
         return ""
