--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -91,7 +91,7 @@
         """Handle one WSGI request."""
         exchange = Exchange(environ, start_response)
         if self._stopping is not None:
-            exchange.close_after()
+            exchange.close_after_answer()
         received = exchange.received(self._name, self._body_limit())
         received = received._replace(id=self._active_requests.enter(received))
         try:
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -44,7 +44,7 @@
         """The caller's connection, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
-    def close_after(self) -> None:
+    def close_after_answer(self) -> None:
         """Close the connection after this answer."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
@@ -61,7 +61,7 @@
             target = target.decode("latin-1")
         body = self._environ["wsgi.input"].read(body_limit + 1)
         if len(body) > body_limit:
-            self.close_after()
+            self.close_after_answer()
         own = str(new_request_id(entry, now=self._at))
         return Received(
             id=read_attempt_id(headers) or own,
