--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -92,7 +92,7 @@
         exchange = Exchange(environ, start_response)
         if self._stopping is not None:
             exchange.close_after_answer()
-        received = exchange.received(self._name, self._body_limit())
+        received = exchange.read_request(self._name, self._body_limit())
         received = received._replace(id=self._active_requests.enter(received))
         try:
             body = self._answer(exchange, received)
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -50,7 +50,7 @@
         if close is not None:
             close()
 
-    def received(self, entry: str, body_limit: int) -> Received:
+    def read_request(self, entry: str, body_limit: int) -> Received:
         """Read the request; of a body over the limit no more than shows that it is.
 
         Its connection is closed then: what is left of it would look like a request.
