--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -152,7 +152,7 @@
             request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
             self._log_refused(received, request)
-            return exchange.pass_on(RefusedAnswer(request), received.id)
+            return exchange.send_answer(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
             exchange.socket,
             request.deadlines.deadline,
@@ -164,7 +164,7 @@
         except BaseException:
             self._context.watchdog.unwatch(watched)
             raise
-        body = exchange.pass_on(answer, received.id)
+        body = exchange.send_answer(answer, received.id)
         refused = isinstance(answer, RefusedAnswer)
         return self._watch_until_sent(body, watched, None if refused else request)
 
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -72,7 +72,7 @@
             at=self._at,
         )
 
-    def pass_on(self, answer: Answer, request_id: str) -> Iterable[bytes]:
+    def send_answer(self, answer: Answer, request_id: str) -> Iterable[bytes]:
         """Send what a request came to."""
         match answer:
             case RefusedAnswer(refusal):
