--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.admitting import admit
 from kingcupwheel.forwarding.configuration import RequestLimits
-from kingcupwheel.forwarding.exchange import Exchange
+from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.guards import spread
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
@@ -89,7 +89,7 @@
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         """Handle one WSGI request."""
-        exchange = Exchange(environ, start_response)
+        exchange = HttpExchange(environ, start_response)
         if self._stopping is not None:
             exchange.close_after_answer()
         received = exchange.read_request(self._name, self._body_limit())
@@ -146,7 +146,7 @@
         finally:
             self._active_requests.leave(request_id)
 
-    def _answer(self, exchange: Exchange, received: Received) -> Iterable[bytes]:
+    def _answer(self, exchange: HttpExchange, received: Received) -> Iterable[bytes]:
         request = admit(received, self._knowledge())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -31,7 +31,7 @@
 Environ = dict[str, Any]
 
 
-class Exchange:
+class HttpExchange:
     """Reads a request and writes its answer; belongs to one thread."""
 
     def __init__(self, environ: Environ, start_response: Callable[..., Any]) -> None:
