--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -43,7 +43,7 @@
 
     configuration: Configuration | None
     age_s: float
-    trusted_s: float
+    max_age_with_key_s: float
     denying_s: float
 
 
@@ -76,7 +76,7 @@
     head = read_request_headers(received.headers)
     holder: KeyHolder | None = None
     if configuration.has_organisations and not route.allows_anonymous:
-        if knowledge.age_s > knowledge.trusted_s:
+        if knowledge.age_s > knowledge.max_age_with_key_s:
             return _too_old(knowledge)
         holder = configuration.find_key_holder(head.key)
         if holder is None:
