--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -44,7 +44,7 @@
     configuration: Configuration | None
     age_s: float
     max_age_with_key_s: float
-    denying_s: float
+    max_age_to_deny_s: float
 
 
 class Received(NamedTuple):
@@ -124,7 +124,7 @@
     Failure: a route or key was added that this entry has not heard of. Symptom: a
     caller is told that it does not exist, and does not ask again.
     """
-    if knowledge.age_s <= knowledge.denying_s:
+    if knowledge.age_s <= knowledge.max_age_to_deny_s:
         return refusal
     message = f"The configuration known here is {knowledge.age_s:.1f} s old."
     return Refusal(503, "configuration-too-old", message, _UNKNOWING_RETRY_S)
