--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -34,7 +34,7 @@
 _HEADER_OVERHEAD = 4
 
 
-class Knowledge(NamedTuple):
+class ConfigurationSnapshot(NamedTuple):
     """The configuration to use and how old the knowledge of it is.
 
     ``trusted_s`` is how old it may be for a request with a key, ``denying_s`` for
@@ -58,7 +58,9 @@
     at: float
 
 
-def admit(received: Received, knowledge: Knowledge) -> ForwardRequest | Refusal:
+def admit(
+    received: Received, knowledge: ConfigurationSnapshot
+) -> ForwardRequest | Refusal:
     """Return what is to be forwarded, or the refusal that is final."""
     configuration = knowledge.configuration
     if configuration is None:
@@ -104,7 +106,7 @@
     )
 
 
-def _too_old(knowledge: Knowledge) -> Refusal:
+def _too_old(knowledge: ConfigurationSnapshot) -> Refusal:
     """Refuse a request with a key that may have been taken away meanwhile.
 
     Failure: an entry that is cut off from the store does not hear that a key is gone.
@@ -118,7 +120,7 @@
     return Refusal(503, "configuration-too-old", message, _UNKNOWING_RETRY_S)
 
 
-def _denied(refusal: Refusal, knowledge: Knowledge) -> Refusal:
+def _denied(refusal: Refusal, knowledge: ConfigurationSnapshot) -> Refusal:
     """Deny only what the newest configuration denies.
 
     Failure: a route or key was added that this entry has not heard of. Symptom: a
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -26,7 +26,7 @@
     from collections.abc import Iterator
 
     from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-    from kingcupwheel.forwarding.admitting import Knowledge
+    from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
     from kingcupwheel.forwarding.admitting import Received
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.exchange import Environ
@@ -50,7 +50,7 @@
     def __init__(
         self,
         context: ForwardContext,
-        knowledge: Callable[[], Knowledge],
+        knowledge: Callable[[], ConfigurationSnapshot],
         *,
         name: str,
         has_live_peers: Callable[[], bool],
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.forwarding.admitting import Knowledge
+from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
 from kingcupwheel.forwarding.configurationcache import ConfigurationCache
@@ -232,8 +232,8 @@
             watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
-    def _knowledge(self) -> Knowledge:
-        return Knowledge(
+    def _knowledge(self) -> ConfigurationSnapshot:
+        return ConfigurationSnapshot(
             self._configuration_cache.current,
             self._configuration_cache.age_s(),
             self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
