--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -55,7 +55,7 @@
     target: str
     headers: Mapping[str, str]
     body: bytes
-    at: float
+    received_at: float
 
 
 def admit(
@@ -99,8 +99,8 @@
         head=head,
         body=received.body,
         fingerprint=request_fingerprint(organisation, received.target, received.body),
-        received_at=received.at,
-        deadlines=deadlines_for(route, received.at, head.wait_s),
+        received_at=received.received_at,
+        deadlines=deadlines_for(route, received.received_at, head.wait_s),
         version=configuration.version,
         version_age_s=knowledge.age_s,
     )
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -190,7 +190,7 @@
         version = 0
         if knowledge.configuration is not None:
             version = knowledge.configuration.version
-        took_s = monotonic() - received.at
+        took_s = monotonic() - received.received_at
         self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
         log.info(
             "refused",
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -69,7 +69,7 @@
             target=target,
             headers=headers,
             body=body,
-            at=self._at,
+            received_at=self._at,
         )
 
     def send_answer(self, answer: Answer, request_id: str) -> Iterable[bytes]:
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -38,7 +38,7 @@
             while found in self._came_at_by_id:
                 found = f"{received.id}~{number}"
                 number += 1
-            self._came_at_by_id[found] = received.at
+            self._came_at_by_id[found] = received.received_at
         return found
 
     def leave(self, request_id: str) -> None:
