--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -47,7 +47,7 @@
     max_age_to_deny_s: float
 
 
-class Received(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as it was read; header names are in lower case."""
 
     id: str
@@ -59,7 +59,7 @@
 
 
 def admit(
-    received: Received, knowledge: ConfigurationSnapshot
+    received: ReceivedRequest, knowledge: ConfigurationSnapshot
 ) -> ForwardRequest | Refusal:
     """Return what is to be forwarded, or the refusal that is final."""
     configuration = knowledge.configuration
@@ -139,7 +139,7 @@
     return random.choices(route.shares, weights)[0].service
 
 
-def _header_bytes(received: Received) -> int:
+def _header_bytes(received: ReceivedRequest) -> int:
     return sum(
         len(name) + len(value) + _HEADER_OVERHEAD
         for name, value in received.headers.items()
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -27,7 +27,7 @@
 
     from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
     from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
-    from kingcupwheel.forwarding.admitting import Received
+    from kingcupwheel.forwarding.admitting import ReceivedRequest
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.exchange import Environ
     from kingcupwheel.forwarding.requests import ForwardRequest
@@ -146,7 +146,9 @@
         finally:
             self._active_requests.leave(request_id)
 
-    def _answer(self, exchange: HttpExchange, received: Received) -> Iterable[bytes]:
+    def _answer(
+        self, exchange: HttpExchange, received: ReceivedRequest
+    ) -> Iterable[bytes]:
         request = admit(received, self._knowledge())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
@@ -185,7 +187,7 @@
             if answered is not None:
                 self._active_requests.answered(answered, monotonic())
 
-    def _log_refused(self, received: Received, refusal: Refusal) -> None:
+    def _log_refused(self, received: ReceivedRequest, refusal: Refusal) -> None:
         knowledge = self._knowledge()
         version = 0
         if knowledge.configuration is not None:
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import body_of
-from kingcupwheel.forwarding.admitting import Received
+from kingcupwheel.forwarding.admitting import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
 
@@ -50,7 +50,7 @@
         if close is not None:
             close()
 
-    def read_request(self, entry: str, body_limit: int) -> Received:
+    def read_request(self, entry: str, body_limit: int) -> ReceivedRequest:
         """Read the request; of a body over the limit no more than shows that it is.
 
         Its connection is closed then: what is left of it would look like a request.
@@ -63,7 +63,7 @@
         if len(body) > body_limit:
             self.close_after_answer()
         own = str(new_request_id(entry, now=self._at))
-        return Received(
+        return ReceivedRequest(
             id=read_attempt_id(headers) or own,
             method=str(self._environ["REQUEST_METHOD"]),
             target=target,
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.admitting import Received
+    from kingcupwheel.forwarding.admitting import ReceivedRequest
     from kingcupwheel.forwarding.requests import ForwardRequest
 
 
@@ -30,7 +30,7 @@
         with self._lock:
             return dict(self._came_at_by_id)
 
-    def enter(self, received: Received) -> str:
+    def enter(self, received: ReceivedRequest) -> str:
         """Count a request in; return its id, made different from those under way."""
         with self._lock:
             found = received.id
