--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -58,7 +58,7 @@
     received_at: float
 
 
-def admit(
+def admit_request(
     received: ReceivedRequest, knowledge: ConfigurationSnapshot
 ) -> ForwardRequest | Refusal:
     """Return what is to be forwarded, or the refusal that is final."""
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -10,7 +10,7 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.admitting import admit
+from kingcupwheel.forwarding.admitting import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.guards import spread
@@ -149,7 +149,7 @@
     def _answer(
         self, exchange: HttpExchange, received: ReceivedRequest
     ) -> Iterable[bytes]:
-        request = admit(received, self._knowledge())
+        request = admit_request(received, self._knowledge())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
