--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -53,7 +53,7 @@
         self._closures_by_service: dict[str, ClosedServiceDetector] = {}
         self._lock = Lock()
 
-    def verdict(self, fingerprint: str) -> Quarantined | Suspect | None:
+    def quarantine_verdict(self, fingerprint: str) -> Quarantined | Suspect | None:
         """Return what is held against a request."""
         if not fingerprint:
             return None
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -92,7 +92,7 @@
 
     def answer(self) -> Answer:
         """Return the answer, or the refusal that is final."""
-        verdict = self._context.guards.verdict(self._request.fingerprint)
+        verdict = self._context.guards.quarantine_verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
             message = f"{verdict.crash_count} servers died while they ran this request."
             return self.refused(
