--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -61,7 +61,7 @@
             verdict = self._suspects.get_status(fingerprint, monotonic())
         return verdict if isinstance(verdict, Quarantined | Suspect) else None
 
-    def lost(self, fingerprint: str, life: str) -> None:
+    def record_lost_answer(self, fingerprint: str, life: str) -> None:
         """Note that an answer was lost; the server may have died of the request."""
         if fingerprint:
             with self._lock:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -206,7 +206,9 @@
         if came in (Came.LOST, Came.FAILED) and not self._watched.is_over:
             self._dispatcher.failed(place)
         if came is Came.LOST and self._watched.abort_reason is None:
-            self._context.guards.lost(request.fingerprint, place.incarnation)
+            self._context.guards.record_lost_answer(
+                request.fingerprint, place.incarnation
+            )
         left_s = request.deadlines.deadline - monotonic()
         if self._watched.is_over:
             left_s = 0.0
