--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -269,7 +269,7 @@
             if not backend.leaving and not self._context.servers.is_leaving(
                 backend.incarnation
             ):
-                self._guards.gone(backend.incarnation)
+                self._guards.record_server_death(backend.incarnation)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -67,7 +67,7 @@
             with self._lock:
                 self._lost.append((monotonic(), fingerprint, life))
 
-    def gone(self, life: str) -> tuple[str, ...]:
+    def record_server_death(self, life: str) -> tuple[str, ...]:
         """Hold a server's death against what was lost on it; return fingerprints.
 
         Only deaths that show count: an answer that is lost on a server that lives says
