--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -85,7 +85,7 @@
                 self._suspects.record_crash_id(fingerprint, death, now)
         return blamed
 
-    def cleared(self, fingerprint: str) -> None:
+    def clear_suspicion(self, fingerprint: str) -> None:
         """Forgive a request that ended whole on a living server."""
         if fingerprint:
             with self._lock:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -394,7 +394,7 @@
     def succeeded(self, place: Place, pace_s: float) -> None:
         """Count a whole answer; ``pace_s`` compares the servers of a service."""
         self._dispatcher.succeeded(place, pace_s)
-        self._context.guards.cleared(self._request.fingerprint)
+        self._context.guards.clear_suspicion(self._request.fingerprint)
 
     def refused(self, refusal: Refusal) -> RefusedAnswer:
         """Log the final refusal and return it as an answer."""
