--- a/src/kingcupwheel/forwarding/entrymembership.py
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -174,7 +174,7 @@
             is_new = self._peers.record_heartbeat(beat, now)
             self._peers.add_known(beat.known_entries, now)
         if beat.crashed:
-            self._guards.heard(beat.crashed)
+            self._guards.merge_peer_deaths(beat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -91,7 +91,7 @@
             with self._lock:
                 self._suspects.clear(fingerprint)
 
-    def heard(self, crashed: tuple[tuple[str, int], ...]) -> None:
+    def merge_peer_deaths(self, crashed: tuple[tuple[str, int], ...]) -> None:
         """Take in deaths that a peer tells."""
         with self._lock:
             now = monotonic()
