--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -99,7 +99,7 @@
                 self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
-    def crashed(self) -> tuple[tuple[str, int], ...]:
+    def recent_deaths(self) -> tuple[tuple[str, int], ...]:
         """Deaths of late, to tell peers."""
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
