--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -104,7 +104,7 @@
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
 
-    def first(self, service: str) -> None:
+    def count_first_attempt(self, service: str) -> None:
         """Count a first send."""
         with self._lock:
             self._of(service).record_first_attempt(monotonic())
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -99,7 +99,7 @@
                 Refusal(503, "quarantined", message, verdict.remaining_s)
             )
         self._suspect = isinstance(verdict, Suspect)
-        self._context.guards.first(self._request.service)
+        self._context.guards.count_first_attempt(self._request.service)
         found = self.next_answer()
         if isinstance(found, Refusal):
             return self.refused(found)
