--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -109,7 +109,7 @@
         with self._lock:
             self._of(service).record_first_attempt(monotonic())
 
-    def may_send_again(self, service: str) -> bool:
+    def consume_retry(self, service: str) -> bool:
         """Return whether the budget allows one more send, and count it if so."""
         with self._lock:
             return self._of(service).try_acquire(
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -243,7 +243,7 @@
     def _takes_budget(self) -> bool:
         """Return whether the budget allows one more send; one may be reserved."""
         reserved, self._reserved = self._reserved, False
-        return reserved or self._context.guards.may_send_again(self._request.service)
+        return reserved or self._context.guards.consume_retry(self._request.service)
 
     def _place(self) -> Place | Refusal:
         """Wait for a place; a refusal promises "not run" only if nothing was sent."""
@@ -346,7 +346,7 @@
                 return False
         if self._others_rest(place):
             return False
-        self._reserved = self._reserved or context.guards.may_send_again(service)
+        self._reserved = self._reserved or context.guards.consume_retry(service)
         return self._reserved
 
     def _others_rest(self, place: Place) -> bool:
