--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -83,7 +83,7 @@
 
     def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if streamed and self.guards.is_closed(
+        if streamed and self.guards.record_rejection(
             service,
             place.server,
             quiet_s=self.liveness.for_service(service).idle_s(monotonic()),
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -118,7 +118,7 @@
                 floor=self._budget.floor * _BUDGET_PART / max(1, self._entries()),
             )
 
-    def is_closed(self, service: str, server: str, *, quiet_s: float) -> bool:
+    def record_rejection(self, service: str, server: str, *, quiet_s: float) -> bool:
         """Note a request turned away; return whether the whole service does that."""
         with self._lock:
             closures = self._closures_by_service.setdefault(
