--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.calls import ServerCalls
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.connectionpool import ConnectionPool
-    from kingcupwheel.forwarding.guards import Guards
+    from kingcupwheel.forwarding.guards import RetryGuards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import LivenessTrackers
@@ -38,7 +38,7 @@
     servers: ServerBook
     server_client: ServerCalls
     connection_pool: ConnectionPool
-    guards: Guards
+    guards: RetryGuards
     liveness: LivenessTrackers
     watchdog: Watchdog
     metrics: EntryMetrics
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -22,7 +22,7 @@
 from kingcupwheel.forwarding.entrymembership import EntryMembership
 from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
 from kingcupwheel.forwarding.guards import Budget
-from kingcupwheel.forwarding.guards import Guards
+from kingcupwheel.forwarding.guards import RetryGuards
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import LivenessTrackers
 from kingcupwheel.forwarding.serverbook import ServerBook
@@ -99,7 +99,7 @@
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._membership.fleet_size)
+        self._guards = RetryGuards(budget, lambda: self._membership.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
--- a/src/kingcupwheel/forwarding/entrymembership.py
+++ b/src/kingcupwheel/forwarding/entrymembership.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.guards import Guards
+    from kingcupwheel.forwarding.guards import RetryGuards
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.platform.object_store import ObjectStore
@@ -52,7 +52,7 @@
         me: EntryInfo,
         hub: MessageHub,
         configuration_cache: ConfigurationCache,
-        guards: Guards,
+        guards: RetryGuards,
     ) -> None:
         self._me = me
         self._hub = hub
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -41,7 +41,7 @@
     window_s: float
 
 
-class Guards:
+class RetryGuards:
     """Safe from any thread; ``entries`` returns how many share the budget."""
 
     def __init__(self, budget: Budget, entries: Callable[[], int]) -> None:
