--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -21,7 +21,7 @@
 from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
 from kingcupwheel.forwarding.entrymembership import EntryMembership
 from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
-from kingcupwheel.forwarding.guards import Budget
+from kingcupwheel.forwarding.guards import RetryBudget
 from kingcupwheel.forwarding.guards import RetryGuards
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import LivenessTrackers
@@ -94,7 +94,7 @@
         )
         table = ServerTable(settings.timings)
         dispatchers = Dispatchers(table, data_centre=settings.data_centre)
-        budget = Budget(
+        budget = RetryBudget(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -30,7 +30,7 @@
 _BUDGET_PART = 0.5
 
 
-class Budget(NamedTuple):
+class RetryBudget(NamedTuple):
     """What the fleet may send again, for each service in any window.
 
     ``share`` of the requests for it, and ``floor`` besides.
@@ -44,7 +44,7 @@
 class RetryGuards:
     """Safe from any thread; ``entries`` returns how many share the budget."""
 
-    def __init__(self, budget: Budget, entries: Callable[[], int]) -> None:
+    def __init__(self, budget: RetryBudget, entries: Callable[[], int]) -> None:
         self._budget = budget
         self._entries = entries
         self._suspects = CrashSuspects()
