--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -13,7 +13,7 @@
 from kingcupwheel.forwarding.admitting import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
-from kingcupwheel.forwarding.guards import spread
+from kingcupwheel.forwarding.guards import with_jitter
 from kingcupwheel.forwarding.runs import ForwardRun
 from kingcupwheel.forwarding.underway import Underway
 from kingcupwheel.forwarding.watchdog import WatchedRequest
@@ -123,7 +123,7 @@
         retry_s = (
             _PEER_RETRY_AFTER_S if self._has_live_peers() else _RESTART_RETRY_AFTER_S
         )
-        return LEAVING._replace(retry_after_s=spread(retry_s, request.id))
+        return LEAVING._replace(retry_after_s=with_jitter(retry_s, request.id))
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
--- a/src/kingcupwheel/forwarding/endings.py
+++ b/src/kingcupwheel/forwarding/endings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.guards import spread
+from kingcupwheel.forwarding.guards import with_jitter
 from kingcupwheel.forwarding.outcomes import Follows
 from kingcupwheel.messages.attempts import Outcome
 
@@ -19,7 +19,7 @@
 
     ``rest_s`` is how long all servers still rest.
     """
-    return spread(max(_RETRY_AFTER_S, rest_s), request_id)
+    return with_jitter(max(_RETRY_AFTER_S, rest_s), request_id)
 
 
 def refusal_after(
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -134,6 +134,6 @@
         return found
 
 
-def spread(base_s: float, request_id: str) -> float:
+def with_jitter(base_s: float, request_id: str) -> float:
     """Return a time to come back, spread so that callers don't return together."""
     return base_s * (1.0 + 0.5 * stable_fraction(request_id))
