--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -22,7 +22,7 @@
 
 # How long after a lost answer its server may be found gone, in seconds: a platform
 # lists a dead server until it has missed three heartbeats.
-DEATH_SHOWS_S = 8.0
+DEATH_DETECTION_S = 8.0
 # Lost answers remembered for that.
 _LOST_AT_MOST = 512
 # Part of the fleet's budget that the entries use together. All of them may be killed at
@@ -79,7 +79,7 @@
             blamed = tuple(
                 fingerprint
                 for at, fingerprint, where in self._lost
-                if where == life and now - at < DEATH_SHOWS_S
+                if where == life and now - at < DEATH_DETECTION_S
             )
             for fingerprint in blamed:
                 self._suspects.record_crash_id(fingerprint, death, now)
