--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -13,7 +13,7 @@
     where the caller gives none; the latter is an estimate or an upper bound.
     """
 
-    attempt: str
+    attempt_id: str
     wait_s: float | None
     key: str
     last_event: str
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -303,7 +303,7 @@
             request.target,
             build_server_headers(request.headers, call),
             request.body,
-            request.head.attempt,
+            request.head.attempt_id,
         )
         again = may_go_again(
             self._sends.after(Came.LOST), self._may, request.deadlines.deadline - now
