--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -100,7 +100,7 @@
         body=received.body,
         fingerprint=request_fingerprint(organisation, received.target, received.body),
         received_at=received.received_at,
-        deadlines=deadlines_for(route, received.received_at, head.wait_s),
+        deadlines=deadlines_for(route, received.received_at, head.timeout_s),
         version=configuration.version,
         version_age_s=knowledge.age_s,
     )
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -14,7 +14,7 @@
     """
 
     attempt_id: str
-    wait_s: float | None
+    timeout_s: float | None
     key: str
     last_event: str
     prompt_tokens: int
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -65,7 +65,7 @@
         answer = min(answer, hint) if answer else hint
     return CallerHead(
         attempt_id=headers.get(_ATTEMPT_ID, ""),
-        wait_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
+        timeout_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
         key=key[7:] if key[:7].lower() == "bearer " else "",
         last_event=headers.get(_LAST_EVENT_ID, ""),
         prompt_tokens=prompt,
