--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -80,7 +80,7 @@
     if configuration.has_organisations and not route.allows_anonymous:
         if knowledge.age_s > knowledge.max_age_with_key_s:
             return _too_old(knowledge)
-        holder = configuration.find_key_holder(head.key)
+        holder = configuration.find_key_holder(head.api_key)
         if holder is None:
             return _denied(BAD_KEY, knowledge)
     organisation = "" if holder is None else holder.organisation
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -15,7 +15,7 @@
 
     attempt_id: str
     timeout_s: float | None
-    key: str
+    api_key: str
     last_event: str
     prompt_tokens: int
     answer_tokens: int
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -66,7 +66,7 @@
     return CallerHead(
         attempt_id=headers.get(_ATTEMPT_ID, ""),
         timeout_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
-        key=key[7:] if key[:7].lower() == "bearer " else "",
+        api_key=key[7:] if key[:7].lower() == "bearer " else "",
         last_event=headers.get(_LAST_EVENT_ID, ""),
         prompt_tokens=prompt,
         answer_tokens=answer,
