--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -16,7 +16,7 @@
     attempt_id: str
     timeout_s: float | None
     api_key: str
-    last_event: str
+    last_event_id: str
     prompt_tokens: int
     answer_tokens: int
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -83,7 +83,7 @@
         self._sends = Sends()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
-        self._last_event = request.head.last_event
+        self._last_event = request.head.last_event_id
         self._sent_at = 0.0
         # The server that it was sent to last has begun to answer.
         self._begun = False
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -67,7 +67,7 @@
         attempt_id=headers.get(_ATTEMPT_ID, ""),
         timeout_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
         api_key=key[7:] if key[:7].lower() == "bearer " else "",
-        last_event=headers.get(_LAST_EVENT_ID, ""),
+        last_event_id=headers.get(_LAST_EVENT_ID, ""),
         prompt_tokens=prompt,
         answer_tokens=answer,
     )
