--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -32,7 +32,7 @@
     left_s: float
     organisation: str
     priority: int | None
-    last_event: str
+    last_event_id: str
 
 
 class ReportedLoad(NamedTuple):
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -296,7 +296,7 @@
             left_s=max(0.001, request.deadlines.deadline - now),
             organisation=request.organisation,
             priority=request.priority,
-            last_event=self._last_event,
+            last_event_id=self._last_event,
         )
         outgoing = Outgoing(
             request.method,
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -94,8 +94,8 @@
         sent[_TENANT] = call.organisation
     if call.priority is not None:
         sent[_REQUEST_PRIORITY] = str(max(0, min(_MAX_PRIORITY, call.priority)))
-    if call.last_event:
-        sent[_LAST_EVENT_ID] = call.last_event
+    if call.last_event_id:
+        sent[_LAST_EVENT_ID] = call.last_event_id
     return sent
 
 
