--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -29,7 +29,7 @@
     """
 
     instance: str
-    left_s: float
+    time_left_s: float
     organisation: str
     priority: int | None
     last_event_id: str
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -293,7 +293,7 @@
         self._begun = False
         call = ServerCall(
             instance=place.server,
-            left_s=max(0.001, request.deadlines.deadline - now),
+            time_left_s=max(0.001, request.deadlines.deadline - now),
             organisation=request.organisation,
             priority=request.priority,
             last_event_id=self._last_event,
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -88,7 +88,7 @@
         if name not in _REMOVED_FROM_REQUESTS
     }
     sent["host"] = headers.get("host", "")
-    sent[_DEADLINE_MS] = str(max(1, int(call.left_s * _MS)))
+    sent[_DEADLINE_MS] = str(max(1, int(call.time_left_s * _MS)))
     sent[_EXPECT_INSTANCE] = call.instance
     if call.organisation:
         sent[_TENANT] = call.organisation
