--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -51,7 +51,7 @@
     values say nothing that can be understood.
     """
 
-    leaving: bool = False
+    is_leaving: bool = False
     rest_s: float | None = None
     unreadable: tuple[str, ...] = ()
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -185,7 +185,7 @@
                 came = Came.TURNED_AWAY
                 if other_instance and faulty in ("", place.server):
                     self._context.record_misdirection(place)
-                elif not (notice.rest_s or notice.leaving):
+                elif not (notice.rest_s or notice.is_leaving):
                     request = self._request
                     self._context.record_rejection(
                         place, request.service, streamed=request.route.is_streamed
@@ -231,7 +231,7 @@
             ran=self._sends.ran,
             turned_away=self._sends.turned_away,
             rest_s=notice.rest_s,
-            leaving=notice.leaving,
+            leaving=notice.is_leaving,
             left_s=round(left_s, 3),
             budget=budget,
             follows=step.value,
