--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -55,7 +55,7 @@
         self, place: Place, notice: ServerNotice, request_id: str
     ) -> None:
         """Record what an answer says about its server: a rest period or a shutdown."""
-        for header in notice.unreadable:
+        for header in notice.unreadable_headers:
             self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -53,7 +53,7 @@
 
     is_leaving: bool = False
     rest_s: float | None = None
-    unreadable: tuple[str, ...] = ()
+    unreadable_headers: tuple[str, ...] = ()
 
 
 NO_NOTICE = ServerNotice()
