--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -261,7 +261,7 @@
             cut = watched.abort_reason
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
         watched.record_progress()
-        if head.attempt and head.attempt != request.attempt:
+        if head.attempt_id and head.attempt_id != request.attempt:
             return Lost("the answer was another request's")
         if head.not_run:
             why = f"status {head.status}"
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -69,7 +69,7 @@
     """
 
     status: int
-    attempt: str
+    attempt_id: str
     signed: bool
     not_run: bool
     other_instance: bool
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -110,7 +110,7 @@
     not_run = _NOT_EXECUTED in headers or status == 421
     return AnswerHead(
         status=status,
-        attempt=headers.get(_ATTEMPT_ID, ""),
+        attempt_id=headers.get(_ATTEMPT_ID, ""),
         signed=_RESPONSE_SIGNATURE in headers,
         not_run=not_run,
         other_instance=status == 421,
