--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -266,6 +266,6 @@
         if head.not_run:
             why = f"status {head.status}"
             return TurnedAway(why, head.other_instance, head.faulty, head.notice)
-        if not head.signed:
+        if not head.is_signed:
             return Lost(f"an unsigned answer with status {head.status}")
         return Answered(ServerAnswer(head, response, connection, watched))
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -70,7 +70,7 @@
 
     status: int
     attempt_id: str
-    signed: bool
+    is_signed: bool
     not_run: bool
     other_instance: bool
     faulty: str
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -111,7 +111,7 @@
     return AnswerHead(
         status=status,
         attempt_id=headers.get(_ATTEMPT_ID, ""),
-        signed=_RESPONSE_SIGNATURE in headers,
+        is_signed=_RESPONSE_SIGNATURE in headers,
         not_run=not_run,
         other_instance=status == 421,
         faulty=headers.get(_AT_SERVER, ""),
