--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -263,7 +263,7 @@
         watched.record_progress()
         if head.attempt_id and head.attempt_id != request.attempt:
             return Lost("the answer was another request's")
-        if head.not_run:
+        if head.is_rejection:
             why = f"status {head.status}"
             return TurnedAway(why, head.other_instance, head.faulty, head.notice)
         if not head.is_signed:
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -71,7 +71,7 @@
     status: int
     attempt_id: str
     is_signed: bool
-    not_run: bool
+    is_rejection: bool
     other_instance: bool
     faulty: str
     length: int | None
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -112,7 +112,7 @@
         status=status,
         attempt_id=headers.get(_ATTEMPT_ID, ""),
         is_signed=_RESPONSE_SIGNATURE in headers,
-        not_run=not_run,
+        is_rejection=not_run,
         other_instance=status == 421,
         faulty=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
