--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -72,7 +72,7 @@
     attempt_id: str
     is_signed: bool
     is_rejection: bool
-    other_instance: bool
+    is_other_instance: bool
     faulty: str
     length: int | None
     framed: bool
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -113,7 +113,7 @@
         attempt_id=headers.get(_ATTEMPT_ID, ""),
         is_signed=_RESPONSE_SIGNATURE in headers,
         is_rejection=not_run,
-        other_instance=status == 421,
+        is_other_instance=status == 421,
         faulty=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
         framed=length != "" or "transfer-encoding" in headers,
