--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -265,7 +265,9 @@
             return Lost("the answer was another request's")
         if head.is_rejection:
             why = f"status {head.status}"
-            return TurnedAway(why, head.is_other_instance, head.faulty, head.notice)
+            return TurnedAway(
+                why, head.is_other_instance, head.faulty_server, head.notice
+            )
         if not head.is_signed:
             return Lost(f"an unsigned answer with status {head.status}")
         return Answered(ServerAnswer(head, response, connection, watched))
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -73,7 +73,7 @@
     is_signed: bool
     is_rejection: bool
     is_other_instance: bool
-    faulty: str
+    faulty_server: str
     length: int | None
     framed: bool
     closes: bool
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -114,7 +114,7 @@
         is_signed=_RESPONSE_SIGNATURE in headers,
         is_rejection=not_run,
         is_other_instance=status == 421,
-        faulty=headers.get(_AT_SERVER, ""),
+        faulty_server=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
         framed=length != "" or "transfer-encoding" in headers,
         closes="close" in headers.get("connection", "").lower(),
