--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -75,7 +75,7 @@
     is_other_instance: bool
     faulty_server: str
     length: int | None
-    framed: bool
+    is_framed: bool
     closes: bool
     idle_s: float | None
     load: ReportedLoad | None
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -116,7 +116,7 @@
         is_other_instance=status == 421,
         faulty_server=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
-        framed=length != "" or "transfer-encoding" in headers,
+        is_framed=length != "" or "transfer-encoding" in headers,
         closes="close" in headers.get("connection", "").lower(),
         idle_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
