--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -153,7 +153,7 @@
         else:
             self._watched.reset_server()
         head = self.head
-        keeps = self.is_whole and head.is_framed and not head.closes
+        keeps = self.is_whole and head.is_framed and not head.closes_connection
         if keeps and 200 <= head.status < 300:
             connections.release(life, self._connection, head.idle_s)
             return
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -76,7 +76,7 @@
     faulty_server: str
     length: int | None
     is_framed: bool
-    closes: bool
+    closes_connection: bool
     idle_s: float | None
     load: ReportedLoad | None
     notice: ServerNotice
