--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -155,7 +155,7 @@
         head = self.head
         keeps = self.is_whole and head.is_framed and not head.closes_connection
         if keeps and 200 <= head.status < 300:
-            connections.release(life, self._connection, head.idle_s)
+            connections.release(life, self._connection, head.idle_timeout_s)
             return
         # An answer that came before its request was read leaves bytes on the way; its
         # connection is not used again.
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -77,7 +77,7 @@
     length: int | None
     is_framed: bool
     closes_connection: bool
-    idle_s: float | None
+    idle_timeout_s: float | None
     load: ReportedLoad | None
     notice: ServerNotice
     passed: tuple[tuple[str, str], ...]
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -118,7 +118,7 @@
         length=whole_number(length),
         is_framed=length != "" or "transfer-encoding" in headers,
         closes_connection="close" in headers.get("connection", "").lower(),
-        idle_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
+        idle_timeout_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
         notice=_read_notice(headers, is_refused=not_run and status == 503),
         passed=passed,
