--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -80,4 +80,4 @@
     idle_timeout_s: float | None
     load: ReportedLoad | None
     notice: ServerNotice
-    passed: tuple[tuple[str, str], ...]
+    caller_headers: tuple[tuple[str, str], ...]
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -107,7 +107,7 @@
             return found
         relay = StreamRelay(self, found)
         head = found.answer.head
-        return StreamedAnswer(head.status, head.passed, relay.body())
+        return StreamedAnswer(head.status, head.caller_headers, relay.body())
 
     def next_answer(self) -> Running | WholeAnswer | Refusal:
         """Send until an answer can be passed on, or nothing more can be done.
@@ -163,7 +163,7 @@
     def _pass_on(self, answer: ServerAnswer, body: bytes) -> WholeAnswer:
         head = answer.head
         self.finished(head.status, len(body), "whole")
-        return WholeAnswer(head.status, head.passed, body, Outcome.RAN)
+        return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
 
     def _not_answered(
         self, place: Place, sent: NotSent | TurnedAway | Lost
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -121,7 +121,7 @@
         idle_timeout_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
         notice=_read_notice(headers, is_refused=not_run and status == 503),
-        passed=passed,
+        caller_headers=passed,
     )
 
 
