--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class CallerHead(NamedTuple):
+class CallerMetadata(NamedTuple):
     """What a caller says beside its request.
 
     ``attempt`` names this one send. ``wait_s`` is how long the caller waits from when
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -12,7 +12,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
-    from kingcupwheel.forwarding.heads import CallerHead
+    from kingcupwheel.forwarding.heads import CallerMetadata
     from kingcupwheel.forwarding.times import Deadlines
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
@@ -36,7 +36,7 @@
     method: str
     target: str
     headers: Mapping[str, str]
-    head: CallerHead
+    head: CallerMetadata
     body: bytes
     fingerprint: str
     received_at: float
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.forwarding.heads import AnswerHead
-from kingcupwheel.forwarding.heads import CallerHead
+from kingcupwheel.forwarding.heads import CallerMetadata
 from kingcupwheel.forwarding.heads import ReportedLoad
 from kingcupwheel.forwarding.heads import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
@@ -56,14 +56,14 @@
 _MAX_PRIORITY = 9
 
 
-def read_request_headers(headers: Mapping[str, str]) -> CallerHead:
+def read_request_headers(headers: Mapping[str, str]) -> CallerMetadata:
     """Return what a request's headers (by lower-case name) say."""
     key = headers.get("authorization", "")
     prompt, answer = _parse_token_usage(headers.get(_TOKEN_USAGE, ""))
     hint = whole_number(headers.get(_LENGTH_HINT, ""))
     if hint is not None:
         answer = min(answer, hint) if answer else hint
-    return CallerHead(
+    return CallerMetadata(
         attempt_id=headers.get(_ATTEMPT_ID, ""),
         timeout_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
         api_key=key[7:] if key[:7].lower() == "bearer " else "",
