--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/heads.py
@@ -21,7 +21,7 @@
     answer_tokens: int
 
 
-class ServerCall(NamedTuple):
+class ServerRequestMetadata(NamedTuple):
     """What the system says to a server beside the caller's request.
 
     ``instance`` is the only life of a server that may run it; ``left_s`` the time left.
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -27,7 +27,7 @@
 from kingcupwheel.forwarding.endings import retry_after
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.heads import NO_NOTICE
-from kingcupwheel.forwarding.heads import ServerCall
+from kingcupwheel.forwarding.heads import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import Came
 from kingcupwheel.forwarding.outcomes import Follows
 from kingcupwheel.forwarding.outcomes import May
@@ -291,7 +291,7 @@
         now = monotonic()
         self._sent_at = now
         self._begun = False
-        call = ServerCall(
+        call = ServerRequestMetadata(
             instance=place.server,
             time_left_s=max(0.001, request.deadlines.deadline - now),
             organisation=request.organisation,
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -20,7 +20,7 @@
 
     from urllib3 import HTTPHeaderDict
 
-    from kingcupwheel.forwarding.heads import ServerCall
+    from kingcupwheel.forwarding.heads import ServerRequestMetadata
 
 # Names one send of a caller: a caller that sends again takes a new one.
 _ATTEMPT_ID = "x-attempt-id"
@@ -79,7 +79,7 @@
 
 
 def build_server_headers(
-    headers: Mapping[str, str], call: ServerCall
+    headers: Mapping[str, str], call: ServerRequestMetadata
 ) -> dict[str, str]:
     """Return the headers to send to a server for the caller's ``headers``."""
     sent = {
