--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -15,7 +15,7 @@
     from collections.abc import Sequence
 
 # Agents that are greeted one by one; the messages of so many are 100 a second.
-DIRECT_AGENTS = 24
+MAX_DIRECT_AGENTS = 24
 # Between two words of a head, in seconds: as often as an agent tells its own load, and
 # half as often from other data centres, whose bytes have a price.
 _NEAR_S = 0.25
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
+from kingcupwheel.forwarding.loadheads import MAX_DIRECT_AGENTS
 from kingcupwheel.forwarding.loadheads import LoadHeads
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -76,7 +76,7 @@
             # after the interval.
             return
         self._polled_at = now
-        if sum(map(len, agents.values())) > DIRECT_AGENTS:
+        if sum(map(len, agents.values())) > MAX_DIRECT_AGENTS:
             for head, members, every_s in self._heads.asks(agents, now):
                 self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
             return
