--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -30,7 +30,7 @@
 class HeadAsk(NamedTuple):
     """Ask ``head`` for the loads of ``members``, each ``every_s`` seconds."""
 
-    head: str
+    aggregator: str
     members: tuple[str, ...]
     every_s: float
 
