--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -32,7 +32,7 @@
 
     aggregator: str
     members: tuple[str, ...]
-    every_s: float
+    interval_s: float
 
 
 class LoadHeads:
