--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -27,7 +27,7 @@
 _PASSED_OVER_S = 5.0
 
 
-class HeadAsk(NamedTuple):
+class LoadQuery(NamedTuple):
     """Ask ``head`` for the loads of ``members``, each ``every_s`` seconds."""
 
     aggregator: str
@@ -50,9 +50,9 @@
 
     def asks(
         self, agents_by_data_centre: Mapping[str, Sequence[str]], now: float
-    ) -> tuple[HeadAsk, ...]:
+    ) -> tuple[LoadQuery, ...]:
         """Return whom to ask now; a head that fell silent is replaced by the next."""
-        found: list[HeadAsk] = []
+        found: list[LoadQuery] = []
         for data_centre, agents in agents_by_data_centre.items():
             members = tuple(sorted(agents))
             head = next(
@@ -60,7 +60,7 @@
             )
             self._asked_since.setdefault(head, now)
             every_s = _NEAR_S if data_centre == self._data_centre else _FAR_S
-            found.append(HeadAsk(head, members, every_s))
+            found.append(LoadQuery(head, members, every_s))
         return tuple(found)
 
     def _is_silent(self, head: str, now: float) -> bool:
