--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -44,7 +44,7 @@
         self._asked_since: dict[str, float] = {}
         self._passed_until: dict[str, float] = {}
 
-    def heard(self, head: str, now: float) -> None:
+    def record_reply(self, head: str, now: float) -> None:
         """Note that a head told something."""
         self._heard_at[head] = now
 
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -61,7 +61,7 @@
             self._servers.agents_say((_report_from(message),))
             return
         if isinstance(link, OutgoingLink):
-            self._heads.heard(link.address, monotonic())
+            self._heads.record_reply(link.address, monotonic())
         self._servers.agents_say(message.servers)
 
     def on_tick(self, now: float) -> None:
