--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -48,7 +48,7 @@
         """Note that a head told something."""
         self._heard_at[head] = now
 
-    def asks(
+    def queries(
         self, agents_by_data_centre: Mapping[str, Sequence[str]], now: float
     ) -> tuple[LoadQuery, ...]:
         """Return whom to ask now; a head that fell silent is replaced by the next."""
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -77,7 +77,7 @@
             return
         self._polled_at = now
         if sum(map(len, agents.values())) > MAX_DIRECT_AGENTS:
-            for head, members, every_s in self._heads.asks(agents, now):
+            for head, members, every_s in self._heads.queries(agents, now):
                 self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
             return
         hello = self._hello(current)
