--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -35,7 +35,7 @@
     interval_s: float
 
 
-class LoadHeads:
+class LoadAggregators:
     """The heads in use by an entry of a data centre; belongs to one thread."""
 
     def __init__(self, data_centre: str) -> None:
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.forwarding.loadheads import MAX_DIRECT_AGENTS
-from kingcupwheel.forwarding.loadheads import LoadHeads
+from kingcupwheel.forwarding.loadheads import LoadAggregators
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
@@ -53,7 +53,7 @@
         self._configuration_cache = configuration_cache
         self._is_leaving = is_leaving
         self._polled_at = 0.0
-        self._heads = LoadHeads(settings.data_centre)
+        self._heads = LoadAggregators(settings.data_centre)
 
     def on_report(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
         """Record an agent's report of its own server, or of those of a data centre."""
