--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -71,7 +71,7 @@
     @property
     def received_at_by_id(self) -> dict[str, float]:
         """Monotonic receive time of each request in progress, by its id."""
-        return self._active_requests.came_at_by_id
+        return self._active_requests.received_at_by_id
 
     def begin_shutdown(self, stopping: ShutdownSchedule) -> None:
         """Accept only requests that can end in time; abort the rest at the deadline.
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -25,7 +25,7 @@
         return len(self._came_at_by_id)
 
     @property
-    def came_at_by_id(self) -> dict[str, float]:
+    def received_at_by_id(self) -> dict[str, float]:
         """When each request came that is not yet answered to its end."""
         with self._lock:
             return dict(self._came_at_by_id)
