--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -93,7 +93,7 @@
         if self._stopping is not None:
             exchange.close_after_answer()
         received = exchange.read_request(self._name, self._body_limit())
-        received = received._replace(id=self._active_requests.enter(received))
+        received = received._replace(id=self._active_requests.add(received))
         try:
             body = self._answer(exchange, received)
         except BaseException:
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -30,7 +30,7 @@
         with self._lock:
             return dict(self._came_at_by_id)
 
-    def enter(self, received: ReceivedRequest) -> str:
+    def add(self, received: ReceivedRequest) -> str:
         """Count a request in; return its id, made different from those under way."""
         with self._lock:
             found = received.id
