--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -97,7 +97,7 @@
         try:
             body = self._answer(exchange, received)
         except BaseException:
-            self._active_requests.leave(received.id)
+            self._active_requests.remove(received.id)
             raise
         return self._track_until_sent(body, received.id)
 
@@ -144,7 +144,7 @@
         try:
             yield from body
         finally:
-            self._active_requests.leave(request_id)
+            self._active_requests.remove(request_id)
 
     def _answer(
         self, exchange: HttpExchange, received: ReceivedRequest
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -41,7 +41,7 @@
             self._came_at_by_id[found] = received.received_at
         return found
 
-    def leave(self, request_id: str) -> None:
+    def remove(self, request_id: str) -> None:
         """Count a request out."""
         with self._lock:
             self._came_at_by_id.pop(request_id, None)
