--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -185,7 +185,7 @@
         finally:
             self._context.watchdog.unwatch(watched)
             if answered is not None:
-                self._active_requests.answered(answered, monotonic())
+                self._active_requests.record_answer(answered, monotonic())
 
     def _log_refused(self, received: ReceivedRequest, refusal: Refusal) -> None:
         knowledge = self._knowledge()
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -46,7 +46,7 @@
         with self._lock:
             self._came_at_by_id.pop(request_id, None)
 
-    def answered(self, request: ForwardRequest, now: float) -> None:
+    def record_answer(self, request: ForwardRequest, now: float) -> None:
         """Note that a request got an answer of a server, which ended at ``now``."""
         with self._lock:
             durations = self._durations_by_route.setdefault(
