--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -116,7 +116,7 @@
         if not self._refuses_new and stopping.may_accept(
             now,
             deadline_at=over_at,
-            longest_recent_s=self._active_requests.longest_s(request, now),
+            longest_recent_s=self._active_requests.longest_answer_s(request, now),
             is_streamed=request.route.is_streamed,
         ):
             return None
@@ -135,7 +135,7 @@
         return stopping.may_dispatch(
             now,
             deadline_at=over_at,
-            longest_recent_s=self._active_requests.longest_s(request, now),
+            longest_recent_s=self._active_requests.longest_answer_s(request, now),
         )
 
     def _track_until_sent(
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -54,7 +54,7 @@
             )
             durations.record(now - request.received_at, now)
 
-    def longest_s(self, request: ForwardRequest, now: float) -> float | None:
+    def longest_answer_s(self, request: ForwardRequest, now: float) -> float | None:
         """Return how long the longest recent answer took, or has taken so far.
 
         None if its route had no recent answer: a lookup tells nothing of a stream.
