--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -15,7 +15,7 @@
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.guards import with_jitter
 from kingcupwheel.forwarding.runs import ForwardRun
-from kingcupwheel.forwarding.underway import Underway
+from kingcupwheel.forwarding.underway import ActiveRequests
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
 
@@ -61,7 +61,7 @@
         self._has_live_peers = has_live_peers
         self._stopping: ShutdownSchedule | None = None
         self._refuses_new = False
-        self._active_requests = Underway()
+        self._active_requests = ActiveRequests()
 
     @property
     def in_progress(self) -> int:
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -13,7 +13,7 @@
     from kingcupwheel.forwarding.requests import ForwardRequest
 
 
-class Underway:
+class ActiveRequests:
     """Safe from any thread; times are monotonic seconds."""
 
     def __init__(self) -> None:
