--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -38,14 +38,14 @@
     ``ran`` counts those that ran or may have run.
     """
 
-    ran: int = 0
+    possibly_run: int = 0
     turned_away: int = 0
 
     def after(self, came: Came) -> Sends:
         """Return the counts with one more send."""
         match came:
             case Came.FAILED | Came.LOST:
-                return self._replace(ran=self.ran + 1)
+                return self._replace(ran=self.possibly_run + 1)
             case Came.TURNED_AWAY | Came.NOT_SENT:
                 return self._replace(turned_away=self.turned_away + 1)
 
@@ -86,7 +86,7 @@
         return Follows.AGAIN
     if came is Came.FAILED:
         return Follows.PASS_ON
-    if sends.ran:
+    if sends.possibly_run:
         return Follows.UNKNOWN if left_s > 0 else Follows.TIMEOUT
     return Follows.REFUSE
 
@@ -101,6 +101,6 @@
         return False
     if sends.turned_away > MAX_TURNED_AWAY:
         return False
-    if sends.ran == 0:
+    if sends.possibly_run == 0:
         return True
-    return may.rerun and sends.ran < may.servers
+    return may.rerun and sends.possibly_run < may.servers
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -228,7 +228,7 @@
             server=place.server,
             came=came.value,
             why=why,
-            ran=self._sends.ran,
+            ran=self._sends.possibly_run,
             turned_away=self._sends.turned_away,
             rest_s=notice.rest_s,
             leaving=notice.is_leaving,
@@ -254,7 +254,7 @@
             Tried(self._tried, self._suspect, self._context.data_centre),
         )
         if isinstance(found, Place):
-            if self._sends.ran or self._watched.may_dispatch():
+            if self._sends.possibly_run or self._watched.may_dispatch():
                 self._log_place(found)
                 return found
             self._release(found)
@@ -265,7 +265,7 @@
         return found
 
     def _no_place(self, found: Hindered) -> Refusal:
-        if self._sends.ran:
+        if self._sends.possibly_run:
             message = f"It was sent to a server, and no other took it: {found.why}."
             return Refusal(502, found.limit, message, 0.0, Outcome.UNKNOWN)
         message = f"No server could take it in time: {found.why}."
@@ -281,7 +281,7 @@
             why=place.decision.reason,
             weighed=[list(one) for one in place.decision.alternatives],
             waited_s=round(place.waited_s, 3),
-            send=self._sends.ran + self._sends.turned_away + 1,
+            send=self._sends.possibly_run + self._sends.turned_away + 1,
             version=request.version,
             version_age_s=round(request.version_age_s, 2),
         )
@@ -416,7 +416,7 @@
             why=why,
             bytes=length,
             took_s=round(took_s, 3),
-            ran=self._sends.ran,
+            ran=self._sends.possibly_run,
             route=request.route.name,
             organisation=request.organisation,
             version=request.version,
