--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -39,7 +39,7 @@
     """
 
     possibly_run: int = 0
-    turned_away: int = 0
+    rejected: int = 0
 
     def after(self, came: Came) -> Sends:
         """Return the counts with one more send."""
@@ -47,7 +47,7 @@
             case Came.FAILED | Came.LOST:
                 return self._replace(ran=self.possibly_run + 1)
             case Came.TURNED_AWAY | Came.NOT_SENT:
-                return self._replace(turned_away=self.turned_away + 1)
+                return self._replace(turned_away=self.rejected + 1)
 
 
 class May(NamedTuple):
@@ -99,7 +99,7 @@
 def _again(sends: Sends, may: May, left_s: float) -> bool:
     if left_s < LEAST_PART_OF_AIM * may.aim_s:
         return False
-    if sends.turned_away > MAX_TURNED_AWAY:
+    if sends.rejected > MAX_TURNED_AWAY:
         return False
     if sends.possibly_run == 0:
         return True
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -229,7 +229,7 @@
             came=came.value,
             why=why,
             ran=self._sends.possibly_run,
-            turned_away=self._sends.turned_away,
+            turned_away=self._sends.rejected,
             rest_s=notice.rest_s,
             leaving=notice.is_leaving,
             left_s=round(left_s, 3),
@@ -281,7 +281,7 @@
             why=place.decision.reason,
             weighed=[list(one) for one in place.decision.alternatives],
             waited_s=round(place.waited_s, 3),
-            send=self._sends.possibly_run + self._sends.turned_away + 1,
+            send=self._sends.possibly_run + self._sends.rejected + 1,
             version=request.version,
             version_age_s=round(request.version_age_s, 2),
         )
