--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -41,7 +41,7 @@
     possibly_run: int = 0
     rejected: int = 0
 
-    def after(self, came: Came) -> Sends:
+    def with_outcome(self, came: Came) -> Sends:
         """Return the counts with one more send."""
         match came:
             case Came.FAILED | Came.LOST:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -199,7 +199,7 @@
     ) -> Refusal | None:
         """Return the refusal that follows a send, or None if another send does."""
         request = self._request
-        self._sends = self._sends.after(came)
+        self._sends = self._sends.with_outcome(came)
         self._tried |= {place.server}
         if self._watched.abort_reason is AbortReason.CALLER_LEFT:
             return CALLER_LEFT
@@ -306,7 +306,9 @@
             request.head.attempt_id,
         )
         again = may_go_again(
-            self._sends.after(Came.LOST), self._may, request.deadlines.deadline - now
+            self._sends.with_outcome(Came.LOST),
+            self._may,
+            request.deadlines.deadline - now,
         )
         silence_s = request.deadlines.silence_timeout_s if again else float("inf")
         self._watched.is_resumable_elsewhere = again and request.route.is_resumable
