--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -32,7 +32,7 @@
     LOST = "lost"
 
 
-class Sends(NamedTuple):
+class AttemptCounts(NamedTuple):
     """What came of a request's sends so far.
 
     ``ran`` counts those that ran or may have run.
@@ -41,7 +41,7 @@
     possibly_run: int = 0
     rejected: int = 0
 
-    def with_outcome(self, came: Came) -> Sends:
+    def with_outcome(self, came: Came) -> AttemptCounts:
         """Return the counts with one more send."""
         match came:
             case Came.FAILED | Came.LOST:
@@ -74,7 +74,7 @@
 
 
 def follows(
-    came: Came, sends: Sends, may: May, *, left_s: float, within_budget: bool
+    came: Came, sends: AttemptCounts, may: May, *, left_s: float, within_budget: bool
 ) -> Follows:
     """Return what follows ``came``; ``sends`` already counts it.
 
@@ -91,12 +91,12 @@
     return Follows.REFUSE
 
 
-def may_go_again(sends: Sends, may: May, left_s: float) -> bool:
+def may_go_again(sends: AttemptCounts, may: May, left_s: float) -> bool:
     """Return whether another send is allowed, the shared budget aside."""
     return _again(sends, may, left_s)
 
 
-def _again(sends: Sends, may: May, left_s: float) -> bool:
+def _again(sends: AttemptCounts, may: May, left_s: float) -> bool:
     if left_s < LEAST_PART_OF_AIM * may.aim_s:
         return False
     if sends.rejected > MAX_TURNED_AWAY:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -28,10 +28,10 @@
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.heads import NO_NOTICE
 from kingcupwheel.forwarding.heads import ServerRequestMetadata
+from kingcupwheel.forwarding.outcomes import AttemptCounts
 from kingcupwheel.forwarding.outcomes import Came
 from kingcupwheel.forwarding.outcomes import Follows
 from kingcupwheel.forwarding.outcomes import May
-from kingcupwheel.forwarding.outcomes import Sends
 from kingcupwheel.forwarding.outcomes import follows
 from kingcupwheel.forwarding.outcomes import may_go_again
 from kingcupwheel.forwarding.placing import Hindered
@@ -80,7 +80,7 @@
         self._dispatcher = context.dispatchers.of(self._group)
         route = request.route
         self._may = May(route.is_idempotent, route.max_servers, route.target_latency_s)
-        self._sends = Sends()
+        self._sends = AttemptCounts()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
         self._last_event = request.head.last_event_id
