--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -27,7 +27,7 @@
     """
 
     NOT_SENT = "not-sent"
-    TURNED_AWAY = "turned-away"
+    REJECTED = "turned-away"
     FAILED = "failed"
     LOST = "lost"
 
@@ -46,7 +46,7 @@
         match came:
             case Came.FAILED | Came.LOST:
                 return self._replace(ran=self.possibly_run + 1)
-            case Came.TURNED_AWAY | Came.NOT_SENT:
+            case Came.REJECTED | Came.NOT_SENT:
                 return self._replace(turned_away=self.rejected + 1)
 
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -182,7 +182,7 @@
                 if not self._watched.is_over:
                     self._dispatcher.failed(place)
             case TurnedAway(why, other_instance, faulty):
-                came = Came.TURNED_AWAY
+                came = Came.REJECTED
                 if other_instance and faulty in ("", place.server):
                     self._context.record_misdirection(place)
                 elif not (notice.rest_s or notice.is_leaving):
