--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -18,7 +18,7 @@
 LEAST_PART_OF_AIM = 0.25
 
 
-class Came(StrEnum):
+class AttemptOutcome(StrEnum):
     """What came of one send.
 
     ``NOT_SENT``: no byte was sent. ``TURNED_AWAY``: the server's word that it has not
@@ -41,12 +41,12 @@
     possibly_run: int = 0
     rejected: int = 0
 
-    def with_outcome(self, came: Came) -> AttemptCounts:
+    def with_outcome(self, came: AttemptOutcome) -> AttemptCounts:
         """Return the counts with one more send."""
         match came:
-            case Came.FAILED | Came.LOST:
+            case AttemptOutcome.FAILED | AttemptOutcome.LOST:
                 return self._replace(ran=self.possibly_run + 1)
-            case Came.REJECTED | Came.NOT_SENT:
+            case AttemptOutcome.REJECTED | AttemptOutcome.NOT_SENT:
                 return self._replace(turned_away=self.rejected + 1)
 
 
@@ -74,7 +74,12 @@
 
 
 def follows(
-    came: Came, sends: AttemptCounts, may: May, *, left_s: float, within_budget: bool
+    came: AttemptOutcome,
+    sends: AttemptCounts,
+    may: May,
+    *,
+    left_s: float,
+    within_budget: bool,
 ) -> Follows:
     """Return what follows ``came``; ``sends`` already counts it.
 
@@ -84,7 +89,7 @@
     """
     if _again(sends, may, left_s) and within_budget:
         return Follows.AGAIN
-    if came is Came.FAILED:
+    if came is AttemptOutcome.FAILED:
         return Follows.PASS_ON
     if sends.possibly_run:
         return Follows.UNKNOWN if left_s > 0 else Follows.TIMEOUT
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -29,7 +29,7 @@
 from kingcupwheel.forwarding.heads import NO_NOTICE
 from kingcupwheel.forwarding.heads import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import AttemptCounts
-from kingcupwheel.forwarding.outcomes import Came
+from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import Follows
 from kingcupwheel.forwarding.outcomes import May
 from kingcupwheel.forwarding.outcomes import follows
@@ -149,13 +149,13 @@
             body = answer.read_whole(_WHOLE_BYTES)
         except AnswerLostError as error:
             self.end(place, answer)
-            return self.after(place, Came.LOST, str(error))
+            return self.after(place, AttemptOutcome.LOST, str(error))
         self.end(place, answer)
         if is_good:
             self.succeeded(place, monotonic() - self._sent_at)
             return self._pass_on(answer, body)
         why = f"status {head.status}"
-        ended = self.after(place, Came.FAILED, why, head.notice)
+        ended = self.after(place, AttemptOutcome.FAILED, why, head.notice)
         if isinstance(ended, Refusal) and ended.limit == PASS_ON:
             return self._pass_on(answer, body)
         return ended
@@ -178,11 +178,11 @@
         self._release(place)
         match sent:
             case NotSent(why):
-                came = Came.NOT_SENT
+                came = AttemptOutcome.NOT_SENT
                 if not self._watched.is_over:
                     self._dispatcher.failed(place)
             case TurnedAway(why, other_instance, faulty):
-                came = Came.REJECTED
+                came = AttemptOutcome.REJECTED
                 if other_instance and faulty in ("", place.server):
                     self._context.record_misdirection(place)
                 elif not (notice.rest_s or notice.is_leaving):
@@ -191,11 +191,15 @@
                         place, request.service, streamed=request.route.is_streamed
                     )
             case Lost(why):
-                came = Came.LOST
+                came = AttemptOutcome.LOST
         return self.after(place, came, why, notice)
 
     def after(
-        self, place: Place, came: Came, why: str, notice: ServerNotice = NO_NOTICE
+        self,
+        place: Place,
+        came: AttemptOutcome,
+        why: str,
+        notice: ServerNotice = NO_NOTICE,
     ) -> Refusal | None:
         """Return the refusal that follows a send, or None if another send does."""
         request = self._request
@@ -203,9 +207,12 @@
         self._tried |= {place.server}
         if self._watched.abort_reason is AbortReason.CALLER_LEFT:
             return CALLER_LEFT
-        if came in (Came.LOST, Came.FAILED) and not self._watched.is_over:
+        if (
+            came in (AttemptOutcome.LOST, AttemptOutcome.FAILED)
+            and not self._watched.is_over
+        ):
             self._dispatcher.failed(place)
-        if came is Came.LOST and self._watched.abort_reason is None:
+        if came is AttemptOutcome.LOST and self._watched.abort_reason is None:
             self._context.guards.record_lost_answer(
                 request.fingerprint, place.incarnation
             )
@@ -306,7 +313,7 @@
             request.head.attempt_id,
         )
         again = may_go_again(
-            self._sends.with_outcome(Came.LOST),
+            self._sends.with_outcome(AttemptOutcome.LOST),
             self._may,
             request.deadlines.deadline - now,
         )
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -10,7 +10,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.events import EventSplitter
 from kingcupwheel.forwarding.exceptions import AnswerLostError
-from kingcupwheel.forwarding.outcomes import Came
+from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.utils.numbers import whole_number
 
@@ -130,7 +130,7 @@
     def _go_on(self, why: str) -> None:
         """Take the stream up at another server, or cut it."""
         self._run.end(self._running.place, self._running.answer)
-        refusal = self._run.after(self._running.place, Came.LOST, why)
+        refusal = self._run.after(self._running.place, AttemptOutcome.LOST, why)
         if refusal is None:
             found = self._run.next_answer()
             if not isinstance(found, Refusal | WholeAnswer):
