--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -53,7 +53,7 @@
 class May(NamedTuple):
     """What a request may do: run again, and on how many servers."""
 
-    rerun: bool
+    may_rerun: bool
     servers: int
     aim_s: float
 
@@ -108,4 +108,4 @@
         return False
     if sends.possibly_run == 0:
         return True
-    return may.rerun and sends.possibly_run < may.servers
+    return may.may_rerun and sends.possibly_run < may.servers
