--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -54,7 +54,7 @@
     """What a request may do: run again, and on how many servers."""
 
     may_rerun: bool
-    servers: int
+    max_servers: int
     aim_s: float
 
 
@@ -108,4 +108,4 @@
         return False
     if sends.possibly_run == 0:
         return True
-    return may.may_rerun and sends.possibly_run < may.servers
+    return may.may_rerun and sends.possibly_run < may.max_servers
