--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -55,7 +55,7 @@
 
     may_rerun: bool
     max_servers: int
-    aim_s: float
+    target_latency_s: float
 
 
 class Follows(StrEnum):
@@ -102,7 +102,7 @@
 
 
 def _again(sends: AttemptCounts, may: May, left_s: float) -> bool:
-    if left_s < LEAST_PART_OF_AIM * may.aim_s:
+    if left_s < LEAST_PART_OF_AIM * may.target_latency_s:
         return False
     if sends.rejected > MAX_TURNED_AWAY:
         return False
