--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -50,7 +50,7 @@
                 return self._replace(turned_away=self.rejected + 1)
 
 
-class May(NamedTuple):
+class RetryPolicy(NamedTuple):
     """What a request may do: run again, and on how many servers."""
 
     may_rerun: bool
@@ -76,7 +76,7 @@
 def follows(
     came: AttemptOutcome,
     sends: AttemptCounts,
-    may: May,
+    may: RetryPolicy,
     *,
     left_s: float,
     within_budget: bool,
@@ -96,12 +96,12 @@
     return Follows.REFUSE
 
 
-def may_go_again(sends: AttemptCounts, may: May, left_s: float) -> bool:
+def may_go_again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
     """Return whether another send is allowed, the shared budget aside."""
     return _again(sends, may, left_s)
 
 
-def _again(sends: AttemptCounts, may: May, left_s: float) -> bool:
+def _again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
     if left_s < LEAST_PART_OF_AIM * may.target_latency_s:
         return False
     if sends.rejected > MAX_TURNED_AWAY:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -31,7 +31,7 @@
 from kingcupwheel.forwarding.outcomes import AttemptCounts
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import Follows
-from kingcupwheel.forwarding.outcomes import May
+from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import follows
 from kingcupwheel.forwarding.outcomes import may_go_again
 from kingcupwheel.forwarding.placing import Hindered
@@ -79,7 +79,9 @@
         self._group = context.group_of(request.service)
         self._dispatcher = context.dispatchers.of(self._group)
         route = request.route
-        self._may = May(route.is_idempotent, route.max_servers, route.target_latency_s)
+        self._may = RetryPolicy(
+            route.is_idempotent, route.max_servers, route.target_latency_s
+        )
         self._sends = AttemptCounts()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
