--- a/src/kingcupwheel/forwarding/endings.py
+++ b/src/kingcupwheel/forwarding/endings.py
@@ -27,7 +27,7 @@
 ) -> Refusal | None:
     """Return the refusal that follows a send, or None if another send does."""
     match step:
-        case Follows.AGAIN:
+        case Follows.RETRY:
             return None
         case Follows.PASS_ON:
             return Refusal(500, PASS_ON, why, outcome=Outcome.RAN)
--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -66,7 +66,7 @@
     nothing. ``TIMEOUT``: the same, for want of time.
     """
 
-    AGAIN = "again"
+    RETRY = "again"
     PASS_ON = "pass-on"
     REFUSE = "refuse"
     UNKNOWN = "unknown"
@@ -88,7 +88,7 @@
     failure is repeated until nothing else runs.
     """
     if _again(sends, may, left_s) and within_budget:
-        return Follows.AGAIN
+        return Follows.RETRY
     if came is AttemptOutcome.FAILED:
         return Follows.PASS_ON
     if sends.possibly_run:
