--- a/src/kingcupwheel/forwarding/endings.py
+++ b/src/kingcupwheel/forwarding/endings.py
@@ -4,7 +4,7 @@
 
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.guards import with_jitter
-from kingcupwheel.forwarding.outcomes import Follows
+from kingcupwheel.forwarding.outcomes import NextStep
 from kingcupwheel.messages.attempts import Outcome
 
 
@@ -23,21 +23,21 @@
 
 
 def refusal_after(
-    step: Follows, why: str, request_id: str, rest_s: float = 0.0
+    step: NextStep, why: str, request_id: str, rest_s: float = 0.0
 ) -> Refusal | None:
     """Return the refusal that follows a send, or None if another send does."""
     match step:
-        case Follows.RETRY:
+        case NextStep.RETRY:
             return None
-        case Follows.PASS_ON:
+        case NextStep.PASS_ON:
             return Refusal(500, PASS_ON, why, outcome=Outcome.RAN)
-        case Follows.REFUSE:
+        case NextStep.REFUSE:
             message = f"No server took it: {why}."
             after_s = retry_after(request_id, rest_s)
             return Refusal(503, "no-server-took-it", message, after_s)
-        case Follows.UNKNOWN:
+        case NextStep.UNKNOWN:
             message = f"It was sent to a server, and its answer is lost: {why}."
             return Refusal(502, "answer-lost", message, 0.0, Outcome.UNKNOWN)
-        case Follows.TIMEOUT:
+        case NextStep.TIMEOUT:
             message = f"Its time is up, and a server may have run it: {why}."
             return Refusal(504, "time-up", message, 0.0, Outcome.UNKNOWN)
--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -58,7 +58,7 @@
     target_latency_s: float
 
 
-class Follows(StrEnum):
+class NextStep(StrEnum):
     """What follows a send.
 
     ``AGAIN``: another server. ``PASS_ON``: the server's failure goes to the caller.
@@ -80,7 +80,7 @@
     *,
     left_s: float,
     within_budget: bool,
-) -> Follows:
+) -> NextStep:
     """Return what follows ``came``; ``sends`` already counts it.
 
     Load: servers that fail, or turn away what they have no room for. Harm prevented: a
@@ -88,12 +88,12 @@
     failure is repeated until nothing else runs.
     """
     if _again(sends, may, left_s) and within_budget:
-        return Follows.RETRY
+        return NextStep.RETRY
     if came is AttemptOutcome.FAILED:
-        return Follows.PASS_ON
+        return NextStep.PASS_ON
     if sends.possibly_run:
-        return Follows.UNKNOWN if left_s > 0 else Follows.TIMEOUT
-    return Follows.REFUSE
+        return NextStep.UNKNOWN if left_s > 0 else NextStep.TIMEOUT
+    return NextStep.REFUSE
 
 
 def may_go_again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -30,7 +30,7 @@
 from kingcupwheel.forwarding.heads import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import AttemptCounts
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
-from kingcupwheel.forwarding.outcomes import Follows
+from kingcupwheel.forwarding.outcomes import NextStep
 from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import follows
 from kingcupwheel.forwarding.outcomes import may_go_again
@@ -227,10 +227,10 @@
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
         if (
-            step is Follows.TIMEOUT
+            step is NextStep.TIMEOUT
             and self._watched.abort_reason is AbortReason.SHUTDOWN
         ):
-            step = Follows.UNKNOWN
+            step = NextStep.UNKNOWN
         log.info(
             "send-ended",
             id=request.id,
@@ -246,7 +246,7 @@
             follows=step.value,
         )
         self._context.metrics.ended_sends.labels(came.value).inc()
-        rest_s = self._dispatcher.rest_left_s() if step is Follows.REFUSE else 0.0
+        rest_s = self._dispatcher.rest_left_s() if step is NextStep.REFUSE else 0.0
         return refusal_after(step, why, request.id, rest_s)
 
     def _takes_budget(self) -> bool:
