--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -73,7 +73,7 @@
     TIMEOUT = "timeout"
 
 
-def follows(
+def next_step(
     came: AttemptOutcome,
     sends: AttemptCounts,
     may: RetryPolicy,
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -32,8 +32,8 @@
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import NextStep
 from kingcupwheel.forwarding.outcomes import RetryPolicy
-from kingcupwheel.forwarding.outcomes import follows
 from kingcupwheel.forwarding.outcomes import may_go_again
+from kingcupwheel.forwarding.outcomes import next_step
 from kingcupwheel.forwarding.placing import Hindered
 from kingcupwheel.forwarding.placing import Tried
 from kingcupwheel.forwarding.placing import wait_for_place
@@ -223,7 +223,7 @@
             left_s = 0.0
         wants = may_go_again(self._sends, self._may, left_s)
         budget = wants and self._takes_budget()
-        step = follows(
+        step = next_step(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
         if (
