--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -96,7 +96,7 @@
     return NextStep.REFUSE
 
 
-def may_go_again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
+def may_retry(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
     """Return whether another send is allowed, the shared budget aside."""
     return _again(sends, may, left_s)
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -32,7 +32,7 @@
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import NextStep
 from kingcupwheel.forwarding.outcomes import RetryPolicy
-from kingcupwheel.forwarding.outcomes import may_go_again
+from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
 from kingcupwheel.forwarding.placing import Hindered
 from kingcupwheel.forwarding.placing import Tried
@@ -221,7 +221,7 @@
         left_s = request.deadlines.deadline - monotonic()
         if self._watched.is_over:
             left_s = 0.0
-        wants = may_go_again(self._sends, self._may, left_s)
+        wants = may_retry(self._sends, self._may, left_s)
         budget = wants and self._takes_budget()
         step = next_step(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
@@ -314,7 +314,7 @@
             request.body,
             request.head.attempt_id,
         )
-        again = may_go_again(
+        again = may_retry(
             self._sends.with_outcome(AttemptOutcome.LOST),
             self._may,
             request.deadlines.deadline - now,
