--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -12,7 +12,7 @@
 
 # Sends that servers may turn away before the request is refused. Each costs a message
 # and no run; three cover a full server, a restart and a stale list in a row.
-MAX_TURNED_AWAY = 3
+MAX_REJECTIONS = 3
 
 # Time that a further send needs to be worth it, as a part of the route's aim.
 LEAST_PART_OF_AIM = 0.25
@@ -104,7 +104,7 @@
 def _again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
     if left_s < LEAST_PART_OF_AIM * may.target_latency_s:
         return False
-    if sends.rejected > MAX_TURNED_AWAY:
+    if sends.rejected > MAX_REJECTIONS:
         return False
     if sends.possibly_run == 0:
         return True
