--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -15,7 +15,7 @@
 MAX_REJECTIONS = 3
 
 # Time that a further send needs to be worth it, as a part of the route's aim.
-LEAST_PART_OF_AIM = 0.25
+MIN_TARGET_LATENCY_FRACTION = 0.25
 
 
 class AttemptOutcome(StrEnum):
@@ -102,7 +102,7 @@
 
 
 def _again(sends: AttemptCounts, may: RetryPolicy, left_s: float) -> bool:
-    if left_s < LEAST_PART_OF_AIM * may.target_latency_s:
+    if left_s < MIN_TARGET_LATENCY_FRACTION * may.target_latency_s:
         return False
     if sends.rejected > MAX_REJECTIONS:
         return False
