--- a/src/kingcupwheel/forwarding/endings.py
+++ b/src/kingcupwheel/forwarding/endings.py
@@ -14,7 +14,7 @@
 _RETRY_AFTER_S = 0.4
 
 
-def retry_after(request_id: str, rest_s: float = 0.0) -> float:
+def retry_after_s(request_id: str, rest_s: float = 0.0) -> float:
     """Return when a request may come back, spread by its id.
 
     ``rest_s`` is how long all servers still rest.
@@ -33,7 +33,7 @@
             return Refusal(500, PASS_ON, why, outcome=Outcome.RAN)
         case NextStep.REFUSE:
             message = f"No server took it: {why}."
-            after_s = retry_after(request_id, rest_s)
+            after_s = retry_after_s(request_id, rest_s)
             return Refusal(503, "no-server-took-it", message, after_s)
         case NextStep.UNKNOWN:
             message = f"It was sent to a server, and its answer is lost: {why}."
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import Wanted
-from kingcupwheel.forwarding.endings import retry_after
+from kingcupwheel.forwarding.endings import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
@@ -73,7 +73,7 @@
                 return place
             dispatcher.release(place)
         elif place is not None:
-            after_s = retry_after(request.id, place.rest_s)
+            after_s = retry_after_s(request.id, place.rest_s)
             return Hindered(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
@@ -81,8 +81,8 @@
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 why = AbortReason.SHUTDOWN.value
-                return Hindered(LEAVING.limit, why, retry_after(request.id))
-            return Hindered("time-up", "no place", retry_after(request.id))
+                return Hindered(LEAVING.limit, why, retry_after_s(request.id))
+            return Hindered("time-up", "no place", retry_after_s(request.id))
         dispatcher.pump()
 
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -24,7 +24,7 @@
 from kingcupwheel.forwarding.calls import Withheld
 from kingcupwheel.forwarding.endings import PASS_ON
 from kingcupwheel.forwarding.endings import refusal_after
-from kingcupwheel.forwarding.endings import retry_after
+from kingcupwheel.forwarding.endings import retry_after_s
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.heads import NO_NOTICE
 from kingcupwheel.forwarding.heads import ServerRequestMetadata
@@ -267,7 +267,7 @@
                 self._log_place(found)
                 return found
             self._release(found)
-            retry_s = retry_after(self._request.id)
+            retry_s = retry_after_s(self._request.id)
             found = Hindered(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
         if isinstance(found, Hindered):
             return self._no_place(found)
