--- a/src/kingcupwheel/forwarding/endings.py
+++ b/src/kingcupwheel/forwarding/endings.py
@@ -22,7 +22,7 @@
     return with_jitter(max(_RETRY_AFTER_S, rest_s), request_id)
 
 
-def refusal_after(
+def refusal_for_step(
     step: NextStep, why: str, request_id: str, rest_s: float = 0.0
 ) -> Refusal | None:
     """Return the refusal that follows a send, or None if another send does."""
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -23,7 +23,7 @@
 from kingcupwheel.forwarding.calls import TurnedAway
 from kingcupwheel.forwarding.calls import Withheld
 from kingcupwheel.forwarding.endings import PASS_ON
-from kingcupwheel.forwarding.endings import refusal_after
+from kingcupwheel.forwarding.endings import refusal_for_step
 from kingcupwheel.forwarding.endings import retry_after_s
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.heads import NO_NOTICE
@@ -247,7 +247,7 @@
         )
         self._context.metrics.ended_sends.labels(came.value).inc()
         rest_s = self._dispatcher.rest_left_s() if step is NextStep.REFUSE else 0.0
-        return refusal_after(step, why, request.id, rest_s)
+        return refusal_for_step(step, why, request.id, rest_s)
 
     def _takes_budget(self) -> bool:
         """Return whether the budget allows one more send; one may be reserved."""
