--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -34,7 +34,7 @@
 class Tried(NamedTuple):
     """What bears on the choice: servers tried, suspicion, and where this entry is."""
 
-    servers: frozenset[str]
+    tried_servers: frozenset[str]
     suspect: bool
     data_centre: str
 
@@ -56,7 +56,7 @@
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = PlacementRequest(
         work=request.predicted_work,
-        excluded_servers=tried.servers,
+        excluded_servers=tried.tried_servers,
         is_suspect=tried.suspect,
         data_centre=tried.data_centre,
         is_repeatable=request.route.is_idempotent,
