--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -35,7 +35,7 @@
     """What bears on the choice: servers tried, suspicion, and where this entry is."""
 
     tried_servers: frozenset[str]
-    suspect: bool
+    is_suspect: bool
     data_centre: str
 
 
@@ -57,7 +57,7 @@
     ask = PlacementRequest(
         work=request.predicted_work,
         excluded_servers=tried.tried_servers,
-        is_suspect=tried.suspect,
+        is_suspect=tried.is_suspect,
         data_centre=tried.data_centre,
         is_repeatable=request.route.is_idempotent,
         remote_load_penalty=FAR_LOAD,
