--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -31,7 +31,7 @@
 FAR_LOAD = 0.25
 
 
-class Tried(NamedTuple):
+class PlacementConstraints(NamedTuple):
     """What bears on the choice: servers tried, suspicion, and where this entry is."""
 
     tried_servers: frozenset[str]
@@ -51,7 +51,7 @@
     dispatcher: GroupDispatcher,
     request: ForwardRequest,
     watched: WatchedRequest,
-    tried: Tried,
+    tried: PlacementConstraints,
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = PlacementRequest(
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -35,7 +35,7 @@
 from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
 from kingcupwheel.forwarding.placing import Hindered
-from kingcupwheel.forwarding.placing import Tried
+from kingcupwheel.forwarding.placing import PlacementConstraints
 from kingcupwheel.forwarding.placing import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import AbortReason
@@ -260,7 +260,7 @@
             self._dispatcher,
             self._request,
             self._watched,
-            Tried(self._tried, self._suspect, self._context.data_centre),
+            PlacementConstraints(self._tried, self._suspect, self._context.data_centre),
         )
         if isinstance(found, Place):
             if self._sends.possibly_run or self._watched.may_dispatch():
