--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -43,7 +43,7 @@
     """No place was found in time."""
 
     limit: str
-    why: str
+    reason: str
     retry_after_s: float
 
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -275,9 +275,9 @@
 
     def _no_place(self, found: Hindered) -> Refusal:
         if self._sends.possibly_run:
-            message = f"It was sent to a server, and no other took it: {found.why}."
+            message = f"It was sent to a server, and no other took it: {found.reason}."
             return Refusal(502, found.limit, message, 0.0, Outcome.UNKNOWN)
-        message = f"No server could take it in time: {found.why}."
+        message = f"No server could take it in time: {found.reason}."
         return Refusal(503, found.limit, message, found.retry_after_s)
 
     def _log_place(self, place: Place) -> None:
