--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -39,7 +39,7 @@
     data_centre: str
 
 
-class Hindered(NamedTuple):
+class NoPlace(NamedTuple):
     """No place was found in time."""
 
     limit: str
@@ -52,7 +52,7 @@
     request: ForwardRequest,
     watched: WatchedRequest,
     tried: PlacementConstraints,
-) -> Place | Hindered | Refusal:
+) -> Place | NoPlace | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = PlacementRequest(
         work=request.predicted_work,
@@ -65,7 +65,7 @@
     )
     ticket = dispatcher.submit(_wanted(request), ask)
     if not isinstance(ticket, Ticket):
-        return Hindered(ticket.limit, ticket.detail, ticket.retry_after_s)
+        return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
         place = ticket.wait(_LOOK_S)
         if isinstance(place, Place):
@@ -74,15 +74,15 @@
             dispatcher.release(place)
         elif place is not None:
             after_s = retry_after_s(request.id, place.rest_s)
-            return Hindered(place.limit, place.why, after_s)
+            return NoPlace(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
             if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 why = AbortReason.SHUTDOWN.value
-                return Hindered(LEAVING.limit, why, retry_after_s(request.id))
-            return Hindered("time-up", "no place", retry_after_s(request.id))
+                return NoPlace(LEAVING.limit, why, retry_after_s(request.id))
+            return NoPlace("time-up", "no place", retry_after_s(request.id))
         dispatcher.pump()
 
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -34,7 +34,7 @@
 from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
-from kingcupwheel.forwarding.placing import Hindered
+from kingcupwheel.forwarding.placing import NoPlace
 from kingcupwheel.forwarding.placing import PlacementConstraints
 from kingcupwheel.forwarding.placing import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
@@ -268,12 +268,12 @@
                 return found
             self._release(found)
             retry_s = retry_after_s(self._request.id)
-            found = Hindered(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
-        if isinstance(found, Hindered):
+            found = NoPlace(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
+        if isinstance(found, NoPlace):
             return self._no_place(found)
         return found
 
-    def _no_place(self, found: Hindered) -> Refusal:
+    def _no_place(self, found: NoPlace) -> Refusal:
         if self._sends.possibly_run:
             message = f"It was sent to a server, and no other took it: {found.reason}."
             return Refusal(502, found.limit, message, 0.0, Outcome.UNKNOWN)
