--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -28,7 +28,7 @@
 # six: every byte between data centres has its price, and the ranks of a group run each
 # pass together, so that one with a request less is no faster. It took three tenths off
 # the bytes between data centres of a calm day, with the same times to first events.
-FAR_LOAD = 0.25
+REMOTE_LOAD_PENALTY = 0.25
 
 
 class PlacementConstraints(NamedTuple):
@@ -60,7 +60,7 @@
         is_suspect=tried.is_suspect,
         data_centre=tried.data_centre,
         is_repeatable=request.route.is_idempotent,
-        remote_load_penalty=FAR_LOAD,
+        remote_load_penalty=REMOTE_LOAD_PENALTY,
         prefers_local=True,
     )
     ticket = dispatcher.submit(_wanted(request), ask)
