--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -43,7 +43,7 @@
     target: str
     headers: Mapping[str, str]
     body: bytes
-    attempt: str
+    attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -261,7 +261,7 @@
             cut = watched.abort_reason
             return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
         watched.record_progress()
-        if head.attempt_id and head.attempt_id != request.attempt:
+        if head.attempt_id and head.attempt_id != request.attempt_id:
             return Lost("the answer was another request's")
         if head.is_rejection:
             why = f"status {head.status}"
