--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -36,7 +36,7 @@
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
 
 
-class Outgoing(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """A request as a server gets it; ``attempt`` is echoed in the server's answer."""
 
     method: str
@@ -175,7 +175,7 @@
 
     def send(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         *,
         instance: str,
         life: str,
@@ -217,7 +217,10 @@
         return sent
 
     def _exchange(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
     ) -> Sent:
         try:
             connection.request(
@@ -236,7 +239,7 @@
 
     def _early(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         connection: HTTPConnection,
         watched: WatchedRequest,
         why: str,
@@ -252,7 +255,10 @@
         return Lost(f"cut while it was sent: {why}", notice)
 
     def _head(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
     ) -> Sent:
         try:
             response = connection.getresponse()
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -19,7 +19,7 @@
 from kingcupwheel.forwarding.calls import Answered
 from kingcupwheel.forwarding.calls import Lost
 from kingcupwheel.forwarding.calls import NotSent
-from kingcupwheel.forwarding.calls import Outgoing
+from kingcupwheel.forwarding.calls import OutgoingRequest
 from kingcupwheel.forwarding.calls import TurnedAway
 from kingcupwheel.forwarding.calls import Withheld
 from kingcupwheel.forwarding.endings import PASS_ON
@@ -307,7 +307,7 @@
             priority=request.priority,
             last_event_id=self._last_event,
         )
-        outgoing = Outgoing(
+        outgoing = OutgoingRequest(
             request.method,
             request.target,
             build_server_headers(request.headers, call),
