--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -50,7 +50,7 @@
 class NotSent:
     """No byte was sent."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
