--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -62,7 +62,7 @@
 class TurnedAway:
     """The server says that it has not run the request and never will."""
 
-    why: str
+    reason: str
     other_instance: bool
     faulty: str
     notice: ServerNotice
