--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -63,7 +63,7 @@
     """The server says that it has not run the request and never will."""
 
     reason: str
-    other_instance: bool
+    is_other_instance: bool
     faulty: str
     notice: ServerNotice
 
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -172,7 +172,7 @@
     ) -> Refusal | None:
         notice = NO_NOTICE
         if isinstance(sent, Lost) or (
-            isinstance(sent, TurnedAway) and not sent.other_instance
+            isinstance(sent, TurnedAway) and not sent.is_other_instance
         ):
             # Before the place is released, which may give it to the next request.
             notice = sent.notice
