--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -64,7 +64,7 @@
 
     reason: str
     is_other_instance: bool
-    faulty: str
+    faulty_server: str
     notice: ServerNotice
 
 
