--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejected:
     """The server says that it has not run the request and never will."""
 
     reason: str
@@ -86,7 +86,7 @@
     answer: ServerAnswer
 
 
-Sent = NotSent | Withheld | TurnedAway | Lost | Answered
+Sent = NotSent | Withheld | Rejected | Lost | Answered
 
 
 class ServerAnswer:
@@ -245,7 +245,7 @@
         why: str,
     ) -> Sent:
         found = self._head(request, connection, watched)
-        if isinstance(found, TurnedAway):
+        if isinstance(found, Rejected):
             return found
         notice = NO_NOTICE
         if isinstance(found, Answered):
@@ -271,7 +271,7 @@
             return Lost("the answer was another request's")
         if head.is_rejection:
             why = f"status {head.status}"
-            return TurnedAway(
+            return Rejected(
                 why, head.is_other_instance, head.faulty_server, head.notice
             )
         if not head.is_signed:
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -20,7 +20,7 @@
 from kingcupwheel.forwarding.calls import Lost
 from kingcupwheel.forwarding.calls import NotSent
 from kingcupwheel.forwarding.calls import OutgoingRequest
-from kingcupwheel.forwarding.calls import TurnedAway
+from kingcupwheel.forwarding.calls import Rejected
 from kingcupwheel.forwarding.calls import Withheld
 from kingcupwheel.forwarding.endings import PASS_ON
 from kingcupwheel.forwarding.endings import refusal_for_step
@@ -168,11 +168,11 @@
         return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
 
     def _not_answered(
-        self, place: Place, sent: NotSent | TurnedAway | Lost
+        self, place: Place, sent: NotSent | Rejected | Lost
     ) -> Refusal | None:
         notice = NO_NOTICE
         if isinstance(sent, Lost) or (
-            isinstance(sent, TurnedAway) and not sent.is_other_instance
+            isinstance(sent, Rejected) and not sent.is_other_instance
         ):
             # Before the place is released, which may give it to the next request.
             notice = sent.notice
@@ -183,7 +183,7 @@
                 came = AttemptOutcome.NOT_SENT
                 if not self._watched.is_over:
                     self._dispatcher.failed(place)
-            case TurnedAway(why, other_instance, faulty):
+            case Rejected(why, other_instance, faulty):
                 came = AttemptOutcome.REJECTED
                 if other_instance and faulty in ("", place.server):
                     self._context.record_misdirection(place)
