--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -75,7 +75,7 @@
     ``notice`` is what the head of an answer said that came too early to be passed on.
     """
 
-    why: str
+    reason: str
     notice: ServerNotice = NO_NOTICE
 
 
