--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class AnswerLost:
     """It was sent and may have run; no answer can be had.
 
     ``notice`` is what the head of an answer said that came too early to be passed on.
@@ -86,7 +86,7 @@
     answer: ServerAnswer
 
 
-Sent = NotSent | Withheld | Rejected | Lost | Answered
+Sent = NotSent | Withheld | Rejected | AnswerLost | Answered
 
 
 class ServerAnswer:
@@ -252,7 +252,7 @@
             notice = found.answer.head.notice
             watched.detach()
             connection.close()
-        return Lost(f"cut while it was sent: {why}", notice)
+        return AnswerLost(f"cut while it was sent: {why}", notice)
 
     def _head(
         self,
@@ -265,15 +265,17 @@
             head = read_response_headers(response.status, response.headers)
         except _BROKEN as error:
             cut = watched.abort_reason
-            return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
+            return AnswerLost(
+                cut.value if cut else f"no answer: {type(error).__name__}"
+            )
         watched.record_progress()
         if head.attempt_id and head.attempt_id != request.attempt_id:
-            return Lost("the answer was another request's")
+            return AnswerLost("the answer was another request's")
         if head.is_rejection:
             why = f"status {head.status}"
             return Rejected(
                 why, head.is_other_instance, head.faulty_server, head.notice
             )
         if not head.is_signed:
-            return Lost(f"an unsigned answer with status {head.status}")
+            return AnswerLost(f"an unsigned answer with status {head.status}")
         return Answered(ServerAnswer(head, response, connection, watched))
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.forwarding.calls import Answered
-from kingcupwheel.forwarding.calls import Lost
+from kingcupwheel.forwarding.calls import AnswerLost
 from kingcupwheel.forwarding.calls import NotSent
 from kingcupwheel.forwarding.calls import OutgoingRequest
 from kingcupwheel.forwarding.calls import Rejected
@@ -168,10 +168,10 @@
         return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
 
     def _not_answered(
-        self, place: Place, sent: NotSent | Rejected | Lost
+        self, place: Place, sent: NotSent | Rejected | AnswerLost
     ) -> Refusal | None:
         notice = NO_NOTICE
-        if isinstance(sent, Lost) or (
+        if isinstance(sent, AnswerLost) or (
             isinstance(sent, Rejected) and not sent.is_other_instance
         ):
             # Before the place is released, which may give it to the next request.
@@ -192,7 +192,7 @@
                     self._context.record_rejection(
                         place, request.service, streamed=request.route.is_streamed
                     )
-            case Lost(why):
+            case AnswerLost(why):
                 came = AttemptOutcome.LOST
         return self.after(place, came, why, notice)
 
