--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -86,7 +86,7 @@
     answer: ServerAnswer
 
 
-Sent = NotSent | Withheld | Rejected | AnswerLost | Answered
+CallResult = NotSent | Withheld | Rejected | AnswerLost | Answered
 
 
 class ServerAnswer:
@@ -186,7 +186,7 @@
         fresh: bool,
         may_give_up: Callable[[], bool],
         may_begin: Callable[[], bool],
-    ) -> Sent:
+    ) -> CallResult:
         """Send the request once and wait for the head of its answer.
 
         ``fresh`` asks for a new connection: what may run only once must not cross the
@@ -221,7 +221,7 @@
         request: OutgoingRequest,
         connection: HTTPConnection,
         watched: WatchedRequest,
-    ) -> Sent:
+    ) -> CallResult:
         try:
             connection.request(
                 request.method,
@@ -243,7 +243,7 @@
         connection: HTTPConnection,
         watched: WatchedRequest,
         why: str,
-    ) -> Sent:
+    ) -> CallResult:
         found = self._head(request, connection, watched)
         if isinstance(found, Rejected):
             return found
@@ -259,7 +259,7 @@
         request: OutgoingRequest,
         connection: HTTPConnection,
         watched: WatchedRequest,
-    ) -> Sent:
+    ) -> CallResult:
         try:
             response = connection.getresponse()
             head = read_response_headers(response.status, response.headers)
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -46,7 +46,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.answers import Answer
-    from kingcupwheel.forwarding.calls import Sent
+    from kingcupwheel.forwarding.calls import CallResult
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.heads import ServerNotice
@@ -295,7 +295,7 @@
             version_age_s=round(request.version_age_s, 2),
         )
 
-    def _send(self, place: Place) -> Sent:
+    def _send(self, place: Place) -> CallResult:
         request = self._request
         now = monotonic()
         self._sent_at = now
