--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -167,7 +167,7 @@
     pulse.record_activity(instance, monotonic())
 
 
-class ServerCalls:
+class ServerClient:
     """Sends requests to servers; safe from any thread."""
 
     def __init__(self, connections: ConnectionPool) -> None:
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -13,7 +13,7 @@
     from kingcupwheel.entry.dispatchers import Dispatchers
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
-    from kingcupwheel.forwarding.calls import ServerCalls
+    from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.connectionpool import ConnectionPool
     from kingcupwheel.forwarding.guards import RetryGuards
@@ -36,7 +36,7 @@
     configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
     servers: ServerBook
-    server_client: ServerCalls
+    server_client: ServerClient
     connection_pool: ConnectionPool
     guards: RetryGuards
     liveness: LivenessTrackers
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
-from kingcupwheel.forwarding.calls import ServerCalls
+from kingcupwheel.forwarding.calls import ServerClient
 from kingcupwheel.forwarding.configurationcache import ConfigurationCache
 from kingcupwheel.forwarding.connectionpool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
@@ -106,7 +106,7 @@
             configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
             servers=ServerBook(table, dispatchers),
-            server_client=ServerCalls(connections),
+            server_client=ServerClient(connections),
             connection_pool=connections,
             guards=self._guards,
             liveness=LivenessTrackers(),
