--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -162,7 +162,7 @@
         )
         self._context.watchdog.watch(watched)
         try:
-            answer = ForwardRun(self._context, request, watched).answer()
+            answer = ForwardRun(self._context, request, watched).forward()
         except BaseException:
             self._context.watchdog.unwatch(watched)
             raise
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -92,7 +92,7 @@
         # Budget for one more send was taken when a silent server was given up.
         self._reserved = False
 
-    def answer(self) -> Answer:
+    def forward(self) -> Answer:
         """Return the answer, or the refusal that is final."""
         verdict = self._context.guards.quarantine_verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
