--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -102,7 +102,7 @@
             )
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.count_first_attempt(self._request.service)
-        found = self.next_answer()
+        found = self.send_until_answered()
         if isinstance(found, Refusal):
             return self.refused(found)
         if isinstance(found, WholeAnswer):
@@ -111,7 +111,7 @@
         head = found.answer.head
         return StreamedAnswer(head.status, head.caller_headers, relay.body())
 
-    def next_answer(self) -> Running | WholeAnswer | Refusal:
+    def send_until_answered(self) -> Running | WholeAnswer | Refusal:
         """Send until an answer can be passed on, or nothing more can be done.
 
         A stream is returned as it begins, everything else once it is whole.
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -132,7 +132,7 @@
         self._run.end(self._running.place, self._running.answer)
         refusal = self._run.after(self._running.place, AttemptOutcome.LOST, why)
         if refusal is None:
-            found = self._run.next_answer()
+            found = self._run.send_until_answered()
             if not isinstance(found, Refusal | WholeAnswer):
                 log.info(
                     "resumed",
