--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -151,13 +151,15 @@
             body = answer.read_whole(_WHOLE_BYTES)
         except AnswerLostError as error:
             self.end(place, answer)
-            return self.after(place, AttemptOutcome.LOST, str(error))
+            return self.handle_failed_attempt(place, AttemptOutcome.LOST, str(error))
         self.end(place, answer)
         if is_good:
             self.succeeded(place, monotonic() - self._sent_at)
             return self._pass_on(answer, body)
         why = f"status {head.status}"
-        ended = self.after(place, AttemptOutcome.FAILED, why, head.notice)
+        ended = self.handle_failed_attempt(
+            place, AttemptOutcome.FAILED, why, head.notice
+        )
         if isinstance(ended, Refusal) and ended.limit == PASS_ON:
             return self._pass_on(answer, body)
         return ended
@@ -194,9 +196,9 @@
                     )
             case AnswerLost(why):
                 came = AttemptOutcome.LOST
-        return self.after(place, came, why, notice)
+        return self.handle_failed_attempt(place, came, why, notice)
 
-    def after(
+    def handle_failed_attempt(
         self,
         place: Place,
         came: AttemptOutcome,
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -130,7 +130,9 @@
     def _go_on(self, why: str) -> None:
         """Take the stream up at another server, or cut it."""
         self._run.end(self._running.place, self._running.answer)
-        refusal = self._run.after(self._running.place, AttemptOutcome.LOST, why)
+        refusal = self._run.handle_failed_attempt(
+            self._running.place, AttemptOutcome.LOST, why
+        )
         if refusal is None:
             found = self._run.send_until_answered()
             if not isinstance(found, Refusal | WholeAnswer):
