--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -376,7 +376,7 @@
         seconds = monotonic() - self._sent_at
         self._dispatcher.saw_first_byte(seconds, self._request.head.prompt_tokens)
 
-    def saw_event(self, event_id: str) -> None:
+    def record_event(self, event_id: str) -> None:
         """Note the last whole event that the caller has; a resume goes on after it."""
         if event_id:
             self._last_event = event_id
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -96,7 +96,7 @@
 
     def _passed(self, events: list[StreamEvent]) -> bytes:
         for event in events:
-            self._run.saw_event(event.id)
+            self._run.record_event(event.id)
         raw = b"".join(event.raw for event in events)
         self._note_times()
         self._events += len(events)
