--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -392,7 +392,7 @@
         return self._request.id
 
     @property
-    def last_event(self) -> str:
+    def last_event_id(self) -> str:
         """The id of the last whole event that the caller has."""
         return self._last_event
 
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -79,7 +79,7 @@
         Failure: a server goes on at another event than it was asked to. Symptom: the
         caller gets a piece twice, or an answer with a hole that looks whole.
         """
-        last = self._run.last_event
+        last = self._run.last_event_id
         found: list[StreamEvent] = []
         for event in events:
             number, before = whole_number(event.id), whole_number(last)
@@ -139,7 +139,7 @@
                 log.info(
                     "resumed",
                     id=self._run.request_id,
-                    after=self._run.last_event,
+                    after=self._run.last_event_id,
                     server=found.place.server,
                 )
                 self._running = found
