--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -150,9 +150,9 @@
         try:
             body = answer.read_whole(_WHOLE_BYTES)
         except AnswerLostError as error:
-            self.end(place, answer)
+            self.end_answer(place, answer)
             return self.handle_failed_attempt(place, AttemptOutcome.LOST, str(error))
-        self.end(place, answer)
+        self.end_answer(place, answer)
         if is_good:
             self.succeeded(place, monotonic() - self._sent_at)
             return self._pass_on(answer, body)
@@ -396,7 +396,7 @@
         """The id of the last whole event that the caller has."""
         return self._last_event
 
-    def end(self, place: Place, answer: ServerAnswer) -> None:
+    def end_answer(self, place: Place, answer: ServerAnswer) -> None:
         """End an answer's connection and give its place back; called once."""
         self._context.release_connection(place, answer)
         self._release(place)
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -62,7 +62,7 @@
             raise
         finally:
             if held:
-                self._run.end(self._running.place, self._running.answer)
+                self._run.end_answer(self._running.place, self._running.answer)
 
     def _next_events(self) -> list[StreamEvent] | None:
         """Return the next whole events, None at the stream's end."""
@@ -129,7 +129,7 @@
 
     def _go_on(self, why: str) -> None:
         """Take the stream up at another server, or cut it."""
-        self._run.end(self._running.place, self._running.answer)
+        self._run.end_answer(self._running.place, self._running.answer)
         refusal = self._run.handle_failed_attempt(
             self._running.place, AttemptOutcome.LOST, why
         )
