--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -154,7 +154,7 @@
             return self.handle_failed_attempt(place, AttemptOutcome.LOST, str(error))
         self.end_answer(place, answer)
         if is_good:
-            self.succeeded(place, monotonic() - self._sent_at)
+            self.record_success(place, monotonic() - self._sent_at)
             return self._pass_on(answer, body)
         why = f"status {head.status}"
         ended = self.handle_failed_attempt(
@@ -404,7 +404,7 @@
     def _release(self, place: Place) -> None:
         self._dispatcher.release(place)
 
-    def succeeded(self, place: Place, pace_s: float) -> None:
+    def record_success(self, place: Place, pace_s: float) -> None:
         """Count a whole answer; ``pace_s`` compares the servers of a service."""
         self._dispatcher.succeeded(place, pace_s)
         self._context.guards.clear_suspicion(self._request.fingerprint)
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -124,7 +124,7 @@
 
     def _ended_whole(self) -> None:
         pace_s = (monotonic() - self._began_at) / max(1, self._events)
-        self._run.succeeded(self._running.place, pace_s)
+        self._run.record_success(self._running.place, pace_s)
         self._finished("whole")
 
     def _go_on(self, why: str) -> None:
