--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -97,14 +97,14 @@
         verdict = self._context.guards.quarantine_verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
             message = f"{verdict.crash_count} servers died while they ran this request."
-            return self.refused(
+            return self.log_refusal(
                 Refusal(503, "quarantined", message, verdict.remaining_s)
             )
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.count_first_attempt(self._request.service)
         found = self.send_until_answered()
         if isinstance(found, Refusal):
-            return self.refused(found)
+            return self.log_refusal(found)
         if isinstance(found, WholeAnswer):
             return found
         relay = StreamRelay(self, found)
@@ -409,7 +409,7 @@
         self._dispatcher.succeeded(place, pace_s)
         self._context.guards.clear_suspicion(self._request.fingerprint)
 
-    def refused(self, refusal: Refusal) -> RefusedAnswer:
+    def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
         """Log the final refusal and return it as an answer."""
         self.finished(refusal.status, 0, refusal.limit, refusal.message)
         return RefusedAnswer(refusal)
