--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -166,7 +166,7 @@
 
     def _pass_on(self, answer: ServerAnswer, body: bytes) -> WholeAnswer:
         head = answer.head
-        self.finished(head.status, len(body), "whole")
+        self.log_finished(head.status, len(body), "whole")
         return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
 
     def _not_answered(
@@ -411,10 +411,10 @@
 
     def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
         """Log the final refusal and return it as an answer."""
-        self.finished(refusal.status, 0, refusal.limit, refusal.message)
+        self.log_finished(refusal.status, 0, refusal.limit, refusal.message)
         return RefusedAnswer(refusal)
 
-    def finished(
+    def log_finished(
         self, status: int, length: int, how: str, why: str = "", **times: object
     ) -> None:
         """Log the request's end as its caller sees it."""
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -112,7 +112,7 @@
         self._last_at = now
 
     def _finished(self, how: str, why: str = "") -> None:
-        self._run.finished(
+        self._run.log_finished(
             self._status,
             self._bytes,
             how,
