--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.guards import with_jitter
-from kingcupwheel.forwarding.runs import ForwardRun
+from kingcupwheel.forwarding.runs import RequestForwarder
 from kingcupwheel.forwarding.underway import ActiveRequests
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
@@ -162,7 +162,7 @@
         )
         self._context.watchdog.watch(watched)
         try:
-            answer = ForwardRun(self._context, request, watched).forward()
+            answer = RequestForwarder(self._context, request, watched).forward()
         except BaseException:
             self._context.watchdog.unwatch(watched)
             raise
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -67,7 +67,7 @@
     answer: ServerAnswer
 
 
-class ForwardRun:
+class RequestForwarder:
     """One request's way to its answer; belongs to one thread."""
 
     def __init__(
