--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -60,7 +60,7 @@
 _SERVER_FAILED = 500
 
 
-class Running(NamedTuple):
+class PlacedAnswer(NamedTuple):
     """An answer that began, and the place it holds."""
 
     place: Place
@@ -111,7 +111,7 @@
         head = found.answer.head
         return StreamedAnswer(head.status, head.caller_headers, relay.body())
 
-    def send_until_answered(self) -> Running | WholeAnswer | Refusal:
+    def send_until_answered(self) -> PlacedAnswer | WholeAnswer | Refusal:
         """Send until an answer can be passed on, or nothing more can be done.
 
         A stream is returned as it begins, everything else once it is whole.
@@ -139,14 +139,14 @@
 
     def _answered(
         self, place: Place, answer: ServerAnswer
-    ) -> Running | WholeAnswer | Refusal | None:
+    ) -> PlacedAnswer | WholeAnswer | Refusal | None:
         head = answer.head
         self._context.record_notice(place, head.notice, self._request.id)
         self._context.record_load(place, head.load)
         is_good = head.status < _SERVER_FAILED
         if is_good and self._request.route.is_streamed and head.status == 200:
             self._saw_first_byte()
-            return Running(place, answer)
+            return PlacedAnswer(place, answer)
         try:
             body = answer.read_whole(_WHOLE_BYTES)
         except AnswerLostError as error:
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -19,8 +19,8 @@
     from collections.abc import Iterator
 
     from kingcupwheel.forwarding.events import StreamEvent
+    from kingcupwheel.forwarding.runs import PlacedAnswer
     from kingcupwheel.forwarding.runs import RequestForwarder
-    from kingcupwheel.forwarding.runs import Running
 
 log = lines_of("requests")
 
@@ -28,7 +28,7 @@
 class StreamRelay:
     """One stream's way to its caller; belongs to one thread."""
 
-    def __init__(self, run: RequestForwarder, running: Running) -> None:
+    def __init__(self, run: RequestForwarder, running: PlacedAnswer) -> None:
         self._run = run
         self._running = running
         self._splitter = EventSplitter()
