--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -306,7 +306,7 @@
     def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
-            streams = self._context.servers.in_flight(service)
+            streams = self._context.servers.in_flight_requests(service)
             quiet_s = pulse.idle_s(now)
             if pulse.update_stalled(streams=streams, now=now):
                 event = "service-silent" if pulse.is_stalled else "service-heard"
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -74,7 +74,7 @@
         """The servers as last listed."""
         return tuple(self._backends_by_address.values())
 
-    def in_flight(self, service: str) -> int:
+    def in_flight_requests(self, service: str) -> int:
         """Return how many requests this entry has under way at a service's servers."""
         with self._servers.lock:
             return sum(one.in_flight for one in self._servers.of_group(service))
