--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -262,7 +262,7 @@
     def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.servers.list_is(backends)
+        self._context.servers.set_listed(backends)
         for backend in gone:
             self._context.connection_pool.close_server(backend.incarnation)
             self._context.liveness.remove_server(backend.instance)
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -85,7 +85,7 @@
             found = self._groups_by_service.get(service)
         return found or ServerGroup(name=service, queue=QUEUE)
 
-    def list_is(self, backends: tuple[Backend, ...]) -> None:
+    def set_listed(self, backends: tuple[Backend, ...]) -> None:
         """Use just these servers from now on."""
         with self._listing:
             self._listed = backends
