--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -49,7 +49,7 @@
 
     def record_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Record the load that an answer reported."""
-        self.servers.saw_load(place, load)
+        self.servers.record_load(place, load)
 
     def record_notice(
         self, place: Place, notice: ServerNotice, request_id: str
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -118,7 +118,7 @@
                     server.first_heard_at = now - _LONG_UP_S
         self._dispatchers.restarted(backend.service, backend.instance)
 
-    def saw_load(self, place: Place, load: ReportedLoad | None) -> None:
+    def record_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Take in the load that an answer told."""
         now = monotonic()
         backend = self._living(place)
