--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -91,4 +91,4 @@
             log.info("service-closed", service=service, server=place.server)
             self.servers.closed(service)
         else:
-            self.servers.full(place)
+            self.servers.mark_full(place)
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -127,7 +127,7 @@
             running = max(0, load.running - 1)
             self._heard(backend, _load(running, load.waiting), now)
 
-    def full(self, place: Place) -> None:
+    def mark_full(self, place: Place) -> None:
         """Note that a server turned a request away for want of room."""
         backend = self._living(place)
         if backend is not None:
