--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -355,7 +355,7 @@
                 place.server, now
             ):
                 return False
-            if not self._begun and context.servers.is_told_full(place, now):
+            if not self._begun and context.servers.is_reported_full(place, now):
                 return False
         if self._others_rest(place):
             return False
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -144,7 +144,7 @@
             return None
         return backend
 
-    def is_told_full(self, place: Place, now: float) -> bool:
+    def is_reported_full(self, place: Place, now: float) -> bool:
         """Return whether its agent says that the server has no place free.
 
         Word of a moment ago only: a request that has had no answer yet may then be
