--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -157,7 +157,7 @@
         load = server.beat.load
         return load.running + load.queued >= load.capacity
 
-    def rests(self, place: Place, for_s: float, request_id: str) -> None:
+    def mark_resting(self, place: Place, for_s: float, request_id: str) -> None:
         """Send nothing to a server for the time that it asked for."""
         now = monotonic()
         life = place.incarnation
