--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -66,7 +66,7 @@
         if notice.rest_s:
             self.metrics.server_notices.labels("rest").inc()
             self.servers.mark_resting(place, notice.rest_s, request_id)
-        if notice.is_leaving and self.servers.leaves(place, request_id):
+        if notice.is_leaving and self.servers.mark_leaving(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -166,7 +166,7 @@
         if is_news:
             log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
 
-    def leaves(self, place: Place, request_id: str) -> bool:
+    def mark_leaving(self, place: Place, request_id: str) -> bool:
         """Send nothing to a server that says that it leaves; return if that is news."""
         life = place.incarnation
         with self._servers.lock:
