--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -287,7 +287,7 @@
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
         self._log_stalls(now)
-        self._context.servers.end_rests()
+        self._context.servers.end_expired_rests()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
             self._context.servers.refresh()
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -187,7 +187,7 @@
                 place.incarnation, monotonic()
             )
 
-    def end_rests(self) -> None:
+    def end_expired_rests(self) -> None:
         """Use servers again whose rest is over."""
         with self._servers.lock:
             ended = self._servers.notices.take_ended_backoffs(monotonic())
