--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -89,6 +89,6 @@
             quiet_s=self.liveness.for_service(service).idle_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.servers.closed(service)
+            self.servers.mark_service_closed(service)
         else:
             self.servers.mark_full(place)
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -205,7 +205,7 @@
         for life in forgotten:
             log.info("notice-forgotten", server=life)
 
-    def closed(self, service: str) -> None:
+    def mark_service_closed(self, service: str) -> None:
         """Note that all servers of a service turn requests away for now.
 
         Requests wait in the queue. A server whose agent says that it is up is used
