--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -79,7 +79,7 @@
     def record_misdirection(self, place: Place) -> None:
         """Record that another incarnation of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
-        self.servers.misdirected(place)
+        self.servers.refute_address(place)
 
     def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -216,7 +216,7 @@
             if backend.service == service:
                 self._heard(backend, _load(0, 0), now, up=False)
 
-    def misdirected(self, place: Place) -> None:
+    def refute_address(self, place: Place) -> None:
         """Note that a server says that another one has its address.
 
         Nothing goes there under that name for a while; another entry that names the
