--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -58,11 +58,11 @@
     def on_report(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
         """Record an agent's report of its own server, or of those of a data centre."""
         if isinstance(message, AgentHeartbeat):
-            self._servers.agents_say((_report_from(message),))
+            self._servers.apply_agent_reports((_report_from(message),))
             return
         if isinstance(link, OutgoingLink):
             self._heads.record_reply(link.address, monotonic())
-        self._servers.agents_say(message.servers)
+        self._servers.apply_agent_reports(message.servers)
 
     def on_tick(self, now: float) -> None:
         """Poll the agents if the interval has passed."""
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -231,7 +231,7 @@
             self._claims.refute(backend, now)
             self._apply(now)
 
-    def agents_say(self, told: Iterable[ReportedServerLoad]) -> None:
+    def apply_agent_reports(self, told: Iterable[ReportedServerLoad]) -> None:
         """Take in what the agents beside servers say."""
         now = monotonic()
         services: set[str] = set()
