--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -299,7 +299,7 @@
 
         One slow rank would hold up all the streams of its group.
         """
-        slow = frozenset(self._context.servers.slow())
+        slow = frozenset(self._context.servers.avoided_instances())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -289,7 +289,7 @@
         )
         return backend.address in slow and len(slow) <= of_service * AVOIDED_SHARE
 
-    def slow(self) -> tuple[str, ...]:
+    def avoided_instances(self) -> tuple[str, ...]:
         """Return the instances that are avoided for being slow."""
         now = monotonic()
         return tuple(
