--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -290,7 +290,7 @@
         self._context.servers.end_expired_rests()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.servers.refresh()
+            self._context.servers.refresh_unreported()
             self._abort_slow_streams()
         self._load_poller.on_tick(now)
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -298,7 +298,7 @@
             if self._avoided(backend, now)
         )
 
-    def refresh(self) -> None:
+    def refresh_unreported(self) -> None:
         """Keep servers without an agent's word in use: they are on the list.
 
         What their last answers told is out of date after a second; what this entry has
