--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -20,7 +20,7 @@
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import LivenessTrackers
-    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.forwarding.serverbook import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.telemetry.metrics import EntryMetrics
@@ -35,7 +35,7 @@
     data_centre: str
     configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
-    servers: ServerBook
+    servers: ServerRegistry
     server_client: ServerClient
     connection_pool: ConnectionPool
     guards: RetryGuards
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -25,7 +25,7 @@
 from kingcupwheel.forwarding.guards import RetryGuards
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import LivenessTrackers
-from kingcupwheel.forwarding.serverbook import ServerBook
+from kingcupwheel.forwarding.serverbook import ServerRegistry
 from kingcupwheel.forwarding.serverlist import ServerListHandler
 from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
 from kingcupwheel.forwarding.storewatch import ConfigurationHandler
@@ -105,7 +105,7 @@
             data_centre=settings.data_centre,
             configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            servers=ServerBook(table, dispatchers),
+            servers=ServerRegistry(table, dispatchers),
             server_client=ServerClient(connections),
             connection_pool=connections,
             guards=self._guards,
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -22,7 +22,7 @@
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.forwarding.serverbook import ServerRegistry
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
@@ -42,7 +42,7 @@
         self,
         settings: Settings,
         hub: MessageHub,
-        servers: ServerBook,
+        servers: ServerRegistry,
         configuration_cache: ConfigurationCache,
         *,
         is_leaving: Callable[[], bool],
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -48,7 +48,7 @@
 _LONG_UP_S = 3600.0
 
 
-class ServerBook:
+class ServerRegistry:
     """Feeds the server table; safe from any thread."""
 
     def __init__(self, servers: ServerTable, dispatchers: Dispatchers) -> None:
