--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -34,7 +34,7 @@
 
 # Requests that one entry keeps waiting for one service. They leave the queue in time or
 # are refused; the bound is for memory and threads.
-QUEUE = 64
+MAX_QUEUED_REQUESTS = 64
 # What an agent says of its server counts for so long, in seconds; after that the loads
 # in answers are used again.
 _AGENT_S = 1.0
@@ -83,7 +83,7 @@
         """Return the group that a service's requests queue for."""
         with self._lock:
             found = self._groups_by_service.get(service)
-        return found or ServerGroup(name=service, queue=QUEUE)
+        return found or ServerGroup(name=service, queue=MAX_QUEUED_REQUESTS)
 
     def set_listed(self, backends: tuple[Backend, ...]) -> None:
         """Use just these servers from now on."""
@@ -350,7 +350,9 @@
         most = places_by_service.get(backend.service, 1)
         places_by_service[backend.service] = max(most, backend.places)
     return {
-        service: ServerGroup(name=service, concurrency=places, queue=QUEUE)
+        service: ServerGroup(
+            name=service, concurrency=places, queue=MAX_QUEUED_REQUESTS
+        )
         for service, places in places_by_service.items()
     }
 
