--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -43,7 +43,7 @@
 # From this pace on it gets nothing, and streams on it go on elsewhere, unless over this
 # part of the service's servers is as slow.
 AVOIDED_PACE = 2.5
-AVOIDED_SHARE = 0.25
+MAX_AVOIDED_SHARE = 0.25
 # A server that was told to be warm has been up for this long, for placement's sake.
 _LONG_UP_S = 3600.0
 
@@ -287,7 +287,7 @@
         of_service = sum(
             one.service == backend.service for one in self._backends_by_address.values()
         )
-        return backend.address in slow and len(slow) <= of_service * AVOIDED_SHARE
+        return backend.address in slow and len(slow) <= of_service * MAX_AVOIDED_SHARE
 
     def avoided_instances(self) -> tuple[str, ...]:
         """Return the instances that are avoided for being slow."""
