--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -26,7 +26,7 @@
 class _Refuted(NamedTuple):
     """A server's claim to an address is wrong for lives born by then."""
 
-    born_ms: int
+    started_at_ms: int
     until: float
 
 
@@ -56,7 +56,7 @@
             backend = _latest(one, before.get(one.address))
             known = by_address.get(backend.address)
             refuted = self._refuted.get(_claim(backend))
-            if refuted is not None and backend.started_at_ms <= refuted.born_ms:
+            if refuted is not None and backend.started_at_ms <= refuted.started_at_ms:
                 continue
             if known is None or known.started_before(backend):
                 by_address[backend.address] = backend
