--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -72,5 +72,5 @@
     if known is None or known.instance != listed.instance:
         return listed
     if listed.started_at_ms and listed.started_at_ms < known.started_at_ms:
-        return listed._replace(born_ms=known.started_at_ms)
+        return listed._replace(started_at_ms=known.started_at_ms)
     return listed
--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -45,9 +45,9 @@
         """Return the counts with one more send."""
         match outcome:
             case AttemptOutcome.FAILED | AttemptOutcome.LOST:
-                return self._replace(ran=self.possibly_run + 1)
+                return self._replace(possibly_run=self.possibly_run + 1)
             case AttemptOutcome.REJECTED | AttemptOutcome.NOT_SENT:
-                return self._replace(turned_away=self.rejected + 1)
+                return self._replace(rejected=self.rejected + 1)
 
 
 class RetryPolicy(NamedTuple):
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -272,7 +272,7 @@
         self, backend: Backend, born_ms: int, now: float
     ) -> Backend:
         """Know a server's new life by its agent's word, ahead of the list."""
-        found = backend._replace(born_ms=born_ms)
+        found = backend._replace(started_at_ms=born_ms)
         log.info("server-reborn", server=found.incarnation, before=backend.incarnation)
         with self._lock:
             self._backends_by_address[backend.address] = found
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -43,7 +43,11 @@
     ),
     "own-data-centre-first": (
         Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
-        Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
+        Edit(
+            "forwarding/placing.py",
+            "REMOTE_LOAD_PENALTY = 0.25",
+            "REMOTE_LOAD_PENALTY = 0.0",
+        ),
     ),
     "own-in-flight": (
         Edit(
@@ -65,22 +69,22 @@
     "closed-groups-wait": (
         Edit(
             "forwarding/guards.py",
-            "return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())",
+            "return closures.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
     ),
     "full-servers-are-not-silent": (
         Edit(
             "forwarding/runs.py",
-            "if not self._begun and context.servers.is_told_full(place, now):",
-            "if now < 0.0:",
+            "not self._has_answer_begun and context.servers.is_reported_full(",
+            "now < 0.0 and context.servers.is_reported_full(",
         ),
     ),
     "silent-servers-given-up": (
         Edit(
             "forwarding/runs.py",
-            'silence_s = request.times.silence_s if again else float("inf")',
-            'silence_s = float("inf")',
+            'request.deadlines.silence_timeout_s if again else float("inf")',
+            'float("inf")',
         ),
     ),
     "admission-bounds": (
@@ -172,7 +176,11 @@
         ),
     ),
     "load-boards": (
-        Edit("forwarding/loadheads.py", "DIRECT_AGENTS = 24", "DIRECT_AGENTS = 10_000"),
+        Edit(
+            "forwarding/loadheads.py",
+            "MAX_DIRECT_AGENTS = 24",
+            "MAX_DIRECT_AGENTS = 10_000",
+        ),
     ),
     "long-watches": (
         Edit(
