--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -19,8 +19,8 @@
     from collections.abc import Iterator
 
     from kingcupwheel.forwarding.events import StreamEvent
-    from kingcupwheel.forwarding.runs import PlacedAnswer
-    from kingcupwheel.forwarding.runs import RequestForwarder
+    from kingcupwheel.forwarding.forwarder import PlacedAnswer
+    from kingcupwheel.forwarding.forwarder import RequestForwarder
 
 log = lines_of("requests")
 
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -75,14 +75,14 @@
     ),
     "full-servers-are-not-silent": (
         Edit(
-            "forwarding/runs.py",
+            "forwarding/forwarder.py",
             "not self._has_answer_begun and context.servers.is_reported_full(",
             "now < 0.0 and context.servers.is_reported_full(",
         ),
     ),
     "silent-servers-given-up": (
         Edit(
-            "forwarding/runs.py",
+            "forwarding/forwarder.py",
             'request.deadlines.silence_timeout_s if again else float("inf")',
             'float("inf")',
         ),
