--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -22,10 +22,10 @@
 from kingcupwheel.forwarding.calls import OutgoingRequest
 from kingcupwheel.forwarding.calls import Rejected
 from kingcupwheel.forwarding.calls import Withheld
-from kingcupwheel.forwarding.endings import PASS_ON
-from kingcupwheel.forwarding.endings import refusal_for_step
-from kingcupwheel.forwarding.endings import retry_after_s
 from kingcupwheel.forwarding.exceptions import AnswerLostError
+from kingcupwheel.forwarding.finalrefusals import PASS_ON
+from kingcupwheel.forwarding.finalrefusals import refusal_for_step
+from kingcupwheel.forwarding.finalrefusals import retry_after_s
 from kingcupwheel.forwarding.heads import NO_NOTICE
 from kingcupwheel.forwarding.heads import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import AttemptCounts
