--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -34,9 +34,9 @@
 from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
-from kingcupwheel.forwarding.placing import NoPlace
-from kingcupwheel.forwarding.placing import PlacementConstraints
-from kingcupwheel.forwarding.placing import wait_for_place
+from kingcupwheel.forwarding.queuewait import NoPlace
+from kingcupwheel.forwarding.queuewait import PlacementConstraints
+from kingcupwheel.forwarding.queuewait import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.messages.attempts import Outcome
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -42,9 +42,9 @@
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
+        Edit("forwarding/queuewait.py", "prefers_local=True", "prefers_local=False"),
         Edit(
-            "forwarding/placing.py",
+            "forwarding/queuewait.py",
             "REMOTE_LOAD_PENALTY = 0.25",
             "REMOTE_LOAD_PENALTY = 0.0",
         ),
