--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -27,7 +27,7 @@
     from kingcupwheel.forwarding.connectionpool import ConnectionPool
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import LivenessTracker
+    from kingcupwheel.forwarding.liveness import LivenessTracker
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # Read at a time; an event of a stream has some hundred bytes.
--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closures.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from kingcupwheel.forwarding.pulse import STALL_THRESHOLD_S
+from kingcupwheel.forwarding.liveness import STALL_THRESHOLD_S
 
 
 # Servers that have to turn requests away within this time, in seconds: one alone may
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -19,7 +19,7 @@
     from kingcupwheel.forwarding.guards import RetryGuards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import LivenessTrackers
+    from kingcupwheel.forwarding.liveness import LivenessTrackers
     from kingcupwheel.forwarding.serverbook import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -23,8 +23,8 @@
 from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
 from kingcupwheel.forwarding.guards import RetryBudget
 from kingcupwheel.forwarding.guards import RetryGuards
+from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
-from kingcupwheel.forwarding.pulse import LivenessTrackers
 from kingcupwheel.forwarding.serverbook import ServerRegistry
 from kingcupwheel.forwarding.serverlist import ServerListHandler
 from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
--- a/tests/forwarding/test_pulse.py
+++ b/tests/forwarding/test_liveness.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from kingcupwheel.forwarding.pulse import STALL_THRESHOLD_S
-from kingcupwheel.forwarding.pulse import LivenessTracker
+from kingcupwheel.forwarding.liveness import STALL_THRESHOLD_S
+from kingcupwheel.forwarding.liveness import LivenessTracker
 
 
 def test_a_silent_server_stands_out_while_others_send() -> None:
