--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -15,9 +15,9 @@
 from kingcupwheel.entry.refusals import NO_MANIFEST
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.deadlines import deadlines_for
 from kingcupwheel.forwarding.requests import ForwardRequest
 from kingcupwheel.forwarding.requests import request_fingerprint
-from kingcupwheel.forwarding.times import deadlines_for
 from kingcupwheel.platform.headers import read_request_headers
 
 
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -12,8 +12,8 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
+    from kingcupwheel.forwarding.deadlines import Deadlines
     from kingcupwheel.forwarding.heads import CallerMetadata
-    from kingcupwheel.forwarding.times import Deadlines
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
 LOWEST_PRIORITY = 9
