--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.forwarder import RequestForwarder
-from kingcupwheel.forwarding.guards import with_jitter
+from kingcupwheel.forwarding.retryguards import with_jitter
 from kingcupwheel.forwarding.underway import ActiveRequests
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -21,10 +21,10 @@
 from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
 from kingcupwheel.forwarding.entrymembership import EntryMembership
 from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
-from kingcupwheel.forwarding.guards import RetryBudget
-from kingcupwheel.forwarding.guards import RetryGuards
 from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
+from kingcupwheel.forwarding.retryguards import RetryBudget
+from kingcupwheel.forwarding.retryguards import RetryGuards
 from kingcupwheel.forwarding.serverbook import ServerRegistry
 from kingcupwheel.forwarding.serverlist import ServerListHandler
 from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
--- a/src/kingcupwheel/forwarding/finalrefusals.py
+++ b/src/kingcupwheel/forwarding/finalrefusals.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.guards import with_jitter
 from kingcupwheel.forwarding.outcomes import NextStep
+from kingcupwheel.forwarding.retryguards import with_jitter
 from kingcupwheel.messages.attempts import Outcome
 
 
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -68,7 +68,7 @@
     ),
     "closed-groups-wait": (
         Edit(
-            "forwarding/guards.py",
+            "forwarding/retryguards.py",
             "return closures.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
@@ -111,7 +111,7 @@
     ),
     "retry-after-spread": (
         Edit(
-            "forwarding/guards.py",
+            "forwarding/retryguards.py",
             "return base_s * (1.0 + 0.5 * stable_fraction(request_id))",
             "return base_s",
         ),
