--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -16,8 +16,8 @@
     from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
     from kingcupwheel.forwarding.connectionpool import ConnectionPool
-    from kingcupwheel.forwarding.heads import ReportedLoad
-    from kingcupwheel.forwarding.heads import ServerNotice
+    from kingcupwheel.forwarding.httpmetadata import ReportedLoad
+    from kingcupwheel.forwarding.httpmetadata import ServerNotice
     from kingcupwheel.forwarding.liveness import LivenessTrackers
     from kingcupwheel.forwarding.retryguards import RetryGuards
     from kingcupwheel.forwarding.serverbook import ServerRegistry
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -26,8 +26,8 @@
 from kingcupwheel.forwarding.finalrefusals import PASS_ON
 from kingcupwheel.forwarding.finalrefusals import refusal_for_step
 from kingcupwheel.forwarding.finalrefusals import retry_after_s
-from kingcupwheel.forwarding.heads import NO_NOTICE
-from kingcupwheel.forwarding.heads import ServerRequestMetadata
+from kingcupwheel.forwarding.httpmetadata import NO_NOTICE
+from kingcupwheel.forwarding.httpmetadata import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import AttemptCounts
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import NextStep
@@ -49,7 +49,7 @@
     from kingcupwheel.forwarding.calls import CallResult
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.context import ForwardContext
-    from kingcupwheel.forwarding.heads import ServerNotice
+    from kingcupwheel.forwarding.httpmetadata import ServerNotice
     from kingcupwheel.forwarding.requests import ForwardRequest
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -27,7 +27,7 @@
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.backends import Backend
-    from kingcupwheel.forwarding.heads import ReportedLoad
+    from kingcupwheel.forwarding.httpmetadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
 
 log = lines_of("servers")
