--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -5,8 +5,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.loadheads import MAX_DIRECT_AGENTS
-from kingcupwheel.forwarding.loadheads import LoadAggregators
+from kingcupwheel.forwarding.loadaggregators import MAX_DIRECT_AGENTS
+from kingcupwheel.forwarding.loadaggregators import LoadAggregators
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -177,7 +177,7 @@
     ),
     "load-boards": (
         Edit(
-            "forwarding/loadheads.py",
+            "forwarding/loadaggregators.py",
             "MAX_DIRECT_AGENTS = 24",
             "MAX_DIRECT_AGENTS = 10_000",
         ),
