--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -10,12 +10,12 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.activerequests import ActiveRequests
 from kingcupwheel.forwarding.admitting import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.forwarder import RequestForwarder
 from kingcupwheel.forwarding.retryguards import with_jitter
-from kingcupwheel.forwarding.underway import ActiveRequests
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
 
