--- a/src/kingcupwheel/forwarding/activerequests.py
+++ b/src/kingcupwheel/forwarding/activerequests.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.admitting import ReceivedRequest
+    from kingcupwheel.forwarding.admission import ReceivedRequest
     from kingcupwheel.forwarding.requests import ForwardRequest
 
 
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.activerequests import ActiveRequests
-from kingcupwheel.forwarding.admitting import admit_request
+from kingcupwheel.forwarding.admission import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.forwarder import RequestForwarder
@@ -26,8 +26,8 @@
     from collections.abc import Iterator
 
     from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-    from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
-    from kingcupwheel.forwarding.admitting import ReceivedRequest
+    from kingcupwheel.forwarding.admission import ConfigurationSnapshot
+    from kingcupwheel.forwarding.admission import ReceivedRequest
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.exchange import Environ
     from kingcupwheel.forwarding.requests import ForwardRequest
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
+from kingcupwheel.forwarding.admission import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerClient
 from kingcupwheel.forwarding.configurationcache import ConfigurationCache
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import body_of
-from kingcupwheel.forwarding.admitting import ReceivedRequest
+from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
 
--- a/tests/forwarding/builders.py
+++ b/tests/forwarding/builders.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from kingcupwheel.forwarding.admitting import ConfigurationSnapshot
-from kingcupwheel.forwarding.admitting import ReceivedRequest
+from kingcupwheel.forwarding.admission import ConfigurationSnapshot
+from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.configuration import decode_configuration
 
 
--- a/tests/forwarding/test_admitting.py
+++ b/tests/forwarding/test_admission.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.admitting import admit_request
+from kingcupwheel.forwarding.admission import admit_request
 from kingcupwheel.forwarding.requests import ForwardRequest
 from tests.forwarding.builders import configuration
 from tests.forwarding.builders import knowledge
