--- a/src/kingcupwheel/forwarding/retryguards.py
+++ b/src/kingcupwheel/forwarding/retryguards.py
@@ -14,7 +14,7 @@
 from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retry_budget import SlidingWindowRetryBudget
-from kingcupwheel.forwarding.closures import ClosedServiceDetector
+from kingcupwheel.forwarding.closedservices import ClosedServiceDetector
 
 
 if TYPE_CHECKING:
