--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -20,7 +20,7 @@
     from kingcupwheel.forwarding.httpmetadata import ServerNotice
     from kingcupwheel.forwarding.liveness import LivenessTrackers
     from kingcupwheel.forwarding.retryguards import RetryGuards
-    from kingcupwheel.forwarding.serverbook import ServerRegistry
+    from kingcupwheel.forwarding.serverregistry import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.telemetry.metrics import EntryMetrics
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -25,8 +25,8 @@
 from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
 from kingcupwheel.forwarding.retryguards import RetryBudget
 from kingcupwheel.forwarding.retryguards import RetryGuards
-from kingcupwheel.forwarding.serverbook import ServerRegistry
 from kingcupwheel.forwarding.serverlist import ServerListHandler
+from kingcupwheel.forwarding.serverregistry import ServerRegistry
 from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
 from kingcupwheel.forwarding.storewatch import ConfigurationHandler
 from kingcupwheel.forwarding.storewatch import StoreWatcher
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/loadpoller.py
@@ -22,7 +22,7 @@
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.serverbook import ServerRegistry
+    from kingcupwheel.forwarding.serverregistry import ServerRegistry
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -145,13 +145,13 @@
     ),
     "slow-ranks-avoided": (
         Edit(
-            "forwarding/serverbook.py",
+            "forwarding/serverregistry.py",
             "AVOIDED_PACE = 2.5",
             'AVOIDED_PACE = float("inf")',
         ),
     ),
     "slow-ranks-given-less": (
-        Edit("forwarding/serverbook.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
+        Edit("forwarding/serverregistry.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
