--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -14,7 +14,7 @@
 
 # Demand is the mean of so many seconds: long enough to hold several requests of a small
 # organisation, short enough that a share follows a burst before its queue is full.
-DEMAND_S = 5.0
+DEMAND_WINDOW_S = 5.0
 
 # Longest Retry-After: past a minute a forecast of the load is worth little, and callers
 # that come back too early are refused cheaply.
@@ -24,16 +24,16 @@
 MIN_RETRY_AFTER_S = 1.0
 
 # Work of a request held at the limit of concurrency, when no answer has been timed.
-_DEFAULT_HOLD_S = 1.0
+_DEFAULT_FINISH_GAP_S = 1.0
 
 
-class Admit(NamedTuple):
+class AdmissionGrant(NamedTuple):
     """The request may go on; ``work`` was charged (tokens)."""
 
     work: float
 
 
-class Refuse(NamedTuple):
+class LimitRefusal(NamedTuple):
     """The request was not run: ``limit`` names the bound, ``detail`` tells why."""
 
     limit: str
@@ -41,12 +41,12 @@
     retry_after_s: float
 
 
-class _Account:
+class _OrganisationBudget:
     """One organisation's token bucket and count of requests in progress."""
 
     __slots__ = (
         "allowance",
-        "at",
+        "refilled_at",
         "demand",
         "finish_gap_s",
         "finished_at",
@@ -60,10 +60,10 @@
         self.allowance = allowance
         self.share = share
         self.tokens = allowance.burst * share
-        self.at: float | None = None
+        self.refilled_at: float | None = None
         self.in_flight = 0
-        self.demand = DecayingSum(DEMAND_S)
-        self.finish_gap_s = _DEFAULT_HOLD_S
+        self.demand = DecayingSum(DEMAND_WINDOW_S)
+        self.finish_gap_s = _DEFAULT_FINISH_GAP_S
         self.finished_at: float | None = None
         self.next_free_at = 0.0
 
@@ -78,15 +78,17 @@
         # allowance by at most one request an entry.
         return max(1, int(self.allowance.concurrency * self.share))
 
-    def refill(self, now: float) -> None:
-        elapsed_s = 0.0 if self.at is None else max(0.0, now - self.at)
-        self.at = now
+    def refill_tokens(self, now: float) -> None:
+        elapsed_s = (
+            0.0 if self.refilled_at is None else max(0.0, now - self.refilled_at)
+        )
+        self.refilled_at = now
         full = self.allowance.burst * self.share
         if self.tokens < full:
             self.tokens = min(full, self.tokens + elapsed_s * self.rate)
 
 
-class Admission:
+class AdmissionController:
     """Holds every organisation to its allowance at one entry.
 
     Load: one organisation floods while others send their usual traffic. Harm prevented:
@@ -100,7 +102,7 @@
     """
 
     def __init__(self) -> None:
-        self._by_organisation: dict[str, _Account] = {}
+        self._by_organisation: dict[str, _OrganisationBudget] = {}
 
     def __len__(self) -> int:
         return len(self._by_organisation)
@@ -112,44 +114,48 @@
         """
         account = self._by_organisation.get(organisation)
         if account is None:
-            self._by_organisation[organisation] = _Account(allowance, share)
+            self._by_organisation[organisation] = _OrganisationBudget(allowance, share)
             return
         full = allowance.burst * share
         account.tokens = min(account.tokens, full)
         account.allowance = allowance
         account.share = share
 
-    def forget(self, organisation: str) -> None:
+    def remove_organisation(self, organisation: str) -> None:
         """Drop an organisation that the manifest no longer names."""
         self._by_organisation.pop(organisation, None)
 
-    def admit(self, organisation: str, work: float, now: float) -> Admit | Refuse:
+    def admit(
+        self, organisation: str, work: float, now: float
+    ) -> AdmissionGrant | LimitRefusal:
         """Decide on a request of ``work`` predicted tokens."""
         account = self._by_organisation.get(organisation)
         if account is None:
-            return Refuse("organisation", "the organisation has no allowance", 0.0)
-        account.refill(now)
+            return LimitRefusal(
+                "organisation", "the organisation has no allowance", 0.0
+            )
+        account.refill_tokens(now)
         account.demand.add(work, now)
         if account.in_flight >= account.concurrency:
             detail = f"{account.in_flight} requests in progress here"
             wait_s = account.finish_gap_s
-            return _refuse(account, "concurrency", detail, wait_s, now)
+            return _build_refusal(account, "concurrency", detail, wait_s, now)
         if account.tokens <= 0.0:
             detail = f"{account.rate:.0f} tokens/s are used up here"
             wait_s = work / max(account.rate, 1.0)
-            return _refuse(account, "work", detail, wait_s, now)
+            return _build_refusal(account, "work", detail, wait_s, now)
         account.tokens -= work
         account.in_flight += 1
-        return Admit(work)
+        return AdmissionGrant(work)
 
-    def finish(
+    def settle(
         self, organisation: str, predicted: float, actual: float, now: float
     ) -> None:
         """Settle an admitted request: charge the work it took, not the predicted."""
         account = self._by_organisation.get(organisation)
         if account is None:
             return
-        account.refill(now)
+        account.refill_tokens(now)
         account.in_flight = max(0, account.in_flight - 1)
         account.tokens += predicted - actual
         if account.finished_at is not None:
@@ -170,9 +176,9 @@
         return max(work, account.in_flight / max(account.allowance.concurrency, 1))
 
 
-def _refuse(
-    account: _Account, limit: str, detail: str, wait_s: float, now: float
-) -> Refuse:
+def _build_refusal(
+    account: _OrganisationBudget, limit: str, detail: str, wait_s: float, now: float
+) -> LimitRefusal:
     """Refuse with a time of its own for every caller to come back.
 
     Load: hundreds of requests refused in one second. Harm prevented: told the same time
@@ -185,4 +191,4 @@
         earliest = now + debt_s
     account.next_free_at = earliest + wait_s
     after_s = min(MAX_RETRY_AFTER_S, account.next_free_at - now)
-    return Refuse(limit, detail, max(MIN_RETRY_AFTER_S, after_s))
+    return LimitRefusal(limit, detail, max(MIN_RETRY_AFTER_S, after_s))
--- a/src/kingcupwheel/decisions/queueing.py
+++ b/src/kingcupwheel/decisions/fair_queue.py
@@ -9,30 +9,30 @@
 
 from kingcupwheel.decisions.admission import MAX_RETRY_AFTER_S
 from kingcupwheel.decisions.admission import MIN_RETRY_AFTER_S
-from kingcupwheel.decisions.admission import Refuse
-from kingcupwheel.decisions.drain import DrainRate
+from kingcupwheel.decisions.admission import LimitRefusal
+from kingcupwheel.decisions.drain_rate import DrainRate
 from kingcupwheel.decisions.hashing import stable_fraction
 
 
 # Work that a flow of the lowest priority is given in a turn, in tokens; one of priority
 # 5 gets 384, about a short request. More lets one flow take many turns' work at once,
 # so that others' short requests wait; less costs more rounds for each decision.
-QUANTUM = 64.0
+QUANTUM_TOKENS = 64.0
 
 # A flow may hold so many times the places that are free. Reason: one flow alone gets
 # two thirds of the queue, and however many flood it, a free place is left for the next
 # organisation.
-FREE_PLACES_FACTOR = 2
+MAX_FLOW_PER_FREE_SLOT = 2
 
 # A request is queued if twice its predicted wait is within its deadline: a wait is as
 # often above its prediction as below, and one far above ends in a refusal after the
 # wait. The servers stay as busy with the shorter queue.
-WAIT_MARGIN = 2.0
+PREDICTED_WAIT_FACTOR = 2.0
 
 # What another flow has waiting may be filled up this often before the turn comes. With
 # once, waits are predicted too short at saturation; without bound, a long request is
 # refused for a wait that never comes if many flows have a short one each.
-REFILL = 3.0
+MAX_BACKLOG_REFILLS = 3.0
 
 # Longest such wait that is queued, however patient the caller: the servers are as busy
 # with a short queue, and the goal for the first token is about a second.
@@ -40,10 +40,10 @@
 
 # Weight of priority p is (p + 1): priority 9 gets ten times the work of priority 0, and
 # none is given nothing, so that no priority starves another.
-_WEIGHT_OF_LOWEST = 1.0
+_LOWEST_PRIORITY_WEIGHT = 1.0
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits for a place on a server.
 
     ``work`` is predicted work in tokens; the times are monotonic seconds, and
@@ -58,10 +58,10 @@
     queued_at: float
 
 
-class Queued(NamedTuple):
+class Enqueued(NamedTuple):
     """The request waits; ``ahead`` others were in the queue."""
 
-    ahead: int
+    requests_ahead: int
     predicted_wait_s: float = 0.0
 
 
@@ -71,13 +71,13 @@
     __slots__ = ("backlog", "deficit", "has_turn", "requests", "weight")
 
     def __init__(self, priority: int) -> None:
-        self.requests: deque[Waiting] = deque()
-        self.weight = max(0, priority) + _WEIGHT_OF_LOWEST
+        self.requests: deque[QueuedRequest] = deque()
+        self.weight = max(0, priority) + _LOWEST_PRIORITY_WEIGHT
         self.deficit = 0.0
         self.has_turn = False
         self.backlog = 0.0
 
-    def takes_turn(self, quantum: float) -> bool:
+    def try_take_turn(self, quantum: float) -> bool:
         """Return whether its first request may be taken in this turn."""
         if not self.has_turn:
             self.has_turn = True
@@ -101,84 +101,88 @@
         self,
         limit: int,
         *,
-        quantum: float = QUANTUM,
+        quantum: float = QUANTUM_TOKENS,
         max_wait_s: float = MAX_WAIT_S,
     ) -> None:
         self._limit = limit
         self._max_wait_s = max_wait_s
         self._quantum = quantum
         self._flow_by_key: dict[tuple[str, int], _Flow] = {}
-        self._turns: deque[tuple[str, int]] = deque()
-        self._waiting_by_id: dict[str, Waiting] = {}
+        self._active_keys: deque[tuple[str, int]] = deque()
+        self._request_by_id: dict[str, QueuedRequest] = {}
         self._deadlines: list[tuple[float, str]] = []
-        self._expired: list[Waiting] = []
-        self._drain = DrainRate()
-        self._next_return_at = 0.0
+        self._expired: list[QueuedRequest] = []
+        self._drain_rate = DrainRate()
+        self._next_retry_at = 0.0
 
     def __len__(self) -> int:
-        return len(self._waiting_by_id)
+        return len(self._request_by_id)
 
     @property
-    def work(self) -> float:
+    def queued_work(self) -> float:
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
-    def push(self, waiting: Waiting, now: float) -> Queued | Refuse:
+    def push(self, waiting: QueuedRequest, now: float) -> Enqueued | LimitRefusal:
         """Queue a request, or refuse it at once with a time to come back."""
         ahead = len(self)
         key = (waiting.organisation, waiting.priority)
         flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
-        if len(flow.requests) >= FREE_PLACES_FACTOR * (self._limit - ahead):
-            wait_s = self._drain.seconds(self.work, now)
-            return self._refuse("queue", f"{ahead} requests wait", wait_s, waiting, now)
-        wait_s = self._predicted_wait(flow, waiting.work, now)
+        if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._limit - ahead):
+            wait_s = self._drain_rate.estimate_drain_s(self.queued_work, now)
+            return self._build_refusal(
+                "queue", f"{ahead} requests wait", wait_s, waiting, now
+            )
+        wait_s = self._predict_wait_s(flow, waiting.work, now)
         left_s = waiting.deadline_at - now
         if wait_s > left_s:
             detail = f"predicted wait {wait_s:.1f} s, deadline in {left_s:.1f} s"
-            return self._refuse("deadline", detail, wait_s - left_s, waiting, now)
+            return self._build_refusal(
+                "deadline", detail, wait_s - left_s, waiting, now
+            )
         if wait_s > self._max_wait_s:
             detail = f"predicted wait {wait_s:.1f} s"
-            return self._refuse("wait", detail, wait_s, waiting, now)
-        if not self._waiting_by_id:
-            self._drain.start(now)
-        self._add(key, flow, waiting)
-        return Queued(ahead, wait_s)
+            return self._build_refusal("wait", detail, wait_s, waiting, now)
+        if not self._request_by_id:
+            self._drain_rate.mark_nonempty(now)
+        self._enqueue(key, flow, waiting)
+        return Enqueued(ahead, wait_s)
 
-    def peek(self, now: float) -> Waiting | None:
+    def peek(self, now: float) -> QueuedRequest | None:
         """Return the request whose turn it is, or None if none waits in time."""
         self._drop_expired(now)
         passed = 0
-        while self._turns:
-            flow = self._flow_by_key[self._turns[0]]
-            if flow.takes_turn(self._quantum):
+        while self._active_keys:
+            flow = self._flow_by_key[self._active_keys[0]]
+            if flow.try_take_turn(self._quantum):
                 return flow.requests[0]
-            self._turns.rotate(-1)
+            self._active_keys.rotate(-1)
             passed += 1
-            if passed == len(self._turns):
+            if passed == len(self._active_keys):
                 self._skip_rounds()
         return None
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Take out and return what ``peek`` returns."""
         waiting = self.peek(now)
         if waiting is None:
             return None
-        key = self._turns[0]
+        key = self._active_keys[0]
         flow = self._flow_by_key[key]
         flow.requests.popleft()
         flow.deficit -= waiting.work
         flow.backlog -= waiting.work
-        del self._waiting_by_id[waiting.request_id]
+        del self._request_by_id[waiting.request_id]
         self._drop_if_empty(key, flow)
         # What finds a place at once says nothing about how fast a backlog drains.
         if now > waiting.queued_at:
-            self._drain.took(waiting.work, now)
-        self._note_if_empty(now)
+            self._drain_rate.record_dequeue(waiting.work, now)
+        self._mark_if_empty(now)
         return waiting
 
-    def remove(self, request_id: str, now: float) -> Waiting | None:
+    def remove(self, request_id: str, now: float) -> QueuedRequest | None:
         """Take a request out, for instance when its caller has left."""
-        waiting = self._waiting_by_id.pop(request_id, None)
+        waiting = self._request_by_id.pop(request_id, None)
         if waiting is None:
             return None
         key = (waiting.organisation, waiting.priority)
@@ -186,23 +190,25 @@
         flow.requests.remove(waiting)
         flow.backlog -= waiting.work
         self._drop_if_empty(key, flow)
-        self._note_if_empty(now)
+        self._mark_if_empty(now)
         return waiting
 
-    def expired(self, now: float) -> list[Waiting]:
+    def take_expired(self, now: float) -> list[QueuedRequest]:
         """Return, once, the requests whose deadline passed while they waited."""
         self._drop_expired(now)
         expired = self._expired
         self._expired = []
         return expired
 
-    def _add(self, key: tuple[str, int], flow: _Flow, waiting: Waiting) -> None:
+    def _enqueue(
+        self, key: tuple[str, int], flow: _Flow, waiting: QueuedRequest
+    ) -> None:
         if not flow.requests:
             self._flow_by_key[key] = flow
-            self._turns.append(key)
+            self._active_keys.append(key)
         flow.requests.append(waiting)
         flow.backlog += waiting.work
-        self._waiting_by_id[waiting.request_id] = waiting
+        self._request_by_id[waiting.request_id] = waiting
         heappush(self._deadlines, (waiting.deadline_at, waiting.request_id))
 
     def _skip_rounds(self) -> None:
@@ -223,21 +229,21 @@
         if flow.requests:
             return
         del self._flow_by_key[key]
-        self._turns.remove(key)
+        self._active_keys.remove(key)
 
-    def _note_if_empty(self, now: float) -> None:
-        if not self._waiting_by_id:
-            self._drain.stop(now)
+    def _mark_if_empty(self, now: float) -> None:
+        if not self._request_by_id:
+            self._drain_rate.mark_empty(now)
 
     def _drop_expired(self, now: float) -> None:
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heappop(self._deadlines)
-            waiting = self._waiting_by_id.get(request_id)
+            waiting = self._request_by_id.get(request_id)
             if waiting is not None and waiting.deadline_at <= now:
                 self.remove(request_id, now)
                 self._expired.append(waiting)
 
-    def _predicted_wait(self, own: _Flow, work: float, now: float) -> float:
+    def _predict_wait_s(self, own: _Flow, work: float, now: float) -> float:
         """Return the seconds until a new request of ``own`` would be taken.
 
         Until then every other flow is served its weight's part of what ``own`` is, or
@@ -247,12 +253,14 @@
         before = own.backlog
         for flow in self._flow_by_key.values():
             if flow is not own:
-                before += min(REFILL * flow.backlog, mine * flow.weight / own.weight)
-        return WAIT_MARGIN * self._drain.seconds(before, now)
-
-    def _refuse(
-        self, limit: str, detail: str, wait_s: float, waiting: Waiting, now: float
-    ) -> Refuse:
+                before += min(
+                    MAX_BACKLOG_REFILLS * flow.backlog, mine * flow.weight / own.weight
+                )
+        return PREDICTED_WAIT_FACTOR * self._drain_rate.estimate_drain_s(before, now)
+
+    def _build_refusal(
+        self, limit: str, detail: str, wait_s: float, waiting: QueuedRequest, now: float
+    ) -> LimitRefusal:
         """Refuse with a time to come back at which there may be room.
 
         Load: hundreds of requests refused, for a second or for a minute. Harm
@@ -261,8 +269,10 @@
         next turn at the pace at which the queue drains, and is spread by its request's
         id, so that a trace can be worked out again.
         """
-        turn_at = max(now + wait_s, self._next_return_at)
+        turn_at = max(now + wait_s, self._next_retry_at)
         base_s = min(max(MIN_RETRY_AFTER_S, turn_at - now), MAX_RETRY_AFTER_S / 2)
-        self._next_return_at = now + base_s + self._drain.seconds(waiting.work, now)
+        self._next_retry_at = (
+            now + base_s + self._drain_rate.estimate_drain_s(waiting.work, now)
+        )
         after_s = base_s * (1.0 + stable_fraction(waiting.request_id))
-        return Refuse(limit, detail, after_s)
+        return LimitRefusal(limit, detail, after_s)
--- a/src/kingcupwheel/decisions/subsets.py
+++ b/src/kingcupwheel/decisions/subset_selection.py
@@ -18,10 +18,10 @@
 
 # Part of a subset that lies in other data centres: enough to carry on when the own
 # one's servers fail, few enough that most traffic stays near.
-SPILL_PART = 0.25
+REMOTE_FRACTION = 0.25
 
 # A set has two entries at least, so that one may fail.
-LEAST_ENTRIES = 2
+MIN_ENTRIES = 2
 
 # Work one entry of the target carries for a single organisation, in tokens a second:
 # half of 860,000 over 370 entries, so that a set's members have room for others.
@@ -29,7 +29,7 @@
 
 # A set this large reaches a tenth of the target's entries; each member gossips its
 # demand to all others of the set.
-MOST_ENTRIES = 16
+MAX_ENTRIES = 16
 
 
 class Instance(NamedTuple):
@@ -39,13 +39,13 @@
     data_centre: str
 
 
-def subset(
+def select_subset(
     entry: str,
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = SPILL_PART,
+    remote_fraction: float = REMOTE_FRACTION,
 ) -> tuple[str, ...]:
     """Return the names of the servers of one group that ``entry`` keeps links to.
 
@@ -56,27 +56,27 @@
     for by the others. Own data centre first; ``entry`` has to be among ``entries``.
     """
     home = next(one.data_centre for one in entries if one.name == entry)
-    near = _near_subsets(home, entries, servers, size, spill_part)
-    return _with_spill(entry, home, near[entry], servers, size)
+    near = _select_local_subsets(home, entries, servers, size, remote_fraction)
+    return _add_remote_servers(entry, home, near[entry], servers, size)
 
 
-def subsets(
+def select_all_subsets(
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
     *,
-    spill_part: float = SPILL_PART,
+    remote_fraction: float = REMOTE_FRACTION,
 ) -> dict[str, tuple[str, ...]]:
     """Return the subset of every entry by its name, to see how servers are covered."""
     by_name: dict[str, tuple[str, ...]] = {}
     for home in {one.data_centre for one in entries}:
-        near = _near_subsets(home, entries, servers, size, spill_part)
+        near = _select_local_subsets(home, entries, servers, size, remote_fraction)
         for entry, own in near.items():
-            by_name[entry] = _with_spill(entry, home, own, servers, size)
+            by_name[entry] = _add_remote_servers(entry, home, own, servers, size)
     return by_name
 
 
-def entries_for(
+def select_entries(
     organisation: str,
     entries: Sequence[Instance],
     allowance: Allowance,
@@ -93,7 +93,7 @@
     Load: 43,000 organisations. Harm prevented: spread over all entries, every
     allowance would be split 370 times and no entry's part would admit a request.
     """
-    wanted = min(entries_wanted(allowance), len(entries))
+    wanted = min(compute_entry_count(allowance), len(entries))
     by_rank = sorted(
         entries, key=lambda one: stable_hash("entries", organisation, one.name)
     )
@@ -108,32 +108,32 @@
     return tuple(one.name for one in chosen)
 
 
-def entries_wanted(allowance: Allowance) -> int:
+def compute_entry_count(allowance: Allowance) -> int:
     """Return how many entries an allowance is split over."""
     by_work = ceil(allowance.work_per_s / ENTRY_WORK_PER_S)
     by_concurrency = max(1, allowance.concurrency // 2)
-    wanted = min(by_work, by_concurrency, MOST_ENTRIES)
-    return max(LEAST_ENTRIES, wanted)
+    wanted = min(by_work, by_concurrency, MAX_ENTRIES)
+    return max(MIN_ENTRIES, wanted)
 
 
-def _near_subsets(
+def _select_local_subsets(
     home: str,
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
-    spill_part: float,
+    remote_fraction: float,
 ) -> dict[str, tuple[str, ...]]:
     """Return, for each entry of the data centre ``home``, its servers there."""
     near = [one.name for one in servers if one.data_centre == home]
     beside = [one.name for one in entries if one.data_centre == home]
     far = len(servers) - len(near)
-    wanted = max(size - int(size * spill_part), size - far)
+    wanted = max(size - int(size * remote_fraction), size - far)
     if len(near) <= wanted:
         return dict.fromkeys(beside, tuple(near))
     return match_evenly(beside, near, wanted)
 
 
-def _with_spill(
+def _add_remote_servers(
     entry: str,
     home: str,
     near: tuple[str, ...],
--- a/src/kingcupwheel/decisions/work.py
+++ b/src/kingcupwheel/decisions/work_predictor.py
@@ -10,7 +10,7 @@
 # Reason for the limit: every organisation once, with half as much again for those that
 # use two routes; the least recently used history is dropped, which costs one request
 # predicted from its route's mean.
-DEFAULT_HISTORIES = 65_536
+DEFAULT_MAX_HISTORIES = 65_536
 
 # Without any history: a body of English text has about four bytes a token, and the
 # target's mean answer is 860,000 / 3,200 = 270 tokens.
@@ -19,11 +19,11 @@
 
 # A history counts as at most so many answers, so that it follows a change of use
 # within some tens of requests and one odd answer moves it by a thirtieth.
-HISTORY_ANSWERS = 30
+HISTORY_WINDOW_ANSWERS = 30
 
 # The route's mean counts as so many answers beside an organisation's own: the first
 # answers of an organisation say little about its mean, since lengths vary widely.
-PRIOR_ANSWERS = 4
+PRIOR_WEIGHT_ANSWERS = 4
 
 
 class _History:
@@ -36,12 +36,12 @@
         self.answer_tokens = 0.0
         self.bytes_per_token = 0.0
 
-    def learn(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
-        self.answers = min(self.answers + 1, HISTORY_ANSWERS)
+    def update(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
+        self.answers = min(self.answers + 1, HISTORY_WINDOW_ANSWERS)
         self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answers
         if prompt_tokens > 0 and body_bytes > 0:
             seen = body_bytes / prompt_tokens
-            gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_ANSWERS
+            gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_WINDOW_ANSWERS
             self.bytes_per_token += (seen - self.bytes_per_token) * gain
 
 
@@ -54,8 +54,8 @@
     routes together, least recently used first out.
     """
 
-    def __init__(self, *, histories: int = DEFAULT_HISTORIES) -> None:
-        self._limit = histories
+    def __init__(self, *, max_histories: int = DEFAULT_MAX_HISTORIES) -> None:
+        self._limit = max_histories
         self._by_key: OrderedDict[tuple[str, str], _History] = OrderedDict()
         self._by_route: OrderedDict[str, _History] = OrderedDict()
 
@@ -76,7 +76,7 @@
             answer = min(answer, float(max_tokens))
         return max(1.0, body_bytes / self._bytes_per_token(own, whole) + answer)
 
-    def learn(
+    def record_answer(
         self,
         organisation: str,
         route: str,
@@ -96,7 +96,7 @@
         whole = self._by_route.setdefault(route, _History())
         self._by_route.move_to_end(route)
         for history in (own, whole):
-            history.learn(prompt_tokens, answer_tokens, body_bytes)
+            history.update(prompt_tokens, answer_tokens, body_bytes)
         while len(self._by_key) > self._limit:
             self._by_key.popitem(last=False)
         while len(self._by_route) > self._limit:
@@ -107,8 +107,8 @@
         prior = whole.answer_tokens if whole is not None else DEFAULT_ANSWER_TOKENS
         if own is None:
             return prior
-        weighed = own.answer_tokens * own.answers + prior * PRIOR_ANSWERS
-        return weighed / (own.answers + PRIOR_ANSWERS)
+        weighed = own.answer_tokens * own.answers + prior * PRIOR_WEIGHT_ANSWERS
+        return weighed / (own.answers + PRIOR_WEIGHT_ANSWERS)
 
     @staticmethod
     def _bytes_per_token(own: _History | None, whole: _History | None) -> float:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.stopping import Stopping
+from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
@@ -218,7 +218,7 @@
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = Stopping(began, self._forwarding.grace_s)
+        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.begin_shutdown(stopping)
         self._membership.announce_leaving()
--- a/src/kingcupwheel/forwarding/gracefulshutdown.py
+++ b/src/kingcupwheel/forwarding/gracefulshutdown.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.stopping import Stopping
+    from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
     from kingcupwheel.entry.gateway import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        stopping: Stopping,
+        stopping: ShutdownSchedule,
         application: ForwardApplication,
         http_server: HttpServer,
     ) -> None:
@@ -37,7 +37,7 @@
 
     def wait(self) -> int:
         """Wait until the process may end; return the number of aborted requests."""
-        while monotonic() < self._stopping.stays_until:
+        while monotonic() < self._stopping.earliest_exit_at:
             Event().wait(_POLL_INTERVAL_S)
         self._wait_for_answers()
         # A request may have arrived in the meantime; it is answered too.
@@ -47,7 +47,10 @@
         return self._log_cut()
 
     def _wait_for_answers(self) -> None:
-        while self._application.in_progress and monotonic() < self._stopping.ends_at:
+        while (
+            self._application.in_progress
+            and monotonic() < self._stopping.latest_exit_at
+        ):
             Event().wait(_POLL_INTERVAL_S)
 
     def _wait_for_flush(self) -> None:
@@ -56,7 +59,7 @@
         Failure: the process ends between the last event of a stream and its terminating
         chunk. Symptom: the caller has every event but must treat the stream as aborted.
         """
-        until = min(monotonic() + _FLUSH_TIMEOUT_S, self._stopping.ends_at)
+        until = min(monotonic() + _FLUSH_TIMEOUT_S, self._stopping.latest_exit_at)
         while not self._http_server.is_idle and monotonic() < until:
             Event().wait(_POLL_INTERVAL_S)
 
@@ -72,7 +75,7 @@
             log.warning(
                 "cut-by-stop",
                 id=request_id,
-                came_after_s=round(arrived_at - self._stopping.began_at, 3),
+                came_after_s=round(arrived_at - self._stopping.started_at, 3),
                 took_s=round(now - arrived_at, 3),
             )
         return len(received_at_by_id)
--- a/src/kingcupwheel/forwarding/serverbook.py
+++ b/src/kingcupwheel/forwarding/serverbook.py
@@ -162,7 +162,7 @@
         now = monotonic()
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.rest(life, for_s, now)
+            is_news = self._servers.notices.record_backoff(life, for_s, now)
         if is_news:
             log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
 
@@ -170,7 +170,7 @@
         """Send nothing to a server that says that it leaves; return if that is news."""
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.leaves(life)
+            is_news = self._servers.notices.record_leaving(life)
         if is_news:
             log.info("server-leaves", server=life, id=request_id)
         return is_news
@@ -183,12 +183,14 @@
     def may_send(self, place: Place) -> bool:
         """Return whether the life that a place is on may get a request now."""
         with self._servers.lock:
-            return self._servers.notices.may_get(place.incarnation, monotonic())
+            return self._servers.notices.accepts_requests(
+                place.incarnation, monotonic()
+            )
 
     def end_rests(self) -> None:
         """Use servers again whose rest is over."""
         with self._servers.lock:
-            ended = self._servers.notices.ended(monotonic())
+            ended = self._servers.notices.take_ended_backoffs(monotonic())
         if not ended:
             return
         for life in ended:
@@ -199,7 +201,7 @@
     def _forget_notices(self, now: float) -> None:
         lives = {one.life for one in tuple(self._backends_by_address.values())}
         with self._servers.lock:
-            forgotten = self._servers.notices.keep(lives, now)
+            forgotten = self._servers.notices.retain(lives, now)
         for life in forgotten:
             log.info("notice-forgotten", server=life)
 
--- a/src/kingcupwheel/forwarding/underway.py
+++ b/src/kingcupwheel/forwarding/underway.py
@@ -5,7 +5,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.durations import RecentLongest
+from kingcupwheel.decisions.max_duration import RecentMaxDuration
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self._came_at_by_id: dict[str, float] = {}
-        self._durations_by_route: dict[str, RecentLongest] = {}
+        self._durations_by_route: dict[str, RecentMaxDuration] = {}
         self._lock = Lock()
 
     def __len__(self) -> int:
@@ -50,9 +50,9 @@
         """Note that a request got an answer of a server, which ended at ``now``."""
         with self._lock:
             durations = self._durations_by_route.setdefault(
-                request.route.name, RecentLongest()
+                request.route.name, RecentMaxDuration()
             )
-            durations.saw(now - request.received_at, now)
+            durations.record(now - request.received_at, now)
 
     def longest_s(self, request: ForwardRequest, now: float) -> float | None:
         """Return how long the longest recent answer took, or has taken so far.
@@ -61,7 +61,7 @@
         """
         with self._lock:
             durations = self._durations_by_route.get(request.route.name)
-            longest_s = None if durations is None else durations.longest_s(now)
+            longest_s = None if durations is None else durations.max_s(now)
             if longest_s is None:
                 return None
             first_came_at = min(self._came_at_by_id.values(), default=now)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -37,12 +37,12 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "best = min(drawn, key=lambda candidate: _cost(candidate, ask))",
-            "best = drawn[0]",
+            "min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
+            "drawn[0]",
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "near_first=True", "near_first=False"),
+        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
         Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
     ),
     "own-in-flight": (
@@ -55,7 +55,7 @@
     "health": (
         Edit(
             "entry/dispatching.py",
-            "state_by_name = self._health.states(loads, now)",
+            "state_by_name = self._health.update_states(loads, now)",
             "state_by_name = {one.name: ServerState.HEALTHY for one in loads}",
         ),
     ),
@@ -84,24 +84,24 @@
         ),
     ),
     "admission-bounds": (
-        Edit("decisions/queueing.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
+        Edit("decisions/fair_queue.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
     ),
     "fair-flows": (
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + ".g",
             _ONE_FLOW + ".g",
         ),
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + "[",
             _ONE_FLOW + "[",
         ),
     ),
     "retry-budget": (
         Edit(
-            "decisions/retries.py",
-            "if len(self._retries) + 1 > floor + share * len(self._firsts):",
+            "decisions/retry_budget.py",
+            "if len(self._retries) + 1 > floor + share * len(self._first_attempts):",
             "if floor < 0.0:",
         ),
     ),
