--- a/src/kingcupwheel/forwarding/storewatch.py
+++ b/src/kingcupwheel/forwarding/storewatch.py
@@ -149,8 +149,8 @@
 
     def _watch(self, asked_at: float) -> PlatformError | None:
         kind = self._handler.kind
-        pace = self._timing()
-        asked = self._store.watch(kind, after=self._revision, wait_s=pace.wait_s)
+        timing = self._timing()
+        asked = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
         if asked.is_error():
             # After any failure the list is read again: the store may have dropped
             # changes that happened meanwhile, and a list also shows what is missing.
@@ -161,8 +161,8 @@
             return asked.error
         self._handler.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
-        if asked.ok.changes and pace.pause_s:
-            self._stopping.wait(pace.pause_s)
+        if asked.ok.changes and timing.pause_s:
+            self._stopping.wait(timing.pause_s)
         return None
 
     def _record_success(self, began: float) -> None:
