--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -24,7 +24,7 @@
     from urllib3 import BaseHTTPResponse
     from urllib3.connection import HTTPConnection
 
-    from kingcupwheel.forwarding.connectionpool import ConnectionPool
+    from kingcupwheel.forwarding.connection_pool import ConnectionPool
     from kingcupwheel.forwarding.heads import AnswerHead
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.pulse import Pulse
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -14,8 +14,8 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerCalls
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.connectionpool import ConnectionPool
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+    from kingcupwheel.forwarding.connection_pool import ConnectionPool
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
--- a/src/kingcupwheel/forwarding/entrymembership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.forwarding.peers import PeerTable
 from kingcupwheel.forwarding.peers import confirmation_from
-from kingcupwheel.forwarding.storewatch import adopt_configuration
+from kingcupwheel.forwarding.store_watcher import adopt_configuration
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import EntryHeartbeat
 from kingcupwheel.messages.membership import EntryInfo
@@ -22,7 +22,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
--- a/src/kingcupwheel/forwarding/loadpoller.py
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -21,7 +21,7 @@
 
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.forwarding.serverbook import ServerBook
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
--- a/src/kingcupwheel/forwarding/storemaintenance.py
+++ b/src/kingcupwheel/forwarding/store_maintenance.py
@@ -7,16 +7,16 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.entrymembership import ENTRIES_KIND
-from kingcupwheel.forwarding.storewatch import adopt_configuration
+from kingcupwheel.forwarding.entry_membership import ENTRIES_KIND
+from kingcupwheel.forwarding.store_watcher import adopt_configuration
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.entrymembership import EntryMembership
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+    from kingcupwheel.forwarding.entry_membership import EntryMembership
     from kingcupwheel.messages.membership import EntryInfo
     from kingcupwheel.platform.object_store import ObjectStore
 
--- a/src/kingcupwheel/forwarding/storewatch.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.platform.object_store import ObjectChange
     from kingcupwheel.platform.object_store import ObjectStore
@@ -35,7 +35,7 @@
 # more calls.
 WATCH_WAIT_S = 1.5
 # Number of entries from which heartbeats of peers confirm the configuration, and only
-# entries whose copy grows old read it (see ``storemaintenance``). Watches of 31 entries
+# entries whose copy grows old read it (see ``store_maintenance``). Watches of 31 entries
 # took 40 calls a second, half of them for the configuration.
 LARGE_FLEET_ENTRIES = 10
 LARGE_FLEET_WATCH_WAIT_S = 12.0
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -13,7 +13,7 @@
 from kingcupwheel.forwarding.calls import Lost
 from kingcupwheel.forwarding.calls import Outgoing
 from kingcupwheel.forwarding.calls import ServerCalls
-from kingcupwheel.forwarding.connectionpool import ConnectionPool
+from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.heads import ServerNotice
 from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.forwarding.watchdog import WatchedRequest
--- a/tests/forwarding/test_currency.py
+++ b/tests/forwarding/test_currency.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
 from tests.forwarding.builders import configuration
 
 
--- a/tests/forwarding/test_following.py
+++ b/tests/forwarding/test_following.py
@@ -13,14 +13,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.forwarding.serverlist import ServerListHandler
-from kingcupwheel.forwarding.storewatch import LARGE_FLEET_ENTRIES
-from kingcupwheel.forwarding.storewatch import LARGE_FLEET_WATCH_WAIT_S
-from kingcupwheel.forwarding.storewatch import WATCH_WAIT_S
-from kingcupwheel.forwarding.storewatch import StoreWatcher
-from kingcupwheel.forwarding.storewatch import WatchTiming
-from kingcupwheel.forwarding.storewatch import configuration_watch_timing
-from kingcupwheel.forwarding.storewatch import server_watch_timing
+from kingcupwheel.forwarding.server_list import ServerListHandler
+from kingcupwheel.forwarding.store_watcher import LARGE_FLEET_ENTRIES
+from kingcupwheel.forwarding.store_watcher import LARGE_FLEET_WATCH_WAIT_S
+from kingcupwheel.forwarding.store_watcher import WATCH_WAIT_S
+from kingcupwheel.forwarding.store_watcher import StoreWatcher
+from kingcupwheel.forwarding.store_watcher import WatchTiming
+from kingcupwheel.forwarding.store_watcher import configuration_watch_timing
+from kingcupwheel.forwarding.store_watcher import server_watch_timing
 from kingcupwheel.platform.errors import Unavailable
 from kingcupwheel.platform.object_store import DEFAULT_CALL_TIMEOUT_S
 from kingcupwheel.platform.object_store import ObjectChange
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -176,7 +176,7 @@
     ),
     "long-watches": (
         Edit(
-            "forwarding/storewatch.py",
+            "forwarding/store_watcher.py",
             "LARGE_FLEET_ENTRIES = 10",
             "LARGE_FLEET_ENTRIES = 10_000",
         ),
