--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -35,8 +35,8 @@
 # more calls.
 WATCH_WAIT_S = 1.5
 # Number of entries from which heartbeats of peers confirm the configuration, and only
-# entries whose copy grows old read it (see ``store_maintenance``). Watches of 31 entries
-# took 40 calls a second, half of them for the configuration.
+# entries whose copy grows old read it (see ``store_maintenance``). Watches of 31
+# entries took 40 calls a second, half of them for the configuration.
 LARGE_FLEET_ENTRIES = 10
 LARGE_FLEET_WATCH_WAIT_S = 12.0
 # Delay in a large fleet between a change and the next watch, in seconds. It batches
