--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -14,8 +14,8 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerClient
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-    from kingcupwheel.forwarding.connectionpool import ConnectionPool
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+    from kingcupwheel.forwarding.connection_pool import ConnectionPool
     from kingcupwheel.forwarding.httpmetadata import ReportedLoad
     from kingcupwheel.forwarding.httpmetadata import ServerNotice
     from kingcupwheel.forwarding.liveness import LivenessTrackers
--- a/src/kingcupwheel/forwarding/storewatch.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.forwarding.configurationcache import ConfigurationCache
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.platform.object_store import ObjectChange
     from kingcupwheel.platform.object_store import ObjectStore
@@ -35,8 +35,8 @@
 # more calls.
 WATCH_WAIT_S = 1.5
 # Number of entries from which heartbeats of peers confirm the configuration, and only
-# entries whose copy grows old read it (see ``storemaintenance``). Watches of 31 entries
-# took 40 calls a second, half of them for the configuration.
+# entries whose copy grows old read it (see ``store_maintenance``). Watches of 31
+# entries took 40 calls a second, half of them for the configuration.
 LARGE_FLEET_ENTRIES = 10
 LARGE_FLEET_WATCH_WAIT_S = 12.0
 # Delay in a large fleet between a change and the next watch, in seconds. It batches
@@ -149,8 +149,8 @@
 
     def _watch(self, asked_at: float) -> PlatformError | None:
         kind = self._handler.kind
-        pace = self._timing()
-        asked = self._store.watch(kind, after=self._revision, wait_s=pace.wait_s)
+        timing = self._timing()
+        asked = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
         if asked.is_error():
             # After any failure the list is read again: the store may have dropped
             # changes that happened meanwhile, and a list also shows what is missing.
@@ -161,8 +161,8 @@
             return asked.error
         self._handler.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
-        if asked.ok.changes and pace.pause_s:
-            self._stopping.wait(pace.pause_s)
+        if asked.ok.changes and timing.pause_s:
+            self._stopping.wait(timing.pause_s)
         return None
 
     def _record_success(self, began: float) -> None:
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -13,7 +13,7 @@
 from kingcupwheel.forwarding.calls import AnswerLost
 from kingcupwheel.forwarding.calls import OutgoingRequest
 from kingcupwheel.forwarding.calls import ServerClient
-from kingcupwheel.forwarding.connectionpool import ConnectionPool
+from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.httpmetadata import ServerNotice
 from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.forwarding.watchdog import WatchedRequest
