--- a/src/kingcupwheel/decisions/work_predictor.py
+++ b/src/kingcupwheel/decisions/work_predictor.py
@@ -29,16 +29,16 @@
 class _History:
     """Running means of one organisation on one route, or of a whole route."""
 
-    __slots__ = ("answer_tokens", "answers", "bytes_per_token")
+    __slots__ = ("answer_tokens", "answer_count", "bytes_per_token")
 
     def __init__(self) -> None:
-        self.answers = 0
+        self.answer_count = 0
         self.answer_tokens = 0.0
         self.bytes_per_token = 0.0
 
     def update(self, prompt_tokens: int, answer_tokens: int, body_bytes: int) -> None:
-        self.answers = min(self.answers + 1, HISTORY_WINDOW_ANSWERS)
-        self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answers
+        self.answer_count = min(self.answer_count + 1, HISTORY_WINDOW_ANSWERS)
+        self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answer_count
         if prompt_tokens > 0 and body_bytes > 0:
             seen = body_bytes / prompt_tokens
             gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_WINDOW_ANSWERS
@@ -107,8 +107,8 @@
         prior = whole.answer_tokens if whole is not None else DEFAULT_ANSWER_TOKENS
         if own is None:
             return prior
-        weighed = own.answer_tokens * own.answers + prior * PRIOR_WEIGHT_ANSWERS
-        return weighed / (own.answers + PRIOR_WEIGHT_ANSWERS)
+        weighed = own.answer_tokens * own.answer_count + prior * PRIOR_WEIGHT_ANSWERS
+        return weighed / (own.answer_count + PRIOR_WEIGHT_ANSWERS)
 
     @staticmethod
     def _bytes_per_token(own: _History | None, whole: _History | None) -> float:
