--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -163,7 +163,7 @@
             account.finish_gap_s += (gap_s - account.finish_gap_s) / 8
         account.finished_at = now
 
-    def demand(self, organisation: str, now: float) -> float:
+    def get_demand(self, organisation: str, now: float) -> float:
         """Return recent demand as a fraction of the whole allowance, for the peers.
 
         It is the greater of the work asked for and the places held, so that both limits
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -111,7 +111,7 @@
         """Return the organisations seen here and their demand on the allowance."""
         with self._lock:
             return [
-                (organisation, self._admission.demand(name, now))
+                (organisation, self._admission.get_demand(name, now))
                 for name, (organisation, _) in self._configured.items()
             ]
 
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -49,7 +49,7 @@
         """Exchange a heartbeat between all entries of the set."""
         told = {
             entry.name: PeerShare(
-                entry.admission.demand(self.organisation, now),
+                entry.admission.get_demand(self.organisation, now),
                 entry.share_by_organisation[self.organisation].held,
                 entry.share_by_organisation[self.organisation].wants_more,
                 HEARTBEAT_S,
