--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -47,7 +47,7 @@
     __slots__ = (
         "allowance",
         "refilled_at",
-        "demand",
+        "recent_work",
         "finish_gap_s",
         "finished_at",
         "in_flight",
@@ -62,7 +62,7 @@
         self.tokens = allowance.burst * share
         self.refilled_at: float | None = None
         self.in_flight = 0
-        self.demand = DecayingSum(DEMAND_WINDOW_S)
+        self.recent_work = DecayingSum(DEMAND_WINDOW_S)
         self.finish_gap_s = _DEFAULT_FINISH_GAP_S
         self.finished_at: float | None = None
         self.next_free_at = 0.0
@@ -135,7 +135,7 @@
                 "organisation", "the organisation has no allowance", 0.0
             )
         account.refill_tokens(now)
-        account.demand.add(work, now)
+        account.recent_work.add(work, now)
         if account.in_flight >= account.concurrency:
             detail = f"{account.in_flight} requests in progress here"
             wait_s = account.finish_gap_s
@@ -172,7 +172,7 @@
         account = self._by_organisation.get(organisation)
         if account is None:
             return 0.0
-        work = account.demand.rate(now) / max(account.allowance.work_per_s, 1.0)
+        work = account.recent_work.rate(now) / max(account.allowance.work_per_s, 1.0)
         return max(work, account.in_flight / max(account.allowance.concurrency, 1))
 
 
