--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -83,9 +83,9 @@
             0.0 if self.refilled_at is None else max(0.0, now - self.refilled_at)
         )
         self.refilled_at = now
-        full = self.allowance.burst * self.share
-        if self.tokens < full:
-            self.tokens = min(full, self.tokens + elapsed_s * self.rate)
+        max_tokens = self.allowance.burst * self.share
+        if self.tokens < max_tokens:
+            self.tokens = min(max_tokens, self.tokens + elapsed_s * self.rate)
 
 
 class AdmissionController:
@@ -102,66 +102,68 @@
     """
 
     def __init__(self) -> None:
-        self._by_organisation: dict[str, _OrganisationBudget] = {}
+        self._budget_by_organisation: dict[str, _OrganisationBudget] = {}
 
     def __len__(self) -> int:
-        return len(self._by_organisation)
+        return len(self._budget_by_organisation)
 
     def configure(self, organisation: str, allowance: Allowance, share: float) -> None:
         """Set an organisation's allowance and this entry's share of it (0 to 1).
 
         A new share changes what is saved up in proportion; requests in progress stay.
         """
-        account = self._by_organisation.get(organisation)
-        if account is None:
-            self._by_organisation[organisation] = _OrganisationBudget(allowance, share)
+        budget = self._budget_by_organisation.get(organisation)
+        if budget is None:
+            self._budget_by_organisation[organisation] = _OrganisationBudget(
+                allowance, share
+            )
             return
-        full = allowance.burst * share
-        account.tokens = min(account.tokens, full)
-        account.allowance = allowance
-        account.share = share
+        max_tokens = allowance.burst * share
+        budget.tokens = min(budget.tokens, max_tokens)
+        budget.allowance = allowance
+        budget.share = share
 
     def remove_organisation(self, organisation: str) -> None:
         """Drop an organisation that the manifest no longer names."""
-        self._by_organisation.pop(organisation, None)
+        self._budget_by_organisation.pop(organisation, None)
 
     def admit(
         self, organisation: str, work: float, now: float
     ) -> AdmissionGrant | LimitRefusal:
         """Decide on a request of ``work`` predicted tokens."""
-        account = self._by_organisation.get(organisation)
-        if account is None:
+        budget = self._budget_by_organisation.get(organisation)
+        if budget is None:
             return LimitRefusal(
                 "organisation", "the organisation has no allowance", 0.0
             )
-        account.refill_tokens(now)
-        account.recent_work.add(work, now)
-        if account.in_flight >= account.concurrency:
-            detail = f"{account.in_flight} requests in progress here"
-            wait_s = account.finish_gap_s
-            return _build_refusal(account, "concurrency", detail, wait_s, now)
-        if account.tokens <= 0.0:
-            detail = f"{account.rate:.0f} tokens/s are used up here"
-            wait_s = work / max(account.rate, 1.0)
-            return _build_refusal(account, "work", detail, wait_s, now)
-        account.tokens -= work
-        account.in_flight += 1
+        budget.refill_tokens(now)
+        budget.recent_work.add(work, now)
+        if budget.in_flight >= budget.concurrency:
+            detail = f"{budget.in_flight} requests in progress here"
+            wait_s = budget.finish_gap_s
+            return _build_refusal(budget, "concurrency", detail, wait_s, now)
+        if budget.tokens <= 0.0:
+            detail = f"{budget.rate:.0f} tokens/s are used up here"
+            wait_s = work / max(budget.rate, 1.0)
+            return _build_refusal(budget, "work", detail, wait_s, now)
+        budget.tokens -= work
+        budget.in_flight += 1
         return AdmissionGrant(work)
 
     def settle(
         self, organisation: str, predicted: float, actual: float, now: float
     ) -> None:
         """Settle an admitted request: charge the work it took, not the predicted."""
-        account = self._by_organisation.get(organisation)
-        if account is None:
+        budget = self._budget_by_organisation.get(organisation)
+        if budget is None:
             return
-        account.refill_tokens(now)
-        account.in_flight = max(0, account.in_flight - 1)
-        account.tokens += predicted - actual
-        if account.finished_at is not None:
-            gap_s = min(now - account.finished_at, MAX_RETRY_AFTER_S)
-            account.finish_gap_s += (gap_s - account.finish_gap_s) / 8
-        account.finished_at = now
+        budget.refill_tokens(now)
+        budget.in_flight = max(0, budget.in_flight - 1)
+        budget.tokens += predicted - actual
+        if budget.finished_at is not None:
+            gap_s = min(now - budget.finished_at, MAX_RETRY_AFTER_S)
+            budget.finish_gap_s += (gap_s - budget.finish_gap_s) / 8
+        budget.finished_at = now
 
     def get_demand(self, organisation: str, now: float) -> float:
         """Return recent demand as a fraction of the whole allowance, for the peers.
@@ -169,7 +171,7 @@
         It is the greater of the work asked for and the places held, so that both limits
         follow where the callers are.
         """
-        account = self._by_organisation.get(organisation)
+        account = self._budget_by_organisation.get(organisation)
         if account is None:
             return 0.0
         work = account.recent_work.rate(now) / max(account.allowance.work_per_s, 1.0)
@@ -177,7 +179,7 @@
 
 
 def _build_refusal(
-    account: _OrganisationBudget, limit: str, detail: str, wait_s: float, now: float
+    budget: _OrganisationBudget, limit: str, detail: str, wait_s: float, now: float
 ) -> LimitRefusal:
     """Refuse with a time of its own for every caller to come back.
 
@@ -185,10 +187,10 @@
     they all come back together and are refused again. Each refusal takes the next free
     time at the pace at which the allowance frees places.
     """
-    debt_s = max(0.0, -account.tokens) / max(account.rate, 1.0)
-    earliest = max(account.next_free_at, now + debt_s)
-    if earliest - now >= MAX_RETRY_AFTER_S:
-        earliest = now + debt_s
-    account.next_free_at = earliest + wait_s
-    after_s = min(MAX_RETRY_AFTER_S, account.next_free_at - now)
-    return LimitRefusal(limit, detail, max(MIN_RETRY_AFTER_S, after_s))
+    debt_s = max(0.0, -budget.tokens) / max(budget.rate, 1.0)
+    earliest_at = max(budget.next_free_at, now + debt_s)
+    if earliest_at - now >= MAX_RETRY_AFTER_S:
+        earliest_at = now + debt_s
+    budget.next_free_at = earliest_at + wait_s
+    retry_after_s = min(MAX_RETRY_AFTER_S, budget.next_free_at - now)
+    return LimitRefusal(limit, detail, max(MIN_RETRY_AFTER_S, retry_after_s))
--- a/src/kingcupwheel/decisions/age_normalization.py
+++ b/src/kingcupwheel/decisions/age_normalization.py
@@ -27,17 +27,17 @@
     """
     if not candidates:
         return candidates
-    least_heard_s = min(one.report_age_s for one in candidates)
-    typical_s = median(one.uptime_s for one in candidates)
-    if least_heard_s <= REPORT_FRESH_S and typical_s >= SLOW_START_S:
+    min_report_age_s = min(one.report_age_s for one in candidates)
+    median_uptime_s = median(one.uptime_s for one in candidates)
+    if min_report_age_s <= REPORT_FRESH_S and median_uptime_s >= SLOW_START_S:
         return candidates
-    common_s = max(0.0, least_heard_s - REPORT_FRESH_S)
-    stretch = max(1.0, SLOW_START_S / max(typical_s, 1e-3))
+    common_age_s = max(0.0, min_report_age_s - REPORT_FRESH_S)
+    uptime_scale = max(1.0, SLOW_START_S / max(median_uptime_s, 1e-3))
     return [
         replace(
             one,
-            report_age_s=one.report_age_s - common_s,
-            uptime_s=max(one.uptime_s, 1e-3) * stretch,
+            report_age_s=one.report_age_s - common_age_s,
+            uptime_s=max(one.uptime_s, 1e-3) * uptime_scale,
         )
         for one in candidates
     ]
--- a/src/kingcupwheel/decisions/allowance_shares.py
+++ b/src/kingcupwheel/decisions/allowance_shares.py
@@ -118,38 +118,42 @@
     the allowance. ``peers`` are the other members; ``demand`` is a fraction of the
     whole allowance. Call it just before each heartbeat, and first thing after a pause.
     """
-    equal = 1.0 / (len(peers) + 1)
-    misses = any(peer.age_s > PEER_STALE_S for peer in peers)
-    if misses:
+    equal_share = 1.0 / (len(peers) + 1)
+    misses_peer = any(peer.age_s > PEER_STALE_S for peer in peers)
+    if misses_peer:
         share = share._replace(peer_missed_at=now)
-    target = equal if misses else _compute_target(demand, peers, equal)
+    target = equal_share if misses_peer else _compute_target(demand, peers, equal_share)
     if target <= share.held:
         return share._replace(held=target, wants_more_since=None)
-    wants_since = now if share.wants_more_since is None else share.wants_more_since
-    settled_at = max(wants_since, share.raised_at)
-    if not misses:
+    wants_more_since = now if share.wants_more_since is None else share.wants_more_since
+    settled_at = max(wants_more_since, share.raised_at)
+    if not misses_peer:
         # Failure: a link heals, and this entry hears a peer that does not yet hear it.
         # Symptom: this one lends itself what the peer takes back as its equal part.
         # Once the peer has answered what was sent after that, both hear each other.
         settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
-        return share._replace(wants_more_since=wants_since)
-    free = 1.0 - share.held - sum(_assumed_held(peer, equal) for peer in peers)
-    claims = 1 + sum(peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers)
-    if free <= 0.0:
-        return share._replace(wants_more_since=wants_since)
-    held = min(target, share.held + free / claims)
-    return share._replace(held=held, wants_more_since=wants_since, raised_at=now)
-
-
-def _compute_target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
+        return share._replace(wants_more_since=wants_more_since)
+    unheld = 1.0 - share.held - sum(_assumed_held(peer, equal_share) for peer in peers)
+    claimants = 1 + sum(
+        peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers
+    )
+    if unheld <= 0.0:
+        return share._replace(wants_more_since=wants_more_since)
+    held = min(target, share.held + unheld / claimants)
+    return share._replace(held=held, wants_more_since=wants_more_since, raised_at=now)
+
+
+def _compute_target(
+    demand: float, peers: Sequence[PeerShare], equal_share: float
+) -> float:
     total = demand + sum(peer.demand for peer in peers)
     if total < _MIN_DEMAND:
-        return equal
+        return equal_share
     if total <= 1.0:
-        busy = SPARE_BY_DEMAND_FRACTION * demand / total
+        demand_fraction = SPARE_BY_DEMAND_FRACTION * demand / total
         return demand + (1.0 - total) * (
-            busy + (1.0 - SPARE_BY_DEMAND_FRACTION) * equal
+            demand_fraction + (1.0 - SPARE_BY_DEMAND_FRACTION) * equal_share
         )
     return demand / total
 
@@ -161,5 +165,5 @@
     return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
 
 
-def _assumed_held(peer: PeerShare, equal: float) -> float:
-    return equal if peer.age_s > PEER_RELEASE_S else peer.held
+def _assumed_held(peer: PeerShare, equal_share: float) -> float:
+    return equal_share if peer.age_s > PEER_RELEASE_S else peer.held
--- a/src/kingcupwheel/decisions/baseline_policies.py
+++ b/src/kingcupwheel/decisions/baseline_policies.py
@@ -31,10 +31,10 @@
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Draw evenly."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        return SelectedServer(rng.choice(able).name, "random")
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        return SelectedServer(rng.choice(eligible).name, "random")
 
 
 @placement_policies.register("round-robin")
@@ -52,11 +52,11 @@
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the next one."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
         return SelectedServer(
-            able[next(self._counter) % len(able)].name, "next in turn"
+            eligible[next(self._counter) % len(eligible)].name, "next in turn"
         )
 
 
@@ -72,8 +72,8 @@
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Take the least, drawn evenly among equals."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        best = min(able, key=lambda one: (one.own_in_flight, rng.random()))
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        best = min(eligible, key=lambda one: (one.own_in_flight, rng.random()))
         return SelectedServer(best.name, "fewest in flight")
--- a/src/kingcupwheel/decisions/crash_suspects.py
+++ b/src/kingcupwheel/decisions/crash_suspects.py
@@ -86,8 +86,8 @@
     @property
     def retention_s(self) -> float:
         """How long after the last death it is still remembered."""
-        quarantined = self.active_count >= QUARANTINE_CRASHES
-        return SUSPECT_RETENTION_S + (QUARANTINE_S if quarantined else 0.0)
+        is_quarantined = self.active_count >= QUARANTINE_CRASHES
+        return SUSPECT_RETENTION_S + (QUARANTINE_S if is_quarantined else 0.0)
 
 
 class CrashSuspects:
@@ -99,8 +99,8 @@
     finish once, or forgotten when nothing dies of them again.
     """
 
-    def __init__(self, *, limit: int = MAX_FINGERPRINTS) -> None:
-        self._limit = limit
+    def __init__(self, *, max_fingerprints: int = MAX_FINGERPRINTS) -> None:
+        self._max_fingerprints = max_fingerprints
         self._record_by_fingerprint: OrderedDict[str, _CrashRecord] = OrderedDict()
 
     def __len__(self) -> int:
@@ -161,15 +161,15 @@
         as it is remembered would add kilobytes to every heartbeat for ten minutes.
         """
         return tuple(
-            (fingerprint, death)
+            (fingerprint, crash_id)
             for fingerprint, record in self._record_by_fingerprint.items()
             if now - record.last_crash_at <= GOSSIP_S
-            for death in sorted(record.crash_ids - record.cleared_ids)
+            for crash_id in sorted(record.crash_ids - record.cleared_ids)
         )
 
     def _get_or_create(self, fingerprint: str) -> _CrashRecord:
         record = self._record_by_fingerprint.setdefault(fingerprint, _CrashRecord())
         self._record_by_fingerprint.move_to_end(fingerprint)
-        while len(self._record_by_fingerprint) > self._limit:
+        while len(self._record_by_fingerprint) > self._max_fingerprints:
             self._record_by_fingerprint.popitem(last=False)
         return record
--- a/src/kingcupwheel/decisions/fair_queue.py
+++ b/src/kingcupwheel/decisions/fair_queue.py
@@ -99,12 +99,12 @@
 
     def __init__(
         self,
-        limit: int,
+        max_requests: int,
         *,
         quantum: float = QUANTUM_TOKENS,
         max_wait_s: float = MAX_WAIT_S,
     ) -> None:
-        self._limit = limit
+        self._max_requests = max_requests
         self._max_wait_s = max_wait_s
         self._quantum = quantum
         self._flow_by_key: dict[tuple[str, int], _Flow] = {}
@@ -123,29 +123,29 @@
         """The predicted work that waits, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
-    def push(self, waiting: QueuedRequest, now: float) -> Enqueued | LimitRefusal:
+    def push(self, request: QueuedRequest, now: float) -> Enqueued | LimitRefusal:
         """Queue a request, or refuse it at once with a time to come back."""
         ahead = len(self)
-        key = (waiting.organisation, waiting.priority)
-        flow = self._flow_by_key.get(key) or _Flow(waiting.priority)
-        if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._limit - ahead):
+        key = (request.organisation, request.priority)
+        flow = self._flow_by_key.get(key) or _Flow(request.priority)
+        if len(flow.requests) >= MAX_FLOW_PER_FREE_SLOT * (self._max_requests - ahead):
             wait_s = self._drain_rate.estimate_drain_s(self.queued_work, now)
             return self._build_refusal(
-                "queue", f"{ahead} requests wait", wait_s, waiting, now
+                "queue", f"{ahead} requests wait", wait_s, request, now
             )
-        wait_s = self._predict_wait_s(flow, waiting.work, now)
-        left_s = waiting.deadline_at - now
-        if wait_s > left_s:
-            detail = f"predicted wait {wait_s:.1f} s, deadline in {left_s:.1f} s"
+        wait_s = self._predict_wait_s(flow, request.work, now)
+        remaining_s = request.deadline_at - now
+        if wait_s > remaining_s:
+            detail = f"predicted wait {wait_s:.1f} s, deadline in {remaining_s:.1f} s"
             return self._build_refusal(
-                "deadline", detail, wait_s - left_s, waiting, now
+                "deadline", detail, wait_s - remaining_s, request, now
             )
         if wait_s > self._max_wait_s:
             detail = f"predicted wait {wait_s:.1f} s"
-            return self._build_refusal("wait", detail, wait_s, waiting, now)
+            return self._build_refusal("wait", detail, wait_s, request, now)
         if not self._request_by_id:
             self._drain_rate.mark_nonempty(now)
-        self._enqueue(key, flow, waiting)
+        self._enqueue(key, flow, request)
         return Enqueued(ahead, wait_s)
 
     def peek(self, now: float) -> QueuedRequest | None:
@@ -164,34 +164,34 @@
 
     def pop(self, now: float) -> QueuedRequest | None:
         """Take out and return what ``peek`` returns."""
-        waiting = self.peek(now)
-        if waiting is None:
+        request = self.peek(now)
+        if request is None:
             return None
         key = self._active_keys[0]
         flow = self._flow_by_key[key]
         flow.requests.popleft()
-        flow.deficit -= waiting.work
-        flow.backlog -= waiting.work
-        del self._request_by_id[waiting.request_id]
+        flow.deficit -= request.work
+        flow.backlog -= request.work
+        del self._request_by_id[request.request_id]
         self._drop_if_empty(key, flow)
         # What finds a place at once says nothing about how fast a backlog drains.
-        if now > waiting.queued_at:
-            self._drain_rate.record_dequeue(waiting.work, now)
+        if now > request.queued_at:
+            self._drain_rate.record_dequeue(request.work, now)
         self._mark_if_empty(now)
-        return waiting
+        return request
 
     def remove(self, request_id: str, now: float) -> QueuedRequest | None:
         """Take a request out, for instance when its caller has left."""
-        waiting = self._request_by_id.pop(request_id, None)
-        if waiting is None:
+        request = self._request_by_id.pop(request_id, None)
+        if request is None:
             return None
-        key = (waiting.organisation, waiting.priority)
+        key = (request.organisation, request.priority)
         flow = self._flow_by_key[key]
-        flow.requests.remove(waiting)
-        flow.backlog -= waiting.work
+        flow.requests.remove(request)
+        flow.backlog -= request.work
         self._drop_if_empty(key, flow)
         self._mark_if_empty(now)
-        return waiting
+        return request
 
     def take_expired(self, now: float) -> list[QueuedRequest]:
         """Return, once, the requests whose deadline passed while they waited."""
@@ -201,15 +201,15 @@
         return expired
 
     def _enqueue(
-        self, key: tuple[str, int], flow: _Flow, waiting: QueuedRequest
+        self, key: tuple[str, int], flow: _Flow, request: QueuedRequest
     ) -> None:
         if not flow.requests:
             self._flow_by_key[key] = flow
             self._active_keys.append(key)
-        flow.requests.append(waiting)
-        flow.backlog += waiting.work
-        self._request_by_id[waiting.request_id] = waiting
-        heappush(self._deadlines, (waiting.deadline_at, waiting.request_id))
+        flow.requests.append(request)
+        flow.backlog += request.work
+        self._request_by_id[request.request_id] = request
+        heappush(self._deadlines, (request.deadline_at, request.request_id))
 
     def _skip_rounds(self) -> None:
         """Grant at once the rounds in which nobody's deficit would suffice.
@@ -238,28 +238,31 @@
     def _drop_expired(self, now: float) -> None:
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heappop(self._deadlines)
-            waiting = self._request_by_id.get(request_id)
-            if waiting is not None and waiting.deadline_at <= now:
+            request = self._request_by_id.get(request_id)
+            if request is not None and request.deadline_at <= now:
                 self.remove(request_id, now)
-                self._expired.append(waiting)
+                self._expired.append(request)
 
-    def _predict_wait_s(self, own: _Flow, work: float, now: float) -> float:
+    def _predict_wait_s(self, own_flow: _Flow, work: float, now: float) -> float:
         """Return the seconds until a new request of ``own`` would be taken.
 
         Until then every other flow is served its weight's part of what ``own`` is, or
         what it has and is filled up with meanwhile.
         """
-        mine = own.backlog + work
-        before = own.backlog
+        own_work = own_flow.backlog + work
+        work_before = own_flow.backlog
         for flow in self._flow_by_key.values():
-            if flow is not own:
-                before += min(
-                    MAX_BACKLOG_REFILLS * flow.backlog, mine * flow.weight / own.weight
+            if flow is not own_flow:
+                work_before += min(
+                    MAX_BACKLOG_REFILLS * flow.backlog,
+                    own_work * flow.weight / own_flow.weight,
                 )
-        return PREDICTED_WAIT_FACTOR * self._drain_rate.estimate_drain_s(before, now)
+        return PREDICTED_WAIT_FACTOR * self._drain_rate.estimate_drain_s(
+            work_before, now
+        )
 
     def _build_refusal(
-        self, limit: str, detail: str, wait_s: float, waiting: QueuedRequest, now: float
+        self, limit: str, detail: str, wait_s: float, request: QueuedRequest, now: float
     ) -> LimitRefusal:
         """Refuse with a time to come back at which there may be room.
 
@@ -269,10 +272,10 @@
         next turn at the pace at which the queue drains, and is spread by its request's
         id, so that a trace can be worked out again.
         """
-        turn_at = max(now + wait_s, self._next_retry_at)
-        base_s = min(max(MIN_RETRY_AFTER_S, turn_at - now), MAX_RETRY_AFTER_S / 2)
+        retry_at = max(now + wait_s, self._next_retry_at)
+        base_s = min(max(MIN_RETRY_AFTER_S, retry_at - now), MAX_RETRY_AFTER_S / 2)
         self._next_retry_at = (
-            now + base_s + self._drain_rate.estimate_drain_s(waiting.work, now)
+            now + base_s + self._drain_rate.estimate_drain_s(request.work, now)
         )
-        after_s = base_s * (1.0 + stable_fraction(waiting.request_id))
-        return LimitRefusal(limit, detail, after_s)
+        retry_after_s = base_s * (1.0 + stable_fraction(request.request_id))
+        return LimitRefusal(limit, detail, retry_after_s)
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -45,24 +45,24 @@
     """
 
     def __init__(self) -> None:
-        self._by_name: dict[str, ServerHealth] = {}
+        self._health_by_server: dict[str, ServerHealth] = {}
 
     def get(self, server: str) -> ServerHealth:
         """Return the health of ``server``, new if it was never seen."""
-        health = self._by_name.get(server)
+        health = self._health_by_server.get(server)
         if health is None:
-            health = self._by_name[server] = ServerHealth()
+            health = self._health_by_server[server] = ServerHealth()
         return health
 
     def reset(self, server: str) -> None:
         """Forget what is known of ``server``: a new life of it has come up."""
-        self._by_name.pop(server, None)
+        self._health_by_server.pop(server, None)
 
     def retain(self, servers: Iterable[str]) -> None:
         """Forget every server but these."""
-        wanted = set(servers)
-        for name in [name for name in self._by_name if name not in wanted]:
-            del self._by_name[name]
+        kept = set(servers)
+        for name in [name for name in self._health_by_server if name not in kept]:
+            del self._health_by_server[name]
 
     def update_states(
         self, loads: Iterable[ServerLoad], now: float
@@ -71,24 +71,26 @@
         load_by_name = {load.name: load for load in loads}
         health_by_name = {name: self.get(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
-        held = sum(load.in_flight for load in load_by_name.values())
+        total_in_flight = sum(load.in_flight for load in load_by_name.values())
         serving = [load for load in load_by_name.values() if load.is_in_service]
-        places = sum(load.capacity for load in serving)
-        may_leave = int(len(serving) * MAX_EJECTED_SHARE)
+        total_capacity = sum(load.capacity for load in serving)
+        ejections_left = int(len(serving) * MAX_EJECTED_SHARE)
         state_by_name: dict[str, ServerState] = {}
         for name in sorted(
             load_by_name, key=lambda name: _update_order(health_by_name, name)
         ):
             load = load_by_name[name]
-            has_room = held <= places - load.capacity * load.is_in_service
-            may_eject = may_leave > 0 and has_room
+            has_room = (
+                total_in_flight <= total_capacity - load.capacity * load.is_in_service
+            )
+            may_eject = ejections_left > 0 and has_room
             state = health_by_name[name].update_state(
                 median_s, now, may_eject=may_eject
             )
             state_by_name[name] = state
             if state in _OUT_OF_SERVICE_STATES and load.is_in_service:
-                may_leave -= 1
-                places -= load.capacity
+                ejections_left -= 1
+                total_capacity -= load.capacity
         return state_by_name
 
 
--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -67,9 +67,9 @@
         if preference is None:
             continue
         rank, name = preference
-        turned_away = option_by_name[name].add_bid(_Bid(-rank, chooser))
-        if turned_away is not None:
-            unplaced.append(turned_away)
+        rejected = option_by_name[name].add_bid(_Bid(-rank, chooser))
+        if rejected is not None:
+            unplaced.append(rejected)
     chosen_by_chooser = _group_by_chooser(choosers, option_by_name)
     return {
         chooser: _fill_up(chooser, chosen, options, wanted)
@@ -104,5 +104,7 @@
 ) -> tuple[str, ...]:
     if len(chosen) == wanted:
         return tuple(chosen)
-    others = [name for _, name in _rank_options(chooser, options) if name not in chosen]
-    return (*chosen, *others[: wanted - len(chosen)])
+    remaining = [
+        name for _, name in _rank_options(chooser, options) if name not in chosen
+    ]
+    return (*chosen, *remaining[: wanted - len(chosen)])
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -74,39 +74,47 @@
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
     """Return the servers that may be given ``request``, or why there are none."""
-    known = normalize_ages(candidates)
-    up = [candidate for candidate in known if candidate.state not in UNAVAILABLE_STATES]
-    if not up:
-        return _explain_none_up(known, request)
-    with_room = [candidate for candidate in up if not candidate.is_full]
-    if not with_room:
-        return _explain_none_with_capacity(known, request)
+    normalized = normalize_ages(candidates)
+    available = [
+        candidate
+        for candidate in normalized
+        if candidate.state not in UNAVAILABLE_STATES
+    ]
+    if not available:
+        return _explain_none_up(normalized, request)
+    with_capacity = [candidate for candidate in available if not candidate.is_full]
+    if not with_capacity:
+        return _explain_none_with_capacity(normalized, request)
     untried = [
         candidate
-        for candidate in with_room
+        for candidate in with_capacity
         if candidate.name not in request.excluded_servers
     ]
     if not untried:
-        return _explain_none_untried(known, up, request)
+        return _explain_none_untried(normalized, available, request)
     if not request.is_suspect:
         return untried
     # Failure: two suspects on one server, which dies. Symptom: the innocent one is
     # blamed twice. Apart, the second death leaves a single cause.
-    alone = [candidate for candidate in untried if not candidate.running_suspects]
-    return alone or ALL_SERVERS_RUN_SUSPECTS
+    without_suspects = [
+        candidate for candidate in untried if not candidate.running_suspects
+    ]
+    return without_suspects or ALL_SERVERS_RUN_SUSPECTS
 
 
 def _explain_none_up(
-    known: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
     """Return what stands in the way of all; an ejected or silent server may be back."""
-    waited_for = [one for one in known if one.state is not ServerState.LEAVING]
-    rests = [one for one in waited_for if one.state is ServerState.BACKING_OFF]
-    if not rests or len(rests) < len(waited_for):
+    not_leaving = [one for one in candidates if one.state is not ServerState.LEAVING]
+    backing_off = [one for one in not_leaving if one.state is ServerState.BACKING_OFF]
+    if not backing_off or len(backing_off) < len(not_leaving):
         return NO_SERVER_IN_SERVICE
-    untried = [one for one in rests if one.name not in request.excluded_servers]
+    untried = [one for one in backing_off if one.name not in request.excluded_servers]
     if not untried:
-        return ALL_SERVERS_TRIED._replace(backoff_ends_at=_earliest_backoff_end(rests))
+        return ALL_SERVERS_TRIED._replace(
+            backoff_ends_at=_earliest_backoff_end(backing_off)
+        )
     reason = (
         UNTRIED_SERVERS_BACKING_OFF
         if request.excluded_servers
@@ -116,42 +124,44 @@
 
 
 def _explain_none_with_capacity(
-    known: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
     """Return what stands in the way; room on a server already tried is no help."""
-    waited_for = [
+    untried = [
         one
-        for one in known
+        for one in candidates
         if one.state is not ServerState.LEAVING
         and one.name not in request.excluded_servers
     ]
-    if waited_for and all(one.state is ServerState.BACKING_OFF for one in waited_for):
+    if untried and all(one.state is ServerState.BACKING_OFF for one in untried):
         return UNTRIED_SERVERS_BACKING_OFF._replace(
-            backoff_ends_at=_earliest_backoff_end(waited_for)
+            backoff_ends_at=_earliest_backoff_end(untried)
         )
     return ALL_SERVERS_FULL
 
 
 def _explain_none_untried(
-    known: Sequence[Candidate], up: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate],
+    available: Sequence[Candidate],
+    request: PlacementRequest,
 ) -> NoServerAvailable:
-    if not request.excluded_servers.issuperset(_names(up)):
+    if not request.excluded_servers.issuperset(_names(available)):
         return UNTRIED_SERVERS_FULL
-    rests = [
+    backing_off = [
         one
-        for one in known
+        for one in candidates
         if one.state is ServerState.BACKING_OFF
         and one.name not in request.excluded_servers
     ]
-    if not rests:
+    if not backing_off:
         return ALL_SERVERS_TRIED
     return UNTRIED_SERVERS_BACKING_OFF._replace(
-        backoff_ends_at=_earliest_backoff_end(rests)
+        backoff_ends_at=_earliest_backoff_end(backing_off)
     )
 
 
-def _earliest_backoff_end(rests: Sequence[Candidate]) -> float:
-    return min(one.backoff_until for one in rests)
+def _earliest_backoff_end(backing_off: Sequence[Candidate]) -> float:
+    return min(one.backoff_until for one in backing_off)
 
 
 @placement_policies.register("two-choices")
@@ -172,31 +182,35 @@
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
         """Choose a server; ``now`` is not needed, since ages are in the candidates."""
-        able = select_eligible(correct_load_reports(candidates), request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        proven, probed = _split_probed(able)
-        if probed and (not proven or _should_probe(request, rng)):
+        eligible = select_eligible(correct_load_reports(candidates), request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        unprobed, probed = _split_probed(eligible)
+        if probed and (not unprobed or _should_probe(request, rng)):
             return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
-        if not proven:
+        if not unprobed:
             # Only busy probed servers are left for this request.
             return (
                 UNTRIED_SERVERS_FULL
                 if request.excluded_servers or request.is_suspect
                 else ALL_SERVERS_FULL
             )
-        home = self._find_affinity_server(proven, request)
-        if home is not None:
-            return SelectedServer(home.name, "home of the prefix", _list_loads([home]))
-        drawn = _sample_pair(proven, request, rng)
-        best = min(drawn, key=lambda candidate: _compute_cost(candidate, request))
-        others = [candidate for candidate in drawn if candidate is not best]
-        why = "less loaded of two" if others else "the only one with room"
-        return SelectedServer(best.name, why, _list_loads([best, *others]))
+        affinity_server = self._find_affinity_server(unprobed, request)
+        if affinity_server is not None:
+            return SelectedServer(
+                affinity_server.name,
+                "home of the prefix",
+                _list_loads([affinity_server]),
+            )
+        sampled = _sample_pair(unprobed, request, rng)
+        best = min(sampled, key=lambda candidate: _compute_cost(candidate, request))
+        others = [candidate for candidate in sampled if candidate is not best]
+        reason = "less loaded of two" if others else "the only one with room"
+        return SelectedServer(best.name, reason, _list_loads([best, *others]))
 
     @staticmethod
     def _find_affinity_server(
-        proven: Sequence[Candidate], request: PlacementRequest
+        unprobed: Sequence[Candidate], request: PlacementRequest
     ) -> Candidate | None:
         """Return the prefix's home by rendezvous hashing, if it has room to spare.
 
@@ -205,24 +219,28 @@
         """
         if not request.prefix_key or request.is_suspect:
             return None
-        sound = [one for one in proven if one.state is not ServerState.FAILING]
-        if not sound:
+        not_failing = [one for one in unprobed if one.state is not ServerState.FAILING]
+        if not not_failing:
             return None
-        home = max(sound, key=lambda one: stable_hash(request.prefix_key, one.name))
-        mean = sum(candidate.load for candidate in proven) / len(proven)
-        if home.load > min(AFFINITY_MAX_LOAD, mean + AFFINITY_LOAD_MARGIN):
+        preferred = max(
+            not_failing, key=lambda one: stable_hash(request.prefix_key, one.name)
+        )
+        mean_load = sum(candidate.load for candidate in unprobed) / len(unprobed)
+        if preferred.load > min(AFFINITY_MAX_LOAD, mean_load + AFFINITY_LOAD_MARGIN):
             return None
-        return home
+        return preferred
 
 
 def _names(candidates: Sequence[Candidate]) -> set[str]:
     return {candidate.name for candidate in candidates}
 
 
-def _split_probed(able: Sequence[Candidate]) -> tuple[list[Candidate], list[Candidate]]:
-    proven = [one for one in able if one.state is not ServerState.PROBING]
-    probed = [one for one in able if one.state is ServerState.PROBING]
-    return proven, [one for one in probed if one.own_in_flight == 0]
+def _split_probed(
+    eligible: Sequence[Candidate],
+) -> tuple[list[Candidate], list[Candidate]]:
+    unprobed = [one for one in eligible if one.state is not ServerState.PROBING]
+    probed = [one for one in eligible if one.state is ServerState.PROBING]
+    return unprobed, [one for one in probed if one.own_in_flight == 0]
 
 
 def _should_probe(request: PlacementRequest, rng: Random) -> bool:
@@ -233,14 +251,14 @@
 
 
 def _sample_pair(
-    proven: Sequence[Candidate], request: PlacementRequest, rng: Random
+    servers: Sequence[Candidate], request: PlacementRequest, rng: Random
 ) -> list[Candidate]:
     """Draw two different servers, each as often as it has room."""
-    if len(proven) <= SAMPLED_SERVERS:
-        return list(proven)
-    near = [one for one in proven if one.data_centre == request.data_centre]
-    first = _sample_one(near if request.prefers_local and near else proven, rng)
-    return [first, _sample_one([one for one in proven if one is not first], rng)]
+    if len(servers) <= SAMPLED_SERVERS:
+        return list(servers)
+    local = [one for one in servers if one.data_centre == request.data_centre]
+    first = _sample_one(local if request.prefers_local and local else servers, rng)
+    return [first, _sample_one([one for one in servers if one is not first], rng)]
 
 
 def _sample_one(servers: Sequence[Candidate], rng: Random) -> Candidate:
--- a/src/kingcupwheel/decisions/server_health.py
+++ b/src/kingcupwheel/decisions/server_health.py
@@ -138,8 +138,8 @@
         if self._ejected_until is None and may_eject and self.should_eject(now):
             self._eject(now)
         if self._ejected_until is not None:
-            waits = now < self._ejected_until
-            return ServerState.EJECTED if waits else ServerState.PROBING
+            is_waiting = now < self._ejected_until
+            return ServerState.EJECTED if is_waiting else ServerState.PROBING
         has_just_failed = now - self._failed_at < FAILURE_PENALTY_S
         if (self._consecutive_failures and has_just_failed) or self.should_eject(now):
             return ServerState.FAILING
--- a/src/kingcupwheel/decisions/server_notices.py
+++ b/src/kingcupwheel/decisions/server_notices.py
@@ -51,28 +51,28 @@
         A shorter wish does not end an earlier one: answers overtake each other.
         """
         until = now + min(duration_s, MAX_BACKOFF_S)
-        known = self.backoff_until(incarnation)
-        if until <= now or (known is not None and until <= known):
+        known_until = self.backoff_until(incarnation)
+        if until <= now or (known_until is not None and until <= known_until):
             return False
         self._get_or_create(incarnation).backoff_until = until
         return True
 
     def record_leaving(self, incarnation: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
-        told = self._get_or_create(incarnation)
-        is_news = not told.is_leaving
-        told.is_leaving = True
+        notice = self._get_or_create(incarnation)
+        is_news = not notice.is_leaving
+        notice.is_leaving = True
         return is_news
 
     def is_leaving(self, incarnation: str) -> bool:
         """Return whether it said that it leaves, which holds until it is gone."""
-        told = self._notice_by_incarnation.get(incarnation)
-        return told is not None and told.is_leaving
+        notice = self._notice_by_incarnation.get(incarnation)
+        return notice is not None and notice.is_leaving
 
     def backoff_until(self, incarnation: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
-        told = self._notice_by_incarnation.get(incarnation)
-        return None if told is None else told.backoff_until
+        notice = self._notice_by_incarnation.get(incarnation)
+        return None if notice is None else notice.backoff_until
 
     def is_backing_off(self, incarnation: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
@@ -87,25 +87,25 @@
 
     def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
         """Return, once, the lives whose rest is over."""
-        found = tuple(
+        ended = tuple(
             life
-            for life, told in self._notice_by_incarnation.items()
-            if told.backoff_until is not None and told.backoff_until <= now
+            for life, notice in self._notice_by_incarnation.items()
+            if notice.backoff_until is not None and notice.backoff_until <= now
         )
-        for life in found:
+        for life in ended:
             if self._notice_by_incarnation[life].is_leaving:
                 self._notice_by_incarnation[life].backoff_until = None
             else:
                 del self._notice_by_incarnation[life]
-        return found
+        return ended
 
     def retain(self, incarnations: Collection[str], now: float) -> tuple[str, ...]:
         """Forget lives that have been off the list for long; return them."""
-        for life, told in self._notice_by_incarnation.items():
+        for life, notice in self._notice_by_incarnation.items():
             if life in incarnations:
-                told.absent_at = None
-            elif told.absent_at is None:
-                told.absent_at = now
+                notice.absent_at = None
+            elif notice.absent_at is None:
+                notice.absent_at = now
         return self._remove(
             life
             for life, told in self._notice_by_incarnation.items()
@@ -113,16 +113,16 @@
         )
 
     def _remove(self, incarnations: Iterable[str]) -> tuple[str, ...]:
-        found = tuple(incarnations)
-        for life in found:
+        removed = tuple(incarnations)
+        for life in removed:
             del self._notice_by_incarnation[life]
-        return found
+        return removed
 
     def _get_or_create(self, incarnation: str) -> _Notice:
-        found = self._notice_by_incarnation.get(incarnation)
-        if found is None:
+        notice = self._notice_by_incarnation.get(incarnation)
+        if notice is None:
             if len(self._notice_by_incarnation) >= MAX_INCARNATIONS:
                 # The one that said something first.
                 del self._notice_by_incarnation[next(iter(self._notice_by_incarnation))]
-            found = self._notice_by_incarnation[incarnation] = _Notice()
-        return found
+            notice = self._notice_by_incarnation[incarnation] = _Notice()
+        return notice
--- a/src/kingcupwheel/decisions/subset_selection.py
+++ b/src/kingcupwheel/decisions/subset_selection.py
@@ -55,9 +55,13 @@
     ``spill_part`` lies in other data centres; a data centre short of servers is made up
     for by the others. Own data centre first; ``entry`` has to be among ``entries``.
     """
-    home = next(one.data_centre for one in entries if one.name == entry)
-    near = _select_local_subsets(home, entries, servers, size, remote_fraction)
-    return _add_remote_servers(entry, home, near[entry], servers, size)
+    own_data_centre = next(one.data_centre for one in entries if one.name == entry)
+    local_by_entry = _select_local_subsets(
+        own_data_centre, entries, servers, size, remote_fraction
+    )
+    return _add_remote_servers(
+        entry, own_data_centre, local_by_entry[entry], servers, size
+    )
 
 
 def select_all_subsets(
@@ -69,10 +73,14 @@
 ) -> dict[str, tuple[str, ...]]:
     """Return the subset of every entry by its name, to see how servers are covered."""
     by_name: dict[str, tuple[str, ...]] = {}
-    for home in {one.data_centre for one in entries}:
-        near = _select_local_subsets(home, entries, servers, size, remote_fraction)
-        for entry, own in near.items():
-            by_name[entry] = _add_remote_servers(entry, home, own, servers, size)
+    for own_data_centre in {one.data_centre for one in entries}:
+        local_by_entry = _select_local_subsets(
+            own_data_centre, entries, servers, size, remote_fraction
+        )
+        for entry, local_servers in local_by_entry.items():
+            by_name[entry] = _add_remote_servers(
+                entry, own_data_centre, local_servers, servers, size
+            )
     return by_name
 
 
@@ -117,30 +125,30 @@
 
 
 def _select_local_subsets(
-    home: str,
+    data_centre: str,
     entries: Sequence[Instance],
     servers: Sequence[Instance],
     size: int,
     remote_fraction: float,
 ) -> dict[str, tuple[str, ...]]:
     """Return, for each entry of the data centre ``home``, its servers there."""
-    near = [one.name for one in servers if one.data_centre == home]
-    beside = [one.name for one in entries if one.data_centre == home]
-    far = len(servers) - len(near)
-    wanted = max(size - int(size * remote_fraction), size - far)
-    if len(near) <= wanted:
-        return dict.fromkeys(beside, tuple(near))
-    return match_evenly(beside, near, wanted)
+    local_servers = [one.name for one in servers if one.data_centre == data_centre]
+    local_entries = [one.name for one in entries if one.data_centre == data_centre]
+    remote_count = len(servers) - len(local_servers)
+    wanted = max(size - int(size * remote_fraction), size - remote_count)
+    if len(local_servers) <= wanted:
+        return dict.fromkeys(local_entries, tuple(local_servers))
+    return match_evenly(local_entries, local_servers, wanted)
 
 
 def _add_remote_servers(
     entry: str,
-    home: str,
-    near: tuple[str, ...],
+    data_centre: str,
+    local_servers: tuple[str, ...],
     servers: Sequence[Instance],
     size: int,
 ) -> tuple[str, ...]:
     """Make ``near`` up to ``size`` with servers of other data centres."""
-    far = [one.name for one in servers if one.data_centre != home]
-    far.sort(key=lambda name: stable_hash("spill", entry, name))
-    return (*near, *far[: size - len(near)])
+    remote_servers = [one.name for one in servers if one.data_centre != data_centre]
+    remote_servers.sort(key=lambda name: stable_hash("spill", entry, name))
+    return (*local_servers, *remote_servers[: size - len(local_servers)])
--- a/src/kingcupwheel/decisions/work_predictor.py
+++ b/src/kingcupwheel/decisions/work_predictor.py
@@ -40,9 +40,9 @@
         self.answer_count = min(self.answer_count + 1, HISTORY_WINDOW_ANSWERS)
         self.answer_tokens += (answer_tokens - self.answer_tokens) / self.answer_count
         if prompt_tokens > 0 and body_bytes > 0:
-            seen = body_bytes / prompt_tokens
+            observed = body_bytes / prompt_tokens
             gain = 1.0 if self.bytes_per_token == 0.0 else 1.0 / HISTORY_WINDOW_ANSWERS
-            self.bytes_per_token += (seen - self.bytes_per_token) * gain
+            self.bytes_per_token += (observed - self.bytes_per_token) * gain
 
 
 class WorkPredictor:
@@ -55,12 +55,12 @@
     """
 
     def __init__(self, *, max_histories: int = DEFAULT_MAX_HISTORIES) -> None:
-        self._limit = max_histories
-        self._by_key: OrderedDict[tuple[str, str], _History] = OrderedDict()
-        self._by_route: OrderedDict[str, _History] = OrderedDict()
+        self._max_histories = max_histories
+        self._history_by_key: OrderedDict[tuple[str, str], _History] = OrderedDict()
+        self._history_by_route: OrderedDict[str, _History] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._by_key)
+        return len(self._history_by_key)
 
     def predict(
         self, organisation: str, route: str, body_bytes: int, max_tokens: int | None
@@ -69,12 +69,14 @@
 
         ``max_tokens`` is the caller's own limit on the answer, which is never exceeded.
         """
-        whole = self._by_route.get(route)
-        own = self._by_key.get((organisation, route))
-        answer = self._answer_tokens(own, whole)
+        route_history = self._history_by_route.get(route)
+        own_history = self._history_by_key.get((organisation, route))
+        answer = self._answer_tokens(own_history, route_history)
         if max_tokens is not None:
             answer = min(answer, float(max_tokens))
-        return max(1.0, body_bytes / self._bytes_per_token(own, whole) + answer)
+        return max(
+            1.0, body_bytes / self._bytes_per_token(own_history, route_history) + answer
+        )
 
     def record_answer(
         self,
@@ -91,28 +93,39 @@
         size of the request's body, 0 if it is not known any more.
         """
         key = (organisation, route)
-        own = self._by_key.setdefault(key, _History())
-        self._by_key.move_to_end(key)
-        whole = self._by_route.setdefault(route, _History())
-        self._by_route.move_to_end(route)
-        for history in (own, whole):
+        own_history = self._history_by_key.setdefault(key, _History())
+        self._history_by_key.move_to_end(key)
+        route_history = self._history_by_route.setdefault(route, _History())
+        self._history_by_route.move_to_end(route)
+        for history in (own_history, route_history):
             history.update(prompt_tokens, answer_tokens, body_bytes)
-        while len(self._by_key) > self._limit:
-            self._by_key.popitem(last=False)
-        while len(self._by_route) > self._limit:
-            self._by_route.popitem(last=False)
+        while len(self._history_by_key) > self._max_histories:
+            self._history_by_key.popitem(last=False)
+        while len(self._history_by_route) > self._max_histories:
+            self._history_by_route.popitem(last=False)
 
     @staticmethod
-    def _answer_tokens(own: _History | None, whole: _History | None) -> float:
-        prior = whole.answer_tokens if whole is not None else DEFAULT_ANSWER_TOKENS
-        if own is None:
+    def _answer_tokens(
+        own_history: _History | None, route_history: _History | None
+    ) -> float:
+        prior = (
+            route_history.answer_tokens
+            if route_history is not None
+            else DEFAULT_ANSWER_TOKENS
+        )
+        if own_history is None:
             return prior
-        weighed = own.answer_tokens * own.answer_count + prior * PRIOR_WEIGHT_ANSWERS
-        return weighed / (own.answer_count + PRIOR_WEIGHT_ANSWERS)
+        weighed = (
+            own_history.answer_tokens * own_history.answer_count
+            + prior * PRIOR_WEIGHT_ANSWERS
+        )
+        return weighed / (own_history.answer_count + PRIOR_WEIGHT_ANSWERS)
 
     @staticmethod
-    def _bytes_per_token(own: _History | None, whole: _History | None) -> float:
-        for history in (own, whole):
+    def _bytes_per_token(
+        own_history: _History | None, route_history: _History | None
+    ) -> float:
+        for history in (own_history, route_history):
             if history is not None and history.bytes_per_token > 0.0:
                 return history.bytes_per_token
         return DEFAULT_BYTES_PER_TOKEN
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -54,7 +54,7 @@
         self._servers = servers
         self._data_centre = data_centre
         self._policy = placement_policies.get(group.placement)()
-        self._queue = FairQueue(limit=group.queue)
+        self._queue = FairQueue(max_requests=group.queue)
         self._health = GroupHealth()
         self._first_byte = FirstByteLatencyBound()
         self._tickets_by_request_id: dict[str, Ticket] = {}
