--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -171,11 +171,11 @@
         It is the greater of the work asked for and the places held, so that both limits
         follow where the callers are.
         """
-        account = self._budget_by_organisation.get(organisation)
-        if account is None:
+        budget = self._budget_by_organisation.get(organisation)
+        if budget is None:
             return 0.0
-        work = account.recent_work.rate(now) / max(account.allowance.work_per_s, 1.0)
-        return max(work, account.in_flight / max(account.allowance.concurrency, 1))
+        work = budget.recent_work.rate(now) / max(budget.allowance.work_per_s, 1.0)
+        return max(work, budget.in_flight / max(budget.allowance.concurrency, 1))
 
 
 def _build_refusal(
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -28,7 +28,7 @@
     new: str
 
 
-_FLOW_KEY = """key = (waiting.organisation, waiting.priority)
+_FLOW_KEY = """key = (request.organisation, request.priority)
         flow = self._flow_by_key"""
 _ONE_FLOW = """key = ("", 0)
         flow = self._flow_by_key"""
