--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -37,8 +37,8 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
-            "drawn[0]",
+            "min(sampled, key=lambda candidate: _compute_cost(candidate, request))",
+            "sampled[0]",
         ),
     ),
     "own-data-centre-first": (
@@ -84,7 +84,7 @@
         ),
     ),
     "admission-bounds": (
-        Edit("decisions/fair_queue.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
+        Edit("decisions/fair_queue.py", "if wait_s > remaining_s:", "if wait_s < 0.0:"),
     ),
     "fair-flows": (
         Edit(
