--- a/src/kingcupwheel/link/__init__.py
+++ b/src/kingcupwheel/link/__init__.py
@@ -1,3 +1,3 @@
-"""Sockets between the system's own processes."""
+"""zmq links between the processes of the system."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/link/exceptions.py
+++ b/src/kingcupwheel/link/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the link layer."""
+"""Errors of the link package."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LinkError(KingcupwheelError):
-    """Base class of this layer's errors."""
+    """Base class of errors of the link package."""
 
 
 class CannotListenError(LinkError):
-    """The address of the process's own socket can't be bound."""
+    """The address of the listening socket can't be bound."""
 
     def __init__(self, address: str, reason: str) -> None:
         super().__init__(f"cannot listen on {address}: {reason}")
--- a/src/kingcupwheel/link/hub.py
+++ b/src/kingcupwheel/link/hub.py
@@ -1,7 +1,7 @@
-"""One thread that owns every socket between this process and the others.
+"""Message hub: one thread that owns all zmq sockets to other processes.
 
-zmq sockets are not safe to share, so request threads hand messages over through a
-queue and the hub's thread sends them. Handlers run on the hub's thread and never block.
+zmq sockets are not thread-safe, so other threads queue messages and the hub's thread
+sends them. Handlers run on the hub's thread and must not block.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 logger = logging.getLogger("kingcupwheel.link")
 
-# Messages taken from one socket before the others get their turn: a flood on one link
-# must not hold up the heartbeats of the rest.
+# Messages read from one socket before the next socket is served: a flood on one link
+# must not delay the heartbeats of the others.
 _MAX_MESSAGES_PER_TURN = 64
-# Messages waiting for one peer. Past it a DEALER refuses and a ROUTER drops; both are
-# mended by resuming at an offset, so the bound only has to keep memory in check.
+# Messages queued for one peer. Beyond it a DEALER refuses and a ROUTER drops messages;
+# streams recover by resuming at an offset, so the bound only limits memory.
 _HIGH_WATER_MARK_MESSAGES = 4096
-# How long a closing hub lets the last frames of answers leave.
+# Time for the last frames of responses to be sent when the hub stops.
 _LINGER_MS = 1000
 
 
@@ -60,10 +60,10 @@
 
 
 class MessageHub:
-    """Sends and receives messages; ``send`` and the like are safe from any thread.
+    """Sends and receives messages; its public methods are thread-safe.
 
-    ``on_message`` and ``on_tick`` are called on the hub's thread; ``on_tick`` gets the
-    monotonic time about every ``tick_s`` seconds.
+    ``on_message`` and ``on_tick`` are called on the hub's thread, ``on_tick`` about
+    every ``tick_s`` seconds with the monotonic time.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
 
     @property
     def traffic(self) -> TrafficCounts:
-        """What has passed so far."""
+        """Counts of messages and bytes received and sent so far."""
         return TrafficCounts(*self._traffic_counts)
 
     @property
@@ -109,15 +109,15 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Send what is queued, close every socket and end the thread."""
+        """Send queued messages, close every socket and stop the thread."""
         self._stopping.set()
         self._wake()
         self._thread.join()
 
     def send(self, link: Link, message: Message) -> None:
-        """Queue ``message``; opening the link if it is an outgoing one not yet open.
+        """Queue ``message``; an outgoing link is opened if necessary.
 
-        A message for an older generation of a link goes out on the newest one.
+        A message for an older generation of a link is sent on the newest one.
         """
         self._commands.append(_SendCommand(link, message))
         self._wake()
@@ -145,7 +145,7 @@
         return router
 
     def _wake(self) -> None:
-        # A full buffer means that a wake-up is pending already.
+        # A full buffer means that a wake-up is already pending.
         with contextlib.suppress(BlockingIOError, OSError):
             self._wake_in.send(b"\0")
 
@@ -166,7 +166,7 @@
         try:
             self._on_tick(now)
         except Exception:
-            logger.exception("Tick failed.")
+            logger.exception("Unhandled exception in the tick callback.")
         return now + self._tick_s
 
     def _run_commands(self) -> None:
@@ -193,7 +193,7 @@
                 case IncomingLink(identity):
                     self._router.send_multipart((identity, frame), zmq.NOBLOCK)
         except zmq.ZMQError:
-            logger.debug("Message to %s dropped.", link)
+            logger.debug("Could not send a message to %s; message dropped.", link)
 
     def _open_dealer(self, address: str) -> zmq.Socket[bytes]:
         dealer = self._dealers_by_address.get(address)
@@ -250,12 +250,14 @@
         self._traffic_counts[2] += len(frame)
         result = self._codec.decode(frame)
         if result.is_error():
-            logger.warning("Bad message from %s: %s.", link, result.error.detail)
+            logger.warning(
+                "Could not decode a message from %s: %s.", link, result.error.detail
+            )
             return
         try:
             self._on_message(link, result.ok)
         except Exception:
-            logger.exception("Handler failed.")
+            logger.exception("Unhandled exception in the message handler.")
 
     def _close_sockets(self) -> None:
         for address in list(self._dealers_by_address):
--- a/src/kingcupwheel/link/links.py
+++ b/src/kingcupwheel/link/links.py
@@ -1,4 +1,4 @@
-"""Names of links between processes."""
+"""Identifiers of links between processes."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class OutgoingLink(NamedTuple):
-    """A link this process opened to ``address`` (``IP:port``).
+    """A link that this process opened to ``address`` (``IP:port``).
 
-    ``generation`` rises each time the link is replaced by a new connection.
+    ``generation`` increases each time the link is reconnected.
     """
 
     address: str
@@ -16,7 +16,7 @@
 
 
 class IncomingLink(NamedTuple):
-    """A link another process opened to this one."""
+    """A link that another process opened to this one."""
 
     identity: bytes
 
@@ -25,7 +25,7 @@
 
 
 class TrafficCounts(NamedTuple):
-    """Messages and payload bytes that passed a hub since it started."""
+    """Messages and payload bytes received and sent by a hub since it started."""
 
     messages_in: int
     messages_out: int
--- a/src/kingcupwheel/link/query_client.py
+++ b/src/kingcupwheel/link/query_client.py
@@ -1,4 +1,4 @@
-"""One question to many processes at once, for the command line."""
+"""Client that sends one query to many processes, for the command line."""
 
 from __future__ import annotations
 
@@ -18,16 +18,15 @@
 
 Answer = TypeVar("Answer", bound="Message")
 
-# Answers read from one process before it is taken to have none: a process that sends
-# anything else without end must not hold up the command.
+# Bounds the command's run time when a process keeps sending other messages.
 _MAX_FRAMES_PER_PROCESS = 8
 
 
 class QueryClient:
-    """Asks processes over their own sockets; belongs to one thread.
+    """Queries processes over their own sockets; not thread-safe.
 
-    A process that is gone, paused or cut off costs ``timeout_s`` once, however many
-    of them there are, since all are asked at the same time.
+    All processes are queried at the same time, so any number of stopped, paused or
+    unreachable ones costs ``timeout_s`` once.
     """
 
     def __init__(self, *, timeout_s: float) -> None:
@@ -40,7 +39,7 @@
         question: Message,
         answer: type[Answer],
     ) -> dict[str, Answer]:
-        """Return the answers by process; who did not answer in time is left out."""
+        """Return the replies by process, without those that did not reply in time."""
         frame = self._codec.encode(question)
         with zmq.Context() as context:
             poller = zmq.Poller()
@@ -62,20 +61,20 @@
         process_by_dealer: dict[zmq.Socket[bytes], str],
         answer: type[Answer],
     ) -> dict[str, Answer]:
-        found: dict[str, Answer] = {}
-        end = monotonic() + self._timeout_s
-        tries = _MAX_FRAMES_PER_PROCESS * len(process_by_dealer)
-        while len(found) < len(process_by_dealer) and tries:
-            left_ms = int((end - monotonic()) * 1000)
+        reply_by_process: dict[str, Answer] = {}
+        deadline = monotonic() + self._timeout_s
+        frames_left = _MAX_FRAMES_PER_PROCESS * len(process_by_dealer)
+        while len(reply_by_process) < len(process_by_dealer) and frames_left:
+            left_ms = int((deadline - monotonic()) * 1000)
             ready = poller.poll(left_ms) if left_ms > 0 else []
             if not ready:
                 break
             for dealer, _ in ready:
-                tries -= 1
-                received = self._codec.decode(dealer.recv())
-                if received.is_ok() and isinstance(received.ok, answer):
-                    found[process_by_dealer[dealer]] = received.ok
-        return found
+                frames_left -= 1
+                decoded = self._codec.decode(dealer.recv())
+                if decoded.is_ok() and isinstance(decoded.ok, answer):
+                    reply_by_process[process_by_dealer[dealer]] = decoded.ok
+        return reply_by_process
 
 
 def _connect(
--- a/src/kingcupwheel/telemetry/__init__.py
+++ b/src/kingcupwheel/telemetry/__init__.py
@@ -1,3 +1,3 @@
-"""Structured log lines and scraped metrics: all that on-call staff has."""
+"""Structured logs and Prometheus metrics."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/telemetry/json_logs.py
+++ b/src/kingcupwheel/telemetry/json_logs.py
@@ -1,8 +1,8 @@
-"""Structured log lines: one JSON object a line on standard output.
+"""Structured logs: one JSON object per line on standard output.
 
-Lines go through a bounded queue to a thread of their own. A reader that stalls fills
-the pipe, then the queue; further lines are dropped and counted, and the next line that
-gets through says how many.
+A writer thread takes the records from a bounded queue. If the reader of standard output
+stalls, the pipe fills up, then the queue; further records are dropped and counted, and
+a ``lines-dropped`` record reports the count once there is room again.
 """
 
 from __future__ import annotations
@@ -19,8 +19,7 @@
 import msgspec
 
 
-# Lines that wait for the reader: some ten seconds of an entry's at its usual rate,
-# about a megabyte.
+# About ten seconds of an entry's log at its usual rate, or a megabyte.
 MAX_QUEUED_LINES = 4_000
 
 _FIELDS = "fields"
@@ -28,26 +27,26 @@
 
 
 class StructuredLogger:
-    """Writes the lines of one part of a process."""
+    """Writes structured log records of one part of a process."""
 
     def __init__(self, part: str) -> None:
         self._part = part
         self._logger = logging.getLogger(f"kingcupwheel.lines.{part}")
 
     def debug(self, event: str, **fields: object) -> None:
-        """Write what only a close look needs."""
+        """Log details for debugging."""
         self._write(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: object) -> None:
-        """Write a decision or a change of what is believed."""
+        """Log a decision or a state change."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write what an operator may have to look into."""
+        """Log an event that an operator may have to investigate."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, *, exc_info: bool = False, **fields: object) -> None:
-        """Write a fault of this process."""
+        """Log an internal error of this process."""
         self._write(logging.ERROR, event, fields, exc_info=exc_info)
 
     def _write(
@@ -64,19 +63,19 @@
 
 
 def lines_of(part: str) -> StructuredLogger:
-    """Return the lines of a part, such as ``requests`` or ``maps``."""
+    """Return the structured logger of a part, such as ``requests`` or ``maps``."""
     return StructuredLogger(part)
 
 
 class JsonFormatter(logging.Formatter):
-    """Renders a record as one JSON object: time, process, part, event, its fields."""
+    """Formats a record as JSON: time, process, part, level, event, its fields."""
 
     def __init__(self, process: str) -> None:
         super().__init__()
         self._process = process
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line."""
+        """Return the record as one line."""
         line: dict[str, Any] = {
             "t": round(record.created, 3),
             "process": self._process,
@@ -91,18 +90,18 @@
 
 
 class _DroppingHandler(QueueHandler):
-    """Drops and counts what finds the queue full."""
+    """Drops and counts records while the queue is full."""
 
     def __init__(self, queue: Queue[Any]) -> None:
         super().__init__(queue)
         self.dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Leave the record as it is: it goes to a thread, not to another process."""
+        """Return the record unchanged: it never leaves this process."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue the record, or count it."""
+        """Queue the record, or count it as dropped."""
         try:
             self.queue.put_nowait(record)
         except Full:
@@ -112,20 +111,20 @@
             self._report_dropped()
 
     def _report_dropped(self) -> None:
-        lost, self.dropped = self.dropped, 0
-        told = logging.LogRecord(
+        count, self.dropped = self.dropped, 0
+        notice = logging.LogRecord(
             "kingcupwheel.lines.log", logging.WARNING, "", 0, "lines-dropped", (), None
         )
-        setattr(told, _FIELDS, {"lines": lost})
-        setattr(told, _PART, "log")
+        setattr(notice, _FIELDS, {"lines": count})
+        setattr(notice, _PART, "log")
         try:
-            self.queue.put_nowait(told)
+            self.queue.put_nowait(notice)
         except Full:
-            self.dropped = lost
+            self.dropped = count
 
 
 class JsonLogOutput:
-    """Sends every line of this process to standard output; one a process."""
+    """Writes all log records of this process to standard output."""
 
     def __init__(self, process: str, level: str) -> None:
         queue: Queue[Any] = Queue(MAX_QUEUED_LINES)
@@ -136,15 +135,15 @@
         self._root = logging.getLogger()
         self._root.handlers[:] = [_DroppingHandler(queue)]
         self._root.setLevel(level.upper())
-        # Its lines on each call say nothing that ours do not, and cost as much.
+        # urllib3's record of each call costs as much as ours and says nothing more.
         logging.getLogger("urllib3").setLevel(logging.WARNING)
 
     def start(self) -> None:
-        """Start the thread that writes."""
+        """Start the writer thread."""
         self._listener.start()
 
     def stop(self) -> None:
-        """Write what is queued, for a while at most: a stalled reader holds nobody."""
-        until = time.monotonic() + 0.5
-        while not self._queue.empty() and time.monotonic() < until:
+        """Wait until the queue is written, at most 0.5 s if the reader stalls."""
+        deadline = time.monotonic() + 0.5
+        while not self._queue.empty() and time.monotonic() < deadline:
             time.sleep(0.01)
--- a/src/kingcupwheel/telemetry/metrics.py
+++ b/src/kingcupwheel/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text to whoever asks."""
+"""Prometheus metrics of entries and agents, and the endpoint that serves them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-# Bounds of latency buckets in seconds: around the aims of plain answers (0.2) and of
-# first events (0.5), and up to the longest route's time.
+# Finest around the latency targets of plain responses (0.2 s) and of first events
+# (0.5 s); the last bound is the longest route timeout.
 _LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2, 4, 8)
-# A change takes some 0.25 s; past 4 s it is given up.
+# A map change takes about 0.25 s and is abandoned after 4 s.
 _MAP_CHANGE_BUCKETS_S = (0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4)
 _QUEUE_WAIT_BUCKETS_S = (0.001, 0.01, 0.05, 0.1, 0.25, 0.5, 1, 2)
 
 
 class EntryMetrics:
-    """An entry's metrics; safe from any thread."""
+    """Metrics of an entry; thread-safe."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry(auto_describe=False)
@@ -79,13 +79,13 @@
         )
 
     def record_answer(self, service: str, status: int, how: str, took_s: float) -> None:
-        """Count a request's end."""
+        """Record a final response and its latency."""
         self.answers.labels(service, str(status), how).inc()
         self.answer_seconds.labels(service).observe(took_s)
 
 
 class RankMetrics:
-    """The metrics of an agent beside a rank; safe from any thread."""
+    """Metrics of a rank's agent; thread-safe."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry(auto_describe=False)
@@ -126,7 +126,7 @@
 
 
 class MetricsApp:
-    """Serves a registry as text, on whatever path it is asked."""
+    """WSGI application that serves a registry as text on every path."""
 
     def __init__(
         self, registry: CollectorRegistry, refresh: Callable[[], None] | None = None
@@ -137,7 +137,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Serve one request, after calling ``refresh`` if there is one."""
         if self._refresh is not None:
             self._refresh()
         body = generate_latest(self._registry)
