--- a/src/kingcupwheel/platform/__init__.py
+++ b/src/kingcupwheel/platform/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's object API as the rest of the system sees it."""
+"""Clients of the users' platform and codecs of what it sends."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/platform/client.py
+++ b/src/kingcupwheel/platform/client.py
@@ -1,8 +1,7 @@
-"""The platform's object API as the rest of the system sees it.
+"""Interface of the client for the platform's object API.
 
-The real protocol lives in one plug-in module (``platform.http``); everything else
-speaks to this interface. Every call counts against the platform's rates, a waiting
-watch as one.
+The protocol itself is implemented by one plug-in module (``platform.http``). Every call
+counts against the platform's rate limits; a waiting watch counts as one call.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class VersionedValue(NamedTuple):
-    """An object's value at a version; versions of a key only rise."""
+    """An object's value at a version; versions of a key only increase."""
 
     key: str
     version: int
@@ -29,10 +28,11 @@
 
 
 class Instance(NamedTuple):
-    """An instance from the platform's list, which lags.
+    """An instance from the platform's list, which is eventually consistent.
 
-    ``role`` is ``entry`` or ``agent``. ``address`` is ``IP:port`` of the process's own
-    socket for the system; ``http`` is ``IP:port`` for callers, empty for agents.
+    ``role`` is ``entry`` or ``agent``. ``address`` is the ``IP:port`` that other
+    processes of the system connect to; ``http`` is the ``IP:port`` for callers, empty
+    for agents.
     """
 
     name: str
@@ -45,13 +45,13 @@
 
 
 class PlatformClient(Protocol):
-    """Calls block for at most the client's timeout; they are safe from any thread."""
+    """Client of the object API; calls block for at most its timeout; thread-safe."""
 
     def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
 
     def create(self, key: str, value: bytes) -> Result[int, PlatformError]:
-        """Create the object if absent; return its version, else ``Conflict``."""
+        """Create the object and return its version; ``Conflict`` if it exists."""
 
     def update(
         self, key: str, value: bytes, *, version: int
@@ -59,7 +59,7 @@
         """Replace the object if it is at ``version``; return the new version."""
 
     def delete(self, key: str, *, version: int) -> Result[None, PlatformError]:
-        """Remove the object if it is at ``version``."""
+        """Delete the object if it is at ``version``."""
 
     def keys(self, prefix: str) -> Result[tuple[str, ...], PlatformError]:
         """Return the keys that start with ``prefix``, sorted."""
@@ -67,7 +67,7 @@
     def watch(
         self, key: str, *, after: int, timeout_s: float
     ) -> Result[VersionedValue | None, PlatformError]:
-        """Wait for the object to pass version ``after``; None when time runs out."""
+        """Wait for a version later than ``after``; return None on timeout."""
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
-        """Return the platform's lagging list of live and leaving instances."""
+        """Return live and leaving instances; the platform's list lags behind."""
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration, an object of the users' store."""
+"""Decoder of the operators' configuration, an object in the users' store."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 
-_MS = 1000.0
-_MBIT_BITS = 1e6
-_MBYTE_BITS = 8e6
-# A link that is told to carry nothing would divide by zero.
+_MS_PER_S = 1000.0
+_BITS_PER_MBIT = 1e6
+_BITS_PER_MBYTE = 8e6
+# Avoids a division by zero for a configured link speed of 0.
 _MIN_LINK_MBPS = 1e-3
 
 
@@ -42,27 +42,27 @@
     path_prefix: str
     name: str = ""
     kind: str = "non_idempotent"
-    # One or the other is given: all requests to one service, or parts of them.
+    # Exclusive: either all requests go to one service, or they are split.
     service: str = ""
     traffic_split: list[_TrafficSplit] = []
     timeout_ms: float = 8000.0
     target_latency_ms: float = 500.0
     gap_target_ms: float = 0.0
     priority: int = 5
-    # Servers that may run one request, not sends.
+    # Counts the servers that may run a request, not the sends.
     max_attempts: int = 1
     anonymous: bool = False
     resumable: bool = False
 
 
 class _Engine(msgspec.Struct):
-    # Sets of layers, each with its own placement: the maps' "layers".
+    # Sets of layers with a placement each; expert maps call them layers.
     layers: int = msgspec.field(default=0, name="Sets")
     experts: int = msgspec.field(default=0, name="Experts")
     places: int = msgspec.field(default=0, name="Placements")
     spare: int = msgspec.field(default=0, name="Spare")
     expert_mb: float = msgspec.field(default=0.0, name="ExpertMb")
-    # The link over which weights are copied, not a machine's.
+    # Speed of the link that weights are copied over, not of a machine's link.
     link_mbps: float = msgspec.field(default=1.0, name="LinkMbps")
 
 
@@ -92,34 +92,37 @@
 
 
 def decode_configuration(raw: bytes) -> Result[Configuration, str]:
-    """Return the configuration in the store's bytes, or what is wrong with them."""
+    """Return the configuration encoded in ``raw``, or why it is invalid."""
     return decode_json(raw, _Configuration).map(
-        lambda found: _build_configuration(found, raw)
+        lambda decoded: _build_configuration(decoded, raw)
     )
 
 
-def _build_configuration(found: _Configuration, raw: bytes) -> Configuration:
+def _build_configuration(decoded: _Configuration, raw: bytes) -> Configuration:
     services = (
-        Service(one.name, _build_engine_shape(one.engine)) for one in found.services
+        Service(item.name, _build_engine_shape(item.engine))
+        for item in decoded.services
     )
-    limits = found.limits
+    limits = decoded.limits
     return Configuration(
-        version=found.version,
-        routes_by_host=group_routes_by_host(tuple(map(_build_route, found.routes))),
+        version=decoded.version,
+        routes_by_host=group_routes_by_host(tuple(map(_build_route, decoded.routes))),
         services_by_name={service.name: service for service in services},
-        key_holders_by_digest=_index_holders(found.tenants or []),
-        has_organisations=found.tenants is not None,
+        key_holders_by_digest=_index_holders(decoded.tenants or []),
+        has_organisations=decoded.tenants is not None,
         limits=RequestLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
-            limits.idle_timeout_ms / _MS,
+            limits.idle_timeout_ms / _MS_PER_S,
         ),
         raw=raw,
     )
 
 
 def _build_route(route: _Route) -> ForwardRoute:
-    shares = tuple(ServiceShare(one.service, one.weight) for one in route.traffic_split)
+    shares = tuple(
+        ServiceShare(item.service, item.weight) for item in route.traffic_split
+    )
     return ForwardRoute(
         name=route.name,
         host=route.host.lower(),
@@ -128,9 +131,9 @@
         is_idempotent=route.kind == "idempotent" or route.resumable,
         is_streamed=route.kind == "streaming",
         is_resumable=route.resumable,
-        timeout_s=route.timeout_ms / _MS,
-        target_latency_s=route.target_latency_ms / _MS,
-        max_event_gap_s=route.gap_target_ms / _MS,
+        timeout_s=route.timeout_ms / _MS_PER_S,
+        target_latency_s=route.target_latency_ms / _MS_PER_S,
+        max_event_gap_s=route.gap_target_ms / _MS_PER_S,
         priority=route.priority,
         max_servers=route.max_attempts,
         allows_anonymous=route.anonymous,
@@ -141,7 +144,7 @@
     if engine is None or not engine.layers:
         return None
     link_mbps = max(engine.link_mbps, _MIN_LINK_MBPS)
-    copy_s = engine.expert_mb * _MBYTE_BITS / (link_mbps * _MBIT_BITS)
+    copy_s = engine.expert_mb * _BITS_PER_MBYTE / (link_mbps * _BITS_PER_MBIT)
     return EngineShape(
         engine.layers, engine.experts, engine.places, engine.spare, copy_s
     )
--- a/src/kingcupwheel/platform/decoding.py
+++ b/src/kingcupwheel/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes JSON that anybody may have written; whatever it holds, nothing is raised."""
+"""Decoder of untrusted JSON; it returns errors and never raises."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 T = TypeVar("T")
 
-# When a server started, in Unix milliseconds; 0 where it is not told. Numbers beyond
-# what a float holds exactly are no times.
+# Unix milliseconds, 0 if unknown. Numbers that a float can't represent exactly are not
+# valid times.
 StartTimeMs = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 def decode_json(raw: bytes | msgspec.Raw, kind: type[T]) -> Result[T, str]:
-    """Return ``raw`` as a ``kind``, or what is wrong with it.
+    """Return ``raw`` decoded as ``kind``, or why it is invalid.
 
-    Nested deeply enough it exhausts the decoder's recursion and not only its grammar.
+    Deeply nested input raises ``RecursionError`` in the decoder, not a decode error.
     """
     try:
         return Ok(msgspec.json.decode(raw, type=kind))
--- a/src/kingcupwheel/platform/errors.py
+++ b/src/kingcupwheel/platform/errors.py
@@ -1,4 +1,4 @@
-"""What a call to the platform's service can come to, short of success."""
+"""Errors that calls to the platform return."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Unavailable(NamedTuple):
-    """The platform did not answer.
+    """The platform did not respond, or failed.
 
-    ``sent`` is True if a write may have taken effect all the same, ``silent`` if
-    nothing came within the call's time.
+    ``sent`` is True if a write may have taken effect nevertheless, ``silent`` if the
+    call timed out.
     """
 
     detail: str
@@ -18,9 +18,9 @@
 
 
 class Conflict(NamedTuple):
-    """The object is not at the version that the write asked for.
+    """The object is not at the version that the write requires.
 
-    ``version`` is the one found, 0 if the object does not exist.
+    ``version`` is the current one, 0 if the object does not exist.
     """
 
     key: str
@@ -28,20 +28,20 @@
 
 
 class RateLimited(NamedTuple):
-    """The platform asks for fewer calls; nothing was written."""
+    """A rate limit was exceeded; nothing was written."""
 
     retry_after_s: float
 
 
 class Rejected(NamedTuple):
-    """The platform refuses the call for good, such as a value over 1 MB."""
+    """The platform rejected the call, e.g. a value over 1 MB; retrying is useless."""
 
     status: int
     detail: str
 
 
 class HistoryGone(NamedTuple):
-    """What happened after ``revision`` is no longer known; list again."""
+    """The changes after ``revision`` are no longer available; list again."""
 
     revision: int
 
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -1,4 +1,4 @@
-"""The headers of requests and answers on the users' platform, read and written."""
+"""Parser and builder of HTTP headers on the users' platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     from kingcupwheel.forwarding.heads import ServerCall
 
-# Names one send of a caller: a caller that sends again takes a new one.
+# Identifies one send of a caller; a retry by the caller has a new id.
 _ATTEMPT_ID = "x-attempt-id"
 _DEADLINE_MS = "x-deadline-ms"
 _EXPECT_INSTANCE = "x-expect-instance"
@@ -39,7 +39,7 @@
 _RETRY_AFTER = "retry-after"
 _DECIMAL_PATTERN = re.compile(r"[0-9]+(\.[0-9]+)?", re.ASCII)
 
-# What the system sets itself, whatever the caller sent, or keeps to itself.
+# Set by the system, or not passed on: the caller's own values are always removed.
 _CONTROLLED_HEADERS = frozenset(
     {
         "authorization",
@@ -52,43 +52,43 @@
 )
 _REMOVED_FROM_REQUESTS = _CONTROLLED_HEADERS | HOP_BY_HOP | OF_ONE_REQUEST
 _REMOVED_FROM_RESPONSES = HOP_BY_HOP | {"content-length", "date", "server"}
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _MAX_PRIORITY = 9
 
 
 def read_request_headers(headers: Mapping[str, str]) -> CallerHead:
-    """Return what a request's headers (by lower-case name) say."""
+    """Return the parsed headers of a request; names are in lower case."""
     key = headers.get("authorization", "")
-    prompt, answer = _parse_token_usage(headers.get(_TOKEN_USAGE, ""))
+    prompt_tokens, answer_tokens = _parse_token_usage(headers.get(_TOKEN_USAGE, ""))
     hint = whole_number(headers.get(_LENGTH_HINT, ""))
     if hint is not None:
-        answer = min(answer, hint) if answer else hint
+        answer_tokens = min(answer_tokens, hint) if answer_tokens else hint
     return CallerHead(
         attempt=headers.get(_ATTEMPT_ID, ""),
         wait_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
         key=key[7:] if key[:7].lower() == "bearer " else "",
         last_event=headers.get(_LAST_EVENT_ID, ""),
-        prompt_tokens=prompt,
-        answer_tokens=answer,
+        prompt_tokens=prompt_tokens,
+        answer_tokens=answer_tokens,
     )
 
 
 def read_attempt_id(headers: Mapping[str, str]) -> str:
-    """Return the caller's name for this send, empty if it gives none."""
+    """Return the caller's id of this send, empty if it has none."""
     return headers.get(_ATTEMPT_ID, "")
 
 
 def build_server_headers(
     headers: Mapping[str, str], call: ServerCall
 ) -> dict[str, str]:
-    """Return the headers to send to a server for the caller's ``headers``."""
+    """Return the headers of the request to a server, from the caller's ``headers``."""
     sent = {
         name: value
         for name, value in headers.items()
         if name not in _REMOVED_FROM_REQUESTS
     }
     sent["host"] = headers.get("host", "")
-    sent[_DEADLINE_MS] = str(max(1, int(call.left_s * _MS)))
+    sent[_DEADLINE_MS] = str(max(1, int(call.left_s * _MS_PER_S)))
     sent[_EXPECT_INSTANCE] = call.instance
     if call.organisation:
         sent[_TENANT] = call.organisation
@@ -100,19 +100,19 @@
 
 
 def read_response_headers(status: int, headers: HTTPHeaderDict) -> AnswerHead:
-    """Return what a server's answer says of itself."""
+    """Return the parsed status and headers of a server's response."""
     passed = tuple(
         (name, value)
         for name, value in headers.items()
         if name.lower() not in _REMOVED_FROM_RESPONSES
     )
     length = headers.get("content-length", "")
-    not_run = _NOT_EXECUTED in headers or status == 421
+    is_not_run = _NOT_EXECUTED in headers or status == 421
     return AnswerHead(
         status=status,
         attempt=headers.get(_ATTEMPT_ID, ""),
         signed=_RESPONSE_SIGNATURE in headers,
-        not_run=not_run,
+        not_run=is_not_run,
         other_instance=status == 421,
         faulty=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
@@ -120,21 +120,21 @@
         closes="close" in headers.get("connection", "").lower(),
         idle_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
-        notice=_read_notice(headers, is_refused=not_run and status == 503),
+        notice=_read_notice(headers, is_refused=is_not_run and status == 503),
         passed=passed,
     )
 
 
 def _read_notice(headers: HTTPHeaderDict, *, is_refused: bool) -> ServerNotice:
     leaving = _header_values(headers, _SERVER_LEAVING)
-    rest = _header_values(headers, _RETRY_AFTER) if is_refused else []
-    rest_s = _parse_retry_after_s(rest)
+    retry_after = _header_values(headers, _RETRY_AFTER) if is_refused else []
+    retry_after_s = _parse_retry_after_s(retry_after)
     unreadable = []
     if leaving not in ([], ["0"], ["1"]):
         unreadable.append(_SERVER_LEAVING)
-    if rest and rest_s is None:
+    if retry_after and retry_after_s is None:
         unreadable.append(_RETRY_AFTER)
-    return ServerNotice(leaving == ["1"], rest_s, tuple(unreadable))
+    return ServerNotice(leaving == ["1"], retry_after_s, tuple(unreadable))
 
 
 def _header_values(headers: HTTPHeaderDict, name: str) -> list[str]:
@@ -142,7 +142,7 @@
 
 
 def _parse_retry_after_s(values: list[str]) -> float | None:
-    """Return seconds, which may have a fraction; a header that comes twice has none."""
+    """Return decimal seconds, or None if they are invalid or the header is repeated."""
     if len(values) != 1 or _DECIMAL_PATTERN.fullmatch(values[0]) is None:
         return None
     seconds = float(values[0])
@@ -151,10 +151,10 @@
 
 def _parse_deadline_s(text: str) -> float | None:
     try:
-        found = float(text) / _MS
+        seconds = float(text) / _MS_PER_S
     except ValueError:
         return None
-    return found if math.isfinite(found) else None
+    return seconds if math.isfinite(seconds) else None
 
 
 def _parse_token_usage(text: str) -> tuple[int, int]:
