--- a/src/kingcupwheel/platform/entry_endpoints.py
+++ b/src/kingcupwheel/platform/entry_endpoints.py
@@ -1,4 +1,4 @@
-"""What callers and the platform ask of an entry beside requests."""
+"""HTTP endpoints of an entry for readiness probes and address resolution."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 READY_PATH = "/v1/ready"
 ADDRESSES_PATH = "/v1/resolve"
-# The most addresses that callers take from one answer.
+# Callers use no more addresses of a response.
 MAX_ADDRESSES = 64
 
 
 class _Addresses(msgspec.Struct, rename="pascal"):
     addresses: list[str]
-    # How long a caller may keep the answer; some keep it three times as long.
+    # How long a caller may cache the response; some cache it three times as long.
     ttl_s: float
 
 
 def parse_data_centre(query: str) -> str:
-    """Return the data centre of the caller that asks for addresses."""
+    """Return the caller's data centre from the query of an address request."""
     return parse_qs(query).get("Zone", [""])[0]
 
 
 def encode_addresses(addresses: Iterable[str], keep_s: float) -> bytes:
-    """Return the answer to a caller that asks where to connect."""
+    """Return the response body to an address request."""
     return msgspec.json.encode(_Addresses(list(addresses)[:MAX_ADDRESSES], keep_s))
--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -1,8 +1,8 @@
-"""The platform's object API over HTTP.
+"""HTTP client of the platform's object API.
 
-Versions travel as ETags. Writes are conditional by ``If-Match`` or, for the first one,
-``If-None-Match: *``; watches are long polls. Everything this project assumes of the
-platform's own protocol is in this module.
+Versions are ETags. Writes are conditional on ``If-Match`` or, for the first one, on
+``If-None-Match: *``; watches are long polls. All assumptions about the platform's
+protocol are in this module.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 
 T = TypeVar("T")
 
-# Connections kept open for watches; a process needs one for the manifest and a few more
-# for leases. Further ones are opened and closed as needed.
+# A process needs one for the manifest and a few for leases; more are opened and closed
+# as needed.
 _MAX_IDLE_WATCH_CONNECTIONS = 4
-# The least time given to a call that had to wait for a connection.
+# For a call that waited for a connection for almost its whole timeout.
 _MIN_CALL_TIMEOUT_S = 0.05
 _DEFAULT_RETRY_AFTER_S = 1.0
 _NOT_MODIFIED = 304
-# Failures before a request can have reached the platform.
+# Errors raised before the request can have reached the platform.
 _NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
@@ -61,7 +61,7 @@
 
 
 class _HttpCall(NamedTuple):
-    """One HTTP call; ``writes`` tells that losing its answer leaves doubt."""
+    """An HTTP call; a lost response to a write leaves its effect unknown."""
 
     method: str
     path: str
@@ -75,7 +75,7 @@
 
 
 class _InstanceListCache(NamedTuple):
-    """The list of instances as last read; ``tag`` is empty if it has none."""
+    """The last list of instances; ``etag`` is empty if the platform sent none."""
 
     etag: str
     instances: tuple[Instance, ...]
@@ -83,12 +83,12 @@
 
 @platform_clients.register("http")
 class HttpPlatformClient:
-    """Speaks HTTP through urllib3; safe from any thread.
+    """Platform client over HTTP; thread-safe.
 
-    At most ``settings.connections`` calls are under way at once; the wait for a free
-    one counts against the call's timeout, so that a hanging platform can't hold a
-    thread for longer. Watches use connections of their own: waiting ones would
-    otherwise use up the calls' connections.
+    At most ``settings.connections`` calls are in progress at once. Waiting for a free
+    connection counts against the call's timeout, so a hanging platform can't block a
+    thread for longer. Watches have connections of their own, since waiting watches
+    would otherwise use up those for calls.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -112,7 +112,7 @@
         )
 
     def create(self, key: str, value: bytes) -> Result[int, PlatformError]:
-        """Create the object if absent; return its version, else ``Conflict``."""
+        """Create the object and return its version; ``Conflict`` if it exists."""
         return self._write(key, value, {"If-None-Match": "*"})
 
     def update(
@@ -122,7 +122,7 @@
         return self._write(key, value, {"If-Match": f'"{version}"'})
 
     def delete(self, key: str, *, version: int) -> Result[None, PlatformError]:
-        """Remove the object if it is at ``version``."""
+        """Delete the object if it is at ``version``."""
         headers = {"If-Match": f'"{version}"'}
         call = _HttpCall("DELETE", _object_path(key), key, headers=headers)
         return self._call(call).bind(lambda response: _check_status(response, 200, 204))
@@ -137,7 +137,7 @@
     def watch(
         self, key: str, *, after: int, timeout_s: float
     ) -> Result[VersionedValue | None, PlatformError]:
-        """Wait for the object to pass version ``after``; None when time runs out."""
+        """Wait for a version later than ``after``; return None on timeout."""
         query = urlencode({"watch": after, "timeout": timeout_s})
         call = _HttpCall("GET", f"{_object_path(key)}?{query}", key)
         timeout = urllib3.Timeout(
@@ -148,18 +148,19 @@
         )
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
-        """Return the platform's lagging list of live and leaving instances.
+        """Return live and leaving instances; the platform's list lags behind.
 
-        Asked for only if it has changed: 1,370 instances are some 150 KB, of which a
-        few change in an hour, and every entry reads them every few seconds.
+        The list is only transferred if it has changed (``If-None-Match``): 1,370
+        instances are about 150 KB, a few of them change in an hour, and every entry
+        reads the list every few seconds.
         """
-        last = self._instance_cache
-        headers = {"If-None-Match": last.etag} if last.etag else {}
-        asked = self._call(_HttpCall("GET", "/v1/instances", headers=headers))
-        if asked.is_ok() and asked.ok.status == _NOT_MODIFIED:
-            return Ok(last.instances)
-        return asked.bind(_decode_instances).map(
-            lambda found: self._cache_instances(found, asked.ok)
+        cached = self._instance_cache
+        headers = {"If-None-Match": cached.etag} if cached.etag else {}
+        result = self._call(_HttpCall("GET", "/v1/instances", headers=headers))
+        if result.is_ok() and result.ok.status == _NOT_MODIFIED:
+            return Ok(cached.instances)
+        return result.bind(_decode_instances).map(
+            lambda found: self._cache_instances(found, result.ok)
         )
 
     def _cache_instances(
@@ -178,20 +179,22 @@
 
     def _call(self, call: _HttpCall) -> Result[BaseHTTPResponse, PlatformError]:
         deadline = monotonic() + self._timeout_s
-        with self._reserve_connection() as free:
-            if not free:
-                return Error(Unavailable("no free connection", sent=False))
+        with self._reserve_connection() as is_free:
+            if not is_free:
+                return Error(
+                    Unavailable("no free connection within the timeout", sent=False)
+                )
             left_s = max(_MIN_CALL_TIMEOUT_S, deadline - monotonic())
             timeout = urllib3.Timeout(total=left_s)
             return self._send(self._call_pool, call, timeout)
 
     @contextmanager
     def _reserve_connection(self) -> Iterator[bool]:
-        free = self._free_connections.acquire(timeout=self._timeout_s)
+        is_free = self._free_connections.acquire(timeout=self._timeout_s)
         try:
-            yield free
+            yield is_free
         finally:
-            if free:
+            if is_free:
                 self._free_connections.release()
 
     def _send(
@@ -235,7 +238,7 @@
     if status == 429:
         return RateLimited(_parse_retry_after_s(response))
     if status >= 500:
-        # A gateway may answer so after passing the write on: its effect is in doubt.
+        # A gateway may respond so after it forwarded the write: its effect is unknown.
         return Unavailable(f"status {status}", sent=call.is_write)
     if status >= 400 and status != 404:
         return Rejected(status, response.reason or "")
@@ -253,7 +256,7 @@
 
 
 def _unexpected_status_error(response: BaseHTTPResponse) -> PlatformError:
-    return Rejected(response.status, response.reason or "unexpected answer")
+    return Rejected(response.status, response.reason or "unexpected response")
 
 
 def _check_status(
@@ -285,7 +288,7 @@
 def _decode_instances(
     response: BaseHTTPResponse,
 ) -> Result[tuple[Instance, ...], PlatformError]:
-    # NamedTuples decode from arrays; the list holds objects.
+    # msgspec decodes NamedTuples from arrays, but the list contains objects.
     return _decode_body(response, list[dict[str, str | bool]]).bind(_convert_instances)
 
 
@@ -296,7 +299,7 @@
         rows = [[item[field] for field in Instance._fields] for item in items]
         return Ok(msgspec.convert(rows, tuple[Instance, ...]))
     except (KeyError, msgspec.ValidationError) as error:
-        return Error(Rejected(200, f"bad instance list: {error}"))
+        return Error(Rejected(200, f"invalid instance list: {error}"))
 
 
 def _decode_body(response: BaseHTTPResponse, kind: type[T]) -> Result[T, PlatformError]:
--- a/src/kingcupwheel/platform/object_store.py
+++ b/src/kingcupwheel/platform/object_store.py
@@ -1,7 +1,7 @@
-"""The users' object store: kinds of named objects with revisions, lists and watches.
+"""Client of the users' object store: kinds of named objects with lists and watches.
 
-Bodies are JSON. Revisions of all objects come from one counter. Every call counts
-against the store's rates, a waiting watch as one.
+Bodies are JSON. One counter supplies the revisions of all objects. Every call counts
+against the store's rate limits; a waiting watch counts as one call.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
     from kingcupwheel.platform.store_types import ObjectPage
 
-# Callers of the store take what it returns from here as well.
+# Re-exports the types that the store returns.
 __all__ = [
     "DEFAULT_CALL_TIMEOUT_S",
     "ObjectChange",
@@ -47,15 +47,15 @@
     "StoredObject",
 ]
 
-# What a call may take beyond the time that a watch waits, in seconds: three hundred
-# times the store's usual answer.
+# Added to the waiting time of a watch. It is three hundred times the store's usual
+# response time.
 DEFAULT_CALL_TIMEOUT_S = 1.2
-# A list ends after so many pages, so that one that never ends holds nobody.
+# Ends a list whose last page never comes.
 _MAX_PAGES = 400
 
 
 class ObjectStore:
-    """Calls block for at most their timeout; safe from any thread."""
+    """Store client; calls block for at most their timeout; thread-safe."""
 
     def __init__(
         self, url: str, *, call_timeout_s: float = DEFAULT_CALL_TIMEOUT_S
@@ -64,20 +64,21 @@
         self._call_timeout_s = call_timeout_s
 
     def read(self, kind: str, name: str) -> Result[StoredObject | None, PlatformError]:
-        """Return the object, or None if there is none."""
+        """Return the object, or None if it does not exist."""
         path = _object_path(kind, name)
-        asked = self._calls.call("GET", path, self._call_timeout_s)
-        if asked.is_ok() and asked.ok.status == 404:
+        result = self._calls.call("GET", path, self._call_timeout_s)
+        if result.is_ok() and result.ok.status == 404:
             return Ok(None)
-        return asked.bind(lambda answer: decode_response(answer, decode_object))
+        return result.bind(lambda response: decode_response(response, decode_object))
 
     def list_objects(
         self, kind: str, *, stale: bool = False
     ) -> Result[ObjectList, PlatformError]:
-        """Return every object of the kind, page by page.
+        """Return every object of the kind, read page by page.
 
-        ``stale`` is cheap and may be seconds old. Watch from the first page's
-        revision: later ones may have missed what changed on pages read before.
+        A ``stale`` list is cheap and may be seconds old. The result has the first
+        page's revision: a watch from a later page's would miss changes to the pages
+        read before it.
         """
         objects: list[StoredObject] = []
         revision = 0
@@ -99,21 +100,21 @@
     def watch(
         self, kind: str, *, after: int, wait_s: float
     ) -> Result[WatchResult, WatchError]:
-        """Return what changed after a revision, as soon as there is something."""
+        """Return the changes after revision ``after`` as soon as there are any."""
         query = urlencode({"Watch": after, "WaitMs": int(wait_s * 1000)})
         path = f"{_kind_path(kind)}?{query}"
-        asked = self._calls.call("GET", path, wait_s + self._call_timeout_s)
-        if asked.is_error():
-            return Error(asked.error)
-        if asked.ok.status == 410:
+        result = self._calls.call("GET", path, wait_s + self._call_timeout_s)
+        if result.is_error():
+            return Error(result.error)
+        if result.ok.status == 410:
             return Error(HistoryGone(after))
-        changes = decode_response(asked.ok, decode_changes)
+        changes = decode_response(result.ok, decode_changes)
         return Error(changes.error) if changes.is_error() else Ok(changes.ok)
 
     def create(
         self, kind: str, name: str, body: bytes
     ) -> Result[StoredObject, PlatformError]:
-        """Create an object; ``Conflict`` if there is one of that name."""
+        """Create an object; ``Conflict`` if one of that name exists."""
         metadata = {"Name": name}
         return self._write("POST", _kind_path(kind), name, metadata, body)
 
@@ -128,12 +129,12 @@
     def delete(
         self, kind: str, name: str, *, revision: int
     ) -> Result[None, PlatformError]:
-        """Remove an object if it is at ``revision``; one that is gone is no error."""
+        """Delete an object at ``revision``; no error if it does not exist."""
         path = f"{_object_path(kind, name)}?Revision={revision}"
-        asked = self._calls.call("DELETE", path, self._call_timeout_s)
-        if asked.is_error():
-            return Error(asked.error)
-        if asked.ok.status == 409:
+        result = self._calls.call("DELETE", path, self._call_timeout_s)
+        if result.is_error():
+            return Error(result.error)
+        if result.ok.status == 409:
             return Error(Conflict(name, 0))
         return Ok(None)
 
@@ -143,8 +144,8 @@
         path = _kind_path(kind)
         if query:
             path = f"{path}?{urlencode(query)}"
-        asked = self._calls.call("GET", path, self._call_timeout_s)
-        return asked.bind(lambda answer: decode_response(answer, decode_page))
+        result = self._calls.call("GET", path, self._call_timeout_s)
+        return result.bind(lambda response: decode_response(response, decode_page))
 
     def _write(
         self,
@@ -154,11 +155,11 @@
         metadata: Mapping[str, object],
         body: bytes,
     ) -> Result[StoredObject, PlatformError]:
-        written = encode_object(metadata, body)
-        asked = self._calls.call(method, path, self._call_timeout_s, written)
-        if asked.is_ok() and asked.ok.status in (404, 409):
-            return Error(Conflict(name, _conflicting_revision(asked.ok)))
-        return asked.bind(lambda answer: decode_response(answer, decode_object))
+        encoded = encode_object(metadata, body)
+        result = self._calls.call(method, path, self._call_timeout_s, encoded)
+        if result.is_ok() and result.ok.status in (404, 409):
+            return Error(Conflict(name, _conflicting_revision(result.ok)))
+        return result.bind(lambda response: decode_response(response, decode_object))
 
 
 def _kind_path(kind: str) -> str:
@@ -170,6 +171,6 @@
 
 
 def _conflicting_revision(response: BaseHTTPResponse) -> int:
-    """Return the revision that a refused write met, 0 if there is no object."""
-    found = decode_object(response.data)
-    return found.map(lambda stored: stored.revision).default_value(0)
+    """Return the revision that a write conflicts with, 0 if no object exists."""
+    decoded = decode_object(response.data)
+    return decoded.map(lambda stored: stored.revision).default_value(0)
--- a/src/kingcupwheel/platform/rank_client.py
+++ b/src/kingcupwheel/platform/rank_client.py
@@ -1,4 +1,4 @@
-"""A backend server's reports, counts and orders about expert maps, over HTTP."""
+"""HTTP client of a backend server's API for expert maps."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.orders import RankOrder
 
-# A server answers in a millisecond or two.
+# Servers respond within two milliseconds.
 _CALL_TIMEOUT_S = 0.25
-# An order that gets no answer is given again, so a short wait costs nothing; each one
-# lost holds up its whole group's change for as long.
+# Orders without a response are resent, so a short timeout costs nothing, while each
+# lost one delays the map change of its whole group by the timeout.
 _ORDER_TIMEOUT_S = 0.05
 
 
@@ -35,7 +35,7 @@
     name: str = msgspec.field(default="", name="Name")
     epoch: int = 0
     rank: int = 0
-    # ``open`` or ``broken``.
+    # Either ``open`` or ``broken``.
     state: str = msgspec.field(default="broken", name="State")
 
 
@@ -44,42 +44,42 @@
 
 
 class _Report(msgspec.Struct):
-    # The last pass that was begun.
+    # The last pass that has started.
     step: int = 0
     group: _Group | None = None
     size: int = 0
-    # Versions of maps, not maps; nothing where there is none.
-    map: int | None = msgspec.field(default=0, name="Map")
-    prepared: int | None = msgspec.field(default=None, name="Prepared")
-    # Unlike the other two an object: its version and the pass it is armed for.
+    # Versions of maps, not maps; null if there is none.
+    map_version: int | None = msgspec.field(default=0, name="Map")
+    prepared_version: int | None = msgspec.field(default=None, name="Prepared")
+    # An object, unlike the other two: the version and the pass it is armed for.
     armed: _Armed | None = msgspec.field(default=None, name="Armed")
-    # The pass that waits, not a yes or no.
+    # The pass that is held, not a boolean.
     held: int | None = None
     running: int = msgspec.field(default=0, name="InFlight")
     waiting: int = msgspec.field(default=0, name="QueueDepth")
     pace: float = 1.0
-    # Tells a server's lives apart; Unix milliseconds.
+    # Identifies the server's incarnation.
     born: StartTimeMs = 0
 
 
 class _Counts(msgspec.Struct):
     epoch: int = 0
-    # Set by set, in one list.
+    # One list for all sets of layers, set by set.
     counts: list[int] = msgspec.field(default_factory=list, name="Counts")
     born: StartTimeMs = 0
 
 
 class _HeldExperts(msgspec.Struct):
-    # This rank's experts, set by set.
+    # This rank's experts by set of layers.
     experts: list[list[int]] = msgspec.field(default_factory=list, name="Experts")
 
 
 class _PlacementReport(msgspec.Struct):
-    map: _HeldExperts | None = msgspec.field(default=None, name="Map")
+    held_experts: _HeldExperts | None = msgspec.field(default=None, name="Map")
 
 
 class RankClient:
-    """Calls to the server beside this process; safe from any thread."""
+    """Client of one backend server; thread-safe."""
 
     def __init__(self, url: str) -> None:
         self._pool = urllib3.connection_from_url(
@@ -90,19 +90,19 @@
         )
 
     def fetch_state(self) -> Result[RankState, str]:
-        """Return the server's report."""
+        """Return the state that the server reports."""
         return self._get("/v1/report").bind(decode_state)
 
     def fetch_counts(self) -> Result[RankCounts, str]:
-        """Return how often this rank's requests chose each expert since its start."""
+        """Return how often the rank's requests chose each expert since its start."""
         return self._get("/v1/picked").bind(decode_counts)
 
     def fetch_placement(self) -> Result[tuple[tuple[int, ...], ...], str]:
-        """Return this rank's experts by layer of the map in force."""
+        """Return the rank's experts by layer in the map in force."""
         return self._get("/v1/picked?Lists=1").bind(decode_placement)
 
     def send_order(self, order: RankOrder) -> Result[int, str]:
-        """Return the status; an order without an answer may still be carried out."""
+        """Return the status; an order without a response may still take effect."""
         body = msgspec.json.encode(_order_body(order))
         headers = {"Content-Type": "application/json"}
         try:
@@ -128,19 +128,19 @@
 
 
 def decode_state(raw: bytes) -> Result[RankState, str]:
-    """Return a server's report."""
+    """Return the decoded state report of a server, or why it is invalid."""
     return decode_json(raw, _Report).map(_build_state)
 
 
 def decode_counts(raw: bytes) -> Result[RankCounts, str]:
-    """Return what a rank counted."""
+    """Return the decoded expert counts of a rank, or why they are invalid."""
     return decode_json(raw, _Counts).map(
-        lambda got: RankCounts(got.epoch, tuple(got.counts), got.born)
+        lambda counts: RankCounts(counts.epoch, tuple(counts.counts), counts.born)
     )
 
 
 def decode_placement(raw: bytes) -> Result[tuple[tuple[int, ...], ...], str]:
-    """Return a rank's experts by layer."""
+    """Return the decoded experts of a rank by layer, or why they are invalid."""
     return decode_json(raw, _PlacementReport).map(_build_placement)
 
 
@@ -153,8 +153,8 @@
         ranks=report.size,
         is_open=group.state == "open",
         step=report.step,
-        version=report.map or 0,
-        prepared=report.prepared or 0,
+        version=report.map_version or 0,
+        prepared=report.prepared_version or 0,
         armed=report.armed.version if report.armed else 0,
         held=report.held,
         running=report.running,
@@ -164,10 +164,10 @@
     )
 
 
-def _build_placement(lists: _PlacementReport) -> tuple[tuple[int, ...], ...]:
-    if lists.map is None:
+def _build_placement(report: _PlacementReport) -> tuple[tuple[int, ...], ...]:
+    if report.held_experts is None:
         return ()
-    return tuple(tuple(layer) for layer in lists.map.experts)
+    return tuple(tuple(layer) for layer in report.held_experts.experts)
 
 
 def _order_body(order: RankOrder) -> dict[str, object]:
@@ -179,7 +179,7 @@
         case Disarm(epoch, version):
             return {"Op": "disarm", "epoch": epoch, "Version": version}
         case Hold(epoch, step):
-            # The wire spells this one order with a capital.
+            # The only operation that the protocol capitalises.
             return {"Op": "Hold", "epoch": epoch, "step": step}
         case Release(epoch, step):
             return {"Op": "go", "epoch": epoch, "step": step}
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -1,4 +1,4 @@
-"""Decodes the backend servers' own entries in the users' store."""
+"""Decoder of backend servers' entries in the users' store."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 if TYPE_CHECKING:
     from kingcupwheel.platform.store_types import StoredObject
 
-# Each object is one server and is named by its id, which it may keep from life to life.
+# Each object is a server and is named by its id, which may outlive a restart.
 SERVERS_KIND = "servers"
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _MAX_PORT = 65_535
-# The id goes out in a header of each request; no server has a longer one.
+# The id is sent in a header of each request; no server has a longer one.
 _MAX_NAME_LENGTH = 200
 
 
 class _ServerEntry(msgspec.Struct, rename="pascal"):
-    """All fields that every server writes; an entry without one is another writer's."""
+    """Fields that every server writes; an entry without one is not a server's."""
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
@@ -40,38 +40,38 @@
     slots: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0.0
-    # Unix milliseconds of its start; told apart from the rest in lower case.
+    # Unlike the other fields in lower case.
     born: StartTimeMs = msgspec.field(default=0, name="born")
 
 
 def decode_server(stored: StoredObject) -> Result[Backend, str]:
-    """Return the server, or why this entry names none."""
+    """Return the server, or why the entry is invalid."""
     if not _is_header_token(stored.name):
-        return Error("no server has such a name")
-    read = decode_json(stored.body, _ServerEntry)
-    if read.is_error():
-        return Error(read.error)
-    found = read.ok
-    if not _is_address(found.address):
-        return Error("the address is not an IP and a port")
+        return Error("the name is not a valid server id")
+    result = decode_json(stored.body, _ServerEntry)
+    if result.is_error():
+        return Error(result.error)
+    entry = result.ok
+    if not _is_address(entry.address):
+        return Error("the address is not an IPv4 address and a port")
     return Ok(
         Backend(
             instance=stored.name,
-            service=found.service,
-            address=found.address,
-            data_centre=found.zone,
-            places=found.slots,
-            leaving=found.state == "draining" or stored.is_deleting,
-            cold_s=found.cold_remaining_ms / _MS,
+            service=entry.service,
+            address=entry.address,
+            data_centre=entry.zone,
+            places=entry.slots,
+            leaving=entry.state == "draining" or stored.is_deleting,
+            cold_s=entry.cold_remaining_ms / _MS_PER_S,
             created=stored.created_revision,
-            born_ms=found.born,
+            born_ms=entry.born,
         )
     )
 
 
 def _is_header_token(name: str) -> bool:
-    readable = name.isascii() and name.isprintable() and " " not in name
-    return readable and 0 < len(name) <= _MAX_NAME_LENGTH
+    is_printable = name.isascii() and name.isprintable() and " " not in name
+    return is_printable and 0 < len(name) <= _MAX_NAME_LENGTH
 
 
 def _is_address(text: str) -> bool:
--- a/src/kingcupwheel/platform/store_client.py
+++ b/src/kingcupwheel/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Single calls to the users' object store, and what their statuses mean."""
+"""HTTP calls to the users' object store, and the mapping of statuses to errors."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 T = TypeVar("T")
 
-# How long to stay away from a store that refuses by its rates, in seconds.
+# Backoff after a call that exceeded the store's rate limits.
 _RETRY_AFTER_S = 0.5
 
 
 class StoreHttpClient:
-    """Calls block for at most their timeout; safe from any thread.
+    """HTTP client of the store; calls block for at most their timeout; thread-safe.
 
-    ``connect_s`` is the longest time to connect, in seconds.
+    ``connect_timeout_s`` limits the time to connect.
     """
 
     def __init__(self, url: str, *, connect_timeout_s: float) -> None:
@@ -40,11 +40,11 @@
     def call(
         self, method: str, path: str, timeout_s: float, body: bytes | None = None
     ) -> Result[BaseHTTPResponse, PlatformError]:
-        """Return the answer, of any status but 429 and those from 500 on.
+        """Return the response, unless its status is 429 or from 500 on.
 
-        The answer may take ``timeout_s`` once the store is connected.
+        ``timeout_s`` limits the wait for the response once the store is connected.
         """
-        writes = method != "GET"
+        is_write = method != "GET"
         try:
             response = self._pool.request(
                 method,
@@ -59,22 +59,24 @@
             )
         except urllib3.exceptions.HTTPError as error:
             detail = f"{type(error).__name__}: {error}"
-            silent = isinstance(error, urllib3.exceptions.TimeoutError)
-            return Error(Unavailable(detail, writes, silent))
+            timed_out = isinstance(error, urllib3.exceptions.TimeoutError)
+            return Error(Unavailable(detail, is_write, timed_out))
         if response.status == 429:
             return Error(RateLimited(_RETRY_AFTER_S))
         if response.status >= 500:
-            # The store says of 503, and of no other status, that nothing was done.
-            in_doubt = writes and response.status != 503
-            return Error(Unavailable(f"status {response.status}", sent=in_doubt))
+            # The store guarantees for 503 only that nothing was done.
+            may_have_applied = is_write and response.status != 503
+            return Error(
+                Unavailable(f"status {response.status}", sent=may_have_applied)
+            )
         return Ok(response)
 
 
 def decode_response(
     response: BaseHTTPResponse, decode: Callable[[bytes], Result[T, str]]
 ) -> Result[T, PlatformError]:
-    """Return the decoded body; ``Rejected`` for another status or another shape."""
+    """Return the decoded body; ``Rejected`` if status or body is not as expected."""
     if response.status not in (200, 201):
         return Error(Rejected(response.status, response.reason or ""))
-    found = decode(response.data)
-    return found.map_error(lambda why: Rejected(response.status, why))
+    decoded = decode(response.data)
+    return decoded.map_error(lambda detail: Rejected(response.status, detail))
--- a/src/kingcupwheel/platform/store_codec.py
+++ b/src/kingcupwheel/platform/store_codec.py
@@ -1,4 +1,4 @@
-"""Reads and writes the JSON of the users' object store; any bytes may come in."""
+"""JSON codec of the users' object store; accepts arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 log = lines_of("store")
 
-# Of an object that can't be read so much goes into the log.
+# Excerpt of an invalid object in the log.
 _MAX_LOGGED_BYTES = 120
 
 
 class _Metadata(msgspec.Struct, rename="pascal"):
     name: str = ""
     revision: int = 0
-    # A revision too, not a time.
+    # The revision at creation, not a time.
     created: int = 0
-    # Marked for removal, held back by its finalizers.
+    # Marked for deletion, which its finalizers delay.
     deleting: bool = False
 
 
@@ -43,70 +43,70 @@
 
 
 class _PageRecord(msgspec.Struct, rename="pascal"):
-    # Decoded one by one: an object of another shape must not cost the others.
+    # Decoded one by one: an invalid object must not invalidate the others.
     items: list[msgspec.Raw] = []
     more: bool = False
-    # The revision of the whole store, not of an object.
+    # Revision of the whole store, not of an object.
     store_revision: int = 0
 
 
 class _EventRecord(msgspec.Struct, rename="pascal"):
     object: _ObjectRecord
-    # The object is gone; it is sent as it was last.
+    # The object was deleted; its last state is sent.
     tombstone: bool = False
 
 
 class _EventsRecord(msgspec.Struct):
-    # Alone among the store's own fields it comes in lower case.
+    # The only field of the store's own that is in lower case.
     events: list[msgspec.Raw] = []
     store_revision: int = msgspec.field(default=0, name="StoreRevision")
 
 
 def encode_object(metadata: Mapping[str, object], body: bytes) -> bytes:
-    """Return an object as it is written; ``body`` is its encoded specification."""
+    """Return an object encoded for a write; ``body`` is its encoded specification."""
     return msgspec.json.encode({"Metadata": metadata, "Spec": msgspec.Raw(body)})
 
 
 def decode_object(raw: bytes) -> Result[StoredObject, str]:
-    """Return one object, or what is wrong with it."""
+    """Return a decoded object, or why it is invalid."""
     return decode_json(raw, _ObjectRecord).map(_build_object)
 
 
 def decode_page(raw: bytes) -> Result[ObjectPage, str]:
-    """Return a part of a list; objects that can't be read are left out."""
+    """Return a decoded page of a list without its invalid objects."""
     return decode_json(raw, _PageRecord).map(_build_page)
 
 
 def decode_changes(raw: bytes) -> Result[WatchResult, str]:
-    """Return what a watch tells; events that can't be read are left out."""
+    """Return the decoded result of a watch without its invalid events."""
     return decode_json(raw, _EventsRecord).map(_build_changes)
 
 
 def _decode_valid(raws: list[msgspec.Raw], kind: type[T]) -> list[T]:
-    """Return those of ``raws`` that can be read as a ``kind``.
+    """Return the valid items of ``raws``, decoded as ``kind``; log the others.
 
-    Failure: another writer has put an object of another shape beside the servers'.
-    Symptom: the whole list is refused, and an entry that starts knows no server. What
-    can't be read names nothing that is used, so nothing is lost without it.
+    Other writers may store objects of another shape beside the servers'. If one such
+    object invalidated the whole list, an entry that starts would know no server.
+    Invalid objects describe nothing that the system uses.
     """
-    found: list[T] = []
+    valid: list[T] = []
     for raw in raws:
-        read = decode_json(raw, kind)
-        if read.is_error():
-            log.warning("object-unreadable", why=read.error, begins=_log_excerpt(raw))
+        result = decode_json(raw, kind)
+        if result.is_error():
+            log.warning("object-unreadable", why=result.error, begins=_log_excerpt(raw))
         else:
-            found.append(read.ok)
-    return found
+            valid.append(result.ok)
+    return valid
 
 
 def _log_excerpt(raw: msgspec.Raw) -> str:
     return bytes(raw)[:_MAX_LOGGED_BYTES].decode(errors="replace")
 
 
-def _build_page(found: _PageRecord) -> ObjectPage:
-    objects = tuple(map(_build_object, _decode_valid(found.items, _ObjectRecord)))
-    after = objects[-1].name if found.more and objects else ""
-    return ObjectPage(objects, found.store_revision, after)
+def _build_page(record: _PageRecord) -> ObjectPage:
+    objects = tuple(map(_build_object, _decode_valid(record.items, _ObjectRecord)))
+    after = objects[-1].name if record.more and objects else ""
+    return ObjectPage(objects, record.store_revision, after)
 
 
 def _build_object(item: _ObjectRecord) -> StoredObject:
@@ -120,7 +120,9 @@
     )
 
 
-def _build_changes(found: _EventsRecord) -> WatchResult:
-    events = _decode_valid(found.events, _EventRecord)
-    changes = (ObjectChange(_build_object(one.object), one.tombstone) for one in events)
-    return WatchResult(tuple(changes), found.store_revision)
+def _build_changes(record: _EventsRecord) -> WatchResult:
+    events = _decode_valid(record.events, _EventRecord)
+    changes = (
+        ObjectChange(_build_object(event.object), event.tombstone) for event in events
+    )
+    return WatchResult(tuple(changes), record.store_revision)
--- a/src/kingcupwheel/platform/store_types.py
+++ b/src/kingcupwheel/platform/store_types.py
@@ -1,4 +1,4 @@
-"""What the users' object store holds and tells, as the rest of the product sees it."""
+"""Types that the client of the users' object store returns."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class StoredObject(NamedTuple):
-    """An object: ``body`` is its specification, still encoded.
+    """An object of the store; ``body`` is its encoded specification.
 
-    ``created`` is the store's revision when it was made, ``revision`` that of its last
-    change.
+    ``created_revision`` is the store's revision at its creation, ``revision`` that of
+    its last change.
     """
 
     name: str
@@ -20,28 +20,28 @@
 
 
 class ObjectList(NamedTuple):
-    """The objects of a kind and the revision to watch from."""
+    """All objects of a kind, and the revision to watch from."""
 
     objects: tuple[StoredObject, ...]
     revision: int
 
 
 class ObjectChange(NamedTuple):
-    """An object that was written, or with ``removed`` is gone."""
+    """An object that was written, or deleted if ``is_removed``."""
 
     object: StoredObject
     is_removed: bool
 
 
 class WatchResult(NamedTuple):
-    """What happened since a revision, and the one to go on from."""
+    """Changes since a revision, and the revision to continue from."""
 
     changes: tuple[ObjectChange, ...]
     revision: int
 
 
 class ObjectPage(NamedTuple):
-    """A part of a list; the next one begins after the name ``after``, if any."""
+    """A page of a list; the next one starts after the name ``after``, if not empty."""
 
     objects: tuple[StoredObject, ...]
     revision: int
