--- a/src/kingcupwheel/decisions/ages.py
+++ b/src/kingcupwheel/decisions/age_normalization.py
@@ -6,7 +6,7 @@
 from statistics import median
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.candidates import FRESH_S
+from kingcupwheel.decisions.candidates import REPORT_FRESH_S
 from kingcupwheel.decisions.candidates import SLOW_START_S
 
 
@@ -16,7 +16,7 @@
     from kingcupwheel.decisions.candidates import Candidate
 
 
-def relative(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
+def normalize_ages(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
     """Return the candidates with ages as seen beside the rest of the group.
 
     Load: an entry that has just started, or was paused, under the usual load. Failure:
@@ -27,17 +27,17 @@
     """
     if not candidates:
         return candidates
-    least_heard_s = min(one.heard_age_s for one in candidates)
-    typical_s = median(one.started_age_s for one in candidates)
-    if least_heard_s <= FRESH_S and typical_s >= SLOW_START_S:
+    least_heard_s = min(one.report_age_s for one in candidates)
+    typical_s = median(one.uptime_s for one in candidates)
+    if least_heard_s <= REPORT_FRESH_S and typical_s >= SLOW_START_S:
         return candidates
-    common_s = max(0.0, least_heard_s - FRESH_S)
+    common_s = max(0.0, least_heard_s - REPORT_FRESH_S)
     stretch = max(1.0, SLOW_START_S / max(typical_s, 1e-3))
     return [
         replace(
             one,
-            heard_age_s=one.heard_age_s - common_s,
-            started_age_s=max(one.started_age_s, 1e-3) * stretch,
+            report_age_s=one.report_age_s - common_s,
+            uptime_s=max(one.uptime_s, 1e-3) * stretch,
         )
         for one in candidates
     ]
--- a/src/kingcupwheel/decisions/shares.py
+++ b/src/kingcupwheel/decisions/allowance_shares.py
@@ -28,26 +28,26 @@
 
 
 # A peer whose answer is older than three heartbeats of a second is silent.
-STALE_S = 3.0
+PEER_STALE_S = 3.0
 
 # When a silent peer has surely lowered its share: it noticed the silence at the latest
 # ``STALE_S`` after its own last answer, which may be one delivery and one heartbeat
 # younger than the one this entry has; a delivery of more than ``STALE_S`` is silence.
-RETURN_S = 3 * STALE_S
+PEER_RELEASE_S = 3 * PEER_STALE_S
 
 # The sum of what all entries may use beyond their shares. Reason: a caller that moves
 # to another entry is served there before the share has followed it.
-FLOOR = 0.1
+MIN_USABLE_TOTAL = 0.1
 
 # Part of what no entry wants that goes where the demand is; the rest is split equally.
 # Bursts come where callers are already, so all of it split equally refuses them; all of
 # it by demand refuses the caller that moves to a quiet entry.
-SPARE_BY_DEMAND = 0.5
+SPARE_BY_DEMAND_FRACTION = 0.5
 
 _NEVER = float("-inf")
 
 # Demands below this are noise.
-_LEAST_DEMAND = 1e-6
+_MIN_DEMAND = 1e-6
 
 
 class PeerShare(NamedTuple):
@@ -62,7 +62,7 @@
 
     demand: float
     held: float
-    wants: bool
+    wants_more: bool
     age_s: float
 
 
@@ -75,21 +75,21 @@
     """
 
     held: float = 0.0
-    wants_since: float | None = None
+    wants_more_since: float | None = None
     raised_at: float = _NEVER
-    missed_at: float = _NEVER
+    peer_missed_at: float = _NEVER
 
     @property
-    def wants(self) -> bool:
+    def wants_more(self) -> bool:
         """Whether it wants more than it holds."""
-        return self.wants_since is not None
+        return self.wants_more_since is not None
 
-    def usable(self, entries: int) -> float:
+    def usable_fraction(self, entries: int) -> float:
         """Return the part of the allowance that one of ``entries`` may use."""
-        return max(self.held, FLOOR / entries)
+        return max(self.held, MIN_USABLE_TOTAL / entries)
 
 
-def idle_share(entries: int, set_age_s: float) -> Share:
+def build_idle_share(entries: int, set_age_s: float) -> Share:
     """Return the share of an organisation that this entry had no call of so far.
 
     Load: 43,000 organisations, of which a heartbeat names the few in use. An
@@ -97,17 +97,17 @@
     part of and sees no demand for. An entry that has known its set of ``entries`` for
     less than ``RETURN_S`` starts with nothing, since others may still hold its part.
     """
-    if set_age_s <= RETURN_S:
+    if set_age_s <= PEER_RELEASE_S:
         return Share()
     return Share(held=1.0 / entries)
 
 
-def idle_peer(entries: int, age_s: float) -> PeerShare:
+def build_idle_peer_share(entries: int, age_s: float) -> PeerShare:
     """Return what a peer tells by not naming an organisation; see ``idle_share``."""
-    return PeerShare(demand=0.0, held=1.0 / entries, wants=False, age_s=age_s)
+    return PeerShare(demand=0.0, held=1.0 / entries, wants_more=False, age_s=age_s)
 
 
-def next_share(
+def compute_next_share(
     share: Share, demand: float, peers: Sequence[PeerShare], now: float
 ) -> Share:
     """Return the share to hold from ``now`` on, to be told to the peers.
@@ -119,45 +119,47 @@
     whole allowance. Call it just before each heartbeat, and first thing after a pause.
     """
     equal = 1.0 / (len(peers) + 1)
-    misses = any(peer.age_s > STALE_S for peer in peers)
+    misses = any(peer.age_s > PEER_STALE_S for peer in peers)
     if misses:
-        share = share._replace(missed_at=now)
-    target = equal if misses else _target(demand, peers, equal)
+        share = share._replace(peer_missed_at=now)
+    target = equal if misses else _compute_target(demand, peers, equal)
     if target <= share.held:
-        return share._replace(held=target, wants_since=None)
-    wants_since = now if share.wants_since is None else share.wants_since
+        return share._replace(held=target, wants_more_since=None)
+    wants_since = now if share.wants_more_since is None else share.wants_more_since
     settled_at = max(wants_since, share.raised_at)
     if not misses:
         # Failure: a link heals, and this entry hears a peer that does not yet hear it.
         # Symptom: this one lends itself what the peer takes back as its equal part.
         # Once the peer has answered what was sent after that, both hear each other.
-        settled_at = max(settled_at, share.missed_at)
+        settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
-        return share._replace(wants_since=wants_since)
-    free = 1.0 - share.held - sum(_occupied(peer, equal) for peer in peers)
-    claims = 1 + sum(peer.wants and peer.age_s <= STALE_S for peer in peers)
+        return share._replace(wants_more_since=wants_since)
+    free = 1.0 - share.held - sum(_assumed_held(peer, equal) for peer in peers)
+    claims = 1 + sum(peer.wants_more and peer.age_s <= PEER_STALE_S for peer in peers)
     if free <= 0.0:
-        return share._replace(wants_since=wants_since)
+        return share._replace(wants_more_since=wants_since)
     held = min(target, share.held + free / claims)
-    return share._replace(held=held, wants_since=wants_since, raised_at=now)
+    return share._replace(held=held, wants_more_since=wants_since, raised_at=now)
 
 
-def _target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
+def _compute_target(demand: float, peers: Sequence[PeerShare], equal: float) -> float:
     total = demand + sum(peer.demand for peer in peers)
-    if total < _LEAST_DEMAND:
+    if total < _MIN_DEMAND:
         return equal
     if total <= 1.0:
-        busy = SPARE_BY_DEMAND * demand / total
-        return demand + (1.0 - total) * (busy + (1.0 - SPARE_BY_DEMAND) * equal)
+        busy = SPARE_BY_DEMAND_FRACTION * demand / total
+        return demand + (1.0 - total) * (
+            busy + (1.0 - SPARE_BY_DEMAND_FRACTION) * equal
+        )
     return demand / total
 
 
 def _has_answered(peer: PeerShare, settled_s: float) -> bool:
     """Tell whether ``peer`` knows the last want and raise, or is gone."""
-    if peer.age_s > RETURN_S:
+    if peer.age_s > PEER_RELEASE_S:
         return True
-    return peer.age_s <= STALE_S and peer.age_s < settled_s
+    return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
 
 
-def _occupied(peer: PeerShare, equal: float) -> float:
-    return equal if peer.age_s > RETURN_S else peer.held
+def _assumed_held(peer: PeerShare, equal: float) -> float:
+    return equal if peer.age_s > PEER_RELEASE_S else peer.held
--- /dev/null
+++ b/src/kingcupwheel/decisions/max_duration.py
@@ -0,0 +1,34 @@
+"""How long the longest recent answer took. Pure: times are arguments."""
+
+from __future__ import annotations
+
+
+# An answer counts for one to two of these spans, in seconds.
+WINDOW_S = 5.0
+
+
+class RecentMaxDuration:
+    """Keeps a maximum over the present span and the one before; constant memory."""
+
+    def __init__(self) -> None:
+        self._window = 0
+        self._current_max_s = 0.0
+        self._previous_max_s = 0.0
+
+    def record(self, duration_s: float, now: float) -> None:
+        """Note an answer that took so long and ended at ``now`` (monotonic)."""
+        self._advance_window(now)
+        self._current_max_s = max(self._current_max_s, duration_s)
+
+    def max_s(self, now: float) -> float | None:
+        """Return the seconds that the longest recent answer took, None without any."""
+        self._advance_window(now)
+        return max(self._current_max_s, self._previous_max_s) or None
+
+    def _advance_window(self, now: float) -> None:
+        span = int(now // WINDOW_S)
+        if span == self._window:
+            return
+        self._previous_max_s = self._current_max_s if span == self._window + 1 else 0.0
+        self._current_max_s = 0.0
+        self._window = span
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.inbox import AttemptKey
 from kingcupwheel.entry.reading import CREDIT_BYTES
 from kingcupwheel.entry.reading import AnswerReader
@@ -70,13 +70,13 @@
     def place(self) -> Place | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
         request = self._plan.request
-        ask = Ask(
+        ask = PlacementRequest(
             prefix_key=request.prefix_key,
             work=self._plan.work,
-            avoid=self._avoid,
-            suspect=self._plan.suspect,
+            excluded_servers=self._avoid,
+            is_suspect=self._plan.suspect,
             data_centre=self._context.settings.data_centre,
-            repeatable=request.route.repeatable,
+            is_repeatable=request.route.repeatable,
         )
         dispatcher = self._context.dispatchers.of(request.group)
         wanted = Wanted(
@@ -115,7 +115,7 @@
         decision = place.decision
         alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
         event = Placed(
-            place.server, self._count, place.waited_s, decision.why, alternatives
+            place.server, self._count, place.waited_s, decision.reason, alternatives
         )
         self._record(event)
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -13,20 +13,20 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.admission import Refuse
-from kingcupwheel.decisions.candidates import ALL_TRIED
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.admission import LimitRefusal
+from kingcupwheel.decisions.candidates import ALL_SERVERS_TRIED
 from kingcupwheel.decisions.candidates import Candidate
-from kingcupwheel.decisions.candidates import NoPlace
-from kingcupwheel.decisions.candidates import Placed
+from kingcupwheel.decisions.candidates import NoServerAvailable
+from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.candidates import SelectedServer
+from kingcupwheel.decisions.fair_queue import Enqueued
+from kingcupwheel.decisions.fair_queue import FairQueue
+from kingcupwheel.decisions.fair_queue import QueuedRequest
+from kingcupwheel.decisions.first_byte_latency import FirstByteLatencyBound
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
-from kingcupwheel.decisions.health import ServerState
-from kingcupwheel.decisions.latency import LatencyBound
-from kingcupwheel.decisions.placement import usable
-from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import Queued
-from kingcupwheel.decisions.queueing import Waiting
+from kingcupwheel.decisions.placement import select_eligible
+from kingcupwheel.decisions.server_health import ServerState
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import TimedOut
@@ -56,7 +56,7 @@
         self._policy = placement_policies.get(group.placement)()
         self._queue = FairQueue(limit=group.queue)
         self._health = GroupHealth()
-        self._first_byte = LatencyBound()
+        self._first_byte = FirstByteLatencyBound()
         self._tickets_by_request_id: dict[str, Ticket] = {}
         self._held: Ticket | None = None
         self._aside: deque[Ticket] = deque()
@@ -69,10 +69,10 @@
         """How many requests wait."""
         return len(self._tickets_by_request_id)
 
-    def submit(self, wanted: Wanted, ask: Ask) -> Ticket | Refuse:
+    def submit(self, wanted: Wanted, ask: PlacementRequest) -> Ticket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
-        waiting = Waiting(
+        waiting = QueuedRequest(
             request_id=wanted.request_id,
             organisation=wanted.organisation,
             priority=wanted.priority,
@@ -98,17 +98,17 @@
         with self._lock:
             return wanted.first_by - self._first_byte.bound_s(wanted.size, monotonic())
 
-    def _enqueue(self, ticket: Ticket, now: float) -> Refuse | None:
-        if ticket.ask.suspect or ticket.ask.avoid:
+    def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
+        if ticket.ask.is_suspect or ticket.ask.excluded_servers:
             if len(self._aside) >= _MAX_ASIDE:
-                return Refuse("retries-full", "Too many retries wait.", 1.0)
+                return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
             return None
         match self._queue.push(ticket.waiting, now):
-            case Queued(ahead):
+            case Enqueued(ahead):
                 ticket.waiting_ahead = ahead
                 return None
-            case Refuse() as refused:
+            case LimitRefusal() as refused:
                 return refused
 
     def withdraw(self, ticket: Ticket) -> None:
@@ -137,12 +137,12 @@
     def succeeded(self, place: Place, token_s: float) -> None:
         """Count a whole answer that took ``token_s`` seconds a token."""
         with self._lock:
-            self._health.of(place.server).succeeded(token_s, monotonic())
+            self._health.get(place.server).record_success(token_s, monotonic())
 
     def saw_first_byte(self, seconds: float, size: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
         with self._lock:
-            self._first_byte.saw(seconds, size, monotonic())
+            self._first_byte.record(seconds, size, monotonic())
 
     def failed(self, place: Place) -> None:
         """Count an attempt that failed through its server.
@@ -153,7 +153,7 @@
         if not self._servers.is_living(place.address, place.incarnation):
             return
         with self._lock:
-            self._health.of(place.server).failed(monotonic())
+            self._health.get(place.server).record_failure(monotonic())
 
     def rest_left_s(self, avoid: frozenset[str] = frozenset()) -> float:
         """Return how long every server but ``avoid`` still rests or leaves.
@@ -162,15 +162,18 @@
         """
         now = monotonic()
         with self._lock, self._servers.lock:
-            found = usable(self._candidates(self._heard(), now), Ask(avoid=avoid))
-        if not isinstance(found, NoPlace) or found.rest_over_at is None:
+            found = select_eligible(
+                self._candidates(self._heard(), now),
+                PlacementRequest(excluded_servers=avoid),
+            )
+        if not isinstance(found, NoServerAvailable) or found.backoff_ends_at is None:
             return 0.0
-        return max(0.0, found.rest_over_at - now)
+        return max(0.0, found.backoff_ends_at - now)
 
     def restarted(self, server: str) -> None:
         """Forget the failures of a server's earlier life."""
         with self._lock:
-            self._health.restarted(server)
+            self._health.reset(server)
 
     def pump(self) -> None:
         """Place what can be placed; called whenever a place may have come free."""
@@ -192,7 +195,7 @@
     def _tell_in_vain(self, held: Ticket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
         hindrance = held.hindrance
-        if hindrance is None or hindrance.rest_over_at is None:
+        if hindrance is None or hindrance.backoff_ends_at is None:
             return
         waiting = self._tickets_by_request_id.values()
         for ticket in [one for one in waiting if one not in self._aside]:
@@ -212,7 +215,7 @@
         return None
 
     def _expire(self, now: float) -> None:
-        self._queue.expired(now)
+        self._queue.take_expired(now)
         late = [
             ticket
             for ticket in self._tickets_by_request_id.values()
@@ -229,10 +232,10 @@
                 self._candidates(servers, now), ticket.ask, now, self._draw
             )
             match decision:
-                case NoPlace():
+                case NoServerAvailable():
                     ticket.hindrance = decision
                     place: Place | TimedOut | None = _in_vain(ticket, decision, now)
-                case Placed(server=name):
+                case SelectedServer(server=name):
                     place = _take(servers[name], decision, ticket, now)
         if place is None:
             return False
@@ -254,7 +257,7 @@
             servers = self._heard()
             idle = [one for one in self._candidates(servers, now) if one.is_idle]
             decision = self._policy.place(idle, ticket.ask, now, self._draw)
-            if not isinstance(decision, Placed):
+            if not isinstance(decision, SelectedServer):
                 return False
             place = _take(servers[decision.server], decision, ticket, now)
         ticket.give(place)
@@ -273,7 +276,8 @@
         plain = [
             replace(
                 _candidate(server, concurrency, now),
-                rests_until=notices.rests_until(server.known_beat.incarnation) or 0.0,
+                backoff_until=notices.backoff_until(server.known_beat.incarnation)
+                or 0.0,
             )
             for server in servers.values()
         ]
@@ -283,10 +287,15 @@
             if (state := self._kept_from(server, now)) is not None
         }
         loads = [
-            ServerLoad(one.name, one.held, one.capacity, one.name not in kept_from)
+            ServerLoad(
+                one.name,
+                one.estimated_in_flight,
+                one.capacity,
+                one.name not in kept_from,
+            )
             for one in plain
         ]
-        state_by_name = self._health.states(loads, now)
+        state_by_name = self._health.update_states(loads, now)
         state_by_name.update(kept_from)
         return [replace(one, state=state_by_name[one.name]) for one in plain]
 
@@ -297,16 +306,18 @@
             return ServerState.LEAVING
         if not server.in_service:
             return ServerState.DOWN
-        if self._servers.notices.rests(life, now):
-            return ServerState.RESTING
+        if self._servers.notices.is_backing_off(life, now):
+            return ServerState.BACKING_OFF
         return None
 
 
-def _in_vain(ticket: Ticket, hindrance: NoPlace, now: float) -> TimedOut | None:
+def _in_vain(
+    ticket: Ticket, hindrance: NoServerAvailable, now: float
+) -> TimedOut | None:
     """Return the end of a wait that can't bring a place, None if it can."""
-    over_at = hindrance.rest_over_at
+    over_at = hindrance.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
-    if hindrance.reason == ALL_TRIED.reason:
+    if hindrance.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
         return TimedOut("no-server", hindrance.reason, rest_s)
     if over_at is not None and over_at >= ticket.waiting.deadline_at:
@@ -314,10 +325,12 @@
     return None
 
 
-def _take(server: Server, decision: Placed, ticket: Ticket, now: float) -> Place:
+def _take(
+    server: Server, decision: SelectedServer, ticket: Ticket, now: float
+) -> Place:
     beat = server.known_beat
     server.in_flight += 1
-    server.suspects += ticket.ask.suspect
+    server.suspects += ticket.ask.is_suspect
     return Place(
         server=server.name,
         address=server.instance.address,
@@ -326,7 +339,7 @@
         decision=decision,
         waited_s=now - ticket.waiting.queued_at,
         work=ticket.waiting.work,
-        suspect=ticket.ask.suspect,
+        suspect=ticket.ask.is_suspect,
     )
 
 
@@ -339,10 +352,10 @@
         running=load.running,
         queued=load.queued,
         work=load.work,
-        rate=load.rate,
+        work_per_s=load.rate,
         own_in_flight=server.own_in_flight,
-        heard_age_s=now - server.heard_at,
-        started_age_s=now - server.first_heard_at,
-        own_at_report=server.in_flight_at_beat,
-        suspects_running=server.suspects,
+        report_age_s=now - server.heard_at,
+        uptime_s=now - server.first_heard_at,
+        own_in_flight_at_report=server.in_flight_at_beat,
+        running_suspects=server.suspects,
     )
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.admission import Admission
-from kingcupwheel.decisions.admission import Refuse
+from kingcupwheel.decisions.admission import AdmissionController
+from kingcupwheel.decisions.admission import LimitRefusal
+from kingcupwheel.decisions.crash_suspects import CrashSuspects
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
-from kingcupwheel.decisions.retries import RetryBudget
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import Suspect
-from kingcupwheel.decisions.suspects import Suspects
-from kingcupwheel.decisions.work import DEFAULT_BYTES_PER_TOKEN
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.retry_budget import RetryBudget
+from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 from kingcupwheel.entry.refusals import Refusal
 
 
@@ -44,9 +44,9 @@
 
     def __init__(self, share_of: Callable[[Organisation], float]) -> None:
         self._share_of = share_of
-        self._admission = Admission()
+        self._admission = AdmissionController()
         self._predictor = WorkPredictor()
-        self._suspects = Suspects()
+        self._suspects = CrashSuspects()
         self._budgets_by_group: dict[str, RetryBudget] = {}
         self._configured: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
@@ -54,7 +54,7 @@
     def verdict(self, request: CallerRequest) -> Clean | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
-            verdict = self._suspects.verdict(request.fingerprint, monotonic())
+            verdict = self._suspects.get_status(request.fingerprint, monotonic())
         match verdict:
             case Quarantined(deaths, for_s):
                 message = (
@@ -79,10 +79,10 @@
                 request.max_tokens,
             )
             decision = self._admission.admit(organisation.name, work, now)
-            if isinstance(decision, Refuse):
+            if isinstance(decision, LimitRefusal):
                 message = f"The organisation's allowance is used up: {decision.detail}"
                 return Refusal(429, decision.limit, message, decision.retry_after_s)
-            self._budget(request.group.name).first(now)
+            self._budget(request.group.name).record_first_attempt(now)
         return work
 
     def _configure(self, organisation: Organisation) -> None:
@@ -119,13 +119,13 @@
         """Drop an organisation that has not been seen for a while."""
         with self._lock:
             self._configured.pop(organisation.name, None)
-            self._admission.forget(organisation.name)
+            self._admission.remove_organisation(organisation.name)
 
     def not_run(self, request: CallerRequest, predicted: float) -> None:
         """Settle an admitted request that took no work of a server."""
         name = request.organisation.name
         with self._lock:
-            self._admission.finish(name, predicted, 0.0, monotonic())
+            self._admission.settle(name, predicted, 0.0, monotonic())
 
     def ran(
         self, request: CallerRequest, predicted: float, tokens: int, *, whole: bool
@@ -137,15 +137,15 @@
         name = request.organisation.name
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
         with self._lock:
-            self._admission.finish(name, predicted, prompt + tokens, monotonic())
+            self._admission.settle(name, predicted, prompt + tokens, monotonic())
             if whole:
-                self._predictor.learn(name, request.route.path, prompt, tokens)
-                self._suspects.cleared(request.fingerprint)
+                self._predictor.record_answer(name, request.route.path, prompt, tokens)
+                self._suspects.clear(request.fingerprint)
 
     def may_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
         with self._lock:
-            return self._budget(request.group.name).may_retry(monotonic())
+            return self._budget(request.group.name).try_acquire(monotonic())
 
     def _budget(self, group: str) -> RetryBudget:
         return self._budgets_by_group.setdefault(group, RetryBudget())
@@ -159,10 +159,10 @@
         with self._lock:
             now = monotonic()
             for fingerprint, death in crashed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
     def crashed(self) -> tuple[tuple[str, int], ...]:
         """Fingerprints and the deaths held against them, to tell peers."""
         with self._lock:
-            return self._suspects.deaths(monotonic())
+            return self._suspects.list_recent_crashes(monotonic())
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -1,8 +1,8 @@
 """Splits each organisation's allowance over its entries by what they see of it.
 
-The arithmetic is ``decisions.shares``; this module exchanges demands and shares with
-the other entries of each organisation's set, about every heartbeat, for organisations
-in use.
+The arithmetic is ``decisions.allowance_shares``; this module exchanges demands and
+shares with the other entries of each organisation's set, about every heartbeat, for
+organisations in use.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import next_share
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
@@ -81,7 +81,7 @@
         with self._lock:
             share = self._share(organisation.name, len(members))
             self._used_at[organisation.name] = now
-        return share.usable(max(1, len(members)))
+        return share.usable_fraction(max(1, len(members)))
 
     def _share(self, organisation: str, members: int) -> Share:
         known = self._share_by_organisation.get(organisation)
@@ -143,9 +143,11 @@
             return False
         with self._lock:
             before = self._share(name, len(members))
-            share = before._replace(held=equal, wants_since=None)
+            share = before._replace(held=equal, wants_more_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(organisation, share.usable(max(1, len(members))))
+        self._limits.set_share(
+            organisation, share.usable_fraction(max(1, len(members)))
+        )
         return True
 
     def _is_wanted_elsewhere(self, organisation: str, equal: float) -> bool:
@@ -189,13 +191,15 @@
                     for member in members
                     if member != self._name
                 ]
-                share = next_share(before, demand, peers, now)
+                share = compute_next_share(before, demand, peers, now)
             else:
                 # Left out of the set: the members count on this part being free.
-                share = before._replace(held=0.0, wants_since=None)
+                share = before._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(organisation, share.usable(max(1, len(members))))
-        return ShareReport(name, demand, share.held, share.wants)
+        self._limits.set_share(
+            organisation, share.usable_fraction(max(1, len(members)))
+        )
+        return ShareReport(name, demand, share.held, share.wants_more)
 
     def _peer_share(
         self, member: str, organisation: str, members: int, now: float
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -9,10 +9,10 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.decisions.candidates import Ask
-    from kingcupwheel.decisions.candidates import NoPlace
-    from kingcupwheel.decisions.candidates import Placed
-    from kingcupwheel.decisions.queueing import Waiting
+    from kingcupwheel.decisions.candidates import NoServerAvailable
+    from kingcupwheel.decisions.candidates import PlacementRequest
+    from kingcupwheel.decisions.candidates import SelectedServer
+    from kingcupwheel.decisions.fair_queue import QueuedRequest
 
 
 class Wanted(NamedTuple):
@@ -37,7 +37,7 @@
     address: str
     incarnation: str
     token: int
-    decision: Placed
+    decision: SelectedServer
     waited_s: float
     work: float
     suspect: bool
@@ -59,10 +59,10 @@
 class Ticket:
     """A request's wait for a place."""
 
-    def __init__(self, waiting: Waiting, ask: Ask) -> None:
+    def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
         self.waiting = waiting
         self.ask = ask
-        self.hindrance: NoPlace | None = None
+        self.hindrance: NoServerAvailable | None = None
         self.waiting_ahead = 0
         self._places: SimpleQueue[Place | TimedOut] = SimpleQueue()
 
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -25,7 +25,7 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from kingcupwheel.decisions.stopping import Stopping
+    from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
     from kingcupwheel.forwarding.admitting import Knowledge
     from kingcupwheel.forwarding.admitting import Received
     from kingcupwheel.forwarding.context import ForwardContext
@@ -59,7 +59,7 @@
         self._knowledge = knowledge
         self._name = name
         self._has_live_peers = has_live_peers
-        self._stopping: Stopping | None = None
+        self._stopping: ShutdownSchedule | None = None
         self._refuses_new = False
         self._active_requests = Underway()
 
@@ -73,13 +73,13 @@
         """Monotonic receive time of each request in progress, by its id."""
         return self._active_requests.came_at_by_id
 
-    def begin_shutdown(self, stopping: Stopping) -> None:
+    def begin_shutdown(self, stopping: ShutdownSchedule) -> None:
         """Accept only requests that can end in time; abort the rest at the deadline.
 
         Each further answer closes its connection.
         """
         self._stopping = stopping
-        self._context.watchdog.abort_all_at(stopping.answers_end_at)
+        self._context.watchdog.abort_all_at(stopping.responses_end_at)
 
     def refuse_new_requests(self) -> None:
         """Refuse all new requests; those in progress are still answered."""
@@ -113,11 +113,11 @@
             return None
         now = monotonic()
         over_at = request.times.over_at
-        if not self._refuses_new and stopping.takes(
+        if not self._refuses_new and stopping.may_accept(
             now,
-            over_at=over_at,
-            longest_s=self._active_requests.longest_s(request, now),
-            streamed=request.route.is_streamed,
+            deadline_at=over_at,
+            longest_recent_s=self._active_requests.longest_s(request, now),
+            is_streamed=request.route.is_streamed,
         ):
             return None
         retry_s = (
@@ -132,10 +132,10 @@
             return True
         now = monotonic()
         over_at = request.times.over_at
-        return stopping.may_run(
+        return stopping.may_dispatch(
             now,
-            over_at=over_at,
-            longest_s=self._active_requests.longest_s(request, now),
+            deadline_at=over_at,
+            longest_recent_s=self._active_requests.longest_s(request, now),
         )
 
     def _track_until_sent(
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -7,31 +7,31 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.stopping import Stopping
+from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.forwarding.admitting import Knowledge
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
-from kingcupwheel.forwarding.configurationcache import ConfigurationCache
-from kingcupwheel.forwarding.connectionpool import ConnectionPool
+from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
 from kingcupwheel.forwarding.endpoints import AddressesEndpoint
 from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
-from kingcupwheel.forwarding.entrymembership import EntryMembership
-from kingcupwheel.forwarding.gracefulshutdown import GracefulShutdown
+from kingcupwheel.forwarding.entry_membership import EntryMembership
+from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
-from kingcupwheel.forwarding.loadpoller import AgentLoadPoller
+from kingcupwheel.forwarding.load_poller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import Pulses
+from kingcupwheel.forwarding.server_list import ServerListHandler
 from kingcupwheel.forwarding.serverbook import ServerBook
-from kingcupwheel.forwarding.serverlist import ServerListHandler
-from kingcupwheel.forwarding.storemaintenance import StoreMaintainer
-from kingcupwheel.forwarding.storewatch import ConfigurationHandler
-from kingcupwheel.forwarding.storewatch import StoreWatcher
-from kingcupwheel.forwarding.storewatch import configuration_watch_timing
-from kingcupwheel.forwarding.storewatch import server_watch_timing
+from kingcupwheel.forwarding.store_maintenance import StoreMaintainer
+from kingcupwheel.forwarding.store_watcher import ConfigurationHandler
+from kingcupwheel.forwarding.store_watcher import StoreWatcher
+from kingcupwheel.forwarding.store_watcher import configuration_watch_timing
+from kingcupwheel.forwarding.store_watcher import server_watch_timing
 from kingcupwheel.forwarding.watchdog import Watchdog
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.membership import AgentHeartbeat
@@ -218,7 +218,7 @@
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = Stopping(began, self._forwarding.grace_s)
+        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.begin_shutdown(stopping)
         self._membership.announce_leaving()
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
@@ -54,14 +54,14 @@
     tried: Tried,
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
-    ask = Ask(
+    ask = PlacementRequest(
         work=request.work,
-        avoid=tried.servers,
-        suspect=tried.suspect,
+        excluded_servers=tried.servers,
+        is_suspect=tried.suspect,
         data_centre=tried.data_centre,
-        repeatable=request.route.is_idempotent,
-        far_load=FAR_LOAD,
-        near_first=True,
+        is_repeatable=request.route.is_idempotent,
+        remote_load_penalty=FAR_LOAD,
+        prefers_local=True,
     )
     ticket = dispatcher.submit(_wanted(request), ask)
     if not isinstance(ticket, Ticket):
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import Suspect
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
@@ -94,8 +94,10 @@
         """Return the answer, or the refusal that is final."""
         verdict = self._context.guards.verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
-            message = f"{verdict.deaths} servers died while they ran this request."
-            return self.refused(Refusal(503, "quarantined", message, verdict.for_s))
+            message = f"{verdict.crash_count} servers died while they ran this request."
+            return self.refused(
+                Refusal(503, "quarantined", message, verdict.remaining_s)
+            )
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.first(self._request.service)
         found = self.next_answer()
@@ -274,7 +276,7 @@
             "placed",
             id=request.id,
             server=place.server,
-            why=place.decision.why,
+            why=place.decision.reason,
             weighed=[list(one) for one in place.decision.alternatives],
             waited_s=round(place.waited_s, 3),
             send=self._sends.ran + self._sends.turned_away + 1,
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -8,21 +8,21 @@
 from time import process_time
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.admission import Admission
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.admission import AdmissionController
+from kingcupwheel.decisions.allowance_shares import PeerShare
+from kingcupwheel.decisions.allowance_shares import Share
+from kingcupwheel.decisions.allowance_shares import compute_next_share
 from kingcupwheel.decisions.candidates import Candidate
+from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.decisions.fair_queue import FairQueue
+from kingcupwheel.decisions.fair_queue import QueuedRequest
 from kingcupwheel.decisions.group_health import GroupHealth
 from kingcupwheel.decisions.group_health import ServerLoad
-from kingcupwheel.decisions.placement import TwoChoices
-from kingcupwheel.decisions.queueing import FairQueue
-from kingcupwheel.decisions.queueing import Waiting
-from kingcupwheel.decisions.shares import PeerShare
-from kingcupwheel.decisions.shares import Share
-from kingcupwheel.decisions.shares import next_share
-from kingcupwheel.decisions.subsets import Instance
-from kingcupwheel.decisions.subsets import entries_for
-from kingcupwheel.decisions.subsets import subset
-from kingcupwheel.decisions.work import WorkPredictor
+from kingcupwheel.decisions.placement import TwoChoicesPolicy
+from kingcupwheel.decisions.subset_selection import Instance
+from kingcupwheel.decisions.subset_selection import select_entries
+from kingcupwheel.decisions.subset_selection import select_subset
+from kingcupwheel.decisions.work_predictor import WorkPredictor
 from kingcupwheel.manifest.schema import Allowance
 from tools.tables import Table
 
@@ -56,11 +56,11 @@
         ("next share, 2 peers", _microseconds(_share())),
         (
             "entries for an organisation, 370 entries",
-            _microseconds(lambda: entries_for("o", entries, allowance, "dc-1"), 50),
+            _microseconds(lambda: select_entries("o", entries, allowance, "dc-1"), 50),
         ),
         (
             "subset, 370 entries, 1,000 servers, 8 data centres",
-            _microseconds(lambda: subset("entry-1", entries, servers, 24), 5),
+            _microseconds(lambda: select_subset("entry-1", entries, servers, 24), 5),
         ),
     ]
     shown = [(name, f"{cost:,.1f}") for name, cost in rows]
@@ -80,14 +80,14 @@
 
 
 def _admission() -> Callable[[], object]:
-    admission = Admission()
+    admission = AdmissionController()
     admission.configure("o", Allowance(), 0.5)
     ticks = iter(range(10**9))
 
     def decide() -> None:
         now = next(ticks) / 10
         admission.admit("o", 100.0, now)
-        admission.finish("o", 100.0, 90.0, now)
+        admission.settle("o", 100.0, 90.0, now)
 
     return decide
 
@@ -97,7 +97,7 @@
 
     def decide() -> None:
         predictor.predict("o", "/v1", 1_600, 500)
-        predictor.learn("o", "/v1", 400, 270, body_bytes=1_600)
+        predictor.record_answer("o", "/v1", 400, 270, body_bytes=1_600)
 
     return decide
 
@@ -109,7 +109,7 @@
     def push() -> None:
         number = next(serial)
         name = f"organisation-{number % 50}"
-        queue.push(Waiting(f"{number}", name, 5, 600.0, 1e9, 0.0), number / 100)
+        queue.push(QueuedRequest(f"{number}", name, 5, 600.0, 1e9, 0.0), number / 100)
 
     for _ in range(200):
         push()
@@ -122,14 +122,14 @@
 
 
 def _placement(prefix: str) -> Callable[[], object]:
-    plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_at_report=1)
+    plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1)
     candidates = [
         replace(plain, name=f"server-{number}", running=4 + number % 8)
         for number in range(CANDIDATES)
     ]
     draw = Random(1)
-    policy = TwoChoices()
-    ask = Ask(prefix_key=prefix, work=600.0, data_centre="dc-0")
+    policy = TwoChoicesPolicy()
+    ask = PlacementRequest(prefix_key=prefix, work=600.0, data_centre="dc-0")
     return lambda: policy.place(candidates, ask, 0.0, draw)
 
 
@@ -138,13 +138,13 @@
     loads = [ServerLoad(f"server-{number}", 8, 16) for number in range(CANDIDATES)]
     for load in loads:
         for _ in range(10):
-            group.of(load.name).succeeded(0.02, 0.0)
-    return lambda: group.states(loads, 1.0)
+            group.get(load.name).record_success(0.02, 0.0)
+    return lambda: group.update_states(loads, 1.0)
 
 
 def _share() -> Callable[[], object]:
-    peers = [PeerShare(0.2, 0.3, wants=False, age_s=1.0)] * 2
-    return lambda: next_share(Share(0.3), 0.4, peers, 5.0)
+    peers = [PeerShare(0.2, 0.3, wants_more=False, age_s=1.0)] * 2
+    return lambda: compute_next_share(Share(0.3), 0.4, peers, 5.0)
 
 
 def _memory_table() -> Table:
@@ -167,7 +167,7 @@
 
 def _admission_bytes(count: int) -> int:
     def build() -> object:
-        admission = Admission()
+        admission = AdmissionController()
         allowance = Allowance()
         for number in range(count):
             name = f"organisation-{number}"
@@ -184,7 +184,7 @@
         for number in range(count):
             name = f"organisation-{number}"
             answer = 270 + number % 7
-            predictor.learn(name, "/v1", 400, answer, body_bytes=1_600 + number)
+            predictor.record_answer(name, "/v1", 400, answer, body_bytes=1_600 + number)
         return predictor
 
     return _bytes(build)
