--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -57,7 +57,7 @@
 
     layer_count: int
     expert_count: int
-    places: int
+    placements_per_rank: int
     max_new_experts: int
     expert_copy_s: float
     max_event_gap_s: float = 0.0
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancing.py
@@ -55,7 +55,7 @@
         self._shape = shape
         self._popularity = Popularity(shape.layer_count, shape.expert_count)
         self._bounds = bounds_of(
-            shape.places, shape.max_new_experts, shape.expert_copy_s
+            shape.placements_per_rank, shape.max_new_experts, shape.expert_copy_s
         )
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
