--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admitting.py
@@ -131,10 +131,10 @@
 
 
 def _service(route: ForwardRoute) -> str:
-    if len(route.shares) == 1:
-        return route.shares[0].service
-    weights = [share.weight for share in route.shares]
-    return random.choices(route.shares, weights)[0].service
+    if len(route.traffic_split) == 1:
+        return route.traffic_split[0].service
+    weights = [share.weight for share in route.traffic_split]
+    return random.choices(route.traffic_split, weights)[0].service
 
 
 def _header_bytes(received: Received) -> int:
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -33,7 +33,7 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[ServiceShare, ...]
+    traffic_split: tuple[ServiceShare, ...]
     is_idempotent: bool
     is_streamed: bool
     is_resumable: bool
@@ -116,7 +116,7 @@
             for routes in self.routes_by_host.values()
             for route in routes
             if route.max_event_gap_s > 0
-            and any(one.service == service for one in route.shares)
+            and any(one.service == service for one in route.traffic_split)
         ]
         return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -124,7 +124,7 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        shares=shares or (ServiceShare(route.service, 1.0),),
+        traffic_split=shares or (ServiceShare(route.service, 1.0),),
         is_idempotent=route.kind == "idempotent" or route.resumable,
         is_streamed=route.kind == "streaming",
         is_resumable=route.resumable,
