--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -32,7 +32,7 @@
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     traffic_split: tuple[ServiceShare, ...]
     is_idempotent: bool
     is_streamed: bool
@@ -102,7 +102,7 @@
     def find_route(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self.routes_by_host.get(host, ()):
-            if path.startswith(route.prefix):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
@@ -135,6 +135,6 @@
 ) -> dict[str, tuple[ForwardRoute, ...]]:
     """Group routes by host, longest prefix first."""
     by_host: dict[str, list[ForwardRoute]] = {}
-    for route in sorted(routes, key=lambda route: -len(route.prefix)):
+    for route in sorted(routes, key=lambda route: -len(route.path_prefix)):
         by_host.setdefault(route.host, []).append(route)
     return {host: tuple(found) for host, found in by_host.items()}
--- a/src/kingcupwheel/platform/configuration.py
+++ b/src/kingcupwheel/platform/configuration.py
@@ -123,7 +123,7 @@
     return ForwardRoute(
         name=route.name,
         host=route.host.lower(),
-        prefix=route.path_prefix,
+        path_prefix=route.path_prefix,
         traffic_split=shares or (ServiceShare(route.service, 1.0),),
         is_idempotent=route.kind == "idempotent" or route.resumable,
         is_streamed=route.kind == "streaming",
