--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -67,7 +67,7 @@
     """Duration of a watch and the delay after one that returned changes, in seconds."""
 
     wait_s: float = WATCH_WAIT_S
-    pause_s: float = 0.0
+    delay_after_change_s: float = 0.0
 
 
 def server_watch_timing(entries: int, steady_s: float) -> WatchTiming:
@@ -161,8 +161,8 @@
             return asked.error
         self._handler.on_changes(asked.ok.changes, asked_at)
         self._revision = max(self._revision, asked.ok.revision)
-        if asked.ok.changes and timing.pause_s:
-            self._stopping.wait(timing.pause_s)
+        if asked.ok.changes and timing.delay_after_change_s:
+            self._stopping.wait(timing.delay_after_change_s)
         return None
 
     def _record_success(self, began: float) -> None:
