--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -64,7 +64,7 @@
         self._active_requests = Underway()
 
     @property
-    def in_progress(self) -> int:
+    def in_progress_count(self) -> int:
         """Number of requests whose answer has not been sent completely."""
         return len(self._active_requests)
 
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -222,7 +222,7 @@
         self._leaving.set()
         self._application.begin_shutdown(stopping)
         self._membership.announce_leaving()
-        log.info("leaving", in_progress=self._application.in_progress)
+        log.info("leaving", in_progress=self._application.in_progress_count)
         self._store_maintainer.stop()
         self._membership.deregister(self._store)
         cut = GracefulShutdown(
--- a/src/kingcupwheel/forwarding/graceful_shutdown.py
+++ b/src/kingcupwheel/forwarding/graceful_shutdown.py
@@ -48,7 +48,7 @@
 
     def _wait_for_answers(self) -> None:
         while (
-            self._application.in_progress
+            self._application.in_progress_count
             and monotonic() < self._stopping.latest_exit_at
         ):
             Event().wait(_POLL_INTERVAL_S)
