--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -50,16 +50,16 @@
     def __init__(
         self,
         context: ForwardContext,
-        knowledge: Callable[[], Knowledge],
+        configuration_snapshot: Callable[[], Knowledge],
         *,
         name: str,
         has_live_peers: Callable[[], bool],
     ) -> None:
         self._context = context
-        self._knowledge = knowledge
+        self._configuration_snapshot = configuration_snapshot
         self._name = name
         self._has_live_peers = has_live_peers
-        self._stopping: ShutdownSchedule | None = None
+        self._shutdown_schedule: ShutdownSchedule | None = None
         self._refuses_new = False
         self._active_requests = Underway()
 
@@ -73,13 +73,13 @@
         """Monotonic receive time of each request in progress, by its id."""
         return self._active_requests.came_at_by_id
 
-    def begin_shutdown(self, stopping: ShutdownSchedule) -> None:
+    def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Accept only requests that can end in time; abort the rest at the deadline.
 
         Each further answer closes its connection.
         """
-        self._stopping = stopping
-        self._context.watchdog.abort_all_at(stopping.responses_end_at)
+        self._shutdown_schedule = schedule
+        self._context.watchdog.abort_all_at(schedule.responses_end_at)
 
     def refuse_new_requests(self) -> None:
         """Refuse all new requests; those in progress are still answered."""
@@ -90,7 +90,7 @@
     ) -> Iterable[bytes]:
         """Handle one WSGI request."""
         exchange = Exchange(environ, start_response)
-        if self._stopping is not None:
+        if self._shutdown_schedule is not None:
             exchange.close_after()
         received = exchange.received(self._name, self._body_limit())
         received = received._replace(id=self._active_requests.enter(received))
@@ -102,13 +102,13 @@
         return self._track_until_sent(body, received.id)
 
     def _body_limit(self) -> int:
-        configuration = self._knowledge().configuration
+        configuration = self._configuration_snapshot().configuration
         limits = RequestLimits() if configuration is None else configuration.limits
         return limits.max_body_bytes
 
     def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
         """Return a refusal if the request can't end before this process does."""
-        stopping = self._stopping
+        stopping = self._shutdown_schedule
         if stopping is None:
             return None
         now = monotonic()
@@ -127,7 +127,7 @@
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
-        stopping = self._stopping
+        stopping = self._shutdown_schedule
         if stopping is None:
             return True
         now = monotonic()
@@ -147,7 +147,7 @@
             self._active_requests.leave(request_id)
 
     def _answer(self, exchange: Exchange, received: Received) -> Iterable[bytes]:
-        request = admit(received, self._knowledge())
+        request = admit(received, self._configuration_snapshot())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
@@ -184,7 +184,7 @@
                 self._active_requests.answered(answered, monotonic())
 
     def _log_refused(self, received: Received, refusal: Refusal) -> None:
-        knowledge = self._knowledge()
+        knowledge = self._configuration_snapshot()
         version = 0
         if knowledge.configuration is not None:
             version = knowledge.configuration.version
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -81,9 +81,11 @@
         self.connection_pool.close_server(place.incarnation)
         self.servers.misdirected(place)
 
-    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
+    def record_rejection(
+        self, place: Place, service: str, *, is_streamed: bool
+    ) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if streamed and self.guards.is_closed(
+        if is_streamed and self.guards.is_closed(
             service,
             place.server,
             quiet_s=self.liveness.of(service).quiet_s(monotonic()),
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -129,7 +129,7 @@
         self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
-            self._knowledge,
+            self._configuration_snapshot,
             name=settings.name,
             has_live_peers=lambda: bool(self._membership.live_entries()),
         )
@@ -161,7 +161,9 @@
 
     def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
+        addresses = AddressesEndpoint(
+            self._list_live_addresses, self._forwarding.address_keep_s
+        )
         endpoints = {
             self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
@@ -232,7 +234,7 @@
             watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
-    def _knowledge(self) -> Knowledge:
+    def _configuration_snapshot(self) -> Knowledge:
         return Knowledge(
             self._configuration_cache.current,
             self._configuration_cache.age_s(),
@@ -247,7 +249,7 @@
         )
         return has_data and not self._leaving.is_set()
 
-    def _addresses(self, data_centre: str) -> tuple[str, ...]:
+    def _list_live_addresses(self, data_centre: str) -> tuple[str, ...]:
         live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -49,16 +49,16 @@
 
     def __init__(
         self,
-        me: EntryInfo,
+        own_entry: EntryInfo,
         hub: MessageHub,
         configuration_cache: ConfigurationCache,
         guards: Guards,
     ) -> None:
-        self._me = me
+        self._own_entry = own_entry
         self._hub = hub
         self._configuration_cache = configuration_cache
         self._guards = guards
-        self._peers = PeerTable(me)
+        self._peers = PeerTable(own_entry)
         self._incarnation = secrets.token_hex(4)
         self._heartbeat_at = 0.0
         self._heartbeat_count = 0
@@ -85,7 +85,7 @@
         """Return the entries that callers may use, including this one."""
         with self._lock:
             others = self._peers.live_entries(monotonic())
-        return others if self._leaving else (self._me, *others)
+        return others if self._leaving else (self._own_entry, *others)
 
     def add_stored(self, stored: tuple[StoredObject, ...]) -> None:
         """Add the entries that the store lists."""
@@ -100,11 +100,11 @@
 
     def register(self, store: ObjectStore) -> bool:
         """Write this entry to the store; return whether that succeeded."""
-        body = msgspec.json.encode(self._me)
-        written = store.create(ENTRIES_KIND, self._me.name, body)
+        body = msgspec.json.encode(self._own_entry)
+        written = store.create(ENTRIES_KIND, self._own_entry.name, body)
         if written.is_error() and isinstance(written.error, Conflict):
             written = store.replace(
-                ENTRIES_KIND, self._me.name, body, revision=written.error.version
+                ENTRIES_KIND, self._own_entry.name, body, revision=written.error.version
             )
         if written.is_error():
             log.warning("registration-failed", why=str(written.error))
@@ -115,7 +115,7 @@
     def deregister(self, store: ObjectStore) -> None:
         """Delete this entry from the store if it was registered."""
         if self._revision:
-            store.delete(ENTRIES_KIND, self._me.name, revision=self._revision)
+            store.delete(ENTRIES_KIND, self._own_entry.name, revision=self._revision)
 
     def take_expired(self) -> tuple[EntryInfo, ...]:
         """Return the entries that have expired since the last call."""
@@ -156,7 +156,7 @@
     def _heartbeat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
         age_s = self._configuration_cache.age_s()
         return EntryHeartbeat(
-            sender=self._me,
+            sender=self._own_entry,
             incarnation=self._incarnation,
             leaving=self._leaving,
             sent_at=self._configuration_cache.now(),
@@ -167,31 +167,35 @@
             known_entries=known,
         )
 
-    def on_heartbeat(self, beat: EntryHeartbeat) -> None:
+    def on_heartbeat(self, heartbeat: EntryHeartbeat) -> None:
         """Handle a heartbeat; runs on the hub's thread."""
         now = monotonic()
         with self._lock:
-            is_new = self._peers.record_heartbeat(beat, now)
-            self._peers.add_known(beat.known_entries, now)
-        if beat.crashed:
-            self._guards.heard(beat.crashed)
+            is_new = self._peers.record_heartbeat(heartbeat, now)
+            self._peers.add_known(heartbeat.known_entries, now)
+        if heartbeat.crashed:
+            self._guards.heard(heartbeat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
             self._heartbeat_at = 0.0
-            log.info("entry-heard", name=beat.sender.name, incarnation=beat.incarnation)
-        confirmation = confirmation_from(beat)
+            log.info(
+                "entry-heard",
+                name=heartbeat.sender.name,
+                incarnation=heartbeat.incarnation,
+            )
+        confirmation = confirmation_from(heartbeat)
         if confirmation is not None:
             self._configuration_cache.confirm(confirmation.version, confirmation.as_of)
-        if beat.version > self._configuration_cache.version:
-            self._request_configuration(beat, now)
+        if heartbeat.version > self._configuration_cache.version:
+            self._request_configuration(heartbeat, now)
         self._log_live_changes()
 
-    def _request_configuration(self, beat: EntryHeartbeat, now: float) -> None:
+    def _request_configuration(self, heartbeat: EntryHeartbeat, now: float) -> None:
         if now - self._requested_at >= _REQUEST_INTERVAL_S:
             self._requested_at = now
             wanted = ManifestRequest(_CONFIGURATION_KEY)
-            self._hub.send(OutgoingLink(beat.sender.address, 0), wanted)
+            self._hub.send(OutgoingLink(heartbeat.sender.address, 0), wanted)
 
     def on_configuration_request(self, link: Link, message: ManifestRequest) -> None:
         """Send the configuration to a peer that requests it."""
--- a/src/kingcupwheel/forwarding/graceful_shutdown.py
+++ b/src/kingcupwheel/forwarding/graceful_shutdown.py
@@ -27,29 +27,29 @@
 
     def __init__(
         self,
-        stopping: ShutdownSchedule,
+        schedule: ShutdownSchedule,
         application: ForwardApplication,
         http_server: HttpServer,
     ) -> None:
-        self._stopping = stopping
+        self._schedule = schedule
         self._application = application
         self._http_server = http_server
 
     def wait(self) -> int:
         """Wait until the process may end; return the number of aborted requests."""
-        while monotonic() < self._stopping.earliest_exit_at:
+        while monotonic() < self._schedule.earliest_exit_at:
             Event().wait(_POLL_INTERVAL_S)
         self._wait_for_answers()
         # A request may have arrived in the meantime; it is answered too.
         self._application.refuse_new_requests()
         self._wait_for_answers()
         self._wait_for_flush()
-        return self._log_cut()
+        return self._log_aborted()
 
     def _wait_for_answers(self) -> None:
         while (
             self._application.in_progress_count
-            and monotonic() < self._stopping.latest_exit_at
+            and monotonic() < self._schedule.latest_exit_at
         ):
             Event().wait(_POLL_INTERVAL_S)
 
@@ -59,11 +59,11 @@
         Failure: the process ends between the last event of a stream and its terminating
         chunk. Symptom: the caller has every event but must treat the stream as aborted.
         """
-        until = min(monotonic() + _FLUSH_TIMEOUT_S, self._stopping.latest_exit_at)
+        until = min(monotonic() + _FLUSH_TIMEOUT_S, self._schedule.latest_exit_at)
         while not self._http_server.is_idle and monotonic() < until:
             Event().wait(_POLL_INTERVAL_S)
 
-    def _log_cut(self) -> int:
+    def _log_aborted(self) -> int:
         """Log the requests that the end of the process aborts and return their number.
 
         Their own threads can't log any more. ``came_after_s`` counts from the signal to
@@ -75,7 +75,7 @@
             log.warning(
                 "cut-by-stop",
                 id=request_id,
-                came_after_s=round(arrived_at - self._stopping.started_at, 3),
+                came_after_s=round(arrived_at - self._schedule.started_at, 3),
                 took_s=round(now - arrived_at, 3),
             )
         return len(received_at_by_id)
--- a/src/kingcupwheel/forwarding/load_poller.py
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -104,8 +104,13 @@
     return found
 
 
-def _report_from(beat: AgentHeartbeat) -> ReportedServerLoad:
-    load = beat.load
+def _report_from(heartbeat: AgentHeartbeat) -> ReportedServerLoad:
+    load = heartbeat.load
     return ReportedServerLoad(
-        beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
+        heartbeat.name,
+        load.running,
+        load.queued,
+        load.pace,
+        heartbeat.server_up,
+        heartbeat.born_ms,
     )
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -20,23 +20,23 @@
         self._accepted_at: float | None = None
         self._began_at: float | None = None
 
-    def record_success(self, asked_at: float) -> None:
+    def record_success(self, requested_at: float) -> None:
         """Record a call begun at ``asked_at`` that was answered; it ends an outage."""
-        self._accepted_at = asked_at
+        self._accepted_at = requested_at
         self._began_at = None
 
-    def record_failure(self, asked_at: float, now: float, *, silent: bool) -> bool:
+    def record_failure(self, requested_at: float, now: float, *, silent: bool) -> bool:
         """Record a call that failed at ``now``; return whether it begins an outage.
 
         ``silent`` means that nothing was received, however long the call lasted.
         """
         if self._began_at is not None:
             return False
-        if now - asked_at > MAX_REFUSAL_S and not silent:
+        if now - requested_at > MAX_REFUSAL_S and not silent:
             self._began_at = now
         else:
             self._began_at = (
-                asked_at if self._accepted_at is None else self._accepted_at
+                requested_at if self._accepted_at is None else self._accepted_at
             )
         return True
 
--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -55,8 +55,8 @@
 class PeerTable:
     """The other entries by name; not thread-safe, callers hold a lock."""
 
-    def __init__(self, me: EntryInfo) -> None:
-        self._me = me
+    def __init__(self, own_entry: EntryInfo) -> None:
+        self._own_entry = own_entry
         self._by_name: dict[str, _Peer] = {}
         # Largest number of entries live at once. Budgets are divided by it, since
         # an entry that is cut off can't tell whether the others died.
@@ -77,7 +77,7 @@
         """Add entries from a list; only their heartbeats show that they are live."""
         for entry in entries:
             known = self._by_name.get(entry.name)
-            if entry.name == self._me.name:
+            if entry.name == self._own_entry.name:
                 continue
             if known is None:
                 self._by_name[entry.name] = _Peer(entry, now)
@@ -85,17 +85,17 @@
                 # The machine was replaced. A live entry sends its own address.
                 self._by_name[entry.name] = _Peer(entry, now)
 
-    def record_heartbeat(self, beat: EntryHeartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: EntryHeartbeat, now: float) -> bool:
         """Record a heartbeat; return whether its entry is new or has restarted."""
-        peer = self._by_name.get(beat.sender.name)
+        peer = self._by_name.get(heartbeat.sender.name)
         is_new = peer is None or peer.last_heartbeat is None
-        if peer is None or peer.entry != beat.sender:
-            peer = self._by_name[beat.sender.name] = _Peer(beat.sender, now)
+        if peer is None or peer.entry != heartbeat.sender:
+            peer = self._by_name[heartbeat.sender.name] = _Peer(heartbeat.sender, now)
         restarted = (
             peer.last_heartbeat is not None
-            and peer.last_heartbeat.incarnation != beat.incarnation
+            and peer.last_heartbeat.incarnation != heartbeat.incarnation
         )
-        peer.last_heartbeat = beat
+        peer.last_heartbeat = heartbeat
         peer.heard_at = now
         self._max_live_seen = max(self._max_live_seen, len(self.live_entries(now)) + 1)
         return is_new or restarted
@@ -160,7 +160,7 @@
         return expired
 
 
-def confirmation_from(beat: EntryHeartbeat) -> VersionConfirmation | None:
+def confirmation_from(heartbeat: EntryHeartbeat) -> VersionConfirmation | None:
     """Return what a heartbeat proves about the age of a configuration version.
 
     Failure: a heartbeat is delayed, or its sender is frozen between writing and sending
@@ -168,6 +168,6 @@
     long. The sender's age is therefore counted from this process's own clock reading
     that the heartbeat echoes: the heartbeat was written after that reading was sent.
     """
-    if beat.echo <= 0.0 or beat.age_s < 0.0:
+    if heartbeat.echo <= 0.0 or heartbeat.age_s < 0.0:
         return None
-    return VersionConfirmation(beat.version, beat.echo - beat.age_s)
+    return VersionConfirmation(heartbeat.version, heartbeat.echo - heartbeat.age_s)
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -188,7 +188,7 @@
                 elif not (notice.rest_s or notice.leaving):
                     request = self._request
                     self._context.record_rejection(
-                        place, request.service, streamed=request.route.is_streamed
+                        place, request.service, is_streamed=request.route.is_streamed
                     )
             case Lost(why):
                 came = Came.LOST
--- a/src/kingcupwheel/forwarding/server_list.py
+++ b/src/kingcupwheel/forwarding/server_list.py
@@ -40,7 +40,7 @@
         self._removals_held_until = 0.0
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
         """Handle the complete list."""
         if outage_s > _MIN_OUTAGE_S:
@@ -53,7 +53,9 @@
             self._record(stored)
         self._apply_changes()
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Handle added, changed and removed servers."""
         for change in changes:
             if change.is_removed:
--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -55,11 +55,13 @@
     kind: str
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
         """Handle a complete list that was requested at ``asked_at``."""
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Handle the changes of one watch; empty if nothing changed."""
 
 
@@ -138,16 +140,16 @@
                 self._stopping.wait(self._retry_delay_s)
                 self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
-    def _list(self, asked_at: float) -> PlatformError | None:
+    def _list(self, requested_at: float) -> PlatformError | None:
         asked = self._store.list_objects(self._handler.kind)
         if asked.is_error():
             return asked.error
         outage_s = self._outage.duration_s(monotonic())
-        self._handler.on_list(asked.ok.objects, asked_at, outage_s=outage_s)
+        self._handler.on_list(asked.ok.objects, requested_at, outage_s=outage_s)
         self._revision = asked.ok.revision
         return None
 
-    def _watch(self, asked_at: float) -> PlatformError | None:
+    def _watch(self, requested_at: float) -> PlatformError | None:
         kind = self._handler.kind
         timing = self._timing()
         asked = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
@@ -159,7 +161,7 @@
                 log.info("history-gone", kind=kind, revision=asked.error.revision)
                 return None
             return asked.error
-        self._handler.on_changes(asked.ok.changes, asked_at)
+        self._handler.on_changes(asked.ok.changes, requested_at)
         self._revision = max(self._revision, asked.ok.revision)
         if asked.ok.changes and timing.delay_after_change_s:
             self._stopping.wait(timing.delay_after_change_s)
@@ -187,22 +189,26 @@
         self._cache = cache
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
         """Store the configuration if the list has it."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
-                adopt_configuration(self._cache, found.body, asked_at, source="store")
+                adopt_configuration(
+                    self._cache, found.body, requested_at, source="store"
+                )
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Store a new version, or confirm the current one if nothing changed."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.is_removed:
                 adopt_configuration(
-                    self._cache, change.object.body, asked_at, source="store"
+                    self._cache, change.object.body, requested_at, source="store"
                 )
         if not changes:
-            self._cache.confirm(self._cache.version, asked_at)
+            self._cache.confirm(self._cache.version, requested_at)
 
 
 def adopt_configuration(
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -165,7 +165,7 @@
     """Thread that checks every watched request; its methods are thread-safe."""
 
     def __init__(self) -> None:
-        self._watched: set[WatchedRequest] = set()
+        self._requests: set[WatchedRequest] = set()
         self._changed = Condition()
         self._stopping = False
         self._abort_all_at = float("inf")
@@ -185,23 +185,23 @@
         """Abort all requests, also later ones, at this time (monotonic)."""
         self._abort_all_at = at
 
-    def watch(self, watched: WatchedRequest) -> None:
+    def watch(self, request: WatchedRequest) -> None:
         """Check this request until ``unwatch``."""
         with self._changed:
-            self._watched.add(watched)
+            self._requests.add(request)
             self._changed.notify_all()
 
-    def unwatch(self, watched: WatchedRequest) -> None:
+    def unwatch(self, request: WatchedRequest) -> None:
         """Stop checking this request."""
         with self._changed:
-            self._watched.discard(watched)
+            self._requests.discard(request)
 
     def abort_slow_streams(self, instances: frozenset[str]) -> int:
         """Abort resumable streams on slow servers; return their number."""
         with self._changed:
             found = [
                 one
-                for one in self._watched
+                for one in self._requests
                 if one.is_resumable_elsewhere
                 and one.instance in instances
                 and one.abort_reason is None
@@ -213,10 +213,10 @@
     def _run(self) -> None:
         while True:
             with self._changed:
-                self._changed.wait_for(lambda: self._watched or self._stopping)
+                self._changed.wait_for(lambda: self._requests or self._stopping)
                 if self._stopping:
                     return
-                watched = tuple(self._watched)
+                watched = tuple(self._requests)
             self._check(watched)
             with self._changed:
                 self._changed.wait_for(lambda: self._stopping, CHECK_INTERVAL_S)
