--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -43,8 +43,8 @@
 class ForwardApplication:
     """WSGI application that forwards requests to backend servers.
 
-    ``knowledge`` returns the configuration for a new request, ``has_live_peers``
-    whether callers can be sent to another entry.
+    ``configuration_snapshot`` returns the configuration for a new request and its age,
+    ``has_live_peers`` whether callers can be sent to another entry.
     """
 
     def __init__(
@@ -108,12 +108,12 @@
 
     def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
         """Return a refusal if the request can't end before this process does."""
-        stopping = self._shutdown_schedule
-        if stopping is None:
+        schedule = self._shutdown_schedule
+        if schedule is None:
             return None
         now = monotonic()
         over_at = request.times.over_at
-        if not self._refuses_new and stopping.may_accept(
+        if not self._refuses_new and schedule.may_accept(
             now,
             deadline_at=over_at,
             longest_recent_s=self._active_requests.longest_s(request, now),
@@ -127,12 +127,12 @@
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
-        stopping = self._shutdown_schedule
-        if stopping is None:
+        schedule = self._shutdown_schedule
+        if schedule is None:
             return True
         now = monotonic()
         over_at = request.times.over_at
-        return stopping.may_dispatch(
+        return schedule.may_dispatch(
             now,
             deadline_at=over_at,
             longest_recent_s=self._active_requests.longest_s(request, now),
@@ -184,10 +184,10 @@
                 self._active_requests.answered(answered, monotonic())
 
     def _log_refused(self, received: Received, refusal: Refusal) -> None:
-        knowledge = self._configuration_snapshot()
+        snapshot = self._configuration_snapshot()
         version = 0
-        if knowledge.configuration is not None:
-            version = knowledge.configuration.version
+        if snapshot.configuration is not None:
+            version = snapshot.configuration.version
         took_s = monotonic() - received.at
         self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
         log.info(
@@ -199,5 +199,5 @@
             retry_after_s=refusal.retry_after_s,
             target=received.target,
             version=version,
-            version_age_s=round(knowledge.age_s, 2),
+            version_age_s=round(snapshot.age_s, 2),
         )
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -48,7 +48,7 @@
 class EngineShape(NamedTuple):
     """An expert-parallel engine of a service, as far as expert maps need it.
 
-    ``places`` is the number of expert placements of a rank in one layer.
+    ``placements_per_rank`` is the number of experts that a rank holds in one layer.
     ``max_new_experts`` bounds the experts new to a rank in one layer of one change;
     ``expert_copy_s`` is the time in which a rank copies the weights of one expert.
     ``max_event_gap_s`` is the longest acceptable pause between two events of its
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -220,15 +220,15 @@
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
+        schedule = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.begin_shutdown(stopping)
+        self._application.begin_shutdown(schedule)
         self._membership.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress_count)
         self._store_maintainer.stop()
         self._membership.deregister(self._store)
         cut = GracefulShutdown(
-            stopping, self._application, self._http_servers[0]
+            schedule, self._application, self._http_servers[0]
         ).wait()
         for watcher in self._watchers:
             watcher.stop()
--- a/src/kingcupwheel/forwarding/endpoints.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -52,8 +52,10 @@
         if environ["PATH_INFO"] != entry_endpoints.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
-        asked = entry_endpoints.parse_data_centre(str(environ.get("QUERY_STRING", "")))
-        found = self._addresses(asked)
+        data_centre = entry_endpoints.parse_data_centre(
+            str(environ.get("QUERY_STRING", ""))
+        )
+        found = self._addresses(data_centre)
         if not found:
             start_response(status_line(503), [("Content-Length", "0")])
             return (b"",)
--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -149,8 +149,8 @@
         )
         for peer in peers:
             known = peers if includes_known else ()
-            beat = self._heartbeat(echoes[peer.name], known)
-            self._hub.send(OutgoingLink(peer.address, 0), beat)
+            heartbeat = self._heartbeat(echoes[peer.name], known)
+            self._hub.send(OutgoingLink(peer.address, 0), heartbeat)
         self._log_live_changes()
 
     def _heartbeat(self, echo: float, known: tuple[EntryInfo, ...]) -> EntryHeartbeat:
@@ -194,8 +194,8 @@
     def _request_configuration(self, heartbeat: EntryHeartbeat, now: float) -> None:
         if now - self._requested_at >= _REQUEST_INTERVAL_S:
             self._requested_at = now
-            wanted = ManifestRequest(_CONFIGURATION_KEY)
-            self._hub.send(OutgoingLink(heartbeat.sender.address, 0), wanted)
+            request = ManifestRequest(_CONFIGURATION_KEY)
+            self._hub.send(OutgoingLink(heartbeat.sender.address, 0), request)
 
     def on_configuration_request(self, link: Link, message: ManifestRequest) -> None:
         """Send the configuration to a peer that requests it."""
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -21,7 +21,7 @@
         self._began_at: float | None = None
 
     def record_success(self, requested_at: float) -> None:
-        """Record a call begun at ``asked_at`` that was answered; it ends an outage."""
+        """Record an answered call that began at ``requested_at``; it ends an outage."""
         self._accepted_at = requested_at
         self._began_at = None
 
--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -57,7 +57,7 @@
     def on_list(
         self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
-        """Handle a complete list that was requested at ``asked_at``."""
+        """Handle a complete list that was requested at ``requested_at``."""
 
     def on_changes(
         self, changes: tuple[ObjectChange, ...], requested_at: float
@@ -131,8 +131,12 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             began = monotonic()
-            asked_at = self._clock()
-            why = self._watch(asked_at) if self._revision else self._list(asked_at)
+            requested_at = self._clock()
+            why = (
+                self._watch(requested_at)
+                if self._revision
+                else self._list(requested_at)
+            )
             if why is None:
                 self._record_success(began)
             else:
@@ -141,29 +145,29 @@
                 self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
     def _list(self, requested_at: float) -> PlatformError | None:
-        asked = self._store.list_objects(self._handler.kind)
-        if asked.is_error():
-            return asked.error
+        result = self._store.list_objects(self._handler.kind)
+        if result.is_error():
+            return result.error
         outage_s = self._outage.duration_s(monotonic())
-        self._handler.on_list(asked.ok.objects, requested_at, outage_s=outage_s)
-        self._revision = asked.ok.revision
+        self._handler.on_list(result.ok.objects, requested_at, outage_s=outage_s)
+        self._revision = result.ok.revision
         return None
 
     def _watch(self, requested_at: float) -> PlatformError | None:
         kind = self._handler.kind
         timing = self._timing()
-        asked = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
-        if asked.is_error():
+        result = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
+        if result.is_error():
             # After any failure the list is read again: the store may have dropped
             # changes that happened meanwhile, and a list also shows what is missing.
             self._revision = 0
-            if isinstance(asked.error, HistoryGone):
-                log.info("history-gone", kind=kind, revision=asked.error.revision)
+            if isinstance(result.error, HistoryGone):
+                log.info("history-gone", kind=kind, revision=result.error.revision)
                 return None
-            return asked.error
-        self._handler.on_changes(asked.ok.changes, requested_at)
-        self._revision = max(self._revision, asked.ok.revision)
-        if asked.ok.changes and timing.delay_after_change_s:
+            return result.error
+        self._handler.on_changes(result.ok.changes, requested_at)
+        self._revision = max(self._revision, result.ok.revision)
+        if result.ok.changes and timing.delay_after_change_s:
             self._stopping.wait(timing.delay_after_change_s)
         return None
 
