--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -43,28 +43,28 @@
 class ForwardApplication:
     """WSGI application that forwards requests to backend servers.
 
-    ``knowledge`` returns the configuration for a new request, ``has_live_peers``
-    whether callers can be sent to another entry.
+    ``configuration_snapshot`` returns the configuration for a new request and its age,
+    ``has_live_peers`` whether callers can be sent to another entry.
     """
 
     def __init__(
         self,
         context: ForwardContext,
-        knowledge: Callable[[], ConfigurationSnapshot],
+        configuration_snapshot: Callable[[], ConfigurationSnapshot],
         *,
         name: str,
         has_live_peers: Callable[[], bool],
     ) -> None:
         self._context = context
-        self._knowledge = knowledge
+        self._configuration_snapshot = configuration_snapshot
         self._name = name
         self._has_live_peers = has_live_peers
-        self._stopping: ShutdownSchedule | None = None
+        self._shutdown_schedule: ShutdownSchedule | None = None
         self._refuses_new = False
         self._active_requests = ActiveRequests()
 
     @property
-    def in_progress(self) -> int:
+    def in_progress_count(self) -> int:
         """Number of requests whose answer has not been sent completely."""
         return len(self._active_requests)
 
@@ -73,13 +73,13 @@
         """Monotonic receive time of each request in progress, by its id."""
         return self._active_requests.received_at_by_id
 
-    def begin_shutdown(self, stopping: ShutdownSchedule) -> None:
+    def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Accept only requests that can end in time; abort the rest at the deadline.
 
         Each further answer closes its connection.
         """
-        self._stopping = stopping
-        self._context.watchdog.abort_all_at(stopping.responses_end_at)
+        self._shutdown_schedule = schedule
+        self._context.watchdog.abort_all_at(schedule.responses_end_at)
 
     def refuse_new_requests(self) -> None:
         """Refuse all new requests; those in progress are still answered."""
@@ -90,7 +90,7 @@
     ) -> Iterable[bytes]:
         """Handle one WSGI request."""
         exchange = HttpExchange(environ, start_response)
-        if self._stopping is not None:
+        if self._shutdown_schedule is not None:
             exchange.close_after_answer()
         received = exchange.read_request(self._name, self._body_limit())
         received = received._replace(id=self._active_requests.add(received))
@@ -102,20 +102,20 @@
         return self._track_until_sent(body, received.id)
 
     def _body_limit(self) -> int:
-        configuration = self._knowledge().configuration
+        configuration = self._configuration_snapshot().configuration
         limits = RequestLimits() if configuration is None else configuration.limits
         return limits.max_body_bytes
 
     def _shutdown_refusal(self, request: ForwardRequest) -> Refusal | None:
         """Return a refusal if the request can't end before this process does."""
-        stopping = self._stopping
-        if stopping is None:
+        schedule = self._shutdown_schedule
+        if schedule is None:
             return None
         now = monotonic()
-        over_at = request.deadlines.deadline
-        if not self._refuses_new and stopping.may_accept(
+        deadline = request.deadlines.deadline
+        if not self._refuses_new and schedule.may_accept(
             now,
-            deadline_at=over_at,
+            deadline_at=deadline,
             longest_recent_s=self._active_requests.longest_answer_s(request, now),
             is_streamed=request.route.is_streamed,
         ):
@@ -127,14 +127,14 @@
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
-        stopping = self._stopping
-        if stopping is None:
+        schedule = self._shutdown_schedule
+        if schedule is None:
             return True
         now = monotonic()
-        over_at = request.deadlines.deadline
-        return stopping.may_dispatch(
+        deadline = request.deadlines.deadline
+        return schedule.may_dispatch(
             now,
-            deadline_at=over_at,
+            deadline_at=deadline,
             longest_recent_s=self._active_requests.longest_answer_s(request, now),
         )
 
@@ -149,7 +149,7 @@
     def _answer(
         self, exchange: HttpExchange, received: ReceivedRequest
     ) -> Iterable[bytes]:
-        request = admit_request(received, self._knowledge())
+        request = admit_request(received, self._configuration_snapshot())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
@@ -188,10 +188,10 @@
                 self._active_requests.record_answer(answered, monotonic())
 
     def _log_refused(self, received: ReceivedRequest, refusal: Refusal) -> None:
-        knowledge = self._knowledge()
+        snapshot = self._configuration_snapshot()
         version = 0
-        if knowledge.configuration is not None:
-            version = knowledge.configuration.version
+        if snapshot.configuration is not None:
+            version = snapshot.configuration.version
         took_s = monotonic() - received.received_at
         self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
         log.info(
@@ -203,5 +203,5 @@
             retry_after_s=refusal.retry_after_s,
             target=received.target,
             version=version,
-            version_age_s=round(knowledge.age_s, 2),
+            version_age_s=round(snapshot.age_s, 2),
         )
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -32,8 +32,8 @@
 
     name: str
     host: str
-    prefix: str
-    shares: tuple[ServiceShare, ...]
+    path_prefix: str
+    traffic_split: tuple[ServiceShare, ...]
     is_idempotent: bool
     is_streamed: bool
     is_resumable: bool
@@ -48,7 +48,7 @@
 class EngineShape(NamedTuple):
     """An expert-parallel engine of a service, as far as expert maps need it.
 
-    ``places`` is the number of expert placements of a rank in one layer.
+    ``placements_per_rank`` is the number of experts that a rank holds in one layer.
     ``max_new_experts`` bounds the experts new to a rank in one layer of one change;
     ``expert_copy_s`` is the time in which a rank copies the weights of one expert.
     ``max_event_gap_s`` is the longest acceptable pause between two events of its
@@ -57,7 +57,7 @@
 
     layer_count: int
     expert_count: int
-    places: int
+    placements_per_rank: int
     max_new_experts: int
     expert_copy_s: float
     max_event_gap_s: float = 0.0
@@ -102,7 +102,7 @@
     def find_route(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self.routes_by_host.get(host, ()):
-            if path.startswith(route.prefix):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
@@ -116,7 +116,7 @@
             for routes in self.routes_by_host.values()
             for route in routes
             if route.max_event_gap_s > 0
-            and any(one.service == service for one in route.shares)
+            and any(one.service == service for one in route.traffic_split)
         ]
         return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
@@ -135,6 +135,6 @@
 ) -> dict[str, tuple[ForwardRoute, ...]]:
     """Group routes by host, longest prefix first."""
     by_host: dict[str, list[ForwardRoute]] = {}
-    for route in sorted(routes, key=lambda route: -len(route.prefix)):
+    for route in sorted(routes, key=lambda route: -len(route.path_prefix)):
         by_host.setdefault(route.host, []).append(route)
     return {host: tuple(found) for host, found in by_host.items()}
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -81,9 +81,11 @@
         self.connection_pool.close_server(place.incarnation)
         self.servers.refute_address(place)
 
-    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
+    def record_rejection(
+        self, place: Place, service: str, *, is_streamed: bool
+    ) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if streamed and self.guards.record_rejection(
+        if is_streamed and self.guards.record_rejection(
             service,
             place.server,
             idle_s=self.liveness.for_service(service).idle_s(monotonic()),
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -129,7 +129,7 @@
         self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
-            self._knowledge,
+            self._configuration_snapshot,
             name=settings.name,
             has_live_peers=lambda: bool(self._membership.live_entries()),
         )
@@ -161,7 +161,9 @@
 
     def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
+        addresses = AddressesEndpoint(
+            self._list_live_addresses, self._forwarding.address_keep_s
+        )
         endpoints = {
             self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
@@ -218,21 +220,21 @@
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
+        schedule = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.begin_shutdown(stopping)
+        self._application.begin_shutdown(schedule)
         self._membership.announce_leaving()
-        log.info("leaving", in_progress=self._application.in_progress)
+        log.info("leaving", in_progress=self._application.in_progress_count)
         self._store_maintainer.stop()
         self._membership.deregister(self._store)
         cut = GracefulShutdown(
-            stopping, self._application, self._http_servers[0]
+            schedule, self._application, self._http_servers[0]
         ).wait()
         for watcher in self._watchers:
             watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
-    def _knowledge(self) -> ConfigurationSnapshot:
+    def _configuration_snapshot(self) -> ConfigurationSnapshot:
         return ConfigurationSnapshot(
             self._configuration_cache.current,
             self._configuration_cache.age_s(),
@@ -247,7 +249,7 @@
         )
         return has_data and not self._leaving.is_set()
 
-    def _addresses(self, data_centre: str) -> tuple[str, ...]:
+    def _list_live_addresses(self, data_centre: str) -> tuple[str, ...]:
         live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -192,7 +192,7 @@
                 elif not (notice.rest_s or notice.is_leaving):
                     request = self._request
                     self._context.record_rejection(
-                        place, request.service, streamed=request.route.is_streamed
+                        place, request.service, is_streamed=request.route.is_streamed
                     )
             case AnswerLost(why):
                 outcome = AttemptOutcome.LOST
