--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -10,12 +10,12 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.activerequests import ActiveRequests
+from kingcupwheel.forwarding.active_requests import ActiveRequests
 from kingcupwheel.forwarding.admission import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
 from kingcupwheel.forwarding.exchange import HttpExchange
 from kingcupwheel.forwarding.forwarder import RequestForwarder
-from kingcupwheel.forwarding.retryguards import with_jitter
+from kingcupwheel.forwarding.retry_guards import with_jitter
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
 
--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -13,7 +13,7 @@
 
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.exceptions import NotConnectedError
-from kingcupwheel.forwarding.httpmetadata import NO_NOTICE
+from kingcupwheel.forwarding.http_metadata import NO_NOTICE
 from kingcupwheel.platform.headers import read_response_headers
 
 
@@ -25,8 +25,8 @@
     from urllib3.connection import HTTPConnection
 
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.httpmetadata import AnswerHead
-    from kingcupwheel.forwarding.httpmetadata import ServerNotice
+    from kingcupwheel.forwarding.http_metadata import AnswerHead
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
     from kingcupwheel.forwarding.liveness import LivenessTracker
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -16,11 +16,11 @@
     from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.httpmetadata import ReportedLoad
-    from kingcupwheel.forwarding.httpmetadata import ServerNotice
+    from kingcupwheel.forwarding.http_metadata import ReportedLoad
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
     from kingcupwheel.forwarding.liveness import LivenessTrackers
-    from kingcupwheel.forwarding.retryguards import RetryGuards
-    from kingcupwheel.forwarding.serverregistry import ServerRegistry
+    from kingcupwheel.forwarding.retry_guards import RetryGuards
+    from kingcupwheel.forwarding.server_registry import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.telemetry.metrics import EntryMetrics
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -23,10 +23,10 @@
 from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
 from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.load_poller import AgentLoadPoller
-from kingcupwheel.forwarding.retryguards import RetryBudget
-from kingcupwheel.forwarding.retryguards import RetryGuards
+from kingcupwheel.forwarding.retry_guards import RetryBudget
+from kingcupwheel.forwarding.retry_guards import RetryGuards
 from kingcupwheel.forwarding.server_list import ServerListHandler
-from kingcupwheel.forwarding.serverregistry import ServerRegistry
+from kingcupwheel.forwarding.server_registry import ServerRegistry
 from kingcupwheel.forwarding.store_maintenance import StoreMaintainer
 from kingcupwheel.forwarding.store_watcher import ConfigurationHandler
 from kingcupwheel.forwarding.store_watcher import StoreWatcher
--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
-    from kingcupwheel.forwarding.retryguards import RetryGuards
+    from kingcupwheel.forwarding.retry_guards import RetryGuards
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.platform.object_store import ObjectStore
--- a/src/kingcupwheel/forwarding/finalrefusals.py
+++ b/src/kingcupwheel/forwarding/final_refusals.py
@@ -4,7 +4,7 @@
 
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.outcomes import NextStep
-from kingcupwheel.forwarding.retryguards import with_jitter
+from kingcupwheel.forwarding.retry_guards import with_jitter
 from kingcupwheel.messages.attempts import Outcome
 
 
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -23,20 +23,20 @@
 from kingcupwheel.forwarding.calls import Rejected
 from kingcupwheel.forwarding.calls import Withheld
 from kingcupwheel.forwarding.exceptions import AnswerLostError
-from kingcupwheel.forwarding.finalrefusals import PASS_ON
-from kingcupwheel.forwarding.finalrefusals import refusal_for_step
-from kingcupwheel.forwarding.finalrefusals import retry_after_s
-from kingcupwheel.forwarding.httpmetadata import NO_NOTICE
-from kingcupwheel.forwarding.httpmetadata import ServerRequestMetadata
+from kingcupwheel.forwarding.final_refusals import PASS_ON
+from kingcupwheel.forwarding.final_refusals import refusal_for_step
+from kingcupwheel.forwarding.final_refusals import retry_after_s
+from kingcupwheel.forwarding.http_metadata import NO_NOTICE
+from kingcupwheel.forwarding.http_metadata import ServerRequestMetadata
 from kingcupwheel.forwarding.outcomes import AttemptCounts
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.forwarding.outcomes import NextStep
 from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
-from kingcupwheel.forwarding.queuewait import NoPlace
-from kingcupwheel.forwarding.queuewait import PlacementConstraints
-from kingcupwheel.forwarding.queuewait import wait_for_place
+from kingcupwheel.forwarding.queue_wait import NoPlace
+from kingcupwheel.forwarding.queue_wait import PlacementConstraints
+from kingcupwheel.forwarding.queue_wait import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.messages.attempts import Outcome
@@ -49,7 +49,7 @@
     from kingcupwheel.forwarding.calls import CallResult
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.context import ForwardContext
-    from kingcupwheel.forwarding.httpmetadata import ServerNotice
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
     from kingcupwheel.forwarding.requests import ForwardRequest
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
--- a/src/kingcupwheel/forwarding/load_poller.py
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -5,8 +5,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.loadaggregators import MAX_DIRECT_AGENTS
-from kingcupwheel.forwarding.loadaggregators import LoadAggregators
+from kingcupwheel.forwarding.load_aggregators import MAX_DIRECT_AGENTS
+from kingcupwheel.forwarding.load_aggregators import LoadAggregators
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
@@ -22,7 +22,7 @@
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
-    from kingcupwheel.forwarding.serverregistry import ServerRegistry
+    from kingcupwheel.forwarding.server_registry import ServerRegistry
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
--- a/src/kingcupwheel/forwarding/queuewait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import Wanted
-from kingcupwheel.forwarding.finalrefusals import retry_after_s
+from kingcupwheel.forwarding.final_refusals import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -13,7 +13,7 @@
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
     from kingcupwheel.forwarding.deadlines import Deadlines
-    from kingcupwheel.forwarding.httpmetadata import CallerMetadata
+    from kingcupwheel.forwarding.http_metadata import CallerMetadata
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
 LOWEST_PRIORITY = 9
--- a/src/kingcupwheel/forwarding/retryguards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -14,7 +14,7 @@
 from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
 from kingcupwheel.decisions.retry_budget import SlidingWindowRetryBudget
-from kingcupwheel.forwarding.closedservices import ClosedServiceDetector
+from kingcupwheel.forwarding.closed_services import ClosedServiceDetector
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/serverregistry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from kingcupwheel.forwarding.addressclaims import AddressClaims
+from kingcupwheel.forwarding.address_claims import AddressClaims
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import BackendLoad
@@ -27,7 +27,7 @@
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.backends import Backend
-    from kingcupwheel.forwarding.httpmetadata import ReportedLoad
+    from kingcupwheel.forwarding.http_metadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
 
 log = lines_of("servers")
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -6,10 +6,10 @@
 import re
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.httpmetadata import AnswerHead
-from kingcupwheel.forwarding.httpmetadata import CallerMetadata
-from kingcupwheel.forwarding.httpmetadata import ReportedLoad
-from kingcupwheel.forwarding.httpmetadata import ServerNotice
+from kingcupwheel.forwarding.http_metadata import AnswerHead
+from kingcupwheel.forwarding.http_metadata import CallerMetadata
+from kingcupwheel.forwarding.http_metadata import ReportedLoad
+from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
 from kingcupwheel.utils.numbers import whole_number
@@ -20,7 +20,7 @@
 
     from urllib3 import HTTPHeaderDict
 
-    from kingcupwheel.forwarding.httpmetadata import ServerRequestMetadata
+    from kingcupwheel.forwarding.http_metadata import ServerRequestMetadata
 
 # Identifies one send of a caller; a retry by the caller has a new id.
 _ATTEMPT_ID = "x-attempt-id"
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.calls import OutgoingRequest
 from kingcupwheel.forwarding.calls import ServerClient
 from kingcupwheel.forwarding.connection_pool import ConnectionPool
-from kingcupwheel.forwarding.httpmetadata import ServerNotice
+from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.forwarding.watchdog import AbortReason
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from tests.forwarding.fleet import WAIT_TIMEOUT_S
--- a/tests/forwarding/test_closures.py
+++ b/tests/forwarding/test_closures.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from kingcupwheel.forwarding.closedservices import REJECTION_WINDOW_S
-from kingcupwheel.forwarding.closedservices import ClosedServiceDetector
+from kingcupwheel.forwarding.closed_services import REJECTION_WINDOW_S
+from kingcupwheel.forwarding.closed_services import ClosedServiceDetector
 
 
 SILENT_S = 5.0
--- a/tests/forwarding/test_loadaggregators.py
+++ b/tests/forwarding/test_load_aggregators.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from kingcupwheel.forwarding.loadaggregators import LoadAggregators
-from kingcupwheel.forwarding.loadaggregators import LoadQuery
+from kingcupwheel.forwarding.load_aggregators import LoadAggregators
+from kingcupwheel.forwarding.load_aggregators import LoadQuery
 
 
 AGENTS = {"dc-1": ("a:1", "b:1", "c:1"), "dc-2": ("d:1",)}
--- a/tests/forwarding/test_notices.py
+++ b/tests/forwarding/test_notices.py
@@ -10,7 +10,7 @@
 import pytest
 from urllib3.connection import HTTPConnection
 
-from kingcupwheel.forwarding.retryguards import RetryGuards
+from kingcupwheel.forwarding.retry_guards import RetryGuards
 from tests.forwarding.builders import route
 from tests.forwarding.fleet import wait_until
 from tests.standins.backend import Behaviour
--- a/tests/forwarding/test_serverbook.py
+++ b/tests/forwarding/test_serverbook.py
@@ -11,8 +11,8 @@
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.backends import Backend
-from kingcupwheel.forwarding.serverregistry import ServerRegistry
-from kingcupwheel.forwarding.serverregistry import places_at_pace
+from kingcupwheel.forwarding.server_registry import ServerRegistry
+from kingcupwheel.forwarding.server_registry import places_at_pace
 from kingcupwheel.messages.membership import ReportedServerLoad
 from kingcupwheel.plugins.kernel import load_placements
 from kingcupwheel.settings.schema import Timings
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -3,9 +3,9 @@
 import pytest
 from urllib3 import HTTPHeaderDict
 
-from kingcupwheel.forwarding.httpmetadata import ReportedLoad
-from kingcupwheel.forwarding.httpmetadata import ServerNotice
-from kingcupwheel.forwarding.httpmetadata import ServerRequestMetadata
+from kingcupwheel.forwarding.http_metadata import ReportedLoad
+from kingcupwheel.forwarding.http_metadata import ServerNotice
+from kingcupwheel.forwarding.http_metadata import ServerRequestMetadata
 from kingcupwheel.platform.headers import build_server_headers
 from kingcupwheel.platform.headers import read_request_headers
 from kingcupwheel.platform.headers import read_response_headers
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -42,9 +42,9 @@
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/queuewait.py", "prefers_local=True", "prefers_local=False"),
+        Edit("forwarding/queue_wait.py", "prefers_local=True", "prefers_local=False"),
         Edit(
-            "forwarding/queuewait.py",
+            "forwarding/queue_wait.py",
             "REMOTE_LOAD_PENALTY = 0.25",
             "REMOTE_LOAD_PENALTY = 0.0",
         ),
@@ -68,7 +68,7 @@
     ),
     "closed-groups-wait": (
         Edit(
-            "forwarding/retryguards.py",
+            "forwarding/retry_guards.py",
             "return closures.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
@@ -111,7 +111,7 @@
     ),
     "retry-after-spread": (
         Edit(
-            "forwarding/retryguards.py",
+            "forwarding/retry_guards.py",
             "return base_s * (1.0 + 0.5 * stable_fraction(request_id))",
             "return base_s",
         ),
@@ -145,13 +145,13 @@
     ),
     "slow-ranks-avoided": (
         Edit(
-            "forwarding/serverregistry.py",
+            "forwarding/server_registry.py",
             "AVOIDED_PACE = 2.5",
             'AVOIDED_PACE = float("inf")',
         ),
     ),
     "slow-ranks-given-less": (
-        Edit("forwarding/serverregistry.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
+        Edit("forwarding/server_registry.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
@@ -177,7 +177,7 @@
     ),
     "load-boards": (
         Edit(
-            "forwarding/loadaggregators.py",
+            "forwarding/load_aggregators.py",
             "MAX_DIRECT_AGENTS = 24",
             "MAX_DIRECT_AGENTS = 10_000",
         ),
