--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -160,16 +160,16 @@
         if result.is_ok() and result.ok.status == _NOT_MODIFIED:
             return Ok(cached.instances)
         return result.bind(_decode_instances).map(
-            lambda found: self._cache_instances(found, result.ok)
+            lambda instances: self._cache_instances(instances, result.ok)
         )
 
     def _cache_instances(
-        self, found: tuple[Instance, ...], response: BaseHTTPResponse
+        self, instances: tuple[Instance, ...], response: BaseHTTPResponse
     ) -> tuple[Instance, ...]:
         self._instance_cache = _InstanceListCache(
-            response.headers.get("ETag", ""), found
+            response.headers.get("ETag", ""), instances
         )
-        return found
+        return instances
 
     def _write(
         self, key: str, value: bytes, headers: dict[str, str]
@@ -179,8 +179,8 @@
 
     def _call(self, call: _HttpCall) -> Result[BaseHTTPResponse, PlatformError]:
         deadline = monotonic() + self._timeout_s
-        with self._reserve_connection() as is_free:
-            if not is_free:
+        with self._reserve_connection() as is_reserved:
+            if not is_reserved:
                 return Error(
                     Unavailable("no free connection within the timeout", sent=False)
                 )
@@ -190,11 +190,11 @@
 
     @contextmanager
     def _reserve_connection(self) -> Iterator[bool]:
-        is_free = self._free_connections.acquire(timeout=self._timeout_s)
+        is_reserved = self._free_connections.acquire(timeout=self._timeout_s)
         try:
-            yield is_free
+            yield is_reserved
         finally:
-            if is_free:
+            if is_reserved:
                 self._free_connections.release()
 
     def _send(
@@ -217,8 +217,8 @@
             return Error(Unavailable(_describe_error(error), sent=False))
         except urllib3.exceptions.HTTPError as error:
             return Error(Unavailable(_describe_error(error), sent=call.is_write))
-        refusal = _response_error(call, response)
-        return Ok(response) if refusal is None else Error(refusal)
+        platform_error = _response_error(call, response)
+        return Ok(response) if platform_error is None else Error(platform_error)
 
 
 def _object_path(key: str) -> str:
