--- a/src/kingcupwheel/forwarding/addressclaims.py
+++ b/src/kingcupwheel/forwarding/addressclaims.py
@@ -20,13 +20,13 @@
 # An entry whose address another server has is passed over for so long, in seconds: a
 # wrong one then costs one request turned away in ten seconds, and one that was right
 # after all is soon used again.
-REFUTED_S = 10.0
+REFUTATION_TTL_S = 10.0
 
 
-class _Refuted(NamedTuple):
+class _Refutation(NamedTuple):
     """A server's claim to an address is wrong for lives born by then."""
 
-    born_ms: int
+    started_at_ms: int
     until: float
 
 
@@ -34,14 +34,14 @@
     """The claims that servers have refuted; guarded by its owner."""
 
     def __init__(self) -> None:
-        self._refuted: dict[tuple[str, str], _Refuted] = {}
+        self._refuted: dict[tuple[str, str], _Refutation] = {}
 
     def refute(self, backend: Backend, now: float) -> None:
         """Note that the server at its address says that it is not this one."""
-        found = _Refuted(backend.born_ms, now + REFUTED_S)
-        self._refuted[_claim(backend)] = found
+        found = _Refutation(backend.started_at_ms, now + REFUTATION_TTL_S)
+        self._refuted[_claim_key(backend)] = found
 
-    def holders(
+    def owners_by_address(
         self, listed: Iterable[Backend], before: Mapping[str, Backend], now: float
     ) -> dict[str, Backend]:
         """Return one server by address: of several entries the latest not refuted.
@@ -53,24 +53,24 @@
         }
         by_address: dict[str, Backend] = {}
         for one in listed:
-            backend = _latest(one, before.get(one.address))
+            backend = _with_reported_start(one, before.get(one.address))
             known = by_address.get(backend.address)
-            refuted = self._refuted.get(_claim(backend))
-            if refuted is not None and backend.born_ms <= refuted.born_ms:
+            refuted = self._refuted.get(_claim_key(backend))
+            if refuted is not None and backend.started_at_ms <= refuted.started_at_ms:
                 continue
-            if known is None or known.is_before(backend):
+            if known is None or known.started_before(backend):
                 by_address[backend.address] = backend
         return by_address
 
 
-def _claim(backend: Backend) -> tuple[str, str]:
+def _claim_key(backend: Backend) -> tuple[str, str]:
     return backend.instance, backend.address
 
 
-def _latest(listed: Backend, known: Backend | None) -> Backend:
+def _with_reported_start(listed: Backend, known: Backend | None) -> Backend:
     """Return the listed server, in the life that its agent has told already."""
     if known is None or known.instance != listed.instance:
         return listed
-    if listed.born_ms and listed.born_ms < known.born_ms:
-        return listed._replace(born_ms=known.born_ms)
+    if listed.started_at_ms and listed.started_at_ms < known.started_at_ms:
+        return listed._replace(started_at_ms=known.started_at_ms)
     return listed
--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -13,7 +13,7 @@
 
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.exceptions import NotConnectedError
-from kingcupwheel.forwarding.heads import NO_NOTICE
+from kingcupwheel.forwarding.httpmetadata import NO_NOTICE
 from kingcupwheel.platform.headers import read_response_headers
 
 
@@ -25,32 +25,37 @@
     from urllib3.connection import HTTPConnection
 
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.heads import AnswerHead
-    from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulse
+    from kingcupwheel.forwarding.httpmetadata import AnswerHead
+    from kingcupwheel.forwarding.httpmetadata import ServerNotice
+    from kingcupwheel.forwarding.liveness import LivenessTracker
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # Read at a time; an event of a stream has some hundred bytes.
 _READ_BYTES = 65_536
 
-_BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
+_CONNECTION_ERRORS = (
+    urllib3.exceptions.HTTPError,
+    http.client.HTTPException,
+    OSError,
+    ValueError,
+)
 
 
-class Outgoing(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """A request as a server gets it; ``attempt`` is echoed in the server's answer."""
 
     method: str
     target: str
     headers: Mapping[str, str]
     body: bytes
-    attempt: str
+    attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
     """No byte was sent."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,23 +64,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejected:
     """The server says that it has not run the request and never will."""
 
-    why: str
-    other_instance: bool
-    faulty: str
+    reason: str
+    is_other_instance: bool
+    faulty_server: str
     notice: ServerNotice
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class AnswerLost:
     """It was sent and may have run; no answer can be had.
 
     ``notice`` is what the head of an answer said that came too early to be passed on.
     """
 
-    why: str
+    reason: str
     notice: ServerNotice = NO_NOTICE
 
 
@@ -86,7 +91,7 @@
     answer: ServerAnswer
 
 
-Sent = NotSent | Withheld | TurnedAway | Lost | Answered
+CallResult = NotSent | Withheld | Rejected | AnswerLost | Answered
 
 
 class ServerAnswer:
@@ -114,8 +119,8 @@
         """
         try:
             data = self._response.read1(_READ_BYTES)
-        except _BROKEN as error:
-            raise AnswerLostError(self._why(error)) from error
+        except _CONNECTION_ERRORS as error:
+            raise AnswerLostError(self._loss_reason(error)) from error
         if data:
             self._watched.record_progress()
             if self.on_data is not None:
@@ -137,12 +142,12 @@
                 raise AnswerLostError(f"the body is over {limit} bytes")
         return b"".join(parts)
 
-    def _why(self, error: Exception) -> str:
+    def _loss_reason(self, error: Exception) -> str:
         if self._watched.abort_reason is not None:
             return self._watched.abort_reason.value
         return f"cut: {type(error).__name__}"
 
-    def end(self, life: str, connections: ConnectionPool) -> None:
+    def end(self, incarnation: str, connections: ConnectionPool) -> None:
         """Keep the connection if its answer was whole, else close it.
 
         A server that is still at work on an answer learns by a reset that it is not
@@ -153,9 +158,9 @@
         else:
             self._watched.reset_server()
         head = self.head
-        keeps = self.is_whole and head.framed and not head.closes
+        keeps = self.is_whole and head.is_framed and not head.closes_connection
         if keeps and 200 <= head.status < 300:
-            connections.release(life, self._connection, head.idle_s)
+            connections.release(incarnation, self._connection, head.idle_timeout_s)
             return
         # An answer that came before its request was read leaves bytes on the way; its
         # connection is not used again.
@@ -163,11 +168,11 @@
         self._connection.close()
 
 
-def _beat(pulse: Pulse, instance: str) -> None:
-    pulse.beat(instance, monotonic())
+def _record_activity(liveness: LivenessTracker, instance: str) -> None:
+    liveness.record_activity(instance, monotonic())
 
 
-class ServerCalls:
+class ServerClient:
     """Sends requests to servers; safe from any thread."""
 
     def __init__(self, connections: ConnectionPool) -> None:
@@ -175,18 +180,18 @@
 
     def send(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         *,
         instance: str,
-        life: str,
+        incarnation: str,
         address: str,
         watched: WatchedRequest,
-        silence_s: float,
-        pulse: Pulse | None,
-        fresh: bool,
+        silence_timeout_s: float,
+        liveness: LivenessTracker | None,
+        needs_new_connection: bool,
         may_give_up: Callable[[], bool],
         may_begin: Callable[[], bool],
-    ) -> Sent:
+    ) -> CallResult:
         """Send the request once and wait for the head of its answer.
 
         ``fresh`` asks for a new connection: what may run only once must not cross the
@@ -194,7 +199,9 @@
         server is given up only when ``may_give_up`` says so. ``may_begin`` is asked in
         the moment before bytes leave, since the place was given earlier.
         """
-        connection = None if fresh else self._connections.acquire(life)
+        connection = (
+            None if needs_new_connection else self._connections.acquire(incarnation)
+        )
         if connection is None:
             try:
                 connection = self._connections.open(address)
@@ -204,21 +211,26 @@
         if not may_begin():
             connection.close()
             return Withheld()
-        if not watched.attach(connection.sock, silence_s, instance, may_give_up):
+        if not watched.attach(
+            connection.sock, silence_timeout_s, instance, may_give_up
+        ):
             watched.detach()
             connection.close()
             return NotSent("the request was over before it was sent")
         sent = self._exchange(request, connection, watched)
-        if isinstance(sent, Answered) and pulse is not None:
-            sent.answer.on_data = partial(_beat, pulse, instance)
+        if isinstance(sent, Answered) and liveness is not None:
+            sent.answer.on_data = partial(_record_activity, liveness, instance)
         if not isinstance(sent, Answered):
             watched.detach()
             connection.close()
         return sent
 
     def _exchange(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
-    ) -> Sent:
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
+    ) -> CallResult:
         try:
             connection.request(
                 request.method,
@@ -229,43 +241,52 @@
                 decode_content=False,
                 enforce_content_length=True,
             )
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             # A server may have answered before it read the whole body.
-            return self._early(request, connection, watched, type(error).__name__)
-        return self._head(request, connection, watched)
+            return self._read_early_answer(
+                request, connection, watched, type(error).__name__
+            )
+        return self._read_head(request, connection, watched)
 
-    def _early(
+    def _read_early_answer(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         connection: HTTPConnection,
         watched: WatchedRequest,
-        why: str,
-    ) -> Sent:
-        found = self._head(request, connection, watched)
-        if isinstance(found, TurnedAway):
+        reason: str,
+    ) -> CallResult:
+        found = self._read_head(request, connection, watched)
+        if isinstance(found, Rejected):
             return found
         notice = NO_NOTICE
         if isinstance(found, Answered):
             notice = found.answer.head.notice
             watched.detach()
             connection.close()
-        return Lost(f"cut while it was sent: {why}", notice)
+        return AnswerLost(f"cut while it was sent: {reason}", notice)
 
-    def _head(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
-    ) -> Sent:
+    def _read_head(
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
+    ) -> CallResult:
         try:
             response = connection.getresponse()
             head = read_response_headers(response.status, response.headers)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             cut = watched.abort_reason
-            return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
+            return AnswerLost(
+                cut.value if cut else f"no answer: {type(error).__name__}"
+            )
         watched.record_progress()
-        if head.attempt and head.attempt != request.attempt:
-            return Lost("the answer was another request's")
-        if head.not_run:
+        if head.attempt_id and head.attempt_id != request.attempt_id:
+            return AnswerLost("the answer was another request's")
+        if head.is_rejection:
             why = f"status {head.status}"
-            return TurnedAway(why, head.other_instance, head.faulty, head.notice)
-        if not head.signed:
-            return Lost(f"an unsigned answer with status {head.status}")
+            return Rejected(
+                why, head.is_other_instance, head.faulty_server, head.notice
+            )
+        if not head.is_signed:
+            return AnswerLost(f"an unsigned answer with status {head.status}")
         return Answered(ServerAnswer(head, response, connection, watched))
--- a/src/kingcupwheel/forwarding/closures.py
+++ b/src/kingcupwheel/forwarding/closedservices.py
@@ -10,28 +10,33 @@
 
 from __future__ import annotations
 
-from kingcupwheel.forwarding.pulse import STANDSTILL_S
+from kingcupwheel.forwarding.liveness import STALL_THRESHOLD_S
 
 
 # Servers that have to turn requests away within this time, in seconds: one alone may
 # shed part of its work.
-SERVERS = 2
-WITHIN_S = 1.0
+MIN_REJECTING_SERVERS = 2
+REJECTION_WINDOW_S = 1.0
 
 
-class Closures:
+class ClosedServiceDetector:
     """What one entry was told by a service's servers; guarded by its owner."""
 
     def __init__(self) -> None:
-        self._turned_away_at: dict[str, float] = {}
+        self._rejected_at_by_server: dict[str, float] = {}
 
-    def turned_away(self, server: str, *, quiet_s: float, now: float) -> bool:
+    def record_rejection(self, server: str, *, idle_s: float, now: float) -> bool:
         """Note a request turned away; return whether the whole service does that.
 
         ``quiet_s`` is how long ago any server of the service sent something.
         """
-        self._turned_away_at = {
-            name: at for name, at in self._turned_away_at.items() if now - at < WITHIN_S
+        self._rejected_at_by_server = {
+            name: at
+            for name, at in self._rejected_at_by_server.items()
+            if now - at < REJECTION_WINDOW_S
         }
-        self._turned_away_at[server] = now
-        return len(self._turned_away_at) >= SERVERS and quiet_s > STANDSTILL_S
+        self._rejected_at_by_server[server] = now
+        return (
+            len(self._rejected_at_by_server) >= MIN_REJECTING_SERVERS
+            and idle_s > STALL_THRESHOLD_S
+        )
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -11,9 +11,9 @@
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.forwarding.admitting import Knowledge
+from kingcupwheel.forwarding.admission import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
-from kingcupwheel.forwarding.calls import ServerCalls
+from kingcupwheel.forwarding.calls import ServerClient
 from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
 from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
@@ -21,12 +21,12 @@
 from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
 from kingcupwheel.forwarding.entry_membership import EntryMembership
 from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
-from kingcupwheel.forwarding.guards import Budget
-from kingcupwheel.forwarding.guards import Guards
+from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.load_poller import AgentLoadPoller
-from kingcupwheel.forwarding.pulse import Pulses
+from kingcupwheel.forwarding.retryguards import RetryBudget
+from kingcupwheel.forwarding.retryguards import RetryGuards
 from kingcupwheel.forwarding.server_list import ServerListHandler
-from kingcupwheel.forwarding.serverbook import ServerBook
+from kingcupwheel.forwarding.serverregistry import ServerRegistry
 from kingcupwheel.forwarding.store_maintenance import StoreMaintainer
 from kingcupwheel.forwarding.store_watcher import ConfigurationHandler
 from kingcupwheel.forwarding.store_watcher import StoreWatcher
@@ -94,22 +94,22 @@
         )
         table = ServerTable(settings.timings)
         dispatchers = Dispatchers(table, data_centre=settings.data_centre)
-        budget = Budget(
+        budget = RetryBudget(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._membership.fleet_size)
+        self._guards = RetryGuards(budget, lambda: self._membership.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
             configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            servers=ServerBook(table, dispatchers),
-            server_client=ServerCalls(connections),
+            servers=ServerRegistry(table, dispatchers),
+            server_client=ServerClient(connections),
             connection_pool=connections,
             guards=self._guards,
-            liveness=Pulses(),
+            liveness=LivenessTrackers(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
@@ -129,7 +129,7 @@
         self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
-            self._knowledge,
+            self._configuration_snapshot,
             name=settings.name,
             has_live_peers=lambda: bool(self._membership.live_entries()),
         )
@@ -161,7 +161,9 @@
 
     def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
+        addresses = AddressesEndpoint(
+            self._list_live_addresses, self._forwarding.address_keep_s
+        )
         endpoints = {
             self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
@@ -218,22 +220,22 @@
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
+        schedule = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.begin_shutdown(stopping)
+        self._application.begin_shutdown(schedule)
         self._membership.announce_leaving()
-        log.info("leaving", in_progress=self._application.in_progress)
+        log.info("leaving", in_progress=self._application.in_progress_count)
         self._store_maintainer.stop()
         self._membership.deregister(self._store)
         cut = GracefulShutdown(
-            stopping, self._application, self._http_servers[0]
+            schedule, self._application, self._http_servers[0]
         ).wait()
         for watcher in self._watchers:
             watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
-    def _knowledge(self) -> Knowledge:
-        return Knowledge(
+    def _configuration_snapshot(self) -> ConfigurationSnapshot:
+        return ConfigurationSnapshot(
             self._configuration_cache.current,
             self._configuration_cache.age_s(),
             self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
@@ -247,7 +249,7 @@
         )
         return has_data and not self._leaving.is_set()
 
-    def _addresses(self, data_centre: str) -> tuple[str, ...]:
+    def _list_live_addresses(self, data_centre: str) -> tuple[str, ...]:
         live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
@@ -262,14 +264,14 @@
     def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.servers.list_is(backends)
+        self._context.servers.set_listed(backends)
         for backend in gone:
-            self._context.connection_pool.close_server(backend.life)
-            self._context.liveness.forget(backend.instance)
+            self._context.connection_pool.close_server(backend.incarnation)
+            self._context.liveness.remove_server(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
-                backend.life
+                backend.incarnation
             ):
-                self._guards.gone(backend.life)
+                self._guards.record_server_death(backend.incarnation)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
@@ -287,10 +289,10 @@
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
         self._log_stalls(now)
-        self._context.servers.end_rests()
+        self._context.servers.end_expired_rests()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.servers.refresh()
+            self._context.servers.refresh_unreported()
             self._abort_slow_streams()
         self._load_poller.on_tick(now)
 
@@ -299,17 +301,17 @@
 
         One slow rank would hold up all the streams of its group.
         """
-        slow = frozenset(self._context.servers.slow())
+        slow = frozenset(self._context.servers.avoided_instances())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
-            streams = self._context.servers.in_flight(service)
-            quiet_s = pulse.quiet_s(now)
-            if pulse.turned(streams=streams, now=now):
-                event = "service-silent" if pulse.stands_still else "service-heard"
+            streams = self._context.servers.in_flight_requests(service)
+            quiet_s = pulse.idle_s(now)
+            if pulse.update_stalled(streams=streams, now=now):
+                event = "service-silent" if pulse.is_stalled else "service-heard"
                 servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- a/src/kingcupwheel/forwarding/heads.py
+++ b/src/kingcupwheel/forwarding/httpmetadata.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class CallerHead(NamedTuple):
+class CallerMetadata(NamedTuple):
     """What a caller says beside its request.
 
     ``attempt`` names this one send. ``wait_s`` is how long the caller waits from when
@@ -13,15 +13,15 @@
     where the caller gives none; the latter is an estimate or an upper bound.
     """
 
-    attempt: str
-    wait_s: float | None
-    key: str
-    last_event: str
+    attempt_id: str
+    timeout_s: float | None
+    api_key: str
+    last_event_id: str
     prompt_tokens: int
     answer_tokens: int
 
 
-class ServerCall(NamedTuple):
+class ServerRequestMetadata(NamedTuple):
     """What the system says to a server beside the caller's request.
 
     ``instance`` is the only life of a server that may run it; ``left_s`` the time left.
@@ -29,10 +29,10 @@
     """
 
     instance: str
-    left_s: float
+    time_left_s: float
     organisation: str
     priority: int | None
-    last_event: str
+    last_event_id: str
 
 
 class ReportedLoad(NamedTuple):
@@ -51,9 +51,9 @@
     values say nothing that can be understood.
     """
 
-    leaving: bool = False
+    is_leaving: bool = False
     rest_s: float | None = None
-    unreadable: tuple[str, ...] = ()
+    unreadable_headers: tuple[str, ...] = ()
 
 
 NO_NOTICE = ServerNotice()
@@ -69,15 +69,15 @@
     """
 
     status: int
-    attempt: str
-    signed: bool
-    not_run: bool
-    other_instance: bool
-    faulty: str
+    attempt_id: str
+    is_signed: bool
+    is_rejection: bool
+    is_other_instance: bool
+    faulty_server: str
     length: int | None
-    framed: bool
-    closes: bool
-    idle_s: float | None
+    is_framed: bool
+    closes_connection: bool
+    idle_timeout_s: float | None
     load: ReportedLoad | None
     notice: ServerNotice
-    passed: tuple[tuple[str, str], ...]
+    caller_headers: tuple[tuple[str, str], ...]
--- a/src/kingcupwheel/forwarding/load_poller.py
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -5,8 +5,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
-from kingcupwheel.forwarding.loadheads import LoadHeads
+from kingcupwheel.forwarding.loadaggregators import MAX_DIRECT_AGENTS
+from kingcupwheel.forwarding.loadaggregators import LoadAggregators
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import AgentHeartbeat
 from kingcupwheel.messages.membership import Hello
@@ -22,7 +22,7 @@
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.configuration import Configuration
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
-    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.forwarding.serverregistry import ServerRegistry
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.settings.schema import Settings
@@ -42,7 +42,7 @@
         self,
         settings: Settings,
         hub: MessageHub,
-        servers: ServerBook,
+        servers: ServerRegistry,
         configuration_cache: ConfigurationCache,
         *,
         is_leaving: Callable[[], bool],
@@ -53,16 +53,16 @@
         self._configuration_cache = configuration_cache
         self._is_leaving = is_leaving
         self._polled_at = 0.0
-        self._heads = LoadHeads(settings.data_centre)
+        self._heads = LoadAggregators(settings.data_centre)
 
     def on_report(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
         """Record an agent's report of its own server, or of those of a data centre."""
         if isinstance(message, AgentHeartbeat):
-            self._servers.agents_say((_report_from(message),))
+            self._servers.apply_agent_reports((_report_from(message),))
             return
         if isinstance(link, OutgoingLink):
-            self._heads.heard(link.address, monotonic())
-        self._servers.agents_say(message.servers)
+            self._heads.record_reply(link.address, monotonic())
+        self._servers.apply_agent_reports(message.servers)
 
     def on_tick(self, now: float) -> None:
         """Poll the agents if the interval has passed."""
@@ -76,8 +76,8 @@
             # after the interval.
             return
         self._polled_at = now
-        if sum(map(len, agents.values())) > DIRECT_AGENTS:
-            for head, members, every_s in self._heads.asks(agents, now):
+        if sum(map(len, agents.values())) > MAX_DIRECT_AGENTS:
+            for head, members, every_s in self._heads.queries(agents, now):
                 self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
             return
         hello = self._hello(current)
@@ -104,8 +104,13 @@
     return found
 
 
-def _report_from(beat: AgentHeartbeat) -> ReportedServerLoad:
-    load = beat.load
+def _report_from(heartbeat: AgentHeartbeat) -> ReportedServerLoad:
+    load = heartbeat.load
     return ReportedServerLoad(
-        beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
+        heartbeat.name,
+        load.running,
+        load.queued,
+        load.pace,
+        heartbeat.server_up,
+        heartbeat.born_ms,
     )
--- a/src/kingcupwheel/forwarding/outcomes.py
+++ b/src/kingcupwheel/forwarding/outcomes.py
@@ -12,13 +12,13 @@
 
 # Sends that servers may turn away before the request is refused. Each costs a message
 # and no run; three cover a full server, a restart and a stale list in a row.
-MAX_TURNED_AWAY = 3
+MAX_REJECTIONS = 3
 
 # Time that a further send needs to be worth it, as a part of the route's aim.
-LEAST_PART_OF_AIM = 0.25
+MIN_TARGET_LATENCY_FRACTION = 0.25
 
 
-class Came(StrEnum):
+class AttemptOutcome(StrEnum):
     """What came of one send.
 
     ``NOT_SENT``: no byte was sent. ``TURNED_AWAY``: the server's word that it has not
@@ -27,38 +27,38 @@
     """
 
     NOT_SENT = "not-sent"
-    TURNED_AWAY = "turned-away"
+    REJECTED = "turned-away"
     FAILED = "failed"
     LOST = "lost"
 
 
-class Sends(NamedTuple):
+class AttemptCounts(NamedTuple):
     """What came of a request's sends so far.
 
     ``ran`` counts those that ran or may have run.
     """
 
-    ran: int = 0
-    turned_away: int = 0
+    possibly_run: int = 0
+    rejected: int = 0
 
-    def after(self, came: Came) -> Sends:
+    def with_outcome(self, outcome: AttemptOutcome) -> AttemptCounts:
         """Return the counts with one more send."""
-        match came:
-            case Came.FAILED | Came.LOST:
-                return self._replace(ran=self.ran + 1)
-            case Came.TURNED_AWAY | Came.NOT_SENT:
-                return self._replace(turned_away=self.turned_away + 1)
+        match outcome:
+            case AttemptOutcome.FAILED | AttemptOutcome.LOST:
+                return self._replace(possibly_run=self.possibly_run + 1)
+            case AttemptOutcome.REJECTED | AttemptOutcome.NOT_SENT:
+                return self._replace(rejected=self.rejected + 1)
 
 
-class May(NamedTuple):
+class RetryPolicy(NamedTuple):
     """What a request may do: run again, and on how many servers."""
 
-    rerun: bool
-    servers: int
-    aim_s: float
+    may_rerun: bool
+    max_servers: int
+    target_latency_s: float
 
 
-class Follows(StrEnum):
+class NextStep(StrEnum):
     """What follows a send.
 
     ``AGAIN``: another server. ``PASS_ON``: the server's failure goes to the caller.
@@ -66,41 +66,46 @@
     nothing. ``TIMEOUT``: the same, for want of time.
     """
 
-    AGAIN = "again"
+    RETRY = "again"
     PASS_ON = "pass-on"
     REFUSE = "refuse"
     UNKNOWN = "unknown"
     TIMEOUT = "timeout"
 
 
-def follows(
-    came: Came, sends: Sends, may: May, *, left_s: float, within_budget: bool
-) -> Follows:
+def next_step(
+    outcome: AttemptOutcome,
+    counts: AttemptCounts,
+    policy: RetryPolicy,
+    *,
+    time_left_s: float,
+    is_within_budget: bool,
+) -> NextStep:
     """Return what follows ``came``; ``sends`` already counts it.
 
     Load: servers that fail, or turn away what they have no room for. Harm prevented: a
     request that may run once is run twice; or a promise of "not run" is false; or every
     failure is repeated until nothing else runs.
     """
-    if _again(sends, may, left_s) and within_budget:
-        return Follows.AGAIN
-    if came is Came.FAILED:
-        return Follows.PASS_ON
-    if sends.ran:
-        return Follows.UNKNOWN if left_s > 0 else Follows.TIMEOUT
-    return Follows.REFUSE
+    if _may_retry(counts, policy, time_left_s) and is_within_budget:
+        return NextStep.RETRY
+    if outcome is AttemptOutcome.FAILED:
+        return NextStep.PASS_ON
+    if counts.possibly_run:
+        return NextStep.UNKNOWN if time_left_s > 0 else NextStep.TIMEOUT
+    return NextStep.REFUSE
 
 
-def may_go_again(sends: Sends, may: May, left_s: float) -> bool:
+def may_retry(counts: AttemptCounts, policy: RetryPolicy, time_left_s: float) -> bool:
     """Return whether another send is allowed, the shared budget aside."""
-    return _again(sends, may, left_s)
+    return _may_retry(counts, policy, time_left_s)
 
 
-def _again(sends: Sends, may: May, left_s: float) -> bool:
-    if left_s < LEAST_PART_OF_AIM * may.aim_s:
+def _may_retry(counts: AttemptCounts, policy: RetryPolicy, time_left_s: float) -> bool:
+    if time_left_s < MIN_TARGET_LATENCY_FRACTION * policy.target_latency_s:
         return False
-    if sends.turned_away > MAX_TURNED_AWAY:
+    if counts.rejected > MAX_REJECTIONS:
         return False
-    if sends.ran == 0:
+    if counts.possibly_run == 0:
         return True
-    return may.rerun and sends.ran < may.servers
+    return policy.may_rerun and counts.possibly_run < policy.max_servers
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/queuewait.py
@@ -12,8 +12,8 @@
 from kingcupwheel.entry.tickets import Place
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import Wanted
-from kingcupwheel.forwarding.endings import retry_after
-from kingcupwheel.forwarding.requests import LEAST_URGENT
+from kingcupwheel.forwarding.finalrefusals import retry_after_s
+from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
 
@@ -23,27 +23,27 @@
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # How often a thread that waits for a place looks whether the wait is over.
-_LOOK_S = 0.05
+_POLL_INTERVAL_S = 0.05
 # A server of another data centre counts as so much fuller, one and a half requests of
 # six: every byte between data centres has its price, and the ranks of a group run each
 # pass together, so that one with a request less is no faster. It took three tenths off
 # the bytes between data centres of a calm day, with the same times to first events.
-FAR_LOAD = 0.25
+REMOTE_LOAD_PENALTY = 0.25
 
 
-class Tried(NamedTuple):
+class PlacementConstraints(NamedTuple):
     """What bears on the choice: servers tried, suspicion, and where this entry is."""
 
-    servers: frozenset[str]
-    suspect: bool
+    tried_servers: frozenset[str]
+    is_suspect: bool
     data_centre: str
 
 
-class Hindered(NamedTuple):
+class NoPlace(NamedTuple):
     """No place was found in time."""
 
     limit: str
-    why: str
+    reason: str
     retry_after_s: float
 
 
@@ -51,47 +51,47 @@
     dispatcher: GroupDispatcher,
     request: ForwardRequest,
     watched: WatchedRequest,
-    tried: Tried,
-) -> Place | Hindered | Refusal:
+    constraints: PlacementConstraints,
+) -> Place | NoPlace | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
     ask = PlacementRequest(
-        work=request.work,
-        excluded_servers=tried.servers,
-        is_suspect=tried.suspect,
-        data_centre=tried.data_centre,
+        work=request.predicted_work,
+        excluded_servers=constraints.tried_servers,
+        is_suspect=constraints.is_suspect,
+        data_centre=constraints.data_centre,
         is_repeatable=request.route.is_idempotent,
-        remote_load_penalty=FAR_LOAD,
+        remote_load_penalty=REMOTE_LOAD_PENALTY,
         prefers_local=True,
     )
-    ticket = dispatcher.submit(_wanted(request), ask)
+    ticket = dispatcher.submit(_ticket_request(request), ask)
     if not isinstance(ticket, Ticket):
-        return Hindered(ticket.limit, ticket.detail, ticket.retry_after_s)
+        return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
-        place = ticket.wait(_LOOK_S)
+        place = ticket.wait(_POLL_INTERVAL_S)
         if isinstance(place, Place):
             if not watched.is_over:
                 return place
             dispatcher.release(place)
         elif place is not None:
-            after_s = retry_after(request.id, place.rest_s)
-            return Hindered(place.limit, place.why, after_s)
+            after_s = retry_after_s(request.id, place.rest_s)
+            return NoPlace(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
             if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 why = AbortReason.SHUTDOWN.value
-                return Hindered(LEAVING.limit, why, retry_after(request.id))
-            return Hindered("time-up", "no place", retry_after(request.id))
+                return NoPlace(LEAVING.limit, why, retry_after_s(request.id))
+            return NoPlace("time-up", "no place", retry_after_s(request.id))
         dispatcher.pump()
 
 
-def _wanted(request: ForwardRequest) -> Wanted:
+def _ticket_request(request: ForwardRequest) -> Wanted:
     return Wanted(
         request_id=request.id,
         organisation=request.organisation,
-        priority=max(0, LEAST_URGENT - request.priority),
-        work=request.work,
+        priority=max(0, LOWEST_PRIORITY - request.priority),
+        work=request.predicted_work,
         size=request.head.prompt_tokens,
-        first_by=request.times.first_by,
+        first_by=request.deadlines.first_byte_deadline,
     )
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -28,7 +28,7 @@
     new: str
 
 
-_FLOW_KEY = """key = (waiting.organisation, waiting.priority)
+_FLOW_KEY = """key = (request.organisation, request.priority)
         flow = self._flow_by_key"""
 _ONE_FLOW = """key = ("", 0)
         flow = self._flow_by_key"""
@@ -37,13 +37,17 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
-            "drawn[0]",
+            "min(sampled, key=lambda candidate: _compute_cost(candidate, request))",
+            "sampled[0]",
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
-        Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
+        Edit("forwarding/queuewait.py", "prefers_local=True", "prefers_local=False"),
+        Edit(
+            "forwarding/queuewait.py",
+            "REMOTE_LOAD_PENALTY = 0.25",
+            "REMOTE_LOAD_PENALTY = 0.0",
+        ),
     ),
     "own-in-flight": (
         Edit(
@@ -64,27 +68,27 @@
     ),
     "closed-groups-wait": (
         Edit(
-            "forwarding/guards.py",
-            "return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())",
+            "forwarding/retryguards.py",
+            "return closures.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
     ),
     "full-servers-are-not-silent": (
         Edit(
-            "forwarding/runs.py",
-            "if not self._begun and context.servers.is_told_full(place, now):",
-            "if now < 0.0:",
+            "forwarding/forwarder.py",
+            "not self._has_answer_begun and context.servers.is_reported_full(",
+            "now < 0.0 and context.servers.is_reported_full(",
         ),
     ),
     "silent-servers-given-up": (
         Edit(
-            "forwarding/runs.py",
-            'silence_s = request.times.silence_s if again else float("inf")',
-            'silence_s = float("inf")',
+            "forwarding/forwarder.py",
+            'request.deadlines.silence_timeout_s if again else float("inf")',
+            'float("inf")',
         ),
     ),
     "admission-bounds": (
-        Edit("decisions/fair_queue.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
+        Edit("decisions/fair_queue.py", "if wait_s > remaining_s:", "if wait_s < 0.0:"),
     ),
     "fair-flows": (
         Edit(
@@ -107,7 +111,7 @@
     ),
     "retry-after-spread": (
         Edit(
-            "forwarding/guards.py",
+            "forwarding/retryguards.py",
             "return base_s * (1.0 + 0.5 * stable_fraction(request_id))",
             "return base_s",
         ),
@@ -141,13 +145,13 @@
     ),
     "slow-ranks-avoided": (
         Edit(
-            "forwarding/serverbook.py",
+            "forwarding/serverregistry.py",
             "AVOIDED_PACE = 2.5",
             'AVOIDED_PACE = float("inf")',
         ),
     ),
     "slow-ranks-given-less": (
-        Edit("forwarding/serverbook.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
+        Edit("forwarding/serverregistry.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
@@ -172,7 +176,11 @@
         ),
     ),
     "load-boards": (
-        Edit("forwarding/loadheads.py", "DIRECT_AGENTS = 24", "DIRECT_AGENTS = 10_000"),
+        Edit(
+            "forwarding/loadaggregators.py",
+            "MAX_DIRECT_AGENTS = 24",
+            "MAX_DIRECT_AGENTS = 10_000",
+        ),
     ),
     "long-watches": (
         Edit(
