--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -151,7 +151,7 @@
         ),
     ),
     "slow-ranks-given-less": (
-        Edit("forwarding/server_registry.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
+        Edit("forwarding/server_registry.py", "pace <= SLOW_PACE:", "pace > 0.0:"),
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
