--- a/src/kingcupwheel/forwarding/active_requests.py
+++ b/src/kingcupwheel/forwarding/active_requests.py
@@ -33,13 +33,13 @@
     def add(self, received: ReceivedRequest) -> str:
         """Count a request in; return its id, made different from those under way."""
         with self._lock:
-            found = received.id
+            request_id = received.id
             number = 2
-            while found in self._received_at_by_id:
-                found = f"{received.id}~{number}"
+            while request_id in self._received_at_by_id:
+                request_id = f"{received.id}~{number}"
                 number += 1
-            self._received_at_by_id[found] = received.received_at
-        return found
+            self._received_at_by_id[request_id] = received.received_at
+        return request_id
 
     def remove(self, request_id: str) -> None:
         """Count a request out."""
--- a/src/kingcupwheel/forwarding/address_claims.py
+++ b/src/kingcupwheel/forwarding/address_claims.py
@@ -38,11 +38,14 @@
 
     def refute(self, backend: Backend, now: float) -> None:
         """Note that the server at its address says that it is not this one."""
-        found = _Refutation(backend.started_at_ms, now + REFUTATION_TTL_S)
-        self._refuted[_claim_key(backend)] = found
+        refutation = _Refutation(backend.started_at_ms, now + REFUTATION_TTL_S)
+        self._refuted[_claim_key(backend)] = refutation
 
     def owners_by_address(
-        self, listed: Iterable[Backend], before: Mapping[str, Backend], now: float
+        self,
+        listed: Iterable[Backend],
+        previous_by_address: Mapping[str, Backend],
+        now: float,
     ) -> dict[str, Backend]:
         """Return one server by address: of several entries the latest not refuted.
 
@@ -53,7 +56,7 @@
         }
         by_address: dict[str, Backend] = {}
         for one in listed:
-            backend = _with_reported_start(one, before.get(one.address))
+            backend = _with_reported_start(one, previous_by_address.get(one.address))
             known = by_address.get(backend.address)
             refuted = self._refuted.get(_claim_key(backend))
             if refuted is not None and backend.started_at_ms <= refuted.started_at_ms:
--- a/src/kingcupwheel/forwarding/admission.py
+++ b/src/kingcupwheel/forwarding/admission.py
@@ -76,17 +76,17 @@
     if route is None:
         return _denial_if_fresh(NO_ROUTE, snapshot)
     head = read_request_headers(received.headers)
-    holder: KeyHolder | None = None
+    organisation_key: KeyHolder | None = None
     if configuration.has_organisations and not route.allows_anonymous:
         if snapshot.age_s > snapshot.max_age_with_key_s:
             return _refusal_of_stale_key(snapshot)
-        holder = configuration.find_key_holder(head.api_key)
-        if holder is None:
+        organisation_key = configuration.find_key_holder(head.api_key)
+        if organisation_key is None:
             return _denial_if_fresh(BAD_KEY, snapshot)
-    organisation = "" if holder is None else holder.organisation
+    organisation = "" if organisation_key is None else organisation_key.organisation
     priority = route.priority
-    if holder is not None and holder.priority is not None:
-        priority = holder.priority
+    if organisation_key is not None and organisation_key.priority is not None:
+        priority = organisation_key.priority
     return ForwardRequest(
         id=received.id,
         route=route,
--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -158,8 +158,8 @@
         else:
             self._watched.reset_server()
         head = self.head
-        keeps = self.is_whole and head.is_framed and not head.closes_connection
-        if keeps and 200 <= head.status < 300:
+        is_reusable = self.is_whole and head.is_framed and not head.closes_connection
+        if is_reusable and 200 <= head.status < 300:
             connections.release(incarnation, self._connection, head.idle_timeout_s)
             return
         # An answer that came before its request was read leaves bytes on the way; its
@@ -189,8 +189,8 @@
         silence_timeout_s: float,
         liveness: LivenessTracker | None,
         needs_new_connection: bool,
-        may_give_up: Callable[[], bool],
-        may_begin: Callable[[], bool],
+        may_abort_silent: Callable[[], bool],
+        may_send: Callable[[], bool],
     ) -> CallResult:
         """Send the request once and wait for the head of its answer.
 
@@ -208,22 +208,22 @@
             except NotConnectedError as error:
                 return NotSent(f"no connection: {error}")
         assert connection.sock is not None, "an open connection has a socket"
-        if not may_begin():
+        if not may_send():
             connection.close()
             return Withheld()
         if not watched.attach(
-            connection.sock, silence_timeout_s, instance, may_give_up
+            connection.sock, silence_timeout_s, instance, may_abort_silent
         ):
             watched.detach()
             connection.close()
             return NotSent("the request was over before it was sent")
-        sent = self._exchange(request, connection, watched)
-        if isinstance(sent, Answered) and liveness is not None:
-            sent.answer.on_data = partial(_record_activity, liveness, instance)
-        if not isinstance(sent, Answered):
+        result = self._exchange(request, connection, watched)
+        if isinstance(result, Answered) and liveness is not None:
+            result.answer.on_data = partial(_record_activity, liveness, instance)
+        if not isinstance(result, Answered):
             watched.detach()
             connection.close()
-        return sent
+        return result
 
     def _exchange(
         self,
@@ -255,12 +255,12 @@
         watched: WatchedRequest,
         reason: str,
     ) -> CallResult:
-        found = self._read_head(request, connection, watched)
-        if isinstance(found, Rejected):
-            return found
+        result = self._read_head(request, connection, watched)
+        if isinstance(result, Rejected):
+            return result
         notice = NO_NOTICE
-        if isinstance(found, Answered):
-            notice = found.answer.head.notice
+        if isinstance(result, Answered):
+            notice = result.answer.head.notice
             watched.detach()
             connection.close()
         return AnswerLost(f"cut while it was sent: {reason}", notice)
@@ -275,17 +275,19 @@
             response = connection.getresponse()
             head = read_response_headers(response.status, response.headers)
         except _CONNECTION_ERRORS as error:
-            cut = watched.abort_reason
+            abort_reason = watched.abort_reason
             return AnswerLost(
-                cut.value if cut else f"no answer: {type(error).__name__}"
+                abort_reason.value
+                if abort_reason
+                else f"no answer: {type(error).__name__}"
             )
         watched.record_progress()
         if head.attempt_id and head.attempt_id != request.attempt_id:
             return AnswerLost("the answer was another request's")
         if head.is_rejection:
-            why = f"status {head.status}"
+            reason = f"status {head.status}"
             return Rejected(
-                why, head.is_other_instance, head.faulty_server, head.notice
+                reason, head.is_other_instance, head.faulty_server, head.notice
             )
         if not head.is_signed:
             return AnswerLost(f"an unsigned answer with status {head.status}")
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -310,7 +310,7 @@
         for service, pulse in self._context.liveness.items():
             streams = self._context.servers.in_flight_requests(service)
             quiet_s = pulse.idle_s(now)
-            if pulse.update_stalled(streams=streams, now=now):
+            if pulse.update_stalled(stream_count=streams, now=now):
                 event = "service-silent" if pulse.is_stalled else "service-heard"
                 servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
--- a/src/kingcupwheel/forwarding/deadlines.py
+++ b/src/kingcupwheel/forwarding/deadlines.py
@@ -48,20 +48,20 @@
     for nobody while others wait. The caller's own wait and the route's time both bound
     it; a stream's caller also leaves when nothing comes.
     """
-    whole_s = route.timeout_s if timeout_s is None else min(route.timeout_s, timeout_s)
-    over_at = received_at + whole_s - NETWORK_ALLOWANCE_S
+    total_s = route.timeout_s if timeout_s is None else min(route.timeout_s, timeout_s)
+    deadline = received_at + total_s - NETWORK_ALLOWANCE_S
     if not route.is_streamed:
-        silence_s = whole_s
+        silence_timeout_s = total_s
         if route.is_idempotent and route.max_servers > 1:
-            silence_s = whole_s * PLAIN_SILENCE_FRACTION
-        return Deadlines(over_at, over_at, silence_s)
+            silence_timeout_s = total_s * PLAIN_SILENCE_FRACTION
+        return Deadlines(deadline, deadline, silence_timeout_s)
     patience_s = max(
         MIN_STREAM_PATIENCE_S,
         _PATIENCE_TARGET_LATENCIES * route.target_latency_s,
         _PATIENCE_GAPS * route.max_event_gap_s,
     )
-    first_by = min(over_at, received_at + patience_s - NETWORK_ALLOWANCE_S)
-    silence_s = patience_s
+    first_byte_deadline = min(deadline, received_at + patience_s - NETWORK_ALLOWANCE_S)
+    silence_timeout_s = patience_s
     if route.is_resumable and route.max_servers > 1:
-        silence_s = patience_s * STREAM_SILENCE_FRACTION
-    return Deadlines(over_at, first_by, silence_s)
+        silence_timeout_s = patience_s * STREAM_SILENCE_FRACTION
+    return Deadlines(deadline, first_byte_deadline, silence_timeout_s)
--- a/src/kingcupwheel/forwarding/events.py
+++ b/src/kingcupwheel/forwarding/events.py
@@ -30,11 +30,11 @@
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that ``data`` completes."""
         self._pending += data
-        found: list[StreamEvent] = []
+        events: list[StreamEvent] = []
         while (end := _end_of_event(self._pending)) > 0:
             raw, self._pending = self._pending[:end], self._pending[end:]
-            found.append(StreamEvent(raw, _id_of(raw)))
-        return found
+            events.append(StreamEvent(raw, _id_of(raw)))
+        return events
 
 
 def _end_of_event(data: bytes) -> int:
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -62,9 +62,9 @@
         body = self._environ["wsgi.input"].read(body_limit + 1)
         if len(body) > body_limit:
             self.close_after_answer()
-        own = str(new_request_id(entry, now=self._received_at))
+        own_id = str(new_request_id(entry, now=self._received_at))
         return ReceivedRequest(
-            id=read_attempt_id(headers) or own,
+            id=read_attempt_id(headers) or own_id,
             method=str(self._environ["REQUEST_METHOD"]),
             target=target,
             headers=headers,
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -102,13 +102,13 @@
             )
         self._is_suspect = isinstance(verdict, Suspect)
         self._context.guards.count_first_attempt(self._request.service)
-        found = self.send_until_answered()
-        if isinstance(found, Refusal):
-            return self.log_refusal(found)
-        if isinstance(found, WholeAnswer):
-            return found
-        relay = StreamRelay(self, found)
-        head = found.answer.head
+        result = self.send_until_answered()
+        if isinstance(result, Refusal):
+            return self.log_refusal(result)
+        if isinstance(result, WholeAnswer):
+            return result
+        relay = StreamRelay(self, result)
+        head = result.answer.head
         return StreamedAnswer(head.status, head.caller_headers, relay.body())
 
     def send_until_answered(self) -> PlacedAnswer | WholeAnswer | Refusal:
@@ -120,16 +120,16 @@
             place = self._acquire_place()
             if isinstance(place, Refusal):
                 return place
-            sent = self._send(place)
-            if isinstance(sent, Withheld):
+            call_result = self._send(place)
+            if isinstance(call_result, Withheld):
                 self._release_withheld(place)
                 continue
-            if isinstance(sent, Answered):
-                found = self._handle_answer(place, sent.answer)
+            if isinstance(call_result, Answered):
+                result = self._handle_answer(place, call_result.answer)
             else:
-                found = self._handle_no_answer(place, sent)
-            if found is not None:
-                return found
+                result = self._handle_no_answer(place, call_result)
+            if result is not None:
+                return result
 
     def _release_withheld(self, place: Place) -> None:
         """Give back a place that a notice overtook; the next one is on another life."""
@@ -143,8 +143,8 @@
         head = answer.head
         self._context.record_notice(place, head.notice, self._request.id)
         self._context.record_load(place, head.load)
-        is_good = head.status < _MIN_FAILURE_STATUS
-        if is_good and self._request.route.is_streamed and head.status == 200:
+        is_success = head.status < _MIN_FAILURE_STATUS
+        if is_success and self._request.route.is_streamed and head.status == 200:
             self._record_first_byte()
             return PlacedAnswer(place, answer)
         try:
@@ -153,16 +153,16 @@
             self.end_answer(place, answer)
             return self.handle_failed_attempt(place, AttemptOutcome.LOST, str(error))
         self.end_answer(place, answer)
-        if is_good:
+        if is_success:
             self.record_success(place, monotonic() - self._sent_at)
             return self._whole_answer(answer, body)
-        why = f"status {head.status}"
-        ended = self.handle_failed_attempt(
-            place, AttemptOutcome.FAILED, why, head.notice
+        reason = f"status {head.status}"
+        refusal = self.handle_failed_attempt(
+            place, AttemptOutcome.FAILED, reason, head.notice
         )
-        if isinstance(ended, Refusal) and ended.limit == SERVER_FAILED:
+        if isinstance(refusal, Refusal) and refusal.limit == SERVER_FAILED:
             return self._whole_answer(answer, body)
-        return ended
+        return refusal
 
     def _whole_answer(self, answer: ServerAnswer, body: bytes) -> WholeAnswer:
         head = answer.head
@@ -223,14 +223,14 @@
         time_left_s = request.deadlines.deadline - monotonic()
         if self._watched.is_over:
             time_left_s = 0.0
-        wants = may_retry(self._counts, self._policy, time_left_s)
-        budget = wants and self._consume_retry()
+        is_retry_allowed = may_retry(self._counts, self._policy, time_left_s)
+        is_within_budget = is_retry_allowed and self._consume_retry()
         step = next_step(
             outcome,
             self._counts,
             self._policy,
             time_left_s=time_left_s,
-            is_within_budget=budget,
+            is_within_budget=is_within_budget,
         )
         if (
             step is NextStep.TIMEOUT
@@ -248,7 +248,7 @@
             rest_s=notice.rest_s,
             leaving=notice.is_leaving,
             left_s=round(time_left_s, 3),
-            budget=budget,
+            budget=is_within_budget,
             follows=step.value,
         )
         self._context.metrics.ended_sends.labels(outcome.value).inc()
@@ -262,7 +262,7 @@
 
     def _acquire_place(self) -> Place | Refusal:
         """Wait for a place; a refusal promises "not run" only if nothing was sent."""
-        found = wait_for_place(
+        result = wait_for_place(
             self._dispatcher,
             self._request,
             self._watched,
@@ -270,23 +270,25 @@
                 self._tried_servers, self._is_suspect, self._context.data_centre
             ),
         )
-        if isinstance(found, Place):
+        if isinstance(result, Place):
             if self._counts.possibly_run or self._watched.may_dispatch():
-                self._log_place(found)
-                return found
-            self._release(found)
+                self._log_place(result)
+                return result
+            self._release(result)
             retry_s = retry_after_s(self._request.id)
-            found = NoPlace(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
-        if isinstance(found, NoPlace):
-            return self._refusal_without_place(found)
-        return found
+            result = NoPlace(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
+        if isinstance(result, NoPlace):
+            return self._refusal_without_place(result)
+        return result
 
-    def _refusal_without_place(self, found: NoPlace) -> Refusal:
+    def _refusal_without_place(self, no_place: NoPlace) -> Refusal:
         if self._counts.possibly_run:
-            message = f"It was sent to a server, and no other took it: {found.reason}."
-            return Refusal(502, found.limit, message, 0.0, Outcome.UNKNOWN)
-        message = f"No server could take it in time: {found.reason}."
-        return Refusal(503, found.limit, message, found.retry_after_s)
+            message = (
+                f"It was sent to a server, and no other took it: {no_place.reason}."
+            )
+            return Refusal(502, no_place.limit, message, 0.0, Outcome.UNKNOWN)
+        message = f"No server could take it in time: {no_place.reason}."
+        return Refusal(503, no_place.limit, message, no_place.retry_after_s)
 
     def _log_place(self, place: Place) -> None:
         request = self._request
@@ -308,7 +310,7 @@
         now = monotonic()
         self._sent_at = now
         self._has_answer_begun = False
-        call = ServerRequestMetadata(
+        metadata = ServerRequestMetadata(
             instance=place.server,
             time_left_s=max(0.001, request.deadlines.deadline - now),
             organisation=request.organisation,
@@ -318,34 +320,38 @@
         outgoing = OutgoingRequest(
             request.method,
             request.target,
-            build_server_headers(request.headers, call),
+            build_server_headers(request.headers, metadata),
             request.body,
             request.head.attempt_id,
         )
-        again = may_retry(
+        is_retry_allowed = may_retry(
             self._counts.with_outcome(AttemptOutcome.LOST),
             self._policy,
             request.deadlines.deadline - now,
         )
-        silence_s = request.deadlines.silence_timeout_s if again else float("inf")
-        self._watched.is_resumable_elsewhere = again and request.route.is_resumable
-        streamed = request.route.is_streamed
+        silence_timeout_s = (
+            request.deadlines.silence_timeout_s if is_retry_allowed else float("inf")
+        )
+        self._watched.is_resumable_elsewhere = (
+            is_retry_allowed and request.route.is_resumable
+        )
+        is_streamed = request.route.is_streamed
         return self._context.server_client.send(
             outgoing,
             instance=place.server,
             incarnation=place.incarnation,
             address=place.address,
             watched=self._watched,
-            silence_timeout_s=silence_s,
+            silence_timeout_s=silence_timeout_s,
             liveness=self._context.liveness.for_service(request.service)
-            if streamed
+            if is_streamed
             else None,
             needs_new_connection=not request.route.is_idempotent,
-            may_give_up=partial(self._may_give_up, place),
-            may_begin=partial(self._context.servers.may_send, place),
+            may_abort_silent=partial(self._may_abort_silent, place),
+            may_send=partial(self._context.servers.may_send, place),
         )
 
-    def _may_give_up(self, place: Place) -> bool:
+    def _may_abort_silent(self, place: Place) -> bool:
         """Return whether a silent server is given up; asked when it is silent for long.
 
         Load: a group of ranks stands still, or all callers come back at once when the
@@ -383,8 +389,8 @@
     def _record_first_byte(self) -> None:
         """Note how long the server took; waits before this send were not its own."""
         self._has_answer_begun = True
-        seconds = monotonic() - self._sent_at
-        self._dispatcher.saw_first_byte(seconds, self._request.head.prompt_tokens)
+        latency_s = monotonic() - self._sent_at
+        self._dispatcher.saw_first_byte(latency_s, self._request.head.prompt_tokens)
 
     def record_event(self, event_id: str) -> None:
         """Note the last whole event that the caller has; a resume goes on after it."""
--- a/src/kingcupwheel/forwarding/liveness.py
+++ b/src/kingcupwheel/forwarding/liveness.py
@@ -39,15 +39,17 @@
             tuple(self._active_at_by_server.values()), default=float("-inf")
         )
 
-    def update_stalled(self, *, streams: int, now: float) -> bool:
+    def update_stalled(self, *, stream_count: int, now: float) -> bool:
         """Return whether the service has just come to stand still, or gone on.
 
         ``streams`` are those under way; without any there is nothing to hear.
         """
-        still = streams > 0 and STALL_THRESHOLD_S < self.idle_s(now) < float("inf")
-        turned = still != self.is_stalled
-        self.is_stalled = still
-        return turned
+        is_stalled = stream_count > 0 and STALL_THRESHOLD_S < self.idle_s(now) < float(
+            "inf"
+        )
+        has_changed = is_stalled != self.is_stalled
+        self.is_stalled = is_stalled
+        return has_changed
 
     def remove_server(self, server: str) -> None:
         """Drop a server that left."""
--- a/src/kingcupwheel/forwarding/load_aggregators.py
+++ b/src/kingcupwheel/forwarding/load_aggregators.py
@@ -52,20 +52,20 @@
         self, agents_by_data_centre: Mapping[str, Sequence[str]], now: float
     ) -> tuple[LoadQuery, ...]:
         """Return whom to ask now; a head that fell silent is replaced by the next."""
-        found: list[LoadQuery] = []
+        result: list[LoadQuery] = []
         for data_centre, agents in agents_by_data_centre.items():
             members = tuple(sorted(agents))
-            head = next(
+            aggregator = next(
                 (one for one in members if not self._is_silent(one, now)), members[0]
             )
-            self._queried_since.setdefault(head, now)
+            self._queried_since.setdefault(aggregator, now)
             every_s = (
                 _LOCAL_INTERVAL_S
                 if data_centre == self._data_centre
                 else _REMOTE_INTERVAL_S
             )
-            found.append(LoadQuery(head, members, every_s))
-        return tuple(found)
+            result.append(LoadQuery(aggregator, members, every_s))
+        return tuple(result)
 
     def _is_silent(self, aggregator: str, now: float) -> bool:
         if now < self._excluded_until.get(aggregator, float("-inf")):
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -54,7 +54,7 @@
     constraints: PlacementConstraints,
 ) -> Place | NoPlace | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
-    ask = PlacementRequest(
+    placement_request = PlacementRequest(
         work=request.predicted_work,
         excluded_servers=constraints.tried_servers,
         is_suspect=constraints.is_suspect,
@@ -63,7 +63,7 @@
         remote_load_penalty=REMOTE_LOAD_PENALTY,
         prefers_local=True,
     )
-    ticket = dispatcher.submit(_ticket_request(request), ask)
+    ticket = dispatcher.submit(_ticket_request(request), placement_request)
     if not isinstance(ticket, Ticket):
         return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
@@ -80,8 +80,8 @@
             if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
-                why = AbortReason.SHUTDOWN.value
-                return NoPlace(LEAVING.limit, why, retry_after_s(request.id))
+                reason = AbortReason.SHUTDOWN.value
+                return NoPlace(LEAVING.limit, reason, retry_after_s(request.id))
             return NoPlace("time-up", "no place", retry_after_s(request.id))
         dispatcher.pump()
 
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -125,17 +125,17 @@
     def record_rejection(self, service: str, server: str, *, idle_s: float) -> bool:
         """Note a request turned away; return whether the whole service does that."""
         with self._lock:
-            closures = self._closed_detectors_by_service.setdefault(
+            detector = self._closed_detectors_by_service.setdefault(
                 service, ClosedServiceDetector()
             )
-            return closures.record_rejection(server, idle_s=idle_s, now=monotonic())
+            return detector.record_rejection(server, idle_s=idle_s, now=monotonic())
 
     def _budget_of(self, service: str) -> SlidingWindowRetryBudget:
-        found = self._budgets_by_service.get(service)
-        if found is None:
-            found = SlidingWindowRetryBudget(window_s=self._budget.window_s)
-            self._budgets_by_service[service] = found
-        return found
+        budget = self._budgets_by_service.get(service)
+        if budget is None:
+            budget = SlidingWindowRetryBudget(window_s=self._budget.window_s)
+            self._budgets_by_service[service] = budget
+        return budget
 
 
 def with_jitter(base_s: float, request_id: str) -> float:
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -82,8 +82,8 @@
     def group_of(self, service: str) -> ServerGroup:
         """Return the group that a service's requests queue for."""
         with self._lock:
-            found = self._groups_by_service.get(service)
-        return found or ServerGroup(name=service, queue=MAX_QUEUED_REQUESTS)
+            group = self._groups_by_service.get(service)
+        return group or ServerGroup(name=service, queue=MAX_QUEUED_REQUESTS)
 
     def set_listed(self, backends: tuple[Backend, ...]) -> None:
         """Use just these servers from now on."""
@@ -170,18 +170,18 @@
         now = monotonic()
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.record_backoff(life, for_s, now)
-        if is_news:
+            is_new = self._servers.notices.record_backoff(life, for_s, now)
+        if is_new:
             log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
 
     def mark_leaving(self, place: Place, request_id: str) -> bool:
         """Send nothing to a server that says that it leaves; return if that is news."""
         life = place.incarnation
         with self._servers.lock:
-            is_news = self._servers.notices.record_leaving(life)
-        if is_news:
+            is_new = self._servers.notices.record_leaving(life)
+        if is_new:
             log.info("server-leaves", server=life, id=request_id)
-        return is_news
+        return is_new
 
     def is_leaving(self, incarnation: str) -> bool:
         """Return whether that life of a server said that it leaves."""
@@ -222,7 +222,7 @@
         now = monotonic()
         for backend in tuple(self._backends_by_address.values()):
             if backend.service == service:
-                self._update_load(backend, _load(0, 0), now, up=False)
+                self._update_load(backend, _load(0, 0), now, is_up=False)
 
     def refute_address(self, place: Place) -> None:
         """Note that a server says that another one has its address.
@@ -264,20 +264,22 @@
         self._agent_reported_at[address] = now
         if report.pace >= AVOIDED_PACE:
             self._slow_at[address] = now
-        up = report.up and not self._is_avoided(backend, now)
+        is_up = report.up and not self._is_avoided(backend, now)
         load = BackendLoad(report.running, report.queued, 0, 0.0, 0.0, 0.0, report.pace)
-        self._update_load(backend, load, now, up=up)
+        self._update_load(backend, load, now, is_up=is_up)
 
     def _replace_incarnation(
-        self, backend: Backend, born_ms: int, now: float
+        self, backend: Backend, started_at_ms: int, now: float
     ) -> Backend:
         """Know a server's new life by its agent's word, ahead of the list."""
-        found = backend._replace(started_at_ms=born_ms)
-        log.info("server-reborn", server=found.incarnation, before=backend.incarnation)
+        replacement = backend._replace(started_at_ms=started_at_ms)
+        log.info(
+            "server-reborn", server=replacement.incarnation, before=backend.incarnation
+        )
         with self._lock:
-            self._backends_by_address[backend.address] = found
-        self._register_incarnation(found, now)
-        return found
+            self._backends_by_address[backend.address] = replacement
+        self._register_incarnation(replacement, now)
+        return replacement
 
     def _is_avoided(self, backend: Backend, now: float) -> bool:
         """Return whether nothing goes to a slow server while the others have room.
@@ -289,16 +291,19 @@
         """
         if backend.address not in self._slow_at:
             return False
-        slow = {
+        slow_addresses = {
             address
             for address, at in self._slow_at.items()
             if now - at <= _AGENT_REPORT_MAX_AGE_S
             and address in self._backends_by_address
         }
-        of_service = sum(
+        service_size = sum(
             one.service == backend.service for one in self._backends_by_address.values()
         )
-        return backend.address in slow and len(slow) <= of_service * MAX_AVOIDED_SHARE
+        return (
+            backend.address in slow_addresses
+            and len(slow_addresses) <= service_size * MAX_AVOIDED_SHARE
+        )
 
     def avoided_instances(self) -> tuple[str, ...]:
         """Return the instances that are avoided for being slow."""
@@ -321,22 +326,24 @@
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
                 server = self._servers.by_address(address)
                 if server is not None:
-                    told = _load(min(server.own_in_flight, backend.places), 0)
-                    self._update_load(backend, told, now)
+                    load = _load(min(server.own_in_flight, backend.places), 0)
+                    self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
             self._dispatchers.pump(service)
 
     def _update_load(
-        self, backend: Backend, told: BackendLoad, now: float, *, up: bool = True
+        self, backend: Backend, reported: BackendLoad, now: float, *, is_up: bool = True
     ) -> None:
         current = self._backends_by_address.get(backend.address)
         if current is None or current.incarnation != backend.incarnation:
             return
         load = msgspec.structs.replace(
-            told, capacity=places_at_pace(backend.places, told.pace)
+            reported, capacity=places_at_pace(backend.places, reported.pace)
+        )
+        self._servers.heard(
+            backend.address, _heartbeat(backend, load, is_up=is_up), now
         )
-        self._servers.heard(backend.address, _heartbeat(backend, load, up=up), now)
 
 
 def places_at_pace(places: int, pace: float) -> int:
@@ -358,8 +365,8 @@
 def _groups_by_service(backends: Iterable[Backend]) -> dict[str, ServerGroup]:
     places_by_service: dict[str, int] = {}
     for backend in backends:
-        most = places_by_service.get(backend.service, 1)
-        places_by_service[backend.service] = max(most, backend.places)
+        max_places = places_by_service.get(backend.service, 1)
+        places_by_service[backend.service] = max(max_places, backend.places)
     return {
         service: ServerGroup(
             name=service, concurrency=places, queue=MAX_QUEUED_REQUESTS
@@ -381,7 +388,7 @@
 
 
 def _heartbeat(
-    backend: Backend, load: BackendLoad, *, up: bool = True
+    backend: Backend, load: BackendLoad, *, is_up: bool = True
 ) -> AgentHeartbeat:
     return AgentHeartbeat(
         name=backend.instance,
@@ -391,7 +398,7 @@
         token=0,
         load=load,
         leaving=backend.leaving,
-        server_up=up,
+        server_up=is_up,
         manifest_version=0,
         crashed=(),
     )
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -42,15 +42,15 @@
 
     def body(self) -> Iterator[bytes]:
         """Yield whole events; raises AnswerCutError where the rest can't be had."""
-        held = True
+        is_place_held = True
         try:
             while True:
                 try:
                     events = self._next_events()
                 except AnswerLostError as error:
-                    held = False
+                    is_place_held = False
                     self._resume_elsewhere(str(error))
-                    held = True
+                    is_place_held = True
                     continue
                 if events is None:
                     break
@@ -61,7 +61,7 @@
             self._log_finished("caller-left")
             raise
         finally:
-            if held:
+            if is_place_held:
                 self._forwarder.end_answer(self._placed.place, self._placed.answer)
 
     def _next_events(self) -> list[StreamEvent] | None:
@@ -79,20 +79,20 @@
         Failure: a server goes on at another event than it was asked to. Symptom: the
         caller gets a piece twice, or an answer with a hole that looks whole.
         """
-        last = self._forwarder.last_event_id
-        found: list[StreamEvent] = []
+        last_id = self._forwarder.last_event_id
+        new_events: list[StreamEvent] = []
         for event in events:
-            number, before = whole_number(event.id), whole_number(last)
-            if number is None or before is None:
-                found.append(event)
+            number, last_number = whole_number(event.id), whole_number(last_id)
+            if number is None or last_number is None:
+                new_events.append(event)
                 continue
-            if number <= before:
+            if number <= last_number:
                 continue
-            if number > before + 1:
-                raise AnswerLostError(f"event {event.id} came after {last}")
-            last = event.id
-            found.append(event)
-        return found
+            if number > last_number + 1:
+                raise AnswerLostError(f"event {event.id} came after {last_id}")
+            last_id = event.id
+            new_events.append(event)
+        return new_events
 
     def _record_events(self, events: list[StreamEvent]) -> bytes:
         for event in events:
@@ -111,39 +111,39 @@
             self._first_event_s = now - self._forwarder.received_at
         self._last_event_at = now
 
-    def _log_finished(self, how: str, why: str = "") -> None:
+    def _log_finished(self, how: str, reason: str = "") -> None:
         self._forwarder.log_finished(
             self._status,
             self._byte_count,
             how,
-            why,
+            reason,
             events=self._event_count,
             first_s=round(self._first_event_s, 3),
             longest_gap_s=round(self._longest_gap_s, 3),
         )
 
     def _record_completion(self) -> None:
-        pace_s = (monotonic() - self._began_at) / max(1, self._event_count)
-        self._forwarder.record_success(self._placed.place, pace_s)
+        event_interval_s = (monotonic() - self._began_at) / max(1, self._event_count)
+        self._forwarder.record_success(self._placed.place, event_interval_s)
         self._log_finished("whole")
 
-    def _resume_elsewhere(self, why: str) -> None:
+    def _resume_elsewhere(self, reason: str) -> None:
         """Take the stream up at another server, or cut it."""
         self._forwarder.end_answer(self._placed.place, self._placed.answer)
         refusal = self._forwarder.handle_failed_attempt(
-            self._placed.place, AttemptOutcome.LOST, why
+            self._placed.place, AttemptOutcome.LOST, reason
         )
         if refusal is None:
-            found = self._forwarder.send_until_answered()
-            if not isinstance(found, Refusal | WholeAnswer):
+            result = self._forwarder.send_until_answered()
+            if not isinstance(result, Refusal | WholeAnswer):
                 log.info(
                     "resumed",
                     id=self._forwarder.request_id,
                     after=self._forwarder.last_event_id,
-                    server=found.place.server,
+                    server=result.place.server,
                 )
-                self._placed = found
+                self._placed = result
                 self._splitter = EventSplitter()
                 return
-        self._log_finished("cut", why)
-        raise AnswerCutError(why)
+        self._log_finished("cut", reason)
+        raise AnswerCutError(reason)
