--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -69,7 +69,7 @@
     "closed-groups-wait": (
         Edit(
             "forwarding/retry_guards.py",
-            "return closures.record_rejection(server, idle_s=idle_s, now=monotonic())",
+            "return detector.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
     ),
@@ -83,7 +83,7 @@
     "silent-servers-given-up": (
         Edit(
             "forwarding/forwarder.py",
-            'request.deadlines.silence_timeout_s if again else float("inf")',
+            'request.deadlines.silence_timeout_s if is_retry_allowed else float("inf")',
             'float("inf")',
         ),
     ),
