--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -38,13 +38,11 @@
 class AgentHeartbeat(Message, frozen=True, tag="Beat"):
     """Heartbeat from an agent to an entry.
 
-    Sent about every second, and at once when leaving starts.
-
-    ``token`` changes with the agent's clock; a dispatch with an old one is refused,
-    which bounds how long tombstones are kept. ``crashed`` pairs the fingerprint of each
-    request that was running when the server crashed with an id of the crash; pairs are
-    repeated for a while. ``born_ms`` is the server's start time (Unix milliseconds, 0
-    if unknown).
+    Sent about every second, and at once when leaving starts. ``token`` changes with the
+    agent's clock; a dispatch with an old one is refused, which bounds how long
+    tombstones are kept. ``crashed`` pairs the fingerprint of each request that was
+    running when the server crashed with an id of the crash; pairs are repeated for a
+    while. ``born_ms`` is the server's start time (Unix milliseconds, 0 if unknown).
     """
 
     name: str
@@ -107,7 +105,7 @@
 
 
 class EntryInfo(Message, frozen=True, tag="EntryTold"):
-    """Addresses of an entry that the sender knows, directly or from another entry."""
+    """Name and addresses of an entry that the sender heard from or was told of."""
 
     name: str
     address: str
--- a/src/kingcupwheel/telemetry/__init__.py
+++ b/src/kingcupwheel/telemetry/__init__.py
@@ -1,3 +1,3 @@
-"""Structured logs and Prometheus metrics."""
+"""Structured logs and Prometheus metrics, the only data that on-call staff has."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/telemetry/json_logs.py
+++ b/src/kingcupwheel/telemetry/json_logs.py
@@ -124,7 +124,7 @@
 
 
 class JsonLogOutput:
-    """Writes all log records of this process to standard output."""
+    """Writes all log records to standard output; create one per process."""
 
     def __init__(self, process: str, level: str) -> None:
         queue: Queue[Any] = Queue(MAX_QUEUED_LINES)
