--- a/src/kingcupwheel/decisions/__init__.py
+++ b/src/kingcupwheel/decisions/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions under load: pure functions of state and time."""
+"""Load-balancing decisions as pure functions of state and time."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/decisions/admission.py
+++ b/src/kingcupwheel/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admits or refuses a request under its organisation's allowance."""
+"""Admission control: token buckets and concurrency limits per organisation."""
 
 from __future__ import annotations
 
@@ -12,29 +12,32 @@
     from kingcupwheel.manifest.schema import Allowance
 
 
-# Demand is the mean of so many seconds: long enough to hold several requests of a small
+# Averaging window of the demand: long enough to cover several requests of a small
 # organisation, short enough that a share follows a burst before its queue is full.
 DEMAND_WINDOW_S = 5.0
 
-# Longest Retry-After: past a minute a forecast of the load is worth little, and callers
-# that come back too early are refused cheaply.
+# Load cannot be predicted beyond about a minute, and refusing a caller that retries too
+# early is cheap.
 MAX_RETRY_AFTER_S = 60.0
 
-# Shortest Retry-After: HTTP gives whole seconds.
+# Retry-After is in whole seconds.
 MIN_RETRY_AFTER_S = 1.0
 
-# Work of a request held at the limit of concurrency, when no answer has been timed.
+# Initial estimate of the time between two finished requests.
 _DEFAULT_FINISH_GAP_S = 1.0
 
 
 class AdmissionGrant(NamedTuple):
-    """The request may go on; ``work`` was charged (tokens)."""
+    """An admitted request; ``work`` is the charge in tokens."""
 
     work: float
 
 
 class LimitRefusal(NamedTuple):
-    """The request was not run: ``limit`` names the bound, ``detail`` tells why."""
+    """A request refused before it ran.
+
+    ``limit`` names the limit that was reached, ``detail`` explains it to the caller.
+    """
 
     limit: str
     detail: str
@@ -42,7 +45,7 @@
 
 
 class _OrganisationBudget:
-    """One organisation's token bucket and count of requests in progress."""
+    """Token bucket and number of requests in progress of one organisation."""
 
     __slots__ = (
         "allowance",
@@ -73,9 +76,9 @@
 
     @property
     def concurrency(self) -> int:
-        # At least one: a small allowance over several entries would otherwise round
-        # down to none, and its callers would be refused for ever. The sum exceeds the
-        # allowance by at most one request an entry.
+        # At least 1: a small allowance split over several entries would otherwise round
+        # down to 0 and refuse every request. The sum over all entries exceeds the
+        # allowance by at most one request per entry.
         return max(1, int(self.allowance.concurrency * self.share))
 
     def refill_tokens(self, now: float) -> None:
@@ -89,16 +92,16 @@
 
 
 class AdmissionController:
-    """Holds every organisation to its allowance at one entry.
+    """Enforces the allowance of every organisation at one entry.
 
-    Load: one organisation floods while others send their usual traffic. Harm prevented:
-    the flood fills the queue and the servers, and the others' answers come late. The
-    rate of predicted work bounds what an organisation takes over time, the concurrency
-    what it holds at once; a queue that is fair by organisation comes after both.
+    Without it, one organisation's flood fills the queue and the servers and delays the
+    answers of all others. The rate limits an organisation's predicted work over time,
+    the concurrency limits its requests in progress; admitted requests then pass a queue
+    that is fair between organisations.
 
-    A bucket lends the work of one request: any request is admitted while the bucket is
-    not empty, however large it is. Otherwise a request above the burst could never run.
-    The debt is paid before the next is admitted.
+    A request is admitted while the bucket is not empty, however large the request is,
+    since one above the burst could otherwise never run. The bucket may go negative by
+    one request and has to refill before the next is admitted.
     """
 
     def __init__(self) -> None:
@@ -110,7 +113,7 @@
     def configure(self, organisation: str, allowance: Allowance, share: float) -> None:
         """Set an organisation's allowance and this entry's share of it (0 to 1).
 
-        A new share changes what is saved up in proportion; requests in progress stay.
+        Tokens above the new burst are dropped; requests in progress are unaffected.
         """
         budget = self._budget_by_organisation.get(organisation)
         if budget is None:
@@ -124,13 +127,13 @@
         budget.share = share
 
     def remove_organisation(self, organisation: str) -> None:
-        """Drop an organisation that the manifest no longer names."""
+        """Remove an organisation that is no longer in the manifest."""
         self._budget_by_organisation.pop(organisation, None)
 
     def admit(
         self, organisation: str, work: float, now: float
     ) -> AdmissionGrant | LimitRefusal:
-        """Decide on a request of ``work`` predicted tokens."""
+        """Admit or refuse a request of ``work`` predicted tokens."""
         budget = self._budget_by_organisation.get(organisation)
         if budget is None:
             return LimitRefusal(
@@ -153,7 +156,7 @@
     def settle(
         self, organisation: str, predicted: float, actual: float, now: float
     ) -> None:
-        """Settle an admitted request: charge the work it took, not the predicted."""
+        """Finish an admitted request: charge its actual work, not the predicted."""
         budget = self._budget_by_organisation.get(organisation)
         if budget is None:
             return
@@ -166,10 +169,10 @@
         budget.finished_at = now
 
     def get_demand(self, organisation: str, now: float) -> float:
-        """Return recent demand as a fraction of the whole allowance, for the peers.
+        """Return recent demand as a fraction of the whole allowance.
 
-        It is the greater of the work asked for and the places held, so that both limits
-        follow where the callers are.
+        The greater of the requested work and the used concurrency, so that the shares
+        of both limits follow the callers between entries.
         """
         budget = self._budget_by_organisation.get(organisation)
         if budget is None:
@@ -181,11 +184,11 @@
 def _build_refusal(
     budget: _OrganisationBudget, limit: str, detail: str, wait_s: float, now: float
 ) -> LimitRefusal:
-    """Refuse with a time of its own for every caller to come back.
+    """Return a refusal with a Retry-After of its own.
 
-    Load: hundreds of requests refused in one second. Harm prevented: told the same time
-    they all come back together and are refused again. Each refusal takes the next free
-    time at the pace at which the allowance frees places.
+    Hundreds of callers refused in one second with the same Retry-After would all retry
+    together and be refused again. Each refusal reserves the next free time at the rate
+    at which the allowance is released.
     """
     debt_s = max(0.0, -budget.tokens) / max(budget.rate, 1.0)
     earliest_at = max(budget.next_free_at, now + debt_s)
--- a/src/kingcupwheel/decisions/age_normalization.py
+++ b/src/kingcupwheel/decisions/age_normalization.py
@@ -1,4 +1,4 @@
-"""Ages that tell of the servers, not of the entry that sees them."""
+"""Normalizes report ages and uptimes against the rest of the group."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def normalize_ages(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-    """Return the candidates with ages as seen beside the rest of the group.
+    """Return the candidates with ages relative to the rest of the group.
 
-    Load: an entry that has just started, or was paused, under the usual load. Failure:
-    every server looks just started, or silent. Symptom: with so little room counted on
-    all are full, and callers are refused for ``SLOW_START_S`` at each new entry. What
-    all servers have in common is the entry's own doing; only the difference counts. A
-    group that was restarted as a whole has no other servers to wait for either.
+    To an entry that has just started or was paused, every server looks just started or
+    silent. With their effective capacity cut accordingly all would be full, and the
+    entry would refuse its callers for ``SLOW_START_S``. What all servers have in common
+    is caused by the entry itself, so only the differences count. The same holds for a
+    group that was restarted as a whole: there is no other server to send requests to.
     """
     if not candidates:
         return candidates
--- a/src/kingcupwheel/decisions/allowance_shares.py
+++ b/src/kingcupwheel/decisions/allowance_shares.py
@@ -1,20 +1,23 @@
-"""How an organisation's allowance is split over the entries of its set.
-
-No entry is in charge. Each holds a share and tells it to the others of the set, with
-the demand it sees, on the heartbeats that flow anyway. It lowers its share at once and
-raises it late, so that the sum stays within the allowance whatever is lost on the way:
-
-- Who wants more says so first, and raises only when every peer has answered that: its
-  answer tells what the peer held by then. A raise takes an equal part of what nobody
-  holds, shared with the peers that said the same. Of two entries that raise at once,
-  either both counted the other or one knew of the other's raise.
-- A silent peer can neither lend nor borrow. From ``STALE_S`` on, the entries that miss
-  it hold at most an equal part; only from ``RETURN_S`` on do they count a silent peer
-  as holding no more than that.
-
-Bound: the sum of shares is at most 1 while all entries agree on the set, plus
-``FLOOR`` for the part that every entry may always use. An entry that was dropped from
-the set and cannot be told adds at most one equal part of the set that it knew.
+"""Splits an organisation's allowance over the entries of its set without a leader.
+
+Each entry holds a share of the allowance and sends it to its peers, the other entries
+of the set, along with the demand it sees, in the regular heartbeats. It lowers its
+share immediately and raises it late, so that the sum stays within the allowance
+whichever messages are lost:
+
+- An entry that wants more announces it, and raises its share only after every peer has
+  answered the announcement, since the answer shows what the peer held by then. A raise
+  takes an equal part of what no entry holds, divided among the peers that announced the
+  same. Of two entries that raise at once, either both counted the other, or one knew of
+  the other's raise.
+- A silent peer can neither lend nor borrow. After ``PEER_STALE_S`` without an answer,
+  the other entries hold at most an equal share. Only after ``PEER_RELEASE_S`` do they
+  assume that the silent peer holds no more than that.
+
+The shares sum up to at most 1 while all entries agree on the set, plus
+``MIN_USABLE_TOTAL`` for the part that every entry may always use. An entry that was
+removed from the set and cannot be notified adds at most an equal share of the set it
+knew.
 """
 
 from __future__ import annotations
@@ -27,37 +30,38 @@
     from collections.abc import Sequence
 
 
-# A peer whose answer is older than three heartbeats of a second is silent.
+# A peer is silent after three heartbeats of 1 s without an answer.
 PEER_STALE_S = 3.0
 
-# When a silent peer has surely lowered its share: it noticed the silence at the latest
-# ``STALE_S`` after its own last answer, which may be one delivery and one heartbeat
-# younger than the one this entry has; a delivery of more than ``STALE_S`` is silence.
+# After this time a silent peer has certainly lowered its share: it detects the silence
+# at most ``PEER_STALE_S`` after its own last answer, which may be one delivery and one
+# heartbeat later than the one known here, and a delivery that takes longer than
+# ``PEER_STALE_S`` counts as silence.
 PEER_RELEASE_S = 3 * PEER_STALE_S
 
-# The sum of what all entries may use beyond their shares. Reason: a caller that moves
-# to another entry is served there before the share has followed it.
+# What all entries together may use beyond their shares, so that a caller that moves to
+# another entry is served there before the share follows.
 MIN_USABLE_TOTAL = 0.1
 
-# Part of what no entry wants that goes where the demand is; the rest is split equally.
-# Bursts come where callers are already, so all of it split equally refuses them; all of
-# it by demand refuses the caller that moves to a quiet entry.
+# Fraction of the unrequested allowance that is split by demand; the rest is split
+# equally. Bursts occur where callers already are, and an equal split alone refuses
+# them; a split by demand alone refuses a caller that moves to a quiet entry.
 SPARE_BY_DEMAND_FRACTION = 0.5
 
 _NEVER = float("-inf")
 
-# Demands below this are noise.
+# Total demand below this is treated as none.
 _MIN_DEMAND = 1e-6
 
 
 class PeerShare(NamedTuple):
-    """What a peer of the set last told.
+    """Last known share and demand of a peer.
 
     ``demand`` is the demand it sees as a fraction of the whole allowance, ``held`` the
-    share it holds, ``wants`` whether it wants more. ``age_s`` is how long ago this
-    entry sent the newest heartbeat that the peer has answered, so that it bounds the
-    age of the news in both directions; for a peer never heard it is the time since it
-    was learned of.
+    share it holds, ``wants_more`` whether it has announced that it wants more.
+    ``age_s`` is the time since this entry sent the latest heartbeat that the peer has
+    answered, which bounds the age of the information in both directions; for a peer
+    that has never answered, it is the time since the peer became known.
     """
 
     demand: float
@@ -67,11 +71,11 @@
 
 
 class Share(NamedTuple):
-    """The share an entry holds; tell ``held`` and ``wants`` on every heartbeat.
+    """Share of this entry; every heartbeat carries ``held`` and ``wants_more``.
 
-    ``wants_since`` is when it began to want more (None: it does not), ``raised_at``
-    when it last raised its share, ``missed_at`` when it last missed a peer; all in
-    monotonic seconds.
+    ``wants_more_since`` is when the entry began to want more (None: it does not),
+    ``raised_at`` when it last raised its share, ``peer_missed_at`` when a peer was last
+    silent; all in monotonic seconds.
     """
 
     held: float = 0.0
@@ -81,21 +85,21 @@
 
     @property
     def wants_more(self) -> bool:
-        """Whether it wants more than it holds."""
+        """Whether the entry wants more than it holds."""
         return self.wants_more_since is not None
 
     def usable_fraction(self, entries: int) -> float:
-        """Return the part of the allowance that one of ``entries`` may use."""
+        """Return the fraction of the allowance that this one of ``entries`` may use."""
         return max(self.held, MIN_USABLE_TOTAL / entries)
 
 
 def build_idle_share(entries: int, set_age_s: float) -> Share:
-    """Return the share of an organisation that this entry had no call of so far.
+    """Return this entry's initial share for an organisation without requests so far.
 
-    Load: 43,000 organisations, of which a heartbeat names the few in use. An
-    organisation that a heartbeat does not name is one that its sender holds an equal
-    part of and sees no demand for. An entry that has known its set of ``entries`` for
-    less than ``RETURN_S`` starts with nothing, since others may still hold its part.
+    There are 43,000 organisations, of which a heartbeat lists only the few in use. For
+    any other its sender holds an equal share and sees no demand. An entry that has
+    known its set of ``entries`` for at most ``PEER_RELEASE_S`` starts with a share of
+    0, since others may still hold its part.
     """
     if set_age_s <= PEER_RELEASE_S:
         return Share()
@@ -103,20 +107,24 @@
 
 
 def build_idle_peer_share(entries: int, age_s: float) -> PeerShare:
-    """Return what a peer tells by not naming an organisation; see ``idle_share``."""
+    """Return the share of a peer whose heartbeat omits the organisation.
+
+    See ``build_idle_share``.
+    """
     return PeerShare(demand=0.0, held=1.0 / entries, wants_more=False, age_s=age_s)
 
 
 def compute_next_share(
     share: Share, demand: float, peers: Sequence[PeerShare], now: float
 ) -> Share:
-    """Return the share to hold from ``now`` on, to be told to the peers.
+    """Return the share to hold from ``now`` on and to send to the peers.
+
+    Callers move between the entries of a set, and entries join, leave and lose contact.
+    A fixed equal split would refuse callers at a busy entry while its peer is idle; a
+    split by unconfirmed information would admit more than the allowance.
 
-    Load: an organisation whose callers move between the entries of its set, entries
-    that come, go and lose each other. Harm prevented: a fixed equal split refuses
-    callers at a busy entry while its peer idles; a split by guesses admits more than
-    the allowance. ``peers`` are the other members; ``demand`` is a fraction of the
-    whole allowance. Call it just before each heartbeat, and first thing after a pause.
+    ``peers`` are the other members of the set; ``demand`` is a fraction of the whole
+    allowance. Call this just before each heartbeat, and first after a pause.
     """
     equal_share = 1.0 / (len(peers) + 1)
     misses_peer = any(peer.age_s > PEER_STALE_S for peer in peers)
@@ -128,9 +136,9 @@
     wants_more_since = now if share.wants_more_since is None else share.wants_more_since
     settled_at = max(wants_more_since, share.raised_at)
     if not misses_peer:
-        # Failure: a link heals, and this entry hears a peer that does not yet hear it.
-        # Symptom: this one lends itself what the peer takes back as its equal part.
-        # Once the peer has answered what was sent after that, both hear each other.
+        # When a link recovers, this entry may receive from a peer that doesn't receive
+        # from it yet, and would take what the peer reclaims as its equal share. Once
+        # the peer has answered a later heartbeat, the link works in both directions.
         settled_at = max(settled_at, share.peer_missed_at)
     if not all(_has_answered(peer, now - settled_at) for peer in peers):
         return share._replace(wants_more_since=wants_more_since)
@@ -159,7 +167,7 @@
 
 
 def _has_answered(peer: PeerShare, settled_s: float) -> bool:
-    """Tell whether ``peer`` knows the last want and raise, or is gone."""
+    """Return whether ``peer`` knows of the last announcement and raise, or is gone."""
     if peer.age_s > PEER_RELEASE_S:
         return True
     return peer.age_s <= PEER_STALE_S and peer.age_s < settled_s
--- a/src/kingcupwheel/decisions/baseline_policies.py
+++ b/src/kingcupwheel/decisions/baseline_policies.py
@@ -1,4 +1,4 @@
-"""Simple placement policies to measure against."""
+"""Simple placement policies that serve as baselines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @placement_policies.register("random")
 class RandomPolicy:
-    """Any server that is in service and not known to be full."""
+    """Chooses uniformly among the eligible servers."""
 
     def place(
         self,
@@ -30,7 +30,7 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Draw evenly."""
+        """Choose a server uniformly at random."""
         eligible = select_eligible(candidates, request)
         if isinstance(eligible, NoServerAvailable):
             return eligible
@@ -39,7 +39,7 @@
 
 @placement_policies.register("round-robin")
 class RoundRobinPolicy:
-    """Each server in its turn."""
+    """Chooses the eligible servers in turn."""
 
     def __init__(self) -> None:
         self._counter = count()
@@ -51,7 +51,7 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Take the next one."""
+        """Choose the next server."""
         eligible = select_eligible(candidates, request)
         if isinstance(eligible, NoServerAvailable):
             return eligible
@@ -62,7 +62,7 @@
 
 @placement_policies.register("least-in-flight")
 class LeastInFlightPolicy:
-    """The server with the fewest attempts of this entry."""
+    """Chooses the server with the fewest attempts in flight from this entry."""
 
     def place(
         self,
@@ -71,7 +71,7 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Take the least, drawn evenly among equals."""
+        """Choose the server with the fewest attempts, ties broken at random."""
         eligible = select_eligible(candidates, request)
         if isinstance(eligible, NoServerAvailable):
             return eligible
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -1,4 +1,4 @@
-"""What placement knows of a server, and what it is asked."""
+"""Inputs and results of placement: servers, requests and selections."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from kingcupwheel.decisions.server_health import ServerState
 
 
-# A server that has just started has empty caches and has to warm up: given its whole
-# part at once, the first requests on it are the slowest of the group.
+# A server that has just started has cold caches: with its full share of requests at
+# once, the first ones on it would be the slowest of the group.
 SLOW_START_S = 15.0
 _SLOW_START_MIN_FRACTION = 0.1
 
-# A slow server is given this part of its capacity. Not nothing: it still answers, and
-# a group that loses every slow server loads the others until they are slow too.
+# Fraction of its capacity used on a slow server. Not 0: it still answers, and a group
+# that drops its slow servers overloads the others until they are slow too.
 SLOW_CAPACITY_FRACTION = 0.4
 
-# A report older than this is from a server that may be silent; its room counts for less
-# with each further second, so that work drifts away before the link is given up.
+# A server whose report is older may be down; its effective capacity shrinks with each
+# further second, so that requests move away before the link times out.
 REPORT_FRESH_S = 2.0
 
 
-# A server of another data centre counts as this much fuller, less than one request of
-# 16: it is about a millisecond further, once for each answer, while one more request in
-# a batch costs as much for each of its tokens.
+# Load added to a server of another data centre. It is below one request of 16: the
+# distance costs about a millisecond once per answer, while one more request in a batch
+# costs about as much for every token.
 REMOTE_LOAD_PENALTY = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A server as one entry sees it.
-
-    ``running``, ``queued``, ``capacity``, ``work`` (tokens) and ``rate`` (tokens per
-    second) are from its agent's last report, ``heard_age_s`` old. ``own_in_flight``
-    counts this entry's attempts on it now, ``own_at_report`` those it had when the
-    report came. ``started_age_s`` is how long its server has been up,
-    ``suspects_running`` how many suspects this entry knows to run on it. One that
-    rests does so until ``rests_until`` (monotonic).
+    """A server that placement may select, as one entry sees it.
+
+    ``running``, ``queued``, ``capacity``, ``work`` (tokens) and ``work_per_s`` (tokens
+    per second) come from its agent's last load report, ``report_age_s`` old.
+    ``own_in_flight`` is this entry's attempts on it now, ``own_in_flight_at_report``
+    those when the report arrived. ``running_suspects`` is the number of crash suspects
+    that this entry knows to run on it. ``backoff_until`` is the end of a backoff that
+    the server requested (monotonic seconds).
     """
 
     name: str
@@ -57,12 +57,12 @@
 
     @property
     def estimated_in_flight(self) -> float:
-        """Attempts on the server now, as far as the entry can know.
+        """Estimated number of attempts on the server now.
 
-        Load: several entries hand over to a server between two of its reports. Harm
-        prevented: each counts only its own, and together they send it many times what
-        it has places for, to wait there past their deadlines. What this entry did since
-        the report is therefore scaled by its part of what the report held.
+        Several entries send to a server between two of its reports. If each counted
+        only its own attempts, they would together send many times the capacity, and
+        requests would wait there past their deadlines. The change in this entry's own
+        attempts is therefore scaled up by its share of the reported ones.
         """
         reported = self.running + self.queued
         scale = (reported + 1) / (self.own_in_flight_at_report + 1)
@@ -71,7 +71,7 @@
 
     @property
     def effective_capacity(self) -> float:
-        """The capacity to count on, less than ``capacity`` when in doubt."""
+        """Capacity reduced during slow start, while slow and with an old report."""
         part = 1.0
         if self.uptime_s < SLOW_START_S:
             part *= max(_SLOW_START_MIN_FRACTION, self.uptime_s / SLOW_START_S)
@@ -83,33 +83,33 @@
 
     @property
     def load(self) -> float:
-        """Attempts held per place to count on; 1 is full."""
+        """Estimated attempts per unit of effective capacity; 1 is full."""
         return self.estimated_in_flight / self.effective_capacity
 
     @property
     def load_with_next(self) -> float:
-        """The load with one more attempt, which tells idle servers of unequal room."""
+        """Load with one more attempt; ranks idle servers of unequal capacity."""
         return (self.estimated_in_flight + 1) / self.effective_capacity
 
     @property
     def is_full(self) -> bool:
-        """Whether a further attempt would have to wait at the server."""
+        """Whether another attempt would have to wait at the server."""
         return self.load >= 1.0
 
     @property
     def is_idle(self) -> bool:
-        """Whether the server holds no attempt, as far as the entry can know."""
+        """Whether the server is estimated to have no attempt in flight."""
         return self.estimated_in_flight <= 0.0
 
 
 class PlacementRequest(NamedTuple):
-    """What is to be placed.
+    """A request to be placed on a server.
 
-    ``prefix_key`` names the beginning of the prompt (empty: no affinity), ``work`` is
-    predicted tokens, ``avoid`` the servers already tried. A ``suspect`` runs where no
-    other suspect does. ``data_centre`` is the entry's own. ``far_load`` is how much
-    fuller a server of another one counts; with ``near_first`` one of the two choices is
-    drawn from the entry's own data centre.
+    ``prefix_key`` identifies the prompt's prefix (empty: no affinity), ``work`` is
+    predicted tokens, ``excluded_servers`` the servers already tried. A crash suspect
+    (``is_suspect``) is kept apart from other suspects. ``data_centre`` is the entry's
+    own. ``remote_load_penalty`` is added to the load of servers in other data centres;
+    with ``prefers_local`` one of the two sampled servers is from the entry's own.
     """
 
     prefix_key: str = ""
@@ -123,14 +123,14 @@
 
 
 class CandidateLoad(NamedTuple):
-    """A server that was weighed, and its load when it was."""
+    """Load of a server at the time it was considered."""
 
     server: str
     load: float
 
 
 class SelectedServer(NamedTuple):
-    """Give it to ``server``; ``why`` is a short reason for the trace."""
+    """The server selected for a request; ``reason`` is recorded in the trace."""
 
     server: str
     reason: str
@@ -138,11 +138,11 @@
 
 
 class NoServerAvailable(NamedTuple):
-    """No server can take it now; ``reason`` is short and fixed.
+    """No server can be selected now; ``reason`` is one of a few fixed texts.
 
-    ``for_all`` tells that any other request would meet the same. If it is False, only
-    this one has to be set aside, and must not hold up those behind it. ``rest_over_at``
-    is when the first rest ends, where nothing else could help sooner.
+    If ``applies_to_all`` is False, other requests may still be placed, and this one
+    must not block those queued behind it. ``backoff_ends_at`` is the earliest end of a
+    server's backoff, set if no server can become available before it.
     """
 
     reason: str
--- a/src/kingcupwheel/decisions/crash_suspects.py
+++ b/src/kingcupwheel/decisions/crash_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that may crash whatever server runs them."""
+"""Tracks requests suspected of crashing the servers that run them."""
 
 from __future__ import annotations
 
@@ -8,35 +8,36 @@
 from kingcupwheel.decisions.hashing import stable_hash
 
 
-# Deaths that condemn a request. One death may be chance, or a bystander's; the second
-# came on a server where no other suspect ran, and leaves it the only cause.
+# Crashes after which a request is quarantined. One may be a coincidence or caused by
+# another request; the second happened on a server that ran no other suspect, so that
+# the request is its only possible cause.
 QUARANTINE_CRASHES = 2
 
-# How long a request is refused, in seconds: an operator's time to look into it. After
-# that one more run is tried, alone among suspects; its death quarantines it again.
+# Gives operators time to investigate. After that the request may run once more, apart
+# from other suspects; another crash quarantines it again.
 QUARANTINE_S = 600.0
 
-# How long one death is remembered: servers die for other reasons every few minutes in a
-# fleet of 1,000, and two chance deaths in a day must not condemn a request.
+# In a fleet of 1,000, servers crash for other reasons every few minutes; two unrelated
+# crashes within a day must not quarantine a request.
 SUSPECT_RETENTION_S = 600.0
 
-# How long a death is told to peers: it passes from peer to peer once a heartbeat, and
-# through all entries in about five.
+# How long a crash is sent to peers. It advances one peer per heartbeat and reaches all
+# entries in about five.
 GOSSIP_S = 15.0
 
-# Fingerprints held at most. A dying server leaves as many as it ran at once (16 to 64);
-# this holds the bystanders of some hundred deaths within the time above.
+# A crash adds as many fingerprints as the server ran at once (16 to 64); this is enough
+# for some hundred crashes within the retention time.
 MAX_FINGERPRINTS = 4_096
 
-# Deaths remembered for one fingerprint: it is refused from the second on, so that more
-# come only from runs that several entries began at the same time.
+# A fingerprint is refused from its second crash on, so that more come only from runs
+# that several entries started at the same time.
 _MAX_CRASHES_PER_FINGERPRINT = 16
 
 
 class ServerIncarnation(NamedTuple):
-    """One life of a backend server: its name and its agent's word for that life.
+    """One incarnation of a backend server: its name and its agent's incarnation id.
 
-    Every process that hears of the same death has to name it alike.
+    Every process has to identify the same crash alike.
     """
 
     server: str
@@ -44,22 +45,22 @@
 
     @property
     def crash_id(self) -> int:
-        """The death that ended this life, as told between processes."""
+        """Id of the crash that ended this incarnation, as sent between processes."""
         return stable_hash(self.server, self.incarnation)
 
 
 class NotSuspected(NamedTuple):
-    """Nothing is held against the request."""
+    """The request is not a suspect."""
 
 
 class Suspect(NamedTuple):
-    """It was running when a server died; it runs where no other suspect does."""
+    """The request ran during a crash; it has to run apart from other suspects."""
 
     crash_count: int
 
 
 class Quarantined(NamedTuple):
-    """It is refused: servers died of it. ``for_s`` is the time left."""
+    """The request is refused for ``remaining_s``, since it crashed servers."""
 
     crash_count: int
     remaining_s: float
@@ -69,7 +70,7 @@
 
 
 class _CrashRecord:
-    """What is known of one fingerprint: deaths it was there for, and those forgiven."""
+    """Crashes during which a fingerprint ran, and those it was cleared of."""
 
     __slots__ = ("cleared_ids", "crash_ids", "last_crash_at")
 
@@ -80,23 +81,22 @@
 
     @property
     def active_count(self) -> int:
-        """Deaths held against it."""
+        """Number of crashes that it is not cleared of."""
         return len(self.crash_ids - self.cleared_ids)
 
     @property
     def retention_s(self) -> float:
-        """How long after the last death it is still remembered."""
+        """How long the crashes count after the last one."""
         is_quarantined = self.active_count >= QUARANTINE_CRASHES
         return SUSPECT_RETENTION_S + (QUARANTINE_S if is_quarantined else 0.0)
 
 
 class CrashSuspects:
-    """Who was running when a server died, by fingerprint of the request.
+    """Tracks, by request fingerprint, the requests running when a server crashed.
 
-    Load: one request in millions crashes each server that runs it, and its caller sends
-    it again. Harm prevented: a whole group dies one server after the other. Harm of
-    blaming wrongly: those that ran beside it did nothing, and are cleared when they
-    finish once, or forgotten when nothing dies of them again.
+    One request in millions may crash each server that runs it, and its caller retries
+    it until the whole group has crashed. Requests that ran beside it are innocent: they
+    are cleared when they finish once, and forgotten if no other crash follows.
     """
 
     def __init__(self, *, max_fingerprints: int = MAX_FINGERPRINTS) -> None:
@@ -109,15 +109,15 @@
     def record_crash(
         self, fingerprint: str, incarnation: ServerIncarnation, now: float
     ) -> None:
-        """Note that it ran when this life of a server ended; once for each life."""
+        """Record that the request ran when a server crashed; idempotent."""
         self.record_crash_id(fingerprint, incarnation.crash_id, now)
 
     def record_crash_id(self, fingerprint: str, crash_id: int, now: float) -> None:
-        """Take a death that an agent or a peer tells of, as often as it is told.
+        """Record a crash reported by an agent or a peer; idempotent.
 
-        Failure: a death told by its agent, and by each peer that heard of it, counts
-        several times. Symptom: a bystander is refused after one death. Deaths have
-        names, and the same name counts once however it comes.
+        The agent and several peers may report the same crash. If it counted more than
+        once, an innocent request would be refused after a single crash; each id
+        therefore counts once.
         """
         record = self._get_or_create(fingerprint)
         if (
@@ -131,7 +131,7 @@
         record.last_crash_at = now
 
     def get_status(self, fingerprint: str, now: float) -> SuspicionStatus:
-        """Return what may be done with a request of this fingerprint."""
+        """Return whether a request is clear, a suspect or quarantined."""
         record = self._record_by_fingerprint.get(fingerprint)
         if record is None or record.active_count == 0:
             return NotSuspected()
@@ -145,20 +145,20 @@
         )
 
     def clear(self, fingerprint: str) -> None:
-        """Forgive it: it finished on a living server.
+        """Clear a request that finished on a live server.
 
-        The record stays, so that the same old deaths heard again are not held against
-        it a second time.
+        The record is kept, so that repeated reports of the same crashes don't count
+        again.
         """
         record = self._record_by_fingerprint.get(fingerprint)
         if record is not None:
             record.cleared_ids = set(record.crash_ids)
 
     def list_recent_crashes(self, now: float) -> tuple[tuple[str, int], ...]:
-        """Return fingerprints and deaths held against them, to be told to the peers.
+        """Return pairs of fingerprint and crash id to send to the peers.
 
-        Only those of late: peers remember what they heard, and a death told for as long
-        as it is remembered would add kilobytes to every heartbeat for ten minutes.
+        Only recent ones are returned: peers keep what they receive, and sending a crash
+        for its whole retention would add kilobytes to every heartbeat for ten minutes.
         """
         return tuple(
             (fingerprint, crash_id)
--- a/src/kingcupwheel/decisions/decay.py
+++ b/src/kingcupwheel/decisions/decay.py
@@ -1,4 +1,4 @@
-"""Sums that forget: the memory of every decision that looks at recent events."""
+"""Exponentially decaying sums of recent events."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class DecayingSum:
-    """A sum whose parts fade by ``exp(-age / time_constant_s)``.
+    """Sum in which every amount decays by ``exp(-age / time_constant_s)``.
 
-    It needs two numbers however many events it has seen.
+    Uses constant memory, whatever the number of events.
     """
 
     __slots__ = ("_updated_at", "_time_constant_s", "_value")
@@ -24,7 +24,7 @@
         self._updated_at = max(now, self._updated_at)
 
     def value(self, now: float) -> float:
-        """Return what is left of the sum at ``now``."""
+        """Return the decayed sum at ``now``."""
         if self._value == 0.0 or now <= self._updated_at:
             return self._value
         return self._value * exp((self._updated_at - now) / self._time_constant_s)
--- a/src/kingcupwheel/decisions/drain_rate.py
+++ b/src/kingcupwheel/decisions/drain_rate.py
@@ -1,24 +1,24 @@
-"""How fast a queue is drained, as observed."""
+"""Estimates the rate at which a queue drains."""
 
 from __future__ import annotations
 
 from math import exp
 
 
-# Memory of the observed rate: some mean answers of 8 s, so that one long answer does
-# not look like a stall, and a group that lost half its servers shows within seconds.
+# Longer than a mean answer of 8 s, so that one long answer does not look like a stall,
+# yet a group that loses half its servers is noticed within seconds.
 DRAIN_TIME_CONSTANT_S = 10.0
 
-# With less than this seen of a backlog, nothing is known of the rate.
+# Backlogged time below which the rate is unknown.
 _MIN_OBSERVED_S = 0.5
 
 
 class DrainRate:
-    """Work per second taken from a queue while something waited in it.
+    """Work per second dequeued while the queue was not empty.
 
-    Load: a group at saturation, or one that stalls. Harm prevented: a rate from idle
-    times says nothing about a backlog, and a rate from takes alone never notices that
-    they have stopped. The time since the last take therefore counts as well.
+    A rate that includes idle time says nothing about how fast a backlog drains. A rate
+    computed only when work is dequeued never shows a stall, so the time since the last
+    dequeue is included.
     """
 
     __slots__ = ("_busy_s", "_updated_at", "_work")
@@ -29,21 +29,21 @@
         self._updated_at: float | None = None
 
     def mark_nonempty(self, now: float) -> None:
-        """Note that the queue is no longer empty."""
+        """Start counting backlogged time."""
         self._updated_at = now
 
     def mark_empty(self, now: float) -> None:
-        """Note that the queue is empty."""
+        """Stop counting backlogged time."""
         self._accumulate_busy_time(now)
         self._updated_at = None
 
     def record_dequeue(self, work: float, now: float) -> None:
-        """Count work that had to wait and was taken at ``now``."""
+        """Count work that waited in the queue and was dequeued at ``now``."""
         self._accumulate_busy_time(now)
         self._work += work
 
     def estimate_drain_s(self, work: float, now: float) -> float:
-        """Return how long ``work`` takes to drain; 0 while no rate is known."""
+        """Return the seconds that ``work`` takes to drain; 0 if the rate is unknown."""
         waited_s = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
         busy_s = self._busy_s + waited_s
         if busy_s < _MIN_OBSERVED_S:
@@ -53,7 +53,7 @@
         return work * busy_s / self._work
 
     def _accumulate_busy_time(self, now: float) -> None:
-        """Count the time since the last change as time with a backlog."""
+        """Decay the totals and add the backlogged time since the last update."""
         if self._updated_at is None:
             return
         waited_s = max(0.0, now - self._updated_at)
--- a/src/kingcupwheel/decisions/fair_queue.py
+++ b/src/kingcupwheel/decisions/fair_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that is fair by organisation and refuses what cannot make it."""
+"""Bounded queue with fair scheduling between organisations and load shedding."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from kingcupwheel.decisions.hashing import stable_fraction
 
 
-# Work that a flow of the lowest priority is given in a turn, in tokens; one of priority
-# 5 gets 384, about a short request. More lets one flow take many turns' work at once,
-# so that others' short requests wait; less costs more rounds for each decision.
+# Work granted per turn to a flow of the lowest priority; priority 5 gets 384 tokens,
+# about one short request. A larger quantum lets one flow dequeue much work at once
+# while others' short requests wait; a smaller one needs more rounds per decision.
 QUANTUM_TOKENS = 64.0
 
-# A flow may hold so many times the places that are free. Reason: one flow alone gets
-# two thirds of the queue, and however many flood it, a free place is left for the next
+# A flow may queue this many requests per free slot. One flow alone gets two thirds of
+# the queue, and however many flows flood it, a slot stays free for another
 # organisation.
 MAX_FLOW_PER_FREE_SLOT = 2
 
-# A request is queued if twice its predicted wait is within its deadline: a wait is as
-# often above its prediction as below, and one far above ends in a refusal after the
-# wait. The servers stay as busy with the shorter queue.
+# A request is queued if twice its predicted wait is within its deadline. Actual waits
+# are above the prediction as often as below, and one far above would end in a refusal
+# after the wait. The shorter queue keeps the servers just as busy.
 PREDICTED_WAIT_FACTOR = 2.0
 
-# What another flow has waiting may be filled up this often before the turn comes. With
-# once, waits are predicted too short at saturation; without bound, a long request is
-# refused for a wait that never comes if many flows have a short one each.
+# How often another flow's backlog may be refilled within a predicted wait. With 1,
+# waits are predicted too short at saturation. Without a limit, a long request is
+# refused for a wait that never occurs when many flows have one short request each.
 MAX_BACKLOG_REFILLS = 3.0
 
-# Longest such wait that is queued, however patient the caller: the servers are as busy
-# with a short queue, and the goal for the first token is about a second.
+# Longest predicted wait that is queued, whatever the deadline: a short queue keeps the
+# servers just as busy, and the goal for the first token is about a second.
 MAX_WAIT_S = 4.0
 
-# Weight of priority p is (p + 1): priority 9 gets ten times the work of priority 0, and
-# none is given nothing, so that no priority starves another.
+# The weight of priority p is p + 1: priority 9 gets ten times the work of priority 0,
+# and no priority is starved.
 _LOWEST_PRIORITY_WEIGHT = 1.0
 
 
 class QueuedRequest(NamedTuple):
-    """A request that waits for a place on a server.
+    """A request that waits for a server.
 
-    ``work`` is predicted work in tokens; the times are monotonic seconds, and
-    ``deadline_at`` is when it must have left the queue at the latest.
+    ``work`` is predicted work in tokens; times are monotonic seconds, and
+    ``deadline_at`` is the latest time to leave the queue.
     """
 
     request_id: str
@@ -59,14 +59,14 @@
 
 
 class Enqueued(NamedTuple):
-    """The request waits; ``ahead`` others were in the queue."""
+    """A request was queued behind ``requests_ahead`` others."""
 
     requests_ahead: int
     predicted_wait_s: float = 0.0
 
 
 class _Flow:
-    """The waiting requests of one organisation and priority."""
+    """Queued requests of one organisation and priority."""
 
     __slots__ = ("backlog", "deficit", "has_turn", "requests", "weight")
 
@@ -78,7 +78,7 @@
         self.backlog = 0.0
 
     def try_take_turn(self, quantum: float) -> bool:
-        """Return whether its first request may be taken in this turn."""
+        """Start a turn if needed; return whether the first request may be dequeued."""
         if not self.has_turn:
             self.has_turn = True
             self.deficit += quantum * self.weight
@@ -91,10 +91,9 @@
 class FairQueue:
     """Deficit round robin by predicted work over organisations and priorities.
 
-    Load: more requests than the servers have places for, some organisations with ten
-    times the requests or the work of others. Harm prevented: in a common line the flood
-    of one makes all wait; a long line answers everybody too late. ``limit`` bounds the
-    requests held here, and so memory and threads.
+    In a single FIFO queue, an organisation with ten times the requests or the work of
+    others would delay all of them, and in a long queue every answer is late.
+    ``max_requests`` bounds the queued requests, and with them memory and threads.
     """
 
     def __init__(
@@ -120,11 +119,11 @@
 
     @property
     def queued_work(self) -> float:
-        """The predicted work that waits, in tokens."""
+        """Predicted work of all queued requests, in tokens."""
         return sum(flow.backlog for flow in self._flow_by_key.values())
 
     def push(self, request: QueuedRequest, now: float) -> Enqueued | LimitRefusal:
-        """Queue a request, or refuse it at once with a time to come back."""
+        """Queue a request, or refuse it immediately with a Retry-After."""
         ahead = len(self)
         key = (request.organisation, request.priority)
         flow = self._flow_by_key.get(key) or _Flow(request.priority)
@@ -149,7 +148,7 @@
         return Enqueued(ahead, wait_s)
 
     def peek(self, now: float) -> QueuedRequest | None:
-        """Return the request whose turn it is, or None if none waits in time."""
+        """Return the next request, or None if none is queued before its deadline."""
         self._drop_expired(now)
         passed = 0
         while self._active_keys:
@@ -163,7 +162,7 @@
         return None
 
     def pop(self, now: float) -> QueuedRequest | None:
-        """Take out and return what ``peek`` returns."""
+        """Remove and return the next request."""
         request = self.peek(now)
         if request is None:
             return None
@@ -174,14 +173,14 @@
         flow.backlog -= request.work
         del self._request_by_id[request.request_id]
         self._drop_if_empty(key, flow)
-        # What finds a place at once says nothing about how fast a backlog drains.
+        # A request that did not wait says nothing about how fast a backlog drains.
         if now > request.queued_at:
             self._drain_rate.record_dequeue(request.work, now)
         self._mark_if_empty(now)
         return request
 
     def remove(self, request_id: str, now: float) -> QueuedRequest | None:
-        """Take a request out, for instance when its caller has left."""
+        """Remove a request, for example when its caller has disconnected."""
         request = self._request_by_id.pop(request_id, None)
         if request is None:
             return None
@@ -194,7 +193,7 @@
         return request
 
     def take_expired(self, now: float) -> list[QueuedRequest]:
-        """Return, once, the requests whose deadline passed while they waited."""
+        """Return the requests that expired in the queue, each only once."""
         self._drop_expired(now)
         expired = self._expired
         self._expired = []
@@ -212,10 +211,10 @@
         heappush(self._deadlines, (request.deadline_at, request.request_id))
 
     def _skip_rounds(self) -> None:
-        """Grant at once the rounds in which nobody's deficit would suffice.
+        """Grant all rounds at once in which no flow's deficit would suffice.
 
-        Load: requests of some 100,000 tokens alone in the queue. Harm prevented: some
-        hundred rounds over all flows for one decision.
+        With only requests of some 100,000 tokens in the queue, one decision would
+        otherwise take hundreds of rounds over all flows.
         """
         flows = self._flow_by_key.values()
         rounds = min(
@@ -244,10 +243,10 @@
                 self._expired.append(request)
 
     def _predict_wait_s(self, own_flow: _Flow, work: float, now: float) -> float:
-        """Return the seconds until a new request of ``own`` would be taken.
+        """Return the predicted wait of a new request in ``own_flow``, in seconds.
 
-        Until then every other flow is served its weight's part of what ``own`` is, or
-        what it has and is filled up with meanwhile.
+        In this time every other flow is served in proportion to its weight, but no more
+        than its backlog and ``MAX_BACKLOG_REFILLS``.
         """
         own_work = own_flow.backlog + work
         work_before = own_flow.backlog
@@ -264,13 +263,12 @@
     def _build_refusal(
         self, limit: str, detail: str, wait_s: float, request: QueuedRequest, now: float
     ) -> LimitRefusal:
-        """Refuse with a time to come back at which there may be room.
+        """Return a refusal whose Retry-After is when there may be capacity.
 
-        Load: hundreds of requests refused, for a second or for a minute. Harm
-        prevented: callers told the same short time come back together, into the same
-        overload, and are refused until they give up. Each refusal therefore takes the
-        next turn at the pace at which the queue drains, and is spread by its request's
-        id, so that a trace can be worked out again.
+        If hundreds of refused callers got the same short Retry-After, they would retry
+        together into the same overload until they give up. Each refusal therefore
+        reserves the next time at the rate at which the queue drains. The jitter is a
+        hash of the request id, so that a trace can be reproduced.
         """
         retry_at = max(now + wait_s, self._next_retry_at)
         base_s = min(max(MIN_RETRY_AFTER_S, retry_at - now), MAX_RETRY_AFTER_S / 2)
--- a/src/kingcupwheel/decisions/first_byte_latency.py
+++ b/src/kingcupwheel/decisions/first_byte_latency.py
@@ -1,36 +1,36 @@
-"""Bounds the time to the first byte from those seen before."""
+"""Predicts an upper bound of the time to first byte."""
 
 from __future__ import annotations
 
 import math
 
 
-# A sample counts as a fiftieth: about six seconds of an entry's requests at the peak.
+# Weight of one sample: 50 samples are about 6 s of an entry's requests at the peak.
 _SMOOTHING_GAIN = 1 / 50
 
-# A bound that no sample has confirmed for so long is believed less and less, in
-# seconds: an entry at work sees several a second.
+# Time after the last sample from which the bound decays; a busy entry sees several
+# samples per second.
 UNCONFIRMED_GRACE_S = 1.0
-# Within this time more it is halved, and halved again.
+# Half-life of the bound after that.
 UNCONFIRMED_HALF_LIFE_S = 0.5
 
-# A bound of one deviation above the line. Two kept nearly all samples, but with prompts
-# of very different lengths left no time to wait in the queue.
+# Mean deviations above the regression line. 2 covers nearly all samples, but with
+# prompts of very different lengths leaves no time to wait in the queue.
 _BOUND_DEVIATIONS = 1.0
 
 
 class FirstByteLatencyBound:
-    """A line through the times to the first byte by the size of the prompt.
+    """Linear regression of the time to first byte over the prompt size.
 
-    Load: prompts of very different lengths at a busy group. Harm prevented: a request
-    that leaves the queue just before its deadline is run in vain, since its first byte
-    still takes as long as its prompt. An entry takes ``bound_s`` off each deadline
-    before it queues the request. Sizes are in any unit, the same for all calls.
+    A request that leaves the queue just before its deadline runs in vain, since its
+    first byte takes longer the longer its prompt is. An entry therefore subtracts
+    ``bound_s`` from each deadline before it queues the request. Sizes may be in any
+    unit, as long as all calls use the same.
 
-    Failure: a group stalls, or the entry itself is frozen, for longer than callers
-    wait. Symptom: the bound is over every caller's patience, so each request is refused
-    at once though servers idle, and since none is placed no sample ever corrects it. A
-    bound without samples is therefore forgotten within seconds.
+    After a stall of the group or of the entry, the bound may exceed every caller's
+    timeout. Each request would then be refused although servers are idle, and without
+    placed requests no sample would correct the bound. A bound without new samples
+    therefore decays within seconds.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         self._updated_at = 0.0
 
     def bound_s(self, size: float, now: float) -> float:
-        """Return the seconds that most of that size are below; 0 until one was seen."""
+        """Return a bound that most prompts of this size meet; 0 without samples."""
         if self._count == 0:
             return 0.0
         bound_s = self._predict_s(size) + _BOUND_DEVIATIONS * self._deviation_s
@@ -61,7 +61,7 @@
         return bound_s * math.exp2(-unconfirmed_s / UNCONFIRMED_HALF_LIFE_S)
 
     def record(self, latency_s: float, size: float, now: float) -> None:
-        """Take the time to a first byte into account."""
+        """Add a sample of the time to first byte."""
         self._updated_at = now
         error_s = (
             abs(latency_s - self._predict_s(size)) if self._count else latency_s / 2
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -1,4 +1,4 @@
-"""The health of a group's servers, with a guard against mass ejection."""
+"""Health of a server group, with a limit on simultaneous ejections."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from collections.abc import Mapping
 
 
-# Ejected servers are at most this share of a group. Reason: when more fail, the cause
-# lies with the requests, the link or the entry itself. Those kept are given only what
-# the others have no room for.
+# Largest fraction of a group that may be ejected. If more servers fail, the cause is
+# probably the requests, the network or the entry itself. Failing servers that are kept
+# receive only the requests that the others have no capacity for.
 MAX_EJECTED_SHARE = 1 / 2
 
 _OUT_OF_SERVICE_STATES = (ServerState.EJECTED, ServerState.PROBING)
 
 
 class ServerLoad(NamedTuple):
-    """What a server holds: attempts running or queued, and how many it can run.
+    """Attempts running or queued on a server, and how many it can run.
 
-    One that is not ``in_service`` has no room for what others hold.
+    A server that is not in service cannot take over the attempts of others.
     """
 
     name: str
@@ -36,30 +36,30 @@
 
 
 class GroupHealth:
-    """The health of each server of a group, as one entry sees it.
+    """Health of each server of a group, as one entry sees it.
 
-    Load: a switch, a rack or a bad request makes many servers fail at once. Harm
-    prevented: with those gone the rest is overrun and fails too, until none is left.
-    No ejection takes the group beyond ``MAX_EJECTED_SHARE``, or leaves the others
-    without room for what the group holds at the moment; the worst go first.
+    A failing switch or rack, or a bad request, can make many servers fail at once. If
+    all were ejected, the rest would be overloaded and fail too. At most
+    ``MAX_EJECTED_SHARE`` of the group is ejected, and only while the other servers have
+    capacity for all attempts in flight; the servers with most failures go first.
     """
 
     def __init__(self) -> None:
         self._health_by_server: dict[str, ServerHealth] = {}
 
     def get(self, server: str) -> ServerHealth:
-        """Return the health of ``server``, new if it was never seen."""
+        """Return the health of ``server``, creating it if unknown."""
         health = self._health_by_server.get(server)
         if health is None:
             health = self._health_by_server[server] = ServerHealth()
         return health
 
     def reset(self, server: str) -> None:
-        """Forget what is known of ``server``: a new life of it has come up."""
+        """Discard the health of ``server`` after it has restarted."""
         self._health_by_server.pop(server, None)
 
     def retain(self, servers: Iterable[str]) -> None:
-        """Forget every server but these."""
+        """Discard the health of every other server."""
         kept = set(servers)
         for name in [name for name in self._health_by_server if name not in kept]:
             del self._health_by_server[name]
@@ -67,7 +67,7 @@
     def update_states(
         self, loads: Iterable[ServerLoad], now: float
     ) -> dict[str, ServerState]:
-        """Return the state of each server by name."""
+        """Update the state of each server and return the states by name."""
         load_by_name = {load.name: load for load in loads}
         health_by_name = {name: self.get(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
@@ -102,6 +102,6 @@
 def _update_order(
     health_by_name: Mapping[str, ServerHealth], name: str
 ) -> tuple[bool, int, str]:
-    """Order for judging: the ejected first, then those that fail most."""
+    """Sort key: ejected servers first, then by consecutive failures."""
     health = health_by_name[name]
     return (not health.is_ejected, -health.consecutive_failures, name)
--- a/src/kingcupwheel/decisions/hashing.py
+++ b/src/kingcupwheel/decisions/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are equal in every process, for choices that must agree."""
+"""Stable hashes that are equal in every process."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def stable_hash(*parts: str) -> int:
-    """Return a 64-bit hash of ``parts``; Python's own differs in each process."""
+    """Return a 64-bit hash of ``parts``; the built-in ``hash`` varies by process."""
     text = "\0".join(parts).encode()
     return int.from_bytes(blake2b(text, digest_size=_DIGEST_BYTES).digest(), "big")
 
 
 def stable_fraction(*parts: str) -> float:
-    """Return a number from 0 up to 1 that depends on ``parts`` alone."""
+    """Return a number in [0, 1) that depends only on ``parts``."""
     return stable_hash(*parts) / _HASH_RANGE
--- a/src/kingcupwheel/decisions/load_reports.py
+++ b/src/kingcupwheel/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""Checks what servers report against what this entry knows to be there."""
+"""Corrects load reports that contradict this entry's own attempts."""
 
 from __future__ import annotations
 
@@ -13,23 +13,22 @@
     from kingcupwheel.decisions.candidates import Candidate
 
 
-# A report is doubted when it holds less than this part of what the entry's own attempts
-# there lead to expect. Not more: entries send to a server unevenly, and a report that
-# is right is the best there is.
+# A report below this fraction of the load expected from the entry's own attempts is
+# corrected. A larger fraction would correct valid reports, since entries use a server
+# unevenly, and a valid report is the best information there is.
 _MIN_PLAUSIBLE_FRACTION = 1 / 3
 
-# With fewer own attempts on a server nothing can be expected of its report.
+# With fewer own attempts on a server, its expected load is unknown.
 _MIN_OWN_ATTEMPTS = 2
 
 
 def correct_load_reports(candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Return the candidates with reports that are far too low raised.
+    """Return the candidates with implausibly low load reports raised.
 
-    Load: a server whose report is wrong, such as one that always says it is idle.
-    Harm prevented: every entry gives it whatever the two choices allow, and callers
-    wait there while others idle. Symptom seen by the entry: its own attempts there grow
-    far beyond the part of the load that it has on the other servers. The group's median
-    of load over own attempts says what a report should be at least.
+    A server that always reports to be idle would be preferred by every entry, and
+    requests would wait there while others are idle. The entry can detect this, because
+    its own attempts there are far above its share of the load on other servers. The
+    group's median ratio of reported load to own attempts gives the expected report.
     """
     scales = [
         (one.running + one.queued) / one.own_in_flight_at_report
--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -1,4 +1,4 @@
-"""Even assignment of choosers to options that every process works out alike."""
+"""Deterministic even assignment of choosers to options."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class _Bid(NamedTuple):
-    """A chooser's claim to a place; the lowest is turned away first."""
+    """A chooser's bid for an option; the lowest score is rejected first."""
 
     score: int
     chooser: str
 
 
 class _Option:
-    """Holds the best bids up to its number of places."""
+    """An option with its best bids, up to its capacity."""
 
     __slots__ = ("_bids", "_capacity")
 
@@ -35,7 +35,7 @@
         return [bid.chooser for bid in self._bids]
 
     def add_bid(self, bid: _Bid) -> str | None:
-        """Return whom it turns away, if anybody."""
+        """Add a bid; return the rejected chooser, if any."""
         if len(self._bids) < self._capacity:
             heappush(self._bids, bid)
             return None
@@ -45,15 +45,16 @@
 def match_evenly(
     choosers: Sequence[str], options: Sequence[str], wanted: int
 ) -> dict[str, tuple[str, ...]]:
-    """Return ``wanted`` different options for each chooser, evenly chosen.
-
-    Each chooser ranks the options by a hash of both names, each option holds the
-    choosers that rank it best up to its places, and whoever is turned away goes on down
-    its own ranking (deferred acceptance; Gale and Shapley, 1962). The result depends on
-    the names alone and not on their order, and one that comes or goes moves few others.
-    All options together have just the places that are wanted, so that any two differ by
-    one chooser, or two where a chooser finds the last open places on options that it
-    has already; with more places the last ones in the rankings would stay empty.
+    """Return ``wanted`` distinct options for each chooser, evenly distributed.
+
+    Deferred acceptance (Gale and Shapley, 1962): each chooser ranks the options by a
+    hash of both names, each option keeps its best bids up to its capacity, and a
+    rejected chooser tries its next option. The result depends only on the names, not on
+    their order, and adding or removing a name moves few others.
+
+    The total capacity equals the number of bids, so that any two options differ by one
+    chooser, or by two if the last free capacity is on options that a chooser already
+    has. With more capacity, the options ranked last would stay empty.
     """
     wanted = min(wanted, len(options))
     option_by_name = _build_options(options, len(choosers) * wanted)
--- a/src/kingcupwheel/decisions/max_duration.py
+++ b/src/kingcupwheel/decisions/max_duration.py
@@ -1,14 +1,14 @@
-"""How long the longest recent answer took. Pure: times are arguments."""
+"""Maximum duration of recent answers."""
 
 from __future__ import annotations
 
 
-# An answer counts for one to two of these spans, in seconds.
+# An answer is remembered for one to two windows.
 WINDOW_S = 5.0
 
 
 class RecentMaxDuration:
-    """Keeps a maximum over the present span and the one before; constant memory."""
+    """Maximum over the current and the previous window, in constant memory."""
 
     def __init__(self) -> None:
         self._window = 0
@@ -16,12 +16,12 @@
         self._previous_max_s = 0.0
 
     def record(self, duration_s: float, now: float) -> None:
-        """Note an answer that took so long and ended at ``now`` (monotonic)."""
+        """Record the duration of an answer that ended at ``now`` (monotonic)."""
         self._advance_window(now)
         self._current_max_s = max(self._current_max_s, duration_s)
 
     def max_s(self, now: float) -> float | None:
-        """Return the seconds that the longest recent answer took, None without any."""
+        """Return the longest recent duration, None if there was no answer."""
         self._advance_window(now)
         return max(self._current_max_s, self._previous_max_s) or None
 
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Chooses a server for a request: two random choices, with what is known of each."""
+"""Server selection by power of two random choices."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     from random import Random
 
 
-# Servers drawn for a choice. Two give most of the gain over one; with every server
-# compared, all entries would pick the same one from reports of the same second.
+# Two samples give most of the gain over one. If every server were compared, all entries
+# would pick the same one from load reports of the same second.
 SAMPLED_SERVERS = 2
 
 UNAVAILABLE_STATES = frozenset(
@@ -42,23 +42,23 @@
     }
 )
 
-# Requests that go to a server on probe, as a share of the repeatable ones: at nine
-# requests a second an entry probes about every five seconds.
+# Fraction of the repeatable requests sent to a probed server: at 9 requests per second
+# an entry probes about every 5 s.
 PROBE_SHARE = 0.02
 
-# A server that fails and may not be ejected counts as this much fuller. Without, it is
-# the emptiest of all, since it fails at once, and draws most requests; so it gets what
-# the others have hardly room for, and the guard against mass ejection still holds.
+# Load added to a failing server that is not ejected. It fails immediately and therefore
+# looks idle, so that it would attract most requests. With the penalty it receives only
+# what the others have little capacity for, and the limit on ejections can hold.
 FAILING_LOAD_PENALTY = 0.8
 
-# The home of a prefix may be this much fuller than the mean: a cached prefix saves the
-# prompt's work, which a longer wait soon eats up.
+# A prefix's affinity server may exceed the mean load by this margin: a cached prefix
+# saves the work of the prompt, but a longer wait soon costs more.
 AFFINITY_LOAD_MARGIN = 0.25
 AFFINITY_MAX_LOAD = 0.9
 
 
 class PlacementPolicy(Protocol):
-    """A placement plug-in; one instance serves one group at one entry."""
+    """Placement plug-in; one object serves one group at one entry."""
 
     def place(
         self,
@@ -67,13 +67,13 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Choose a server among the group's that are within the entry's subset."""
+        """Select one of the group's servers in the entry's subset."""
 
 
 def select_eligible(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
-    """Return the servers that may be given ``request``, or why there are none."""
+    """Return the servers that may receive ``request``, or why there are none."""
     normalized = normalize_ages(candidates)
     available = [
         candidate
@@ -94,8 +94,8 @@
         return _explain_none_untried(normalized, available, request)
     if not request.is_suspect:
         return untried
-    # Failure: two suspects on one server, which dies. Symptom: the innocent one is
-    # blamed twice. Apart, the second death leaves a single cause.
+    # If a server crashes with two suspects on it, the innocent one is blamed twice.
+    # Kept apart, the second crash has a single possible cause.
     without_suspects = [
         candidate for candidate in untried if not candidate.running_suspects
     ]
@@ -105,7 +105,10 @@
 def _explain_none_up(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
-    """Return what stands in the way of all; an ejected or silent server may be back."""
+    """Return why no server is available.
+
+    Backoffs are the reason only if no ejected or silent server could return earlier.
+    """
     not_leaving = [one for one in candidates if one.state is not ServerState.LEAVING]
     backing_off = [one for one in not_leaving if one.state is ServerState.BACKING_OFF]
     if not backing_off or len(backing_off) < len(not_leaving):
@@ -126,7 +129,7 @@
 def _explain_none_with_capacity(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
-    """Return what stands in the way; room on a server already tried is no help."""
+    """Return why no server has capacity, ignoring servers already tried."""
     untried = [
         one
         for one in candidates
@@ -166,12 +169,12 @@
 
 @placement_policies.register("two-choices")
 class TwoChoicesPolicy:
-    """The less loaded of two random servers, unless the prefix has a home with room.
+    """Selects the less loaded of two random servers, or the prefix's affinity server.
 
-    Load: some hundred entries place on the same servers by reports a second old. Harm
-    prevented: each choosing the least loaded server of its own view, all choose the
-    same one, which is overrun until the next report. Two random choices never do that,
-    and need no exact figures.
+    Hundreds of entries place requests on the same servers by load reports up to a
+    second old. If each selected the least loaded server, all would select the same one
+    and overload it until its next report. Two random choices avoid that and need no
+    exact loads. The affinity server of a prefix is used while it has spare capacity.
     """
 
     def place(
@@ -181,7 +184,7 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Choose a server; ``now`` is not needed, since ages are in the candidates."""
+        """Select a server; ``now`` is unused, since the candidates contain ages."""
         eligible = select_eligible(correct_load_reports(candidates), request)
         if isinstance(eligible, NoServerAvailable):
             return eligible
@@ -189,7 +192,8 @@
         if probed and (not unprobed or _should_probe(request, rng)):
             return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
         if not unprobed:
-            # Only busy probed servers are left for this request.
+            # Only busy probed servers are left; other servers may be closed to this
+            # request alone.
             return (
                 UNTRIED_SERVERS_FULL
                 if request.excluded_servers or request.is_suspect
@@ -212,10 +216,10 @@
     def _find_affinity_server(
         unprobed: Sequence[Candidate], request: PlacementRequest
     ) -> Candidate | None:
-        """Return the prefix's home by rendezvous hashing, if it has room to spare.
+        """Return the prefix's server by rendezvous hashing, if it has spare capacity.
 
-        Load: many requests that begin alike. Harm prevented: without the bound the home
-        of a popular prefix is overrun while others idle.
+        Without the load limit, the server of a popular prefix would be overloaded while
+        others are idle.
         """
         if not request.prefix_key or request.is_suspect:
             return None
@@ -244,7 +248,7 @@
 
 
 def _should_probe(request: PlacementRequest, rng: Random) -> bool:
-    # A probe may fail; only what may be run again is risked.
+    # A probe may fail, so that only repeatable requests are used.
     return (
         request.is_repeatable and not request.is_suspect and rng.random() < PROBE_SHARE
     )
@@ -253,7 +257,7 @@
 def _sample_pair(
     servers: Sequence[Candidate], request: PlacementRequest, rng: Random
 ) -> list[Candidate]:
-    """Draw two different servers, each as often as it has room."""
+    """Sample two different servers, weighted by effective capacity."""
     if len(servers) <= SAMPLED_SERVERS:
         return list(servers)
     local = [one for one in servers if one.data_centre == request.data_centre]
--- a/src/kingcupwheel/decisions/retry_budget.py
+++ b/src/kingcupwheel/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget of retries, so that a struggling group gets no storm of them."""
+"""Retry budgets, which prevent retry storms on a failing group."""
 
 from __future__ import annotations
 
@@ -7,25 +7,24 @@
 from kingcupwheel.decisions.decay import DecayingSum
 
 
-# A retry in ten first attempts: with every attempt failing, a group gets a tenth more
-# load than its callers make, not twice as much.
+# One retry per ten first attempts: if every attempt fails, retries add a tenth to the
+# load of a group instead of doubling it.
 DEFAULT_RETRY_SHARE = 0.1
 
-# Retries allowed whatever the traffic: an entry with one request a minute may still
-# move one off a server that just died, and one more.
+# Retries allowed at any traffic: an entry with one request per minute can still retry
+# one from a crashed server, and one more.
 DEFAULT_RETRY_FLOOR = 2.0
 
-# How long attempts are remembered: longer than the few seconds in which a dead server
-# is noticed, short enough that a quiet hour saves up no burst of retries.
+# Longer than the few seconds in which a dead server is detected, but short enough that
+# no burst of retries accumulates over a quiet hour.
 RETRY_TIME_CONSTANT_S = 10.0
 
 
 class RetryBudget:
-    """Allows retries as a share of recent first attempts, for one server group.
+    """Limits a server group's retries to a share of its recent first attempts.
 
-    Load: a group whose servers fail or time out at the peak. Harm prevented: each
-    failure repeated adds load to servers that fail for want of capacity, so that they
-    never recover. Counts fade within ``TIME_CONSTANT_S``.
+    Retries add load to servers that fail for lack of capacity, which then never
+    recover. Counts decay with ``RETRY_TIME_CONSTANT_S``.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
         self._first_attempts.add(1.0, now)
 
     def try_acquire(self, now: float) -> bool:
-        """Return whether one more retry is within the budget, and count it if so."""
+        """Count one more retry if the budget allows it; return whether it does."""
         allowed = self._floor + self._share * self._first_attempts.value(now)
         if self._retries.value(now) >= allowed:
             return False
@@ -50,10 +49,10 @@
 
 
 class SlidingWindowRetryBudget:
-    """Allows retries as a share of the first attempts of a window that slides.
+    """Limits retries to a share of the first attempts within a sliding window.
 
-    For a bound that others measure: every window of ``window_s`` counts, so nothing
-    fades and nothing is saved up. Memory is bounded by the attempts of one window.
+    For a limit that others verify over any window of ``window_s``: counts don't decay,
+    and unused retries don't accumulate. Memory is bounded by one window's attempts.
     """
 
     def __init__(self, *, window_s: float) -> None:
@@ -67,7 +66,7 @@
         self._first_attempts.append(now)
 
     def try_acquire(self, now: float, *, share: float, floor: float) -> bool:
-        """Return whether one more is within the budget, and count it if so."""
+        """Count one more retry if the budget allows it; return whether it does."""
         self._drop_expired(now)
         if len(self._retries) + 1 > floor + share * len(self._first_attempts):
             return False
--- a/src/kingcupwheel/decisions/server_health.py
+++ b/src/kingcupwheel/decisions/server_health.py
@@ -1,4 +1,4 @@
-"""Judges backend servers by the outcomes and latencies of their attempts."""
+"""Outlier detection for backend servers by outcome and latency."""
 
 from __future__ import annotations
 
@@ -7,47 +7,48 @@
 from kingcupwheel.decisions.decay import DecayingSum
 
 
-# Failures in a row that eject a server: fewer would eject for one bad request and its
-# retry, more would cost callers while a dead server answers at once and looks idle.
+# Fewer would eject a server for one bad request and its retry; with more, a server that
+# fails immediately and therefore looks idle fails more callers' requests.
 EJECTION_CONSECUTIVE_FAILURES = 3
 
-# How long one failure makes a server the last choice. At two requests a second over 16
-# servers an entry takes 24 s to see three failures of one; until then it would go on to
-# give it its part, and more, since what fails at once looks idle.
+# How long a single failure makes a server the last choice. At 2 requests per second
+# over 16 servers an entry takes 24 s to see three failures of one server. Until then it
+# would get its share and more, since a server that fails immediately looks idle.
 FAILURE_PENALTY_S = 10.0
 
-# Share of recent attempts that may fail, and the least number that says anything.
+# Largest failure ratio of recent attempts, and the fewest attempts to judge it by.
 EJECTION_FAILURE_RATIO = 0.5
 EJECTION_MIN_ATTEMPTS = 6.0
 
-# Memory of outcomes: some answers long, so that a server that recovered is soon good.
+# A few answers long, so that a recovered server is soon healthy again.
 OUTCOME_TIME_CONSTANT_S = 20.0
 
-# A server is slow from twice the group's median latency on, and no longer so below one
-# and a half times: between them it keeps its state and does not flap.
+# Ratios to the group's median latency. Between the two a server keeps its state, which
+# prevents flapping.
 SLOW_LATENCY_RATIO = 2.0
 RECOVERED_LATENCY_RATIO = 1.5
 
-# A latency counts as an eighth of the mean, once so many have been seen.
+# Weight of one latency in the running mean, and the samples needed to use the mean.
 _LATENCY_GAIN = 1 / 8
 _MIN_LATENCY_SAMPLES = 5
 
-# First ejection, doubled each time up to the longest: a server that crashed is back in
-# seconds, one that fails for an hour gets a probe every two minutes.
+# Exponential backoff of ejections: a server that crashed is back within seconds, one
+# that fails for an hour is probed every two minutes.
 BASE_EJECTION_S = 5.0
 MAX_EJECTION_S = 120.0
 
-# Good probes in a row that make a server healthy again.
+# Consecutive successful probes that end an ejection.
 RECOVERY_PROBES = 3
 
 
 class ServerState(StrEnum):
-    """What a server may be given.
+    """State of a server, which determines the requests it receives.
 
-    ``HEALTHY`` its part, ``SLOW`` less, ``FAILING`` what the others have no room for
-    (it failed just now, or too many are ejected already), ``PROBING`` single repeatable
-    requests, ``EJECTED`` nothing, ``RESTING`` nothing until its rest is over, ``DOWN``
-    nothing until it is heard to be up, ``LEAVING`` nothing ever again.
+    ``HEALTHY``: its full share. ``SLOW``: a reduced share. ``FAILING``: only requests
+    that the others have no capacity for, since it has just failed or too many servers
+    are ejected already. ``PROBING``: single repeatable requests. ``EJECTED``: none.
+    ``BACKING_OFF``: none until its requested backoff ends. ``DOWN``: none until it is
+    reported up. ``LEAVING``: none, permanently.
     """
 
     HEALTHY = "healthy"
@@ -61,10 +62,10 @@
 
 
 class ServerHealth:
-    """One server's state as seen by one entry.
+    """Health of one server, as one entry sees it.
 
-    Load: a server that fails at once looks idle and draws all requests; a slow one
-    holds whatever it is given. Harm prevented: callers get its errors and its waits.
+    A server that fails immediately looks idle and would attract all requests, and a
+    slow one delays every request sent to it.
     """
 
     def __init__(self) -> None:
@@ -81,24 +82,24 @@
 
     @property
     def is_measured(self) -> bool:
-        """Whether ``latency_s`` is a mean of enough attempts."""
+        """Whether ``latency_s`` averages enough samples."""
         return self._latency_samples >= _MIN_LATENCY_SAMPLES
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is ejected or being probed."""
+        """Whether the server is ejected or being probed."""
         return self._ejected_until is not None
 
     @property
     def consecutive_failures(self) -> int:
-        """Failures in a row, to compare servers that both fail."""
+        """Number of failures since the last success."""
         return self._consecutive_failures
 
     def record_success(self, latency_s: float, now: float) -> None:
-        """Count a whole answer.
+        """Record a complete answer.
 
-        ``latency_s`` has to be comparable between the group's servers: the time for a
-        token of an engine's answer, the whole time of a plain service's.
+        ``latency_s`` has to be comparable between the servers of a group: the time per
+        token for an engine, the total time for a plain service.
         """
         self._attempts.add(1.0, now)
         self._consecutive_failures = 0
@@ -111,7 +112,7 @@
                 self._recover()
 
     def record_failure(self, now: float) -> None:
-        """Count an attempt that failed through the server: an error, a cut, silence."""
+        """Record an attempt that the server failed by an error, cut or timeout."""
         self._attempts.add(1.0, now)
         self._failures.add(1.0, now)
         self._consecutive_failures += 1
@@ -121,7 +122,7 @@
             self._eject(now)
 
     def should_eject(self, now: float) -> bool:
-        """Tell whether its outcomes call for an ejection."""
+        """Return whether recent outcomes require an ejection."""
         if self._consecutive_failures >= EJECTION_CONSECUTIVE_FAILURES:
             return True
         attempts = self._attempts.value(now)
@@ -134,7 +135,7 @@
     def update_state(
         self, median_s: float, now: float, *, may_eject: bool
     ) -> ServerState:
-        """Return the state at ``now``, beside a group of that median latency."""
+        """Update and return the state; ``median_s`` is the group's median latency."""
         if self._ejected_until is None and may_eject and self.should_eject(now):
             self._eject(now)
         if self._ejected_until is not None:
--- a/src/kingcupwheel/decisions/server_notices.py
+++ b/src/kingcupwheel/decisions/server_notices.py
@@ -1,9 +1,9 @@
-"""What servers said of themselves, by the life of a server that said it. Pure.
+"""Backoff and leaving notices that servers send, by server incarnation.
 
-Failure: a server asks for rest, and looks idle because nothing runs there. Symptom: it
-draws the requests that it wanted to be spared, turns them away, and their callers wait
-for another send or are refused. Failure: a server says that it leaves before the list
-does. Symptom: requests reach it that are cut when it goes.
+A server that requests a backoff runs nothing and therefore looks idle. Without these
+notices it would attract requests and reject them, and their callers would wait for a
+retry or be refused. A server may also announce that it leaves before the instance list
+shows it; requests sent to it in between would be cut when it stops.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
     from collections.abc import Collection
     from collections.abc import Iterable
 
-# The longest rest that is kept, in seconds. A server that names a longer one by mistake
-# is asked again after it, and asks for rest again if it meant it.
+# A server that names a longer backoff by mistake gets requests again after this time,
+# and repeats its notice if it meant it.
 MAX_BACKOFF_S = 120.0
-# A life that is off the list is remembered for so long, in seconds: an entry that was
-# overwritten or has lapsed comes back with the same life.
+# How long an incarnation that is not listed is kept: an instance entry that was
+# overwritten or has expired comes back with the same incarnation.
 ABSENT_RETENTION_S = 60.0
-# Lives remembered at most; a bound for memory only.
+# Bounds memory.
 MAX_INCARNATIONS = 4096
 
 
 class _Notice:
-    """What one life said; ``absent_at`` is since when it is off the list."""
+    """Notices of one incarnation; ``absent_at`` is when it was first found unlisted."""
 
     __slots__ = ("absent_at", "is_leaving", "backoff_until")
 
@@ -37,7 +37,7 @@
 
 
 class ServerNotices:
-    """Keeps what servers asked for; guarded by its owner, times are monotonic."""
+    """Notices of servers by incarnation; not thread-safe, times are monotonic."""
 
     def __init__(self) -> None:
         self._notice_by_incarnation: dict[str, _Notice] = {}
@@ -46,9 +46,9 @@
         return len(self._notice_by_incarnation)
 
     def record_backoff(self, incarnation: str, duration_s: float, now: float) -> bool:
-        """Note that a server asks for rest; return whether that is news.
+        """Record a requested backoff; return whether it extends the known one.
 
-        A shorter wish does not end an earlier one: answers overtake each other.
+        Responses may arrive out of order, so a shorter backoff never replaces a longer.
         """
         until = now + min(duration_s, MAX_BACKOFF_S)
         known_until = self.backoff_until(incarnation)
@@ -58,35 +58,35 @@
         return True
 
     def record_leaving(self, incarnation: str) -> bool:
-        """Note that a server says that it leaves; return whether that is news."""
+        """Record that a server is leaving; return whether this was unknown."""
         notice = self._get_or_create(incarnation)
         is_news = not notice.is_leaving
         notice.is_leaving = True
         return is_news
 
     def is_leaving(self, incarnation: str) -> bool:
-        """Return whether it said that it leaves, which holds until it is gone."""
+        """Return whether the server has announced that it leaves."""
         notice = self._notice_by_incarnation.get(incarnation)
         return notice is not None and notice.is_leaving
 
     def backoff_until(self, incarnation: str) -> float | None:
-        """Return when the rest it asked for ends or has ended, None without one."""
+        """Return when its backoff ends or has ended, None without a backoff."""
         notice = self._notice_by_incarnation.get(incarnation)
         return None if notice is None else notice.backoff_until
 
     def is_backing_off(self, incarnation: str, now: float) -> bool:
-        """Return whether it is to get nothing now for its rest's sake."""
+        """Return whether its backoff is still in effect."""
         until = self.backoff_until(incarnation)
         return until is not None and now < until
 
     def accepts_requests(self, incarnation: str, now: float) -> bool:
-        """Return whether a request may be sent to it now."""
+        """Return whether requests may be sent to it now."""
         return not self.is_leaving(incarnation) and not self.is_backing_off(
             incarnation, now
         )
 
     def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
-        """Return, once, the lives whose rest is over."""
+        """Return the incarnations whose backoff has ended, each only once."""
         ended = tuple(
             life
             for life, notice in self._notice_by_incarnation.items()
@@ -100,7 +100,7 @@
         return ended
 
     def retain(self, incarnations: Collection[str], now: float) -> tuple[str, ...]:
-        """Forget lives that have been off the list for long; return them."""
+        """Drop incarnations unlisted for ``ABSENT_RETENTION_S``; return them."""
         for life, notice in self._notice_by_incarnation.items():
             if life in incarnations:
                 notice.absent_at = None
@@ -122,7 +122,7 @@
         notice = self._notice_by_incarnation.get(incarnation)
         if notice is None:
             if len(self._notice_by_incarnation) >= MAX_INCARNATIONS:
-                # The one that said something first.
+                # Evicts the incarnation that was recorded first.
                 del self._notice_by_incarnation[next(iter(self._notice_by_incarnation))]
             notice = self._notice_by_incarnation[incarnation] = _Notice()
         return notice
--- a/src/kingcupwheel/decisions/shutdown_schedule.py
+++ b/src/kingcupwheel/decisions/shutdown_schedule.py
@@ -1,8 +1,7 @@
-"""What an entry that stops still takes, and when it ends what is in progress. Pure.
+"""Deadlines of an entry's graceful shutdown and the requests it still accepts.
 
-Failure: an entry goes on taking requests until its process is gone. Symptom: a stream
-that was taken late is sent to a server and cut midway, though other entries could have
-run it whole.
+If an entry accepted requests until its process exits, a stream accepted late would be
+sent to a server and cut, although another entry could have completed it.
 """
 
 from __future__ import annotations
@@ -10,42 +9,46 @@
 from typing import NamedTuple
 
 
-# Parts of the grace, counted from the signal to stop.
-# Everything is taken for so long: callers keep an entry's address for some seconds.
+# Fractions of the grace period, counted from the stop signal.
+
+# All requests are accepted until then, since callers keep an address for some seconds.
 _ACCEPT_ALL_FRACTION = 0.35
-# The process stays at least so long, so that callers who still have its address are
-# answered and not reset.
+# The process stays up at least until then, so that callers that still use its address
+# get an answer and not a connection reset.
 _MIN_UPTIME_FRACTION = 0.4
-# What has not ended by then is ended, which leaves time to tell callers so.
+# Requests still in progress are ended then, which leaves time to inform their callers.
 _RESPONSE_FRACTION = 0.9
-# The process ends by then, whatever is in progress.
+# The process exits by then, whatever is in progress.
 _EXIT_FRACTION = 0.95
-# A request is taken late if it may last so many times the longest recent answer: the
-# wait for a place and a server that turns slow come on top.
+# A late request is accepted if there is time for this many times the longest recent
+# answer, since it may wait in the queue and its server may become slow.
 _LATE_DURATION_FACTOR = 3.0
-# What an answer is expected to last at least, in seconds.
+# Shortest expected duration of an answer.
 _MIN_DURATION_S = 0.3
 
 
 class ShutdownSchedule(NamedTuple):
-    """A planned stop: ``began_at`` is monotonic; the process may live ``grace_s``."""
+    """Schedule of a graceful shutdown within ``grace_s`` of ``started_at`` (monotonic).
+
+    Its deadlines are fixed fractions of the grace period.
+    """
 
     started_at: float
     grace_s: float
 
     @property
     def earliest_exit_at(self) -> float:
-        """Until when the process stays, even if nothing is in progress."""
+        """When the process may exit at the earliest, even if it is idle."""
         return self.started_at + _MIN_UPTIME_FRACTION * self.grace_s
 
     @property
     def responses_end_at(self) -> float:
-        """When requests still in progress get their final answer."""
+        """When requests still in progress are ended with a final answer."""
         return self.started_at + _RESPONSE_FRACTION * self.grace_s
 
     @property
     def latest_exit_at(self) -> float:
-        """When the process ends at the latest."""
+        """When the process exits at the latest."""
         return self.started_at + _EXIT_FRACTION * self.grace_s
 
     def may_accept(
@@ -56,16 +59,15 @@
         longest_recent_s: float | None,
         is_streamed: bool,
     ) -> bool:
-        """Return whether a request that comes at ``now`` is taken.
+        """Return whether a request that arrives at ``now`` is accepted.
 
-        ``over_at`` is when its time is up; ``longest_s`` is how long the longest recent
-        answer took, or has taken so far, None if no answer tells how long they take.
-        A guess by others is no bound for a stream: unlike a whole answer, one that has
-        begun can't be ended by a failure.
+        ``deadline_at`` is its deadline; ``longest_recent_s`` is the duration of the
+        longest recent answer, finished or not, None if unknown. It is not used for a
+        stream, which unlike a plain answer cannot end with an error once it has begun.
 
-        Load: callers that keep this entry's address, or have no other one while all
-        entries stop. Harm prevented: an answer that is cut by the end of the process.
-        What is refused has not run, and another entry can run it whole.
+        Callers may keep this entry's address, or have no other one while all entries
+        stop. A request accepted too late would be cut when the process exits; a refused
+        one has not run, and another entry can complete it.
         """
         if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
@@ -79,11 +81,11 @@
     def may_dispatch(
         self, now: float, *, deadline_at: float, longest_recent_s: float | None
     ) -> bool:
-        """Return whether a request that gets its place at ``now`` is sent to a server.
+        """Return whether an accepted request may be sent to a server at ``now``.
 
-        Load: servers are full, and requests that were taken in time wait for a place.
-        Harm prevented: one that has not run is sent on and cut. Its wait is over, so
-        that the longest recent answer is allowed for once.
+        While servers are full, a request accepted in time may leave the queue so late
+        that its answer would be cut. Since its wait is over, a single longest recent
+        answer has to fit.
         """
         if now <= self.started_at + _ACCEPT_ALL_FRACTION * self.grace_s:
             return True
--- a/src/kingcupwheel/decisions/subset_selection.py
+++ b/src/kingcupwheel/decisions/subset_selection.py
@@ -1,4 +1,4 @@
-"""Who talks to whom: servers of an entry, entries of an organisation."""
+"""Subsets of servers per entry and of entries per organisation."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
     from kingcupwheel.manifest.schema import Allowance
 
 
-# Part of a subset that lies in other data centres: enough to carry on when the own
-# one's servers fail, few enough that most traffic stays near.
+# Fraction of a subset in other data centres: enough to continue when the local servers
+# fail, and small enough that most traffic stays local.
 REMOTE_FRACTION = 0.25
 
-# A set has two entries at least, so that one may fail.
+# So that one entry may fail.
 MIN_ENTRIES = 2
 
-# Work one entry of the target carries for a single organisation, in tokens a second:
-# half of 860,000 over 370 entries, so that a set's members have room for others.
+# Tokens per second that one entry carries for a single organisation: half of 860,000
+# over 370 entries, so that the entries of a set have capacity for other organisations.
 ENTRY_WORK_PER_S = 1_150.0
 
-# A set this large reaches a tenth of the target's entries; each member gossips its
-# demand to all others of the set.
+# Each entry gossips its demand to all others of its set. A set of this size reaches a
+# tenth of the entries at the target scale.
 MAX_ENTRIES = 16
 
 
 class Instance(NamedTuple):
-    """An entry or server and where it is."""
+    """Name and data centre of an entry or a server."""
 
     name: str
     data_centre: str
@@ -47,13 +47,13 @@
     *,
     remote_fraction: float = REMOTE_FRACTION,
 ) -> tuple[str, ...]:
-    """Return the names of the servers of one group that ``entry`` keeps links to.
+    """Return the names of a group's servers that ``entry`` connects to.
 
-    Load: 370 entries before 1,000 servers. Harm prevented: with every entry linked to
-    every server, heartbeats alone are 370,000 a second. Every process that knows the
-    same ``entries`` and ``servers`` works out the same subsets. Of ``size``, the part
-    ``spill_part`` lies in other data centres; a data centre short of servers is made up
-    for by the others. Own data centre first; ``entry`` has to be among ``entries``.
+    If each of 370 entries connected to each of 1,000 servers, heartbeats alone would be
+    370,000 per second. Every process that knows the same ``entries`` and ``servers``
+    computes the same subsets. The fraction ``remote_fraction`` of ``size`` is in other
+    data centres, and more if the own one has too few servers. Local servers come first;
+    ``entry`` has to be one of ``entries``.
     """
     own_data_centre = next(one.data_centre for one in entries if one.name == entry)
     local_by_entry = _select_local_subsets(
@@ -71,7 +71,7 @@
     *,
     remote_fraction: float = REMOTE_FRACTION,
 ) -> dict[str, tuple[str, ...]]:
-    """Return the subset of every entry by its name, to see how servers are covered."""
+    """Return the subset of every entry by name, to check the coverage of servers."""
     by_name: dict[str, tuple[str, ...]] = {}
     for own_data_centre in {one.data_centre for one in entries}:
         local_by_entry = _select_local_subsets(
@@ -90,16 +90,16 @@
     allowance: Allowance,
     data_centre: str,
 ) -> tuple[str, ...]:
-    """Return the entries that an organisation's callers are told to use.
+    """Return the entries that serve an organisation, those of ``data_centre`` first.
 
-    The set depends on the organisation, its allowance and the live entries alone, so
-    that every entry names the same set and the shares of the allowance add up; the
-    order puts those of ``data_centre`` first. Members are picked by rendezvous hashing,
-    a data centre at a time, so that losing one data centre leaves some, and an entry
-    that leaves is replaced without moving the others.
+    The set depends only on the organisation, its allowance and the live entries, so
+    that every entry computes the same set and the shares of the allowance add up.
+    Entries are chosen by rendezvous hashing, in turn from each data centre, so that
+    some remain when a data centre fails, and an entry that leaves is replaced without
+    moving the others.
 
-    Load: 43,000 organisations. Harm prevented: spread over all entries, every
-    allowance would be split 370 times and no entry's part would admit a request.
+    With 43,000 organisations spread over all 370 entries, every allowance would be
+    split 370 times, and no entry's share would admit a request.
     """
     wanted = min(compute_entry_count(allowance), len(entries))
     by_rank = sorted(
@@ -117,7 +117,7 @@
 
 
 def compute_entry_count(allowance: Allowance) -> int:
-    """Return how many entries an allowance is split over."""
+    """Return the number of entries that an allowance is split over."""
     by_work = ceil(allowance.work_per_s / ENTRY_WORK_PER_S)
     by_concurrency = max(1, allowance.concurrency // 2)
     wanted = min(by_work, by_concurrency, MAX_ENTRIES)
@@ -131,7 +131,7 @@
     size: int,
     remote_fraction: float,
 ) -> dict[str, tuple[str, ...]]:
-    """Return, for each entry of the data centre ``home``, its servers there."""
+    """Return the local servers of each entry in ``data_centre``, by entry name."""
     local_servers = [one.name for one in servers if one.data_centre == data_centre]
     local_entries = [one.name for one in entries if one.data_centre == data_centre]
     remote_count = len(servers) - len(local_servers)
@@ -148,7 +148,7 @@
     servers: Sequence[Instance],
     size: int,
 ) -> tuple[str, ...]:
-    """Make ``near`` up to ``size`` with servers of other data centres."""
+    """Extend ``local_servers`` to ``size`` with servers of other data centres."""
     remote_servers = [one.name for one in servers if one.data_centre != data_centre]
     remote_servers.sort(key=lambda name: stable_hash("spill", entry, name))
     return (*local_servers, *remote_servers[: size - len(local_servers)])
--- a/src/kingcupwheel/decisions/work_predictor.py
+++ b/src/kingcupwheel/decisions/work_predictor.py
@@ -1,28 +1,28 @@
-"""Predicts the work of a request, in tokens, before it has run."""
+"""Predicts the work of a request in tokens before it runs."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
 
-# Load: 43,000 organisations on a few routes each, of which one entry sees some hundreds
-# in an hour. Harm prevented: memory that grows with the number of names callers use.
-# Reason for the limit: every organisation once, with half as much again for those that
-# use two routes; the least recently used history is dropped, which costs one request
-# predicted from its route's mean.
+# Bounds memory, which would otherwise grow with the number of names that callers use.
+# There are 43,000 organisations on a few routes each, of which one entry sees some
+# hundreds in an hour; the limit is one history per organisation and half as many again
+# for those that use two routes. Evicting the least recently used history costs one
+# prediction from its route's mean.
 DEFAULT_MAX_HISTORIES = 65_536
 
-# Without any history: a body of English text has about four bytes a token, and the
-# target's mean answer is 860,000 / 3,200 = 270 tokens.
+# Used without any history: English text has about 4 bytes per token, and the mean
+# answer at the target load is 860,000 / 3,200 = 270 tokens.
 DEFAULT_BYTES_PER_TOKEN = 4.0
 DEFAULT_ANSWER_TOKENS = 270.0
 
-# A history counts as at most so many answers, so that it follows a change of use
-# within some tens of requests and one odd answer moves it by a thirtieth.
+# Window of the running means in answers: they follow a change of usage within tens of
+# requests, and one outlier moves them by a thirtieth.
 HISTORY_WINDOW_ANSWERS = 30
 
-# The route's mean counts as so many answers beside an organisation's own: the first
-# answers of an organisation say little about its mean, since lengths vary widely.
+# Weight of the route's mean, in answers, next to an organisation's own answers: the
+# first few say little about its mean, since lengths vary widely.
 PRIOR_WEIGHT_ANSWERS = 4
 
 
@@ -46,12 +46,12 @@
 
 
 class WorkPredictor:
-    """Predicts from the body's size and the lengths of earlier answers.
+    """Predicts work from the size of the body and the lengths of earlier answers.
 
-    Load: bodies of some kilobytes, answers between ten and some thousand tokens. Harm
-    prevented: counting requests instead of work lets an organisation with long answers
-    take many times its part. Memory is bounded by ``histories`` organisations and
-    routes together, least recently used first out.
+    Bodies have some kilobytes, answers between ten and some thousand tokens. If
+    requests were counted instead of work, an organisation with long answers could take
+    many times its share. At most ``max_histories`` pairs of organisation and route are
+    kept, and as many routes; the least recently used are evicted.
     """
 
     def __init__(self, *, max_histories: int = DEFAULT_MAX_HISTORIES) -> None:
@@ -65,9 +65,9 @@
     def predict(
         self, organisation: str, route: str, body_bytes: int, max_tokens: int | None
     ) -> float:
-        """Return prompt plus answer tokens expected; at least 1.
+        """Return the expected prompt and answer tokens together, at least 1.
 
-        ``max_tokens`` is the caller's own limit on the answer, which is never exceeded.
+        ``max_tokens`` is the caller's limit on the answer, an upper bound.
         """
         route_history = self._history_by_route.get(route)
         own_history = self._history_by_key.get((organisation, route))
@@ -87,10 +87,10 @@
         *,
         body_bytes: int = 0,
     ) -> None:
-        """Take a finished answer into the history.
+        """Add a finished answer to the history.
 
-        ``prompt_tokens`` is 0 where the server does not tell it; ``body_bytes`` is the
-        size of the request's body, 0 if it is not known any more.
+        ``prompt_tokens`` is 0 if the server does not report it, ``body_bytes`` is 0 if
+        the size of the request's body is no longer known.
         """
         key = (organisation, route)
         own_history = self._history_by_key.setdefault(key, _History())
