--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -13,14 +13,14 @@
     from kingcupwheel.entry.dispatchers import Dispatchers
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
-    from kingcupwheel.forwarding.calls import ServerCalls
+    from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.guards import Guards
-    from kingcupwheel.forwarding.heads import ReportedLoad
-    from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulses
-    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.forwarding.http_metadata import ReportedLoad
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
+    from kingcupwheel.forwarding.liveness import LivenessTrackers
+    from kingcupwheel.forwarding.retry_guards import RetryGuards
+    from kingcupwheel.forwarding.server_registry import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.telemetry.metrics import EntryMetrics
@@ -35,11 +35,11 @@
     data_centre: str
     configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
-    servers: ServerBook
-    server_client: ServerCalls
+    servers: ServerRegistry
+    server_client: ServerClient
     connection_pool: ConnectionPool
-    guards: Guards
-    liveness: Pulses
+    guards: RetryGuards
+    liveness: LivenessTrackers
     watchdog: Watchdog
     metrics: EntryMetrics
 
@@ -49,13 +49,13 @@
 
     def record_load(self, place: Place, load: ReportedLoad | None) -> None:
         """Record the load that an answer reported."""
-        self.servers.saw_load(place, load)
+        self.servers.record_load(place, load)
 
     def record_notice(
         self, place: Place, notice: ServerNotice, request_id: str
     ) -> None:
         """Record what an answer says about its server: a rest period or a shutdown."""
-        for header in notice.unreadable:
+        for header in notice.unreadable_headers:
             self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
@@ -65,8 +65,8 @@
             )
         if notice.rest_s:
             self.metrics.server_notices.labels("rest").inc()
-            self.servers.rests(place, notice.rest_s, request_id)
-        if notice.leaving and self.servers.leaves(place, request_id):
+            self.servers.mark_resting(place, notice.rest_s, request_id)
+        if notice.is_leaving and self.servers.mark_leaving(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
@@ -79,16 +79,18 @@
     def record_misdirection(self, place: Place) -> None:
         """Record that another incarnation of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
-        self.servers.misdirected(place)
+        self.servers.refute_address(place)
 
-    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
+    def record_rejection(
+        self, place: Place, service: str, *, is_streamed: bool
+    ) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if streamed and self.guards.is_closed(
+        if is_streamed and self.guards.record_rejection(
             service,
             place.server,
-            quiet_s=self.liveness.of(service).quiet_s(monotonic()),
+            idle_s=self.liveness.for_service(service).idle_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.servers.closed(service)
+            self.servers.mark_service_closed(service)
         else:
-            self.servers.full(place)
+            self.servers.mark_full(place)
--- a/src/kingcupwheel/forwarding/pulse.py
+++ b/src/kingcupwheel/forwarding/liveness.py
@@ -11,62 +11,64 @@
 
 # A service whose last sign of life is older stands still as a whole, in seconds. Its
 # streams send an event each 0.06 s; passes are seldom longer than 0.1.
-STANDSTILL_S = 0.4
+STALL_THRESHOLD_S = 0.4
 
 
-class Pulse:
+class LivenessTracker:
     """The signs of life of one service's servers, as one entry sees them."""
 
     def __init__(self) -> None:
-        self._last_by_server: dict[str, float] = {}
-        self.stands_still = False
+        self._active_at_by_server: dict[str, float] = {}
+        self.is_stalled = False
 
-    def beat(self, server: str, now: float) -> None:
+    def record_activity(self, server: str, now: float) -> None:
         """Note that a server sent something."""
-        self._last_by_server[server] = now
+        self._active_at_by_server[server] = now
 
-    def others_live(self, server: str, now: float) -> bool:
+    def is_other_server_active(self, server: str, now: float) -> bool:
         """Return whether another server sent something of late."""
         return any(
-            now - at <= STANDSTILL_S
-            for name, at in tuple(self._last_by_server.items())
+            now - at <= STALL_THRESHOLD_S
+            for name, at in tuple(self._active_at_by_server.items())
             if name != server
         )
 
-    def quiet_s(self, now: float) -> float:
+    def idle_s(self, now: float) -> float:
         """Return how long ago any server sent something; infinite if never."""
-        return now - max(tuple(self._last_by_server.values()), default=float("-inf"))
+        return now - max(
+            tuple(self._active_at_by_server.values()), default=float("-inf")
+        )
 
-    def turned(self, *, streams: int, now: float) -> bool:
+    def update_stalled(self, *, streams: int, now: float) -> bool:
         """Return whether the service has just come to stand still, or gone on.
 
         ``streams`` are those under way; without any there is nothing to hear.
         """
-        still = streams > 0 and STANDSTILL_S < self.quiet_s(now) < float("inf")
-        turned = still != self.stands_still
-        self.stands_still = still
+        still = streams > 0 and STALL_THRESHOLD_S < self.idle_s(now) < float("inf")
+        turned = still != self.is_stalled
+        self.is_stalled = still
         return turned
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop a server that left."""
-        self._last_by_server.pop(server, None)
+        self._active_at_by_server.pop(server, None)
 
 
-class Pulses:
+class LivenessTrackers:
     """Pulses by service."""
 
     def __init__(self) -> None:
-        self._by_service: dict[str, Pulse] = {}
+        self._by_service: dict[str, LivenessTracker] = {}
 
-    def of(self, service: str) -> Pulse:
+    def for_service(self, service: str) -> LivenessTracker:
         """Return the service's pulse."""
-        return self._by_service.setdefault(service, Pulse())
+        return self._by_service.setdefault(service, LivenessTracker())
 
-    def items(self) -> tuple[tuple[str, Pulse], ...]:
+    def items(self) -> tuple[tuple[str, LivenessTracker], ...]:
         """Return every service's pulse."""
         return tuple(self._by_service.items())
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Drop a server that left, whatever its service."""
         for pulse in tuple(self._by_service.values()):
-            pulse.forget(server)
+            pulse.remove_server(server)
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -12,11 +12,11 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
-    from kingcupwheel.forwarding.heads import CallerHead
-    from kingcupwheel.forwarding.times import Times
+    from kingcupwheel.forwarding.deadlines import Deadlines
+    from kingcupwheel.forwarding.http_metadata import CallerMetadata
 
 # Priority 0 is the most urgent on the platform; the queue's is the other way round.
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 class ForwardRequest(NamedTuple):
@@ -36,21 +36,21 @@
     method: str
     target: str
     headers: Mapping[str, str]
-    head: CallerHead
+    head: CallerMetadata
     body: bytes
     fingerprint: str
     received_at: float
-    times: Times
+    deadlines: Deadlines
     version: int
     version_age_s: float
 
     @property
-    def work(self) -> float:
+    def predicted_work(self) -> float:
         """Predicted work in prompt tokens; one written costs about ten read."""
         return max(1.0, self.head.prompt_tokens + 10.0 * self.head.answer_tokens)
 
 
-def fingerprint(organisation: str, target: str, body: bytes) -> str:
+def request_fingerprint(organisation: str, target: str, body: bytes) -> str:
     """Return what names this request when it comes again, empty without a body."""
     if not body:
         return ""
--- a/src/kingcupwheel/forwarding/server_list.py
+++ b/src/kingcupwheel/forwarding/server_list.py
@@ -40,7 +40,7 @@
         self._removals_held_until = 0.0
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
         """Handle the complete list."""
         if outage_s > _MIN_OUTAGE_S:
@@ -53,7 +53,9 @@
             self._record(stored)
         self._apply_changes()
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Handle added, changed and removed servers."""
         for change in changes:
             if change.is_removed:
@@ -70,11 +72,17 @@
         found = decoded.ok
         self._missing_since_by_instance.pop(stored.name, None)
         known = self._by_instance.get(stored.name)
-        if known is not None and found.life != known.life:
-            if found.is_before(known):
-                log.info("former-life-ignored", server=found.life, known=known.life)
+        if known is not None and found.incarnation != known.incarnation:
+            if found.started_before(known):
+                log.info(
+                    "former-life-ignored",
+                    server=found.incarnation,
+                    known=known.incarnation,
+                )
                 return
-            log.info("server-reborn", server=found.life, before=known.life)
+            log.info(
+                "server-reborn", server=found.incarnation, before=known.incarnation
+            )
             self._replaced.append(known)
         self._by_instance[stored.name] = found
 
@@ -113,5 +121,5 @@
                 del self._missing_since_by_instance[name]
                 gone.append(self._by_instance.pop(name))
         for backend in gone:
-            log.info("server-gone", server=backend.life, address=backend.address)
+            log.info("server-gone", server=backend.incarnation, address=backend.address)
         self._on_change(tuple(self._by_instance.values()), tuple(gone))
--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -55,11 +55,13 @@
     kind: str
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
-        """Handle a complete list that was requested at ``asked_at``."""
+        """Handle a complete list that was requested at ``requested_at``."""
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Handle the changes of one watch; empty if nothing changed."""
 
 
@@ -67,7 +69,7 @@
     """Duration of a watch and the delay after one that returned changes, in seconds."""
 
     wait_s: float = WATCH_WAIT_S
-    pause_s: float = 0.0
+    delay_after_change_s: float = 0.0
 
 
 def server_watch_timing(entries: int, steady_s: float) -> WatchTiming:
@@ -129,8 +131,12 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             began = monotonic()
-            asked_at = self._clock()
-            why = self._watch(asked_at) if self._revision else self._list(asked_at)
+            requested_at = self._clock()
+            why = (
+                self._watch(requested_at)
+                if self._revision
+                else self._list(requested_at)
+            )
             if why is None:
                 self._record_success(began)
             else:
@@ -138,31 +144,31 @@
                 self._stopping.wait(self._retry_delay_s)
                 self._retry_delay_s = min(2 * self._retry_delay_s, _MAX_RETRY_DELAY_S)
 
-    def _list(self, asked_at: float) -> PlatformError | None:
-        asked = self._store.list_objects(self._handler.kind)
-        if asked.is_error():
-            return asked.error
+    def _list(self, requested_at: float) -> PlatformError | None:
+        result = self._store.list_objects(self._handler.kind)
+        if result.is_error():
+            return result.error
         outage_s = self._outage.duration_s(monotonic())
-        self._handler.on_list(asked.ok.objects, asked_at, outage_s=outage_s)
-        self._revision = asked.ok.revision
+        self._handler.on_list(result.ok.objects, requested_at, outage_s=outage_s)
+        self._revision = result.ok.revision
         return None
 
-    def _watch(self, asked_at: float) -> PlatformError | None:
+    def _watch(self, requested_at: float) -> PlatformError | None:
         kind = self._handler.kind
         timing = self._timing()
-        asked = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
-        if asked.is_error():
+        result = self._store.watch(kind, after=self._revision, wait_s=timing.wait_s)
+        if result.is_error():
             # After any failure the list is read again: the store may have dropped
             # changes that happened meanwhile, and a list also shows what is missing.
             self._revision = 0
-            if isinstance(asked.error, HistoryGone):
-                log.info("history-gone", kind=kind, revision=asked.error.revision)
+            if isinstance(result.error, HistoryGone):
+                log.info("history-gone", kind=kind, revision=result.error.revision)
                 return None
-            return asked.error
-        self._handler.on_changes(asked.ok.changes, asked_at)
-        self._revision = max(self._revision, asked.ok.revision)
-        if asked.ok.changes and timing.pause_s:
-            self._stopping.wait(timing.pause_s)
+            return result.error
+        self._handler.on_changes(result.ok.changes, requested_at)
+        self._revision = max(self._revision, result.ok.revision)
+        if result.ok.changes and timing.delay_after_change_s:
+            self._stopping.wait(timing.delay_after_change_s)
         return None
 
     def _record_success(self, began: float) -> None:
@@ -187,22 +193,26 @@
         self._cache = cache
 
     def on_list(
-        self, objects: tuple[StoredObject, ...], asked_at: float, *, outage_s: float
+        self, objects: tuple[StoredObject, ...], requested_at: float, *, outage_s: float
     ) -> None:
         """Store the configuration if the list has it."""
         for found in objects:
             if found.name == CONFIGURATION_NAME:
-                adopt_configuration(self._cache, found.body, asked_at, source="store")
+                adopt_configuration(
+                    self._cache, found.body, requested_at, source="store"
+                )
 
-    def on_changes(self, changes: tuple[ObjectChange, ...], asked_at: float) -> None:
+    def on_changes(
+        self, changes: tuple[ObjectChange, ...], requested_at: float
+    ) -> None:
         """Store a new version, or confirm the current one if nothing changed."""
         for change in changes:
             if change.object.name == CONFIGURATION_NAME and not change.is_removed:
                 adopt_configuration(
-                    self._cache, change.object.body, asked_at, source="store"
+                    self._cache, change.object.body, requested_at, source="store"
                 )
         if not changes:
-            self._cache.confirm(self._cache.version, asked_at)
+            self._cache.confirm(self._cache.version, requested_at)
 
 
 def adopt_configuration(
