--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -30,7 +30,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.asking import Panel
+    from kingcupwheel.lockstep.agent_client import Panel
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -14,7 +14,7 @@
 
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.link.hub import Hub
-from kingcupwheel.lockstep.asking import Panel
+from kingcupwheel.lockstep.agent_client import Panel
 from kingcupwheel.lockstep.boards import LoadBoard
 from kingcupwheel.lockstep.carrying import OrderCarrier
 from kingcupwheel.lockstep.coordinator import Coordinator
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.lockstep.asking import ANSWER_S
+from kingcupwheel.lockstep.agent_client import ANSWER_S
 from kingcupwheel.lockstep.carrying import packed
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.asking import Question
+from kingcupwheel.lockstep.agent_client import Question
 from kingcupwheel.lockstep.direct import DirectPanel
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.asking import Panel
+    from kingcupwheel.lockstep.agent_client import Panel
     from kingcupwheel.lockstep.change import Want
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.rosters import Roster
--- a/tests/lockstep/test_branching.py
+++ b/tests/lockstep/test_branching.py
@@ -9,8 +9,8 @@
 
 from kingcupwheel.link.links import Incoming
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.lockstep.asking import Panel
-from kingcupwheel.lockstep.asking import Question
+from kingcupwheel.lockstep.agent_client import Panel
+from kingcupwheel.lockstep.agent_client import Question
 from kingcupwheel.lockstep.branching import BRANCH_AGENTS
 from kingcupwheel.lockstep.branching import DIRECT_RANKS
 from kingcupwheel.lockstep.branching import heads_by_agent
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -166,7 +166,7 @@
     ),
     "branches": (
         Edit(
-            "lockstep/asking.py",
+            "lockstep/agent_client.py",
             "head = self._heads_by_agent.get(address, address)",
             "head = address",
         ),
