--- a/src/kingcupwheel/lockstep/charge.py
+++ b/src/kingcupwheel/lockstep/charge.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.balancing import Balancer
+    from kingcupwheel.lockstep.balancer import Balancer
     from kingcupwheel.lockstep.change import Layers
     from kingcupwheel.lockstep.change import Phase
     from kingcupwheel.lockstep.rosters import Roster
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -16,7 +16,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.balancing import Balancer
+from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.change import Idle
 from kingcupwheel.lockstep.change import taken_up
 from kingcupwheel.lockstep.change import taken_up_without_first
--- a/tests/lockstep/test_balancing.py
+++ b/tests/lockstep/test_balancer.py
@@ -6,7 +6,7 @@
 import pytest
 
 from kingcupwheel.forwarding.configuration import EngineShape
-from kingcupwheel.lockstep.balancing import Balancer
+from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.group import Group
 from kingcupwheel.lockstep.planning import Plan
 from kingcupwheel.lockstep.planning import dealt_in_turn
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -114,7 +114,7 @@
     ),
     "map-changes": (
         Edit(
-            "lockstep/balancing.py",
+            "lockstep/balancer.py",
             "if found is None or not self._is_worth_it(found):",
             "if found is not None or found is None:",
         ),
@@ -132,9 +132,9 @@
         ),
     ),
     "small-gains-left": (
-        Edit("lockstep/balancing.py", "SHORT_PASS_GAIN = 0.3", "SHORT_PASS_GAIN = 0.0"),
+        Edit("lockstep/balancer.py", "SHORT_PASS_GAIN = 0.3", "SHORT_PASS_GAIN = 0.0"),
         Edit(
-            "lockstep/balancing.py",
+            "lockstep/balancer.py",
             "SKEW_GAIN_A_COPYING_S = 0.018",
             "SKEW_GAIN_A_COPYING_S = 0.0",
         ),
@@ -151,7 +151,7 @@
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
-            "lockstep/balancing.py",
+            "lockstep/balancer.py",
             "paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]",
             "paces = [1.0 for _ in range(group.ranks)]",
         ),
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.balancing import Balancer
+from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.group import Group
 from kingcupwheel.lockstep.planning import dealt_in_turn
 from kingcupwheel.lockstep.state import RankState
