--- a/tests/lockstep/test_boards.py
+++ b/tests/lockstep/test_load_aggregator.py
@@ -5,7 +5,7 @@
 
 from kingcupwheel.link.links import Incoming
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.lockstep.boards import LoadBoard
+from kingcupwheel.lockstep.load_aggregator import LoadBoard
 from kingcupwheel.messages.membership import Beat
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import Load
