--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.branching import heads_by_agent
+from kingcupwheel.lockstep.branches import heads_by_agent
 from kingcupwheel.lockstep.planning import dealt_in_turn
 
 
--- a/tests/lockstep/test_branching.py
+++ b/tests/lockstep/test_branches.py
@@ -11,9 +11,9 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.lockstep.agent_client import Panel
 from kingcupwheel.lockstep.agent_client import Question
-from kingcupwheel.lockstep.branching import BRANCH_AGENTS
-from kingcupwheel.lockstep.branching import DIRECT_RANKS
-from kingcupwheel.lockstep.branching import heads_by_agent
+from kingcupwheel.lockstep.branches import BRANCH_AGENTS
+from kingcupwheel.lockstep.branches import DIRECT_RANKS
+from kingcupwheel.lockstep.branches import heads_by_agent
 from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
--- a/tests/lockstep/test_large_group.py
+++ b/tests/lockstep/test_large_group.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from kingcupwheel.lockstep.branching import BRANCH_AGENTS
-from kingcupwheel.lockstep.branching import DIRECT_RANKS
+from kingcupwheel.lockstep.branches import BRANCH_AGENTS
+from kingcupwheel.lockstep.branches import DIRECT_RANKS
 from tests.forwarding.fleet import free_ports
 from tests.forwarding.fleet import until
 from tests.lockstep.builders import started_agent
