--- a/src/kingcupwheel/lockstep/direct.py
+++ b/src/kingcupwheel/lockstep/direct.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.carrying import OrderCarrier
+from kingcupwheel.lockstep.order_executor import OrderCarrier
 from kingcupwheel.platform.ranks import RankClient
 from kingcupwheel.telemetry.lines import lines_of
 
--- a/src/kingcupwheel/lockstep/gathering.py
+++ b/src/kingcupwheel/lockstep/gathering.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.lockstep.agent_client import ANSWER_S
-from kingcupwheel.lockstep.carrying import packed
+from kingcupwheel.lockstep.order_executor import packed
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
 
--- a/tests/lockstep/test_carrying.py
+++ b/tests/lockstep/test_carrying.py
@@ -8,8 +8,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.lockstep.carrying import OrderCarrier
-from kingcupwheel.lockstep.carrying import packed
+from kingcupwheel.lockstep.order_executor import OrderCarrier
+from kingcupwheel.lockstep.order_executor import packed
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.rosters import Roster
 from kingcupwheel.lockstep.state import RankCounts
