--- a/src/kingcupwheel/lockstep/ordering.py
+++ b/src/kingcupwheel/lockstep/ordering.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.change import Phase
-    from kingcupwheel.lockstep.charge import Charge
+    from kingcupwheel.lockstep.coordination_session import Charge
     from kingcupwheel.lockstep.reaching import RankReach
     from kingcupwheel.telemetry.metrics import RankMetrics
 
