--- a/src/kingcupwheel/lockstep/reaching.py
+++ b/src/kingcupwheel/lockstep/reaching.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.agent_client import Question
-from kingcupwheel.lockstep.direct import DirectPanel
+from kingcupwheel.lockstep.direct_client import DirectPanel
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.rosters import heads_of
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -159,7 +159,7 @@
     "rescuers": (Edit("lockstep/taking.py", "RESCUERS = (1, 2)", "RESCUERS = ()"),),
     "direct-orders": (
         Edit(
-            "lockstep/direct.py",
+            "lockstep/direct_client.py",
             "if not asks_by_server:",
             "if not asks_by_server or asks_by_server:",
         ),
