--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -15,8 +15,8 @@
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.lockstep.agent_client import Panel
+from kingcupwheel.lockstep.branch_aggregator import Gatherer
 from kingcupwheel.lockstep.coordinator import Coordinator
-from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.lockstep.load_aggregator import LoadBoard
 from kingcupwheel.lockstep.order_executor import OrderCarrier
 from kingcupwheel.lockstep.rosters import Beside
--- a/tests/lockstep/test_branching.py
+++ b/tests/lockstep/test_branching.py
@@ -11,10 +11,10 @@
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.lockstep.agent_client import Panel
 from kingcupwheel.lockstep.agent_client import Question
+from kingcupwheel.lockstep.branch_aggregator import Gatherer
 from kingcupwheel.lockstep.branches import BRANCH_AGENTS
 from kingcupwheel.lockstep.branches import DIRECT_RANKS
 from kingcupwheel.lockstep.branches import heads_by_agent
-from kingcupwheel.lockstep.gathering import Gatherer
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
