--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -23,7 +23,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change import Layers
-    from kingcupwheel.lockstep.group import Group
+    from kingcupwheel.lockstep.group_state import Group
     from kingcupwheel.messages.lockstep import RankTold
 
 log = lines_of("maps")
--- a/src/kingcupwheel/lockstep/change.py
+++ b/src/kingcupwheel/lockstep/change.py
@@ -25,9 +25,9 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.group import FIRST
-from kingcupwheel.lockstep.group import has_version
-from kingcupwheel.lockstep.group import is_void
+from kingcupwheel.lockstep.group_state import FIRST
+from kingcupwheel.lockstep.group_state import has_version
+from kingcupwheel.lockstep.group_state import is_void
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
 from kingcupwheel.lockstep.orders import Hold
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.lockstep.group import Group
+    from kingcupwheel.lockstep.group_state import Group
     from kingcupwheel.lockstep.state import RankState
 
 # Experts by layer and rank.
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.group import Group
+from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.telemetry.lines import lines_of
 
 
--- a/src/kingcupwheel/lockstep/ordering.py
+++ b/src/kingcupwheel/lockstep/ordering.py
@@ -14,7 +14,7 @@
 from kingcupwheel.lockstep.change import advance
 from kingcupwheel.lockstep.change import ended
 from kingcupwheel.lockstep.change import wants
-from kingcupwheel.lockstep.group import FIRST
+from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.telemetry.lines import lines_of
 
 
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -21,7 +21,7 @@
 from kingcupwheel.lockstep.change import taken_up
 from kingcupwheel.lockstep.change import taken_up_without_first
 from kingcupwheel.lockstep.coordination_session import Charge
-from kingcupwheel.lockstep.group import FIRST
+from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.lockstep.rosters import Roster
 from kingcupwheel.lockstep.rosters import layers_of
 from kingcupwheel.lockstep.rosters import ranks_of
--- a/tests/lockstep/model.py
+++ b/tests/lockstep/model.py
@@ -22,9 +22,9 @@
 from kingcupwheel.lockstep.change import taken_up
 from kingcupwheel.lockstep.change import taken_up_without_first
 from kingcupwheel.lockstep.change import wants
-from kingcupwheel.lockstep.group import FIRST
-from kingcupwheel.lockstep.group import HOLDER
-from kingcupwheel.lockstep.group import Group
+from kingcupwheel.lockstep.group_state import FIRST
+from kingcupwheel.lockstep.group_state import HOLDER
+from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
 from kingcupwheel.lockstep.orders import Hold
--- a/tests/lockstep/test_balancer.py
+++ b/tests/lockstep/test_balancer.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.forwarding.configuration import EngineShape
 from kingcupwheel.lockstep.balancer import Balancer
-from kingcupwheel.lockstep.group import Group
+from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.lockstep.planning import Plan
 from kingcupwheel.lockstep.planning import dealt_in_turn
 from kingcupwheel.messages.lockstep import RankTold
--- a/tests/lockstep/test_exhaustive.py
+++ b/tests/lockstep/test_exhaustive.py
@@ -22,7 +22,7 @@
 from kingcupwheel.lockstep.change import ended
 from kingcupwheel.lockstep.change import taken_up
 from kingcupwheel.lockstep.change import wants
-from kingcupwheel.lockstep.group import Group
+from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
 from tests.lockstep.builders import rank_state
