--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -17,8 +17,8 @@
 from kingcupwheel.lockstep.change import Preparing
 from kingcupwheel.lockstep.change import Settling
 from kingcupwheel.lockstep.change import taken_up
+from kingcupwheel.lockstep.change_driver import OrderGiver
 from kingcupwheel.lockstep.coordination_session import Charge
-from kingcupwheel.lockstep.ordering import OrderGiver
 from kingcupwheel.lockstep.reaching import RankReach
 from kingcupwheel.lockstep.taking import LOOK_S
 from kingcupwheel.lockstep.taking import ChargeTaker
