--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -9,10 +9,10 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.planning import GOOD_ENOUGH
-from kingcupwheel.lockstep.planning import Plan
-from kingcupwheel.lockstep.planning import bounds_of
-from kingcupwheel.lockstep.planning import plan
+from kingcupwheel.lockstep.placement_planner import GOOD_ENOUGH
+from kingcupwheel.lockstep.placement_planner import Plan
+from kingcupwheel.lockstep.placement_planner import bounds_of
+from kingcupwheel.lockstep.placement_planner import plan
 from kingcupwheel.lockstep.popularity import Popularity
 from kingcupwheel.telemetry.lines import lines_of
 
--- a/src/kingcupwheel/lockstep/rosters.py
+++ b/src/kingcupwheel/lockstep/rosters.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.lockstep.branches import heads_by_agent
-from kingcupwheel.lockstep.planning import dealt_in_turn
+from kingcupwheel.lockstep.placement_planner import dealt_in_turn
 
 
 if TYPE_CHECKING:
--- a/tests/lockstep/test_balancer.py
+++ b/tests/lockstep/test_balancer.py
@@ -8,8 +8,8 @@
 from kingcupwheel.forwarding.configuration import EngineShape
 from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.group_state import Group
-from kingcupwheel.lockstep.planning import Plan
-from kingcupwheel.lockstep.planning import dealt_in_turn
+from kingcupwheel.lockstep.placement_planner import Plan
+from kingcupwheel.lockstep.placement_planner import dealt_in_turn
 from kingcupwheel.messages.lockstep import RankTold
 from tests.lockstep.builders import rank_state
 
--- a/tests/lockstep/test_planning.py
+++ b/tests/lockstep/test_placement_planner.py
@@ -6,10 +6,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from kingcupwheel.lockstep.planning import Bounds
-from kingcupwheel.lockstep.planning import Plan
-from kingcupwheel.lockstep.planning import dealt_in_turn
-from kingcupwheel.lockstep.planning import plan
+from kingcupwheel.lockstep.placement_planner import Bounds
+from kingcupwheel.lockstep.placement_planner import Plan
+from kingcupwheel.lockstep.placement_planner import dealt_in_turn
+from kingcupwheel.lockstep.placement_planner import plan
 
 
 RANKS = 16
