--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.change import Phase
     from kingcupwheel.lockstep.coordination_session import Charge
-    from kingcupwheel.lockstep.reaching import RankReach
+    from kingcupwheel.lockstep.group_client import RankReach
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -34,7 +34,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.reaching import RankReach
+    from kingcupwheel.lockstep.group_client import RankReach
     from kingcupwheel.lockstep.rosters import Beside
     from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.platform.ranks import RankClient
