--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -16,7 +16,7 @@
     from kingcupwheel.lockstep.balancer import Balancer
     from kingcupwheel.lockstep.change import Layers
     from kingcupwheel.lockstep.change import Phase
-    from kingcupwheel.lockstep.rosters import Roster
+    from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.messages.lockstep import RankTold
 
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -31,7 +31,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.agent_client import Panel
-    from kingcupwheel.lockstep.rosters import Beside
+    from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -19,7 +19,7 @@
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadBoard
 from kingcupwheel.lockstep.order_executor import OrderCarrier
-from kingcupwheel.lockstep.rosters import Beside
+from kingcupwheel.lockstep.roster import Beside
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -8,7 +8,7 @@
 from kingcupwheel.lockstep.direct_client import DirectPanel
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
-from kingcupwheel.lockstep.rosters import heads_of
+from kingcupwheel.lockstep.roster import heads_of
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import Tell
 
@@ -19,8 +19,8 @@
 
     from kingcupwheel.lockstep.agent_client import Panel
     from kingcupwheel.lockstep.change import Want
-    from kingcupwheel.lockstep.rosters import Beside
-    from kingcupwheel.lockstep.rosters import Roster
+    from kingcupwheel.lockstep.roster import Beside
+    from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
 
 Answers = dict[str, "RankTold"]
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -22,9 +22,9 @@
 from kingcupwheel.lockstep.change import taken_up_without_first
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_state import FIRST
-from kingcupwheel.lockstep.rosters import Roster
-from kingcupwheel.lockstep.rosters import layers_of
-from kingcupwheel.lockstep.rosters import ranks_of
+from kingcupwheel.lockstep.roster import Roster
+from kingcupwheel.lockstep.roster import layers_of
+from kingcupwheel.lockstep.roster import ranks_of
 from kingcupwheel.lockstep.standstill import Standstill
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -35,7 +35,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.group_client import RankReach
-    from kingcupwheel.lockstep.rosters import Beside
+    from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.platform.ranks import RankClient
 
--- a/tests/lockstep/test_carrying.py
+++ b/tests/lockstep/test_carrying.py
@@ -11,7 +11,7 @@
 from kingcupwheel.lockstep.order_executor import OrderCarrier
 from kingcupwheel.lockstep.order_executor import packed
 from kingcupwheel.lockstep.orders import Arm
-from kingcupwheel.lockstep.rosters import Roster
+from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.state import RankCounts
 from kingcupwheel.lockstep.state import RankState
 from kingcupwheel.messages.lockstep import RankAsk
