--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -6,9 +6,9 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
+from kingcupwheel.lockstep.order_status import is_shown
+from kingcupwheel.lockstep.order_status import is_void
 from kingcupwheel.lockstep.orders import Prepare
-from kingcupwheel.lockstep.shown import is_shown
-from kingcupwheel.lockstep.shown import is_void
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.lockstep import Tell
 from kingcupwheel.telemetry.lines import lines_of
