--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -25,7 +25,7 @@
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import layers_of
 from kingcupwheel.lockstep.roster import ranks_of
-from kingcupwheel.lockstep.standstill import Standstill
+from kingcupwheel.lockstep.stall_detector import Standstill
 from kingcupwheel.telemetry.lines import lines_of
 
 
--- a/tests/lockstep/test_standstill.py
+++ b/tests/lockstep/test_stall_detector.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from kingcupwheel.lockstep.standstill import STANDSTILL_S
-from kingcupwheel.lockstep.standstill import Standstill
+from kingcupwheel.lockstep.stall_detector import STANDSTILL_S
+from kingcupwheel.lockstep.stall_detector import Standstill
 from kingcupwheel.lockstep.state import RankState
 
 
