--- a/src/kingcupwheel/lockstep/change.py
+++ b/src/kingcupwheel/lockstep/change.py
@@ -40,7 +40,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.lockstep.group_state import Group
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 # Experts by layer and rank.
 Layers = tuple[tuple[tuple[int, ...], ...], ...]
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -16,8 +16,8 @@
     from kingcupwheel.lockstep.balancer import Balancer
     from kingcupwheel.lockstep.change import Layers
     from kingcupwheel.lockstep.change import Phase
+    from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Roster
-    from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.messages.lockstep import RankTold
 
 log = lines_of("maps")
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 # The rank that coordinates, and is armed last.
 FIRST = 0
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.lockstep.state import RankCounts
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankCounts
+    from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.messages.lockstep import RankAsk
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
--- a/src/kingcupwheel/lockstep/order_status.py
+++ b/src/kingcupwheel/lockstep/order_status.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 
 def is_shown(order: RankOrder, state: RankState) -> bool:
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -15,7 +15,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change import Layers
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.messages.lockstep import RankTold
 
 
--- a/src/kingcupwheel/lockstep/stall_detector.py
+++ b/src/kingcupwheel/lockstep/stall_detector.py
@@ -6,7 +6,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 # How long a rank with work and a change prepared may begin no pass, in seconds. Passes
 # take up to 0.1; a hold that goes well lasts some 0.02. The further ranks wait longer,
--- a/src/kingcupwheel/lockstep/taking.py
+++ b/src/kingcupwheel/lockstep/taking.py
@@ -35,8 +35,8 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.group_client import RankReach
+    from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Beside
-    from kingcupwheel.lockstep.state import RankState
     from kingcupwheel.platform.ranks import RankClient
 
 log = lines_of("maps")
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 
 from kingcupwheel.lockstep.orders import RankOrder
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.base import Message
 
 
--- a/src/kingcupwheel/platform/ranks.py
+++ b/src/kingcupwheel/platform/ranks.py
@@ -15,8 +15,8 @@
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.lockstep.orders import Release
-from kingcupwheel.lockstep.state import RankCounts
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankCounts
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.platform.decoding import Born
 from kingcupwheel.platform.decoding import decoded
 
--- a/tests/lockstep/builders.py
+++ b/tests/lockstep/builders.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from kingcupwheel.lockstep.daemon import RankDaemon
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.settings.schema import PlatformSettings
 from kingcupwheel.settings.schema import RankSettings
 from kingcupwheel.settings.schema import Role
--- a/tests/lockstep/model.py
+++ b/tests/lockstep/model.py
@@ -31,7 +31,7 @@
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.lockstep.orders import RankOrder
 from kingcupwheel.lockstep.orders import Release
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankState
 
 
 EPOCH = 1
--- a/tests/lockstep/test_carrying.py
+++ b/tests/lockstep/test_carrying.py
@@ -11,9 +11,9 @@
 from kingcupwheel.lockstep.order_executor import OrderCarrier
 from kingcupwheel.lockstep.order_executor import packed
 from kingcupwheel.lockstep.orders import Arm
+from kingcupwheel.lockstep.rank_reports import RankCounts
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.lockstep.roster import Roster
-from kingcupwheel.lockstep.state import RankCounts
-from kingcupwheel.lockstep.state import RankState
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import Tell
 
--- a/tests/lockstep/test_stall_detector.py
+++ b/tests/lockstep/test_stall_detector.py
@@ -1,8 +1,8 @@
 from __future__ import annotations
 
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.lockstep.stall_detector import STANDSTILL_S
 from kingcupwheel.lockstep.stall_detector import Standstill
-from kingcupwheel.lockstep.state import RankState
 
 
 def state(
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -19,7 +19,7 @@
 from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.lockstep.placement_planner import dealt_in_turn
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.lockstep import RankTold
 
 
