--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -20,8 +20,8 @@
 from kingcupwheel.lockstep.change_driver import OrderGiver
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_client import RankReach
-from kingcupwheel.lockstep.taking import LOOK_S
-from kingcupwheel.lockstep.taking import ChargeTaker
+from kingcupwheel.lockstep.takeover import LOOK_S
+from kingcupwheel.lockstep.takeover import ChargeTaker
 from kingcupwheel.telemetry.lines import lines_of
 
 
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -156,7 +156,7 @@
             "paces = [1.0 for _ in range(group.ranks)]",
         ),
     ),
-    "rescuers": (Edit("lockstep/taking.py", "RESCUERS = (1, 2)", "RESCUERS = ()"),),
+    "rescuers": (Edit("lockstep/takeover.py", "RESCUERS = (1, 2)", "RESCUERS = ()"),),
     "direct-orders": (
         Edit(
             "lockstep/direct_client.py",
