--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -22,7 +22,7 @@
     from collections.abc import Sequence
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change import Layers
+    from kingcupwheel.lockstep.change_protocol import Layers
     from kingcupwheel.lockstep.group_state import Group
     from kingcupwheel.messages.lockstep import RankTold
 
--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -4,22 +4,22 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.change import Arming
-from kingcupwheel.lockstep.change import End
-from kingcupwheel.lockstep.change import Holding
-from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.change import Preparing
-from kingcupwheel.lockstep.change import Releasing
-from kingcupwheel.lockstep.change import Voiding
-from kingcupwheel.lockstep.change import advance
-from kingcupwheel.lockstep.change import ended
-from kingcupwheel.lockstep.change import wants
+from kingcupwheel.lockstep.change_protocol import Arming
+from kingcupwheel.lockstep.change_protocol import End
+from kingcupwheel.lockstep.change_protocol import Holding
+from kingcupwheel.lockstep.change_protocol import Idle
+from kingcupwheel.lockstep.change_protocol import Preparing
+from kingcupwheel.lockstep.change_protocol import Releasing
+from kingcupwheel.lockstep.change_protocol import Voiding
+from kingcupwheel.lockstep.change_protocol import advance
+from kingcupwheel.lockstep.change_protocol import ended
+from kingcupwheel.lockstep.change_protocol import wants
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.telemetry.lines import lines_of
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.lockstep.change import Phase
+    from kingcupwheel.lockstep.change_protocol import Phase
     from kingcupwheel.lockstep.coordination_session import Charge
     from kingcupwheel.lockstep.group_client import RankReach
     from kingcupwheel.telemetry.metrics import RankMetrics
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.change import Idle
+from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.group_state import Group
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -14,8 +14,8 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.balancer import Balancer
-    from kingcupwheel.lockstep.change import Layers
-    from kingcupwheel.lockstep.change import Phase
+    from kingcupwheel.lockstep.change_protocol import Layers
+    from kingcupwheel.lockstep.change_protocol import Phase
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -13,11 +13,11 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.change import Preparing
-from kingcupwheel.lockstep.change import Settling
-from kingcupwheel.lockstep.change import taken_up
 from kingcupwheel.lockstep.change_driver import OrderGiver
+from kingcupwheel.lockstep.change_protocol import Idle
+from kingcupwheel.lockstep.change_protocol import Preparing
+from kingcupwheel.lockstep.change_protocol import Settling
+from kingcupwheel.lockstep.change_protocol import taken_up
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_client import RankReach
 from kingcupwheel.lockstep.takeover import LOOK_S
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -18,7 +18,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.agent_client import Panel
-    from kingcupwheel.lockstep.change import Want
+    from kingcupwheel.lockstep.change_protocol import Want
     from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -14,7 +14,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change import Layers
+    from kingcupwheel.lockstep.change_protocol import Layers
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.messages.lockstep import RankTold
 
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -17,9 +17,9 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.balancer import Balancer
-from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.change import taken_up
-from kingcupwheel.lockstep.change import taken_up_without_first
+from kingcupwheel.lockstep.change_protocol import Idle
+from kingcupwheel.lockstep.change_protocol import taken_up
+from kingcupwheel.lockstep.change_protocol import taken_up_without_first
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.lockstep.roster import Roster
--- a/tests/lockstep/model.py
+++ b/tests/lockstep/model.py
@@ -12,16 +12,16 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.change import Layers
-from kingcupwheel.lockstep.change import Phase
-from kingcupwheel.lockstep.change import Preparing
-from kingcupwheel.lockstep.change import Settling
-from kingcupwheel.lockstep.change import Want
-from kingcupwheel.lockstep.change import advance
-from kingcupwheel.lockstep.change import taken_up
-from kingcupwheel.lockstep.change import taken_up_without_first
-from kingcupwheel.lockstep.change import wants
+from kingcupwheel.lockstep.change_protocol import Idle
+from kingcupwheel.lockstep.change_protocol import Layers
+from kingcupwheel.lockstep.change_protocol import Phase
+from kingcupwheel.lockstep.change_protocol import Preparing
+from kingcupwheel.lockstep.change_protocol import Settling
+from kingcupwheel.lockstep.change_protocol import Want
+from kingcupwheel.lockstep.change_protocol import advance
+from kingcupwheel.lockstep.change_protocol import taken_up
+from kingcupwheel.lockstep.change_protocol import taken_up_without_first
+from kingcupwheel.lockstep.change_protocol import wants
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.lockstep.group_state import HOLDER
 from kingcupwheel.lockstep.group_state import Group
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change import Layers
+    from kingcupwheel.lockstep.change_protocol import Layers
 
 # Kinds of requests, each with experts that it likes.
 KINDS = 9
