--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -85,7 +85,7 @@
                 self._waited[message.number] = message
                 self._changed.notify_all()
 
-    def ask(self, questions: Mapping[str, Question]) -> dict[str, RankTold]:
+    def request_all(self, questions: Mapping[str, Question]) -> dict[str, RankTold]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -49,7 +49,7 @@
     def places(self, servers_by_agent: Mapping[str, Beside]) -> Answers:
         """Return states and experts of every rank that can be reached."""
         self._panel.branch(heads_of(servers_by_agent, servers_by_agent))
-        answers = self._panel.ask(
+        answers = self._panel.request_all(
             dict.fromkeys(servers_by_agent, Question(Tell.PLACES))
         )
         asks = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
@@ -63,7 +63,7 @@
         Servers are not asked for their counts: from afar that holds up every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
-        answers = self._panel.ask(dict.fromkeys(agents, Question(Tell.COUNTS)))
+        answers = self._panel.request_all(dict.fromkeys(agents, Question(Tell.COUNTS)))
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
@@ -71,7 +71,7 @@
         """Return the states of ``ranks``."""
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
-        answers = self._panel.ask(dict.fromkeys(asked, Question()))
+        answers = self._panel.request_all(dict.fromkeys(asked, Question()))
         asks = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
@@ -93,7 +93,7 @@
             else:
                 questions[agent] = Question(Tell.STATE, want.order, wait_s)
                 asks[agent] = RankAsk(0, Tell.STATE, want.order, int(wait_s * 1000))
-        answers = self._panel.ask(
+        answers = self._panel.request_all(
             {one: asked for one, asked in questions.items() if one not in self._silent}
         )
         self._ask_servers(asks, _servers(roster, questions), answers)
