--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -78,7 +78,7 @@
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
-    def told(self, message: RankTold | BranchTold) -> None:
+    def handle_reply(self, message: RankTold | BranchTold) -> None:
         """Take in an answer."""
         with self._changed:
             if message.number in self._waited:
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -144,7 +144,7 @@
             case RankTold() if self._gatherer.told(message):
                 pass
             case RankTold() | BranchTold():
-                self._panel.told(message)
+                self._panel.handle_reply(message)
             case LoadsAsk():
                 self._board.asked(link, message, monotonic())
             case Beat():
