--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -74,7 +74,7 @@
         self._silent_until_by_head: dict[str, float] = {}
         self._changed = Condition()
 
-    def branch(self, heads_by_agent: Mapping[str, str]) -> None:
+    def set_branch_heads(self, heads_by_agent: Mapping[str, str]) -> None:
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -44,11 +44,11 @@
 
     def take_over(self, roster: Roster) -> None:
         """Ask the agents of ``roster`` through its heads from now on."""
-        self._panel.branch(roster.heads)
+        self._panel.set_branch_heads(roster.heads)
 
     def places(self, servers_by_agent: Mapping[str, Beside]) -> Answers:
         """Return states and experts of every rank that can be reached."""
-        self._panel.branch(heads_of(servers_by_agent, servers_by_agent))
+        self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.request_all(
             dict.fromkeys(servers_by_agent, Question(Tell.PLACES))
         )
