--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -62,7 +62,7 @@
         return self.question.wait_s + ANSWER_S + _BRANCH_S * self.is_branch
 
 
-class Panel:
+class AgentClient:
     """Questions to agents by address; ``told`` may be called from any thread."""
 
     def __init__(self, hub: Hub) -> None:
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -30,7 +30,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.agent_client import Panel
+    from kingcupwheel.lockstep.agent_client import AgentClient
     from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
@@ -55,7 +55,7 @@
     def __init__(
         self,
         client: RankClient,
-        panel: Panel,
+        panel: AgentClient,
         metrics: RankMetrics,
         *,
         find_servers: Callable[[], Mapping[str, Beside]],
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -14,7 +14,7 @@
 
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.link.hub import Hub
-from kingcupwheel.lockstep.agent_client import Panel
+from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import Gatherer
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadBoard
@@ -86,7 +86,7 @@
             on_tick=self._on_tick,
             tick_s=_TICK_S,
         )
-        self._panel = Panel(self._hub)
+        self._panel = AgentClient(self._hub)
         self._gatherer = Gatherer(self._hub)
         self._board = LoadBoard(settings.name, self._hub)
         self._coordinator = Coordinator(
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.agent_client import Panel
+    from kingcupwheel.lockstep.agent_client import AgentClient
     from kingcupwheel.lockstep.change_protocol import Want
     from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.lockstep.roster import Roster
@@ -33,7 +33,7 @@
     server is asked itself meanwhile.
     """
 
-    def __init__(self, panel: Panel) -> None:
+    def __init__(self, panel: AgentClient) -> None:
         self._panel = panel
         self._direct = DirectPanel()
         self._silent: set[str] = set()
