--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -38,7 +38,7 @@
 _HEAD_SILENT_S = 3.0
 
 
-class Question(NamedTuple):
+class AgentRequest(NamedTuple):
     """What one agent is asked."""
 
     tell: Tell = Tell.STATE
@@ -50,7 +50,7 @@
     """One message of a question: to an agent, or to the head of a branch."""
 
     address: str
-    question: Question
+    question: AgentRequest
     members: tuple[str, ...]
 
     @property
@@ -85,7 +85,7 @@
                 self._waited[message.number] = message
                 self._changed.notify_all()
 
-    def request_all(self, questions: Mapping[str, Question]) -> dict[str, RankTold]:
+    def request_all(self, questions: Mapping[str, AgentRequest]) -> dict[str, RankTold]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
@@ -100,7 +100,7 @@
         self._note_silence(questions, answers)
         return answers
 
-    def _parts(self, questions: Mapping[str, Question]) -> list[_Part]:
+    def _parts(self, questions: Mapping[str, AgentRequest]) -> list[_Part]:
         now = monotonic()
         # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
         members: dict[tuple[str, Tell, int], list[str]] = {}
@@ -170,7 +170,7 @@
         return self._number
 
     def _note_silence(
-        self, questions: Mapping[str, Question], answers: Mapping[str, RankTold]
+        self, questions: Mapping[str, AgentRequest], answers: Mapping[str, RankTold]
     ) -> None:
         for address in questions:
             if address in answers:
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.agent_client import Question
+from kingcupwheel.lockstep.agent_client import AgentRequest
 from kingcupwheel.lockstep.direct_client import DirectPanel
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
@@ -50,7 +50,7 @@
         """Return states and experts of every rank that can be reached."""
         self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.request_all(
-            dict.fromkeys(servers_by_agent, Question(Tell.PLACES))
+            dict.fromkeys(servers_by_agent, AgentRequest(Tell.PLACES))
         )
         asks = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
@@ -63,7 +63,9 @@
         Servers are not asked for their counts: from afar that holds up every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
-        answers = self._panel.request_all(dict.fromkeys(agents, Question(Tell.COUNTS)))
+        answers = self._panel.request_all(
+            dict.fromkeys(agents, AgentRequest(Tell.COUNTS))
+        )
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
@@ -71,7 +73,7 @@
         """Return the states of ``ranks``."""
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
-        answers = self._panel.request_all(dict.fromkeys(asked, Question()))
+        answers = self._panel.request_all(dict.fromkeys(asked, AgentRequest()))
         asks = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
@@ -82,16 +84,16 @@
         A hold and its release go to the server past its agent: what gives them and
         what carries them out must not be lost together.
         """
-        questions: dict[str, Question] = {}
+        questions: dict[str, AgentRequest] = {}
         asks: dict[str, RankAsk] = {}
         for want in wanted:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
                 self._direct.give(roster.server_of(agent), want.order)
-                questions[agent] = Question()
+                questions[agent] = AgentRequest()
                 asks[agent] = RankAsk(0, Tell.STATE)
             else:
-                questions[agent] = Question(Tell.STATE, want.order, wait_s)
+                questions[agent] = AgentRequest(Tell.STATE, want.order, wait_s)
                 asks[agent] = RankAsk(0, Tell.STATE, want.order, int(wait_s * 1000))
         answers = self._panel.request_all(
             {one: asked for one, asked in questions.items() if one not in self._silent}
