--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -27,7 +27,7 @@
 
 # What an answer takes beyond the wait that was asked for, in seconds: two ways between
 # data centres, two local calls, and room for a busy processor.
-ANSWER_S = 0.15
+REPLY_TIMEOUT_S = 0.15
 # What a branch takes besides: two hops, and a tick of its head.
 _BRANCH_S = 0.1
 # A link that left so many questions in a row without an answer is opened anew: one that
@@ -59,7 +59,7 @@
 
     @property
     def until_s(self) -> float:
-        return self.question.wait_s + ANSWER_S + _BRANCH_S * self.is_branch
+        return self.question.wait_s + REPLY_TIMEOUT_S + _BRANCH_S * self.is_branch
 
 
 class AgentClient:
--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from kingcupwheel.link.links import Outgoing
-from kingcupwheel.lockstep.agent_client import ANSWER_S
+from kingcupwheel.lockstep.agent_client import REPLY_TIMEOUT_S
 from kingcupwheel.lockstep.order_executor import packed
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
@@ -72,7 +72,7 @@
     def ask(self, link: Link, message: BranchAsk, now: float) -> None:
         """Pass a question on to the members of its branch."""
         wait_s = message.ask.wait_ms / 1000
-        branch = _Branch(link, message, now + wait_s + ANSWER_S)
+        branch = _Branch(link, message, now + wait_s + REPLY_TIMEOUT_S)
         with self._lock:
             for address in message.members:
                 number = next(self._numbers)
