--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -59,7 +59,7 @@
         self._passed: tuple[int, float] | None = None
         self._pass_s = 0.0
 
-    def take(
+    def plan_change(
         self, group: Group, layers: Layers, answers: Iterable[RankTold], now: float
     ) -> Plan | None:
         """Return the map to change to from ``layers``, or None to leave it.
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -140,7 +140,9 @@
             # A hold of a former life came late; see ``taken_up``.
             charge.phase = taken_up(group, charge.layers)
             return 0.0
-        plan = charge.balancer.take(group, charge.layers, answers.values(), began)
+        plan = charge.balancer.plan_change(
+            group, charge.layers, answers.values(), began
+        )
         if plan is not None:
             charge.begin(Preparing(group.highest + 1, plan.layers))
             self._metrics.copies.inc(plan.copies)
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -140,7 +140,7 @@
                 self._layers, pending = pending[1], None
             if balances and pending is None and self._now - counted_at >= COUNT_S:
                 counted_at = self._now
-                plan = balancer.take(
+                plan = balancer.plan_change(
                     self._group(), self._layers, self._told(), self._now
                 )
                 if plan is not None:
