--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -67,7 +67,7 @@
         ``answers`` hold the counts since the last time.
         """
         self._time_passes(group.own.step, now)
-        moved = self._popularity.take(counts_of(answers))
+        moved = self._popularity.take(unpack_counts(answers))
         paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]
         if not moved and not self._pace_changed(paces):
             return None
@@ -138,7 +138,7 @@
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
-def counts_of(answers: Iterable[RankTold]) -> list[list[int]]:
+def unpack_counts(answers: Iterable[RankTold]) -> list[list[int]]:
     """Return each answer's choices, layer by layer in one list."""
     return [
         [count * told.scale for count in told.counts] for told in answers if told.counts
