--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -32,7 +32,7 @@
 # take in all. A copy slows its group's passes by 15 in 100 while it lasts and has its
 # price by size; a skew of one doubles the passes.
 MIN_SKEW_GAIN = 0.05
-SKEW_GAIN_A_COPYING_S = 0.018
+MIN_SKEW_GAIN_PER_COPY_S = 0.018
 
 # A pass under this part of the longest good pause between a stream's events keeps
 # every caller on time, with room for a longer prompt beside it. A shorter one serves
@@ -100,7 +100,7 @@
         if self._is_short(self._pass_s):
             return gain >= SHORT_PASS_GAIN
         copying_s = found.copies * self._shape.copy_s
-        return gain >= MIN_SKEW_GAIN + SKEW_GAIN_A_COPYING_S * copying_s
+        return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
     def _enough(self, skew: float) -> float:
         """Return how far over the mean a layer may be after a plan from ``skew``."""
