--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -38,7 +38,7 @@
 # every caller on time, with room for a longer prompt beside it. A shorter one serves
 # nobody better, so a plan then has to take this much off the skew: on a calm day half
 # of all copies took it from 1.2 to 1.1 while passes took 40 of 120 ms.
-SHORT_PASS_PART = 0.5
+SHORT_PASS_GAP_RATIO = 0.5
 SHORT_PASS_GAIN = 0.3
 # The same for how far a plan goes: layers within this part over the mean are left alone
 # if passes are then short. The last third of a plan's copies take off a tenth.
@@ -108,7 +108,7 @@
         return SHORT_PASS_ENOUGH if self._is_short(then_s) else GOOD_ENOUGH
 
     def _is_short(self, pass_s: float) -> bool:
-        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.gap_s
+        return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.gap_s
 
     def _time_passes(self, step: int, now: float) -> None:
         before, self._passed = self._passed, (step, now)
