--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -39,7 +39,7 @@
 # nobody better, so a plan then has to take this much off the skew: on a calm day half
 # of all copies took it from 1.2 to 1.1 while passes took 40 of 120 ms.
 SHORT_PASS_GAP_RATIO = 0.5
-SHORT_PASS_GAIN = 0.3
+SHORT_PASS_MIN_SKEW_GAIN = 0.3
 # The same for how far a plan goes: layers within this part over the mean are left alone
 # if passes are then short. The last third of a plan's copies take off a tenth.
 SHORT_PASS_ENOUGH = 0.2
@@ -98,7 +98,7 @@
     def _is_worth_it(self, found: Plan) -> bool:
         gain = found.skew_before - found.skew_after
         if self._is_short(self._pass_s):
-            return gain >= SHORT_PASS_GAIN
+            return gain >= SHORT_PASS_MIN_SKEW_GAIN
         copying_s = found.copies * self._shape.copy_s
         return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
