--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -42,7 +42,7 @@
 SHORT_PASS_MIN_SKEW_GAIN = 0.3
 # The same for how far a plan goes: layers within this part over the mean are left alone
 # if passes are then short. The last third of a plan's copies take off a tenth.
-SHORT_PASS_ENOUGH = 0.2
+SHORT_PASS_SKEW_TOLERANCE = 0.2
 
 # A rank's pace that changed by this factor is planned for at once.
 PACE_CHANGE = 1.25
@@ -104,8 +104,8 @@
 
     def _enough(self, skew: float) -> float:
         """Return how far over the mean a layer may be after a plan from ``skew``."""
-        then_s = self._pass_s * (1 + SHORT_PASS_ENOUGH) / max(1.0, skew)
-        return SHORT_PASS_ENOUGH if self._is_short(then_s) else GOOD_ENOUGH
+        then_s = self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
+        return SHORT_PASS_SKEW_TOLERANCE if self._is_short(then_s) else GOOD_ENOUGH
 
     def _is_short(self, pass_s: float) -> bool:
         return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.gap_s
