--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -45,7 +45,7 @@
 SHORT_PASS_SKEW_TOLERANCE = 0.2
 
 # A rank's pace that changed by this factor is planned for at once.
-PACE_CHANGE = 1.25
+PACE_CHANGE_FACTOR = 1.25
 
 
 class Balancer:
@@ -122,7 +122,7 @@
         too few for a new estimate, and nothing relieves that rank for seconds.
         """
         return any(
-            not 1 / PACE_CHANGE < now / before < PACE_CHANGE
+            not 1 / PACE_CHANGE_FACTOR < now / before < PACE_CHANGE_FACTOR
             for now, before in zip(paces, self._paces, strict=False)
         )
 
