--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -146,7 +146,7 @@
             case RankTold() | BranchTold():
                 self._panel.handle_reply(message)
             case LoadsAsk():
-                self._board.asked(link, message, monotonic())
+                self._board.subscribe(link, message, monotonic())
             case Beat():
                 self._board.told(link, message, monotonic())
             case Hello():
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -55,7 +55,7 @@
         self._greeted_at = float("-inf")
         self._lock = Lock()
 
-    def asked(self, link: Link, message: LoadsAsk, now: float) -> None:
+    def subscribe(self, link: Link, message: LoadsAsk, now: float) -> None:
         """Tell an entry the loads of these members for a while."""
         with self._lock:
             asker = self._askers.setdefault(link, _Asker())
