--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -148,7 +148,7 @@
             case LoadsAsk():
                 self._board.subscribe(link, message, monotonic())
             case Beat():
-                self._board.told(link, message, monotonic())
+                self._board.handle_beat(link, message, monotonic())
             case Hello():
                 with self._lock:
                     self._entries[link] = monotonic()
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -63,7 +63,7 @@
             asker.every_s = message.every_s
             asker.at = now
 
-    def told(self, link: Link, beat: Beat, now: float) -> None:
+    def handle_beat(self, link: Link, beat: Beat, now: float) -> None:
         """Take in the load of a member."""
         if not isinstance(link, Outgoing):
             return
