--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -17,7 +17,7 @@
 from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import Gatherer
 from kingcupwheel.lockstep.coordinator import Coordinator
-from kingcupwheel.lockstep.load_aggregator import LoadBoard
+from kingcupwheel.lockstep.load_aggregator import LoadAggregator
 from kingcupwheel.lockstep.order_executor import OrderCarrier
 from kingcupwheel.lockstep.roster import Beside
 from kingcupwheel.messages.lockstep import BranchAsk
@@ -88,7 +88,7 @@
         )
         self._panel = AgentClient(self._hub)
         self._gatherer = Gatherer(self._hub)
-        self._board = LoadBoard(settings.name, self._hub)
+        self._board = LoadAggregator(settings.name, self._hub)
         self._coordinator = Coordinator(
             RankClient(f"http://{self._rank.server}"),
             self._panel,
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -44,7 +44,7 @@
     at: float
 
 
-class LoadBoard:
+class LoadAggregator:
     """The loads of the members that entries asked for; safe from any thread."""
 
     def __init__(self, name: str, hub: Hub) -> None:
