--- a/src/kingcupwheel/lockstep/branches.py
+++ b/src/kingcupwheel/lockstep/branches.py
@@ -24,7 +24,7 @@
 BRANCH_AGENTS = 8
 
 
-def heads_by_agent(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
+def assign_branch_heads(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
     """Return the agent through which each agent is asked: itself, or its branch's head.
 
     A branch is within one data centre.
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.branches import heads_by_agent
+from kingcupwheel.lockstep.branches import assign_branch_heads
 from kingcupwheel.lockstep.placement_planner import dealt_in_turn
 
 
@@ -81,7 +81,7 @@
     servers_by_agent: Mapping[str, Beside], agents: Iterable[str]
 ) -> dict[str, str]:
     """Return the agent through which each of ``agents`` is asked."""
-    return heads_by_agent(
+    return assign_branch_heads(
         {agent: servers_by_agent[agent].data_centre for agent in agents}
     )
 
