--- a/src/kingcupwheel/lockstep/branches.py
+++ b/src/kingcupwheel/lockstep/branches.py
@@ -18,7 +18,7 @@
 
 # Groups of up to so many ranks are asked directly: their counts (a quarter of a
 # kilobyte a rank) are through in 10 ms, and a branch costs a hop of 2 to 4 ms.
-DIRECT_RANKS = 24
+MAX_DIRECT_RANKS = 24
 # Agents in a branch, its head among them: near the square root of 72, at which the
 # coordinator's link and a head's carry as much.
 BRANCH_AGENTS = 8
@@ -30,7 +30,7 @@
     A branch is within one data centre.
     """
     agents = sorted(data_centres_by_agent)
-    if len(agents) <= DIRECT_RANKS:
+    if len(agents) <= MAX_DIRECT_RANKS:
         return {agent: agent for agent in agents}
     by_data_centre: dict[str, list[str]] = {}
     for agent in agents:
