--- a/src/kingcupwheel/lockstep/branches.py
+++ b/src/kingcupwheel/lockstep/branches.py
@@ -21,7 +21,7 @@
 MAX_DIRECT_RANKS = 24
 # Agents in a branch, its head among them: near the square root of 72, at which the
 # coordinator's link and a head's carry as much.
-BRANCH_AGENTS = 8
+MAX_BRANCH_AGENTS = 8
 
 
 def assign_branch_heads(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
@@ -37,7 +37,7 @@
         by_data_centre.setdefault(data_centres_by_agent[agent], []).append(agent)
     heads: dict[str, str] = {}
     for members in by_data_centre.values():
-        for start in range(0, len(members), BRANCH_AGENTS):
-            branch = members[start : start + BRANCH_AGENTS]
+        for start in range(0, len(members), MAX_BRANCH_AGENTS):
+            branch = members[start : start + MAX_BRANCH_AGENTS]
             heads.update(dict.fromkeys(branch, branch[0]))
     return heads
