--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -176,7 +176,7 @@
                 told_at = monotonic()
                 self._tell_load(told_at)
                 continue
-            self._hub.send(link, self._carrier.carry_out(ask))
+            self._hub.send(link, self._carrier.execute(ask))
 
     def _tell_load(self, now: float) -> None:
         with self._lock:
--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -65,4 +65,4 @@
 
 
 def _ask(server: str, ask: RankAsk) -> RankTold:
-    return OrderCarrier(RankClient(f"http://{server}")).carry_out(ask)
+    return OrderCarrier(RankClient(f"http://{server}")).execute(ask)
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -43,7 +43,7 @@
         self._metrics = metrics
         self._counted: RankCounts | None = None
 
-    def carry_out(self, ask: RankAsk) -> RankTold:
+    def execute(self, ask: RankAsk) -> RankTold:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
         state = self._state()
         if ask.order is not None:
