--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -18,7 +18,7 @@
 from kingcupwheel.lockstep.branch_aggregator import Gatherer
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadAggregator
-from kingcupwheel.lockstep.order_executor import OrderCarrier
+from kingcupwheel.lockstep.order_executor import OrderExecutor
 from kingcupwheel.lockstep.roster import Beside
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
@@ -73,7 +73,7 @@
         self._store = ObjectStore(settings.platform.url)
         self._client = RankClient(f"http://{self._rank.server}")
         self._metrics = RankMetrics()
-        self._carrier = OrderCarrier(self._client, self._metrics)
+        self._carrier = OrderExecutor(self._client, self._metrics)
         self._asks: Queue[tuple[Link, RankAsk]] = Queue(_QUEUED)
         self._entries: dict[Link, float] = {}
         self._shape: EngineShape | None = None
--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.order_executor import OrderCarrier
+from kingcupwheel.lockstep.order_executor import OrderExecutor
 from kingcupwheel.platform.ranks import RankClient
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -65,4 +65,4 @@
 
 
 def _ask(server: str, ask: RankAsk) -> RankTold:
-    return OrderCarrier(RankClient(f"http://{server}")).execute(ask)
+    return OrderExecutor(RankClient(f"http://{server}")).execute(ask)
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -35,7 +35,7 @@
 _MOST_IN_A_BYTE = 255
 
 
-class OrderCarrier:
+class OrderExecutor:
     """Answers the coordinator's questions; belongs to one thread."""
 
     def __init__(self, client: RankClient, metrics: RankMetrics | None = None) -> None:
