--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.link.links import Outgoing
 from kingcupwheel.lockstep.agent_client import REPLY_TIMEOUT_S
-from kingcupwheel.lockstep.order_executor import packed
+from kingcupwheel.lockstep.order_executor import pack_counts
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
 
@@ -52,7 +52,7 @@
         """Return what was told so far."""
         if not self.counts:
             return BranchTold(self.number, self.told)
-        scale, counts = packed(self.counts)
+        scale, counts = pack_counts(self.counts)
         return BranchTold(self.number, self.told, counts, scale)
 
 
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -95,7 +95,9 @@
         before, self._counted = self._counted, now
         if before is None or not _goes_on(before, now):
             return 1, b""
-        return packed([a - b for a, b in zip(now.counts, before.counts, strict=True)])
+        return pack_counts(
+            [a - b for a, b in zip(now.counts, before.counts, strict=True)]
+        )
 
 
 def _goes_on(before: RankCounts, now: RankCounts) -> bool:
@@ -112,7 +114,7 @@
     return all(a >= b for a, b in zip(now.counts, before.counts, strict=True))
 
 
-def packed(counts: Sequence[int]) -> tuple[int, bytes]:
+def pack_counts(counts: Sequence[int]) -> tuple[int, bytes]:
     """Return a scale and the counts divided by it, one byte each.
 
     Between data centres every byte costs; the map is planned from shares, for which a
