--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -113,7 +113,9 @@
         """Note a change that was ended without coming into force."""
         took_s = charge.change_took_s
         assert not isinstance(change, Idle), "it was under way"
-        version = change.over if isinstance(change, Voiding) else change.version
+        version = (
+            change.voided_version if isinstance(change, Voiding) else change.version
+        )
         log.info("change-voided", version=version, ms=round(took_s * 1000))
         self._metrics.changes.labels("voided").inc()
         charge.leave()
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -115,7 +115,7 @@
     version: int
     layers: Layers
     step: int
-    over: int
+    voided_version: int
 
 
 Phase = Idle | Preparing | Holding | Arming | Releasing | Settling | Voiding
@@ -268,7 +268,7 @@
     A rank that is not armed prepares the higher version first. While none has, an agent
     that was frozen may wake and find all ranks armed, so none may be disarmed.
     """
-    if all(is_void(one, phase.over) for one in group.states_by_rank.values()):
+    if all(is_void(one, phase.voided_version) for one in group.states_by_rank.values()):
         return _releases(group, phase.step)
     prepare = Prepare(group.epoch, phase.version, phase.layers)
     found: list[Want] = []
@@ -276,7 +276,7 @@
         if state.armed:
             if group.is_overtaken(state.armed):
                 found.append(Want(rank, Disarm(group.epoch, state.armed)))
-        elif not is_void(state, phase.over):
+        elif not is_void(state, phase.voided_version):
             found.append(Want(rank, prepare))
     return tuple(found)
 
