--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -22,7 +22,7 @@
     from collections.abc import Sequence
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change_protocol import Layers
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
     from kingcupwheel.lockstep.group_state import Group
     from kingcupwheel.messages.lockstep import RankTold
 
@@ -60,7 +60,11 @@
         self._pass_s = 0.0
 
     def plan_change(
-        self, group: Group, layers: Layers, answers: Iterable[RankTold], now: float
+        self,
+        group: Group,
+        layers: LayerPlacements,
+        answers: Iterable[RankTold],
+        now: float,
     ) -> Plan | None:
         """Return the map to change to from ``layers``, or None to leave it.
 
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -43,7 +43,7 @@
     from kingcupwheel.lockstep.rank_reports import RankState
 
 # Experts by layer and rank.
-Layers = tuple[tuple[tuple[int, ...], ...], ...]
+LayerPlacements = tuple[tuple[tuple[int, ...], ...], ...]
 
 # Passes between the last one begun and the one that is held. With fewer the ranks are
 # armed too late and the group waits; with more a change takes effect later. Arming
@@ -65,7 +65,7 @@
     """Ranks copy the weights of ``version``."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """All ranks are prepared; the holder is to hold the pass ``step``."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -82,7 +82,7 @@
     """The pass ``step`` is held; ranks are armed for it."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -91,7 +91,7 @@
     """All ranks are armed; the pass ``step`` may begin."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -100,7 +100,7 @@
     """Released; the map is in force once the pass ``step`` begins."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -113,7 +113,7 @@
     """
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
     voided_version: int
 
@@ -201,7 +201,7 @@
             return Voiding(group.highest + VERSIONS_SKIPPED, layers, step, version)
 
 
-def taken_up(group: Group, layers: Layers) -> Phase:
+def taken_up(group: Group, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from with a hold that this life did not order.
 
     ``layers`` is the map in force. If every rank has one version prepared and some are
@@ -220,7 +220,7 @@
     return Voiding(group.highest + VERSIONS_SKIPPED, layers, group.held, newest)
 
 
-def taken_up_without_first(group: Group, layers: Layers) -> Phase:
+def taken_up_without_first(group: Group, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from while rank 0 and its agent can't be reached.
 
     Rank 0 is armed last. If another rank is not armed, it is not either, and the change
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -14,7 +14,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.balancer import Balancer
-    from kingcupwheel.lockstep.change_protocol import Layers
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
     from kingcupwheel.lockstep.change_protocol import Phase
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Roster
@@ -34,7 +34,7 @@
         self,
         roster: Roster,
         states_by_rank: Mapping[int, RankState],
-        layers: Layers,
+        layers: LayerPlacements,
         balancer: Balancer,
         *,
         rescues: bool,
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -14,7 +14,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change_protocol import Layers
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.messages.lockstep import RankTold
 
@@ -86,7 +86,9 @@
     )
 
 
-def layers_of(ranks: Mapping[int, Found], size: int, shape: EngineShape) -> Layers:
+def layers_of(
+    ranks: Mapping[int, Found], size: int, shape: EngineShape
+) -> LayerPlacements:
     """Return the map in force, put together from each rank's experts.
 
     A rank that is missing is given the experts that no other one has.
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change_protocol import Layers
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
 
 # Kinds of requests, each with experts that it likes.
 KINDS = 9
@@ -98,7 +98,9 @@
         self._demand = demand
         self._draw = Random(seed)
         self._ranks = [_Rank() for _ in range(ranks)]
-        self._layers: Layers = dealt_in_turn(ranks, shape.layers, shape.experts)
+        self._layers: LayerPlacements = dealt_in_turn(
+            ranks, shape.layers, shape.experts
+        )
         self._liked = [self._new_liking() for _ in range(KINDS)]
         self._counts = [self._no_counts() for _ in range(ranks)]
         self._now = 0.0
@@ -127,7 +129,7 @@
         skews = 0.0
         changes = copies = 0
         counted_at = jumped_at = 0.0
-        pending: tuple[float, Layers] | None = None
+        pending: tuple[float, LayerPlacements] | None = None
         while self._now < seconds:
             self._arrive()
             skew = self._pass()
@@ -284,7 +286,7 @@
     return max(sum(shares[one] / holders[one] for one in held) for held in placement)
 
 
-def _most_copied(before: Layers, after: Layers) -> int:
+def _most_copied(before: LayerPlacements, after: LayerPlacements) -> int:
     ranks = range(len(before[0]))
     return max(
         sum(
