--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -48,7 +48,7 @@
 # Passes between the last one begun and the one that is held. With fewer the ranks are
 # armed too late and the group waits; with more a change takes effect later. Arming
 # takes some 15 ms, a pass under load as long.
-PASSES_AHEAD = 4
+HOLD_LEAD_PASSES = 4
 
 # Versions skipped by a coordinator that finds orders of a former life: more than that
 # life can have given without any rank showing them.
@@ -165,14 +165,14 @@
         case Preparing() | Holding() | Arming() if group.is_overtaken(phase.version):
             return _overtaken(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
-            return Holding(version, layers, group.step + PASSES_AHEAD)
+            return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
         case Holding(version, layers) if group.held is not None:
             # A hold of a former life may have come late and keeps this one out; every
             # rank is prepared, and its pass has not begun either, so it serves as well.
             return Arming(version, layers, group.held)
         case Holding(version, layers, step) if group.step >= step:
             # A hold that comes too late is refused, so a later pass may be asked for.
-            return Holding(version, layers, group.step + PASSES_AHEAD)
+            return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
         case Arming(version, layers, step) if group.all_armed(version):
             return Releasing(version, layers, step)
         case Releasing(version, layers, step) if not group.holds(step):
