--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -52,7 +52,7 @@
 
 # Versions skipped by a coordinator that finds orders of a former life: more than that
 # life can have given without any rank showing them.
-VERSIONS_SKIPPED = 16
+RECOVERY_VERSION_GAP = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +198,7 @@
         case Preparing():
             return Idle()
         case Holding(version, layers, step) | Arming(version, layers, step):
-            return Voiding(group.highest + VERSIONS_SKIPPED, layers, step, version)
+            return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, step, version)
 
 
 def taken_up(group: Group, layers: LayerPlacements) -> Phase:
@@ -217,7 +217,7 @@
     shown = all(newest in (one.prepared, one.armed) for one in states)
     if shown and any(one.armed == newest for one in states):
         return Arming(newest, (), group.held)
-    return Voiding(group.highest + VERSIONS_SKIPPED, layers, group.held, newest)
+    return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
 
 
 def taken_up_without_first(group: Group, layers: LayerPlacements) -> Phase:
@@ -230,7 +230,7 @@
     newest = group.newest
     if group.held is None or group.others_armed(newest):
         return Idle()
-    return Voiding(group.highest + VERSIONS_SKIPPED, layers, group.held, newest)
+    return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
 
 
 def wants(phase: Phase, group: Group) -> tuple[Want, ...]:
