--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -121,7 +121,7 @@
 Phase = Idle | Preparing | Holding | Arming | Releasing | Settling | Voiding
 
 
-class Want(NamedTuple):
+class PendingOrder(NamedTuple):
     """An order that ``rank`` still needs."""
 
     rank: int
@@ -233,7 +233,7 @@
     return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
 
 
-def wants(phase: Phase, group: Group) -> tuple[Want, ...]:
+def wants(phase: Phase, group: Group) -> tuple[PendingOrder, ...]:
     """Return the orders that ranks still need in ``phase``."""
     epoch = group.epoch
     match phase:
@@ -241,7 +241,7 @@
             prepare = Prepare(epoch, version, layers)
             return _for_ranks(group, prepare, lambda one: one.prepared == version)
         case Holding(_, _, step):
-            return (Want(group.holder, Hold(epoch, step)),)
+            return (PendingOrder(group.holder, Hold(epoch, step)),)
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
             found = _for_ranks(group, arm, lambda one: has_version(one, version))
@@ -254,15 +254,15 @@
             return ()
 
 
-def _releases(group: Group, step: int) -> tuple[Want, ...]:
+def _releases(group: Group, step: int) -> tuple[PendingOrder, ...]:
     return tuple(
-        Want(rank, Release(group.epoch, state.held))
+        PendingOrder(rank, Release(group.epoch, state.held))
         for rank, state in group.states_by_rank.items()
         if state.held is not None and state.held <= step
     )
 
 
-def _voiding(phase: Voiding, group: Group) -> tuple[Want, ...]:
+def _voiding(phase: Voiding, group: Group) -> tuple[PendingOrder, ...]:
     """Return what makes older armings void, and then releases the pass.
 
     A rank that is not armed prepares the higher version first. While none has, an agent
@@ -271,21 +271,21 @@
     if all(is_void(one, phase.voided_version) for one in group.states_by_rank.values()):
         return _releases(group, phase.step)
     prepare = Prepare(group.epoch, phase.version, phase.layers)
-    found: list[Want] = []
+    found: list[PendingOrder] = []
     for rank, state in group.states_by_rank.items():
         if state.armed:
             if group.is_overtaken(state.armed):
-                found.append(Want(rank, Disarm(group.epoch, state.armed)))
+                found.append(PendingOrder(rank, Disarm(group.epoch, state.armed)))
         elif not is_void(state, phase.voided_version):
-            found.append(Want(rank, prepare))
+            found.append(PendingOrder(rank, prepare))
     return tuple(found)
 
 
 def _for_ranks(
     group: Group, order: RankOrder, is_done: Callable[[RankState], bool]
-) -> tuple[Want, ...]:
+) -> tuple[PendingOrder, ...]:
     return tuple(
-        Want(rank, order)
+        PendingOrder(rank, order)
         for rank, state in group.states_by_rank.items()
         if not is_done(state)
     )
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -18,7 +18,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.agent_client import AgentClient
-    from kingcupwheel.lockstep.change_protocol import Want
+    from kingcupwheel.lockstep.change_protocol import PendingOrder
     from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
@@ -78,7 +78,9 @@
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
 
-    def order(self, roster: Roster, wanted: Iterable[Want], wait_s: float) -> Answers:
+    def order(
+        self, roster: Roster, wanted: Iterable[PendingOrder], wait_s: float
+    ) -> Answers:
         """Give the orders and return the states after them.
 
         A hold and its release go to the server past its agent: what gives them and
