--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -13,7 +13,7 @@
 from kingcupwheel.lockstep.change_protocol import Voiding
 from kingcupwheel.lockstep.change_protocol import advance
 from kingcupwheel.lockstep.change_protocol import ended
-from kingcupwheel.lockstep.change_protocol import wants
+from kingcupwheel.lockstep.change_protocol import pending_orders
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -56,7 +56,7 @@
             self._advance(charge)
             if charge.is_left:
                 return
-        wanted = wants(charge.phase, charge.group)
+        wanted = pending_orders(charge.phase, charge.group)
         if not wanted:
             self._look(charge)
             return
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -233,7 +233,7 @@
     return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
 
 
-def wants(phase: Phase, group: Group) -> tuple[PendingOrder, ...]:
+def pending_orders(phase: Phase, group: Group) -> tuple[PendingOrder, ...]:
     """Return the orders that ranks still need in ``phase``."""
     epoch = group.epoch
     match phase:
