--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.change_protocol import Arming
-from kingcupwheel.lockstep.change_protocol import End
+from kingcupwheel.lockstep.change_protocol import ChangeOutcome
 from kingcupwheel.lockstep.change_protocol import Holding
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.change_protocol import Preparing
@@ -102,9 +102,9 @@
             prepared=[rank for rank, one in states if one.prepared],
         )
         match ended(before, charge.phase, group):
-            case End.RELEASED:
+            case ChangeOutcome.RELEASED:
                 self._released(charge, before)
-            case End.VOIDED:
+            case ChangeOutcome.VOIDED:
                 self._voided(charge, before)
             case None if isinstance(charge.phase, Preparing):
                 self._give_up_if_stuck(charge)
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -137,14 +137,14 @@
         phase = following
 
 
-class End(Enum):
+class ChangeOutcome(Enum):
     """How a change ended: its map came into force, or never will."""
 
     RELEASED = "released"
     VOIDED = "voided"
 
 
-def ended(before: Phase, after: Phase, group: Group) -> End | None:
+def ended(before: Phase, after: Phase, group: Group) -> ChangeOutcome | None:
     """Return how the change of ``before`` has ended by ``after``, None if it goes on.
 
     Failure: an agent wakes and finds its change made void and the pass begun. Symptom:
@@ -152,11 +152,11 @@
     """
     match before:
         case Preparing() | Holding() | Arming() if group.is_overtaken(before.version):
-            return End.VOIDED if isinstance(after, Idle) else None
+            return ChangeOutcome.VOIDED if isinstance(after, Idle) else None
         case Voiding() if isinstance(after, Idle):
-            return End.VOIDED
+            return ChangeOutcome.VOIDED
         case Arming() | Releasing() if isinstance(after, Settling | Idle):
-            return End.RELEASED
+            return ChangeOutcome.RELEASED
     return None
 
 
