--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -12,7 +12,7 @@
 from kingcupwheel.lockstep.change_protocol import Releasing
 from kingcupwheel.lockstep.change_protocol import Voiding
 from kingcupwheel.lockstep.change_protocol import advance
-from kingcupwheel.lockstep.change_protocol import ended
+from kingcupwheel.lockstep.change_protocol import change_outcome
 from kingcupwheel.lockstep.change_protocol import pending_orders
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.telemetry.lines import lines_of
@@ -101,7 +101,7 @@
             armed=[rank for rank, one in states if one.armed],
             prepared=[rank for rank, one in states if one.prepared],
         )
-        match ended(before, charge.phase, group):
+        match change_outcome(before, charge.phase, group):
             case ChangeOutcome.RELEASED:
                 self._released(charge, before)
             case ChangeOutcome.VOIDED:
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -144,7 +144,7 @@
     VOIDED = "voided"
 
 
-def ended(before: Phase, after: Phase, group: Group) -> ChangeOutcome | None:
+def change_outcome(before: Phase, after: Phase, group: Group) -> ChangeOutcome | None:
     """Return how the change of ``before`` has ended by ``after``, None if it goes on.
 
     Failure: an agent wakes and finds its change made void and the pass begun. Symptom:
