--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -11,7 +11,7 @@
 from kingcupwheel.lockstep.change_protocol import Preparing
 from kingcupwheel.lockstep.change_protocol import Releasing
 from kingcupwheel.lockstep.change_protocol import Voiding
-from kingcupwheel.lockstep.change_protocol import advance
+from kingcupwheel.lockstep.change_protocol import advance_phase
 from kingcupwheel.lockstep.change_protocol import change_outcome
 from kingcupwheel.lockstep.change_protocol import pending_orders
 from kingcupwheel.lockstep.group_state import FIRST
@@ -92,7 +92,7 @@
     def _advance(self, charge: Charge) -> None:
         before = charge.phase
         group = charge.group
-        charge.phase = advance(before, group)
+        charge.phase = advance_phase(before, group)
         states = group.states_by_rank.items()
         log.debug(
             "phase",
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -128,7 +128,7 @@
     order: RankOrder
 
 
-def advance(phase: Phase, group: Group) -> Phase:
+def advance_phase(phase: Phase, group: Group) -> Phase:
     """Return the phase that the reports lead to."""
     while True:
         following = _next(phase, group)
