--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -201,7 +201,7 @@
             return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, step, version)
 
 
-def taken_up(group: Group, layers: LayerPlacements) -> Phase:
+def recover_phase(group: Group, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from with a hold that this life did not order.
 
     ``layers`` is the map in force. If every rank has one version prepared and some are
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -17,7 +17,7 @@
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.change_protocol import Preparing
 from kingcupwheel.lockstep.change_protocol import Settling
-from kingcupwheel.lockstep.change_protocol import taken_up
+from kingcupwheel.lockstep.change_protocol import recover_phase
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_client import RankReach
 from kingcupwheel.lockstep.takeover import LOOK_S
@@ -138,7 +138,7 @@
         group = charge.group
         if group.held is not None:
             # A hold of a former life came late; see ``taken_up``.
-            charge.phase = taken_up(group, charge.layers)
+            charge.phase = recover_phase(group, charge.layers)
             return 0.0
         plan = charge.balancer.plan_change(
             group, charge.layers, answers.values(), began
