--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -220,7 +220,7 @@
     return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
 
 
-def taken_up_without_first(group: Group, layers: LayerPlacements) -> Phase:
+def recover_phase_without_rank_0(group: Group, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from while rank 0 and its agent can't be reached.
 
     Rank 0 is armed last. If another rank is not armed, it is not either, and the change
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -19,7 +19,7 @@
 from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.change_protocol import recover_phase
-from kingcupwheel.lockstep.change_protocol import taken_up_without_first
+from kingcupwheel.lockstep.change_protocol import recover_phase_without_rank_0
 from kingcupwheel.lockstep.coordination_session import Charge
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.lockstep.roster import Roster
@@ -113,7 +113,7 @@
             Balancer(shape),
             rescues=rescues,
         )
-        take_up = taken_up_without_first if lacks_first else recover_phase
+        take_up = recover_phase_without_rank_0 if lacks_first else recover_phase
         charge.begin(take_up(charge.group, charge.layers))
         if rescues and isinstance(charge.phase, Idle):
             self._reach.forget()
