--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -46,7 +46,7 @@
 
     def go_on(self, charge: Charge) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
-        if charge.rescues and charge.change_took_s > RESCUE_LIMIT_S:
+        if charge.is_rescue and charge.change_took_s > RESCUE_LIMIT_S:
             charge.leave()
             return
         if isinstance(charge.phase, Holding):
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -42,7 +42,7 @@
         self.roster = roster
         self.layers = layers
         self.balancer = balancer
-        self.rescues = rescues
+        self.is_rescue = rescues
         self.phase: Phase = Idle()
         self.is_left = False
         self._states_by_rank = dict(states_by_rank)
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -120,7 +120,7 @@
 
     def _go_on(self, charge: Charge) -> float:
         if isinstance(charge.phase, Idle):
-            if charge.rescues:
+            if charge.is_rescue:
                 charge.leave()
                 return LOOK_S
             return self._balance(charge)
