--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -54,7 +54,7 @@
                 return
             # The pass that was to be held may have begun meanwhile.
             self._advance(charge)
-            if charge.is_left:
+            if charge.is_closed:
                 return
         wanted = pending_orders(charge.phase, charge.group)
         if not wanted:
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -44,7 +44,7 @@
         self.balancer = balancer
         self.is_rescue = rescues
         self.phase: Phase = Idle()
-        self.is_left = False
+        self.is_closed = False
         self._states_by_rank = dict(states_by_rank)
         self._began_at = monotonic()
 
@@ -66,7 +66,7 @@
     def leave(self) -> None:
         """End the charge: everything is to be read anew."""
         self.phase = Idle()
-        self.is_left = True
+        self.is_closed = True
 
     def take_in(self, answers: Mapping[str, RankTold]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -103,7 +103,7 @@
         if charge is None:
             return self._take_charge()
         pause_s = self._go_on(charge)
-        if charge.is_left:
+        if charge.is_closed:
             self._forget()
         return pause_s
 
