--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -47,7 +47,7 @@
     def go_on(self, charge: Charge) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
         if charge.is_rescue and charge.change_took_s > RESCUE_LIMIT_S:
-            charge.leave()
+            charge.close()
             return
         if isinstance(charge.phase, Holding):
             if not self._all_answer(charge):
@@ -118,7 +118,7 @@
         )
         log.info("change-voided", version=version, ms=round(took_s * 1000))
         self._metrics.changes.labels("voided").inc()
-        charge.leave()
+        charge.close()
 
     def _released(self, charge: Charge, change: Phase) -> None:
         """Note a change whose map comes into force on every rank."""
@@ -133,7 +133,7 @@
             # Completed for a former life: only the ranks know what it holds.
             log.info("change-completed", version=change.version)
             self._metrics.changes.labels("completed").inc()
-            charge.leave()
+            charge.close()
 
     def _give_up_if_stuck(self, charge: Charge) -> None:
         """Read everything anew if ranks refuse to prepare.
@@ -143,4 +143,4 @@
         if charge.change_took_s > PREPARING_LIMIT_S:
             log.warning("change-stuck", version=charge.group.own.version)
             self._metrics.changes.labels("stuck").inc()
-            charge.leave()
+            charge.close()
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -63,7 +63,7 @@
         self.phase = phase
         self._began_at = monotonic()
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """End the charge: everything is to be read anew."""
         self.phase = Idle()
         self.is_closed = True
@@ -77,11 +77,11 @@
             known = self._states_by_rank.get(rank)
             if not self.roster.goes_on(rank, known, told.state):
                 log.info("group-changed", rank=rank, epoch=told.state.epoch)
-                self.leave()
+                self.close()
                 return False
             if not told.state.is_open:
                 log.info("group-broken", rank=rank, epoch=told.state.epoch)
-                self.leave()
+                self.close()
                 return False
             self._states_by_rank[rank] = told.state
         return True
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -121,7 +121,7 @@
     def _go_on(self, charge: Charge) -> float:
         if isinstance(charge.phase, Idle):
             if charge.is_rescue:
-                charge.leave()
+                charge.close()
                 return LOOK_S
             return self._balance(charge)
         self._giver.go_on(charge)
