--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -62,7 +62,7 @@
             return
         wait_s = _PREPARE_S if isinstance(charge.phase, Preparing) else _ORDER_S
         answers = self._reach.order(charge.roster, wanted, wait_s)
-        if charge.take_in(answers):
+        if charge.update_states(answers):
             self._advance(charge)
 
     def _all_answer(self, charge: Charge) -> bool:
@@ -74,7 +74,7 @@
         """
         ranks = charge.roster.agents_by_rank
         answers = self._reach.states(charge.roster, ranks)
-        if not charge.take_in(answers):
+        if not charge.update_states(answers):
             return False
         # An agent may answer whose server does not.
         shown = sum(one.state is not None for one in answers.values())
@@ -86,7 +86,7 @@
     def _look(self, charge: Charge) -> None:
         ranks = {FIRST, charge.group.holder} & charge.roster.agents_by_rank.keys()
         answers = self._reach.states(charge.roster, ranks)
-        if charge.take_in(answers):
+        if charge.update_states(answers):
             self._advance(charge)
 
     def _advance(self, charge: Charge) -> None:
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -68,7 +68,7 @@
         self.phase = Idle()
         self.is_closed = True
 
-    def take_in(self, answers: Mapping[str, RankTold]) -> bool:
+    def update_states(self, answers: Mapping[str, RankTold]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
         for rank, agent in self.roster.agents_by_rank.items():
             told = answers.get(agent)
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -133,7 +133,7 @@
         began = monotonic()
         answers, silent = self._reach.counts(charge.roster)
         self._metrics.silent.inc(silent)
-        if not charge.take_in(answers):
+        if not charge.update_states(answers):
             return LOOK_S
         group = charge.group
         if group.held is not None:
