--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -58,7 +58,7 @@
         """Seconds since the change under way was begun or taken up."""
         return monotonic() - self._began_at
 
-    def begin(self, phase: Phase) -> None:
+    def begin_change(self, phase: Phase) -> None:
         """Begin a change, whose time counts from now."""
         self.phase = phase
         self._began_at = monotonic()
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -114,7 +114,7 @@
             rescues=rescues,
         )
         take_up = recover_phase_without_rank_0 if lacks_first else recover_phase
-        charge.begin(take_up(charge.group, charge.layers))
+        charge.begin_change(take_up(charge.group, charge.layers))
         if rescues and isinstance(charge.phase, Idle):
             self._reach.forget()
             return None
