--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -46,7 +46,7 @@
 
     def go_on(self, charge: Charge) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
-        if charge.is_rescue and charge.change_took_s > RESCUE_LIMIT_S:
+        if charge.is_rescue and charge.change_elapsed_s > RESCUE_LIMIT_S:
             charge.close()
             return
         if isinstance(charge.phase, Holding):
@@ -111,7 +111,7 @@
 
     def _voided(self, charge: Charge, change: Phase) -> None:
         """Note a change that was ended without coming into force."""
-        took_s = charge.change_took_s
+        took_s = charge.change_elapsed_s
         assert not isinstance(change, Idle), "it was under way"
         version = (
             change.voided_version if isinstance(change, Voiding) else change.version
@@ -122,7 +122,7 @@
 
     def _released(self, charge: Charge, change: Phase) -> None:
         """Note a change whose map comes into force on every rank."""
-        took_s = charge.change_took_s
+        took_s = charge.change_elapsed_s
         assert isinstance(change, Arming | Releasing), "nothing else is released"
         if change.layers:
             log.info("change-released", version=change.version, ms=round(took_s * 1000))
@@ -140,7 +140,7 @@
 
         Nothing is armed or held yet, so a change may be left at any time before.
         """
-        if charge.change_took_s > PREPARING_LIMIT_S:
+        if charge.change_elapsed_s > PREPARING_LIMIT_S:
             log.warning("change-stuck", version=charge.group.own.version)
             self._metrics.changes.labels("stuck").inc()
             charge.close()
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -54,7 +54,7 @@
         return Group(self.roster.epoch, self.roster.ranks, self._states_by_rank)
 
     @property
-    def change_took_s(self) -> float:
+    def change_elapsed_s(self) -> float:
         """Seconds since the change under way was begun or taken up."""
         return monotonic() - self._began_at
 
