--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.change_protocol import Phase
-    from kingcupwheel.lockstep.coordination_session import Charge
+    from kingcupwheel.lockstep.coordination_session import CoordinationSession
     from kingcupwheel.lockstep.group_client import RankReach
     from kingcupwheel.telemetry.metrics import RankMetrics
 
@@ -44,7 +44,7 @@
         self._reach = reach
         self._metrics = metrics
 
-    def go_on(self, charge: Charge) -> None:
+    def go_on(self, charge: CoordinationSession) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
         if charge.is_rescue and charge.change_elapsed_s > RESCUE_LIMIT_S:
             charge.close()
@@ -65,7 +65,7 @@
         if charge.update_states(answers):
             self._advance(charge)
 
-    def _all_answer(self, charge: Charge) -> bool:
+    def _all_answer(self, charge: CoordinationSession) -> bool:
         """Return whether every rank answers right now, which a hold waits for.
 
         Failure: a machine freezes after its rank has prepared. Symptom: the pass is
@@ -83,13 +83,13 @@
             return False
         return True
 
-    def _look(self, charge: Charge) -> None:
+    def _look(self, charge: CoordinationSession) -> None:
         ranks = {FIRST, charge.group.holder} & charge.roster.agents_by_rank.keys()
         answers = self._reach.states(charge.roster, ranks)
         if charge.update_states(answers):
             self._advance(charge)
 
-    def _advance(self, charge: Charge) -> None:
+    def _advance(self, charge: CoordinationSession) -> None:
         before = charge.phase
         group = charge.group
         charge.phase = advance_phase(before, group)
@@ -109,7 +109,7 @@
             case None if isinstance(charge.phase, Preparing):
                 self._give_up_if_stuck(charge)
 
-    def _voided(self, charge: Charge, change: Phase) -> None:
+    def _voided(self, charge: CoordinationSession, change: Phase) -> None:
         """Note a change that was ended without coming into force."""
         took_s = charge.change_elapsed_s
         assert not isinstance(change, Idle), "it was under way"
@@ -120,7 +120,7 @@
         self._metrics.changes.labels("voided").inc()
         charge.close()
 
-    def _released(self, charge: Charge, change: Phase) -> None:
+    def _released(self, charge: CoordinationSession, change: Phase) -> None:
         """Note a change whose map comes into force on every rank."""
         took_s = charge.change_elapsed_s
         assert isinstance(change, Arming | Releasing), "nothing else is released"
@@ -135,7 +135,7 @@
             self._metrics.changes.labels("completed").inc()
             charge.close()
 
-    def _give_up_if_stuck(self, charge: Charge) -> None:
+    def _give_up_if_stuck(self, charge: CoordinationSession) -> None:
         """Read everything anew if ranks refuse to prepare.
 
         Nothing is armed or held yet, so a change may be left at any time before.
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -23,7 +23,7 @@
 log = lines_of("maps")
 
 
-class Charge:
+class CoordinationSession:
     """One epoch of a group, from when an agent takes charge of it until it is left.
 
     ``layers`` is the map in force. ``rescues`` tells that the agent is not rank 0's and
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -18,7 +18,7 @@
 from kingcupwheel.lockstep.change_protocol import Preparing
 from kingcupwheel.lockstep.change_protocol import Settling
 from kingcupwheel.lockstep.change_protocol import recover_phase
-from kingcupwheel.lockstep.coordination_session import Charge
+from kingcupwheel.lockstep.coordination_session import CoordinationSession
 from kingcupwheel.lockstep.group_client import RankReach
 from kingcupwheel.lockstep.takeover import LOOK_S
 from kingcupwheel.lockstep.takeover import ChargeTaker
@@ -67,7 +67,7 @@
             client, self._reach, find_servers=find_servers, shape=shape
         )
         self._giver = OrderGiver(self._reach, metrics)
-        self._charge: Charge | None = None
+        self._charge: CoordinationSession | None = None
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="coordinator", daemon=True)
 
@@ -113,12 +113,12 @@
 
     def _take_charge(self) -> float:
         taken = self._taker.look()
-        if not isinstance(taken, Charge):
+        if not isinstance(taken, CoordinationSession):
             return taken
         self._charge = taken
         return 0.0
 
-    def _go_on(self, charge: Charge) -> float:
+    def _go_on(self, charge: CoordinationSession) -> float:
         if isinstance(charge.phase, Idle):
             if charge.is_rescue:
                 charge.close()
@@ -128,7 +128,7 @@
         # Settling waits for a pass to begin; the rest waits at the agents.
         return _SETTLING_S if isinstance(charge.phase, Settling) else 0.0
 
-    def _balance(self, charge: Charge) -> float:
+    def _balance(self, charge: CoordinationSession) -> float:
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
         answers, silent = self._reach.counts(charge.roster)
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -20,7 +20,7 @@
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.change_protocol import recover_phase
 from kingcupwheel.lockstep.change_protocol import recover_phase_without_rank_0
-from kingcupwheel.lockstep.coordination_session import Charge
+from kingcupwheel.lockstep.coordination_session import CoordinationSession
 from kingcupwheel.lockstep.group_state import FIRST
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import layers_of
@@ -70,7 +70,7 @@
         self._shape = shape
         self._standstill = Standstill()
 
-    def look(self) -> Charge | float:
+    def look(self) -> CoordinationSession | float:
         """Return the charge to take, or the seconds until the next look."""
         own = self._client.state()
         if own.is_error() or not own.ok.is_open:
@@ -87,7 +87,7 @@
 
     def _take(
         self, own: RankState, shape: EngineShape, *, rescues: bool
-    ) -> Charge | None:
+    ) -> CoordinationSession | None:
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
         answers = self._reach.places(servers_by_agent)
@@ -106,7 +106,7 @@
         agents = {rank: found.agent for rank, found in ranks.items()}
         roster = Roster(own.epoch, own.ranks, agents, servers_by_agent)
         self._reach.take_over(roster)
-        charge = Charge(
+        charge = CoordinationSession(
             roster,
             {rank: found.state for rank, found in ranks.items()},
             layers_of(ranks, own.ranks, shape),
