--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -39,7 +39,7 @@
 
 # How often counts are read while nothing changes, in seconds. Twice as often halves the
 # time until a jump is seen, and doubles what the counts cost between data centres.
-COUNT_S = 0.15
+COUNTS_INTERVAL_S = 0.15
 # The shortest pause between two such readings, in seconds.
 _LEAST_PAUSE_S = 0.02
 # How often ranks are looked at until a released pass begins, in seconds.
@@ -148,4 +148,4 @@
             self._metrics.copies.inc(plan.copies)
             self._metrics.skew.set(plan.skew_before)
             return 0.0
-        return max(_LEAST_PAUSE_S, COUNT_S - (monotonic() - began))
+        return max(_LEAST_PAUSE_S, COUNTS_INTERVAL_S - (monotonic() - began))
