--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -36,7 +36,7 @@
         self._pool: ThreadPoolExecutor | None = None
         self._clients: dict[str, RankClient] = {}
 
-    def give(self, server: str, order: RankOrder) -> None:
+    def send_order(self, server: str, order: RankOrder) -> None:
         """Give an order once; whether it was carried out is for the report to show."""
         if server not in self._clients:
             self._clients = {server: RankClient(f"http://{server}")}
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -91,7 +91,7 @@
         for want in wanted:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
-                self._direct.give(roster.server_of(agent), want.order)
+                self._direct.send_order(roster.server_of(agent), want.order)
                 questions[agent] = AgentRequest()
                 asks[agent] = RankAsk(0, Tell.STATE)
             else:
