--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -43,7 +43,7 @@
         given = self._clients[server].give(order)
         log.debug("order-given", order=type(order).__name__, answer=str(given))
 
-    def ask(self, asks_by_server: Mapping[str, RankAsk]) -> dict[str, RankTold]:
+    def request_all(self, asks_by_server: Mapping[str, RankAsk]) -> dict[str, RankTold]:
         """Return what servers tell, by address; silent ones are left out."""
         if not asks_by_server:
             return {}
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -111,7 +111,7 @@
             servers[agent]: agent for agent in asks if agent not in answers
         }
         self._silent.update(agents_by_server.values())
-        told = self._direct.ask(
+        told = self._direct.request_all(
             {server: asks[agent] for server, agent in agents_by_server.items()}
         )
         for server, one in told.items():
