--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -24,7 +24,7 @@
 _AT_ONCE = 8
 
 
-class DirectPanel:
+class DirectServerClient:
     """Questions to servers past their agents; belongs to one thread.
 
     Failure: an agent is frozen or killed between a hold and its release. Symptom: the
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.agent_client import AgentRequest
-from kingcupwheel.lockstep.direct_client import DirectPanel
+from kingcupwheel.lockstep.direct_client import DirectServerClient
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.roster import heads_of
@@ -35,7 +35,7 @@
 
     def __init__(self, panel: AgentClient) -> None:
         self._panel = panel
-        self._direct = DirectPanel()
+        self._direct = DirectServerClient()
         self._silent: set[str] = set()
 
     def forget(self) -> None:
