--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -69,7 +69,7 @@
         self._branches_by_number: dict[int, _Branch] = {}
         self._lock = Lock()
 
-    def ask(self, link: Link, message: BranchAsk, now: float) -> None:
+    def forward_request(self, link: Link, message: BranchAsk, now: float) -> None:
         """Pass a question on to the members of its branch."""
         wait_s = message.ask.wait_ms / 1000
         branch = _Branch(link, message, now + wait_s + REPLY_TIMEOUT_S)
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -140,7 +140,7 @@
             case RankAsk():
                 self._queue(link, message)
             case BranchAsk():
-                self._gatherer.ask(link, message, monotonic())
+                self._gatherer.forward_request(link, message, monotonic())
             case RankTold() if self._gatherer.told(message):
                 pass
             case RankTold() | BranchTold():
