--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -84,7 +84,7 @@
             passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
             self._hub.send(Outgoing(address, 0), passed)
 
-    def told(self, message: RankTold) -> bool:
+    def handle_reply(self, message: RankTold) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
         with self._lock:
             branch = self._branches_by_number.pop(message.number, None)
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -141,7 +141,7 @@
                 self._queue(link, message)
             case BranchAsk():
                 self._gatherer.forward_request(link, message, monotonic())
-            case RankTold() if self._gatherer.told(message):
+            case RankTold() if self._gatherer.handle_reply(message):
                 pass
             case RankTold() | BranchTold():
                 self._panel.handle_reply(message)
