--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -56,7 +56,7 @@
         return BranchTold(self.number, self.told, counts, scale)
 
 
-class Gatherer:
+class BranchAggregator:
     """Questions that this agent passes on; safe from any thread.
 
     A member that says nothing within the time of the question is left out: it may be
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.link.hub import Hub
 from kingcupwheel.lockstep.agent_client import AgentClient
-from kingcupwheel.lockstep.branch_aggregator import Gatherer
+from kingcupwheel.lockstep.branch_aggregator import BranchAggregator
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadAggregator
 from kingcupwheel.lockstep.order_executor import OrderExecutor
@@ -87,7 +87,7 @@
             tick_s=_TICK_S,
         )
         self._panel = AgentClient(self._hub)
-        self._gatherer = Gatherer(self._hub)
+        self._gatherer = BranchAggregator(self._hub)
         self._board = LoadAggregator(settings.name, self._hub)
         self._coordinator = Coordinator(
             RankClient(f"http://{self._rank.server}"),
