--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -70,7 +70,7 @@
 
         ``answers`` hold the counts since the last time.
         """
-        self._time_passes(group.own.step, now)
+        self._time_passes(group.coordinator_state.step, now)
         moved = self._popularity.take(unpack_counts(answers))
         paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]
         if not moved and not self._pace_changed(paces):
@@ -138,7 +138,7 @@
     the rank is armed, long after the pass began, and no change is planned again. What
     rank 0 has in force began on all ranks in one pass.
     """
-    in_force = group.own.version
+    in_force = group.coordinator_state.version
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -141,6 +141,6 @@
         Nothing is armed or held yet, so a change may be left at any time before.
         """
         if charge.change_elapsed_s > PREPARING_LIMIT_S:
-            log.warning("change-stuck", version=charge.group.own.version)
+            log.warning("change-stuck", version=charge.group.coordinator_state.version)
             self._metrics.changes.labels("stuck").inc()
             charge.close()
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -180,7 +180,7 @@
         case Settling(version, layers, step) if group.holds(step):
             # A copy of a hold came after the release; every rank is armed.
             return Releasing(version, layers, step)
-        case Settling(version) if group.own.version == version:
+        case Settling(version) if group.coordinator_state.version == version:
             return Idle()
         case Voiding(step=step) if not group.holds(step) and group.step >= step:
             # Not before the pass has begun: orders of another agent that ends the same
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -25,7 +25,7 @@
     states_by_rank: Mapping[int, RankState]
 
     @property
-    def own(self) -> RankState:
+    def coordinator_state(self) -> RankState:
         """The report of rank 0, beside the coordinator."""
         return self.states_by_rank[FIRST]
 
