--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -84,7 +84,7 @@
         return True
 
     def _look(self, charge: CoordinationSession) -> None:
-        ranks = {FIRST, charge.group.holder} & charge.roster.agents_by_rank.keys()
+        ranks = {FIRST, charge.group.holder_rank} & charge.roster.agents_by_rank.keys()
         answers = self._reach.states(charge.roster, ranks)
         if charge.update_states(answers):
             self._advance(charge)
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -241,7 +241,7 @@
             prepare = Prepare(epoch, version, layers)
             return _for_ranks(group, prepare, lambda one: one.prepared == version)
         case Holding(_, _, step):
-            return (PendingOrder(group.holder, Hold(epoch, step)),)
+            return (PendingOrder(group.holder_rank, Hold(epoch, step)),)
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
             found = _for_ranks(group, arm, lambda one: has_version(one, version))
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -30,7 +30,7 @@
         return self.states_by_rank[FIRST]
 
     @property
-    def holder(self) -> int:
+    def holder_rank(self) -> int:
         """The rank that holds passes."""
         return min(HOLDER, self.ranks - 1)
 
