--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -97,7 +97,7 @@
         log.debug(
             "phase",
             phase=type(charge.phase).__name__,
-            held=group.held,
+            held=group.held_step,
             armed=[rank for rank, one in states if one.armed],
             prepared=[rank for rank, one in states if one.prepared],
         )
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -166,10 +166,10 @@
             return _overtaken(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
             return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
-        case Holding(version, layers) if group.held is not None:
+        case Holding(version, layers) if group.held_step is not None:
             # A hold of a former life may have come late and keeps this one out; every
             # rank is prepared, and its pass has not begun either, so it serves as well.
-            return Arming(version, layers, group.held)
+            return Arming(version, layers, group.held_step)
         case Holding(version, layers, step) if group.step >= step:
             # A hold that comes too late is refused, so a later pass may be asked for.
             return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
@@ -210,14 +210,16 @@
     can complete that version any more once a higher one is prepared. While no rank is
     armed the version may itself be one that makes others void, so it is not completed.
     """
-    if group.held is None:
+    if group.held_step is None:
         return Idle()
     newest = group.newest
     states = group.states_by_rank.values()
     shown = all(newest in (one.prepared, one.armed) for one in states)
     if shown and any(one.armed == newest for one in states):
-        return Arming(newest, (), group.held)
-    return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
+        return Arming(newest, (), group.held_step)
+    return Voiding(
+        group.highest + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+    )
 
 
 def recover_phase_without_rank_0(group: Group, layers: LayerPlacements) -> Phase:
@@ -228,9 +230,11 @@
     but rank 0's agent can tell.
     """
     newest = group.newest
-    if group.held is None or group.others_armed(newest):
+    if group.held_step is None or group.others_armed(newest):
         return Idle()
-    return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, group.held, newest)
+    return Voiding(
+        group.highest + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+    )
 
 
 def pending_orders(phase: Phase, group: Group) -> tuple[PendingOrder, ...]:
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -136,7 +136,7 @@
         if not charge.update_states(answers):
             return LOOK_S
         group = charge.group
-        if group.held is not None:
+        if group.held_step is not None:
             # A hold of a former life came late; see ``taken_up``.
             charge.phase = recover_phase(group, charge.layers)
             return 0.0
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -35,7 +35,7 @@
         return min(HOLDER, self.ranks - 1)
 
     @property
-    def held(self) -> int | None:
+    def held_step(self) -> int | None:
         """The pass that waits to be released at some rank."""
         states = self.states_by_rank.values()
         return next((one.held for one in states if one.held is not None), None)
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -123,7 +123,7 @@
             epoch=own.epoch,
             ranks=own.ranks,
             version=own.version,
-            held=charge.group.held,
+            held=charge.group.held_step,
             found=len(ranks),
             phase=type(charge.phase).__name__,
         )
