--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -175,14 +175,14 @@
             return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
         case Arming(version, layers, step) if group.all_armed(version):
             return Releasing(version, layers, step)
-        case Releasing(version, layers, step) if not group.holds(step):
+        case Releasing(version, layers, step) if not group.is_held_up_to(step):
             return Settling(version, layers, step)
-        case Settling(version, layers, step) if group.holds(step):
+        case Settling(version, layers, step) if group.is_held_up_to(step):
             # A copy of a hold came after the release; every rank is armed.
             return Releasing(version, layers, step)
         case Settling(version) if group.coordinator_state.version == version:
             return Idle()
-        case Voiding(step=step) if not group.holds(step) and group.step >= step:
+        case Voiding(step=step) if not group.is_held_up_to(step) and group.step >= step:
             # Not before the pass has begun: orders of another agent that ends the same
             # hold may be on their way, and would release a new one of the same pass.
             return Idle()
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -40,7 +40,7 @@
         states = self.states_by_rank.values()
         return next((one.held for one in states if one.held is not None), None)
 
-    def holds(self, step: int) -> bool:
+    def is_held_up_to(self, step: int) -> bool:
         """Return whether ``step`` or an earlier pass is held.
 
         One that is later is held for another change, by the coordinator alone.
