--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -165,14 +165,14 @@
         case Preparing() | Holding() | Arming() if group.is_overtaken(phase.version):
             return _overtaken(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
-            return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
+            return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Holding(version, layers) if group.held_step is not None:
             # A hold of a former life may have come late and keeps this one out; every
             # rank is prepared, and its pass has not begun either, so it serves as well.
             return Arming(version, layers, group.held_step)
-        case Holding(version, layers, step) if group.step >= step:
+        case Holding(version, layers, step) if group.latest_step >= step:
             # A hold that comes too late is refused, so a later pass may be asked for.
-            return Holding(version, layers, group.step + HOLD_LEAD_PASSES)
+            return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Arming(version, layers, step) if group.all_armed(version):
             return Releasing(version, layers, step)
         case Releasing(version, layers, step) if not group.is_held_up_to(step):
@@ -182,7 +182,9 @@
             return Releasing(version, layers, step)
         case Settling(version) if group.coordinator_state.version == version:
             return Idle()
-        case Voiding(step=step) if not group.is_held_up_to(step) and group.step >= step:
+        case Voiding(step=step) if (
+            not group.is_held_up_to(step) and group.latest_step >= step
+        ):
             # Not before the pass has begun: orders of another agent that ends the same
             # hold may be on their way, and would release a new one of the same pass.
             return Idle()
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -49,7 +49,7 @@
         return any(one is not None and one <= step for one in held)
 
     @property
-    def step(self) -> int:
+    def latest_step(self) -> int:
         """The last pass that any rank shows begun."""
         return max(one.step for one in self.states_by_rank.values())
 
