--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -214,7 +214,7 @@
     """
     if group.held_step is None:
         return Idle()
-    newest = group.newest
+    newest = group.newest_pending_version
     states = group.states_by_rank.values()
     shown = all(newest in (one.prepared, one.armed) for one in states)
     if shown and any(one.armed == newest for one in states):
@@ -231,7 +231,7 @@
     is made void; else it may be, and its pass may have been released, so that nobody
     but rank 0's agent can tell.
     """
-    newest = group.newest
+    newest = group.newest_pending_version
     if group.held_step is None or group.others_armed(newest):
         return Idle()
     return Voiding(
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -54,7 +54,7 @@
         return max(one.step for one in self.states_by_rank.values())
 
     @property
-    def newest(self) -> int:
+    def newest_pending_version(self) -> int:
         """The highest version that any rank shows prepared or armed."""
         states = self.states_by_rank.values()
         return max(max(one.prepared, one.armed) for one in states)
