--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -86,7 +86,7 @@
             return None
         log.info(
             "change-planned",
-            version=group.highest + 1,
+            version=group.highest_version + 1,
             copies=found.copies,
             skew=round(found.skew_before, 2),
             skew_after=round(found.skew_after, 2),
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -200,7 +200,9 @@
         case Preparing():
             return Idle()
         case Holding(version, layers, step) | Arming(version, layers, step):
-            return Voiding(group.highest + RECOVERY_VERSION_GAP, layers, step, version)
+            return Voiding(
+                group.highest_version + RECOVERY_VERSION_GAP, layers, step, version
+            )
 
 
 def recover_phase(group: Group, layers: LayerPlacements) -> Phase:
@@ -220,7 +222,7 @@
     if shown and any(one.armed == newest for one in states):
         return Arming(newest, (), group.held_step)
     return Voiding(
-        group.highest + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+        group.highest_version + RECOVERY_VERSION_GAP, layers, group.held_step, newest
     )
 
 
@@ -235,7 +237,7 @@
     if group.held_step is None or group.others_armed(newest):
         return Idle()
     return Voiding(
-        group.highest + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+        group.highest_version + RECOVERY_VERSION_GAP, layers, group.held_step, newest
     )
 
 
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -144,7 +144,7 @@
             group, charge.layers, answers.values(), began
         )
         if plan is not None:
-            charge.begin_change(Preparing(group.highest + 1, plan.layers))
+            charge.begin_change(Preparing(group.highest_version + 1, plan.layers))
             self._metrics.copies.inc(plan.copies)
             self._metrics.skew.set(plan.skew_before)
             return 0.0
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -60,7 +60,7 @@
         return max(max(one.prepared, one.armed) for one in states)
 
     @property
-    def highest(self) -> int:
+    def highest_version(self) -> int:
         """The highest version that any rank shows."""
         states = self.states_by_rank.values()
         return max(max(one.version, one.prepared, one.armed) for one in states)
