--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -151,7 +151,7 @@
     it takes the map that never came into force for the one that experts are moved from.
     """
     match before:
-        case Preparing() | Holding() | Arming() if group.is_overtaken(before.version):
+        case Preparing() | Holding() | Arming() if group.is_superseded(before.version):
             return ChangeOutcome.VOIDED if isinstance(after, Idle) else None
         case Voiding() if isinstance(after, Idle):
             return ChangeOutcome.VOIDED
@@ -162,7 +162,7 @@
 
 def _next(phase: Phase, group: Group) -> Phase:
     match phase:
-        case Preparing() | Holding() | Arming() if group.is_overtaken(phase.version):
+        case Preparing() | Holding() | Arming() if group.is_superseded(phase.version):
             return _overtaken(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
             return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
@@ -282,7 +282,7 @@
     found: list[PendingOrder] = []
     for rank, state in group.states_by_rank.items():
         if state.armed:
-            if group.is_overtaken(state.armed):
+            if group.is_superseded(state.armed):
                 found.append(PendingOrder(rank, Disarm(group.epoch, state.armed)))
         elif not is_void(state, phase.voided_version):
             found.append(PendingOrder(rank, prepare))
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -81,7 +81,7 @@
             if rank != FIRST
         )
 
-    def is_overtaken(self, version: int) -> bool:
+    def is_superseded(self, version: int) -> bool:
         """Return whether one rank can't be armed with ``version`` any more.
 
         Nobody can complete that version then.
