--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -72,7 +72,7 @@
         """
         self._time_passes(group.coordinator_state.step, now)
         moved = self._popularity.take(unpack_counts(answers))
-        paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]
+        paces = [group.states_by_rank[rank].pace for rank in range(group.rank_count)]
         if not moved and not self._pace_changed(paces):
             return None
         if _is_armed_anew(group):
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -21,7 +21,7 @@
     """The ranks' latest reports of one epoch, by rank."""
 
     epoch: int
-    ranks: int
+    rank_count: int
     states_by_rank: Mapping[int, RankState]
 
     @property
@@ -32,7 +32,7 @@
     @property
     def holder_rank(self) -> int:
         """The rank that holds passes."""
-        return min(HOLDER, self.ranks - 1)
+        return min(HOLDER, self.rank_count - 1)
 
     @property
     def held_step(self) -> int | None:
