--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -23,7 +23,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change_protocol import LayerPlacements
-    from kingcupwheel.lockstep.group_state import Group
+    from kingcupwheel.lockstep.group_state import GroupState
     from kingcupwheel.messages.lockstep import RankTold
 
 log = lines_of("maps")
@@ -61,7 +61,7 @@
 
     def plan_change(
         self,
-        group: Group,
+        group: GroupState,
         layers: LayerPlacements,
         answers: Iterable[RankTold],
         now: float,
@@ -131,7 +131,7 @@
         )
 
 
-def _is_armed_anew(group: Group) -> bool:
+def _is_armed_anew(group: GroupState) -> bool:
     """Return whether a rank is armed for a map that is not in force yet.
 
     Failure: an agent ends after its rank was armed. Symptom: its last word says that
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.lockstep.group_state import Group
+    from kingcupwheel.lockstep.group_state import GroupState
     from kingcupwheel.lockstep.rank_reports import RankState
 
 # Experts by layer and rank.
@@ -128,7 +128,7 @@
     order: RankOrder
 
 
-def advance_phase(phase: Phase, group: Group) -> Phase:
+def advance_phase(phase: Phase, group: GroupState) -> Phase:
     """Return the phase that the reports lead to."""
     while True:
         following = _next(phase, group)
@@ -144,7 +144,9 @@
     VOIDED = "voided"
 
 
-def change_outcome(before: Phase, after: Phase, group: Group) -> ChangeOutcome | None:
+def change_outcome(
+    before: Phase, after: Phase, group: GroupState
+) -> ChangeOutcome | None:
     """Return how the change of ``before`` has ended by ``after``, None if it goes on.
 
     Failure: an agent wakes and finds its change made void and the pass begun. Symptom:
@@ -160,7 +162,7 @@
     return None
 
 
-def _next(phase: Phase, group: Group) -> Phase:
+def _next(phase: Phase, group: GroupState) -> Phase:
     match phase:
         case Preparing() | Holding() | Arming() if group.is_superseded(phase.version):
             return _overtaken(phase, group)
@@ -191,7 +193,7 @@
     return phase
 
 
-def _overtaken(phase: Preparing | Holding | Arming, group: Group) -> Phase:
+def _overtaken(phase: Preparing | Holding | Arming, group: GroupState) -> Phase:
     """Return what follows a change that another agent made void.
 
     It did so while this agent's machine was frozen, and may not have released the pass.
@@ -205,7 +207,7 @@
             )
 
 
-def recover_phase(group: Group, layers: LayerPlacements) -> Phase:
+def recover_phase(group: GroupState, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from with a hold that this life did not order.
 
     ``layers`` is the map in force. If every rank has one version prepared and some are
@@ -226,7 +228,7 @@
     )
 
 
-def recover_phase_without_rank_0(group: Group, layers: LayerPlacements) -> Phase:
+def recover_phase_without_rank_0(group: GroupState, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from while rank 0 and its agent can't be reached.
 
     Rank 0 is armed last. If another rank is not armed, it is not either, and the change
@@ -241,7 +243,7 @@
     )
 
 
-def pending_orders(phase: Phase, group: Group) -> tuple[PendingOrder, ...]:
+def pending_orders(phase: Phase, group: GroupState) -> tuple[PendingOrder, ...]:
     """Return the orders that ranks still need in ``phase``."""
     epoch = group.epoch
     match phase:
@@ -262,7 +264,7 @@
             return ()
 
 
-def _releases(group: Group, step: int) -> tuple[PendingOrder, ...]:
+def _releases(group: GroupState, step: int) -> tuple[PendingOrder, ...]:
     return tuple(
         PendingOrder(rank, Release(group.epoch, state.held))
         for rank, state in group.states_by_rank.items()
@@ -270,7 +272,7 @@
     )
 
 
-def _voiding(phase: Voiding, group: Group) -> tuple[PendingOrder, ...]:
+def _voiding(phase: Voiding, group: GroupState) -> tuple[PendingOrder, ...]:
     """Return what makes older armings void, and then releases the pass.
 
     A rank that is not armed prepares the higher version first. While none has, an agent
@@ -290,7 +292,7 @@
 
 
 def _for_ranks(
-    group: Group, order: RankOrder, is_done: Callable[[RankState], bool]
+    group: GroupState, order: RankOrder, is_done: Callable[[RankState], bool]
 ) -> tuple[PendingOrder, ...]:
     return tuple(
         PendingOrder(rank, order)
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.change_protocol import Idle
-from kingcupwheel.lockstep.group_state import Group
+from kingcupwheel.lockstep.group_state import GroupState
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -49,9 +49,9 @@
         self._began_at = monotonic()
 
     @property
-    def group(self) -> Group:
+    def group(self) -> GroupState:
         """The ranks' latest reports."""
-        return Group(self.roster.epoch, self.roster.ranks, self._states_by_rank)
+        return GroupState(self.roster.epoch, self.roster.ranks, self._states_by_rank)
 
     @property
     def change_elapsed_s(self) -> float:
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -17,7 +17,7 @@
 HOLDER = 1
 
 
-class Group(NamedTuple):
+class GroupState(NamedTuple):
     """The ranks' latest reports of one epoch, by rank."""
 
     epoch: int
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.lockstep.balancer import Balancer
-from kingcupwheel.lockstep.group_state import Group
+from kingcupwheel.lockstep.group_state import GroupState
 from kingcupwheel.lockstep.placement_planner import dealt_in_turn
 from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.lockstep import RankTold
@@ -255,9 +255,9 @@
         stream.last_at = self._now
         stream.left -= 1
 
-    def _group(self) -> Group:
+    def _group(self) -> GroupState:
         ranks = len(self._ranks)
-        return Group(
+        return GroupState(
             1,
             ranks,
             {
