--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -14,7 +14,7 @@
 from kingcupwheel.lockstep.change_protocol import advance_phase
 from kingcupwheel.lockstep.change_protocol import change_outcome
 from kingcupwheel.lockstep.change_protocol import pending_orders
-from kingcupwheel.lockstep.group_state import FIRST
+from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -84,7 +84,10 @@
         return True
 
     def _look(self, charge: CoordinationSession) -> None:
-        ranks = {FIRST, charge.group.holder_rank} & charge.roster.agents_by_rank.keys()
+        ranks = {
+            COORDINATOR_RANK,
+            charge.group.holder_rank,
+        } & charge.roster.agents_by_rank.keys()
         answers = self._reach.states(charge.roster, ranks)
         if charge.update_states(answers):
             self._advance(charge)
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -25,7 +25,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.group_state import FIRST
+from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.group_state import has_version
 from kingcupwheel.lockstep.group_state import is_void
 from kingcupwheel.lockstep.orders import Arm
@@ -255,7 +255,9 @@
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
             found = _for_ranks(group, arm, lambda one: has_version(one, version))
-            return tuple(want for want in found if want.rank != FIRST) or found
+            return (
+                tuple(want for want in found if want.rank != COORDINATOR_RANK) or found
+            )
         case Releasing(step=step):
             return _releases(group, step)
         case Voiding():
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -12,7 +12,7 @@
     from kingcupwheel.lockstep.rank_reports import RankState
 
 # The rank that coordinates, and is armed last.
-FIRST = 0
+COORDINATOR_RANK = 0
 # The rank that holds the pass; in a group of one it is the same.
 HOLDER = 1
 
@@ -27,7 +27,7 @@
     @property
     def coordinator_state(self) -> RankState:
         """The report of rank 0, beside the coordinator."""
-        return self.states_by_rank[FIRST]
+        return self.states_by_rank[COORDINATOR_RANK]
 
     @property
     def holder_rank(self) -> int:
@@ -78,7 +78,7 @@
         return all(
             has_version(one, version)
             for rank, one in self.states_by_rank.items()
-            if rank != FIRST
+            if rank != COORDINATOR_RANK
         )
 
     def is_superseded(self, version: int) -> bool:
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -21,7 +21,7 @@
 from kingcupwheel.lockstep.change_protocol import recover_phase
 from kingcupwheel.lockstep.change_protocol import recover_phase_without_rank_0
 from kingcupwheel.lockstep.coordination_session import CoordinationSession
-from kingcupwheel.lockstep.group_state import FIRST
+from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import layers_of
 from kingcupwheel.lockstep.roster import ranks_of
@@ -75,7 +75,7 @@
         own = self._client.state()
         if own.is_error() or not own.ok.is_open:
             return LOOK_S
-        rescues = own.ok.rank != FIRST
+        rescues = own.ok.rank != COORDINATOR_RANK
         if rescues and own.ok.rank not in RESCUERS:
             return LOOK_S
         if rescues and not self._standstill.lasts(own.ok, monotonic()):
