--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -14,7 +14,7 @@
 # The rank that coordinates, and is armed last.
 COORDINATOR_RANK = 0
 # The rank that holds the pass; in a group of one it is the same.
-HOLDER = 1
+HOLDER_RANK = 1
 
 
 class GroupState(NamedTuple):
@@ -32,7 +32,7 @@
     @property
     def holder_rank(self) -> int:
         """The rank that holds passes."""
-        return min(HOLDER, self.rank_count - 1)
+        return min(HOLDER_RANK, self.rank_count - 1)
 
     @property
     def held_step(self) -> int | None:
