--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -26,7 +26,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
-from kingcupwheel.lockstep.group_state import has_version
+from kingcupwheel.lockstep.group_state import is_armed_or_active
 from kingcupwheel.lockstep.group_state import is_void
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
@@ -254,7 +254,7 @@
             return (PendingOrder(group.holder_rank, Hold(epoch, step)),)
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
-            found = _for_ranks(group, arm, lambda one: has_version(one, version))
+            found = _for_ranks(group, arm, lambda one: is_armed_or_active(one, version))
             return (
                 tuple(want for want in found if want.rank != COORDINATOR_RANK) or found
             )
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -71,12 +71,14 @@
 
     def all_armed(self, version: int) -> bool:
         """Return whether every rank shows ``version`` armed or in force."""
-        return all(has_version(one, version) for one in self.states_by_rank.values())
+        return all(
+            is_armed_or_active(one, version) for one in self.states_by_rank.values()
+        )
 
     def others_armed(self, version: int) -> bool:
         """Return whether every rank but 0 shows ``version`` armed or in force."""
         return all(
-            has_version(one, version)
+            is_armed_or_active(one, version)
             for rank, one in self.states_by_rank.items()
             if rank != COORDINATOR_RANK
         )
@@ -89,7 +91,7 @@
         return any(is_void(one, version) for one in self.states_by_rank.values())
 
 
-def has_version(state: RankState, version: int) -> bool:
+def is_armed_or_active(state: RankState, version: int) -> bool:
     """Return whether the rank shows ``version`` armed or in force."""
     return version in (state.armed, state.version)
 
