--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -27,7 +27,7 @@
 
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.group_state import is_armed_or_active
-from kingcupwheel.lockstep.group_state import is_void
+from kingcupwheel.lockstep.group_state import is_version_void
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
 from kingcupwheel.lockstep.orders import Hold
@@ -280,7 +280,10 @@
     A rank that is not armed prepares the higher version first. While none has, an agent
     that was frozen may wake and find all ranks armed, so none may be disarmed.
     """
-    if all(is_void(one, phase.voided_version) for one in group.states_by_rank.values()):
+    if all(
+        is_version_void(one, phase.voided_version)
+        for one in group.states_by_rank.values()
+    ):
         return _releases(group, phase.step)
     prepare = Prepare(group.epoch, phase.version, phase.layers)
     found: list[PendingOrder] = []
@@ -288,7 +291,7 @@
         if state.armed:
             if group.is_superseded(state.armed):
                 found.append(PendingOrder(rank, Disarm(group.epoch, state.armed)))
-        elif not is_void(state, phase.voided_version):
+        elif not is_version_void(state, phase.voided_version):
             found.append(PendingOrder(rank, prepare))
     return tuple(found)
 
--- a/src/kingcupwheel/lockstep/group_state.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -88,7 +88,9 @@
 
         Nobody can complete that version then.
         """
-        return any(is_void(one, version) for one in self.states_by_rank.values())
+        return any(
+            is_version_void(one, version) for one in self.states_by_rank.values()
+        )
 
 
 def is_armed_or_active(state: RankState, version: int) -> bool:
@@ -96,6 +98,6 @@
     return version in (state.armed, state.version)
 
 
-def is_void(state: RankState, version: int) -> bool:
+def is_version_void(state: RankState, version: int) -> bool:
     """Return whether the rank is not armed, and never again can be with ``version``."""
     return state.prepared > version and not state.armed
