--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -44,7 +44,7 @@
         self._reach = reach
         self._metrics = metrics
 
-    def go_on(self, charge: CoordinationSession) -> None:
+    def run_round(self, charge: CoordinationSession) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
         if charge.is_rescue and charge.change_elapsed_s > RESCUE_LIMIT_S:
             charge.close()
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -124,7 +124,7 @@
                 charge.close()
                 return LOOK_S
             return self._balance(charge)
-        self._giver.go_on(charge)
+        self._giver.run_round(charge)
         # Settling waits for a pass to begin; the rest waits at the agents.
         return _SETTLING_S if isinstance(charge.phase, Settling) else 0.0
 
