--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -37,7 +37,7 @@
 RESCUE_LIMIT_S = 2.0
 
 
-class OrderGiver:
+class ChangeDriver:
     """Takes a charge's change further; belongs to one thread."""
 
     def __init__(self, reach: RankReach, metrics: RankMetrics) -> None:
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -13,7 +13,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.change_driver import OrderGiver
+from kingcupwheel.lockstep.change_driver import ChangeDriver
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.change_protocol import Preparing
 from kingcupwheel.lockstep.change_protocol import Settling
@@ -66,7 +66,7 @@
         self._taker = ChargeTaker(
             client, self._reach, find_servers=find_servers, shape=shape
         )
-        self._giver = OrderGiver(self._reach, metrics)
+        self._giver = ChangeDriver(self._reach, metrics)
         self._charge: CoordinationSession | None = None
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="coordinator", daemon=True)
