--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -31,7 +31,7 @@
 _ORDER_S = 0.25
 # Longest preparation, in seconds. The longest copy takes 0.4; orders that get no answer
 # are through after some tries. Past it the ranks hold another map than believed here.
-PREPARING_LIMIT_S = 4.0
+PREPARE_TIMEOUT_S = 4.0
 # Longest time in which another rank's agent ends a change that rank 0's left, in
 # seconds; past it that agent reads everything anew.
 RESCUE_LIMIT_S = 2.0
@@ -143,7 +143,7 @@
 
         Nothing is armed or held yet, so a change may be left at any time before.
         """
-        if charge.change_elapsed_s > PREPARING_LIMIT_S:
+        if charge.change_elapsed_s > PREPARE_TIMEOUT_S:
             log.warning("change-stuck", version=charge.group.coordinator_state.version)
             self._metrics.changes.labels("stuck").inc()
             charge.close()
