--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -34,7 +34,7 @@
 PREPARE_TIMEOUT_S = 4.0
 # Longest time in which another rank's agent ends a change that rank 0's left, in
 # seconds; past it that agent reads everything anew.
-RESCUE_LIMIT_S = 2.0
+RESCUE_TIMEOUT_S = 2.0
 
 
 class ChangeDriver:
@@ -46,7 +46,7 @@
 
     def run_round(self, charge: CoordinationSession) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
-        if charge.is_rescue and charge.change_elapsed_s > RESCUE_LIMIT_S:
+        if charge.is_rescue and charge.change_elapsed_s > RESCUE_TIMEOUT_S:
             charge.close()
             return
         if isinstance(charge.phase, Holding):
