--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -43,7 +43,7 @@
 class Bounds(NamedTuple):
     """What a map and a change may have: places a rank, new experts a rank and layer."""
 
-    places: int
+    slots_per_rank: int
     spare: int
     copies: int
 
@@ -119,7 +119,7 @@
     ) -> None:
         self._paces = paces
         self._load = load
-        self._places = bounds.places
+        self._places = bounds.slots_per_rank
         self._held = [set(experts) for experts in placement]
         self._first = [frozenset(experts) for experts in placement]
         self._spare = [bounds.spare] * len(placement)
