--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -44,7 +44,7 @@
     """What a map and a change may have: places a rank, new experts a rank and layer."""
 
     slots_per_rank: int
-    spare: int
+    new_experts_per_layer: int
     copies: int
 
 
@@ -122,7 +122,7 @@
         self._places = bounds.slots_per_rank
         self._held = [set(experts) for experts in placement]
         self._first = [frozenset(experts) for experts in placement]
-        self._spare = [bounds.spare] * len(placement)
+        self._spare = [bounds.new_experts_per_layer] * len(placement)
         self._copies_left = copies_left
         self._holders: list[set[int]] = [set() for _ in load]
         for rank, experts in enumerate(placement):
