--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -45,7 +45,7 @@
 
     slots_per_rank: int
     new_experts_per_layer: int
-    copies: int
+    copies_per_rank: int
 
 
 def bounds_of(places: int, spare: int, copy_s: float) -> Bounds:
@@ -85,7 +85,7 @@
     skew as it is, the part over the mean at which a layer is left alone.
     """
     ranks = len(layers[0])
-    copies_left = [bounds.copies] * ranks
+    copies_left = [bounds.copies_per_rank] * ranks
     editors = [
         _Layer(placement, load, bounds, copies_left, paces or (1.0,) * ranks)
         for placement, load in zip(layers, shares, strict=True)
