--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -40,7 +40,7 @@
 Placement = tuple[tuple[int, ...], ...]
 
 
-class Bounds(NamedTuple):
+class PlanLimits(NamedTuple):
     """What a map and a change may have: places a rank, new experts a rank and layer."""
 
     slots_per_rank: int
@@ -48,9 +48,11 @@
     copies_per_rank: int
 
 
-def bounds_of(places: int, spare: int, copy_s: float) -> Bounds:
+def bounds_of(places: int, spare: int, copy_s: float) -> PlanLimits:
     """Return the bounds of a round; ``copy_s`` is how long one copy takes."""
-    return Bounds(places, spare, max(1, int(COPYING_S / copy_s) if copy_s else spare))
+    return PlanLimits(
+        places, spare, max(1, int(COPYING_S / copy_s) if copy_s else spare)
+    )
 
 
 class Plan(NamedTuple):
@@ -73,7 +75,7 @@
 def plan(
     layers: Sequence[Placement],
     shares: Sequence[Sequence[float]],
-    bounds: Bounds,
+    bounds: PlanLimits,
     paces: Sequence[float] = (),
     *,
     enough: Callable[[float], float] = lambda _: GOOD_ENOUGH,
@@ -113,7 +115,7 @@
         self,
         placement: Placement,
         load: Sequence[float],
-        bounds: Bounds,
+        bounds: PlanLimits,
         copies_left: list[int],
         paces: Sequence[float],
     ) -> None:
