--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -11,8 +11,8 @@
 
 from kingcupwheel.lockstep.placement_planner import GOOD_ENOUGH
 from kingcupwheel.lockstep.placement_planner import Plan
-from kingcupwheel.lockstep.placement_planner import bounds_of
 from kingcupwheel.lockstep.placement_planner import plan
+from kingcupwheel.lockstep.placement_planner import plan_limits
 from kingcupwheel.lockstep.popularity import Popularity
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -54,7 +54,7 @@
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
         self._popularity = Popularity(shape.layers, shape.experts)
-        self._bounds = bounds_of(shape.places, shape.spare, shape.copy_s)
+        self._bounds = plan_limits(shape.places, shape.spare, shape.copy_s)
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
         self._pass_s = 0.0
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -48,7 +48,7 @@
     copies_per_rank: int
 
 
-def bounds_of(places: int, spare: int, copy_s: float) -> PlanLimits:
+def plan_limits(places: int, spare: int, copy_s: float) -> PlanLimits:
     """Return the bounds of a round; ``copy_s`` is how long one copy takes."""
     return PlanLimits(
         places, spare, max(1, int(COPYING_S / copy_s) if copy_s else spare)
