--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.placement_planner import GOOD_ENOUGH
-from kingcupwheel.lockstep.placement_planner import Plan
+from kingcupwheel.lockstep.placement_planner import PlacementPlan
 from kingcupwheel.lockstep.placement_planner import plan
 from kingcupwheel.lockstep.placement_planner import plan_limits
 from kingcupwheel.lockstep.popularity import Popularity
@@ -65,7 +65,7 @@
         layers: LayerPlacements,
         answers: Iterable[RankTold],
         now: float,
-    ) -> Plan | None:
+    ) -> PlacementPlan | None:
         """Return the map to change to from ``layers``, or None to leave it.
 
         ``answers`` hold the counts since the last time.
@@ -99,7 +99,7 @@
         )
         return found
 
-    def _is_worth_it(self, found: Plan) -> bool:
+    def _is_worth_it(self, found: PlacementPlan) -> bool:
         gain = found.skew_before - found.skew_after
         if self._is_short(self._pass_s):
             return gain >= SHORT_PASS_MIN_SKEW_GAIN
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -55,7 +55,7 @@
     )
 
 
-class Plan(NamedTuple):
+class PlacementPlan(NamedTuple):
     """A map to change to; skews are of the slowest ranks over the mean, all layers."""
 
     layers: tuple[Placement, ...]
@@ -79,7 +79,7 @@
     paces: Sequence[float] = (),
     *,
     enough: Callable[[float], float] = lambda _: GOOD_ENOUGH,
-) -> Plan | None:
+) -> PlacementPlan | None:
     """Return the next map towards even ranks, or None if no change is worth it.
 
     ``paces`` are how many times its usual time each rank takes; a slow one is relieved
@@ -105,7 +105,7 @@
         return None
     after = sum(editor.slowest for editor in editors)
     found = tuple(editor.placement for editor in editors)
-    return Plan(found, copies, before / mean, after / mean)
+    return PlacementPlan(found, copies, before / mean, after / mean)
 
 
 class _Layer:
