--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -11,8 +11,8 @@
 
 from kingcupwheel.lockstep.placement_planner import GOOD_ENOUGH
 from kingcupwheel.lockstep.placement_planner import PlacementPlan
-from kingcupwheel.lockstep.placement_planner import plan
 from kingcupwheel.lockstep.placement_planner import plan_limits
+from kingcupwheel.lockstep.placement_planner import plan_placement
 from kingcupwheel.lockstep.popularity import Popularity
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -81,7 +81,7 @@
         if shares is None:
             return None
         self._paces = paces
-        found = plan(layers, shares, self._bounds, paces, enough=self._enough)
+        found = plan_placement(layers, shares, self._bounds, paces, enough=self._enough)
         if found is None or not self._is_worth_it(found):
             return None
         log.info(
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -72,7 +72,7 @@
     moves: bool
 
 
-def plan(
+def plan_placement(
     layers: Sequence[Placement],
     shares: Sequence[Sequence[float]],
     bounds: PlanLimits,
