--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -271,7 +271,9 @@
         )
 
 
-def dealt_in_turn(ranks: int, layers: int, experts: int) -> tuple[Placement, ...]:
+def round_robin_placement(
+    ranks: int, layers: int, experts: int
+) -> tuple[Placement, ...]:
     """Return the map that a group forms with: experts dealt out in turn."""
     layer = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
     return (layer,) * layers
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.lockstep.branches import assign_branch_heads
-from kingcupwheel.lockstep.placement_planner import dealt_in_turn
+from kingcupwheel.lockstep.placement_planner import round_robin_placement
 
 
 if TYPE_CHECKING:
@@ -94,7 +94,7 @@
     A rank that is missing is given the experts that no other one has.
     """
     if not all(len(one.places) == shape.layers for one in ranks.values()):
-        return dealt_in_turn(size, shape.layers, shape.experts)
+        return round_robin_placement(size, shape.layers, shape.experts)
     return tuple(_layer_of(ranks, size, shape, layer) for layer in range(shape.layers))
 
 
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -18,7 +18,7 @@
 
 from kingcupwheel.lockstep.balancer import Balancer
 from kingcupwheel.lockstep.group_state import GroupState
-from kingcupwheel.lockstep.placement_planner import dealt_in_turn
+from kingcupwheel.lockstep.placement_planner import round_robin_placement
 from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.lockstep import RankTold
 
@@ -98,7 +98,7 @@
         self._demand = demand
         self._draw = Random(seed)
         self._ranks = [_Rank() for _ in range(ranks)]
-        self._layers: LayerPlacements = dealt_in_turn(
+        self._layers: LayerPlacements = round_robin_placement(
             ranks, shape.layers, shape.experts
         )
         self._liked = [self._new_liking() for _ in range(KINDS)]
