--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -21,7 +21,7 @@
 # How long a rank may copy in a round, in seconds, over all layers. Where a copy takes
 # 0.11 s, three rounds of three are in force as soon as one of nine, the first after a
 # third. Where it takes 0.016 s a round's other steps take longer than its copies.
-COPYING_S = 0.34
+ROUND_COPY_BUDGET_S = 0.34
 
 # A layer whose slowest rank is within this part over the mean is left alone, and that
 # much more where passes are short anyhow (see ``balancing``).
@@ -51,7 +51,7 @@
 def plan_limits(places: int, spare: int, copy_s: float) -> PlanLimits:
     """Return the bounds of a round; ``copy_s`` is how long one copy takes."""
     return PlanLimits(
-        places, spare, max(1, int(COPYING_S / copy_s) if copy_s else spare)
+        places, spare, max(1, int(ROUND_COPY_BUDGET_S / copy_s) if copy_s else spare)
     )
 
 
