--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.placement_planner import GOOD_ENOUGH
+from kingcupwheel.lockstep.placement_planner import SKEW_TOLERANCE
 from kingcupwheel.lockstep.placement_planner import PlacementPlan
 from kingcupwheel.lockstep.placement_planner import plan_limits
 from kingcupwheel.lockstep.placement_planner import plan_placement
@@ -109,7 +109,7 @@
     def _enough(self, skew: float) -> float:
         """Return how far over the mean a layer may be after a plan from ``skew``."""
         then_s = self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
-        return SHORT_PASS_SKEW_TOLERANCE if self._is_short(then_s) else GOOD_ENOUGH
+        return SHORT_PASS_SKEW_TOLERANCE if self._is_short(then_s) else SKEW_TOLERANCE
 
     def _is_short(self, pass_s: float) -> bool:
         return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.gap_s
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -25,7 +25,7 @@
 
 # A layer whose slowest rank is within this part over the mean is left alone, and that
 # much more where passes are short anyhow (see ``balancing``).
-GOOD_ENOUGH = 0.04
+SKEW_TOLERANCE = 0.04
 
 # A change must take this part of the mean off a layer's slowest rank.
 LEAST_GAIN = 0.01
@@ -78,7 +78,7 @@
     bounds: PlanLimits,
     paces: Sequence[float] = (),
     *,
-    enough: Callable[[float], float] = lambda _: GOOD_ENOUGH,
+    enough: Callable[[float], float] = lambda _: SKEW_TOLERANCE,
 ) -> PlacementPlan | None:
     """Return the next map towards even ranks, or None if no change is worth it.
 
