--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -28,7 +28,7 @@
 SKEW_TOLERANCE = 0.04
 
 # A change must take this part of the mean off a layer's slowest rank.
-LEAST_GAIN = 0.01
+MIN_CHANGE_GAIN = 0.01
 
 # Coolest ranks that are tried as the other side of a change.
 _COOL_RANKS = 6
@@ -154,7 +154,7 @@
         enough = self._loads[hot] <= self.mean * (1 + good_enough)
         if enough or not self._changes_left:
             return False
-        limit = self._loads[hot] - LEAST_GAIN * self.mean
+        limit = self._loads[hot] - MIN_CHANGE_GAIN * self.mean
         best: _Change | None = None
         for cool in order[:_COOL_RANKS]:
             for change in self._options(hot, cool, limit):
