--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -71,7 +71,7 @@
         ``answers`` hold the counts since the last time.
         """
         self._time_passes(group.coordinator_state.step, now)
-        moved = self._popularity.take(unpack_counts(answers))
+        moved = self._popularity.add_sample(unpack_counts(answers))
         paces = [group.states_by_rank[rank].pace for rank in range(group.rank_count)]
         if not moved and not self._pace_changed(paces):
             return None
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -65,7 +65,7 @@
         self.moved = 0.0
         self.noise = 0.0
 
-    def take(self, parts: Iterable[Sequence[float]]) -> bool:
+    def add_sample(self, parts: Iterable[Sequence[float]]) -> bool:
         """Add counts (all layers in one list); return whether the estimate moved.
 
         Each part is of other requests than the rest: of one rank, or of some together.
