--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -90,7 +90,7 @@
             copies=found.copies,
             skew=round(found.skew_before, 2),
             skew_after=round(found.skew_after, 2),
-            jumped=self._popularity.jumped,
+            jumped=self._popularity.has_jumped,
             moved=round(self._popularity.moved, 3),
             noise=round(self._popularity.noise, 3),
             choices=round(self._popularity.choices),
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -60,7 +60,7 @@
         self._experts = experts
         self._parts: list[Sequence[float]] = []
         self.shares: tuple[LayerShares, ...] | None = None
-        self.jumped = False
+        self.has_jumped = False
         self.choices = 0.0
         self.moved = 0.0
         self.noise = 0.0
@@ -102,11 +102,11 @@
     def _learn(self, sample: tuple[LayerShares, ...]) -> None:
         if self.shares is None:
             self.shares = sample
-            self.jumped = True
+            self.has_jumped = True
             return
         self.moved = distance(self.shares, sample)
-        self.jumped = self._is_jump()
-        part = 1.0 if self.jumped else SAMPLE_PART
+        self.has_jumped = self._is_jump()
+        part = 1.0 if self.has_jumped else SAMPLE_PART
         self.shares = tuple(
             _mixed(old, new, part) for old, new in zip(self.shares, sample, strict=True)
         )
