--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -91,7 +91,7 @@
             skew=round(found.skew_before, 2),
             skew_after=round(found.skew_after, 2),
             jumped=self._popularity.has_jumped,
-            moved=round(self._popularity.moved, 3),
+            moved=round(self._popularity.sample_distance, 3),
             noise=round(self._popularity.noise, 3),
             choices=round(self._popularity.choices),
             slowest_pace=round(max(paces), 2),
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -62,7 +62,7 @@
         self.shares: tuple[LayerShares, ...] | None = None
         self.has_jumped = False
         self.choices = 0.0
-        self.moved = 0.0
+        self.sample_distance = 0.0
         self.noise = 0.0
 
     def add_sample(self, parts: Iterable[Sequence[float]]) -> bool:
@@ -104,7 +104,7 @@
             self.shares = sample
             self.has_jumped = True
             return
-        self.moved = distance(self.shares, sample)
+        self.sample_distance = distance(self.shares, sample)
         self.has_jumped = self._is_jump()
         part = 1.0 if self.has_jumped else SAMPLE_PART
         self.shares = tuple(
@@ -112,10 +112,12 @@
         )
 
     def _is_jump(self) -> bool:
-        if self.moved > JUMP_DISTANCE:
+        if self.sample_distance > JUMP_DISTANCE:
             return True
         by_chance = JUMP_NOISE * self.noise
-        return 0.0 < by_chance < self.moved and self.moved > LEAST_JUMP
+        return (
+            0.0 < by_chance < self.sample_distance and self.sample_distance > LEAST_JUMP
+        )
 
 
 def distance(old: Sequence[LayerShares], new: Sequence[LayerShares]) -> float:
