--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -92,7 +92,7 @@
             skew_after=round(found.skew_after, 2),
             jumped=self._popularity.has_jumped,
             moved=round(self._popularity.sample_distance, 3),
-            noise=round(self._popularity.noise, 3),
+            noise=round(self._popularity.noise_distance, 3),
             choices=round(self._popularity.choices),
             slowest_pace=round(max(paces), 2),
             pass_ms=round(self._pass_s * 1000, 1),
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -63,7 +63,7 @@
         self.has_jumped = False
         self.choices = 0.0
         self.sample_distance = 0.0
-        self.noise = 0.0
+        self.noise_distance = 0.0
 
     def add_sample(self, parts: Iterable[Sequence[float]]) -> bool:
         """Add counts (all layers in one list); return whether the estimate moved.
@@ -80,7 +80,7 @@
             _shares(counts[start : start + self._experts])
             for start in range(0, len(counts), self._experts)
         )
-        self.noise = self._chance(sample)
+        self.noise_distance = self._chance(sample)
         self._parts = []
         self._learn(sample)
         return True
@@ -114,7 +114,7 @@
     def _is_jump(self) -> bool:
         if self.sample_distance > JUMP_DISTANCE:
             return True
-        by_chance = JUMP_NOISE * self.noise
+        by_chance = JUMP_NOISE * self.noise_distance
         return (
             0.0 < by_chance < self.sample_distance and self.sample_distance > LEAST_JUMP
         )
