--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -93,7 +93,7 @@
             jumped=self._popularity.has_jumped,
             moved=round(self._popularity.sample_distance, 3),
             noise=round(self._popularity.noise_distance, 3),
-            choices=round(self._popularity.choices),
+            choices=round(self._popularity.choice_count),
             slowest_pace=round(max(paces), 2),
             pass_ms=round(self._pass_s * 1000, 1),
         )
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -61,7 +61,7 @@
         self._parts: list[Sequence[float]] = []
         self.shares: tuple[LayerShares, ...] | None = None
         self.has_jumped = False
-        self.choices = 0.0
+        self.choice_count = 0.0
         self.sample_distance = 0.0
         self.noise_distance = 0.0
 
@@ -72,8 +72,8 @@
         """
         self._parts.extend(parts)
         counts = [sum(column) for column in zip(*self._parts, strict=True)]
-        self.choices = sum(counts[: self._experts])
-        if self.choices < LEAST_CHOICES:
+        self.choice_count = sum(counts[: self._experts])
+        if self.choice_count < LEAST_CHOICES:
             self._parts = [counts] if counts else []
             return False
         sample = tuple(
