--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -13,7 +13,7 @@
 from kingcupwheel.lockstep.placement_planner import PlacementPlan
 from kingcupwheel.lockstep.placement_planner import plan_limits
 from kingcupwheel.lockstep.placement_planner import plan_placement
-from kingcupwheel.lockstep.popularity import Popularity
+from kingcupwheel.lockstep.popularity import ExpertPopularity
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
-        self._popularity = Popularity(shape.layers, shape.experts)
+        self._popularity = ExpertPopularity(shape.layers, shape.experts)
         self._bounds = plan_limits(shape.places, shape.spare, shape.copy_s)
         self._paces: list[float] = []
         self._passed: tuple[int, float] | None = None
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -47,7 +47,7 @@
 LayerShares = tuple[float, ...]
 
 
-class Popularity:
+class ExpertPopularity:
     """The share of each expert in its layer's work, by layer.
 
     ``choices`` are those of a layer in the latest sample; ``jumped`` tells whether it
