--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -19,7 +19,7 @@
 
 # Choices of experts in a layer below which a sample says too little and is added to the
 # next: some forty requests' prompts at eight choices a token.
-LEAST_CHOICES = 4_000
+MIN_SAMPLE_CHOICES = 4_000
 
 # Distance (sum of absolute differences of shares, 0 to 2) from which a sample is taken
 # as a jump and what came before is forgotten. Of 340 samples of two recorded days those
@@ -73,7 +73,7 @@
         self._parts.extend(parts)
         counts = [sum(column) for column in zip(*self._parts, strict=True)]
         self.choice_count = sum(counts[: self._experts])
-        if self.choice_count < LEAST_CHOICES:
+        if self.choice_count < MIN_SAMPLE_CHOICES:
             self._parts = [counts] if counts else []
             return False
         sample = tuple(
