--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -29,7 +29,7 @@
 # The same as a multiple of the distance that chance alone would show, worked out from
 # how much the ranks' own counts differ. On a recorded day of 16 ranks samples of a
 # steady demand were at 1.4 to 3.7 times that, those across a jump at 5.5 to 8.
-JUMP_NOISE = 4.5
+JUMP_NOISE_FACTOR = 4.5
 # A distance below which nothing is taken as a jump, however little the chance.
 LEAST_JUMP = 0.06
 # Layers by which chance is worked out: each costs as much as summing a layer's counts,
@@ -114,7 +114,7 @@
     def _is_jump(self) -> bool:
         if self.sample_distance > JUMP_DISTANCE:
             return True
-        by_chance = JUMP_NOISE * self.noise_distance
+        by_chance = JUMP_NOISE_FACTOR * self.noise_distance
         return (
             0.0 < by_chance < self.sample_distance and self.sample_distance > LEAST_JUMP
         )
