--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -31,7 +31,7 @@
 # steady demand were at 1.4 to 3.7 times that, those across a jump at 5.5 to 8.
 JUMP_NOISE_FACTOR = 4.5
 # A distance below which nothing is taken as a jump, however little the chance.
-LEAST_JUMP = 0.06
+MIN_JUMP_DISTANCE = 0.06
 # Layers by which chance is worked out: each costs as much as summing a layer's counts,
 # and requests differ alike in all of them.
 _NOISE_LAYERS = 3
@@ -116,7 +116,8 @@
             return True
         by_chance = JUMP_NOISE_FACTOR * self.noise_distance
         return (
-            0.0 < by_chance < self.sample_distance and self.sample_distance > LEAST_JUMP
+            0.0 < by_chance < self.sample_distance
+            and self.sample_distance > MIN_JUMP_DISTANCE
         )
 
 
