--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -39,7 +39,7 @@
 # Part of the estimate that a sample takes without a jump. Played over the same recorded
 # samples, a quarter and the gains asked of a change (see ``balancing``) halve the
 # copies against 0.4 (900 for 1,500), with the mean skew within 0.03.
-SAMPLE_PART = 0.25
+SAMPLE_WEIGHT = 0.25
 
 # The mean distance from zero of a normal variable of deviation 1.
 _MEAN_OF_NORMAL = math.sqrt(2 / math.pi)
@@ -106,7 +106,7 @@
             return
         self.sample_distance = distance(self.shares, sample)
         self.has_jumped = self._is_jump()
-        part = 1.0 if self.has_jumped else SAMPLE_PART
+        part = 1.0 if self.has_jumped else SAMPLE_WEIGHT
         self.shares = tuple(
             _mixed(old, new, part) for old, new in zip(self.shares, sample, strict=True)
         )
