--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -104,7 +104,7 @@
             self.shares = sample
             self.has_jumped = True
             return
-        self.sample_distance = distance(self.shares, sample)
+        self.sample_distance = mean_distance(self.shares, sample)
         self.has_jumped = self._is_jump()
         part = 1.0 if self.has_jumped else SAMPLE_WEIGHT
         self.shares = tuple(
@@ -121,7 +121,7 @@
         )
 
 
-def distance(old: Sequence[LayerShares], new: Sequence[LayerShares]) -> float:
+def mean_distance(old: Sequence[LayerShares], new: Sequence[LayerShares]) -> float:
     """Return the mean distance of the layers' shares, 0 to 2."""
     total = sum(
         abs(before - after)
