--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -109,7 +109,7 @@
 
     def _forget(self) -> None:
         self._charge = None
-        self._reach.forget()
+        self._reach.reset_silent_agents()
 
     def _take_charge(self) -> float:
         taken = self._taker.look()
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -38,7 +38,7 @@
         self._direct = DirectServerClient()
         self._silent: set[str] = set()
 
-    def forget(self) -> None:
+    def reset_silent_agents(self) -> None:
         """Ask every agent again."""
         self._silent = set()
 
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -116,7 +116,7 @@
         take_up = recover_phase_without_rank_0 if lacks_first else recover_phase
         charge.begin_change(take_up(charge.group, charge.layers))
         if rescues and isinstance(charge.phase, Idle):
-            self._reach.forget()
+            self._reach.reset_silent_agents()
             return None
         log.info(
             "rescuing" if rescues else "coordinating",
