--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -42,7 +42,7 @@
         """Ask every agent again."""
         self._silent = set()
 
-    def take_over(self, roster: Roster) -> None:
+    def use_roster(self, roster: Roster) -> None:
         """Ask the agents of ``roster`` through its heads from now on."""
         self._panel.set_branch_heads(roster.heads)
 
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -105,7 +105,7 @@
             return None
         agents = {rank: found.agent for rank, found in ranks.items()}
         roster = Roster(own.epoch, own.ranks, agents, servers_by_agent)
-        self._reach.take_over(roster)
+        self._reach.use_roster(roster)
         charge = CoordinationSession(
             roster,
             {rank: found.state for rank, found in ranks.items()},
