--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -46,7 +46,7 @@
         """Ask the agents of ``roster`` through its heads from now on."""
         self._panel.set_branch_heads(roster.heads)
 
-    def places(self, servers_by_agent: Mapping[str, Beside]) -> Answers:
+    def fetch_placements(self, servers_by_agent: Mapping[str, Beside]) -> Answers:
         """Return states and experts of every rank that can be reached."""
         self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.request_all(
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -90,7 +90,7 @@
     ) -> CoordinationSession | None:
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
-        answers = self._reach.places(servers_by_agent)
+        answers = self._reach.fetch_placements(servers_by_agent)
         ranks = ranks_of(own, answers)
         # Rank 0 alone is missing: its whole machine is frozen or gone.
         lacks_first = rescues and set(ranks) == set(range(1, own.ranks))
