--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -131,7 +131,7 @@
     def _balance(self, charge: CoordinationSession) -> float:
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
-        answers, silent = self._reach.counts(charge.roster)
+        answers, silent = self._reach.fetch_counts(charge.roster)
         self._metrics.silent.inc(silent)
         if not charge.update_states(answers):
             return LOOK_S
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -57,7 +57,7 @@
         self._ask_servers(asks, servers, answers)
         return answers
 
-    def counts(self, roster: Roster) -> tuple[Answers, int]:
+    def fetch_counts(self, roster: Roster) -> tuple[Answers, int]:
         """Return states and counts, and how many agents were silent.
 
         Servers are not asked for their counts: from afar that holds up every pass.
