--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -73,7 +73,7 @@
         machine wakes. Without a hold passes go on with the map in force meanwhile.
         """
         ranks = charge.roster.agents_by_rank
-        answers = self._reach.states(charge.roster, ranks)
+        answers = self._reach.fetch_states(charge.roster, ranks)
         if not charge.update_states(answers):
             return False
         # An agent may answer whose server does not.
@@ -88,7 +88,7 @@
             COORDINATOR_RANK,
             charge.group.holder_rank,
         } & charge.roster.agents_by_rank.keys()
-        answers = self._reach.states(charge.roster, ranks)
+        answers = self._reach.fetch_states(charge.roster, ranks)
         if charge.update_states(answers):
             self._advance(charge)
 
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -69,7 +69,7 @@
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
-    def states(self, roster: Roster, ranks: Iterable[int]) -> Answers:
+    def fetch_states(self, roster: Roster, ranks: Iterable[int]) -> Answers:
         """Return the states of ``ranks``."""
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
