--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -61,7 +61,7 @@
             self._look(charge)
             return
         wait_s = _PREPARE_S if isinstance(charge.phase, Preparing) else _ORDER_S
-        answers = self._reach.order(charge.roster, wanted, wait_s)
+        answers = self._reach.send_orders(charge.roster, wanted, wait_s)
         if charge.update_states(answers):
             self._advance(charge)
 
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -78,7 +78,7 @@
         self._ask_servers(asks, _servers(roster, agents), answers)
         return answers
 
-    def order(
+    def send_orders(
         self, roster: Roster, wanted: Iterable[PendingOrder], wait_s: float
     ) -> Answers:
         """Give the orders and return the states after them.
