--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.lockstep.change_protocol import Phase
     from kingcupwheel.lockstep.coordination_session import CoordinationSession
-    from kingcupwheel.lockstep.group_client import RankReach
+    from kingcupwheel.lockstep.group_client import GroupClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
@@ -40,7 +40,7 @@
 class ChangeDriver:
     """Takes a charge's change further; belongs to one thread."""
 
-    def __init__(self, reach: RankReach, metrics: RankMetrics) -> None:
+    def __init__(self, reach: GroupClient, metrics: RankMetrics) -> None:
         self._reach = reach
         self._metrics = metrics
 
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -19,7 +19,7 @@
 from kingcupwheel.lockstep.change_protocol import Settling
 from kingcupwheel.lockstep.change_protocol import recover_phase
 from kingcupwheel.lockstep.coordination_session import CoordinationSession
-from kingcupwheel.lockstep.group_client import RankReach
+from kingcupwheel.lockstep.group_client import GroupClient
 from kingcupwheel.lockstep.takeover import LOOK_S
 from kingcupwheel.lockstep.takeover import ChargeTaker
 from kingcupwheel.telemetry.lines import lines_of
@@ -62,7 +62,7 @@
         shape: Callable[[], EngineShape | None],
     ) -> None:
         self._metrics = metrics
-        self._reach = RankReach(panel)
+        self._reach = GroupClient(panel)
         self._taker = ChargeTaker(
             client, self._reach, find_servers=find_servers, shape=shape
         )
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -26,7 +26,7 @@
 Answers = dict[str, "RankTold"]
 
 
-class RankReach:
+class GroupClient:
     """Answers are by the agents' addresses; belongs to one thread.
 
     An agent that was silent is not asked again until ``counts`` or ``forget``: its
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -34,7 +34,7 @@
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.group_client import RankReach
+    from kingcupwheel.lockstep.group_client import GroupClient
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Beside
     from kingcupwheel.platform.ranks import RankClient
@@ -59,7 +59,7 @@
     def __init__(
         self,
         client: RankClient,
-        reach: RankReach,
+        reach: GroupClient,
         *,
         find_servers: Callable[[], Mapping[str, Beside]],
         shape: Callable[[], EngineShape | None],
