--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -23,7 +23,7 @@
     from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
 
-Answers = dict[str, "RankTold"]
+RepliesByAgent = dict[str, "RankTold"]
 
 
 class GroupClient:
@@ -46,7 +46,9 @@
         """Ask the agents of ``roster`` through its heads from now on."""
         self._panel.set_branch_heads(roster.heads)
 
-    def fetch_placements(self, servers_by_agent: Mapping[str, Beside]) -> Answers:
+    def fetch_placements(
+        self, servers_by_agent: Mapping[str, Beside]
+    ) -> RepliesByAgent:
         """Return states and experts of every rank that can be reached."""
         self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
         answers = self._panel.request_all(
@@ -57,7 +59,7 @@
         self._ask_servers(asks, servers, answers)
         return answers
 
-    def fetch_counts(self, roster: Roster) -> tuple[Answers, int]:
+    def fetch_counts(self, roster: Roster) -> tuple[RepliesByAgent, int]:
         """Return states and counts, and how many agents were silent.
 
         Servers are not asked for their counts: from afar that holds up every pass.
@@ -69,7 +71,7 @@
         self._silent = set(agents) - set(answers)
         return answers, len(self._silent)
 
-    def fetch_states(self, roster: Roster, ranks: Iterable[int]) -> Answers:
+    def fetch_states(self, roster: Roster, ranks: Iterable[int]) -> RepliesByAgent:
         """Return the states of ``ranks``."""
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent]
@@ -80,7 +82,7 @@
 
     def send_orders(
         self, roster: Roster, wanted: Iterable[PendingOrder], wait_s: float
-    ) -> Answers:
+    ) -> RepliesByAgent:
         """Give the orders and return the states after them.
 
         A hold and its release go to the server past its agent: what gives them and
@@ -104,7 +106,10 @@
         return answers
 
     def _ask_servers(
-        self, asks: Mapping[str, RankAsk], servers: Mapping[str, str], answers: Answers
+        self,
+        asks: Mapping[str, RankAsk],
+        servers: Mapping[str, str],
+        answers: RepliesByAgent,
     ) -> None:
         """Ask the servers whose agents are not among ``answers``, and add theirs."""
         agents_by_server = {
