--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -75,7 +75,7 @@
             if told is None or told.state is None:
                 continue
             known = self._states_by_rank.get(rank)
-            if not self.roster.goes_on(rank, known, told.state):
+            if not self.roster.is_same_incarnation(rank, known, told.state):
                 log.info("group-changed", rank=rank, epoch=told.state.epoch)
                 self.close()
                 return False
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -42,7 +42,9 @@
         """Return the address of the server beside an agent."""
         return self.servers_by_agent[agent].server
 
-    def goes_on(self, rank: int, known: RankState | None, told: RankState) -> bool:
+    def is_same_incarnation(
+        self, rank: int, known: RankState | None, told: RankState
+    ) -> bool:
         """Return whether a report is of the same rank, epoch and life as before.
 
         A server that started anew has no map, and nothing prepared or armed, whatever
