--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -51,7 +51,9 @@
     @property
     def group(self) -> GroupState:
         """The ranks' latest reports."""
-        return GroupState(self.roster.epoch, self.roster.ranks, self._states_by_rank)
+        return GroupState(
+            self.roster.epoch, self.roster.rank_count, self._states_by_rank
+        )
 
     @property
     def change_elapsed_s(self) -> float:
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -34,7 +34,7 @@
     """
 
     epoch: int
-    ranks: int
+    rank_count: int
     agents_by_rank: Mapping[int, str]
     servers_by_agent: Mapping[str, Beside]
 
