--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -44,7 +44,7 @@
 
     def use_roster(self, roster: Roster) -> None:
         """Ask the agents of ``roster`` through its heads from now on."""
-        self._panel.set_branch_heads(roster.heads)
+        self._panel.set_branch_heads(roster.branch_heads)
 
     def fetch_placements(
         self, servers_by_agent: Mapping[str, Beside]
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -55,7 +55,7 @@
         return known is None or known.born_ms == told.born_ms
 
     @property
-    def heads(self) -> dict[str, str]:
+    def branch_heads(self) -> dict[str, str]:
         """The agents through which this group's agents are asked."""
         return heads_of(self.servers_by_agent, self.agents_by_rank.values())
 
