--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -31,7 +31,7 @@
 
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.agent_client import AgentClient
-    from kingcupwheel.lockstep.roster import Beside
+    from kingcupwheel.lockstep.roster import PairedServer
     from kingcupwheel.platform.ranks import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
@@ -58,7 +58,7 @@
         panel: AgentClient,
         metrics: RankMetrics,
         *,
-        find_servers: Callable[[], Mapping[str, Beside]],
+        find_servers: Callable[[], Mapping[str, PairedServer]],
         shape: Callable[[], EngineShape | None],
     ) -> None:
         self._metrics = metrics
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -19,7 +19,7 @@
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadAggregator
 from kingcupwheel.lockstep.order_executor import OrderExecutor
-from kingcupwheel.lockstep.roster import Beside
+from kingcupwheel.lockstep.roster import PairedServer
 from kingcupwheel.messages.lockstep import BranchAsk
 from kingcupwheel.messages.lockstep import BranchTold
 from kingcupwheel.messages.lockstep import RankAsk
@@ -77,7 +77,7 @@
         self._asks: Queue[tuple[Link, RankAsk]] = Queue(_QUEUED)
         self._entries: dict[Link, float] = {}
         self._shape: EngineShape | None = None
-        self._servers_by_agent: dict[str, Beside] = {}
+        self._servers_by_agent: dict[str, PairedServer] = {}
         self._lock = Lock()
         self._stopping = Event()
         self._hub = Hub(
@@ -208,7 +208,7 @@
         for link in links:
             self._hub.send(link, beat)
 
-    def _find_servers(self) -> Mapping[str, Beside]:
+    def _find_servers(self) -> Mapping[str, PairedServer]:
         """Return servers of this service by the address of the agent beside each.
 
         While the store is away those found last serve: a held pass can't wait for it.
@@ -218,13 +218,13 @@
             log.warning("store-lost", kind=SERVERS_KIND, why=str(listed.error))
             return self._servers_by_agent
         port = self._settings.listen.rpartition(":")[2]
-        found: dict[str, Beside] = {}
+        found: dict[str, PairedServer] = {}
         for stored in listed.ok.objects:
             decoded = decode_server(stored)
             if decoded.is_ok() and decoded.ok.service == self._rank.service:
                 server = decoded.ok
                 agent = f"{server.address.rpartition(':')[0]}:{port}"
-                found[agent] = Beside(server.address, server.data_centre)
+                found[agent] = PairedServer(server.address, server.data_centre)
         self._servers_by_agent = found
         return found
 
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -19,7 +19,7 @@
 
     from kingcupwheel.lockstep.agent_client import AgentClient
     from kingcupwheel.lockstep.change_protocol import PendingOrder
-    from kingcupwheel.lockstep.roster import Beside
+    from kingcupwheel.lockstep.roster import PairedServer
     from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankTold
 
@@ -47,7 +47,7 @@
         self._panel.set_branch_heads(roster.branch_heads)
 
     def fetch_placements(
-        self, servers_by_agent: Mapping[str, Beside]
+        self, servers_by_agent: Mapping[str, PairedServer]
     ) -> RepliesByAgent:
         """Return states and experts of every rank that can be reached."""
         self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -19,7 +19,7 @@
     from kingcupwheel.messages.lockstep import RankTold
 
 
-class Beside(NamedTuple):
+class PairedServer(NamedTuple):
     """The server beside an agent, and the data centre of both."""
 
     server: str
@@ -36,7 +36,7 @@
     epoch: int
     rank_count: int
     agents_by_rank: Mapping[int, str]
-    servers_by_agent: Mapping[str, Beside]
+    servers_by_agent: Mapping[str, PairedServer]
 
     def server_of(self, agent: str) -> str:
         """Return the address of the server beside an agent."""
@@ -80,7 +80,7 @@
 
 
 def heads_of(
-    servers_by_agent: Mapping[str, Beside], agents: Iterable[str]
+    servers_by_agent: Mapping[str, PairedServer], agents: Iterable[str]
 ) -> dict[str, str]:
     """Return the agent through which each of ``agents`` is asked."""
     return assign_branch_heads(
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -36,7 +36,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.group_client import GroupClient
     from kingcupwheel.lockstep.rank_reports import RankState
-    from kingcupwheel.lockstep.roster import Beside
+    from kingcupwheel.lockstep.roster import PairedServer
     from kingcupwheel.platform.ranks import RankClient
 
 log = lines_of("maps")
@@ -61,7 +61,7 @@
         client: RankClient,
         reach: GroupClient,
         *,
-        find_servers: Callable[[], Mapping[str, Beside]],
+        find_servers: Callable[[], Mapping[str, PairedServer]],
         shape: Callable[[], EngineShape | None],
     ) -> None:
         self._client = client
