--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -65,7 +65,7 @@
 
     agent: str
     state: RankState
-    places: tuple[tuple[int, ...], ...]
+    experts_by_layer: tuple[tuple[int, ...], ...]
 
 
 def ranks_of(own: RankState, answers: Mapping[str, RankTold]) -> dict[int, Found]:
@@ -95,7 +95,7 @@
 
     A rank that is missing is given the experts that no other one has.
     """
-    if not all(len(one.places) == shape.layers for one in ranks.values()):
+    if not all(len(one.experts_by_layer) == shape.layers for one in ranks.values()):
         return round_robin_placement(size, shape.layers, shape.experts)
     return tuple(_layer_of(ranks, size, shape, layer) for layer in range(shape.layers))
 
@@ -103,8 +103,9 @@
 def _layer_of(
     ranks: Mapping[int, Found], size: int, shape: EngineShape, layer: int
 ) -> tuple[tuple[int, ...], ...]:
-    held = {expert for one in ranks.values() for expert in one.places[layer]}
+    held = {expert for one in ranks.values() for expert in one.experts_by_layer[layer]}
     rest = tuple(one for one in range(shape.experts) if one not in held) or (0,)
     return tuple(
-        ranks[rank].places[layer] if rank in ranks else rest for rank in range(size)
+        ranks[rank].experts_by_layer[layer] if rank in ranks else rest
+        for rank in range(size)
     )
