--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -60,7 +60,7 @@
         return heads_of(self.servers_by_agent, self.agents_by_rank.values())
 
 
-class Found(NamedTuple):
+class RankReport(NamedTuple):
     """A rank that answered: its agent, its state and its experts by layer."""
 
     agent: str
@@ -68,10 +68,10 @@
     experts_by_layer: tuple[tuple[int, ...], ...]
 
 
-def ranks_of(own: RankState, answers: Mapping[str, RankTold]) -> dict[int, Found]:
+def ranks_of(own: RankState, answers: Mapping[str, RankTold]) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
-        told.state.rank: Found(agent, told.state, told.places)
+        told.state.rank: RankReport(agent, told.state, told.places)
         for agent, told in answers.items()
         if told.state is not None
         and told.state.epoch == own.epoch
@@ -89,7 +89,7 @@
 
 
 def layers_of(
-    ranks: Mapping[int, Found], size: int, shape: EngineShape
+    ranks: Mapping[int, RankReport], size: int, shape: EngineShape
 ) -> LayerPlacements:
     """Return the map in force, put together from each rank's experts.
 
@@ -101,7 +101,7 @@
 
 
 def _layer_of(
-    ranks: Mapping[int, Found], size: int, shape: EngineShape, layer: int
+    ranks: Mapping[int, RankReport], size: int, shape: EngineShape, layer: int
 ) -> tuple[tuple[int, ...], ...]:
     held = {expert for one in ranks.values() for expert in one.experts_by_layer[layer]}
     rest = tuple(one for one in range(shape.experts) if one not in held) or (0,)
