--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -68,7 +68,9 @@
     experts_by_layer: tuple[tuple[int, ...], ...]
 
 
-def ranks_of(own: RankState, answers: Mapping[str, RankTold]) -> dict[int, RankReport]:
+def reports_by_rank(
+    own: RankState, answers: Mapping[str, RankTold]
+) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
         told.state.rank: RankReport(agent, told.state, told.places)
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -24,7 +24,7 @@
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import layers_of
-from kingcupwheel.lockstep.roster import ranks_of
+from kingcupwheel.lockstep.roster import reports_by_rank
 from kingcupwheel.lockstep.stall_detector import Standstill
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -91,7 +91,7 @@
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
         answers = self._reach.fetch_placements(servers_by_agent)
-        ranks = ranks_of(own, answers)
+        ranks = reports_by_rank(own, answers)
         # Rank 0 alone is missing: its whole machine is frozen or gone.
         lacks_first = rescues and set(ranks) == set(range(1, own.ranks))
         if len(ranks) < own.ranks and not lacks_first:
