--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -8,7 +8,7 @@
 from kingcupwheel.lockstep.direct_client import DirectServerClient
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
-from kingcupwheel.lockstep.roster import heads_of
+from kingcupwheel.lockstep.roster import find_branch_heads
 from kingcupwheel.messages.lockstep import RankAsk
 from kingcupwheel.messages.lockstep import Tell
 
@@ -50,7 +50,9 @@
         self, servers_by_agent: Mapping[str, PairedServer]
     ) -> RepliesByAgent:
         """Return states and experts of every rank that can be reached."""
-        self._panel.set_branch_heads(heads_of(servers_by_agent, servers_by_agent))
+        self._panel.set_branch_heads(
+            find_branch_heads(servers_by_agent, servers_by_agent)
+        )
         answers = self._panel.request_all(
             dict.fromkeys(servers_by_agent, AgentRequest(Tell.PLACES))
         )
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -57,7 +57,7 @@
     @property
     def branch_heads(self) -> dict[str, str]:
         """The agents through which this group's agents are asked."""
-        return heads_of(self.servers_by_agent, self.agents_by_rank.values())
+        return find_branch_heads(self.servers_by_agent, self.agents_by_rank.values())
 
 
 class RankReport(NamedTuple):
@@ -81,7 +81,7 @@
     }
 
 
-def heads_of(
+def find_branch_heads(
     servers_by_agent: Mapping[str, PairedServer], agents: Iterable[str]
 ) -> dict[str, str]:
     """Return the agent through which each of ``agents`` is asked."""
