--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -90,7 +90,7 @@
     )
 
 
-def layers_of(
+def assemble_active_map(
     ranks: Mapping[int, RankReport], size: int, shape: EngineShape
 ) -> LayerPlacements:
     """Return the map in force, put together from each rank's experts.
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -23,7 +23,7 @@
 from kingcupwheel.lockstep.coordination_session import CoordinationSession
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.roster import Roster
-from kingcupwheel.lockstep.roster import layers_of
+from kingcupwheel.lockstep.roster import assemble_active_map
 from kingcupwheel.lockstep.roster import reports_by_rank
 from kingcupwheel.lockstep.stall_detector import Standstill
 from kingcupwheel.telemetry.lines import lines_of
@@ -109,7 +109,7 @@
         charge = CoordinationSession(
             roster,
             {rank: found.state for rank, found in ranks.items()},
-            layers_of(ranks, own.ranks, shape),
+            assemble_active_map(ranks, own.ranks, shape),
             Balancer(shape),
             rescues=rescues,
         )
