--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -6,7 +6,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.order_status import is_shown
+from kingcupwheel.lockstep.order_status import is_carried_out
 from kingcupwheel.lockstep.order_status import is_void
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.messages.lockstep import RankTold
@@ -64,7 +64,9 @@
         until = monotonic() + ask.wait_ms / 1000
         look_s = _LOOK_COPY_S if isinstance(order, Prepare) else _LOOK_S
         given_at = float("-inf")
-        while state is None or not (is_shown(order, state) or is_void(order, state)):
+        while state is None or not (
+            is_carried_out(order, state) or is_void(order, state)
+        ):
             now = monotonic()
             if now >= until:
                 break
--- a/src/kingcupwheel/lockstep/order_status.py
+++ b/src/kingcupwheel/lockstep/order_status.py
@@ -16,7 +16,7 @@
     from kingcupwheel.lockstep.rank_reports import RankState
 
 
-def is_shown(order: RankOrder, state: RankState) -> bool:
+def is_carried_out(order: RankOrder, state: RankState) -> bool:
     """Return whether ``state`` shows ``order`` carried out."""
     match order:
         case Prepare(_, version):
