--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.order_status import is_carried_out
-from kingcupwheel.lockstep.order_status import is_void
+from kingcupwheel.lockstep.order_status import is_obsolete
 from kingcupwheel.lockstep.orders import Prepare
 from kingcupwheel.messages.lockstep import RankTold
 from kingcupwheel.messages.lockstep import Tell
@@ -65,7 +65,7 @@
         look_s = _LOOK_COPY_S if isinstance(order, Prepare) else _LOOK_S
         given_at = float("-inf")
         while state is None or not (
-            is_carried_out(order, state) or is_void(order, state)
+            is_carried_out(order, state) or is_obsolete(order, state)
         ):
             now = monotonic()
             if now >= until:
--- a/src/kingcupwheel/lockstep/order_status.py
+++ b/src/kingcupwheel/lockstep/order_status.py
@@ -31,7 +31,7 @@
             return state.held != step
 
 
-def is_void(order: RankOrder, state: RankState) -> bool:
+def is_obsolete(order: RankOrder, state: RankState) -> bool:
     """Return whether giving ``order`` again is pointless.
 
     The group has formed anew, a higher version took its place, or its pass has begun.
