--- a/src/kingcupwheel/lockstep/stall_detector.py
+++ b/src/kingcupwheel/lockstep/stall_detector.py
@@ -22,7 +22,7 @@
         self._at: tuple[int, int] = (0, 0)
         self._since = float("-inf")
 
-    def lasts(self, state: RankState, now: float) -> bool:
+    def is_stalled(self, state: RankState, now: float) -> bool:
         """Return whether the rank has stood still for too long."""
         at = (state.epoch, state.step)
         waits = max(state.prepared, state.armed) > state.version
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -78,7 +78,7 @@
         rescues = own.ok.rank != COORDINATOR_RANK
         if rescues and own.ok.rank not in RESCUERS:
             return LOOK_S
-        if rescues and not self._standstill.lasts(own.ok, monotonic()):
+        if rescues and not self._standstill.is_stalled(own.ok, monotonic()):
             return RESCUE_LOOK_S
         shape = self._shape()
         if shape is None or not own.ok.ranks:
