--- a/src/kingcupwheel/lockstep/stall_detector.py
+++ b/src/kingcupwheel/lockstep/stall_detector.py
@@ -15,7 +15,7 @@
 _LATER_S = 0.4
 
 
-class Standstill:
+class StallDetector:
     """Watches one rank's reports."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -25,7 +25,7 @@
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import assemble_active_map
 from kingcupwheel.lockstep.roster import reports_by_rank
-from kingcupwheel.lockstep.stall_detector import Standstill
+from kingcupwheel.lockstep.stall_detector import StallDetector
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -68,7 +68,7 @@
         self._reach = reach
         self._find_servers = find_servers
         self._shape = shape
-        self._standstill = Standstill()
+        self._standstill = StallDetector()
 
     def look(self) -> CoordinationSession | float:
         """Return the charge to take, or the seconds until the next look."""
