--- a/src/kingcupwheel/lockstep/stall_detector.py
+++ b/src/kingcupwheel/lockstep/stall_detector.py
@@ -11,7 +11,7 @@
 # How long a rank with work and a change prepared may begin no pass, in seconds. Passes
 # take up to 0.1; a hold that goes well lasts some 0.02. The further ranks wait longer,
 # so that they don't all act at once.
-STANDSTILL_S = 0.35
+STALL_TIMEOUT_S = 0.35
 _LATER_S = 0.4
 
 
@@ -30,5 +30,5 @@
             self._at = at
             self._since = now
             return False
-        limit_s = STANDSTILL_S + _LATER_S * max(0, state.rank - 1)
+        limit_s = STALL_TIMEOUT_S + _LATER_S * max(0, state.rank - 1)
         return now - self._since > limit_s
