--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -112,7 +112,7 @@
         self._reach.reset_silent_agents()
 
     def _take_charge(self) -> float:
-        taken = self._taker.look()
+        taken = self._taker.check()
         if not isinstance(taken, CoordinationSession):
             return taken
         self._charge = taken
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -70,7 +70,7 @@
         self._shape = shape
         self._standstill = StallDetector()
 
-    def look(self) -> CoordinationSession | float:
+    def check(self) -> CoordinationSession | float:
         """Return the charge to take, or the seconds until the next look."""
         own = self._client.state()
         if own.is_error() or not own.ok.is_open:
