--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -21,7 +21,7 @@
 from kingcupwheel.lockstep.coordination_session import CoordinationSession
 from kingcupwheel.lockstep.group_client import GroupClient
 from kingcupwheel.lockstep.takeover import LOOK_S
-from kingcupwheel.lockstep.takeover import ChargeTaker
+from kingcupwheel.lockstep.takeover import TakeoverMonitor
 from kingcupwheel.telemetry.lines import lines_of
 
 
@@ -63,7 +63,7 @@
     ) -> None:
         self._metrics = metrics
         self._reach = GroupClient(panel)
-        self._taker = ChargeTaker(
+        self._taker = TakeoverMonitor(
             client, self._reach, find_servers=find_servers, shape=shape
         )
         self._giver = ChangeDriver(self._reach, metrics)
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -49,7 +49,7 @@
 RESCUE_LOOK_S = 0.15
 
 
-class ChargeTaker:
+class TakeoverMonitor:
     """Looks at the rank beside this process, and then at its group, when it has to.
 
     ``find_servers`` returns the addresses of the group's servers by their agents'
