--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -20,7 +20,7 @@
 from kingcupwheel.lockstep.change_protocol import recover_phase
 from kingcupwheel.lockstep.coordination_session import CoordinationSession
 from kingcupwheel.lockstep.group_client import GroupClient
-from kingcupwheel.lockstep.takeover import LOOK_S
+from kingcupwheel.lockstep.takeover import TAKEOVER_CHECK_INTERVAL_S
 from kingcupwheel.lockstep.takeover import TakeoverMonitor
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -94,7 +94,7 @@
             except Exception as error:  # the thread must outlive any one round
                 log.error("round-failed", exc_info=True, why=repr(error))
                 self._forget()
-                pause_s = LOOK_S
+                pause_s = TAKEOVER_CHECK_INTERVAL_S
             self._stopping.wait(pause_s)
 
     def _step(self) -> float:
@@ -122,7 +122,7 @@
         if isinstance(charge.phase, Idle):
             if charge.is_rescue:
                 charge.close()
-                return LOOK_S
+                return TAKEOVER_CHECK_INTERVAL_S
             return self._balance(charge)
         self._giver.run_round(charge)
         # Settling waits for a pass to begin; the rest waits at the agents.
@@ -134,7 +134,7 @@
         answers, silent = self._reach.fetch_counts(charge.roster)
         self._metrics.silent.inc(silent)
         if not charge.update_states(answers):
-            return LOOK_S
+            return TAKEOVER_CHECK_INTERVAL_S
         group = charge.group
         if group.held_step is not None:
             # A hold of a former life came late; see ``taken_up``.
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -42,7 +42,7 @@
 log = lines_of("maps")
 
 # How often an agent that does not coordinate looks whether it has to, in seconds.
-LOOK_S = 0.4
+TAKEOVER_CHECK_INTERVAL_S = 0.4
 # Ranks whose agents end a change that rank 0's leaves unfinished.
 RESCUERS = (1, 2)
 # How often they look at their own rank, in seconds.
@@ -74,16 +74,16 @@
         """Return the charge to take, or the seconds until the next look."""
         own = self._client.state()
         if own.is_error() or not own.ok.is_open:
-            return LOOK_S
+            return TAKEOVER_CHECK_INTERVAL_S
         rescues = own.ok.rank != COORDINATOR_RANK
         if rescues and own.ok.rank not in RESCUERS:
-            return LOOK_S
+            return TAKEOVER_CHECK_INTERVAL_S
         if rescues and not self._standstill.is_stalled(own.ok, monotonic()):
             return RESCUE_LOOK_S
         shape = self._shape()
         if shape is None or not own.ok.ranks:
-            return LOOK_S
-        return self._take(own.ok, shape, rescues=rescues) or LOOK_S
+            return TAKEOVER_CHECK_INTERVAL_S
+        return self._take(own.ok, shape, rescues=rescues) or TAKEOVER_CHECK_INTERVAL_S
 
     def _take(
         self, own: RankState, shape: EngineShape, *, rescues: bool
