--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -44,7 +44,7 @@
 # How often an agent that does not coordinate looks whether it has to, in seconds.
 TAKEOVER_CHECK_INTERVAL_S = 0.4
 # Ranks whose agents end a change that rank 0's leaves unfinished.
-RESCUERS = (1, 2)
+RESCUER_RANKS = (1, 2)
 # How often they look at their own rank, in seconds.
 RESCUE_LOOK_S = 0.15
 
@@ -76,7 +76,7 @@
         if own.is_error() or not own.ok.is_open:
             return TAKEOVER_CHECK_INTERVAL_S
         rescues = own.ok.rank != COORDINATOR_RANK
-        if rescues and own.ok.rank not in RESCUERS:
+        if rescues and own.ok.rank not in RESCUER_RANKS:
             return TAKEOVER_CHECK_INTERVAL_S
         if rescues and not self._standstill.is_stalled(own.ok, monotonic()):
             return RESCUE_LOOK_S
