--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -46,7 +46,7 @@
 # Ranks whose agents end a change that rank 0's leaves unfinished.
 RESCUER_RANKS = (1, 2)
 # How often they look at their own rank, in seconds.
-RESCUE_LOOK_S = 0.15
+RESCUE_CHECK_INTERVAL_S = 0.15
 
 
 class TakeoverMonitor:
@@ -79,7 +79,7 @@
         if rescues and own.ok.rank not in RESCUER_RANKS:
             return TAKEOVER_CHECK_INTERVAL_S
         if rescues and not self._standstill.is_stalled(own.ok, monotonic()):
-            return RESCUE_LOOK_S
+            return RESCUE_CHECK_INTERVAL_S
         shape = self._shape()
         if shape is None or not own.ok.ranks:
             return TAKEOVER_CHECK_INTERVAL_S
