--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -29,13 +29,13 @@
 # data centres, two local calls, and room for a busy processor.
 REPLY_TIMEOUT_S = 0.15
 # What a branch takes besides: two hops, and a tick of its head.
-_BRANCH_S = 0.1
+_BRANCH_EXTRA_TIMEOUT_S = 0.1
 # A link that left so many questions in a row without an answer is opened anew: one that
 # went silent stays so, while new ones work.
-_SILENT_QUESTIONS = 3
+_MAX_UNANSWERED_REQUESTS = 3
 # How long the members of a branch whose head was silent are asked directly, in seconds:
 # about what a process takes to be started again.
-_HEAD_SILENT_S = 3.0
+_HEAD_BYPASS_S = 3.0
 
 
 class AgentRequest(NamedTuple):
@@ -46,7 +46,7 @@
     wait_s: float = 0.0
 
 
-class _Part(NamedTuple):
+class _OutgoingRequest(NamedTuple):
     """One message of a question: to an agent, or to the head of a branch."""
 
     address: str
@@ -59,7 +59,11 @@
 
     @property
     def until_s(self) -> float:
-        return self.question.wait_s + REPLY_TIMEOUT_S + _BRANCH_S * self.is_branch
+        return (
+            self.question.wait_s
+            + REPLY_TIMEOUT_S
+            + _BRANCH_EXTRA_TIMEOUT_S * self.is_branch
+        )
 
 
 class AgentClient:
@@ -67,11 +71,11 @@
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
-        self._number = 0
-        self._waited: dict[int, RankTold | BranchTold | None] = {}
+        self._last_number = 0
+        self._replies_by_number: dict[int, RankTold | BranchTold | None] = {}
         self._unanswered_by_address: dict[str, int] = {}
         self._heads_by_agent: Mapping[str, str] = {}
-        self._silent_until_by_head: dict[str, float] = {}
+        self._bypassed_until_by_head: dict[str, float] = {}
         self._changed = Condition()
 
     def set_branch_heads(self, heads_by_agent: Mapping[str, str]) -> None:
@@ -81,116 +85,137 @@
     def handle_reply(self, message: RankTold | BranchTold) -> None:
         """Take in an answer."""
         with self._changed:
-            if message.number in self._waited:
-                self._waited[message.number] = message
+            if message.number in self._replies_by_number:
+                self._replies_by_number[message.number] = message
                 self._changed.notify_all()
 
-    def request_all(self, questions: Mapping[str, AgentRequest]) -> dict[str, RankTold]:
+    def request_all(
+        self, requests_by_address: Mapping[str, AgentRequest]
+    ) -> dict[str, RankTold]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
         """
-        parts = self._parts(questions)
-        answers, silent = self._exchange(parts)
-        behind = self._behind(silent)
-        if behind:
-            direct = [_Part(one, questions[one], (one,)) for one in behind]
+        outgoing = self._group_requests(requests_by_address)
+        replies, silent = self._exchange(outgoing)
+        bypassed = self._bypass_heads(silent)
+        if bypassed:
+            direct = [
+                _OutgoingRequest(one, requests_by_address[one], (one,))
+                for one in bypassed
+            ]
             found, _ = self._exchange(direct)
-            answers.update(found)
-        self._note_silence(questions, answers)
-        return answers
+            replies.update(found)
+        self._count_unanswered(requests_by_address, replies)
+        return replies
 
-    def _parts(self, questions: Mapping[str, AgentRequest]) -> list[_Part]:
+    def _group_requests(
+        self, requests_by_address: Mapping[str, AgentRequest]
+    ) -> list[_OutgoingRequest]:
         now = monotonic()
         # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
         members: dict[tuple[str, Tell, int], list[str]] = {}
-        for address, question in questions.items():
+        for address, question in requests_by_address.items():
             head = self._heads_by_agent.get(address, address)
-            if now < self._silent_until_by_head.get(head, 0.0):
+            if now < self._bypassed_until_by_head.get(head, 0.0):
                 head = address
             key = (head, question.tell, id(question.order))
             members.setdefault(key, []).append(address)
         return [
-            _Part(
-                head if len(found) > 1 else found[0], questions[found[0]], tuple(found)
+            _OutgoingRequest(
+                head if len(found) > 1 else found[0],
+                requests_by_address[found[0]],
+                tuple(found),
             )
             for (head, _, _), found in members.items()
         ]
 
-    def _behind(self, silent: Iterable[_Part]) -> tuple[str, ...]:
+    def _bypass_heads(self, silent: Iterable[_OutgoingRequest]) -> tuple[str, ...]:
         """Return the agents behind silent heads, to be asked directly.
 
         Failure: the head of a branch is frozen or killed. Symptom: eight ranks seem
         silent, and a change that holds a pass waits for all of them. Each is asked
         itself at once, and so is the branch for a while.
         """
-        behind: list[str] = []
+        members: list[str] = []
         for part in silent:
             if part.is_branch:
                 log.info("branch-silent", head=part.address, agents=len(part.members))
-                self._silent_until_by_head[part.address] = monotonic() + _HEAD_SILENT_S
-                behind.extend(part.members)
-        return tuple(behind)
+                self._bypassed_until_by_head[part.address] = (
+                    monotonic() + _HEAD_BYPASS_S
+                )
+                members.extend(part.members)
+        return tuple(members)
 
     def _exchange(
-        self, parts: Iterable[_Part]
-    ) -> tuple[dict[str, RankTold], tuple[_Part, ...]]:
+        self, outgoing: Iterable[_OutgoingRequest]
+    ) -> tuple[dict[str, RankTold], tuple[_OutgoingRequest, ...]]:
         """Send each part; return answers by address, and the parts without any."""
-        parts_by_number = {self._next(): part for part in parts}
+        outgoing_by_number = {self._next_number(): part for part in outgoing}
         began = monotonic()
         with self._changed:
-            self._waited = dict.fromkeys(parts_by_number)
-        for number, part in parts_by_number.items():
+            self._replies_by_number = dict.fromkeys(outgoing_by_number)
+        for number, part in outgoing_by_number.items():
             self._send(number, part)
-        longest_s = max((one.until_s for one in parts_by_number.values()), default=0.0)
+        longest_s = max(
+            (one.until_s for one in outgoing_by_number.values()), default=0.0
+        )
         with self._changed:
             self._changed.wait_for(
-                lambda: all(one is not None for one in self._waited.values()),
+                lambda: all(
+                    one is not None for one in self._replies_by_number.values()
+                ),
                 max(0.0, began + longest_s - monotonic()),
             )
-            waited, self._waited = self._waited, {}
-        answers: dict[str, RankTold] = {}
+            waited, self._replies_by_number = self._replies_by_number, {}
+        replies: dict[str, RankTold] = {}
         for number, answer in waited.items():
             if answer is not None:
-                answers.update(_by_address(parts_by_number[number], answer))
+                replies.update(_replies_by_address(outgoing_by_number[number], answer))
         silent = tuple(
-            parts_by_number[number] for number, one in waited.items() if one is None
+            outgoing_by_number[number] for number, one in waited.items() if one is None
         )
-        return answers, silent
-
-    def _send(self, number: int, part: _Part) -> None:
-        question = part.question
-        wait_ms = int(question.wait_s * 1000)
-        ask = RankAsk(number, question.tell, question.order, wait_ms)
-        message = BranchAsk(number, ask, part.members) if part.is_branch else ask
-        self._hub.send(Outgoing(part.address, 0), message)
+        return replies, silent
+
+    def _send(self, number: int, outgoing: _OutgoingRequest) -> None:
+        request = outgoing.question
+        wait_ms = int(request.wait_s * 1000)
+        ask = RankAsk(number, request.tell, request.order, wait_ms)
+        message = (
+            BranchAsk(number, ask, outgoing.members) if outgoing.is_branch else ask
+        )
+        self._hub.send(Outgoing(outgoing.address, 0), message)
 
-    def _next(self) -> int:
-        self._number += 1
-        return self._number
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
-    def _note_silence(
-        self, questions: Mapping[str, AgentRequest], answers: Mapping[str, RankTold]
+    def _count_unanswered(
+        self,
+        requests_by_address: Mapping[str, AgentRequest],
+        replies: Mapping[str, RankTold],
     ) -> None:
-        for address in questions:
-            if address in answers:
+        for address in requests_by_address:
+            if address in replies:
                 self._unanswered_by_address[address] = 0
                 continue
             unanswered = self._unanswered_by_address.get(address, 0) + 1
-            if unanswered >= _SILENT_QUESTIONS:
+            if unanswered >= _MAX_UNANSWERED_REQUESTS:
                 self._hub.replace(address)
                 unanswered = 0
             self._unanswered_by_address[address] = unanswered
 
 
-def _by_address(part: _Part, answer: RankTold | BranchTold) -> dict[str, RankTold]:
-    if isinstance(answer, RankTold):
-        return {part.address: answer}
-    told = dict(answer.told)
-    if answer.counts and told:
+def _replies_by_address(
+    outgoing: _OutgoingRequest, reply: RankTold | BranchTold
+) -> dict[str, RankTold]:
+    if isinstance(reply, RankTold):
+        return {outgoing.address: reply}
+    told = dict(reply.told)
+    if reply.counts and told:
         first = next(iter(told))
         one = told[first]
         told[first] = RankTold(
-            one.number, one.state, answer.counts, answer.scale, one.places
+            one.number, one.state, reply.counts, reply.scale, one.places
         )
     return told
--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -54,42 +54,44 @@
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
         self._popularity = ExpertPopularity(shape.layers, shape.experts)
-        self._bounds = plan_limits(shape.places, shape.spare, shape.copy_s)
+        self._limits = plan_limits(shape.places, shape.spare, shape.copy_s)
         self._paces: list[float] = []
-        self._passed: tuple[int, float] | None = None
+        self._last_reading: tuple[int, float] | None = None
         self._pass_s = 0.0
 
     def plan_change(
         self,
         group: GroupState,
         layers: LayerPlacements,
-        answers: Iterable[RankTold],
+        replies: Iterable[RankTold],
         now: float,
     ) -> PlacementPlan | None:
         """Return the map to change to from ``layers``, or None to leave it.
 
         ``answers`` hold the counts since the last time.
         """
-        self._time_passes(group.coordinator_state.step, now)
-        moved = self._popularity.add_sample(unpack_counts(answers))
+        self._measure_pass_time(group.coordinator_state.step, now)
+        is_updated = self._popularity.add_sample(unpack_counts(replies))
         paces = [group.states_by_rank[rank].pace for rank in range(group.rank_count)]
-        if not moved and not self._pace_changed(paces):
+        if not is_updated and not self._has_pace_changed(paces):
             return None
-        if _is_armed_anew(group):
+        if _has_pending_arming(group):
             return None
         shares = self._popularity.shares
         if shares is None:
             return None
         self._paces = paces
-        found = plan_placement(layers, shares, self._bounds, paces, enough=self._enough)
-        if found is None or not self._is_worth_it(found):
+        plan = plan_placement(
+            layers, shares, self._limits, paces, skew_tolerance=self._skew_tolerance
+        )
+        if plan is None or not self._has_sufficient_gain(plan):
             return None
         log.info(
             "change-planned",
             version=group.highest_version + 1,
-            copies=found.copies,
-            skew=round(found.skew_before, 2),
-            skew_after=round(found.skew_after, 2),
+            copies=plan.copies,
+            skew=round(plan.skew_before, 2),
+            skew_after=round(plan.skew_after, 2),
             jumped=self._popularity.has_jumped,
             moved=round(self._popularity.sample_distance, 3),
             noise=round(self._popularity.noise_distance, 3),
@@ -97,29 +99,35 @@
             slowest_pace=round(max(paces), 2),
             pass_ms=round(self._pass_s * 1000, 1),
         )
-        return found
+        return plan
 
-    def _is_worth_it(self, found: PlacementPlan) -> bool:
-        gain = found.skew_before - found.skew_after
-        if self._is_short(self._pass_s):
+    def _has_sufficient_gain(self, plan: PlacementPlan) -> bool:
+        gain = plan.skew_before - plan.skew_after
+        if self._is_short_pass(self._pass_s):
             return gain >= SHORT_PASS_MIN_SKEW_GAIN
-        copying_s = found.copies * self._shape.copy_s
+        copying_s = plan.copies * self._shape.copy_s
         return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
-    def _enough(self, skew: float) -> float:
+    def _skew_tolerance(self, skew: float) -> float:
         """Return how far over the mean a layer may be after a plan from ``skew``."""
-        then_s = self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
-        return SHORT_PASS_SKEW_TOLERANCE if self._is_short(then_s) else SKEW_TOLERANCE
+        expected_pass_s = (
+            self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
+        )
+        return (
+            SHORT_PASS_SKEW_TOLERANCE
+            if self._is_short_pass(expected_pass_s)
+            else SKEW_TOLERANCE
+        )
 
-    def _is_short(self, pass_s: float) -> bool:
+    def _is_short_pass(self, pass_s: float) -> bool:
         return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.gap_s
 
-    def _time_passes(self, step: int, now: float) -> None:
-        before, self._passed = self._passed, (step, now)
+    def _measure_pass_time(self, step: int, now: float) -> None:
+        before, self._last_reading = self._last_reading, (step, now)
         if before is not None and step > before[0]:
             self._pass_s = (now - before[1]) / (step - before[0])
 
-    def _pace_changed(self, paces: Sequence[float]) -> bool:
+    def _has_pace_changed(self, paces: Sequence[float]) -> bool:
         """Return whether a rank has become slow, or sound again, since the last plan.
 
         Failure: a rank slows down tenfold, and hardly a pass ends. Symptom: counts are
@@ -131,7 +139,7 @@
         )
 
 
-def _is_armed_anew(group: GroupState) -> bool:
+def _has_pending_arming(group: GroupState) -> bool:
     """Return whether a rank is armed for a map that is not in force yet.
 
     Failure: an agent ends after its rank was armed. Symptom: its last word says that
@@ -142,8 +150,8 @@
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
-def unpack_counts(answers: Iterable[RankTold]) -> list[list[int]]:
+def unpack_counts(replies: Iterable[RankTold]) -> list[list[int]]:
     """Return each answer's choices, layer by layer in one list."""
     return [
-        [count * told.scale for count in told.counts] for told in answers if told.counts
+        [count * told.scale for count in told.counts] for told in replies if told.counts
     ]
--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -23,10 +23,10 @@
 
 # Numbers of questions of a head begin here: an agent may coordinate one group's maps
 # and be asked for a branch at the same time, and answers are told apart by number.
-_FIRST_NUMBER = 1 << 40
+_FIRST_REQUEST_NUMBER = 1 << 40
 
 
-class _Branch:
+class _PendingBranchRequest:
     """One question under way."""
 
     def __init__(self, link: Link, ask: BranchAsk, until: float) -> None:
@@ -65,20 +65,20 @@
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
-        self._numbers = count(_FIRST_NUMBER)
-        self._branches_by_number: dict[int, _Branch] = {}
+        self._numbers = count(_FIRST_REQUEST_NUMBER)
+        self._pending_by_number: dict[int, _PendingBranchRequest] = {}
         self._lock = Lock()
 
     def forward_request(self, link: Link, message: BranchAsk, now: float) -> None:
         """Pass a question on to the members of its branch."""
         wait_s = message.ask.wait_ms / 1000
-        branch = _Branch(link, message, now + wait_s + REPLY_TIMEOUT_S)
+        pending = _PendingBranchRequest(link, message, now + wait_s + REPLY_TIMEOUT_S)
         with self._lock:
             for address in message.members:
                 number = next(self._numbers)
-                branch.missing[number] = address
-                self._branches_by_number[number] = branch
-            asked = tuple(branch.missing.items())
+                pending.missing[number] = address
+                self._pending_by_number[number] = pending
+            asked = tuple(pending.missing.items())
         for number, address in asked:
             ask = message.ask
             passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
@@ -87,25 +87,25 @@
     def handle_reply(self, message: RankTold) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
         with self._lock:
-            branch = self._branches_by_number.pop(message.number, None)
-            if branch is None:
-                return message.number >= _FIRST_NUMBER
-            branch.take(message)
-            if branch.missing:
+            pending = self._pending_by_number.pop(message.number, None)
+            if pending is None:
+                return message.number >= _FIRST_REQUEST_NUMBER
+            pending.take(message)
+            if pending.missing:
                 return True
-        self._hub.send(branch.link, branch.answer())
+        self._hub.send(pending.link, pending.answer())
         return True
 
     def on_tick(self, now: float) -> None:
         """Answer for branches whose time is up with what there is."""
         with self._lock:
-            late = {
+            expired = {
                 id(branch): branch
-                for branch in self._branches_by_number.values()
+                for branch in self._pending_by_number.values()
                 if now >= branch.until
             }
-            for branch in late.values():
+            for branch in expired.values():
                 for number in branch.missing:
-                    del self._branches_by_number[number]
-        for branch in late.values():
+                    del self._pending_by_number[number]
+        for branch in expired.values():
             self._hub.send(branch.link, branch.answer())
--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -27,8 +27,8 @@
 log = lines_of("maps")
 
 # How long the agent repeats an order before it tells how far it came, in seconds.
-_PREPARE_S = 0.4
-_ORDER_S = 0.25
+_PREPARE_WAIT_S = 0.4
+_ORDER_WAIT_S = 0.25
 # Longest preparation, in seconds. The longest copy takes 0.4; orders that get no answer
 # are through after some tries. Past it the ranks hold another map than believed here.
 PREPARE_TIMEOUT_S = 4.0
@@ -40,110 +40,112 @@
 class ChangeDriver:
     """Takes a charge's change further; belongs to one thread."""
 
-    def __init__(self, reach: GroupClient, metrics: RankMetrics) -> None:
-        self._reach = reach
+    def __init__(self, group_client: GroupClient, metrics: RankMetrics) -> None:
+        self._group_client = group_client
         self._metrics = metrics
 
-    def run_round(self, charge: CoordinationSession) -> None:
+    def run_round(self, session: CoordinationSession) -> None:
         """Do one round: give the orders that are wanted, or look how far ranks are."""
-        if charge.is_rescue and charge.change_elapsed_s > RESCUE_TIMEOUT_S:
-            charge.close()
+        if session.is_rescue and session.change_elapsed_s > RESCUE_TIMEOUT_S:
+            session.close()
             return
-        if isinstance(charge.phase, Holding):
-            if not self._all_answer(charge):
+        if isinstance(session.phase, Holding):
+            if not self._are_all_ranks_responding(session):
                 return
             # The pass that was to be held may have begun meanwhile.
-            self._advance(charge)
-            if charge.is_closed:
+            self._advance_phase(session)
+            if session.is_closed:
                 return
-        wanted = pending_orders(charge.phase, charge.group)
-        if not wanted:
-            self._look(charge)
+        orders = pending_orders(session.phase, session.group)
+        if not orders:
+            self._poll_states(session)
             return
-        wait_s = _PREPARE_S if isinstance(charge.phase, Preparing) else _ORDER_S
-        answers = self._reach.send_orders(charge.roster, wanted, wait_s)
-        if charge.update_states(answers):
-            self._advance(charge)
+        wait_s = (
+            _PREPARE_WAIT_S if isinstance(session.phase, Preparing) else _ORDER_WAIT_S
+        )
+        replies = self._group_client.send_orders(session.roster, orders, wait_s)
+        if session.update_states(replies):
+            self._advance_phase(session)
 
-    def _all_answer(self, charge: CoordinationSession) -> bool:
+    def _are_all_ranks_responding(self, session: CoordinationSession) -> bool:
         """Return whether every rank answers right now, which a hold waits for.
 
         Failure: a machine freezes after its rank has prepared. Symptom: the pass is
         held, that rank can't be armed, and the whole group stands still until the
         machine wakes. Without a hold passes go on with the map in force meanwhile.
         """
-        ranks = charge.roster.agents_by_rank
-        answers = self._reach.fetch_states(charge.roster, ranks)
-        if not charge.update_states(answers):
+        ranks = session.roster.agents_by_rank
+        replies = self._group_client.fetch_states(session.roster, ranks)
+        if not session.update_states(replies):
             return False
         # An agent may answer whose server does not.
-        shown = sum(one.state is not None for one in answers.values())
-        if shown < len(ranks):
-            self._give_up_if_stuck(charge)
+        responding = sum(one.state is not None for one in replies.values())
+        if responding < len(ranks):
+            self._abandon_if_timed_out(session)
             return False
         return True
 
-    def _look(self, charge: CoordinationSession) -> None:
+    def _poll_states(self, session: CoordinationSession) -> None:
         ranks = {
             COORDINATOR_RANK,
-            charge.group.holder_rank,
-        } & charge.roster.agents_by_rank.keys()
-        answers = self._reach.fetch_states(charge.roster, ranks)
-        if charge.update_states(answers):
-            self._advance(charge)
-
-    def _advance(self, charge: CoordinationSession) -> None:
-        before = charge.phase
-        group = charge.group
-        charge.phase = advance_phase(before, group)
+            session.group.holder_rank,
+        } & session.roster.agents_by_rank.keys()
+        replies = self._group_client.fetch_states(session.roster, ranks)
+        if session.update_states(replies):
+            self._advance_phase(session)
+
+    def _advance_phase(self, session: CoordinationSession) -> None:
+        before = session.phase
+        group = session.group
+        session.phase = advance_phase(before, group)
         states = group.states_by_rank.items()
         log.debug(
             "phase",
-            phase=type(charge.phase).__name__,
+            phase=type(session.phase).__name__,
             held=group.held_step,
             armed=[rank for rank, one in states if one.armed],
             prepared=[rank for rank, one in states if one.prepared],
         )
-        match change_outcome(before, charge.phase, group):
+        match change_outcome(before, session.phase, group):
             case ChangeOutcome.RELEASED:
-                self._released(charge, before)
+                self._record_released(session, before)
             case ChangeOutcome.VOIDED:
-                self._voided(charge, before)
-            case None if isinstance(charge.phase, Preparing):
-                self._give_up_if_stuck(charge)
+                self._record_voided(session, before)
+            case None if isinstance(session.phase, Preparing):
+                self._abandon_if_timed_out(session)
 
-    def _voided(self, charge: CoordinationSession, change: Phase) -> None:
+    def _record_voided(self, session: CoordinationSession, change: Phase) -> None:
         """Note a change that was ended without coming into force."""
-        took_s = charge.change_elapsed_s
+        took_s = session.change_elapsed_s
         assert not isinstance(change, Idle), "it was under way"
         version = (
             change.voided_version if isinstance(change, Voiding) else change.version
         )
         log.info("change-voided", version=version, ms=round(took_s * 1000))
         self._metrics.changes.labels("voided").inc()
-        charge.close()
+        session.close()
 
-    def _released(self, charge: CoordinationSession, change: Phase) -> None:
+    def _record_released(self, session: CoordinationSession, change: Phase) -> None:
         """Note a change whose map comes into force on every rank."""
-        took_s = charge.change_elapsed_s
+        took_s = session.change_elapsed_s
         assert isinstance(change, Arming | Releasing), "nothing else is released"
         if change.layers:
             log.info("change-released", version=change.version, ms=round(took_s * 1000))
             self._metrics.changes.labels("released").inc()
             self._metrics.change_took.observe(took_s)
-            charge.layers = change.layers
+            session.layers = change.layers
         else:
             # Completed for a former life: only the ranks know what it holds.
             log.info("change-completed", version=change.version)
             self._metrics.changes.labels("completed").inc()
-            charge.close()
+            session.close()
 
-    def _give_up_if_stuck(self, charge: CoordinationSession) -> None:
+    def _abandon_if_timed_out(self, session: CoordinationSession) -> None:
         """Read everything anew if ranks refuse to prepare.
 
         Nothing is armed or held yet, so a change may be left at any time before.
         """
-        if charge.change_elapsed_s > PREPARE_TIMEOUT_S:
-            log.warning("change-stuck", version=charge.group.coordinator_state.version)
+        if session.change_elapsed_s > PREPARE_TIMEOUT_S:
+            log.warning("change-stuck", version=session.group.coordinator_state.version)
             self._metrics.changes.labels("stuck").inc()
-            charge.close()
+            session.close()
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -131,7 +131,7 @@
 def advance_phase(phase: Phase, group: GroupState) -> Phase:
     """Return the phase that the reports lead to."""
     while True:
-        following = _next(phase, group)
+        following = _next_phase(phase, group)
         if following == phase:
             return phase
         phase = following
@@ -162,10 +162,10 @@
     return None
 
 
-def _next(phase: Phase, group: GroupState) -> Phase:
+def _next_phase(phase: Phase, group: GroupState) -> Phase:
     match phase:
         case Preparing() | Holding() | Arming() if group.is_superseded(phase.version):
-            return _overtaken(phase, group)
+            return _phase_after_superseded(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
             return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Holding(version, layers) if group.held_step is not None:
@@ -193,7 +193,9 @@
     return phase
 
 
-def _overtaken(phase: Preparing | Holding | Arming, group: GroupState) -> Phase:
+def _phase_after_superseded(
+    phase: Preparing | Holding | Arming, group: GroupState
+) -> Phase:
     """Return what follows a change that another agent made void.
 
     It did so while this agent's machine was frozen, and may not have released the pass.
@@ -249,24 +251,28 @@
     match phase:
         case Preparing(version, layers):
             prepare = Prepare(epoch, version, layers)
-            return _for_ranks(group, prepare, lambda one: one.prepared == version)
+            return _orders_for_ranks(
+                group, prepare, lambda one: one.prepared == version
+            )
         case Holding(_, _, step):
             return (PendingOrder(group.holder_rank, Hold(epoch, step)),)
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
-            found = _for_ranks(group, arm, lambda one: is_armed_or_active(one, version))
+            found = _orders_for_ranks(
+                group, arm, lambda one: is_armed_or_active(one, version)
+            )
             return (
                 tuple(want for want in found if want.rank != COORDINATOR_RANK) or found
             )
         case Releasing(step=step):
-            return _releases(group, step)
+            return _release_orders(group, step)
         case Voiding():
-            return _voiding(phase, group)
+            return _voiding_orders(phase, group)
         case _:
             return ()
 
 
-def _releases(group: GroupState, step: int) -> tuple[PendingOrder, ...]:
+def _release_orders(group: GroupState, step: int) -> tuple[PendingOrder, ...]:
     return tuple(
         PendingOrder(rank, Release(group.epoch, state.held))
         for rank, state in group.states_by_rank.items()
@@ -274,7 +280,7 @@
     )
 
 
-def _voiding(phase: Voiding, group: GroupState) -> tuple[PendingOrder, ...]:
+def _voiding_orders(phase: Voiding, group: GroupState) -> tuple[PendingOrder, ...]:
     """Return what makes older armings void, and then releases the pass.
 
     A rank that is not armed prepares the higher version first. While none has, an agent
@@ -284,7 +290,7 @@
         is_version_void(one, phase.voided_version)
         for one in group.states_by_rank.values()
     ):
-        return _releases(group, phase.step)
+        return _release_orders(group, phase.step)
     prepare = Prepare(group.epoch, phase.version, phase.layers)
     found: list[PendingOrder] = []
     for rank, state in group.states_by_rank.items():
@@ -296,7 +302,7 @@
     return tuple(found)
 
 
-def _for_ranks(
+def _orders_for_ranks(
     group: GroupState, order: RankOrder, is_done: Callable[[RankState], bool]
 ) -> tuple[PendingOrder, ...]:
     return tuple(
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -37,16 +37,16 @@
         layers: LayerPlacements,
         balancer: Balancer,
         *,
-        rescues: bool,
+        is_rescue: bool,
     ) -> None:
         self.roster = roster
         self.layers = layers
         self.balancer = balancer
-        self.is_rescue = rescues
+        self.is_rescue = is_rescue
         self.phase: Phase = Idle()
         self.is_closed = False
         self._states_by_rank = dict(states_by_rank)
-        self._began_at = monotonic()
+        self._change_began_at = monotonic()
 
     @property
     def group(self) -> GroupState:
@@ -58,32 +58,32 @@
     @property
     def change_elapsed_s(self) -> float:
         """Seconds since the change under way was begun or taken up."""
-        return monotonic() - self._began_at
+        return monotonic() - self._change_began_at
 
     def begin_change(self, phase: Phase) -> None:
         """Begin a change, whose time counts from now."""
         self.phase = phase
-        self._began_at = monotonic()
+        self._change_began_at = monotonic()
 
     def close(self) -> None:
         """End the charge: everything is to be read anew."""
         self.phase = Idle()
         self.is_closed = True
 
-    def update_states(self, answers: Mapping[str, RankTold]) -> bool:
+    def update_states(self, replies: Mapping[str, RankTold]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
         for rank, agent in self.roster.agents_by_rank.items():
-            told = answers.get(agent)
-            if told is None or told.state is None:
+            reply = replies.get(agent)
+            if reply is None or reply.state is None:
                 continue
             known = self._states_by_rank.get(rank)
-            if not self.roster.is_same_incarnation(rank, known, told.state):
-                log.info("group-changed", rank=rank, epoch=told.state.epoch)
+            if not self.roster.is_same_incarnation(rank, known, reply.state):
+                log.info("group-changed", rank=rank, epoch=reply.state.epoch)
                 self.close()
                 return False
-            if not told.state.is_open:
-                log.info("group-broken", rank=rank, epoch=told.state.epoch)
+            if not reply.state.is_open:
+                log.info("group-broken", rank=rank, epoch=reply.state.epoch)
                 self.close()
                 return False
-            self._states_by_rank[rank] = told.state
+            self._states_by_rank[rank] = reply.state
         return True
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -41,9 +41,9 @@
 # time until a jump is seen, and doubles what the counts cost between data centres.
 COUNTS_INTERVAL_S = 0.15
 # The shortest pause between two such readings, in seconds.
-_LEAST_PAUSE_S = 0.02
+_MIN_PAUSE_S = 0.02
 # How often ranks are looked at until a released pass begins, in seconds.
-_SETTLING_S = 0.01
+_SETTLING_POLL_INTERVAL_S = 0.01
 
 
 class Coordinator:
@@ -55,19 +55,19 @@
     def __init__(
         self,
         client: RankClient,
-        panel: AgentClient,
+        agent_client: AgentClient,
         metrics: RankMetrics,
         *,
         find_servers: Callable[[], Mapping[str, PairedServer]],
         shape: Callable[[], EngineShape | None],
     ) -> None:
         self._metrics = metrics
-        self._reach = GroupClient(panel)
-        self._taker = TakeoverMonitor(
-            client, self._reach, find_servers=find_servers, shape=shape
+        self._group_client = GroupClient(agent_client)
+        self._takeover = TakeoverMonitor(
+            client, self._group_client, find_servers=find_servers, shape=shape
         )
-        self._giver = ChangeDriver(self._reach, metrics)
-        self._charge: CoordinationSession | None = None
+        self._driver = ChangeDriver(self._group_client, metrics)
+        self._session: CoordinationSession | None = None
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="coordinator", daemon=True)
 
@@ -81,71 +81,71 @@
         self._thread.join()
 
     @property
-    def _may_stop(self) -> bool:
+    def _can_stop(self) -> bool:
         if not self._stopping.is_set():
             return False
-        charge = self._charge
-        return charge is None or isinstance(charge.phase, Idle | Preparing)
+        session = self._session
+        return session is None or isinstance(session.phase, Idle | Preparing)
 
     def _run(self) -> None:
-        while not self._may_stop:
+        while not self._can_stop:
             try:
-                pause_s = self._step()
+                pause_s = self._run_round()
             except Exception as error:  # the thread must outlive any one round
                 log.error("round-failed", exc_info=True, why=repr(error))
-                self._forget()
+                self._close_session()
                 pause_s = TAKEOVER_CHECK_INTERVAL_S
             self._stopping.wait(pause_s)
 
-    def _step(self) -> float:
+    def _run_round(self) -> float:
         """Do one round; return the seconds until the next."""
-        charge = self._charge
-        if charge is None:
-            return self._take_charge()
-        pause_s = self._go_on(charge)
-        if charge.is_closed:
-            self._forget()
+        session = self._session
+        if session is None:
+            return self._try_take_over()
+        pause_s = self._continue_session(session)
+        if session.is_closed:
+            self._close_session()
         return pause_s
 
-    def _forget(self) -> None:
-        self._charge = None
-        self._reach.reset_silent_agents()
+    def _close_session(self) -> None:
+        self._session = None
+        self._group_client.reset_silent_agents()
 
-    def _take_charge(self) -> float:
-        taken = self._taker.check()
+    def _try_take_over(self) -> float:
+        taken = self._takeover.check()
         if not isinstance(taken, CoordinationSession):
             return taken
-        self._charge = taken
+        self._session = taken
         return 0.0
 
-    def _go_on(self, charge: CoordinationSession) -> float:
-        if isinstance(charge.phase, Idle):
-            if charge.is_rescue:
-                charge.close()
+    def _continue_session(self, session: CoordinationSession) -> float:
+        if isinstance(session.phase, Idle):
+            if session.is_rescue:
+                session.close()
                 return TAKEOVER_CHECK_INTERVAL_S
-            return self._balance(charge)
-        self._giver.run_round(charge)
+            return self._plan_change(session)
+        self._driver.run_round(session)
         # Settling waits for a pass to begin; the rest waits at the agents.
-        return _SETTLING_S if isinstance(charge.phase, Settling) else 0.0
+        return _SETTLING_POLL_INTERVAL_S if isinstance(session.phase, Settling) else 0.0
 
-    def _balance(self, charge: CoordinationSession) -> float:
+    def _plan_change(self, session: CoordinationSession) -> float:
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
-        answers, silent = self._reach.fetch_counts(charge.roster)
+        replies, silent = self._group_client.fetch_counts(session.roster)
         self._metrics.silent.inc(silent)
-        if not charge.update_states(answers):
+        if not session.update_states(replies):
             return TAKEOVER_CHECK_INTERVAL_S
-        group = charge.group
+        group = session.group
         if group.held_step is not None:
             # A hold of a former life came late; see ``taken_up``.
-            charge.phase = recover_phase(group, charge.layers)
+            session.phase = recover_phase(group, session.layers)
             return 0.0
-        plan = charge.balancer.plan_change(
-            group, charge.layers, answers.values(), began
+        plan = session.balancer.plan_change(
+            group, session.layers, replies.values(), began
         )
         if plan is not None:
-            charge.begin_change(Preparing(group.highest_version + 1, plan.layers))
+            session.begin_change(Preparing(group.highest_version + 1, plan.layers))
             self._metrics.copies.inc(plan.copies)
             self._metrics.skew.set(plan.skew_before)
             return 0.0
-        return max(_LEAST_PAUSE_S, COUNTS_INTERVAL_S - (monotonic() - began))
+        return max(_MIN_PAUSE_S, COUNTS_INTERVAL_S - (monotonic() - began))
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -52,15 +52,15 @@
 log = lines_of("process")
 
 # Questions that wait for the server; a coordinator has one on its way at a time.
-_QUEUED = 16
+_MAX_QUEUED_REQUESTS = 16
 # Between two words to entries about this server's load, in seconds. Twice as often
 # would show a burst 0.1 s sooner and double what they cost between data centres.
-_LOAD_S = 0.25
+_LOAD_INTERVAL_S = 0.25
 # An entry that has not asked for so long hears no more, in seconds.
-_ENTRY_S = 4.0
-_TICK_S = 0.05
+_ENTRY_TTL_S = 4.0
+_TICK_INTERVAL_S = 0.05
 # Whoever reads the metrics has one; more are turned away.
-_PAGE_CONNECTIONS = 8
+_MAX_METRICS_CONNECTIONS = 8
 
 
 class RankDaemon:
@@ -73,9 +73,9 @@
         self._store = ObjectStore(settings.platform.url)
         self._client = RankClient(f"http://{self._rank.server}")
         self._metrics = RankMetrics()
-        self._carrier = OrderExecutor(self._client, self._metrics)
-        self._asks: Queue[tuple[Link, RankAsk]] = Queue(_QUEUED)
-        self._entries: dict[Link, float] = {}
+        self._executor = OrderExecutor(self._client, self._metrics)
+        self._requests: Queue[tuple[Link, RankAsk]] = Queue(_MAX_QUEUED_REQUESTS)
+        self._hello_at_by_entry: dict[Link, float] = {}
         self._shape: EngineShape | None = None
         self._servers_by_agent: dict[str, PairedServer] = {}
         self._lock = Lock()
@@ -84,39 +84,41 @@
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
-            tick_s=_TICK_S,
+            tick_s=_TICK_INTERVAL_S,
         )
-        self._panel = AgentClient(self._hub)
-        self._gatherer = BranchAggregator(self._hub)
-        self._board = LoadAggregator(settings.name, self._hub)
+        self._agent_client = AgentClient(self._hub)
+        self._branch_aggregator = BranchAggregator(self._hub)
+        self._load_aggregator = LoadAggregator(settings.name, self._hub)
         self._coordinator = Coordinator(
             RankClient(f"http://{self._rank.server}"),
-            self._panel,
+            self._agent_client,
             self._metrics,
             find_servers=self._find_servers,
             shape=self._find_shape,
         )
-        self._page = self._make_page()
-        self._carrying = Thread(target=self._carry, name="carrier", daemon=True)
+        self._metrics_server = self._make_metrics_server()
+        self._executor_thread = Thread(
+            target=self._serve_requests, name="carrier", daemon=True
+        )
 
-    def _make_page(self) -> HttpServer | None:
+    def _make_metrics_server(self) -> HttpServer | None:
         if not self._rank.metrics:
             return None
         return HttpServer(
             MetricsPage(self._metrics.registry),
             listen=self._rank.metrics,
             threads=1,
-            connections=_PAGE_CONNECTIONS,
+            connections=_MAX_METRICS_CONNECTIONS,
             name=f"{self._settings.name}-page",
         )
 
     def start(self) -> None:
         """Start every part."""
-        if self._page is not None:
-            self._page.bind()
-            self._page.start()
+        if self._metrics_server is not None:
+            self._metrics_server.bind()
+            self._metrics_server.start()
         self._hub.start()
-        self._carrying.start()
+        self._executor_thread.start()
         self._coordinator.start()
         log.info("started", pid=os.getpid(), server=self._rank.server)
 
@@ -129,62 +131,66 @@
         log.info("leaving")
         self._coordinator.stop()
         self._stopping.set()
-        self._carrying.join()
+        self._executor_thread.join()
         self._hub.stop()
-        if self._page is not None:
-            self._page.stop()
+        if self._metrics_server is not None:
+            self._metrics_server.stop()
         log.info("stopped")
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
             case RankAsk():
-                self._queue(link, message)
+                self._enqueue(link, message)
             case BranchAsk():
-                self._gatherer.forward_request(link, message, monotonic())
-            case RankTold() if self._gatherer.handle_reply(message):
+                self._branch_aggregator.forward_request(link, message, monotonic())
+            case RankTold() if self._branch_aggregator.handle_reply(message):
                 pass
             case RankTold() | BranchTold():
-                self._panel.handle_reply(message)
+                self._agent_client.handle_reply(message)
             case LoadsAsk():
-                self._board.subscribe(link, message, monotonic())
+                self._load_aggregator.subscribe(link, message, monotonic())
             case Beat():
-                self._board.handle_beat(link, message, monotonic())
+                self._load_aggregator.handle_beat(link, message, monotonic())
             case Hello():
                 with self._lock:
-                    self._entries[link] = monotonic()
+                    self._hello_at_by_entry[link] = monotonic()
             case _:
                 log.warning("message-unexpected", message=type(message).__name__)
 
     def _on_tick(self, now: float) -> None:
-        self._gatherer.on_tick(now)
-        self._board.on_tick(now)
+        self._branch_aggregator.on_tick(now)
+        self._load_aggregator.on_tick(now)
 
-    def _queue(self, link: Link, ask: RankAsk) -> None:
+    def _enqueue(self, link: Link, request: RankAsk) -> None:
         try:
-            self._asks.put_nowait((link, ask))
+            self._requests.put_nowait((link, request))
         except Full:
-            log.warning("question-dropped", number=ask.number)
+            log.warning("question-dropped", number=request.number)
 
-    def _carry(self) -> None:
+    def _serve_requests(self) -> None:
         """Answer questions one after another; between them tell entries the load."""
         told_at = 0.0
         while not self._stopping.is_set():
-            wait_s = max(0.0, told_at + _LOAD_S - monotonic())
+            wait_s = max(0.0, told_at + _LOAD_INTERVAL_S - monotonic())
             try:
-                link, ask = self._asks.get(timeout=min(wait_s, _LOAD_S) or 0.001)
+                link, ask = self._requests.get(
+                    timeout=min(wait_s, _LOAD_INTERVAL_S) or 0.001
+                )
             except Empty:
                 told_at = monotonic()
-                self._tell_load(told_at)
+                self._send_load(told_at)
                 continue
-            self._hub.send(link, self._carrier.execute(ask))
+            self._hub.send(link, self._executor.execute(ask))
 
-    def _tell_load(self, now: float) -> None:
+    def _send_load(self, now: float) -> None:
         with self._lock:
             for link in [
-                one for one, at in self._entries.items() if now - at > _ENTRY_S
+                one
+                for one, at in self._hello_at_by_entry.items()
+                if now - at > _ENTRY_TTL_S
             ]:
-                del self._entries[link]
-            links = tuple(self._entries)
+                del self._hello_at_by_entry[link]
+            links = tuple(self._hello_at_by_entry)
         if not links:
             return
         asked = self._client.state()
--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -21,7 +21,7 @@
 
 # Servers asked side by side. A tenth of 72 agents may be killed at once; one after the
 # other their servers would hold up a held pass for a second and more.
-_AT_ONCE = 8
+_MAX_PARALLEL_REQUESTS = 8
 
 
 class DirectServerClient:
@@ -34,35 +34,41 @@
 
     def __init__(self) -> None:
         self._pool: ThreadPoolExecutor | None = None
-        self._clients: dict[str, RankClient] = {}
+        self._clients_by_server: dict[str, RankClient] = {}
 
     def send_order(self, server: str, order: RankOrder) -> None:
         """Give an order once; whether it was carried out is for the report to show."""
-        if server not in self._clients:
-            self._clients = {server: RankClient(f"http://{server}")}
-        given = self._clients[server].give(order)
-        log.debug("order-given", order=type(order).__name__, answer=str(given))
-
-    def request_all(self, asks_by_server: Mapping[str, RankAsk]) -> dict[str, RankTold]:
+        if server not in self._clients_by_server:
+            self._clients_by_server = {server: RankClient(f"http://{server}")}
+        result = self._clients_by_server[server].give(order)
+        log.debug("order-given", order=type(order).__name__, answer=str(result))
+
+    def request_all(
+        self, requests_by_server: Mapping[str, RankAsk]
+    ) -> dict[str, RankTold]:
         """Return what servers tell, by address; silent ones are left out."""
-        if not asks_by_server:
+        if not requests_by_server:
             return {}
-        if len(asks_by_server) == 1:
-            found = [_ask(*one) for one in asks_by_server.items()]
+        if len(requests_by_server) == 1:
+            replies = [_request(*one) for one in requests_by_server.items()]
         else:
             if self._pool is None:
-                self._pool = ThreadPoolExecutor(_AT_ONCE, "direct")
-            found = list(
-                self._pool.map(_ask, *zip(*asks_by_server.items(), strict=True))
+                self._pool = ThreadPoolExecutor(_MAX_PARALLEL_REQUESTS, "direct")
+            replies = list(
+                self._pool.map(_request, *zip(*requests_by_server.items(), strict=True))
             )
-        told = dict(zip(asks_by_server, found, strict=True))
+        replies_by_server = dict(zip(requests_by_server, replies, strict=True))
         log.info(
             "asked-directly",
-            servers=len(asks_by_server),
-            answered=sum(one.state is not None for one in found),
+            servers=len(requests_by_server),
+            answered=sum(one.state is not None for one in replies),
         )
-        return {server: one for server, one in told.items() if one.state is not None}
+        return {
+            server: one
+            for server, one in replies_by_server.items()
+            if one.state is not None
+        }
 
 
-def _ask(server: str, ask: RankAsk) -> RankTold:
-    return OrderExecutor(RankClient(f"http://{server}")).execute(ask)
+def _request(server: str, request: RankAsk) -> RankTold:
+    return OrderExecutor(RankClient(f"http://{server}")).execute(request)
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -33,33 +33,33 @@
     server is asked itself meanwhile.
     """
 
-    def __init__(self, panel: AgentClient) -> None:
-        self._panel = panel
-        self._direct = DirectServerClient()
-        self._silent: set[str] = set()
+    def __init__(self, agent_client: AgentClient) -> None:
+        self._agent_client = agent_client
+        self._direct_client = DirectServerClient()
+        self._silent_agents: set[str] = set()
 
     def reset_silent_agents(self) -> None:
         """Ask every agent again."""
-        self._silent = set()
+        self._silent_agents = set()
 
     def use_roster(self, roster: Roster) -> None:
         """Ask the agents of ``roster`` through its heads from now on."""
-        self._panel.set_branch_heads(roster.branch_heads)
+        self._agent_client.set_branch_heads(roster.branch_heads)
 
     def fetch_placements(
         self, servers_by_agent: Mapping[str, PairedServer]
     ) -> RepliesByAgent:
         """Return states and experts of every rank that can be reached."""
-        self._panel.set_branch_heads(
+        self._agent_client.set_branch_heads(
             find_branch_heads(servers_by_agent, servers_by_agent)
         )
-        answers = self._panel.request_all(
+        replies = self._agent_client.request_all(
             dict.fromkeys(servers_by_agent, AgentRequest(Tell.PLACES))
         )
-        asks = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
+        direct_requests = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
-        self._ask_servers(asks, servers, answers)
-        return answers
+        self._query_servers(direct_requests, servers, replies)
+        return replies
 
     def fetch_counts(self, roster: Roster) -> tuple[RepliesByAgent, int]:
         """Return states and counts, and how many agents were silent.
@@ -67,62 +67,73 @@
         Servers are not asked for their counts: from afar that holds up every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
-        answers = self._panel.request_all(
+        replies = self._agent_client.request_all(
             dict.fromkeys(agents, AgentRequest(Tell.COUNTS))
         )
-        self._silent = set(agents) - set(answers)
-        return answers, len(self._silent)
+        self._silent_agents = set(agents) - set(replies)
+        return replies, len(self._silent_agents)
 
     def fetch_states(self, roster: Roster, ranks: Iterable[int]) -> RepliesByAgent:
         """Return the states of ``ranks``."""
         agents = [roster.agents_by_rank[rank] for rank in ranks]
-        asked = [one for one in agents if one not in self._silent]
-        answers = self._panel.request_all(dict.fromkeys(asked, AgentRequest()))
-        asks = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
-        self._ask_servers(asks, _servers(roster, agents), answers)
-        return answers
+        asked = [one for one in agents if one not in self._silent_agents]
+        replies = self._agent_client.request_all(dict.fromkeys(asked, AgentRequest()))
+        direct_requests = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
+        self._query_servers(direct_requests, _servers(roster, agents), replies)
+        return replies
 
     def send_orders(
-        self, roster: Roster, wanted: Iterable[PendingOrder], wait_s: float
+        self, roster: Roster, pending_orders: Iterable[PendingOrder], wait_s: float
     ) -> RepliesByAgent:
         """Give the orders and return the states after them.
 
         A hold and its release go to the server past its agent: what gives them and
         what carries them out must not be lost together.
         """
-        questions: dict[str, AgentRequest] = {}
-        asks: dict[str, RankAsk] = {}
-        for want in wanted:
+        requests: dict[str, AgentRequest] = {}
+        direct_requests: dict[str, RankAsk] = {}
+        for want in pending_orders:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
-                self._direct.send_order(roster.server_of(agent), want.order)
-                questions[agent] = AgentRequest()
-                asks[agent] = RankAsk(0, Tell.STATE)
+                self._direct_client.send_order(roster.server_of(agent), want.order)
+                requests[agent] = AgentRequest()
+                direct_requests[agent] = RankAsk(0, Tell.STATE)
             else:
-                questions[agent] = AgentRequest(Tell.STATE, want.order, wait_s)
-                asks[agent] = RankAsk(0, Tell.STATE, want.order, int(wait_s * 1000))
-        answers = self._panel.request_all(
-            {one: asked for one, asked in questions.items() if one not in self._silent}
+                requests[agent] = AgentRequest(Tell.STATE, want.order, wait_s)
+                direct_requests[agent] = RankAsk(
+                    0, Tell.STATE, want.order, int(wait_s * 1000)
+                )
+        replies = self._agent_client.request_all(
+            {
+                one: asked
+                for one, asked in requests.items()
+                if one not in self._silent_agents
+            }
         )
-        self._ask_servers(asks, _servers(roster, questions), answers)
-        return answers
+        self._query_servers(direct_requests, _servers(roster, requests), replies)
+        return replies
 
-    def _ask_servers(
+    def _query_servers(
         self,
-        asks: Mapping[str, RankAsk],
-        servers: Mapping[str, str],
-        answers: RepliesByAgent,
+        requests_by_agent: Mapping[str, RankAsk],
+        servers_by_agent: Mapping[str, str],
+        replies: RepliesByAgent,
     ) -> None:
         """Ask the servers whose agents are not among ``answers``, and add theirs."""
         agents_by_server = {
-            servers[agent]: agent for agent in asks if agent not in answers
+            servers_by_agent[agent]: agent
+            for agent in requests_by_agent
+            if agent not in replies
         }
-        self._silent.update(agents_by_server.values())
-        told = self._direct.request_all(
-            {server: asks[agent] for server, agent in agents_by_server.items()}
+        self._silent_agents.update(agents_by_server.values())
+        replies_by_server = self._direct_client.request_all(
+            {
+                server: requests_by_agent[agent]
+                for server, agent in agents_by_server.items()
+            }
         )
-        for server, one in told.items():
-            answers[agents_by_server[server]] = one
+        for server, one in replies_by_server.items():
+            replies[agents_by_server[server]] = one
 
 
 def _servers(roster: Roster, agents: Iterable[str]) -> dict[str, str]:
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -25,13 +25,13 @@
     from kingcupwheel.messages.membership import LoadsAsk
 
 # Members are asked to tell their loads so often, in seconds; they go on for four.
-_GREET_S = 1.0
+_HELLO_INTERVAL_S = 1.0
 # What a member told counts for so long, and an entry is told without asking again.
-_FRESH_S = 1.0
-_ASKED_S = 4.0
+_LOAD_TTL_S = 1.0
+_SUBSCRIPTION_TTL_S = 4.0
 
 
-class _Asker:
+class _Subscription:
     def __init__(self) -> None:
         self.members: tuple[str, ...] = ()
         self.every_s = 0.0
@@ -39,7 +39,7 @@
         self.told_at = float("-inf")
 
 
-class _Heard(NamedTuple):
+class _MemberLoad(NamedTuple):
     told: ServerTold
     at: float
 
@@ -50,25 +50,25 @@
     def __init__(self, name: str, hub: Hub) -> None:
         self._hub = hub
         self._hello = Hello(name, "", 0, "", leaving=False)
-        self._askers: dict[Link, _Asker] = {}
-        self._heard_by_member: dict[str, _Heard] = {}
-        self._greeted_at = float("-inf")
+        self._subscriptions_by_link: dict[Link, _Subscription] = {}
+        self._loads_by_member: dict[str, _MemberLoad] = {}
+        self._hello_sent_at = float("-inf")
         self._lock = Lock()
 
     def subscribe(self, link: Link, message: LoadsAsk, now: float) -> None:
         """Tell an entry the loads of these members for a while."""
         with self._lock:
-            asker = self._askers.setdefault(link, _Asker())
-            asker.members = message.members
-            asker.every_s = message.every_s
-            asker.at = now
+            subscription = self._subscriptions_by_link.setdefault(link, _Subscription())
+            subscription.members = message.members
+            subscription.every_s = message.every_s
+            subscription.at = now
 
     def handle_beat(self, link: Link, beat: Beat, now: float) -> None:
         """Take in the load of a member."""
         if not isinstance(link, Outgoing):
             return
         load = beat.load
-        told = ServerTold(
+        server_load = ServerTold(
             beat.name,
             load.running,
             load.queued,
@@ -77,31 +77,39 @@
             beat.born_ms,
         )
         with self._lock:
-            self._heard_by_member[link.address] = _Heard(told, now)
+            self._loads_by_member[link.address] = _MemberLoad(server_load, now)
 
     def on_tick(self, now: float) -> None:
         """Greet members and tell entries when it is time."""
         with self._lock:
             for link in [
-                one for one, by in self._askers.items() if now - by.at > _ASKED_S
+                one
+                for one, by in self._subscriptions_by_link.items()
+                if now - by.at > _SUBSCRIPTION_TTL_S
             ]:
-                del self._askers[link]
-            askers = tuple(self._askers.items())
-            heard = dict(self._heard_by_member)
-        if not askers:
+                del self._subscriptions_by_link[link]
+            subscriptions = tuple(self._subscriptions_by_link.items())
+            loads_by_member = dict(self._loads_by_member)
+        if not subscriptions:
             return
-        if now - self._greeted_at >= _GREET_S:
-            self._greeted_at = now
-            for member in {one for _, asker in askers for one in asker.members}:
+        if now - self._hello_sent_at >= _HELLO_INTERVAL_S:
+            self._hello_sent_at = now
+            for member in {one for _, asker in subscriptions for one in asker.members}:
                 self._hub.send(Outgoing(member, 0), self._hello)
-        for link, asker in askers:
+        for link, asker in subscriptions:
             if now - asker.told_at >= asker.every_s:
                 asker.told_at = now
-                self._hub.send(link, LoadsTold(_fresh(asker, heard, now)))
+                self._hub.send(
+                    link, LoadsTold(_fresh_loads(asker, loads_by_member, now))
+                )
 
 
-def _fresh(
-    asker: _Asker, heard: dict[str, _Heard], now: float
+def _fresh_loads(
+    subscription: _Subscription, loads_by_member: dict[str, _MemberLoad], now: float
 ) -> tuple[ServerTold, ...]:
-    found = (heard[member] for member in asker.members if member in heard)
-    return tuple(one.told for one in found if now - one.at <= _FRESH_S)
+    found = (
+        loads_by_member[member]
+        for member in subscription.members
+        if member in loads_by_member
+    )
+    return tuple(one.told for one in found if now - one.at <= _LOAD_TTL_S)
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -27,12 +27,12 @@
 
 # An order that was answered and has no effect is given again after this long. Copies do
 # no harm: one that is carried out late is refused as old.
-_AGAIN_S = 0.1
+_RESEND_INTERVAL_S = 0.1
 # Between two looks at the report: copying takes tenths of a second, arming a call.
-_LOOK_COPY_S = 0.03
-_LOOK_S = 0.004
+_PREPARE_POLL_INTERVAL_S = 0.03
+_POLL_INTERVAL_S = 0.004
 
-_MOST_IN_A_BYTE = 255
+_MAX_BYTE = 255
 
 
 class OrderExecutor:
@@ -41,68 +41,72 @@
     def __init__(self, client: RankClient, metrics: RankMetrics | None = None) -> None:
         self._client = client
         self._metrics = metrics
-        self._counted: RankCounts | None = None
+        self._last_counts: RankCounts | None = None
 
-    def execute(self, ask: RankAsk) -> RankTold:
+    def execute(self, request: RankAsk) -> RankTold:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
-        state = self._state()
-        if ask.order is not None:
-            state = self._give(ask, state)
-        match ask.tell:
+        state = self._read_state()
+        if request.order is not None:
+            state = self._execute_order(request, state)
+        match request.tell:
             case Tell.COUNTS:
-                scale, counts = self._new_counts()
-                return RankTold(ask.number, state, counts, scale)
+                scale, counts = self._read_new_counts()
+                return RankTold(request.number, state, counts, scale)
             case Tell.PLACES:
                 places = self._client.places()
-                return RankTold(ask.number, state, places=places.default_value(()))
+                return RankTold(request.number, state, places=places.default_value(()))
             case Tell.STATE:
-                return RankTold(ask.number, state)
+                return RankTold(request.number, state)
 
-    def _give(self, ask: RankAsk, state: RankState | None) -> RankState | None:
-        order = ask.order
+    def _execute_order(
+        self, request: RankAsk, state: RankState | None
+    ) -> RankState | None:
+        order = request.order
         assert order is not None, "only asks with an order are given"
-        until = monotonic() + ask.wait_ms / 1000
-        look_s = _LOOK_COPY_S if isinstance(order, Prepare) else _LOOK_S
-        given_at = float("-inf")
+        deadline = monotonic() + request.wait_ms / 1000
+        poll_interval_s = (
+            _PREPARE_POLL_INTERVAL_S if isinstance(order, Prepare) else _POLL_INTERVAL_S
+        )
+        sent_at = float("-inf")
         while state is None or not (
             is_carried_out(order, state) or is_obsolete(order, state)
         ):
             now = monotonic()
-            if now >= until:
+            if now >= deadline:
                 break
-            if now - given_at >= _AGAIN_S:
-                given = self._client.give(order)
+            if now - sent_at >= _RESEND_INTERVAL_S:
+                result = self._client.give(order)
                 kind = type(order).__name__
-                log.debug("order-given", order=kind, answer=str(given))
+                log.debug("order-given", order=kind, answer=str(result))
                 if self._metrics is not None:
-                    answer = str(given.ok) if given.is_ok() else "none"
+                    answer = str(result.ok) if result.is_ok() else "none"
                     self._metrics.orders.labels(kind.lower(), answer).inc()
                 # One without an answer is given again as soon as the report shows that
                 # it was not carried out; one that was refused, after a while.
-                given_at = now if given.is_ok() else float("-inf")
+                sent_at = now if result.is_ok() else float("-inf")
             else:
-                time.sleep(look_s)
-            state = self._state()
+                time.sleep(poll_interval_s)
+            state = self._read_state()
         return state
 
-    def _state(self) -> RankState | None:
-        asked = self._client.state()
-        return asked.ok if asked.is_ok() else None
+    def _read_state(self) -> RankState | None:
+        result = self._client.state()
+        return result.ok if result.is_ok() else None
 
-    def _new_counts(self) -> tuple[int, bytes]:
-        asked = self._client.counts()
-        if asked.is_error():
+    def _read_new_counts(self) -> tuple[int, bytes]:
+        result = self._client.counts()
+        if result.is_error():
             return 1, b""
-        now = asked.ok
-        before, self._counted = self._counted, now
-        if before is None or not _goes_on(before, now):
+        now = result.ok
+        before, self._last_counts = self._last_counts, now
+        if before is None or not _is_continuation(before, now):
             return 1, b""
         return pack_counts(
             [a - b for a, b in zip(now.counts, before.counts, strict=True)]
         )
 
 
-def _goes_on(before: RankCounts, now: RankCounts) -> bool:
+def _is_continuation(before: RankCounts, now: RankCounts) -> bool:
     """Return whether ``now`` counts on from ``before``.
 
     Failure: a rank starts anew, under its id and in the same epoch. Symptom: its counts
@@ -122,5 +126,5 @@
     Between data centres every byte costs; the map is planned from shares, for which a
     255th of the largest count is exact enough.
     """
-    scale = max(1, -(-max(counts, default=0) // _MOST_IN_A_BYTE))
+    scale = max(1, -(-max(counts, default=0) // _MAX_BYTE))
     return scale, bytes((count + scale // 2) // scale for count in counts)
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -31,11 +31,11 @@
 MIN_CHANGE_GAIN = 0.01
 
 # Coolest ranks that are tried as the other side of a change.
-_COOL_RANKS = 6
+_MAX_TARGET_RANKS = 6
 # Changes of one layer in one round, at least and for each rank; it bounds the time of a
 # plan. With 16 for 72 ranks a round from a skew of 2.8 ended at 1.35, with 36 at 1.26.
-_LAYER_CHANGES = 16
-_LAYER_CHANGES_A_RANK = 0.5
+_MIN_LAYER_CHANGE_LIMIT = 16
+_LAYER_CHANGES_PER_RANK = 0.5
 
 Placement = tuple[tuple[int, ...], ...]
 
@@ -64,7 +64,7 @@
     skew_after: float
 
 
-class _Change(NamedTuple):
+class _PlacementChange(NamedTuple):
     slowest: float
     expert: int
     to: int
@@ -75,10 +75,10 @@
 def plan_placement(
     layers: Sequence[Placement],
     shares: Sequence[Sequence[float]],
-    bounds: PlanLimits,
+    limits: PlanLimits,
     paces: Sequence[float] = (),
     *,
-    enough: Callable[[float], float] = lambda _: SKEW_TOLERANCE,
+    skew_tolerance: Callable[[float], float] = lambda _: SKEW_TOLERANCE,
 ) -> PlacementPlan | None:
     """Return the next map towards even ranks, or None if no change is worth it.
 
@@ -87,18 +87,18 @@
     skew as it is, the part over the mean at which a layer is left alone.
     """
     ranks = len(layers[0])
-    copies_left = [bounds.copies_per_rank] * ranks
+    copies_left = [limits.copies_per_rank] * ranks
     editors = [
-        _Layer(placement, load, bounds, copies_left, paces or (1.0,) * ranks)
+        _LayerEditor(placement, load, limits, copies_left, paces or (1.0,) * ranks)
         for placement, load in zip(layers, shares, strict=True)
     ]
     before = sum(editor.slowest for editor in editors)
     mean = sum(editor.mean for editor in editors)
     open_editors = list(editors)
-    good_enough = enough(before / mean)
+    tolerance = skew_tolerance(before / mean)
     while open_editors:
         worst = max(open_editors, key=lambda editor: editor.slowest - editor.mean)
-        if not worst.improve(good_enough):
+        if not worst.improve(tolerance):
             open_editors.remove(worst)
     copies = sum(editor.copies for editor in editors)
     if not copies:
@@ -108,166 +108,186 @@
     return PlacementPlan(found, copies, before / mean, after / mean)
 
 
-class _Layer:
+class _LayerEditor:
     """One layer's placement while it is changed; loads are times, paces included."""
 
     def __init__(
         self,
         placement: Placement,
         load: Sequence[float],
-        bounds: PlanLimits,
+        limits: PlanLimits,
         copies_left: list[int],
         paces: Sequence[float],
     ) -> None:
-        self._paces = paces
-        self._load = load
-        self._places = bounds.slots_per_rank
-        self._held = [set(experts) for experts in placement]
-        self._first = [frozenset(experts) for experts in placement]
-        self._spare = [bounds.new_experts_per_layer] * len(placement)
-        self._copies_left = copies_left
-        self._holders: list[set[int]] = [set() for _ in load]
+        self._pace_by_rank = paces
+        self._load_by_expert = load
+        self._slots_per_rank = limits.slots_per_rank
+        self._experts_by_rank = [set(experts) for experts in placement]
+        self._initial_experts_by_rank = [frozenset(experts) for experts in placement]
+        self._new_left_by_rank = [limits.new_experts_per_layer] * len(placement)
+        self._copies_left_by_rank = copies_left
+        self._ranks_by_expert: list[set[int]] = [set() for _ in load]
         for rank, experts in enumerate(placement):
             for expert in experts:
-                self._holders[expert].add(rank)
-        self._loads = [self._time(rank) for rank in range(len(placement))]
-        self.mean = sum(load) / len(self._loads) or 1.0
+                self._ranks_by_expert[expert].add(rank)
+        self._load_by_rank = [
+            self._compute_rank_load(rank) for rank in range(len(placement))
+        ]
+        self.mean = sum(load) / len(self._load_by_rank) or 1.0
         self.copies = 0
         self._changes_left = max(
-            _LAYER_CHANGES, int(_LAYER_CHANGES_A_RANK * len(placement))
+            _MIN_LAYER_CHANGE_LIMIT, int(_LAYER_CHANGES_PER_RANK * len(placement))
         )
 
     @property
     def slowest(self) -> float:
         """The load of the most loaded rank."""
-        return max(self._loads)
+        return max(self._load_by_rank)
 
     @property
     def placement(self) -> Placement:
         """The layer as it stands."""
-        return tuple(tuple(sorted(held)) for held in self._held)
+        return tuple(tuple(sorted(held)) for held in self._experts_by_rank)
 
-    def improve(self, good_enough: float) -> bool:
+    def improve(self, skew_tolerance: float) -> bool:
         """Make the change that relieves the slowest rank most; tell if there is one."""
-        order = sorted(range(len(self._loads)), key=self._loads.__getitem__)
+        order = sorted(
+            range(len(self._load_by_rank)), key=self._load_by_rank.__getitem__
+        )
         hot = order[-1]
-        enough = self._loads[hot] <= self.mean * (1 + good_enough)
+        enough = self._load_by_rank[hot] <= self.mean * (1 + skew_tolerance)
         if enough or not self._changes_left:
             return False
-        limit = self._loads[hot] - MIN_CHANGE_GAIN * self.mean
-        best: _Change | None = None
-        for cool in order[:_COOL_RANKS]:
-            for change in self._options(hot, cool, limit):
+        limit = self._load_by_rank[hot] - MIN_CHANGE_GAIN * self.mean
+        best: _PlacementChange | None = None
+        for cool in order[:_MAX_TARGET_RANKS]:
+            for change in self._candidate_changes(hot, cool, limit):
                 if change.slowest < limit:
                     best = change
                     limit = change.slowest
         if best is None:
             return False
-        self._make(hot, best)
+        self._apply(hot, best)
         return True
 
-    def _options(self, hot: int, cool: int, limit: float) -> list[_Change]:
+    def _candidate_changes(
+        self, hot: int, cool: int, limit: float
+    ) -> list[_PlacementChange]:
         """Return the changes that give ``cool`` an expert of ``hot``.
 
         Those whose two ranks alone show that they leave one above ``limit`` are left
         out: they are nine in ten, and weighing them took most of a plan's time.
         """
-        found: list[_Change] = []
-        held = self._held[cool]
-        has_place = len(held) < self._places
-        most_off = (self._loads[hot] - limit) / self._paces[hot]
-        for expert in self._held[hot]:
-            share = self._load[expert] / len(self._holders[expert])
+        found: list[_PlacementChange] = []
+        held = self._experts_by_rank[cool]
+        has_place = len(held) < self._slots_per_rank
+        most_off = (self._load_by_rank[hot] - limit) / self._pace_by_rank[hot]
+        for expert in self._experts_by_rank[hot]:
+            share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
             if share <= most_off or expert in held or not self._may_copy(cool, expert):
                 continue
             if has_place:
-                found.append(self._weigh(hot, cool, expert, None))
-                found.append(self._weigh_move(hot, cool, expert))
+                found.append(self._evaluate_replica(hot, cool, expert, None))
+                found.append(self._evaluate_move(hot, cool, expert))
             for other in held:
-                if len(self._holders[other]) > 1:
-                    found.append(self._weigh(hot, cool, expert, other))
-                elif other not in self._held[hot] and self._may_copy(hot, other):
-                    found.append(self._weigh_swap(hot, cool, expert, other))
+                if len(self._ranks_by_expert[other]) > 1:
+                    found.append(self._evaluate_replica(hot, cool, expert, other))
+                elif other not in self._experts_by_rank[hot] and self._may_copy(
+                    hot, other
+                ):
+                    found.append(self._evaluate_swap(hot, cool, expert, other))
         return found
 
     def _may_copy(self, rank: int, expert: int) -> bool:
         # Weights that the rank has now are there already.
-        if expert in self._first[rank]:
+        if expert in self._initial_experts_by_rank[rank]:
             return True
-        return self._spare[rank] > 0 and self._copies_left[rank] > 0
+        return self._new_left_by_rank[rank] > 0 and self._copies_left_by_rank[rank] > 0
 
-    def _weigh(self, hot: int, cool: int, expert: int, evicted: int | None) -> _Change:
+    def _evaluate_replica(
+        self, hot: int, cool: int, expert: int, evicted: int | None
+    ) -> _PlacementChange:
         """Weigh one more replica of ``expert`` on ``cool``."""
-        count = len(self._holders[expert])
-        share = self._load[expert] / count
-        smaller = self._load[expert] / (count + 1)
-        hot_after = self._loads[hot] - (share - smaller) * self._paces[hot]
-        cool_after = self._loads[cool] + smaller * self._paces[cool]
+        count = len(self._ranks_by_expert[expert])
+        share = self._load_by_expert[expert] / count
+        smaller = self._load_by_expert[expert] / (count + 1)
+        hot_after = (
+            self._load_by_rank[hot] - (share - smaller) * self._pace_by_rank[hot]
+        )
+        cool_after = self._load_by_rank[cool] + smaller * self._pace_by_rank[cool]
         most = hot_after
         if evicted is not None:
-            count = len(self._holders[evicted])
-            cool_after -= self._load[evicted] / count * self._paces[cool]
-            more = self._load[evicted] * (1 / (count - 1) - 1 / count)
-            for rank in self._holders[evicted]:
+            count = len(self._ranks_by_expert[evicted])
+            cool_after -= (
+                self._load_by_expert[evicted] / count * self._pace_by_rank[cool]
+            )
+            more = self._load_by_expert[evicted] * (1 / (count - 1) - 1 / count)
+            for rank in self._ranks_by_expert[evicted]:
                 if rank == hot:
-                    most = max(most, hot_after + more * self._paces[hot])
+                    most = max(most, hot_after + more * self._pace_by_rank[hot])
                 elif rank != cool:
-                    most = max(most, self._loads[rank] + more * self._paces[rank])
-        return _Change(max(most, cool_after), expert, cool, evicted, moves=False)
+                    most = max(
+                        most, self._load_by_rank[rank] + more * self._pace_by_rank[rank]
+                    )
+        return _PlacementChange(
+            max(most, cool_after), expert, cool, evicted, moves=False
+        )
 
-    def _weigh_move(self, hot: int, cool: int, expert: int) -> _Change:
+    def _evaluate_move(self, hot: int, cool: int, expert: int) -> _PlacementChange:
         """Weigh that ``cool`` takes ``expert`` over; a slow rank may hold none."""
-        share = self._load[expert] / len(self._holders[expert])
+        share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
         slowest = max(
-            self._loads[hot] - share * self._paces[hot],
-            self._loads[cool] + share * self._paces[cool],
+            self._load_by_rank[hot] - share * self._pace_by_rank[hot],
+            self._load_by_rank[cool] + share * self._pace_by_rank[cool],
         )
-        return _Change(slowest, expert, cool, None, moves=True)
+        return _PlacementChange(slowest, expert, cool, None, moves=True)
 
-    def _weigh_swap(self, hot: int, cool: int, expert: int, other: int) -> _Change:
+    def _evaluate_swap(
+        self, hot: int, cool: int, expert: int, other: int
+    ) -> _PlacementChange:
         """Weigh an exchange of ``expert`` for ``other``."""
-        given = self._load[expert] / len(self._holders[expert])
-        taken = self._load[other]
+        given = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+        taken = self._load_by_expert[other]
         slowest = max(
-            self._loads[hot] + (taken - given) * self._paces[hot],
-            self._loads[cool] + (given - taken) * self._paces[cool],
+            self._load_by_rank[hot] + (taken - given) * self._pace_by_rank[hot],
+            self._load_by_rank[cool] + (given - taken) * self._pace_by_rank[cool],
         )
-        return _Change(slowest, expert, cool, other, moves=True)
+        return _PlacementChange(slowest, expert, cool, other, moves=True)
 
-    def _make(self, hot: int, change: _Change) -> None:
+    def _apply(self, hot: int, change: _PlacementChange) -> None:
         self._changes_left -= 1
-        touched = {hot, change.to} | self._holders[change.expert]
+        touched = {hot, change.to} | self._ranks_by_expert[change.expert]
         if change.evicted is not None:
-            touched |= self._holders[change.evicted]
-            self._drop(change.to, change.evicted)
-        self._gain(change.to, change.expert)
+            touched |= self._ranks_by_expert[change.evicted]
+            self._remove_expert(change.to, change.evicted)
+        self._add_expert(change.to, change.expert)
         if change.moves:
-            self._drop(hot, change.expert)
+            self._remove_expert(hot, change.expert)
             if change.evicted is not None:
-                self._gain(hot, change.evicted)
+                self._add_expert(hot, change.evicted)
         for rank in touched:
-            self._loads[rank] = self._time(rank)
-
-    def _drop(self, rank: int, expert: int) -> None:
-        self._held[rank].discard(expert)
-        self._holders[expert].discard(rank)
-        if expert not in self._first[rank]:
-            self._spare[rank] += 1
-            self._copies_left[rank] += 1
+            self._load_by_rank[rank] = self._compute_rank_load(rank)
+
+    def _remove_expert(self, rank: int, expert: int) -> None:
+        self._experts_by_rank[rank].discard(expert)
+        self._ranks_by_expert[expert].discard(rank)
+        if expert not in self._initial_experts_by_rank[rank]:
+            self._new_left_by_rank[rank] += 1
+            self._copies_left_by_rank[rank] += 1
             self.copies -= 1
 
-    def _gain(self, rank: int, expert: int) -> None:
-        self._held[rank].add(expert)
-        self._holders[expert].add(rank)
-        if expert not in self._first[rank]:
-            self._spare[rank] -= 1
-            self._copies_left[rank] -= 1
+    def _add_expert(self, rank: int, expert: int) -> None:
+        self._experts_by_rank[rank].add(expert)
+        self._ranks_by_expert[expert].add(rank)
+        if expert not in self._initial_experts_by_rank[rank]:
+            self._new_left_by_rank[rank] -= 1
+            self._copies_left_by_rank[rank] -= 1
             self.copies += 1
 
-    def _time(self, rank: int) -> float:
-        return self._paces[rank] * sum(
-            self._load[expert] / len(self._holders[expert])
-            for expert in self._held[rank]
+    def _compute_rank_load(self, rank: int) -> float:
+        return self._pace_by_rank[rank] * sum(
+            self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+            for expert in self._experts_by_rank[rank]
         )
 
 
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -34,7 +34,7 @@
 MIN_JUMP_DISTANCE = 0.06
 # Layers by which chance is worked out: each costs as much as summing a layer's counts,
 # and requests differ alike in all of them.
-_NOISE_LAYERS = 3
+_NOISE_SAMPLE_LAYERS = 3
 
 # Part of the estimate that a sample takes without a jump. Played over the same recorded
 # samples, a quarter and the gains asked of a change (see ``balancing``) halve the
@@ -42,7 +42,7 @@
 SAMPLE_WEIGHT = 0.25
 
 # The mean distance from zero of a normal variable of deviation 1.
-_MEAN_OF_NORMAL = math.sqrt(2 / math.pi)
+_MEAN_ABS_NORMAL = math.sqrt(2 / math.pi)
 
 LayerShares = tuple[float, ...]
 
@@ -58,65 +58,66 @@
     def __init__(self, layers: int, experts: int) -> None:
         self._layers = layers
         self._experts = experts
-        self._parts: list[Sequence[float]] = []
+        self._pending_counts: list[Sequence[float]] = []
         self.shares: tuple[LayerShares, ...] | None = None
         self.has_jumped = False
         self.choice_count = 0.0
         self.sample_distance = 0.0
         self.noise_distance = 0.0
 
-    def add_sample(self, parts: Iterable[Sequence[float]]) -> bool:
+    def add_sample(self, counts_by_source: Iterable[Sequence[float]]) -> bool:
         """Add counts (all layers in one list); return whether the estimate moved.
 
         Each part is of other requests than the rest: of one rank, or of some together.
         """
-        self._parts.extend(parts)
-        counts = [sum(column) for column in zip(*self._parts, strict=True)]
+        self._pending_counts.extend(counts_by_source)
+        counts = [sum(column) for column in zip(*self._pending_counts, strict=True)]
         self.choice_count = sum(counts[: self._experts])
         if self.choice_count < MIN_SAMPLE_CHOICES:
-            self._parts = [counts] if counts else []
+            self._pending_counts = [counts] if counts else []
             return False
         sample = tuple(
-            _shares(counts[start : start + self._experts])
+            _to_shares(counts[start : start + self._experts])
             for start in range(0, len(counts), self._experts)
         )
-        self.noise_distance = self._chance(sample)
-        self._parts = []
-        self._learn(sample)
+        self.noise_distance = self._estimate_noise(sample)
+        self._pending_counts = []
+        self._update_shares(sample)
         return True
 
-    def _chance(self, sample: tuple[LayerShares, ...]) -> float:
+    def _estimate_noise(self, sample: tuple[LayerShares, ...]) -> float:
         """Return the distance that a sample of these parts has by chance alone."""
-        parts = [one for one in self._parts if any(one)]
+        parts = [one for one in self._pending_counts if any(one)]
         if len(parts) < 2:
             return 0.0
-        step = max(1, self._layers // _NOISE_LAYERS)
-        layers = range(0, self._layers, step)[:_NOISE_LAYERS]
+        step = max(1, self._layers // _NOISE_SAMPLE_LAYERS)
+        layers = range(0, self._layers, step)[:_NOISE_SAMPLE_LAYERS]
         total = 0.0
         for layer in layers:
             start = layer * self._experts
             columns = [one[start : start + self._experts] for one in parts]
-            total += _spread(columns, sample[layer])
+            total += _expected_distance(columns, sample[layer])
         return total / len(layers)
 
-    def _learn(self, sample: tuple[LayerShares, ...]) -> None:
+    def _update_shares(self, sample: tuple[LayerShares, ...]) -> None:
         if self.shares is None:
             self.shares = sample
             self.has_jumped = True
             return
         self.sample_distance = mean_distance(self.shares, sample)
         self.has_jumped = self._is_jump()
-        part = 1.0 if self.has_jumped else SAMPLE_WEIGHT
+        weight = 1.0 if self.has_jumped else SAMPLE_WEIGHT
         self.shares = tuple(
-            _mixed(old, new, part) for old, new in zip(self.shares, sample, strict=True)
+            _blend(old, new, weight)
+            for old, new in zip(self.shares, sample, strict=True)
         )
 
     def _is_jump(self) -> bool:
         if self.sample_distance > JUMP_DISTANCE:
             return True
-        by_chance = JUMP_NOISE_FACTOR * self.noise_distance
+        noise_threshold = JUMP_NOISE_FACTOR * self.noise_distance
         return (
-            0.0 < by_chance < self.sample_distance
+            0.0 < noise_threshold < self.sample_distance
             and self.sample_distance > MIN_JUMP_DISTANCE
         )
 
@@ -131,7 +132,7 @@
     return total / len(old)
 
 
-def _spread(parts: Sequence[Sequence[float]], shares: LayerShares) -> float:
+def _expected_distance(parts: Sequence[Sequence[float]], shares: LayerShares) -> float:
     """Return the mean distance between a sample of these parts and the truth.
 
     Parts vary by whole requests, whose choices go together; their number and not the
@@ -147,15 +148,16 @@
             for count, size in zip(column, sizes, strict=True)
         )
         found += math.sqrt(square * correction)
-    return _MEAN_OF_NORMAL * found / whole
+    return _MEAN_ABS_NORMAL * found / whole
 
 
-def _shares(counts: Sequence[float]) -> LayerShares:
+def _to_shares(counts: Sequence[float]) -> LayerShares:
     total = sum(counts) or 1.0
     return tuple(count / total for count in counts)
 
 
-def _mixed(old: LayerShares, new: LayerShares, part: float) -> LayerShares:
+def _blend(old: LayerShares, new: LayerShares, weight: float) -> LayerShares:
     return tuple(
-        before + part * (after - before) for before, after in zip(old, new, strict=True)
+        before + weight * (after - before)
+        for before, after in zip(old, new, strict=True)
     )
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -43,16 +43,16 @@
         return self.servers_by_agent[agent].server
 
     def is_same_incarnation(
-        self, rank: int, known: RankState | None, told: RankState
+        self, rank: int, known: RankState | None, reported: RankState
     ) -> bool:
         """Return whether a report is of the same rank, epoch and life as before.
 
         A server that started anew has no map, and nothing prepared or armed, whatever
         was seen of it before.
         """
-        if told.epoch != self.epoch or told.rank != rank:
+        if reported.epoch != self.epoch or reported.rank != rank:
             return False
-        return known is None or known.born_ms == told.born_ms
+        return known is None or known.born_ms == reported.born_ms
 
     @property
     def branch_heads(self) -> dict[str, str]:
@@ -69,12 +69,12 @@
 
 
 def reports_by_rank(
-    own: RankState, answers: Mapping[str, RankTold]
+    own: RankState, replies: Mapping[str, RankTold]
 ) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
         told.state.rank: RankReport(agent, told.state, told.places)
-        for agent, told in answers.items()
+        for agent, told in replies.items()
         if told.state is not None
         and told.state.epoch == own.epoch
         and told.state.group == own.group
@@ -91,23 +91,37 @@
 
 
 def assemble_active_map(
-    ranks: Mapping[int, RankReport], size: int, shape: EngineShape
+    reports_by_rank: Mapping[int, RankReport], rank_count: int, shape: EngineShape
 ) -> LayerPlacements:
     """Return the map in force, put together from each rank's experts.
 
     A rank that is missing is given the experts that no other one has.
     """
-    if not all(len(one.experts_by_layer) == shape.layers for one in ranks.values()):
-        return round_robin_placement(size, shape.layers, shape.experts)
-    return tuple(_layer_of(ranks, size, shape, layer) for layer in range(shape.layers))
+    if not all(
+        len(one.experts_by_layer) == shape.layers for one in reports_by_rank.values()
+    ):
+        return round_robin_placement(rank_count, shape.layers, shape.experts)
+    return tuple(
+        _assemble_layer(reports_by_rank, rank_count, shape, layer)
+        for layer in range(shape.layers)
+    )
 
 
-def _layer_of(
-    ranks: Mapping[int, RankReport], size: int, shape: EngineShape, layer: int
+def _assemble_layer(
+    reports_by_rank: Mapping[int, RankReport],
+    rank_count: int,
+    shape: EngineShape,
+    layer: int,
 ) -> tuple[tuple[int, ...], ...]:
-    held = {expert for one in ranks.values() for expert in one.experts_by_layer[layer]}
+    held = {
+        expert
+        for one in reports_by_rank.values()
+        for expert in one.experts_by_layer[layer]
+    }
     rest = tuple(one for one in range(shape.experts) if one not in held) or (0,)
     return tuple(
-        ranks[rank].experts_by_layer[layer] if rank in ranks else rest
-        for rank in range(size)
+        reports_by_rank[rank].experts_by_layer[layer]
+        if rank in reports_by_rank
+        else rest
+        for rank in range(rank_count)
     )
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -59,72 +59,75 @@
     def __init__(
         self,
         client: RankClient,
-        reach: GroupClient,
+        group_client: GroupClient,
         *,
         find_servers: Callable[[], Mapping[str, PairedServer]],
         shape: Callable[[], EngineShape | None],
     ) -> None:
         self._client = client
-        self._reach = reach
+        self._group_client = group_client
         self._find_servers = find_servers
         self._shape = shape
-        self._standstill = StallDetector()
+        self._stall_detector = StallDetector()
 
     def check(self) -> CoordinationSession | float:
         """Return the charge to take, or the seconds until the next look."""
-        own = self._client.state()
-        if own.is_error() or not own.ok.is_open:
+        report = self._client.state()
+        if report.is_error() or not report.ok.is_open:
             return TAKEOVER_CHECK_INTERVAL_S
-        rescues = own.ok.rank != COORDINATOR_RANK
-        if rescues and own.ok.rank not in RESCUER_RANKS:
+        is_rescue = report.ok.rank != COORDINATOR_RANK
+        if is_rescue and report.ok.rank not in RESCUER_RANKS:
             return TAKEOVER_CHECK_INTERVAL_S
-        if rescues and not self._standstill.is_stalled(own.ok, monotonic()):
+        if is_rescue and not self._stall_detector.is_stalled(report.ok, monotonic()):
             return RESCUE_CHECK_INTERVAL_S
         shape = self._shape()
-        if shape is None or not own.ok.ranks:
+        if shape is None or not report.ok.ranks:
             return TAKEOVER_CHECK_INTERVAL_S
-        return self._take(own.ok, shape, rescues=rescues) or TAKEOVER_CHECK_INTERVAL_S
+        return (
+            self._start_session(report.ok, shape, is_rescue=is_rescue)
+            or TAKEOVER_CHECK_INTERVAL_S
+        )
 
-    def _take(
-        self, own: RankState, shape: EngineShape, *, rescues: bool
+    def _start_session(
+        self, own: RankState, shape: EngineShape, *, is_rescue: bool
     ) -> CoordinationSession | None:
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
-        answers = self._reach.fetch_placements(servers_by_agent)
-        ranks = reports_by_rank(own, answers)
+        replies = self._group_client.fetch_placements(servers_by_agent)
+        reports = reports_by_rank(own, replies)
         # Rank 0 alone is missing: its whole machine is frozen or gone.
-        lacks_first = rescues and set(ranks) == set(range(1, own.ranks))
-        if len(ranks) < own.ranks and not lacks_first:
+        is_rank_0_missing = is_rescue and set(reports) == set(range(1, own.ranks))
+        if len(reports) < own.ranks and not is_rank_0_missing:
             log.info(
                 "ranks-missing",
-                found=sorted(ranks),
+                found=sorted(reports),
                 ranks=own.ranks,
                 listed=len(servers_by_agent),
-                answered=len(answers),
+                answered=len(replies),
             )
             return None
-        agents = {rank: found.agent for rank, found in ranks.items()}
+        agents = {rank: found.agent for rank, found in reports.items()}
         roster = Roster(own.epoch, own.ranks, agents, servers_by_agent)
-        self._reach.use_roster(roster)
-        charge = CoordinationSession(
+        self._group_client.use_roster(roster)
+        session = CoordinationSession(
             roster,
-            {rank: found.state for rank, found in ranks.items()},
-            assemble_active_map(ranks, own.ranks, shape),
+            {rank: found.state for rank, found in reports.items()},
+            assemble_active_map(reports, own.ranks, shape),
             Balancer(shape),
-            rescues=rescues,
+            is_rescue=is_rescue,
         )
-        take_up = recover_phase_without_rank_0 if lacks_first else recover_phase
-        charge.begin_change(take_up(charge.group, charge.layers))
-        if rescues and isinstance(charge.phase, Idle):
-            self._reach.reset_silent_agents()
+        recover = recover_phase_without_rank_0 if is_rank_0_missing else recover_phase
+        session.begin_change(recover(session.group, session.layers))
+        if is_rescue and isinstance(session.phase, Idle):
+            self._group_client.reset_silent_agents()
             return None
         log.info(
-            "rescuing" if rescues else "coordinating",
+            "rescuing" if is_rescue else "coordinating",
             epoch=own.epoch,
             ranks=own.ranks,
             version=own.version,
-            held=charge.group.held_step,
-            found=len(ranks),
-            phase=type(charge.phase).__name__,
+            held=session.group.held_step,
+            found=len(reports),
+            phase=type(session.phase).__name__,
         )
-        return charge
+        return session
