--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/loadheads.py
@@ -1,7 +1,8 @@
 """Which agents an entry asks for servers' loads. Pure: times are arguments.
 
 Small fleets are asked agent by agent. In larger ones one agent of each data centre
-tells for all of it; see ``lockstep.load_aggregator`` for the load and the harm prevented.
+tells for all of it; see ``lockstep.load_aggregator`` for the load and the harm
+prevented.
 """
 
 from __future__ import annotations
