--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -50,7 +50,7 @@
     """One message of a question: to an agent, or to the head of a branch."""
 
     address: str
-    question: AgentRequest
+    request: AgentRequest
     members: tuple[str, ...]
 
     @property
@@ -60,7 +60,7 @@
     @property
     def until_s(self) -> float:
         return (
-            self.question.wait_s
+            self.request.wait_s
             + REPLY_TIMEOUT_S
             + _BRANCH_EXTRA_TIMEOUT_S * self.is_branch
         )
@@ -178,7 +178,7 @@
         return replies, silent
 
     def _send(self, number: int, outgoing: _OutgoingRequest) -> None:
-        request = outgoing.question
+        request = outgoing.request
         wait_ms = int(request.wait_s * 1000)
         ask = RankAsk(number, request.tell, request.order, wait_ms)
         message = (
