--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -58,7 +58,7 @@
         return len(self.members) > 1
 
     @property
-    def until_s(self) -> float:
+    def timeout_s(self) -> float:
         return (
             self.request.wait_s
             + REPLY_TIMEOUT_S
@@ -158,7 +158,7 @@
         for number, part in outgoing_by_number.items():
             self._send(number, part)
         longest_s = max(
-            (one.until_s for one in outgoing_by_number.values()), default=0.0
+            (one.timeout_s for one in outgoing_by_number.values()), default=0.0
         )
         with self._changed:
             self._changed.wait_for(
