--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -34,7 +34,7 @@
 class _Subscription:
     def __init__(self) -> None:
         self.members: tuple[str, ...] = ()
-        self.every_s = 0.0
+        self.interval_s = 0.0
         self.at = 0.0
         self.told_at = float("-inf")
 
@@ -60,7 +60,7 @@
         with self._lock:
             subscription = self._subscriptions_by_link.setdefault(link, _Subscription())
             subscription.members = message.members
-            subscription.every_s = message.every_s
+            subscription.interval_s = message.every_s
             subscription.at = now
 
     def handle_beat(self, link: Link, beat: Beat, now: float) -> None:
@@ -97,7 +97,7 @@
             for member in {one for _, asker in subscriptions for one in asker.members}:
                 self._hub.send(Outgoing(member, 0), self._hello)
         for link, asker in subscriptions:
-            if now - asker.told_at >= asker.every_s:
+            if now - asker.told_at >= asker.interval_s:
                 asker.told_at = now
                 self._hub.send(
                     link, LoadsTold(_fresh_loads(asker, loads_by_member, now))
