--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.members: tuple[str, ...] = ()
         self.interval_s = 0.0
-        self.at = 0.0
+        self.renewed_at = 0.0
         self.told_at = float("-inf")
 
 
@@ -61,7 +61,7 @@
             subscription = self._subscriptions_by_link.setdefault(link, _Subscription())
             subscription.members = message.members
             subscription.interval_s = message.every_s
-            subscription.at = now
+            subscription.renewed_at = now
 
     def handle_beat(self, link: Link, beat: Beat, now: float) -> None:
         """Take in the load of a member."""
@@ -85,7 +85,7 @@
             for link in [
                 one
                 for one, by in self._subscriptions_by_link.items()
-                if now - by.at > _SUBSCRIPTION_TTL_S
+                if now - by.renewed_at > _SUBSCRIPTION_TTL_S
             ]:
                 del self._subscriptions_by_link[link]
             subscriptions = tuple(self._subscriptions_by_link.items())
