--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -36,7 +36,7 @@
         self.members: tuple[str, ...] = ()
         self.interval_s = 0.0
         self.renewed_at = 0.0
-        self.told_at = float("-inf")
+        self.sent_at = float("-inf")
 
 
 class _MemberLoad(NamedTuple):
@@ -97,8 +97,8 @@
             for member in {one for _, asker in subscriptions for one in asker.members}:
                 self._hub.send(Outgoing(member, 0), self._hello)
         for link, asker in subscriptions:
-            if now - asker.told_at >= asker.interval_s:
-                asker.told_at = now
+            if now - asker.sent_at >= asker.interval_s:
+                asker.sent_at = now
                 self._hub.send(
                     link, LoadsTold(_fresh_loads(asker, loads_by_member, now))
                 )
