--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -40,7 +40,7 @@
 
 
 class _MemberLoad(NamedTuple):
-    told: ServerTold
+    load: ServerTold
     at: float
 
 
@@ -112,4 +112,4 @@
         for member in subscription.members
         if member in loads_by_member
     )
-    return tuple(one.told for one in found if now - one.at <= _LOAD_TTL_S)
+    return tuple(one.load for one in found if now - one.at <= _LOAD_TTL_S)
