--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -41,7 +41,7 @@
 
 class _MemberLoad(NamedTuple):
     load: ServerTold
-    at: float
+    received_at: float
 
 
 class LoadAggregator:
@@ -112,4 +112,4 @@
         for member in subscription.members
         if member in loads_by_member
     )
-    return tuple(one.load for one in found if now - one.at <= _LOAD_TTL_S)
+    return tuple(one.load for one in found if now - one.received_at <= _LOAD_TTL_S)
