--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -32,7 +32,7 @@
     def __init__(self, link: Link, ask: BranchAsk, until: float) -> None:
         self.link = link
         self.number = ask.number
-        self.until = until
+        self.deadline = until
         self.missing: dict[int, str] = {}
         self.told: dict[str, RankTold] = {}
         self.counts: list[int] = []
@@ -102,7 +102,7 @@
             expired = {
                 id(branch): branch
                 for branch in self._pending_by_number.values()
-                if now >= branch.until
+                if now >= branch.deadline
             }
             for branch in expired.values():
                 for number in branch.missing:
