--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -33,13 +33,13 @@
         self.link = link
         self.number = ask.number
         self.deadline = until
-        self.missing: dict[int, str] = {}
+        self.awaited_by_number: dict[int, str] = {}
         self.told: dict[str, RankTold] = {}
         self.counts: list[int] = []
 
     def take(self, message: RankTold) -> None:
         """Take in a member's answer; its counts are summed."""
-        address = self.missing.pop(message.number)
+        address = self.awaited_by_number.pop(message.number)
         self.told[address] = msgspec.structs.replace(message, counts=b"", scale=1)
         if not message.counts:
             return
@@ -76,9 +76,9 @@
         with self._lock:
             for address in message.members:
                 number = next(self._numbers)
-                pending.missing[number] = address
+                pending.awaited_by_number[number] = address
                 self._pending_by_number[number] = pending
-            asked = tuple(pending.missing.items())
+            asked = tuple(pending.awaited_by_number.items())
         for number, address in asked:
             ask = message.ask
             passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
@@ -91,7 +91,7 @@
             if pending is None:
                 return message.number >= _FIRST_REQUEST_NUMBER
             pending.take(message)
-            if pending.missing:
+            if pending.awaited_by_number:
                 return True
         self._hub.send(pending.link, pending.answer())
         return True
@@ -105,7 +105,7 @@
                 if now >= branch.deadline
             }
             for branch in expired.values():
-                for number in branch.missing:
+                for number in branch.awaited_by_number:
                     del self._pending_by_number[number]
         for branch in expired.values():
             self._hub.send(branch.link, branch.answer())
