--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -34,13 +34,15 @@
         self.number = ask.number
         self.deadline = until
         self.awaited_by_number: dict[int, str] = {}
-        self.told: dict[str, RankTold] = {}
+        self.replies_by_address: dict[str, RankTold] = {}
         self.counts: list[int] = []
 
     def take(self, message: RankTold) -> None:
         """Take in a member's answer; its counts are summed."""
         address = self.awaited_by_number.pop(message.number)
-        self.told[address] = msgspec.structs.replace(message, counts=b"", scale=1)
+        self.replies_by_address[address] = msgspec.structs.replace(
+            message, counts=b"", scale=1
+        )
         if not message.counts:
             return
         if not self.counts:
@@ -51,9 +53,9 @@
     def answer(self) -> BranchTold:
         """Return what was told so far."""
         if not self.counts:
-            return BranchTold(self.number, self.told)
+            return BranchTold(self.number, self.replies_by_address)
         scale, counts = pack_counts(self.counts)
-        return BranchTold(self.number, self.told, counts, scale)
+        return BranchTold(self.number, self.replies_by_address, counts, scale)
 
 
 class BranchAggregator:
