--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -37,7 +37,7 @@
         self.replies_by_address: dict[str, RankTold] = {}
         self.counts: list[int] = []
 
-    def take(self, message: RankTold) -> None:
+    def add_reply(self, message: RankTold) -> None:
         """Take in a member's answer; its counts are summed."""
         address = self.awaited_by_number.pop(message.number)
         self.replies_by_address[address] = msgspec.structs.replace(
@@ -92,7 +92,7 @@
             pending = self._pending_by_number.pop(message.number, None)
             if pending is None:
                 return message.number >= _FIRST_REQUEST_NUMBER
-            pending.take(message)
+            pending.add_reply(message)
             if pending.awaited_by_number:
                 return True
         self._hub.send(pending.link, pending.answer())
