--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -50,7 +50,7 @@
         for index, found in enumerate(message.counts):
             self.counts[index] += found * message.scale
 
-    def answer(self) -> BranchTold:
+    def build_reply(self) -> BranchTold:
         """Return what was told so far."""
         if not self.counts:
             return BranchTold(self.number, self.replies_by_address)
@@ -95,7 +95,7 @@
             pending.add_reply(message)
             if pending.awaited_by_number:
                 return True
-        self._hub.send(pending.link, pending.answer())
+        self._hub.send(pending.link, pending.build_reply())
         return True
 
     def on_tick(self, now: float) -> None:
@@ -110,4 +110,4 @@
                 for number in branch.awaited_by_number:
                     del self._pending_by_number[number]
         for branch in expired.values():
-            self._hub.send(branch.link, branch.answer())
+            self._hub.send(branch.link, branch.build_reply())
