--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -65,7 +65,7 @@
 
 
 class _PlacementChange(NamedTuple):
-    slowest: float
+    max_load: float
     expert: int
     to: int
     evicted: int | None
@@ -162,9 +162,9 @@
         best: _PlacementChange | None = None
         for cool in order[:_MAX_TARGET_RANKS]:
             for change in self._candidate_changes(hot, cool, limit):
-                if change.slowest < limit:
+                if change.max_load < limit:
                     best = change
-                    limit = change.slowest
+                    limit = change.max_load
         if best is None:
             return False
         self._apply(hot, best)
