--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -67,7 +67,7 @@
 class _PlacementChange(NamedTuple):
     max_load: float
     expert: int
-    to: int
+    target_rank: int
     evicted: int | None
     moves: bool
 
@@ -256,11 +256,11 @@
 
     def _apply(self, hot: int, change: _PlacementChange) -> None:
         self._changes_left -= 1
-        touched = {hot, change.to} | self._ranks_by_expert[change.expert]
+        touched = {hot, change.target_rank} | self._ranks_by_expert[change.expert]
         if change.evicted is not None:
             touched |= self._ranks_by_expert[change.evicted]
-            self._remove_expert(change.to, change.evicted)
-        self._add_expert(change.to, change.expert)
+            self._remove_expert(change.target_rank, change.evicted)
+        self._add_expert(change.target_rank, change.expert)
         if change.moves:
             self._remove_expert(hot, change.expert)
             if change.evicted is not None:
