--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -68,7 +68,7 @@
     max_load: float
     expert: int
     target_rank: int
-    evicted: int | None
+    evicted_expert: int | None
     moves: bool
 
 
@@ -257,14 +257,14 @@
     def _apply(self, hot: int, change: _PlacementChange) -> None:
         self._changes_left -= 1
         touched = {hot, change.target_rank} | self._ranks_by_expert[change.expert]
-        if change.evicted is not None:
-            touched |= self._ranks_by_expert[change.evicted]
-            self._remove_expert(change.target_rank, change.evicted)
+        if change.evicted_expert is not None:
+            touched |= self._ranks_by_expert[change.evicted_expert]
+            self._remove_expert(change.target_rank, change.evicted_expert)
         self._add_expert(change.target_rank, change.expert)
         if change.moves:
             self._remove_expert(hot, change.expert)
-            if change.evicted is not None:
-                self._add_expert(hot, change.evicted)
+            if change.evicted_expert is not None:
+                self._add_expert(hot, change.evicted_expert)
         for rank in touched:
             self._load_by_rank[rank] = self._compute_rank_load(rank)
 
