--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -69,7 +69,7 @@
     expert: int
     target_rank: int
     evicted_expert: int | None
-    moves: bool
+    is_move: bool
 
 
 def plan_placement(
@@ -230,7 +230,7 @@
                         most, self._load_by_rank[rank] + more * self._pace_by_rank[rank]
                     )
         return _PlacementChange(
-            max(most, cool_after), expert, cool, evicted, moves=False
+            max(most, cool_after), expert, cool, evicted, is_move=False
         )
 
     def _evaluate_move(self, hot: int, cool: int, expert: int) -> _PlacementChange:
@@ -240,7 +240,7 @@
             self._load_by_rank[hot] - share * self._pace_by_rank[hot],
             self._load_by_rank[cool] + share * self._pace_by_rank[cool],
         )
-        return _PlacementChange(slowest, expert, cool, None, moves=True)
+        return _PlacementChange(slowest, expert, cool, None, is_move=True)
 
     def _evaluate_swap(
         self, hot: int, cool: int, expert: int, other: int
@@ -252,7 +252,7 @@
             self._load_by_rank[hot] + (taken - given) * self._pace_by_rank[hot],
             self._load_by_rank[cool] + (given - taken) * self._pace_by_rank[cool],
         )
-        return _PlacementChange(slowest, expert, cool, other, moves=True)
+        return _PlacementChange(slowest, expert, cool, other, is_move=True)
 
     def _apply(self, hot: int, change: _PlacementChange) -> None:
         self._changes_left -= 1
@@ -261,7 +261,7 @@
             touched |= self._ranks_by_expert[change.evicted_expert]
             self._remove_expert(change.target_rank, change.evicted_expert)
         self._add_expert(change.target_rank, change.expert)
-        if change.moves:
+        if change.is_move:
             self._remove_expert(hot, change.expert)
             if change.evicted_expert is not None:
                 self._add_expert(hot, change.evicted_expert)
