--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -92,18 +92,18 @@
         _LayerEditor(placement, load, limits, copies_left, paces or (1.0,) * ranks)
         for placement, load in zip(layers, shares, strict=True)
     ]
-    before = sum(editor.slowest for editor in editors)
+    before = sum(editor.max_load for editor in editors)
     mean = sum(editor.mean for editor in editors)
     open_editors = list(editors)
     tolerance = skew_tolerance(before / mean)
     while open_editors:
-        worst = max(open_editors, key=lambda editor: editor.slowest - editor.mean)
+        worst = max(open_editors, key=lambda editor: editor.max_load - editor.mean)
         if not worst.improve(tolerance):
             open_editors.remove(worst)
     copies = sum(editor.copies for editor in editors)
     if not copies:
         return None
-    after = sum(editor.slowest for editor in editors)
+    after = sum(editor.max_load for editor in editors)
     found = tuple(editor.placement for editor in editors)
     return PlacementPlan(found, copies, before / mean, after / mean)
 
@@ -140,7 +140,7 @@
         )
 
     @property
-    def slowest(self) -> float:
+    def max_load(self) -> float:
         """The load of the most loaded rank."""
         return max(self._load_by_rank)
 
