--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -93,11 +93,11 @@
         for placement, load in zip(layers, shares, strict=True)
     ]
     before = sum(editor.max_load for editor in editors)
-    mean = sum(editor.mean for editor in editors)
+    mean = sum(editor.mean_load for editor in editors)
     open_editors = list(editors)
     tolerance = skew_tolerance(before / mean)
     while open_editors:
-        worst = max(open_editors, key=lambda editor: editor.max_load - editor.mean)
+        worst = max(open_editors, key=lambda editor: editor.max_load - editor.mean_load)
         if not worst.improve(tolerance):
             open_editors.remove(worst)
     copies = sum(editor.copies for editor in editors)
@@ -133,7 +133,7 @@
         self._load_by_rank = [
             self._compute_rank_load(rank) for rank in range(len(placement))
         ]
-        self.mean = sum(load) / len(self._load_by_rank) or 1.0
+        self.mean_load = sum(load) / len(self._load_by_rank) or 1.0
         self.copies = 0
         self._changes_left = max(
             _MIN_LAYER_CHANGE_LIMIT, int(_LAYER_CHANGES_PER_RANK * len(placement))
@@ -155,10 +155,10 @@
             range(len(self._load_by_rank)), key=self._load_by_rank.__getitem__
         )
         hot = order[-1]
-        enough = self._load_by_rank[hot] <= self.mean * (1 + skew_tolerance)
+        enough = self._load_by_rank[hot] <= self.mean_load * (1 + skew_tolerance)
         if enough or not self._changes_left:
             return False
-        limit = self._load_by_rank[hot] - MIN_CHANGE_GAIN * self.mean
+        limit = self._load_by_rank[hot] - MIN_CHANGE_GAIN * self.mean_load
         best: _PlacementChange | None = None
         for cool in order[:_MAX_TARGET_RANKS]:
             for change in self._candidate_changes(hot, cool, limit):
