--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -115,15 +115,15 @@
     "map-changes": (
         Edit(
             "lockstep/balancer.py",
-            "if found is None or not self._is_worth_it(found):",
-            "if found is not None or found is None:",
+            "if plan is None or not self._has_sufficient_gain(plan):",
+            "if plan is not None or plan is None:",
         ),
     ),
     "jumps": (
         Edit(
             "lockstep/popularity.py",
-            "return 0.0 < by_chance < self.moved and self.moved > LEAST_JUMP",
-            "return by_chance < 0.0",
+            "0.0 < noise_threshold < self.sample_distance",
+            "noise_threshold < 0.0",
         ),
         Edit(
             "lockstep/popularity.py",
@@ -132,11 +132,15 @@
         ),
     ),
     "small-gains-left": (
-        Edit("lockstep/balancer.py", "SHORT_PASS_GAIN = 0.3", "SHORT_PASS_GAIN = 0.0"),
         Edit(
             "lockstep/balancer.py",
-            "SKEW_GAIN_A_COPYING_S = 0.018",
-            "SKEW_GAIN_A_COPYING_S = 0.0",
+            "SHORT_PASS_MIN_SKEW_GAIN = 0.3",
+            "SHORT_PASS_MIN_SKEW_GAIN = 0.0",
+        ),
+        Edit(
+            "lockstep/balancer.py",
+            "MIN_SKEW_GAIN_PER_COPY_S = 0.018",
+            "MIN_SKEW_GAIN_PER_COPY_S = 0.0",
         ),
     ),
     "slow-ranks-avoided": (
@@ -152,16 +156,18 @@
     "slow-ranks-relieved-of-experts": (
         Edit(
             "lockstep/balancer.py",
-            "paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]",
-            "paces = [1.0 for _ in range(group.ranks)]",
+            "[group.states_by_rank[rank].pace for rank in range(group.rank_count)]",
+            "[1.0 for _ in range(group.rank_count)]",
         ),
     ),
-    "rescuers": (Edit("lockstep/takeover.py", "RESCUERS = (1, 2)", "RESCUERS = ()"),),
+    "rescuers": (
+        Edit("lockstep/takeover.py", "RESCUER_RANKS = (1, 2)", "RESCUER_RANKS = ()"),
+    ),
     "direct-orders": (
         Edit(
             "lockstep/direct_client.py",
-            "if not asks_by_server:",
-            "if not asks_by_server or asks_by_server:",
+            "if not requests_by_server:",
+            "if not requests_by_server or requests_by_server:",
         ),
     ),
     "branches": (
