--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -68,7 +68,7 @@
     experts_by_layer: tuple[tuple[int, ...], ...]
 
 
-def reports_by_rank(
+def collect_reports(
     own: RankState, replies: Mapping[str, RankTold]
 ) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -24,7 +24,7 @@
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
 from kingcupwheel.lockstep.roster import Roster
 from kingcupwheel.lockstep.roster import assemble_active_map
-from kingcupwheel.lockstep.roster import reports_by_rank
+from kingcupwheel.lockstep.roster import collect_reports
 from kingcupwheel.lockstep.stall_detector import StallDetector
 from kingcupwheel.telemetry.lines import lines_of
 
@@ -94,7 +94,7 @@
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
         replies = self._group_client.fetch_placements(servers_by_agent)
-        reports = reports_by_rank(own, replies)
+        reports = collect_reports(own, replies)
         # Rank 0 alone is missing: its whole machine is frozen or gone.
         is_rank_0_missing = is_rescue and set(reports) == set(range(1, own.ranks))
         if len(reports) < own.ranks and not is_rank_0_missing:
