--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -79,7 +79,7 @@
         asked = [one for one in agents if one not in self._silent_agents]
         replies = self._agent_client.request_all(dict.fromkeys(asked, AgentRequest()))
         direct_requests = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
-        self._query_servers(direct_requests, _servers(roster, agents), replies)
+        self._query_servers(direct_requests, _find_servers(roster, agents), replies)
         return replies
 
     def send_orders(
@@ -110,7 +110,7 @@
                 if one not in self._silent_agents
             }
         )
-        self._query_servers(direct_requests, _servers(roster, requests), replies)
+        self._query_servers(direct_requests, _find_servers(roster, requests), replies)
         return replies
 
     def _query_servers(
@@ -136,5 +136,5 @@
             replies[agents_by_server[server]] = one
 
 
-def _servers(roster: Roster, agents: Iterable[str]) -> dict[str, str]:
+def _find_servers(roster: Roster, agents: Iterable[str]) -> dict[str, str]:
     return {agent: roster.server_of(agent) for agent in agents}
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -69,15 +69,15 @@
 
 
 def collect_reports(
-    own: RankState, replies: Mapping[str, RankTold]
+    own_state: RankState, replies: Mapping[str, RankTold]
 ) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
         told.state.rank: RankReport(agent, told.state, told.places)
         for agent, told in replies.items()
         if told.state is not None
-        and told.state.epoch == own.epoch
-        and told.state.group == own.group
+        and told.state.epoch == own_state.epoch
+        and told.state.group == own_state.group
     }
 
 
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -89,30 +89,30 @@
         )
 
     def _start_session(
-        self, own: RankState, shape: EngineShape, *, is_rescue: bool
+        self, own_state: RankState, shape: EngineShape, *, is_rescue: bool
     ) -> CoordinationSession | None:
         """Return the charge of the group of ``own``, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
         replies = self._group_client.fetch_placements(servers_by_agent)
-        reports = collect_reports(own, replies)
+        reports = collect_reports(own_state, replies)
         # Rank 0 alone is missing: its whole machine is frozen or gone.
-        is_rank_0_missing = is_rescue and set(reports) == set(range(1, own.ranks))
-        if len(reports) < own.ranks and not is_rank_0_missing:
+        is_rank_0_missing = is_rescue and set(reports) == set(range(1, own_state.ranks))
+        if len(reports) < own_state.ranks and not is_rank_0_missing:
             log.info(
                 "ranks-missing",
                 found=sorted(reports),
-                ranks=own.ranks,
+                ranks=own_state.ranks,
                 listed=len(servers_by_agent),
                 answered=len(replies),
             )
             return None
         agents = {rank: found.agent for rank, found in reports.items()}
-        roster = Roster(own.epoch, own.ranks, agents, servers_by_agent)
+        roster = Roster(own_state.epoch, own_state.ranks, agents, servers_by_agent)
         self._group_client.use_roster(roster)
         session = CoordinationSession(
             roster,
             {rank: found.state for rank, found in reports.items()},
-            assemble_active_map(reports, own.ranks, shape),
+            assemble_active_map(reports, own_state.ranks, shape),
             Balancer(shape),
             is_rescue=is_rescue,
         )
@@ -123,9 +123,9 @@
             return None
         log.info(
             "rescuing" if is_rescue else "coordinating",
-            epoch=own.epoch,
-            ranks=own.ranks,
-            version=own.version,
+            epoch=own_state.epoch,
+            ranks=own_state.ranks,
+            version=own_state.version,
             held=session.group.held_step,
             found=len(reports),
             phase=type(session.phase).__name__,
