--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -21,16 +21,16 @@
 from kingcupwheel.agent.runner import Runner
 from kingcupwheel.agent.runs import Runs
 from kingcupwheel.agent.store import AnswerStore
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
+from kingcupwheel.messages.attempts import RunningAttempts
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
 from kingcupwheel.messages.membership import Hello
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.messages.membership import StatusFound
-from kingcupwheel.messages.membership import StatusWanted
-from kingcupwheel.messages.runs import Running
-from kingcupwheel.messages.traces import TraceWanted
+from kingcupwheel.messages.membership import ManifestRequest
+from kingcupwheel.messages.membership import StatusReply
+from kingcupwheel.messages.membership import StatusRequest
+from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
@@ -77,7 +77,7 @@
             listener=EventMetrics(self._metrics, settings.role),
         )
         self._peers = Peers(hello_s=timings.gone_s, gone_s=timings.give_up_s)
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         runs = Runs(
@@ -209,11 +209,11 @@
         match message:
             case Hello():
                 self._hello(link, message, now)
-            case TraceWanted(request_id):
+            case TraceRequest(request_id):
                 self._hub.send(link, self._recorder.found(request_id))
-            case StatusWanted():
+            case StatusRequest():
                 self._hub.send(link, self._status())
-            case ManifestWanted(key):
+            case ManifestRequest(key):
                 self._hub.send(link, self._manifest.object_for(key))
             case ManifestObject():
                 self._manifest.found(message)
@@ -229,9 +229,9 @@
         if not known:
             self._hub.send(link, self._heartbeat.beat(now=now))
 
-    def _status(self) -> StatusFound:
+    def _status(self) -> StatusReply:
         settings = self._settings
-        return StatusFound(
+        return StatusReply(
             settings.name,
             settings.role.value,
             settings.data_centre,
@@ -261,7 +261,7 @@
         for link in self._peers.listening(now=now):
             self._hub.send(link, beat)
         for link, names in self._store.alive().items():
-            self._hub.send(link, Running(tuple(names)))
+            self._hub.send(link, RunningAttempts(tuple(names)))
 
     def _tell_death(self) -> None:
         now = monotonic()
--- a/src/kingcupwheel/agent/store.py
+++ b/src/kingcupwheel/agent/store.py
@@ -9,7 +9,7 @@
 from kingcupwheel.agent.answers import AnswerHead
 from kingcupwheel.agent.answers import Subscriber
 from kingcupwheel.agent.expiring import ExpiringMap
-from kingcupwheel.messages.runs import NotRun
+from kingcupwheel.messages.attempts import AttemptRefused
 
 
 if TYPE_CHECKING:
@@ -20,9 +20,9 @@
     from kingcupwheel.agent.answers import Ended
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.link.links import Link
+    from kingcupwheel.messages.attempts import DispatchRefusal
+    from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.messages.base import Message
-    from kingcupwheel.messages.runs import Outcome
-    from kingcupwheel.messages.runs import Refusal
 
 # How long it is remembered how the answer of an attempt that may not be repeated ended,
 # after its bytes were freed: as long as its claim can be found.
@@ -176,7 +176,7 @@
             self._flush(answer)
             return length
 
-    def refuse(self, key: AttemptKey, reason: Refusal) -> None:
+    def refuse(self, key: AttemptKey, reason: DispatchRefusal) -> None:
         """Tell every subscriber that the attempt never ran, and forget it."""
         with self._changed:
             answer = self._by_key.pop(key, None)
@@ -184,7 +184,7 @@
                 return
             for subscriber in list(answer.subscribers.values()):
                 self._by_place.pop(subscriber.place, None)
-                self._send(subscriber.link, NotRun(*subscriber.name, reason))
+                self._send(subscriber.link, AttemptRefused(*subscriber.name, reason))
 
     def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
         """Free what has reached the caller and send on within the credit."""
--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -5,27 +5,27 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from kingcupwheel.decisions.health import ServerState
+from kingcupwheel.decisions.server_health import ServerState
 
 
 # A server that has just started has empty caches and has to warm up: given its whole
 # part at once, the first requests on it are the slowest of the group.
 SLOW_START_S = 15.0
-_FIRST_PART = 0.1
+_SLOW_START_MIN_FRACTION = 0.1
 
 # A slow server is given this part of its capacity. Not nothing: it still answers, and
 # a group that loses every slow server loads the others until they are slow too.
-SLOW_PART = 0.4
+SLOW_CAPACITY_FRACTION = 0.4
 
 # A report older than this is from a server that may be silent; its room counts for less
 # with each further second, so that work drifts away before the link is given up.
-FRESH_S = 2.0
+REPORT_FRESH_S = 2.0
 
 
 # A server of another data centre counts as this much fuller, less than one request of
 # 16: it is about a millisecond further, once for each answer, while one more request in
 # a batch costs as much for each of its tokens.
-DISTANCE_LOAD = 0.05
+REMOTE_LOAD_PENALTY = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,17 +46,17 @@
     running: int = 0
     queued: int = 0
     work: float = 0.0
-    rate: float = 0.0
+    work_per_s: float = 0.0
     own_in_flight: int = 0
-    heard_age_s: float = 0.0
-    started_age_s: float = 3600.0
+    report_age_s: float = 0.0
+    uptime_s: float = 3600.0
     state: ServerState = ServerState.HEALTHY
-    own_at_report: int = 0
-    suspects_running: int = 0
-    rests_until: float = 0.0
+    own_in_flight_at_report: int = 0
+    running_suspects: int = 0
+    backoff_until: float = 0.0
 
     @property
-    def held(self) -> float:
+    def estimated_in_flight(self) -> float:
         """Attempts on the server now, as far as the entry can know.
 
         Load: several entries hand over to a server between two of its reports. Harm
@@ -65,31 +65,31 @@
         the report is therefore scaled by its part of what the report held.
         """
         reported = self.running + self.queued
-        scale = (reported + 1) / (self.own_at_report + 1)
-        change = (self.own_in_flight - self.own_at_report) * max(1.0, scale)
+        scale = (reported + 1) / (self.own_in_flight_at_report + 1)
+        change = (self.own_in_flight - self.own_in_flight_at_report) * max(1.0, scale)
         return max(reported + change, float(self.own_in_flight))
 
     @property
-    def room(self) -> float:
+    def effective_capacity(self) -> float:
         """The capacity to count on, less than ``capacity`` when in doubt."""
         part = 1.0
-        if self.started_age_s < SLOW_START_S:
-            part *= max(_FIRST_PART, self.started_age_s / SLOW_START_S)
+        if self.uptime_s < SLOW_START_S:
+            part *= max(_SLOW_START_MIN_FRACTION, self.uptime_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
-            part *= SLOW_PART
-        if self.heard_age_s > FRESH_S:
-            part *= FRESH_S / self.heard_age_s
+            part *= SLOW_CAPACITY_FRACTION
+        if self.report_age_s > REPORT_FRESH_S:
+            part *= REPORT_FRESH_S / self.report_age_s
         return max(1.0, self.capacity * part)
 
     @property
     def load(self) -> float:
         """Attempts held per place to count on; 1 is full."""
-        return self.held / self.room
+        return self.estimated_in_flight / self.effective_capacity
 
     @property
-    def load_after(self) -> float:
+    def load_with_next(self) -> float:
         """The load with one more attempt, which tells idle servers of unequal room."""
-        return (self.held + 1) / self.room
+        return (self.estimated_in_flight + 1) / self.effective_capacity
 
     @property
     def is_full(self) -> bool:
@@ -99,10 +99,10 @@
     @property
     def is_idle(self) -> bool:
         """Whether the server holds no attempt, as far as the entry can know."""
-        return self.held <= 0.0
+        return self.estimated_in_flight <= 0.0
 
 
-class Ask(NamedTuple):
+class PlacementRequest(NamedTuple):
     """What is to be placed.
 
     ``prefix_key`` names the beginning of the prompt (empty: no affinity), ``work`` is
@@ -114,30 +114,30 @@
 
     prefix_key: str = ""
     work: float = 0.0
-    avoid: frozenset[str] = frozenset()
-    suspect: bool = False
+    excluded_servers: frozenset[str] = frozenset()
+    is_suspect: bool = False
     data_centre: str = ""
-    repeatable: bool = True
-    far_load: float = DISTANCE_LOAD
-    near_first: bool = False
+    is_repeatable: bool = True
+    remote_load_penalty: float = REMOTE_LOAD_PENALTY
+    prefers_local: bool = False
 
 
-class Weighed(NamedTuple):
+class CandidateLoad(NamedTuple):
     """A server that was weighed, and its load when it was."""
 
     server: str
     load: float
 
 
-class Placed(NamedTuple):
+class SelectedServer(NamedTuple):
     """Give it to ``server``; ``why`` is a short reason for the trace."""
 
     server: str
-    why: str
-    alternatives: tuple[Weighed, ...] = ()
+    reason: str
+    alternatives: tuple[CandidateLoad, ...] = ()
 
 
-class NoPlace(NamedTuple):
+class NoServerAvailable(NamedTuple):
     """No server can take it now; ``reason`` is short and fixed.
 
     ``for_all`` tells that any other request would meet the same. If it is False, only
@@ -146,14 +146,22 @@
     """
 
     reason: str
-    for_all: bool
-    rest_over_at: float | None = None
-
-
-NO_SERVERS = NoPlace("no server is in service", for_all=True)
-ALL_FULL = NoPlace("every server is full", for_all=True)
-ALL_TRIED = NoPlace("every server was tried", for_all=False)
-UNTRIED_FULL = NoPlace("every untried server is full", for_all=False)
-ALL_REST = NoPlace("every server rests or leaves", for_all=True)
-UNTRIED_REST = NoPlace("every untried server rests or leaves", for_all=False)
-SUSPECT_WAITS = NoPlace("every server runs another suspect", for_all=False)
+    applies_to_all: bool
+    backoff_ends_at: float | None = None
+
+
+NO_SERVER_IN_SERVICE = NoServerAvailable("no server is in service", applies_to_all=True)
+ALL_SERVERS_FULL = NoServerAvailable("every server is full", applies_to_all=True)
+ALL_SERVERS_TRIED = NoServerAvailable("every server was tried", applies_to_all=False)
+UNTRIED_SERVERS_FULL = NoServerAvailable(
+    "every untried server is full", applies_to_all=False
+)
+ALL_SERVERS_BACKING_OFF = NoServerAvailable(
+    "every server rests or leaves", applies_to_all=True
+)
+UNTRIED_SERVERS_BACKING_OFF = NoServerAvailable(
+    "every untried server rests or leaves", applies_to_all=False
+)
+ALL_SERVERS_RUN_SUSPECTS = NoServerAvailable(
+    "every server runs another suspect", applies_to_all=False
+)
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.health import ServerHealth
-from kingcupwheel.decisions.health import ServerState
+from kingcupwheel.decisions.server_health import ServerHealth
+from kingcupwheel.decisions.server_health import ServerState
 
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 # the others have no room for.
 MAX_EJECTED_SHARE = 1 / 2
 
-_OUT_OF_SERVICE = (ServerState.EJECTED, ServerState.PROBING)
+_OUT_OF_SERVICE_STATES = (ServerState.EJECTED, ServerState.PROBING)
 
 
 class ServerLoad(NamedTuple):
@@ -30,9 +30,9 @@
     """
 
     name: str
-    held: float
+    in_flight: float
     capacity: int
-    in_service: bool = True
+    is_in_service: bool = True
 
 
 class GroupHealth:
@@ -47,40 +47,46 @@
     def __init__(self) -> None:
         self._by_name: dict[str, ServerHealth] = {}
 
-    def of(self, server: str) -> ServerHealth:
+    def get(self, server: str) -> ServerHealth:
         """Return the health of ``server``, new if it was never seen."""
         health = self._by_name.get(server)
         if health is None:
             health = self._by_name[server] = ServerHealth()
         return health
 
-    def restarted(self, server: str) -> None:
+    def reset(self, server: str) -> None:
         """Forget what is known of ``server``: a new life of it has come up."""
         self._by_name.pop(server, None)
 
-    def keep(self, servers: Iterable[str]) -> None:
+    def retain(self, servers: Iterable[str]) -> None:
         """Forget every server but these."""
         wanted = set(servers)
         for name in [name for name in self._by_name if name not in wanted]:
             del self._by_name[name]
 
-    def states(self, loads: Iterable[ServerLoad], now: float) -> dict[str, ServerState]:
+    def update_states(
+        self, loads: Iterable[ServerLoad], now: float
+    ) -> dict[str, ServerState]:
         """Return the state of each server by name."""
         load_by_name = {load.name: load for load in loads}
-        health_by_name = {name: self.of(name) for name in load_by_name}
+        health_by_name = {name: self.get(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
-        held = sum(load.held for load in load_by_name.values())
-        serving = [load for load in load_by_name.values() if load.in_service]
+        held = sum(load.in_flight for load in load_by_name.values())
+        serving = [load for load in load_by_name.values() if load.is_in_service]
         places = sum(load.capacity for load in serving)
         may_leave = int(len(serving) * MAX_EJECTED_SHARE)
         state_by_name: dict[str, ServerState] = {}
-        for name in sorted(load_by_name, key=lambda name: _rank(health_by_name, name)):
+        for name in sorted(
+            load_by_name, key=lambda name: _update_order(health_by_name, name)
+        ):
             load = load_by_name[name]
-            has_room = held <= places - load.capacity * load.in_service
+            has_room = held <= places - load.capacity * load.is_in_service
             may_eject = may_leave > 0 and has_room
-            state = health_by_name[name].update(median_s, now, may_eject=may_eject)
+            state = health_by_name[name].update_state(
+                median_s, now, may_eject=may_eject
+            )
             state_by_name[name] = state
-            if state in _OUT_OF_SERVICE and load.in_service:
+            if state in _OUT_OF_SERVICE_STATES and load.is_in_service:
                 may_leave -= 1
                 places -= load.capacity
         return state_by_name
@@ -91,9 +97,9 @@
     return median(known) if known else 0.0
 
 
-def _rank(
+def _update_order(
     health_by_name: Mapping[str, ServerHealth], name: str
 ) -> tuple[bool, int, str]:
     """Order for judging: the ejected first, then those that fail most."""
     health = health_by_name[name]
-    return (not health.is_ejected, -health.failing, name)
+    return (not health.is_ejected, -health.consecutive_failures, name)
--- a/src/kingcupwheel/decisions/retries.py
+++ b/src/kingcupwheel/decisions/retry_budget.py
@@ -9,15 +9,15 @@
 
 # A retry in ten first attempts: with every attempt failing, a group gets a tenth more
 # load than its callers make, not twice as much.
-DEFAULT_SHARE = 0.1
+DEFAULT_RETRY_SHARE = 0.1
 
 # Retries allowed whatever the traffic: an entry with one request a minute may still
 # move one off a server that just died, and one more.
-DEFAULT_FLOOR = 2.0
+DEFAULT_RETRY_FLOOR = 2.0
 
 # How long attempts are remembered: longer than the few seconds in which a dead server
 # is noticed, short enough that a quiet hour saves up no burst of retries.
-TIME_CONSTANT_S = 10.0
+RETRY_TIME_CONSTANT_S = 10.0
 
 
 class RetryBudget:
@@ -29,27 +29,27 @@
     """
 
     def __init__(
-        self, *, share: float = DEFAULT_SHARE, floor: float = DEFAULT_FLOOR
+        self, *, share: float = DEFAULT_RETRY_SHARE, floor: float = DEFAULT_RETRY_FLOOR
     ) -> None:
         self._share = share
         self._floor = floor
-        self._firsts = DecayingSum(TIME_CONSTANT_S)
-        self._retries = DecayingSum(TIME_CONSTANT_S)
+        self._first_attempts = DecayingSum(RETRY_TIME_CONSTANT_S)
+        self._retries = DecayingSum(RETRY_TIME_CONSTANT_S)
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
-        self._firsts.add(1.0, now)
+        self._first_attempts.add(1.0, now)
 
-    def may_retry(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Return whether one more retry is within the budget, and count it if so."""
-        allowed = self._floor + self._share * self._firsts.value(now)
+        allowed = self._floor + self._share * self._first_attempts.value(now)
         if self._retries.value(now) >= allowed:
             return False
         self._retries.add(1.0, now)
         return True
 
 
-class WindowBudget:
+class SlidingWindowRetryBudget:
     """Allows retries as a share of the first attempts of a window that slides.
 
     For a bound that others measure: every window of ``window_s`` counts, so nothing
@@ -58,23 +58,23 @@
 
     def __init__(self, *, window_s: float) -> None:
         self._window_s = window_s
-        self._firsts: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def first(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Count a first attempt."""
-        self._forget(now)
-        self._firsts.append(now)
+        self._drop_expired(now)
+        self._first_attempts.append(now)
 
-    def may_retry(self, now: float, *, share: float, floor: float) -> bool:
+    def try_acquire(self, now: float, *, share: float, floor: float) -> bool:
         """Return whether one more is within the budget, and count it if so."""
-        self._forget(now)
-        if len(self._retries) + 1 > floor + share * len(self._firsts):
+        self._drop_expired(now)
+        if len(self._retries) + 1 > floor + share * len(self._first_attempts):
             return False
         self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for counted in (self._firsts, self._retries):
+    def _drop_expired(self, now: float) -> None:
+        for counted in (self._first_attempts, self._retries):
             while counted and counted[0] <= now - self._window_s:
                 counted.popleft()
--- a/src/kingcupwheel/decisions/notices.py
+++ b/src/kingcupwheel/decisions/server_notices.py
@@ -17,110 +17,112 @@
 
 # The longest rest that is kept, in seconds. A server that names a longer one by mistake
 # is asked again after it, and asks for rest again if it meant it.
-MAX_REST_S = 120.0
+MAX_BACKOFF_S = 120.0
 # A life that is off the list is remembered for so long, in seconds: an entry that was
 # overwritten or has lapsed comes back with the same life.
-ABSENT_S = 60.0
+ABSENT_RETENTION_S = 60.0
 # Lives remembered at most; a bound for memory only.
-MAX_LIVES = 4096
+MAX_INCARNATIONS = 4096
 
 
-class _Told:
+class _Notice:
     """What one life said; ``absent_at`` is since when it is off the list."""
 
-    __slots__ = ("absent_at", "leaving", "rests_until")
+    __slots__ = ("absent_at", "is_leaving", "backoff_until")
 
     def __init__(self) -> None:
-        self.leaving = False
-        self.rests_until: float | None = None
+        self.is_leaving = False
+        self.backoff_until: float | None = None
         self.absent_at: float | None = None
 
 
-class Notices:
+class ServerNotices:
     """Keeps what servers asked for; guarded by its owner, times are monotonic."""
 
     def __init__(self) -> None:
-        self._told_by_life: dict[str, _Told] = {}
+        self._notice_by_incarnation: dict[str, _Notice] = {}
 
     def __len__(self) -> int:
-        return len(self._told_by_life)
+        return len(self._notice_by_incarnation)
 
-    def rest(self, life: str, for_s: float, now: float) -> bool:
+    def record_backoff(self, incarnation: str, duration_s: float, now: float) -> bool:
         """Note that a server asks for rest; return whether that is news.
 
         A shorter wish does not end an earlier one: answers overtake each other.
         """
-        until = now + min(for_s, MAX_REST_S)
-        known = self.rests_until(life)
+        until = now + min(duration_s, MAX_BACKOFF_S)
+        known = self.backoff_until(incarnation)
         if until <= now or (known is not None and until <= known):
             return False
-        self._of(life).rests_until = until
+        self._get_or_create(incarnation).backoff_until = until
         return True
 
-    def leaves(self, life: str) -> bool:
+    def record_leaving(self, incarnation: str) -> bool:
         """Note that a server says that it leaves; return whether that is news."""
-        told = self._of(life)
-        is_news = not told.leaving
-        told.leaving = True
+        told = self._get_or_create(incarnation)
+        is_news = not told.is_leaving
+        told.is_leaving = True
         return is_news
 
-    def is_leaving(self, life: str) -> bool:
+    def is_leaving(self, incarnation: str) -> bool:
         """Return whether it said that it leaves, which holds until it is gone."""
-        told = self._told_by_life.get(life)
-        return told is not None and told.leaving
+        told = self._notice_by_incarnation.get(incarnation)
+        return told is not None and told.is_leaving
 
-    def rests_until(self, life: str) -> float | None:
+    def backoff_until(self, incarnation: str) -> float | None:
         """Return when the rest it asked for ends or has ended, None without one."""
-        told = self._told_by_life.get(life)
-        return None if told is None else told.rests_until
+        told = self._notice_by_incarnation.get(incarnation)
+        return None if told is None else told.backoff_until
 
-    def rests(self, life: str, now: float) -> bool:
+    def is_backing_off(self, incarnation: str, now: float) -> bool:
         """Return whether it is to get nothing now for its rest's sake."""
-        until = self.rests_until(life)
+        until = self.backoff_until(incarnation)
         return until is not None and now < until
 
-    def may_get(self, life: str, now: float) -> bool:
+    def accepts_requests(self, incarnation: str, now: float) -> bool:
         """Return whether a request may be sent to it now."""
-        return not self.is_leaving(life) and not self.rests(life, now)
+        return not self.is_leaving(incarnation) and not self.is_backing_off(
+            incarnation, now
+        )
 
-    def ended(self, now: float) -> tuple[str, ...]:
+    def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
         """Return, once, the lives whose rest is over."""
         found = tuple(
             life
-            for life, told in self._told_by_life.items()
-            if told.rests_until is not None and told.rests_until <= now
+            for life, told in self._notice_by_incarnation.items()
+            if told.backoff_until is not None and told.backoff_until <= now
         )
         for life in found:
-            if self._told_by_life[life].leaving:
-                self._told_by_life[life].rests_until = None
+            if self._notice_by_incarnation[life].is_leaving:
+                self._notice_by_incarnation[life].backoff_until = None
             else:
-                del self._told_by_life[life]
+                del self._notice_by_incarnation[life]
         return found
 
-    def keep(self, lives: Collection[str], now: float) -> tuple[str, ...]:
+    def retain(self, incarnations: Collection[str], now: float) -> tuple[str, ...]:
         """Forget lives that have been off the list for long; return them."""
-        for life, told in self._told_by_life.items():
-            if life in lives:
+        for life, told in self._notice_by_incarnation.items():
+            if life in incarnations:
                 told.absent_at = None
             elif told.absent_at is None:
                 told.absent_at = now
-        return self._forget(
+        return self._remove(
             life
-            for life, told in self._told_by_life.items()
-            if told.absent_at is not None and now - told.absent_at >= ABSENT_S
+            for life, told in self._notice_by_incarnation.items()
+            if told.absent_at is not None and now - told.absent_at >= ABSENT_RETENTION_S
         )
 
-    def _forget(self, lives: Iterable[str]) -> tuple[str, ...]:
-        found = tuple(lives)
+    def _remove(self, incarnations: Iterable[str]) -> tuple[str, ...]:
+        found = tuple(incarnations)
         for life in found:
-            del self._told_by_life[life]
+            del self._notice_by_incarnation[life]
         return found
 
-    def _of(self, life: str) -> _Told:
-        found = self._told_by_life.get(life)
+    def _get_or_create(self, incarnation: str) -> _Notice:
+        found = self._notice_by_incarnation.get(incarnation)
         if found is None:
-            if len(self._told_by_life) >= MAX_LIVES:
+            if len(self._notice_by_incarnation) >= MAX_INCARNATIONS:
                 # The one that said something first.
-                del self._told_by_life[next(iter(self._told_by_life))]
-            found = self._told_by_life[life] = _Told()
+                del self._notice_by_incarnation[next(iter(self._notice_by_incarnation))]
+            found = self._notice_by_incarnation[incarnation] = _Notice()
         return found
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -10,14 +10,14 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.messages.runs import Accepted
-from kingcupwheel.messages.runs import Data
-from kingcupwheel.messages.runs import End
-from kingcupwheel.messages.runs import Head
-from kingcupwheel.messages.runs import NotRun
-from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Refusal
-from kingcupwheel.messages.runs import Unseen
+from kingcupwheel.messages.attempts import AttemptAccepted
+from kingcupwheel.messages.attempts import AttemptEnd
+from kingcupwheel.messages.attempts import AttemptRefused
+from kingcupwheel.messages.attempts import AttemptUnknown
+from kingcupwheel.messages.attempts import DispatchRefusal
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.messages.attempts import ResponseData
+from kingcupwheel.messages.attempts import ResponseHead
 
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
 class NotStarted(NamedTuple):
     """The last step: the agent did not run it and never will."""
 
-    reason: Refusal
+    reason: DispatchRefusal
 
 
 class NeverSeen(NamedTuple):
@@ -105,17 +105,17 @@
     def on(self, message: Message) -> Step:
         """Return what ``message`` brings."""
         match message:
-            case Data(offset=offset, data=data):
+            case ResponseData(offset=offset, data=data):
                 return self._on_data(offset, data)
-            case Accepted(running=running):
+            case AttemptAccepted(running=running):
                 return Started(running)
-            case Head(status=status, headers=headers):
+            case ResponseHead(status=status, headers=headers):
                 return self._on_head(status, headers)
-            case End(length=length, outcome=outcome, detail=detail):
+            case AttemptEnd(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
-            case NotRun(reason=reason):
+            case AttemptRefused(reason=reason):
                 return NotStarted(reason)
-            case Unseen(incarnation=incarnation, cancelled=cancelled):
+            case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
                 return NeverSeen(incarnation, cancelled)
         return Nothing()
 
--- a/src/kingcupwheel/entry/peers.py
+++ b/src/kingcupwheel/entry/peers.py
@@ -12,12 +12,12 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.membership import ManifestWanted
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.membership import ManifestRequest
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.membership import ManifestObject
 
 # How long one peer is given for one object of at most a megabyte.
@@ -27,7 +27,7 @@
 class PeerFetcher:
     """Asks a peer for an object of the manifest; one question at a time."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._found: SimpleQueue[ManifestObject] = SimpleQueue()
         self._lock = Lock()
@@ -39,7 +39,7 @@
     def fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         """Return the peer's answer, or why there is none."""
         with self._lock:
-            self._hub.send(Outgoing(address, 0), ManifestWanted(key))
+            self._hub.send(OutgoingLink(address, 0), ManifestRequest(key))
             return self._wait(address, key)
 
     def _wait(self, address: str, key: str) -> Result[ManifestObject | None, str]:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -13,18 +13,18 @@
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import Elapsed
 from kingcupwheel.entry.inbox import LinkReplaced
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.runs import Ack
-from kingcupwheel.messages.runs import Cancel
-from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.messages.runs import Resume
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.attempts import Ack
+from kingcupwheel.messages.attempts import CancelRequest
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.messages.attempts import ResumeRequest
 from kingcupwheel.trace.events import Resumed
 
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.following import Step
     from kingcupwheel.entry.inbox import Inbox
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         inbox: Inbox,
-        hub: Hub,
+        hub: MessageHub,
         recorder: Recorder,
         *,
         traced_as: str,
@@ -99,8 +99,8 @@
 
         A connection that broke is made anew below this process, and heartbeats come
         again, but the agent still sends the answer to the old one. Symptom: a link that
-        is alive and an attempt of which nothing is heard, not even ``Running``. Asking
-        again gives the agent the new way; asking needlessly does no harm.
+        is alive and an attempt of which nothing is heard, not even ``RunningAttempts``.
+        Asking again gives the agent the new way; asking needlessly does no harm.
         """
         now = monotonic()
         if not isinstance(item, Elapsed):
@@ -141,7 +141,9 @@
         offset = self._following.offset
         event = Resumed(self._server, self._inbox.key.attempt, offset, why)
         self._recorder.record(self._traced_as, event)
-        self._send(Resume(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id))
+        self._send(
+            ResumeRequest(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id)
+        )
 
     def _acknowledge_some(self) -> None:
         offset = self._following.offset
@@ -151,7 +153,7 @@
 
     def cancel(self) -> None:
         """Tell the agent that the answer is not wanted any more."""
-        self._send(Cancel(*self._inbox.key))
+        self._send(CancelRequest(*self._inbox.key))
 
     def _send(self, message: Message) -> None:
-        self._hub.send(Outgoing(self._inbox.address, 0), message)
+        self._hub.send(OutgoingLink(self._inbox.address, 0), message)
--- a/src/kingcupwheel/expertmaps/leader.py
+++ b/src/kingcupwheel/expertmaps/leader.py
@@ -25,7 +25,7 @@
 from kingcupwheel.expertmaps.protocol import decode_reply
 from kingcupwheel.expertmaps.protocol import encode
 from kingcupwheel.expertmaps.rebalancer import Rebalancer
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.expertmaps import MapOrder
 
 
@@ -34,7 +34,7 @@
     from kingcupwheel.expertmaps.phases import Event
     from kingcupwheel.expertmaps.phases import Phase
     from kingcupwheel.expertmaps.protocol import AnyOrder
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.manifest.schema import ExpertLayout
     from kingcupwheel.messages.expertmaps import MapReply
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         *,
-        hub: Hub,
+        hub: MessageHub,
         group: str,
         name: str,
         layout: ExpertLayout,
@@ -199,4 +199,4 @@
         message = MapOrder(
             self._group, self._fence, self._serial, self._name, encode(order)
         )
-        self._hub.send(Outgoing(address, 0), message)
+        self._hub.send(OutgoingLink(address, 0), message)
--- a/src/kingcupwheel/forwarding/configuration.py
+++ b/src/kingcupwheel/forwarding/configuration.py
@@ -1,6 +1,6 @@
 """The operators' configuration as entries use it: routes, services, keys, limits.
 
-Times are seconds; tokens are counted as the engines count them.
+Times are in seconds. Tokens are counted as the engines count them.
 """
 
 from __future__ import annotations
@@ -15,50 +15,52 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service and its weight among those that share a route's requests."""
+    """A service of a route and its weight in the route's traffic split."""
 
     service: str
     weight: float
 
 
 class ForwardRoute(NamedTuple):
-    """What operators say of the requests under one host and path prefix.
+    """Settings of the requests under one host and path prefix.
 
-    ``may_rerun`` tells that a request may run more than once, ``resumable`` that its
-    stream may be taken up at another server. ``priority`` 0 is the most urgent.
-    ``max_servers`` bounds the servers that may run one request. ``answer_s`` is the
-    longest that a request is kept, ``aim_s`` when an answer is on time.
+    ``is_idempotent`` means that a request may run more than once, ``is_resumable`` that
+    its stream may be resumed at another server. ``priority`` 0 is the most urgent.
+    ``max_servers`` bounds the servers that may run one request. ``timeout_s`` bounds
+    the time of a request, ``target_latency_s`` is the latency of an answer on time.
     """
 
     name: str
     host: str
     prefix: str
     shares: tuple[ServiceShare, ...]
-    may_rerun: bool
-    streamed: bool
-    resumable: bool
-    answer_s: float
-    aim_s: float
-    gap_s: float
+    is_idempotent: bool
+    is_streamed: bool
+    is_resumable: bool
+    timeout_s: float
+    target_latency_s: float
+    max_event_gap_s: float
     priority: int
     max_servers: int
-    anonymous: bool
+    allows_anonymous: bool
 
 
 class EngineShape(NamedTuple):
     """An expert-parallel engine of a service, as far as expert maps need it.
 
-    ``spare`` bounds the experts new to a rank in one layer of one change;
-    ``copy_s`` is how long a rank copies the weights of one expert. ``gap_s`` is the
-    longest good pause between two events of its streams, 0 if no route tells one.
+    ``places`` is the number of expert placements of a rank in one layer.
+    ``max_new_experts`` bounds the experts new to a rank in one layer of one change;
+    ``expert_copy_s`` is the time in which a rank copies the weights of one expert.
+    ``max_event_gap_s`` is the longest acceptable pause between two events of its
+    streams, 0 if no route sets one.
     """
 
-    layers: int
-    experts: int
+    layer_count: int
+    expert_count: int
     places: int
-    spare: int
-    copy_s: float
-    gap_s: float = 0.0
+    max_new_experts: int
+    expert_copy_s: float
+    max_event_gap_s: float = 0.0
 
 
 class Service(NamedTuple):
@@ -69,68 +71,69 @@
 
 
 class RequestLimits(NamedTuple):
-    """What a caller may send, and how long its connection may stay idle."""
+    """Size limits of requests and the idle timeout of callers' connections."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
+    idle_timeout_s: float = 15.0
 
 
-class OrganisationKey(NamedTuple):
-    """The organisation that holds a key; ``priority`` is None if it names none."""
+class KeyHolder(NamedTuple):
+    """The organisation that holds a key; ``priority`` is None if none is set."""
 
     organisation: str
     priority: int | None
 
 
 class Configuration(NamedTuple):
-    """One version of the configuration; versions only rise.
+    """One version of the configuration; versions only increase.
 
-    ``raw`` is the version as the store holds it, to hand it to peers.
+    ``raw`` is the stored encoding, which is sent to peers unchanged.
     """
 
     version: int
     routes_by_host: Mapping[str, tuple[ForwardRoute, ...]]
     services_by_name: Mapping[str, Service]
-    holders_by_key_digest: Mapping[bytes, OrganisationKey]
+    key_holders_by_digest: Mapping[bytes, KeyHolder]
     has_organisations: bool
     limits: RequestLimits
     raw: bytes
 
-    def route(self, host: str, path: str) -> ForwardRoute | None:
+    def find_route(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
-    def engine_of(self, service: str) -> EngineShape | None:
-        """Return a service's engine, with the shortest pause that a route asks for."""
+    def find_engine(self, service: str) -> EngineShape | None:
+        """Return a service's engine, with the smallest event gap of its routes."""
         found = self.services_by_name.get(service)
         if found is None or found.engine is None:
             return None
         gaps = [
-            route.gap_s
+            route.max_event_gap_s
             for routes in self.routes_by_host.values()
             for route in routes
-            if route.gap_s > 0 and any(one.service == service for one in route.shares)
+            if route.max_event_gap_s > 0
+            and any(one.service == service for one in route.shares)
         ]
-        return found.engine._replace(gap_s=min(gaps, default=0.0))
+        return found.engine._replace(max_event_gap_s=min(gaps, default=0.0))
 
-    def holder(self, key: str) -> OrganisationKey | None:
-        """Return who holds the bearer key."""
-        return self.holders_by_key_digest.get(key_digest(key))
+    def find_key_holder(self, key: str) -> KeyHolder | None:
+        """Return the holder of a bearer key."""
+        return self.key_holders_by_digest.get(key_digest(key))
 
 
 def key_digest(key: str) -> bytes:
-    """Return what a key is looked up by; keys themselves are not kept."""
+    """Return the digest by which a key is looked up; keys are not stored."""
     return hashlib.sha256(key.encode()).digest()
 
 
-def routes_by_host(
+def group_routes_by_host(
     routes: tuple[ForwardRoute, ...],
 ) -> dict[str, tuple[ForwardRoute, ...]]:
-    """Group routes by host, those with the longest prefix first."""
+    """Group routes by host, longest prefix first."""
     by_host: dict[str, list[ForwardRoute]] = {}
     for route in sorted(routes, key=lambda route: -len(route.prefix)):
         by_host.setdefault(route.host, []).append(route)
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -1,4 +1,4 @@
-"""What request threads share: the parts of one entry on the users' platform."""
+"""The components that the request threads of one entry share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -14,8 +14,8 @@
     from kingcupwheel.entry.tickets import Place
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerCalls
-    from kingcupwheel.forwarding.connections import Connections
-    from kingcupwheel.forwarding.currency import Currency
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+    from kingcupwheel.forwarding.connection_pool import ConnectionPool
     from kingcupwheel.forwarding.guards import Guards
     from kingcupwheel.forwarding.heads import ReportedLoad
     from kingcupwheel.forwarding.heads import ServerNotice
@@ -30,31 +30,33 @@
 
 
 class ForwardContext(NamedTuple):
-    """The shared parts; each is safe from any thread."""
+    """The shared components; each is thread-safe."""
 
     data_centre: str
-    currency: Currency
+    configuration_cache: ConfigurationCache
     dispatchers: Dispatchers
-    book: ServerBook
-    calls: ServerCalls
-    connections: Connections
+    servers: ServerBook
+    server_client: ServerCalls
+    connection_pool: ConnectionPool
     guards: Guards
-    pulses: Pulses
+    liveness: Pulses
     watchdog: Watchdog
     metrics: EntryMetrics
 
     def group_of(self, service: str) -> ServerGroup:
-        """Return the group that a service's requests queue for."""
-        return self.book.group_of(service)
+        """Return the server group in whose queue a service's requests wait."""
+        return self.servers.group_of(service)
 
-    def saw_load(self, place: Place, load: ReportedLoad | None) -> None:
-        """Take in the load that an answer told."""
-        self.book.saw_load(place, load)
+    def record_load(self, place: Place, load: ReportedLoad | None) -> None:
+        """Record the load that an answer reported."""
+        self.servers.saw_load(place, load)
 
-    def told(self, place: Place, notice: ServerNotice, request_id: str) -> None:
-        """Take in what an answer says of its server."""
+    def record_notice(
+        self, place: Place, notice: ServerNotice, request_id: str
+    ) -> None:
+        """Record what an answer says about its server: a rest period or a shutdown."""
         for header in notice.unreadable:
-            self.metrics.notices.labels("unreadable").inc()
+            self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
                 server=place.incarnation,
@@ -62,29 +64,31 @@
                 id=request_id,
             )
         if notice.rest_s:
-            self.metrics.notices.labels("rest").inc()
-            self.book.rests(place, notice.rest_s, request_id)
-        if notice.leaving and self.book.leaves(place, request_id):
-            self.metrics.notices.labels("leaving").inc()
-            self.connections.forget(place.incarnation)
-
-    def ended(self, place: Place, answer: ServerAnswer) -> None:
-        """Keep the connection of an answer that ended, unless its server leaves."""
-        answer.end(place.incarnation, self.connections)
-        if self.book.is_leaving(place.incarnation):
-            self.connections.forget(place.incarnation)
-
-    def misdirected(self, place: Place) -> None:
-        """Note that another life of a server has its address."""
-        self.connections.forget(place.incarnation)
-        self.book.misdirected(place)
-
-    def turned_away(self, place: Place, service: str, *, streamed: bool) -> None:
-        """Note that a server turned a request away: it is full, or its group closed."""
+            self.metrics.server_notices.labels("rest").inc()
+            self.servers.rests(place, notice.rest_s, request_id)
+        if notice.leaving and self.servers.leaves(place, request_id):
+            self.metrics.server_notices.labels("leaving").inc()
+            self.connection_pool.close_server(place.incarnation)
+
+    def release_connection(self, place: Place, answer: ServerAnswer) -> None:
+        """Release a finished answer's connection; close all if the server leaves."""
+        answer.end(place.incarnation, self.connection_pool)
+        if self.servers.is_leaving(place.incarnation):
+            self.connection_pool.close_server(place.incarnation)
+
+    def record_misdirection(self, place: Place) -> None:
+        """Record that another incarnation of a server has its address."""
+        self.connection_pool.close_server(place.incarnation)
+        self.servers.misdirected(place)
+
+    def record_rejection(self, place: Place, service: str, *, streamed: bool) -> None:
+        """Record that a server rejected a request: it is full, or its group closed."""
         if streamed and self.guards.is_closed(
-            service, place.server, quiet_s=self.pulses.of(service).quiet_s(monotonic())
+            service,
+            place.server,
+            quiet_s=self.liveness.of(service).quiet_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.book.closed(service)
+            self.servers.closed(service)
         else:
-            self.book.full(place)
+            self.servers.full(place)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon on the users' platform: its parts, their start and their stop."""
+"""The entry daemon on the users' platform: wires, starts and stops its components."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.decisions.stopping import Stopping
+from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatchers import Dispatchers
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.forwarding.admitting import Knowledge
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerCalls
-from kingcupwheel.forwarding.caretaking import Caretaker
-from kingcupwheel.forwarding.connections import Connections
+from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
-from kingcupwheel.forwarding.currency import Currency
-from kingcupwheel.forwarding.following import ConfigurationFollower
-from kingcupwheel.forwarding.following import StoreFollower
-from kingcupwheel.forwarding.following import configuration_pace
-from kingcupwheel.forwarding.following import servers_pace
-from kingcupwheel.forwarding.greeting import AgentGreeter
+from kingcupwheel.forwarding.endpoints import AddressesEndpoint
+from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
+from kingcupwheel.forwarding.entry_membership import EntryMembership
+from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
 from kingcupwheel.forwarding.guards import Budget
 from kingcupwheel.forwarding.guards import Guards
-from kingcupwheel.forwarding.neighbours import Neighbours
-from kingcupwheel.forwarding.pages import AddressesPage
-from kingcupwheel.forwarding.pages import ReadyPage
-from kingcupwheel.forwarding.plannedstop import PlannedStop
+from kingcupwheel.forwarding.load_poller import AgentLoadPoller
 from kingcupwheel.forwarding.pulse import Pulses
+from kingcupwheel.forwarding.server_list import ServerListHandler
 from kingcupwheel.forwarding.serverbook import ServerBook
-from kingcupwheel.forwarding.serverlist import ServersFollower
+from kingcupwheel.forwarding.store_maintenance import StoreMaintainer
+from kingcupwheel.forwarding.store_watcher import ConfigurationHandler
+from kingcupwheel.forwarding.store_watcher import StoreWatcher
+from kingcupwheel.forwarding.store_watcher import configuration_watch_timing
+from kingcupwheel.forwarding.store_watcher import server_watch_timing
 from kingcupwheel.forwarding.watchdog import Watchdog
-from kingcupwheel.link.hub import Hub
-from kingcupwheel.messages.membership import Beat
-from kingcupwheel.messages.membership import EntryBeat
-from kingcupwheel.messages.membership import EntryTold
-from kingcupwheel.messages.membership import LoadsTold
+from kingcupwheel.link.hub import MessageHub
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import EntryHeartbeat
+from kingcupwheel.messages.membership import EntryInfo
+from kingcupwheel.messages.membership import LoadsReply
 from kingcupwheel.messages.membership import ManifestObject
-from kingcupwheel.messages.membership import ManifestWanted
-from kingcupwheel.platform.objects import ObjectStore
+from kingcupwheel.messages.membership import ManifestRequest
+from kingcupwheel.platform.object_store import ObjectStore
 from kingcupwheel.plugins.kernel import load_placements
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.telemetry.metrics import MetricsApp
 
 
 if TYPE_CHECKING:
@@ -55,25 +55,25 @@
     from kingcupwheel.settings.schema import Settings
 
 log = lines_of("process")
-servers = lines_of("servers")
+servers_log = lines_of("servers")
 
-# Threads for pages that are answered at once.
-_PAGE_THREADS = 2
-_PAGE_CONNECTIONS = 200
-# Between two looks at servers' loads and links, in seconds.
-_TICK_S = 0.1
-_REFRESH_S = 0.5
-# Taken off the time within which a key must stop working: a store that is about to
-# forget its history answers watches for up to a second without news.
+# For endpoints that answer without blocking.
+_ENDPOINT_THREADS = 2
+_ENDPOINT_CONNECTIONS = 200
+# Intervals of the hub's timer and of refreshing servers' loads, in seconds.
+_TICK_INTERVAL_S = 0.1
+_REFRESH_INTERVAL_S = 0.5
+# Subtracted from the time within which a revoked key must stop working: a store that is
+# about to drop its history answers watches without changes for up to a second.
 _REVOKE_MARGIN_S = 1.3
-# A denial of a route or key needs knowledge no older than two watches and a slow
-# answer.
-_DENYING_S = 3.6
-_MS = 1000.0
+# A route or key is denied only by a configuration that is no older than two watches
+# and a slow answer.
+_MAX_DENIAL_AGE_S = 3.6
+_MS_PER_S = 1000.0
 
 
 class ForwardingDaemon:
-    """One entry; ``start`` returns once callers are served."""
+    """One entry process; ``start`` returns once it accepts callers."""
 
     def __init__(self, settings: Settings) -> None:
         assert settings.forwarding is not None, "checked by the caller"
@@ -85,12 +85,12 @@
         self._refresh_at = 0.0
         self._store = ObjectStore(settings.platform.url)
         self._metrics = EntryMetrics()
-        self._currency = Currency()
-        self._hub = Hub(
+        self._configuration_cache = ConfigurationCache()
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
-            tick_s=_TICK_S,
+            tick_s=_TICK_INTERVAL_S,
         )
         table = ServerTable(settings.timings)
         dispatchers = Dispatchers(table, data_centre=settings.data_centre)
@@ -99,73 +99,77 @@
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._neighbours.sharing)
-        connections = Connections()
+        self._guards = Guards(budget, lambda: self._membership.fleet_size)
+        connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
-            currency=self._currency,
+            configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            book=ServerBook(table, dispatchers),
-            calls=ServerCalls(connections),
-            connections=connections,
+            servers=ServerBook(table, dispatchers),
+            server_client=ServerCalls(connections),
+            connection_pool=connections,
             guards=self._guards,
-            pulses=Pulses(),
+            liveness=Pulses(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
-        self._greeter = AgentGreeter(
+        self._load_poller = AgentLoadPoller(
             settings,
             self._hub,
-            self._context.book,
-            self._currency,
-            leaving=self._leaving.is_set,
+            self._context.servers,
+            self._configuration_cache,
+            is_leaving=self._leaving.is_set,
         )
-        me = EntryTold(
+        own_entry = EntryInfo(
             settings.name, settings.listen, settings.http, settings.data_centre
         )
-        self._neighbours = Neighbours(me, self._hub, self._currency, self._guards)
-        self._followers = self._make_followers()
+        self._membership = EntryMembership(
+            own_entry, self._hub, self._configuration_cache, self._guards
+        )
+        self._watchers = self._make_watchers()
         self._application = ForwardApplication(
             self._context,
             self._knowledge,
             name=settings.name,
-            others_live=lambda: bool(self._neighbours.live()),
+            has_live_peers=lambda: bool(self._membership.live_entries()),
+        )
+        self._http_servers = self._make_http_servers()
+        self._store_maintainer = StoreMaintainer(
+            self._store, self._configuration_cache, self._membership
         )
-        self._servers = self._make_servers()
-        self._caretaker = Caretaker(self._store, self._currency, self._neighbours)
 
-    def _make_followers(self) -> tuple[StoreFollower, ...]:
-        clock = self._currency.now
-        configuration = ConfigurationFollower(self._currency)
-        listed = ServersFollower(self._on_servers)
+    def _make_watchers(self) -> tuple[StoreWatcher, ...]:
+        clock = self._configuration_cache.now
+        configuration = ConfigurationHandler(self._configuration_cache)
+        server_list = ServerListHandler(self._on_server_list)
         return (
-            StoreFollower(
+            StoreWatcher(
                 self._store,
                 configuration,
                 clock,
-                lambda: configuration_pace(self._neighbours.known),
+                lambda: configuration_watch_timing(self._membership.known_count),
             ),
-            StoreFollower(
+            StoreWatcher(
                 self._store,
-                listed,
+                server_list,
                 clock,
-                lambda: servers_pace(
-                    self._neighbours.known, self._forwarding.steady_ms / _MS
+                lambda: server_watch_timing(
+                    self._membership.known_count, self._forwarding.steady_ms / _MS_PER_S
                 ),
             ),
         )
 
-    def _make_servers(self) -> tuple[HttpServer, ...]:
+    def _make_http_servers(self) -> tuple[HttpServer, ...]:
         settings = self._settings
-        addresses = AddressesPage(self._addresses, self._forwarding.address_keep_s)
-        pages = {
-            self._forwarding.ready: ReadyPage(self._is_ready),
+        addresses = AddressesEndpoint(self._addresses, self._forwarding.address_keep_s)
+        endpoints = {
+            self._forwarding.ready: ReadinessEndpoint(self._is_ready),
             self._forwarding.addresses: addresses,
         }
         if self._forwarding.metrics:
             refresh = self._refresh_metrics
-            page = MetricsPage(self._metrics.registry, refresh)
-            pages[self._forwarding.metrics] = page
+            page = MetricsApp(self._metrics.registry, refresh)
+            endpoints[self._forwarding.metrics] = page
         return (
             HttpServer(
                 self._application,
@@ -176,126 +180,136 @@
             ),
             *(
                 HttpServer(
-                    page,
+                    endpoint,
                     listen=listen,
-                    threads=_PAGE_THREADS,
-                    connections=_PAGE_CONNECTIONS,
+                    threads=_ENDPOINT_THREADS,
+                    connections=_ENDPOINT_CONNECTIONS,
                     name=f"{settings.name}-page",
                 )
-                for listen, page in pages.items()
+                for listen, endpoint in endpoints.items()
             ),
         )
 
     def start(self) -> None:
-        """Bind, then start every part."""
-        for server in self._servers:
+        """Bind all listeners, then start every component."""
+        for server in self._http_servers:
             server.bind()
         self._hub.start()
         self._context.watchdog.start()
-        for follower in self._followers:
-            follower.start()
-        self._caretaker.start()
-        for server in self._servers:
+        for watcher in self._watchers:
+            watcher.start()
+        self._store_maintainer.start()
+        for server in self._http_servers:
             server.start()
         log.info("started", pid=os.getpid(), http=self._settings.http)
 
     def reload(self, settings: Settings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply the settings that may change at run time."""
         log.info("reloaded", log_level=settings.log_level.value)
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Stop gracefully: out of the directory, then finish what is in progress.
+        """Stop gracefully: deregister, then finish the requests in progress.
 
         Failure: callers keep this entry's address for some seconds after it has begun
         to leave. Symptom: their connections are refused, or a request that was read is
-        cut. New requests are therefore taken while they can end in time, each on a
-        connection that is closed after its answer, and refused afterwards.
+        aborted. New requests are therefore accepted while they can end in time, each on
+        a connection that is closed after its answer, and refused afterwards.
 
-        The grace counts from ``asked_at`` (monotonic), from now if it is not given.
+        The grace period starts at ``asked_at`` (monotonic), by default now.
         """
         began = monotonic() if asked_at is None else asked_at
-        stopping = Stopping(began, self._forwarding.grace_s)
+        stopping = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
-        self._application.stop(stopping)
-        self._neighbours.leave()
+        self._application.begin_shutdown(stopping)
+        self._membership.announce_leaving()
         log.info("leaving", in_progress=self._application.in_progress)
-        self._caretaker.stop()
-        self._neighbours.withdraw(self._store)
-        cut = PlannedStop(stopping, self._application, self._servers[0]).wait()
-        for follower in self._followers:
-            follower.stop()
+        self._store_maintainer.stop()
+        self._membership.deregister(self._store)
+        cut = GracefulShutdown(
+            stopping, self._application, self._http_servers[0]
+        ).wait()
+        for watcher in self._watchers:
+            watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
     def _knowledge(self) -> Knowledge:
         return Knowledge(
-            self._currency.current,
-            self._currency.age_s(),
-            self._forwarding.revoke_ms / _MS - _REVOKE_MARGIN_S,
-            _DENYING_S,
+            self._configuration_cache.current,
+            self._configuration_cache.age_s(),
+            self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
+            _MAX_DENIAL_AGE_S,
         )
 
     def _is_ready(self) -> bool:
-        knows = self._currency.current is not None and not self._context.book.is_empty
-        return knows and not self._leaving.is_set()
+        has_data = (
+            self._configuration_cache.current is not None
+            and not self._context.servers.is_empty
+        )
+        return has_data and not self._leaving.is_set()
 
     def _addresses(self, data_centre: str) -> tuple[str, ...]:
-        live = self._neighbours.live()
+        live = self._membership.live_entries()
         if not self._is_ready():
             live = tuple(one for one in live if one.name != self._settings.name)
         return tuple(one.http for one in live)
 
     def _refresh_metrics(self) -> None:
-        age_s = min(self._currency.age_s(), 1e6)
-        self._metrics.configuration_age.set(age_s)
-        self._metrics.configuration_version.set(self._currency.version)
-        self._metrics.live_entries.set(len(self._neighbours.live()))
+        age_s = min(self._configuration_cache.age_s(), 1e6)
+        self._metrics.configuration_age_seconds.set(age_s)
+        self._metrics.configuration_version.set(self._configuration_cache.version)
+        self._metrics.live_entries.set(len(self._membership.live_entries()))
 
-    def _on_servers(
+    def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.book.list_is(backends)
+        self._context.servers.list_is(backends)
         for backend in gone:
-            self._context.connections.forget(backend.life)
-            self._context.pulses.forget(backend.instance)
-            if not backend.leaving and not self._context.book.is_leaving(backend.life):
+            self._context.connection_pool.close_server(backend.life)
+            self._context.liveness.forget(backend.instance)
+            if not backend.leaving and not self._context.servers.is_leaving(
+                backend.life
+            ):
                 self._guards.gone(backend.life)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case EntryBeat():
-                self._neighbours.on_beat(message)
-            case Beat() | LoadsTold():
-                self._greeter.told(link, message)
-            case ManifestWanted():
-                self._neighbours.on_wanted(link, message)
+            case EntryHeartbeat():
+                self._membership.on_heartbeat(message)
+            case AgentHeartbeat() | LoadsReply():
+                self._load_poller.on_report(link, message)
+            case ManifestRequest():
+                self._membership.on_configuration_request(link, message)
             case ManifestObject():
-                self._neighbours.on_object(message)
+                self._membership.on_configuration(message)
             case _:
                 log.warning("message-unexpected", message=type(message).__name__)
 
     def _on_tick(self, now: float) -> None:
-        self._neighbours.on_tick(now)
-        self._note_standstills(now)
-        self._context.book.end_rests()
-        if now - self._refresh_at >= _REFRESH_S:
+        self._membership.on_tick(now)
+        self._log_stalls(now)
+        self._context.servers.end_rests()
+        if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.book.refresh()
-            self._evacuate()
-        self._greeter.on_tick(now)
+            self._context.servers.refresh()
+            self._abort_slow_streams()
+        self._load_poller.on_tick(now)
 
-    def _evacuate(self) -> None:
-        """Let streams on slow ranks go on elsewhere, so that they don't hold up all."""
-        slow = frozenset(self._context.book.slow())
-        if slow and (moved := self._context.watchdog.evacuate(slow)):
-            servers.info("streams-moved", servers=sorted(slow), streams=moved)
+    def _abort_slow_streams(self) -> None:
+        """Abort streams on slow ranks so that they resume elsewhere.
+
+        One slow rank would hold up all the streams of its group.
+        """
+        slow = frozenset(self._context.servers.slow())
+        if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
+            servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
-    def _note_standstills(self, now: float) -> None:
-        """Log when all servers of a service fall silent together, and go on."""
-        for service, pulse in self._context.pulses.items():
-            streams = self._context.book.in_flight(service)
+    def _log_stalls(self, now: float) -> None:
+        """Log when all servers of a service stall together, and when they resume."""
+        for service, pulse in self._context.liveness.items():
+            streams = self._context.servers.in_flight(service)
             quiet_s = pulse.quiet_s(now)
             if pulse.turned(streams=streams, now=now):
                 event = "service-silent" if pulse.stands_still else "service-heard"
-                servers.info(
+                servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- a/src/kingcupwheel/forwarding/pages.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -1,11 +1,11 @@
-"""What an entry tells the platform and callers of itself and the other entries."""
+"""HTTP endpoints for the readiness of an entry and the addresses of live entries."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.exchange import status_line
-from kingcupwheel.platform import pages
+from kingcupwheel.platform import entry_endpoints
 
 
 if TYPE_CHECKING:
@@ -16,8 +16,8 @@
     from kingcupwheel.forwarding.exchange import Environ
 
 
-class ReadyPage:
-    """Tells the platform whether this entry can answer callers."""
+class ReadinessEndpoint:
+    """Readiness probe of this entry for the platform."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -25,18 +25,18 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
+        """Handle one WSGI request."""
         status = 404
-        if environ["PATH_INFO"] == pages.READY_PATH:
+        if environ["PATH_INFO"] == entry_endpoints.READY_PATH:
             status = 200 if self._is_ready() else 503
         start_response(status_line(status), [("Content-Length", "0")])
         return (b"",)
 
 
-class AddressesPage:
-    """Tells callers which entries to connect to.
+class AddressesEndpoint:
+    """Serves callers the addresses of the entries to connect to.
 
-    ``addresses`` returns those for a caller in the data centre it is given.
+    ``addresses`` returns those for a caller in a data centre.
     """
 
     def __init__(
@@ -48,16 +48,16 @@
     def __call__(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question."""
-        if environ["PATH_INFO"] != pages.ADDRESSES_PATH:
+        """Handle one WSGI request."""
+        if environ["PATH_INFO"] != entry_endpoints.ADDRESSES_PATH:
             start_response(status_line(404), [("Content-Length", "0")])
             return (b"",)
-        asked = pages.asked_data_centre(str(environ.get("QUERY_STRING", "")))
+        asked = entry_endpoints.parse_data_centre(str(environ.get("QUERY_STRING", "")))
         found = self._addresses(asked)
         if not found:
             start_response(status_line(503), [("Content-Length", "0")])
             return (b"",)
-        body = pages.addresses_body(found, self._keep_s)
+        body = entry_endpoints.encode_addresses(found, self._keep_s)
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
--- a/src/kingcupwheel/forwarding/guards.py
+++ b/src/kingcupwheel/forwarding/guards.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
+from kingcupwheel.decisions.crash_suspects import CrashSuspects
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import ServerIncarnation
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.decisions.hashing import stable_fraction
-from kingcupwheel.decisions.retries import WindowBudget
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import ServerLife
-from kingcupwheel.decisions.suspects import Suspect
-from kingcupwheel.decisions.suspects import Suspects
+from kingcupwheel.decisions.retry_budget import SlidingWindowRetryBudget
 from kingcupwheel.forwarding.closures import Closures
 
 
@@ -47,9 +47,9 @@
     def __init__(self, budget: Budget, entries: Callable[[], int]) -> None:
         self._budget = budget
         self._entries = entries
-        self._suspects = Suspects()
+        self._suspects = CrashSuspects()
         self._lost: deque[tuple[float, str, str]] = deque(maxlen=_LOST_AT_MOST)
-        self._budgets_by_service: dict[str, WindowBudget] = {}
+        self._budgets_by_service: dict[str, SlidingWindowRetryBudget] = {}
         self._closures_by_service: dict[str, Closures] = {}
         self._lock = Lock()
 
@@ -58,7 +58,7 @@
         if not fingerprint:
             return None
         with self._lock:
-            verdict = self._suspects.verdict(fingerprint, monotonic())
+            verdict = self._suspects.get_status(fingerprint, monotonic())
         return verdict if isinstance(verdict, Quarantined | Suspect) else None
 
     def lost(self, fingerprint: str, life: str) -> None:
@@ -75,44 +75,44 @@
         """
         with self._lock:
             now = monotonic()
-            death = ServerLife(life, life).death
+            death = ServerIncarnation(life, life).crash_id
             blamed = tuple(
                 fingerprint
                 for at, fingerprint, where in self._lost
                 if where == life and now - at < DEATH_SHOWS_S
             )
             for fingerprint in blamed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
         return blamed
 
     def cleared(self, fingerprint: str) -> None:
         """Forgive a request that ended whole on a living server."""
         if fingerprint:
             with self._lock:
-                self._suspects.cleared(fingerprint)
+                self._suspects.clear(fingerprint)
 
     def heard(self, crashed: tuple[tuple[str, int], ...]) -> None:
         """Take in deaths that a peer tells."""
         with self._lock:
             now = monotonic()
             for fingerprint, death in crashed:
-                self._suspects.heard(fingerprint, death, now)
+                self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
     def crashed(self) -> tuple[tuple[str, int], ...]:
         """Deaths of late, to tell peers."""
         with self._lock:
-            return self._suspects.deaths(monotonic())
+            return self._suspects.list_recent_crashes(monotonic())
 
     def first(self, service: str) -> None:
         """Count a first send."""
         with self._lock:
-            self._of(service).first(monotonic())
+            self._of(service).record_first_attempt(monotonic())
 
     def may_send_again(self, service: str) -> bool:
         """Return whether the budget allows one more send, and count it if so."""
         with self._lock:
-            return self._of(service).may_retry(
+            return self._of(service).try_acquire(
                 monotonic(),
                 share=self._budget.share * _BUDGET_PART,
                 floor=self._budget.floor * _BUDGET_PART / max(1, self._entries()),
@@ -124,10 +124,10 @@
             closures = self._closures_by_service.setdefault(service, Closures())
             return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())
 
-    def _of(self, service: str) -> WindowBudget:
+    def _of(self, service: str) -> SlidingWindowRetryBudget:
         found = self._budgets_by_service.get(service)
         if found is None:
-            found = WindowBudget(window_s=self._budget.window_s)
+            found = SlidingWindowRetryBudget(window_s=self._budget.window_s)
             self._budgets_by_service[service] = found
         return found
 
--- /dev/null
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -0,0 +1,111 @@
+"""Polls the agents of engine servers for the loads of their servers."""
+
+from __future__ import annotations
+
+from time import monotonic
+from typing import TYPE_CHECKING
+
+from kingcupwheel.forwarding.loadheads import DIRECT_AGENTS
+from kingcupwheel.forwarding.loadheads import LoadHeads
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import Hello
+from kingcupwheel.messages.membership import LoadsReply
+from kingcupwheel.messages.membership import LoadsRequest
+from kingcupwheel.messages.membership import ReportedServerLoad
+
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from collections.abc import Iterable
+
+    from kingcupwheel.forwarding.backends import Backend
+    from kingcupwheel.forwarding.configuration import Configuration
+    from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
+    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.link.hub import MessageHub
+    from kingcupwheel.link.links import Link
+    from kingcupwheel.settings.schema import Settings
+
+# Agents report loads for some seconds after a poll. At this interval one lost poll has
+# no effect.
+_POLL_INTERVAL_S = 1.0
+
+
+class AgentLoadPoller:
+    """Polls agents for loads; runs on the hub's thread.
+
+    ``is_leaving`` returns whether this entry is shutting down.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        hub: MessageHub,
+        servers: ServerBook,
+        configuration_cache: ConfigurationCache,
+        *,
+        is_leaving: Callable[[], bool],
+    ) -> None:
+        self._settings = settings
+        self._hub = hub
+        self._servers = servers
+        self._configuration_cache = configuration_cache
+        self._is_leaving = is_leaving
+        self._polled_at = 0.0
+        self._heads = LoadHeads(settings.data_centre)
+
+    def on_report(self, link: Link, message: AgentHeartbeat | LoadsReply) -> None:
+        """Record an agent's report of its own server, or of those of a data centre."""
+        if isinstance(message, AgentHeartbeat):
+            self._servers.agents_say((_report_from(message),))
+            return
+        if isinstance(link, OutgoingLink):
+            self._heads.heard(link.address, monotonic())
+        self._servers.agents_say(message.servers)
+
+    def on_tick(self, now: float) -> None:
+        """Poll the agents if the interval has passed."""
+        current = self._configuration_cache.current
+        if current is None or now - self._polled_at < _POLL_INTERVAL_S:
+            return
+        port = self._settings.listen.rpartition(":")[2]
+        agents = _engine_agents(self._servers.backends, current, port)
+        if not agents:
+            # The list of servers is not loaded yet: retry at the next tick instead of
+            # after the interval.
+            return
+        self._polled_at = now
+        if sum(map(len, agents.values())) > DIRECT_AGENTS:
+            for head, members, every_s in self._heads.asks(agents, now):
+                self._hub.send(OutgoingLink(head, 0), LoadsRequest(members, every_s))
+            return
+        hello = self._hello(current)
+        for address in (one for found in agents.values() for one in found):
+            self._hub.send(OutgoingLink(address, 0), hello)
+
+    def _hello(self, current: Configuration) -> Hello:
+        settings = self._settings
+        return Hello(
+            settings.name, settings.data_centre, current.version, "", self._is_leaving()
+        )
+
+
+def _engine_agents(
+    backends: Iterable[Backend], current: Configuration, port: str
+) -> dict[str, list[str]]:
+    """Return the addresses of engine servers' agents by data centre."""
+    found: dict[str, list[str]] = {}
+    for backend in backends:
+        service = current.services_by_name.get(backend.service)
+        if service is not None and service.engine is not None:
+            agent = f"{backend.address.rpartition(':')[0]}:{port}"
+            found.setdefault(backend.data_centre, []).append(agent)
+    return found
+
+
+def _report_from(beat: AgentHeartbeat) -> ReportedServerLoad:
+    load = beat.load
+    return ReportedServerLoad(
+        beat.name, load.running, load.queued, load.pace, beat.server_up, beat.born_ms
+    )
--- a/src/kingcupwheel/forwarding/placing.py
+++ b/src/kingcupwheel/forwarding/placing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.candidates import Ask
+from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
@@ -14,13 +14,13 @@
 from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.endings import retry_after
 from kingcupwheel.forwarding.requests import LEAST_URGENT
-from kingcupwheel.forwarding.watchdog import Cut
+from kingcupwheel.forwarding.watchdog import AbortReason
 
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.dispatching import GroupDispatcher
     from kingcupwheel.forwarding.requests import ForwardRequest
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 # How often a thread that waits for a place looks whether the wait is over.
 _LOOK_S = 0.05
@@ -50,18 +50,18 @@
 def wait_for_place(
     dispatcher: GroupDispatcher,
     request: ForwardRequest,
-    watched: Watched,
+    watched: WatchedRequest,
     tried: Tried,
 ) -> Place | Hindered | Refusal:
     """Return a place, what hindered one, or the refusal if the caller has left."""
-    ask = Ask(
+    ask = PlacementRequest(
         work=request.work,
-        avoid=tried.servers,
-        suspect=tried.suspect,
+        excluded_servers=tried.servers,
+        is_suspect=tried.suspect,
         data_centre=tried.data_centre,
-        repeatable=request.route.may_rerun,
-        far_load=FAR_LOAD,
-        near_first=True,
+        is_repeatable=request.route.is_idempotent,
+        remote_load_penalty=FAR_LOAD,
+        prefers_local=True,
     )
     ticket = dispatcher.submit(_wanted(request), ask)
     if not isinstance(ticket, Ticket):
@@ -77,10 +77,10 @@
             return Hindered(place.limit, place.why, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
-            if watched.cut is Cut.CALLER_LEFT:
+            if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
-            if watched.cut is Cut.STOPPING:
-                why = Cut.STOPPING.value
+            if watched.abort_reason is AbortReason.SHUTDOWN:
+                why = AbortReason.SHUTDOWN.value
                 return Hindered(LEAVING.limit, why, retry_after(request.id))
             return Hindered("time-up", "no place", retry_after(request.id))
         dispatcher.pump()
--- a/src/kingcupwheel/forwarding/runs.py
+++ b/src/kingcupwheel/forwarding/runs.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.decisions.suspects import Quarantined
-from kingcupwheel.decisions.suspects import Suspect
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
@@ -38,10 +38,10 @@
 from kingcupwheel.forwarding.placing import Tried
 from kingcupwheel.forwarding.placing import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
-from kingcupwheel.forwarding.watchdog import Cut
-from kingcupwheel.messages.runs import Outcome
-from kingcupwheel.platform.headers import server_headers
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.forwarding.watchdog import AbortReason
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.platform.headers import build_server_headers
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.heads import ServerNotice
     from kingcupwheel.forwarding.requests import ForwardRequest
-    from kingcupwheel.forwarding.watchdog import Watched
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
 
 log = lines_of("requests")
 
@@ -71,7 +71,7 @@
     """One request's way to its answer; belongs to one thread."""
 
     def __init__(
-        self, context: ForwardContext, request: ForwardRequest, watched: Watched
+        self, context: ForwardContext, request: ForwardRequest, watched: WatchedRequest
     ) -> None:
         self._context = context
         self._request = request
@@ -79,7 +79,7 @@
         self._group = context.group_of(request.service)
         self._dispatcher = context.dispatchers.of(self._group)
         route = request.route
-        self._may = May(route.may_rerun, route.max_servers, route.aim_s)
+        self._may = May(route.is_idempotent, route.max_servers, route.target_latency_s)
         self._sends = Sends()
         self._tried: frozenset[str] = frozenset()
         self._suspect = False
@@ -94,8 +94,10 @@
         """Return the answer, or the refusal that is final."""
         verdict = self._context.guards.verdict(self._request.fingerprint)
         if isinstance(verdict, Quarantined):
-            message = f"{verdict.deaths} servers died while they ran this request."
-            return self.refused(Refusal(503, "quarantined", message, verdict.for_s))
+            message = f"{verdict.crash_count} servers died while they ran this request."
+            return self.refused(
+                Refusal(503, "quarantined", message, verdict.remaining_s)
+            )
         self._suspect = isinstance(verdict, Suspect)
         self._context.guards.first(self._request.service)
         found = self.next_answer()
@@ -130,17 +132,17 @@
     def _withheld(self, place: Place) -> None:
         """Give back a place that a notice overtook; the next one is on another life."""
         self._release(place)
-        self._context.metrics.sends.labels("withheld").inc()
+        self._context.metrics.ended_sends.labels("withheld").inc()
         log.info("send-withheld", id=self._request.id, server=place.incarnation)
 
     def _answered(
         self, place: Place, answer: ServerAnswer
     ) -> Running | WholeAnswer | Refusal | None:
         head = answer.head
-        self._context.told(place, head.notice, self._request.id)
-        self._context.saw_load(place, head.load)
+        self._context.record_notice(place, head.notice, self._request.id)
+        self._context.record_load(place, head.load)
         is_good = head.status < _SERVER_FAILED
-        if is_good and self._request.route.streamed and head.status == 200:
+        if is_good and self._request.route.is_streamed and head.status == 200:
             self._saw_first_byte()
             return Running(place, answer)
         try:
@@ -172,7 +174,7 @@
         ):
             # Before the place is released, which may give it to the next request.
             notice = sent.notice
-            self._context.told(place, notice, self._request.id)
+            self._context.record_notice(place, notice, self._request.id)
         self._release(place)
         match sent:
             case NotSent(why):
@@ -182,11 +184,11 @@
             case TurnedAway(why, other_instance, faulty):
                 came = Came.TURNED_AWAY
                 if other_instance and faulty in ("", place.server):
-                    self._context.misdirected(place)
+                    self._context.record_misdirection(place)
                 elif not (notice.rest_s or notice.leaving):
                     request = self._request
-                    self._context.turned_away(
-                        place, request.service, streamed=request.route.streamed
+                    self._context.record_rejection(
+                        place, request.service, streamed=request.route.is_streamed
                     )
             case Lost(why):
                 came = Came.LOST
@@ -199,11 +201,11 @@
         request = self._request
         self._sends = self._sends.after(came)
         self._tried |= {place.server}
-        if self._watched.cut is Cut.CALLER_LEFT:
+        if self._watched.abort_reason is AbortReason.CALLER_LEFT:
             return CALLER_LEFT
         if came in (Came.LOST, Came.FAILED) and not self._watched.is_over:
             self._dispatcher.failed(place)
-        if came is Came.LOST and self._watched.cut is None:
+        if came is Came.LOST and self._watched.abort_reason is None:
             self._context.guards.lost(request.fingerprint, place.incarnation)
         left_s = request.times.over_at - monotonic()
         if self._watched.is_over:
@@ -213,7 +215,10 @@
         step = follows(
             came, self._sends, self._may, left_s=left_s, within_budget=budget
         )
-        if step is Follows.TIMEOUT and self._watched.cut is Cut.STOPPING:
+        if (
+            step is Follows.TIMEOUT
+            and self._watched.abort_reason is AbortReason.SHUTDOWN
+        ):
             step = Follows.UNKNOWN
         log.info(
             "send-ended",
@@ -229,7 +234,7 @@
             budget=budget,
             follows=step.value,
         )
-        self._context.metrics.sends.labels(came.value).inc()
+        self._context.metrics.ended_sends.labels(came.value).inc()
         rest_s = self._dispatcher.rest_left_s() if step is Follows.REFUSE else 0.0
         return refusal_after(step, why, request.id, rest_s)
 
@@ -247,12 +252,12 @@
             Tried(self._tried, self._suspect, self._context.data_centre),
         )
         if isinstance(found, Place):
-            if self._sends.ran or self._watched.may_run():
+            if self._sends.ran or self._watched.may_dispatch():
                 self._log_place(found)
                 return found
             self._release(found)
             retry_s = retry_after(self._request.id)
-            found = Hindered(LEAVING.limit, Cut.STOPPING.value, retry_s)
+            found = Hindered(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
         if isinstance(found, Hindered):
             return self._no_place(found)
         return found
@@ -266,12 +271,12 @@
 
     def _log_place(self, place: Place) -> None:
         request = self._request
-        self._context.metrics.queue_wait.observe(place.waited_s)
+        self._context.metrics.queue_wait_seconds.observe(place.waited_s)
         log.info(
             "placed",
             id=request.id,
             server=place.server,
-            why=place.decision.why,
+            why=place.decision.reason,
             weighed=[list(one) for one in place.decision.alternatives],
             waited_s=round(place.waited_s, 3),
             send=self._sends.ran + self._sends.turned_away + 1,
@@ -294,7 +299,7 @@
         outgoing = Outgoing(
             request.method,
             request.target,
-            server_headers(request.headers, call),
+            build_server_headers(request.headers, call),
             request.body,
             request.head.attempt,
         )
@@ -302,19 +307,19 @@
             self._sends.after(Came.LOST), self._may, request.times.over_at - now
         )
         silence_s = request.times.silence_s if again else float("inf")
-        self._watched.may_move = again and request.route.resumable
-        streamed = request.route.streamed
-        return self._context.calls.send(
+        self._watched.is_resumable_elsewhere = again and request.route.is_resumable
+        streamed = request.route.is_streamed
+        return self._context.server_client.send(
             outgoing,
             instance=place.server,
             life=place.incarnation,
             address=place.address,
             watched=self._watched,
             silence_s=silence_s,
-            pulse=self._context.pulses.of(request.service) if streamed else None,
-            fresh=not request.route.may_rerun,
+            pulse=self._context.liveness.of(request.service) if streamed else None,
+            fresh=not request.route.is_idempotent,
             may_give_up=partial(self._may_give_up, place),
-            may_begin=partial(self._context.book.may_send, place),
+            may_begin=partial(self._context.servers.may_send, place),
         )
 
     def _may_give_up(self, place: Place) -> bool:
@@ -327,11 +332,11 @@
         after such a return 38 callers were told 502, as counted in one day's log.
         """
         context, service = self._context, self._request.service
-        if self._request.route.streamed:
+        if self._request.route.is_streamed:
             now = monotonic()
-            if not context.pulses.of(service).others_live(place.server, now):
+            if not context.liveness.of(service).others_live(place.server, now):
                 return False
-            if not self._begun and context.book.is_told_full(place, now):
+            if not self._begun and context.servers.is_told_full(place, now):
                 return False
         if self._others_rest(place):
             return False
@@ -371,7 +376,7 @@
 
     def end(self, place: Place, answer: ServerAnswer) -> None:
         """End an answer's connection and give its place back; called once."""
-        self._context.ended(place, answer)
+        self._context.release_connection(place, answer)
         self._release(place)
 
     def _release(self, place: Place) -> None:
@@ -393,7 +398,7 @@
         """Log the request's end as its caller sees it."""
         request = self._request
         took_s = monotonic() - request.received_at
-        self._context.metrics.finished(request.service, status, how, took_s)
+        self._context.metrics.record_answer(request.service, status, how, took_s)
         log.info(
             "finished",
             id=request.id,
--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -7,21 +7,21 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
-from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.lockstep import BranchRequest
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.lockstep import ReplyContent
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import BranchTold
+    from kingcupwheel.messages.lockstep import BranchReply
 
 log = lines_of("maps")
 
@@ -41,7 +41,7 @@
 class AgentRequest(NamedTuple):
     """What one agent is asked."""
 
-    tell: Tell = Tell.STATE
+    content: ReplyContent = ReplyContent.STATE
     order: RankOrder | None = None
     wait_s: float = 0.0
 
@@ -69,10 +69,10 @@
 class AgentClient:
     """Questions to agents by address; ``told`` may be called from any thread."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._last_number = 0
-        self._replies_by_number: dict[int, RankTold | BranchTold | None] = {}
+        self._replies_by_number: dict[int, RankStateReply | BranchReply | None] = {}
         self._unanswered_by_address: dict[str, int] = {}
         self._heads_by_agent: Mapping[str, str] = {}
         self._bypassed_until_by_head: dict[str, float] = {}
@@ -82,7 +82,7 @@
         """Ask agents through these heads from now on; one left out is asked itself."""
         self._heads_by_agent = heads_by_agent
 
-    def handle_reply(self, message: RankTold | BranchTold) -> None:
+    def handle_reply(self, message: RankStateReply | BranchReply) -> None:
         """Take in an answer."""
         with self._changed:
             if message.number in self._replies_by_number:
@@ -91,7 +91,7 @@
 
     def request_all(
         self, requests_by_address: Mapping[str, AgentRequest]
-    ) -> dict[str, RankTold]:
+    ) -> dict[str, RankStateReply]:
         """Return the answers by address; those that came too late are left out.
 
         Counts of a branch come summed with one of its members.
@@ -114,12 +114,12 @@
     ) -> list[_OutgoingRequest]:
         now = monotonic()
         # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
-        members: dict[tuple[str, Tell, int], list[str]] = {}
-        for address, question in requests_by_address.items():
+        members: dict[tuple[str, ReplyContent, int], list[str]] = {}
+        for address, request in requests_by_address.items():
             head = self._heads_by_agent.get(address, address)
             if now < self._bypassed_until_by_head.get(head, 0.0):
                 head = address
-            key = (head, question.tell, id(question.order))
+            key = (head, request.content, id(request.order))
             members.setdefault(key, []).append(address)
         return [
             _OutgoingRequest(
@@ -149,7 +149,7 @@
 
     def _exchange(
         self, outgoing: Iterable[_OutgoingRequest]
-    ) -> tuple[dict[str, RankTold], tuple[_OutgoingRequest, ...]]:
+    ) -> tuple[dict[str, RankStateReply], tuple[_OutgoingRequest, ...]]:
         """Send each part; return answers by address, and the parts without any."""
         outgoing_by_number = {self._next_number(): part for part in outgoing}
         began = monotonic()
@@ -168,7 +168,7 @@
                 max(0.0, began + longest_s - monotonic()),
             )
             waited, self._replies_by_number = self._replies_by_number, {}
-        replies: dict[str, RankTold] = {}
+        replies: dict[str, RankStateReply] = {}
         for number, answer in waited.items():
             if answer is not None:
                 replies.update(_replies_by_address(outgoing_by_number[number], answer))
@@ -180,11 +180,11 @@
     def _send(self, number: int, outgoing: _OutgoingRequest) -> None:
         request = outgoing.request
         wait_ms = int(request.wait_s * 1000)
-        ask = RankAsk(number, request.tell, request.order, wait_ms)
+        ask = RankStateRequest(number, request.content, request.order, wait_ms)
         message = (
-            BranchAsk(number, ask, outgoing.members) if outgoing.is_branch else ask
+            BranchRequest(number, ask, outgoing.members) if outgoing.is_branch else ask
         )
-        self._hub.send(Outgoing(outgoing.address, 0), message)
+        self._hub.send(OutgoingLink(outgoing.address, 0), message)
 
     def _next_number(self) -> int:
         self._last_number += 1
@@ -193,7 +193,7 @@
     def _count_unanswered(
         self,
         requests_by_address: Mapping[str, AgentRequest],
-        replies: Mapping[str, RankTold],
+        replies: Mapping[str, RankStateReply],
     ) -> None:
         for address in requests_by_address:
             if address in replies:
@@ -201,21 +201,21 @@
                 continue
             unanswered = self._unanswered_by_address.get(address, 0) + 1
             if unanswered >= _MAX_UNANSWERED_REQUESTS:
-                self._hub.replace(address)
+                self._hub.reconnect(address)
                 unanswered = 0
             self._unanswered_by_address[address] = unanswered
 
 
 def _replies_by_address(
-    outgoing: _OutgoingRequest, reply: RankTold | BranchTold
-) -> dict[str, RankTold]:
-    if isinstance(reply, RankTold):
+    outgoing: _OutgoingRequest, reply: RankStateReply | BranchReply
+) -> dict[str, RankStateReply]:
+    if isinstance(reply, RankStateReply):
         return {outgoing.address: reply}
-    told = dict(reply.told)
+    told = dict(reply.reply_by_address)
     if reply.counts and told:
         first = next(iter(told))
         one = told[first]
-        told[first] = RankTold(
-            one.number, one.state, reply.counts, reply.scale, one.places
+        told[first] = RankStateReply(
+            one.number, one.state, reply.counts, reply.scale, one.placement
         )
     return told
--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -14,7 +14,7 @@
 from kingcupwheel.lockstep.placement_planner import plan_limits
 from kingcupwheel.lockstep.placement_planner import plan_placement
 from kingcupwheel.lockstep.popularity import ExpertPopularity
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change_protocol import LayerPlacements
     from kingcupwheel.lockstep.group_state import GroupState
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
 
@@ -53,8 +53,10 @@
 
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
-        self._popularity = ExpertPopularity(shape.layers, shape.experts)
-        self._limits = plan_limits(shape.places, shape.spare, shape.copy_s)
+        self._popularity = ExpertPopularity(shape.layer_count, shape.expert_count)
+        self._limits = plan_limits(
+            shape.places, shape.max_new_experts, shape.expert_copy_s
+        )
         self._paces: list[float] = []
         self._last_reading: tuple[int, float] | None = None
         self._pass_s = 0.0
@@ -63,7 +65,7 @@
         self,
         group: GroupState,
         layers: LayerPlacements,
-        replies: Iterable[RankTold],
+        replies: Iterable[RankStateReply],
         now: float,
     ) -> PlacementPlan | None:
         """Return the map to change to from ``layers``, or None to leave it.
@@ -105,7 +107,7 @@
         gain = plan.skew_before - plan.skew_after
         if self._is_short_pass(self._pass_s):
             return gain >= SHORT_PASS_MIN_SKEW_GAIN
-        copying_s = plan.copies * self._shape.copy_s
+        copying_s = plan.copies * self._shape.expert_copy_s
         return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
     def _skew_tolerance(self, skew: float) -> float:
@@ -120,7 +122,7 @@
         )
 
     def _is_short_pass(self, pass_s: float) -> bool:
-        return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.gap_s
+        return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.max_event_gap_s
 
     def _measure_pass_time(self, step: int, now: float) -> None:
         before, self._last_reading = self._last_reading, (step, now)
@@ -150,7 +152,7 @@
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
-def unpack_counts(replies: Iterable[RankTold]) -> list[list[int]]:
+def unpack_counts(replies: Iterable[RankStateReply]) -> list[list[int]]:
     """Return each answer's choices, layer by layer in one list."""
     return [
         [count * told.scale for count in told.counts] for told in replies if told.counts
--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.lockstep.agent_client import REPLY_TIMEOUT_S
 from kingcupwheel.lockstep.order_executor import pack_counts
-from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
+from kingcupwheel.messages.lockstep import BranchReply
+from kingcupwheel.messages.lockstep import RankStateRequest
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.lockstep import BranchAsk
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import BranchRequest
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 # Numbers of questions of a head begin here: an agent may coordinate one group's maps
 # and be asked for a branch at the same time, and answers are told apart by number.
@@ -29,15 +29,15 @@
 class _PendingBranchRequest:
     """One question under way."""
 
-    def __init__(self, link: Link, ask: BranchAsk, until: float) -> None:
+    def __init__(self, link: Link, ask: BranchRequest, until: float) -> None:
         self.link = link
         self.number = ask.number
         self.deadline = until
         self.awaited_by_number: dict[int, str] = {}
-        self.replies_by_address: dict[str, RankTold] = {}
+        self.replies_by_address: dict[str, RankStateReply] = {}
         self.counts: list[int] = []
 
-    def add_reply(self, message: RankTold) -> None:
+    def add_reply(self, message: RankStateReply) -> None:
         """Take in a member's answer; its counts are summed."""
         address = self.awaited_by_number.pop(message.number)
         self.replies_by_address[address] = msgspec.structs.replace(
@@ -50,12 +50,12 @@
         for index, found in enumerate(message.counts):
             self.counts[index] += found * message.scale
 
-    def build_reply(self) -> BranchTold:
+    def build_reply(self) -> BranchReply:
         """Return what was told so far."""
         if not self.counts:
-            return BranchTold(self.number, self.replies_by_address)
+            return BranchReply(self.number, self.replies_by_address)
         scale, counts = pack_counts(self.counts)
-        return BranchTold(self.number, self.replies_by_address, counts, scale)
+        return BranchReply(self.number, self.replies_by_address, counts, scale)
 
 
 class BranchAggregator:
@@ -65,15 +65,15 @@
     frozen, and the others' answers must not wait for it.
     """
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
         self._numbers = count(_FIRST_REQUEST_NUMBER)
         self._pending_by_number: dict[int, _PendingBranchRequest] = {}
         self._lock = Lock()
 
-    def forward_request(self, link: Link, message: BranchAsk, now: float) -> None:
+    def forward_request(self, link: Link, message: BranchRequest, now: float) -> None:
         """Pass a question on to the members of its branch."""
-        wait_s = message.ask.wait_ms / 1000
+        wait_s = message.request.wait_ms / 1000
         pending = _PendingBranchRequest(link, message, now + wait_s + REPLY_TIMEOUT_S)
         with self._lock:
             for address in message.members:
@@ -82,11 +82,11 @@
                 self._pending_by_number[number] = pending
             asked = tuple(pending.awaited_by_number.items())
         for number, address in asked:
-            ask = message.ask
-            passed = RankAsk(number, ask.tell, ask.order, ask.wait_ms)
-            self._hub.send(Outgoing(address, 0), passed)
+            ask = message.request
+            passed = RankStateRequest(number, ask.content, ask.order, ask.wait_ms)
+            self._hub.send(OutgoingLink(address, 0), passed)
 
-    def handle_reply(self, message: RankTold) -> bool:
+    def handle_reply(self, message: RankStateReply) -> bool:
         """Take in an answer; return whether it belongs to a branch of this agent."""
         with self._lock:
             pending = self._pending_by_number.pop(message.number, None)
--- a/src/kingcupwheel/lockstep/change_driver.py
+++ b/src/kingcupwheel/lockstep/change_driver.py
@@ -15,7 +15,7 @@
 from kingcupwheel.lockstep.change_protocol import change_outcome
 from kingcupwheel.lockstep.change_protocol import pending_orders
 from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
             change.voided_version if isinstance(change, Voiding) else change.version
         )
         log.info("change-voided", version=version, ms=round(took_s * 1000))
-        self._metrics.changes.labels("voided").inc()
+        self._metrics.map_changes.labels("voided").inc()
         session.close()
 
     def _record_released(self, session: CoordinationSession, change: Phase) -> None:
@@ -131,13 +131,13 @@
         assert isinstance(change, Arming | Releasing), "nothing else is released"
         if change.layers:
             log.info("change-released", version=change.version, ms=round(took_s * 1000))
-            self._metrics.changes.labels("released").inc()
-            self._metrics.change_took.observe(took_s)
+            self._metrics.map_changes.labels("released").inc()
+            self._metrics.map_change_seconds.observe(took_s)
             session.layers = change.layers
         else:
             # Completed for a former life: only the ranks know what it holds.
             log.info("change-completed", version=change.version)
-            self._metrics.changes.labels("completed").inc()
+            self._metrics.map_changes.labels("completed").inc()
             session.close()
 
     def _abandon_if_timed_out(self, session: CoordinationSession) -> None:
@@ -147,5 +147,5 @@
         """
         if session.change_elapsed_s > PREPARE_TIMEOUT_S:
             log.warning("change-stuck", version=session.group.coordinator_state.version)
-            self._metrics.changes.labels("stuck").inc()
+            self._metrics.map_changes.labels("stuck").inc()
             session.close()
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.lockstep.change_protocol import Idle
 from kingcupwheel.lockstep.group_state import GroupState
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from kingcupwheel.lockstep.change_protocol import Phase
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import Roster
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
 
@@ -70,7 +70,7 @@
         self.phase = Idle()
         self.is_closed = True
 
-    def update_states(self, replies: Mapping[str, RankTold]) -> bool:
+    def update_states(self, replies: Mapping[str, RankStateReply]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
         for rank, agent in self.roster.agents_by_rank.items():
             reply = replies.get(agent)
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -22,7 +22,7 @@
 from kingcupwheel.lockstep.group_client import GroupClient
 from kingcupwheel.lockstep.takeover import TAKEOVER_CHECK_INTERVAL_S
 from kingcupwheel.lockstep.takeover import TakeoverMonitor
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.agent_client import AgentClient
     from kingcupwheel.lockstep.roster import PairedServer
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
@@ -132,7 +132,7 @@
         """Read the counts, and begin a change if they call for one."""
         began = monotonic()
         replies, silent = self._group_client.fetch_counts(session.roster)
-        self._metrics.silent.inc(silent)
+        self._metrics.unanswered_requests.inc(silent)
         if not session.update_states(replies):
             return TAKEOVER_CHECK_INTERVAL_S
         group = session.group
@@ -145,7 +145,7 @@
         )
         if plan is not None:
             session.begin_change(Preparing(group.highest_version + 1, plan.layers))
-            self._metrics.copies.inc(plan.copies)
-            self._metrics.skew.set(plan.skew_before)
+            self._metrics.expert_copies.inc(plan.copies)
+            self._metrics.rank_time_skew.set(plan.skew_before)
             return 0.0
         return max(_MIN_PAUSE_S, COUNTS_INTERVAL_S - (monotonic() - began))
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -13,30 +13,30 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.gateway import HttpServer
-from kingcupwheel.link.hub import Hub
+from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import BranchAggregator
 from kingcupwheel.lockstep.coordinator import Coordinator
 from kingcupwheel.lockstep.load_aggregator import LoadAggregator
 from kingcupwheel.lockstep.order_executor import OrderExecutor
 from kingcupwheel.lockstep.roster import PairedServer
-from kingcupwheel.messages.lockstep import BranchAsk
-from kingcupwheel.messages.lockstep import BranchTold
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.lockstep import BranchReply
+from kingcupwheel.messages.lockstep import BranchRequest
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
-from kingcupwheel.messages.membership import LoadsAsk
+from kingcupwheel.messages.membership import LoadsRequest
 from kingcupwheel.platform.configuration import CONFIGURATION_KIND
 from kingcupwheel.platform.configuration import CONFIGURATION_NAME
 from kingcupwheel.platform.configuration import decode_configuration
-from kingcupwheel.platform.objects import ObjectStore
-from kingcupwheel.platform.ranks import RankClient
-from kingcupwheel.platform.servers import SERVERS_KIND
-from kingcupwheel.platform.servers import decode_server
-from kingcupwheel.telemetry.lines import lines_of
-from kingcupwheel.telemetry.metrics import MetricsPage
+from kingcupwheel.platform.object_store import ObjectStore
+from kingcupwheel.platform.rank_client import RankClient
+from kingcupwheel.platform.server_entries import SERVERS_KIND
+from kingcupwheel.platform.server_entries import decode_server
+from kingcupwheel.telemetry.json_logs import lines_of
+from kingcupwheel.telemetry.metrics import MetricsApp
 from kingcupwheel.telemetry.metrics import RankMetrics
 
 
@@ -74,13 +74,15 @@
         self._client = RankClient(f"http://{self._rank.server}")
         self._metrics = RankMetrics()
         self._executor = OrderExecutor(self._client, self._metrics)
-        self._requests: Queue[tuple[Link, RankAsk]] = Queue(_MAX_QUEUED_REQUESTS)
+        self._requests: Queue[tuple[Link, RankStateRequest]] = Queue(
+            _MAX_QUEUED_REQUESTS
+        )
         self._hello_at_by_entry: dict[Link, float] = {}
         self._shape: EngineShape | None = None
         self._servers_by_agent: dict[str, PairedServer] = {}
         self._lock = Lock()
         self._stopping = Event()
-        self._hub = Hub(
+        self._hub = MessageHub(
             listen=settings.listen,
             on_message=self._on_message,
             on_tick=self._on_tick,
@@ -105,7 +107,7 @@
         if not self._rank.metrics:
             return None
         return HttpServer(
-            MetricsPage(self._metrics.registry),
+            MetricsApp(self._metrics.registry),
             listen=self._rank.metrics,
             threads=1,
             connections=_MAX_METRICS_CONNECTIONS,
@@ -139,17 +141,17 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
-            case RankAsk():
+            case RankStateRequest():
                 self._enqueue(link, message)
-            case BranchAsk():
+            case BranchRequest():
                 self._branch_aggregator.forward_request(link, message, monotonic())
-            case RankTold() if self._branch_aggregator.handle_reply(message):
+            case RankStateReply() if self._branch_aggregator.handle_reply(message):
                 pass
-            case RankTold() | BranchTold():
+            case RankStateReply() | BranchReply():
                 self._agent_client.handle_reply(message)
-            case LoadsAsk():
+            case LoadsRequest():
                 self._load_aggregator.subscribe(link, message, monotonic())
-            case Beat():
+            case AgentHeartbeat():
                 self._load_aggregator.handle_beat(link, message, monotonic())
             case Hello():
                 with self._lock:
@@ -161,7 +163,7 @@
         self._branch_aggregator.on_tick(now)
         self._load_aggregator.on_tick(now)
 
-    def _enqueue(self, link: Link, request: RankAsk) -> None:
+    def _enqueue(self, link: Link, request: RankStateRequest) -> None:
         try:
             self._requests.put_nowait((link, request))
         except Full:
@@ -193,12 +195,12 @@
             links = tuple(self._hello_at_by_entry)
         if not links:
             return
-        asked = self._client.state()
+        asked = self._client.fetch_state()
         if asked.is_error():
             return
         state = asked.ok
-        load = Load(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
-        beat = Beat(
+        load = BackendLoad(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
+        beat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
             data_centre="",
@@ -219,7 +221,7 @@
 
         While the store is away those found last serve: a held pass can't wait for it.
         """
-        listed = self._store.listing(SERVERS_KIND, stale=True)
+        listed = self._store.list_objects(SERVERS_KIND, stale=True)
         if listed.is_error():
             log.warning("store-lost", kind=SERVERS_KIND, why=str(listed.error))
             return self._servers_by_agent
@@ -244,5 +246,5 @@
             if decoded.is_error():
                 log.error("configuration-refused", why=decoded.error)
                 return None
-            self._shape = decoded.ok.engine_of(self._rank.service)
+            self._shape = decoded.ok.find_engine(self._rank.service)
         return self._shape
--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.lockstep.order_executor import OrderExecutor
-from kingcupwheel.platform.ranks import RankClient
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.platform.rank_client import RankClient
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from kingcupwheel.lockstep.orders import RankOrder
-    from kingcupwheel.messages.lockstep import RankAsk
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
+    from kingcupwheel.messages.lockstep import RankStateRequest
 
 log = lines_of("maps")
 
@@ -40,12 +40,12 @@
         """Give an order once; whether it was carried out is for the report to show."""
         if server not in self._clients_by_server:
             self._clients_by_server = {server: RankClient(f"http://{server}")}
-        result = self._clients_by_server[server].give(order)
+        result = self._clients_by_server[server].send_order(order)
         log.debug("order-given", order=type(order).__name__, answer=str(result))
 
     def request_all(
-        self, requests_by_server: Mapping[str, RankAsk]
-    ) -> dict[str, RankTold]:
+        self, requests_by_server: Mapping[str, RankStateRequest]
+    ) -> dict[str, RankStateReply]:
         """Return what servers tell, by address; silent ones are left out."""
         if not requests_by_server:
             return {}
@@ -70,5 +70,5 @@
         }
 
 
-def _request(server: str, request: RankAsk) -> RankTold:
+def _request(server: str, request: RankStateRequest) -> RankStateReply:
     return OrderExecutor(RankClient(f"http://{server}")).execute(request)
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -9,8 +9,8 @@
 from kingcupwheel.lockstep.orders import Hold
 from kingcupwheel.lockstep.orders import Release
 from kingcupwheel.lockstep.roster import find_branch_heads
-from kingcupwheel.messages.lockstep import RankAsk
-from kingcupwheel.messages.lockstep import Tell
+from kingcupwheel.messages.lockstep import RankStateRequest
+from kingcupwheel.messages.lockstep import ReplyContent
 
 
 if TYPE_CHECKING:
@@ -21,9 +21,9 @@
     from kingcupwheel.lockstep.change_protocol import PendingOrder
     from kingcupwheel.lockstep.roster import PairedServer
     from kingcupwheel.lockstep.roster import Roster
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
-RepliesByAgent = dict[str, "RankTold"]
+RepliesByAgent = dict[str, "RankStateReply"]
 
 
 class GroupClient:
@@ -54,9 +54,11 @@
             find_branch_heads(servers_by_agent, servers_by_agent)
         )
         replies = self._agent_client.request_all(
-            dict.fromkeys(servers_by_agent, AgentRequest(Tell.PLACES))
+            dict.fromkeys(servers_by_agent, AgentRequest(ReplyContent.PLACES))
+        )
+        direct_requests = dict.fromkeys(
+            servers_by_agent, RankStateRequest(0, ReplyContent.PLACES)
         )
-        direct_requests = dict.fromkeys(servers_by_agent, RankAsk(0, Tell.PLACES))
         servers = {one: beside.server for one, beside in servers_by_agent.items()}
         self._query_servers(direct_requests, servers, replies)
         return replies
@@ -68,7 +70,7 @@
         """
         agents = tuple(roster.agents_by_rank.values())
         replies = self._agent_client.request_all(
-            dict.fromkeys(agents, AgentRequest(Tell.COUNTS))
+            dict.fromkeys(agents, AgentRequest(ReplyContent.COUNTS))
         )
         self._silent_agents = set(agents) - set(replies)
         return replies, len(self._silent_agents)
@@ -78,7 +80,7 @@
         agents = [roster.agents_by_rank[rank] for rank in ranks]
         asked = [one for one in agents if one not in self._silent_agents]
         replies = self._agent_client.request_all(dict.fromkeys(asked, AgentRequest()))
-        direct_requests = dict.fromkeys(agents, RankAsk(0, Tell.STATE))
+        direct_requests = dict.fromkeys(agents, RankStateRequest(0, ReplyContent.STATE))
         self._query_servers(direct_requests, _find_servers(roster, agents), replies)
         return replies
 
@@ -91,17 +93,17 @@
         what carries them out must not be lost together.
         """
         requests: dict[str, AgentRequest] = {}
-        direct_requests: dict[str, RankAsk] = {}
+        direct_requests: dict[str, RankStateRequest] = {}
         for want in pending_orders:
             agent = roster.agents_by_rank[want.rank]
             if isinstance(want.order, Hold | Release):
                 self._direct_client.send_order(roster.server_of(agent), want.order)
                 requests[agent] = AgentRequest()
-                direct_requests[agent] = RankAsk(0, Tell.STATE)
+                direct_requests[agent] = RankStateRequest(0, ReplyContent.STATE)
             else:
-                requests[agent] = AgentRequest(Tell.STATE, want.order, wait_s)
-                direct_requests[agent] = RankAsk(
-                    0, Tell.STATE, want.order, int(wait_s * 1000)
+                requests[agent] = AgentRequest(ReplyContent.STATE, want.order, wait_s)
+                direct_requests[agent] = RankStateRequest(
+                    0, ReplyContent.STATE, want.order, int(wait_s * 1000)
                 )
         replies = self._agent_client.request_all(
             {
@@ -115,7 +117,7 @@
 
     def _query_servers(
         self,
-        requests_by_agent: Mapping[str, RankAsk],
+        requests_by_agent: Mapping[str, RankStateRequest],
         servers_by_agent: Mapping[str, str],
         replies: RepliesByAgent,
     ) -> None:
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -12,17 +12,17 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.link.links import Outgoing
+from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import LoadsTold
-from kingcupwheel.messages.membership import ServerTold
+from kingcupwheel.messages.membership import LoadsReply
+from kingcupwheel.messages.membership import ReportedServerLoad
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.link.hub import Hub
+    from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
-    from kingcupwheel.messages.membership import Beat
-    from kingcupwheel.messages.membership import LoadsAsk
+    from kingcupwheel.messages.membership import AgentHeartbeat
+    from kingcupwheel.messages.membership import LoadsRequest
 
 # Members are asked to tell their loads so often, in seconds; they go on for four.
 _HELLO_INTERVAL_S = 1.0
@@ -40,14 +40,14 @@
 
 
 class _MemberLoad(NamedTuple):
-    load: ServerTold
+    load: ReportedServerLoad
     received_at: float
 
 
 class LoadAggregator:
     """The loads of the members that entries asked for; safe from any thread."""
 
-    def __init__(self, name: str, hub: Hub) -> None:
+    def __init__(self, name: str, hub: MessageHub) -> None:
         self._hub = hub
         self._hello = Hello(name, "", 0, "", leaving=False)
         self._subscriptions_by_link: dict[Link, _Subscription] = {}
@@ -55,20 +55,20 @@
         self._hello_sent_at = float("-inf")
         self._lock = Lock()
 
-    def subscribe(self, link: Link, message: LoadsAsk, now: float) -> None:
-        """Tell an entry the loads of these members for a while."""
+    def subscribe(self, link: Link, message: LoadsRequest, now: float) -> None:
+        """ReplyContent an entry the loads of these members for a while."""
         with self._lock:
             subscription = self._subscriptions_by_link.setdefault(link, _Subscription())
             subscription.members = message.members
             subscription.interval_s = message.every_s
             subscription.renewed_at = now
 
-    def handle_beat(self, link: Link, beat: Beat, now: float) -> None:
+    def handle_beat(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
         """Take in the load of a member."""
-        if not isinstance(link, Outgoing):
+        if not isinstance(link, OutgoingLink):
             return
         load = beat.load
-        server_load = ServerTold(
+        server_load = ReportedServerLoad(
             beat.name,
             load.running,
             load.queued,
@@ -95,18 +95,18 @@
         if now - self._hello_sent_at >= _HELLO_INTERVAL_S:
             self._hello_sent_at = now
             for member in {one for _, asker in subscriptions for one in asker.members}:
-                self._hub.send(Outgoing(member, 0), self._hello)
+                self._hub.send(OutgoingLink(member, 0), self._hello)
         for link, asker in subscriptions:
             if now - asker.sent_at >= asker.interval_s:
                 asker.sent_at = now
                 self._hub.send(
-                    link, LoadsTold(_fresh_loads(asker, loads_by_member, now))
+                    link, LoadsReply(_fresh_loads(asker, loads_by_member, now))
                 )
 
 
 def _fresh_loads(
     subscription: _Subscription, loads_by_member: dict[str, _MemberLoad], now: float
-) -> tuple[ServerTold, ...]:
+) -> tuple[ReportedServerLoad, ...]:
     found = (
         loads_by_member[member]
         for member in subscription.members
--- a/src/kingcupwheel/lockstep/order_executor.py
+++ b/src/kingcupwheel/lockstep/order_executor.py
@@ -9,9 +9,9 @@
 from kingcupwheel.lockstep.order_status import is_carried_out
 from kingcupwheel.lockstep.order_status import is_obsolete
 from kingcupwheel.lockstep.orders import Prepare
-from kingcupwheel.messages.lockstep import RankTold
-from kingcupwheel.messages.lockstep import Tell
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.messages.lockstep import RankStateReply
+from kingcupwheel.messages.lockstep import ReplyContent
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
 
     from kingcupwheel.lockstep.rank_reports import RankCounts
     from kingcupwheel.lockstep.rank_reports import RankState
-    from kingcupwheel.messages.lockstep import RankAsk
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.messages.lockstep import RankStateRequest
+    from kingcupwheel.platform.rank_client import RankClient
     from kingcupwheel.telemetry.metrics import RankMetrics
 
 log = lines_of("maps")
@@ -43,23 +43,25 @@
         self._metrics = metrics
         self._last_counts: RankCounts | None = None
 
-    def execute(self, request: RankAsk) -> RankTold:
+    def execute(self, request: RankStateRequest) -> RankStateReply:
         """Carry out the order of ``ask``, if any, and tell what it asks for."""
         state = self._read_state()
         if request.order is not None:
             state = self._execute_order(request, state)
-        match request.tell:
-            case Tell.COUNTS:
+        match request.content:
+            case ReplyContent.COUNTS:
                 scale, counts = self._read_new_counts()
-                return RankTold(request.number, state, counts, scale)
-            case Tell.PLACES:
-                places = self._client.places()
-                return RankTold(request.number, state, places=places.default_value(()))
-            case Tell.STATE:
-                return RankTold(request.number, state)
+                return RankStateReply(request.number, state, counts, scale)
+            case ReplyContent.PLACES:
+                places = self._client.fetch_placement()
+                return RankStateReply(
+                    request.number, state, placement=places.default_value(())
+                )
+            case ReplyContent.STATE:
+                return RankStateReply(request.number, state)
 
     def _execute_order(
-        self, request: RankAsk, state: RankState | None
+        self, request: RankStateRequest, state: RankState | None
     ) -> RankState | None:
         order = request.order
         assert order is not None, "only asks with an order are given"
@@ -75,7 +77,7 @@
             if now >= deadline:
                 break
             if now - sent_at >= _RESEND_INTERVAL_S:
-                result = self._client.give(order)
+                result = self._client.send_order(order)
                 kind = type(order).__name__
                 log.debug("order-given", order=kind, answer=str(result))
                 if self._metrics is not None:
@@ -90,11 +92,11 @@
         return state
 
     def _read_state(self) -> RankState | None:
-        result = self._client.state()
+        result = self._client.fetch_state()
         return result.ok if result.is_ok() else None
 
     def _read_new_counts(self) -> tuple[int, bytes]:
-        result = self._client.counts()
+        result = self._client.fetch_counts()
         if result.is_error():
             return 1, b""
         now = result.ok
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -16,7 +16,7 @@
     from kingcupwheel.forwarding.configuration import EngineShape
     from kingcupwheel.lockstep.change_protocol import LayerPlacements
     from kingcupwheel.lockstep.rank_reports import RankState
-    from kingcupwheel.messages.lockstep import RankTold
+    from kingcupwheel.messages.lockstep import RankStateReply
 
 
 class PairedServer(NamedTuple):
@@ -69,11 +69,11 @@
 
 
 def collect_reports(
-    own_state: RankState, replies: Mapping[str, RankTold]
+    own_state: RankState, replies: Mapping[str, RankStateReply]
 ) -> dict[int, RankReport]:
     """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
     return {
-        told.state.rank: RankReport(agent, told.state, told.places)
+        told.state.rank: RankReport(agent, told.state, told.placement)
         for agent, told in replies.items()
         if told.state is not None
         and told.state.epoch == own_state.epoch
@@ -98,12 +98,13 @@
     A rank that is missing is given the experts that no other one has.
     """
     if not all(
-        len(one.experts_by_layer) == shape.layers for one in reports_by_rank.values()
+        len(one.experts_by_layer) == shape.layer_count
+        for one in reports_by_rank.values()
     ):
-        return round_robin_placement(rank_count, shape.layers, shape.experts)
+        return round_robin_placement(rank_count, shape.layer_count, shape.expert_count)
     return tuple(
         _assemble_layer(reports_by_rank, rank_count, shape, layer)
-        for layer in range(shape.layers)
+        for layer in range(shape.layer_count)
     )
 
 
@@ -118,7 +119,7 @@
         for one in reports_by_rank.values()
         for expert in one.experts_by_layer[layer]
     }
-    rest = tuple(one for one in range(shape.experts) if one not in held) or (0,)
+    rest = tuple(one for one in range(shape.expert_count) if one not in held) or (0,)
     return tuple(
         reports_by_rank[rank].experts_by_layer[layer]
         if rank in reports_by_rank
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -26,7 +26,7 @@
 from kingcupwheel.lockstep.roster import assemble_active_map
 from kingcupwheel.lockstep.roster import collect_reports
 from kingcupwheel.lockstep.stall_detector import StallDetector
-from kingcupwheel.telemetry.lines import lines_of
+from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     from kingcupwheel.lockstep.group_client import GroupClient
     from kingcupwheel.lockstep.rank_reports import RankState
     from kingcupwheel.lockstep.roster import PairedServer
-    from kingcupwheel.platform.ranks import RankClient
+    from kingcupwheel.platform.rank_client import RankClient
 
 log = lines_of("maps")
 
@@ -72,7 +72,7 @@
 
     def check(self) -> CoordinationSession | float:
         """Return the charge to take, or the seconds until the next look."""
-        report = self._client.state()
+        report = self._client.fetch_state()
         if report.is_error() or not report.ok.is_open:
             return TAKEOVER_CHECK_INTERVAL_S
         is_rescue = report.ok.rank != COORDINATOR_RANK
--- a/src/kingcupwheel/platform/pages.py
+++ b/src/kingcupwheel/platform/entry_endpoints.py
@@ -14,7 +14,7 @@
 READY_PATH = "/v1/ready"
 ADDRESSES_PATH = "/v1/resolve"
 # The most addresses that callers take from one answer.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 class _Addresses(msgspec.Struct, rename="pascal"):
@@ -23,11 +23,11 @@
     ttl_s: float
 
 
-def asked_data_centre(query: str) -> str:
+def parse_data_centre(query: str) -> str:
     """Return the data centre of the caller that asks for addresses."""
     return parse_qs(query).get("Zone", [""])[0]
 
 
-def addresses_body(addresses: Iterable[str], keep_s: float) -> bytes:
+def encode_addresses(addresses: Iterable[str], keep_s: float) -> bytes:
     """Return the answer to a caller that asks where to connect."""
-    return msgspec.json.encode(_Addresses(list(addresses)[:MOST_ADDRESSES], keep_s))
+    return msgspec.json.encode(_Addresses(list(addresses)[:MAX_ADDRESSES], keep_s))
--- a/src/kingcupwheel/platform/servers.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -14,24 +14,24 @@
 from expression import Result
 
 from kingcupwheel.forwarding.backends import Backend
-from kingcupwheel.platform.decoding import Born
-from kingcupwheel.platform.decoding import decoded
+from kingcupwheel.platform.decoding import StartTimeMs
+from kingcupwheel.platform.decoding import decode_json
 from kingcupwheel.utils.numbers import whole_number
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.platform.stored import StoredObject
+    from kingcupwheel.platform.store_types import StoredObject
 
 # Each object is one server and is named by its id, which it may keep from life to life.
 SERVERS_KIND = "servers"
 
 _MS = 1000.0
-_MOST_PORT = 65_535
+_MAX_PORT = 65_535
 # The id goes out in a header of each request; no server has a longer one.
-_MOST_NAME = 200
+_MAX_NAME_LENGTH = 200
 
 
-class _Server(msgspec.Struct, rename="pascal"):
+class _ServerEntry(msgspec.Struct, rename="pascal"):
     """All fields that every server writes; an entry without one is another writer's."""
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
@@ -41,14 +41,14 @@
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     # Unix milliseconds of its start; told apart from the rest in lower case.
-    born: Born = msgspec.field(default=0, name="born")
+    born: StartTimeMs = msgspec.field(default=0, name="born")
 
 
 def decode_server(stored: StoredObject) -> Result[Backend, str]:
     """Return the server, or why this entry names none."""
-    if not _is_header_word(stored.name):
+    if not _is_header_token(stored.name):
         return Error("no server has such a name")
-    read = decoded(stored.body, _Server)
+    read = decode_json(stored.body, _ServerEntry)
     if read.is_error():
         return Error(read.error)
     found = read.ok
@@ -61,17 +61,17 @@
             address=found.address,
             data_centre=found.zone,
             places=found.slots,
-            leaving=found.state == "draining" or stored.leaving,
+            leaving=found.state == "draining" or stored.is_deleting,
             cold_s=found.cold_remaining_ms / _MS,
-            created=stored.created,
+            created=stored.created_revision,
             born_ms=found.born,
         )
     )
 
 
-def _is_header_word(name: str) -> bool:
+def _is_header_token(name: str) -> bool:
     readable = name.isascii() and name.isprintable() and " " not in name
-    return readable and 0 < len(name) <= _MOST_NAME
+    return readable and 0 < len(name) <= _MAX_NAME_LENGTH
 
 
 def _is_address(text: str) -> bool:
@@ -80,4 +80,4 @@
         IPv4Address(host)
     except AddressValueError:
         return False
-    return 0 < (whole_number(port) or 0) <= _MOST_PORT
+    return 0 < (whole_number(port) or 0) <= _MAX_PORT
--- /dev/null
+++ b/tests/decisions/test_server_notices.py
@@ -0,0 +1,119 @@
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from kingcupwheel.decisions import server_notices
+from kingcupwheel.decisions.server_notices import ABSENT_RETENTION_S
+from kingcupwheel.decisions.server_notices import MAX_BACKOFF_S
+from kingcupwheel.decisions.server_notices import ServerNotices
+
+
+if TYPE_CHECKING:
+    import pytest
+
+
+def test_a_rest_lasts_as_long_as_it_was_asked_for_and_is_told_over_once() -> None:
+    notices = ServerNotices()
+    assert notices.record_backoff("i-1", 3.0, 10.0)
+
+    assert not notices.accepts_requests("i-1", 12.9)
+    assert notices.accepts_requests("i-1", 13.0)
+    assert notices.accepts_requests("i-2", 10.0)
+    assert notices.take_ended_backoffs(12.9) == ()
+    assert notices.take_ended_backoffs(13.0) == ("i-1",)
+    assert notices.take_ended_backoffs(13.0) == ()
+
+
+def test_a_shorter_wish_that_comes_later_does_not_end_the_first_rest() -> None:
+    notices = ServerNotices()
+    notices.record_backoff("i-1", 5.0, 10.0)
+
+    assert not notices.record_backoff("i-1", 1.0, 11.0)
+    assert notices.backoff_until("i-1") == 15.0
+    assert notices.record_backoff("i-1", 5.0, 11.0)
+    assert notices.backoff_until("i-1") == 16.0
+
+
+def test_a_rest_of_nothing_is_none_and_one_for_ever_has_an_end() -> None:
+    notices = ServerNotices()
+
+    assert not notices.record_backoff("i-1", 0.0, 10.0)
+    assert len(notices) == 0
+    notices.record_backoff("i-1", 1e12, 10.0)
+    assert notices.backoff_until("i-1") == 10.0 + MAX_BACKOFF_S
+
+
+def test_a_life_that_comes_back_to_the_list_rests_on() -> None:
+    """An overwritten entry is back with the next heartbeat, its life the same."""
+    notices = ServerNotices()
+    notices.record_backoff("i-1", 100.0, 10.0)
+
+    assert notices.retain((), 11.0) == ()
+    assert not notices.accepts_requests("i-1", 12.0)
+    assert notices.retain(("i-1",), 12.0) == ()
+    assert notices.retain((), 13.0) == ()
+    assert notices.retain((), 13.0 + ABSENT_RETENTION_S) == ("i-1",)
+    assert len(notices) == 0
+
+
+def test_what_is_remembered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server_notices, "MAX_INCARNATIONS", 5)
+    notices = ServerNotices()
+    for number in range(9):
+        notices.record_backoff(f"i-{number}", 5.0, 10.0)
+
+    assert len(notices) == 5
+    assert not notices.accepts_requests("i-8", 11.0)
+
+
+def test_a_life_that_leaves_gets_nothing_until_it_is_forgotten() -> None:
+    notices = ServerNotices()
+    assert notices.record_leaving("i-1")
+    assert not notices.record_leaving("i-1")
+    notices.record_backoff("i-1", 3.0, 10.0)
+
+    assert notices.take_ended_backoffs(13.0) == ("i-1",)
+    assert not notices.accepts_requests("i-1", 1e9)
+    assert notices.accepts_requests("i-1@7", 10.0)
+    assert notices.retain((), 20.0) == ()
+    assert notices.retain((), 20.0 + ABSENT_RETENTION_S) == ("i-1",)
+    assert notices.accepts_requests("i-1", 100.0)
+
+
+LIVES = st.sampled_from(["i-1", "i-2", "i-2@7"])
+STEPS = st.lists(
+    st.tuples(
+        LIVES,
+        st.sampled_from(["rest", "leave", "keep", "ended"]),
+        st.floats(0.0, 200.0),
+    ),
+    max_size=30,
+)
+
+
+@given(steps=STEPS, gaps=st.lists(st.floats(0.0, 20.0), min_size=30, max_size=30))
+def test_no_life_gets_anything_before_each_rest_that_it_asked_for_is_over(
+    steps: list[tuple[str, str, float]], gaps: list[float]
+) -> None:
+    """Whatever is said, listed and tidied up between, and whatever its other life."""
+    notices = ServerNotices()
+    asked: dict[str, list[float]] = {"i-1": [], "i-2": [], "i-2@7": []}
+    now = 0.0
+    for (life, step, seconds), gap in zip(steps, gaps, strict=False):
+        now += gap
+        match step:
+            case "rest":
+                notices.record_backoff(life, seconds, now)
+                asked[life].append(now + min(seconds, MAX_BACKOFF_S))
+            case "leave":
+                notices.record_leaving(life)
+                asked[life].append(float("inf"))
+            case "keep":
+                notices.retain({life} | set(asked), now)
+            case "ended":
+                notices.take_ended_backoffs(now)
+        for one, ends in asked.items():
+            assert notices.accepts_requests(one, now) == all(end <= now for end in ends)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -37,12 +37,12 @@
     "two-choices": (
         Edit(
             "decisions/placement.py",
-            "best = min(drawn, key=lambda candidate: _cost(candidate, ask))",
-            "best = drawn[0]",
+            "min(drawn, key=lambda candidate: _compute_cost(candidate, request))",
+            "drawn[0]",
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "near_first=True", "near_first=False"),
+        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
         Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
     ),
     "own-in-flight": (
@@ -55,7 +55,7 @@
     "health": (
         Edit(
             "entry/dispatching.py",
-            "state_by_name = self._health.states(loads, now)",
+            "state_by_name = self._health.update_states(loads, now)",
             "state_by_name = {one.name: ServerState.HEALTHY for one in loads}",
         ),
     ),
@@ -72,7 +72,7 @@
     "full-servers-are-not-silent": (
         Edit(
             "forwarding/runs.py",
-            "if not self._begun and context.book.is_told_full(place, now):",
+            "if not self._begun and context.servers.is_told_full(place, now):",
             "if now < 0.0:",
         ),
     ),
@@ -84,24 +84,24 @@
         ),
     ),
     "admission-bounds": (
-        Edit("decisions/queueing.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
+        Edit("decisions/fair_queue.py", "if wait_s > left_s:", "if wait_s < 0.0:"),
     ),
     "fair-flows": (
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + ".g",
             _ONE_FLOW + ".g",
         ),
         Edit(
-            "decisions/queueing.py",
+            "decisions/fair_queue.py",
             _FLOW_KEY + "[",
             _ONE_FLOW + "[",
         ),
     ),
     "retry-budget": (
         Edit(
-            "decisions/retries.py",
-            "if len(self._retries) + 1 > floor + share * len(self._firsts):",
+            "decisions/retry_budget.py",
+            "if len(self._retries) + 1 > floor + share * len(self._first_attempts):",
             "if floor < 0.0:",
         ),
     ),
@@ -181,7 +181,11 @@
         Edit("forwarding/loadheads.py", "DIRECT_AGENTS = 24", "DIRECT_AGENTS = 10_000"),
     ),
     "long-watches": (
-        Edit("forwarding/following.py", "MANY_ENTRIES = 10", "MANY_ENTRIES = 10_000"),
+        Edit(
+            "forwarding/store_watcher.py",
+            "LARGE_FLEET_ENTRIES = 10",
+            "LARGE_FLEET_ENTRIES = 10_000",
+        ),
     ),
 }
 
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -16,12 +16,12 @@
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.messages.codec import MsgpackCodec
 from kingcupwheel.messages.expertmaps import MapReply
-from kingcupwheel.messages.membership import Beat
+from kingcupwheel.messages.membership import AgentHeartbeat
+from kingcupwheel.messages.membership import BackendLoad
 from kingcupwheel.messages.membership import Hello
-from kingcupwheel.messages.membership import Load
-from kingcupwheel.messages.membership import PeerBeat
-from kingcupwheel.messages.membership import ShareBeat
-from kingcupwheel.messages.membership import ShareTold
+from kingcupwheel.messages.membership import PeerHeartbeat
+from kingcupwheel.messages.membership import ShareHeartbeat
+from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.batches import make_parts
 from kingcupwheel.trace.recorder import Recorder
@@ -50,12 +50,12 @@
 
 def beat_bytes() -> list[Point]:
     """Return the size of a heartbeat by the number of suspects it names."""
-    load = Load(12, 3, 16, 5400.5, 2300.25, 0.75)
+    load = BackendLoad(12, 3, 16, 5400.5, 2300.25, 0.75)
     return [
         Point(
             count,
             _size(
-                Beat(
+                AgentHeartbeat(
                     PROCESS,
                     "parts-model",
                     "curitiba-north",
@@ -85,7 +85,7 @@
         Point(
             count,
             _size(
-                PeerBeat(
+                PeerHeartbeat(
                     PROCESS, "curitiba-north", 720, _DIGEST, False, suspects(count)
                 )
             ),
@@ -100,12 +100,12 @@
         Point(
             count,
             _size(
-                ShareBeat(
+                ShareHeartbeat(
                     PROCESS,
                     12345.678901,
                     12344.567891,
                     tuple(
-                        ShareTold(f"organisation-{number}", 0.123456789, 0.5, False)
+                        ShareReport(f"organisation-{number}", 0.123456789, 0.5, False)
                         for number in range(count)
                     ),
                 )
