--- a/src/kingcupwheel/decisions/age_normalization.py
+++ b/src/kingcupwheel/decisions/age_normalization.py
@@ -1,4 +1,4 @@
-"""Ages that tell of the servers, not of the entry that sees them."""
+"""Normalizes report ages and uptimes against the rest of the group."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 def normalize_ages(candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-    """Return the candidates with ages as seen beside the rest of the group.
+    """Return the candidates with ages relative to the rest of the group.
 
-    Load: an entry that has just started, or was paused, under the usual load. Failure:
-    every server looks just started, or silent. Symptom: with so little room counted on
-    all are full, and callers are refused for ``SLOW_START_S`` at each new entry. What
-    all servers have in common is the entry's own doing; only the difference counts. A
-    group that was restarted as a whole has no other servers to wait for either.
+    To an entry that has just started or was paused, every server looks just started or
+    silent. With their effective capacity cut accordingly all would be full, and the
+    entry would refuse its callers for ``SLOW_START_S``. What all servers have in common
+    is caused by the entry itself, so only the differences count. The same holds for a
+    group that was restarted as a whole: there is no other server to send requests to.
     """
     if not candidates:
         return candidates
-    least_heard_s = min(one.report_age_s for one in candidates)
-    typical_s = median(one.uptime_s for one in candidates)
-    if least_heard_s <= REPORT_FRESH_S and typical_s >= SLOW_START_S:
+    min_report_age_s = min(one.report_age_s for one in candidates)
+    median_uptime_s = median(one.uptime_s for one in candidates)
+    if min_report_age_s <= REPORT_FRESH_S and median_uptime_s >= SLOW_START_S:
         return candidates
-    common_s = max(0.0, least_heard_s - REPORT_FRESH_S)
-    stretch = max(1.0, SLOW_START_S / max(typical_s, 1e-3))
+    common_age_s = max(0.0, min_report_age_s - REPORT_FRESH_S)
+    uptime_scale = max(1.0, SLOW_START_S / max(median_uptime_s, 1e-3))
     return [
         replace(
             one,
-            report_age_s=one.report_age_s - common_s,
-            uptime_s=max(one.uptime_s, 1e-3) * stretch,
+            report_age_s=one.report_age_s - common_age_s,
+            uptime_s=max(one.uptime_s, 1e-3) * uptime_scale,
         )
         for one in candidates
     ]
--- a/src/kingcupwheel/decisions/baseline_policies.py
+++ b/src/kingcupwheel/decisions/baseline_policies.py
@@ -1,4 +1,4 @@
-"""Simple placement policies to measure against."""
+"""Simple placement policies that serve as baselines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @placement_policies.register("random")
 class RandomPolicy:
-    """Any server that is in service and not known to be full."""
+    """Chooses uniformly among the eligible servers."""
 
     def place(
         self,
@@ -30,16 +30,16 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Draw evenly."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        return SelectedServer(rng.choice(able).name, "random")
+        """Choose a server uniformly at random."""
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        return SelectedServer(rng.choice(eligible).name, "random")
 
 
 @placement_policies.register("round-robin")
 class RoundRobinPolicy:
-    """Each server in its turn."""
+    """Chooses the eligible servers in turn."""
 
     def __init__(self) -> None:
         self._counter = count()
@@ -51,18 +51,18 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Take the next one."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
+        """Choose the next server."""
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
         return SelectedServer(
-            able[next(self._counter) % len(able)].name, "next in turn"
+            eligible[next(self._counter) % len(eligible)].name, "next in turn"
         )
 
 
 @placement_policies.register("least-in-flight")
 class LeastInFlightPolicy:
-    """The server with the fewest attempts of this entry."""
+    """Chooses the server with the fewest attempts in flight from this entry."""
 
     def place(
         self,
@@ -71,9 +71,9 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Take the least, drawn evenly among equals."""
-        able = select_eligible(candidates, request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        best = min(able, key=lambda one: (one.own_in_flight, rng.random()))
+        """Choose the server with the fewest attempts, ties broken at random."""
+        eligible = select_eligible(candidates, request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        best = min(eligible, key=lambda one: (one.own_in_flight, rng.random()))
         return SelectedServer(best.name, "fewest in flight")
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -1,4 +1,4 @@
-"""The health of a group's servers, with a guard against mass ejection."""
+"""Health of a server group, with a limit on simultaneous ejections."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from collections.abc import Mapping
 
 
-# Ejected servers are at most this share of a group. Reason: when more fail, the cause
-# lies with the requests, the link or the entry itself. Those kept are given only what
-# the others have no room for.
+# Largest fraction of a group that may be ejected. If more servers fail, the cause is
+# probably the requests, the network or the entry itself. Failing servers that are kept
+# receive only the requests that the others have no capacity for.
 MAX_EJECTED_SHARE = 1 / 2
 
 _OUT_OF_SERVICE_STATES = (ServerState.EJECTED, ServerState.PROBING)
 
 
 class ServerLoad(NamedTuple):
-    """What a server holds: attempts running or queued, and how many it can run.
+    """Attempts running or queued on a server, and how many it can run.
 
-    One that is not ``in_service`` has no room for what others hold.
+    A server that is not in service cannot take over the attempts of others.
     """
 
     name: str
@@ -36,59 +36,61 @@
 
 
 class GroupHealth:
-    """The health of each server of a group, as one entry sees it.
+    """Health of each server of a group, as one entry sees it.
 
-    Load: a switch, a rack or a bad request makes many servers fail at once. Harm
-    prevented: with those gone the rest is overrun and fails too, until none is left.
-    No ejection takes the group beyond ``MAX_EJECTED_SHARE``, or leaves the others
-    without room for what the group holds at the moment; the worst go first.
+    A failing switch or rack, or a bad request, can make many servers fail at once. If
+    all were ejected, the rest would be overloaded and fail too. At most
+    ``MAX_EJECTED_SHARE`` of the group is ejected, and only while the other servers have
+    capacity for all attempts in flight; the servers with most failures go first.
     """
 
     def __init__(self) -> None:
-        self._by_name: dict[str, ServerHealth] = {}
+        self._health_by_server: dict[str, ServerHealth] = {}
 
     def get(self, server: str) -> ServerHealth:
-        """Return the health of ``server``, new if it was never seen."""
-        health = self._by_name.get(server)
+        """Return the health of ``server``, creating it if unknown."""
+        health = self._health_by_server.get(server)
         if health is None:
-            health = self._by_name[server] = ServerHealth()
+            health = self._health_by_server[server] = ServerHealth()
         return health
 
     def reset(self, server: str) -> None:
-        """Forget what is known of ``server``: a new life of it has come up."""
-        self._by_name.pop(server, None)
+        """Discard the health of ``server`` after it has restarted."""
+        self._health_by_server.pop(server, None)
 
     def retain(self, servers: Iterable[str]) -> None:
-        """Forget every server but these."""
-        wanted = set(servers)
-        for name in [name for name in self._by_name if name not in wanted]:
-            del self._by_name[name]
+        """Discard the health of every other server."""
+        kept = set(servers)
+        for name in [name for name in self._health_by_server if name not in kept]:
+            del self._health_by_server[name]
 
     def update_states(
         self, loads: Iterable[ServerLoad], now: float
     ) -> dict[str, ServerState]:
-        """Return the state of each server by name."""
+        """Update the state of each server and return the states by name."""
         load_by_name = {load.name: load for load in loads}
         health_by_name = {name: self.get(name) for name in load_by_name}
         median_s = _median_latency(health_by_name)
-        held = sum(load.in_flight for load in load_by_name.values())
+        total_in_flight = sum(load.in_flight for load in load_by_name.values())
         serving = [load for load in load_by_name.values() if load.is_in_service]
-        places = sum(load.capacity for load in serving)
-        may_leave = int(len(serving) * MAX_EJECTED_SHARE)
+        total_capacity = sum(load.capacity for load in serving)
+        ejections_left = int(len(serving) * MAX_EJECTED_SHARE)
         state_by_name: dict[str, ServerState] = {}
         for name in sorted(
             load_by_name, key=lambda name: _update_order(health_by_name, name)
         ):
             load = load_by_name[name]
-            has_room = held <= places - load.capacity * load.is_in_service
-            may_eject = may_leave > 0 and has_room
+            has_room = (
+                total_in_flight <= total_capacity - load.capacity * load.is_in_service
+            )
+            may_eject = ejections_left > 0 and has_room
             state = health_by_name[name].update_state(
                 median_s, now, may_eject=may_eject
             )
             state_by_name[name] = state
             if state in _OUT_OF_SERVICE_STATES and load.is_in_service:
-                may_leave -= 1
-                places -= load.capacity
+                ejections_left -= 1
+                total_capacity -= load.capacity
         return state_by_name
 
 
@@ -100,6 +102,6 @@
 def _update_order(
     health_by_name: Mapping[str, ServerHealth], name: str
 ) -> tuple[bool, int, str]:
-    """Order for judging: the ejected first, then those that fail most."""
+    """Sort key: ejected servers first, then by consecutive failures."""
     health = health_by_name[name]
     return (not health.is_ejected, -health.consecutive_failures, name)
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Chooses a server for a request: two random choices, with what is known of each."""
+"""Server selection by power of two random choices."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     from random import Random
 
 
-# Servers drawn for a choice. Two give most of the gain over one; with every server
-# compared, all entries would pick the same one from reports of the same second.
+# Two samples give most of the gain over one. If every server were compared, all entries
+# would pick the same one from load reports of the same second.
 SAMPLED_SERVERS = 2
 
 UNAVAILABLE_STATES = frozenset(
@@ -42,23 +42,23 @@
     }
 )
 
-# Requests that go to a server on probe, as a share of the repeatable ones: at nine
-# requests a second an entry probes about every five seconds.
+# Fraction of the repeatable requests sent to a probed server: at 9 requests per second
+# an entry probes about every 5 s.
 PROBE_SHARE = 0.02
 
-# A server that fails and may not be ejected counts as this much fuller. Without, it is
-# the emptiest of all, since it fails at once, and draws most requests; so it gets what
-# the others have hardly room for, and the guard against mass ejection still holds.
+# Load added to a failing server that is not ejected. It fails immediately and therefore
+# looks idle, so that it would attract most requests. With the penalty it receives only
+# what the others have little capacity for, and the limit on ejections can hold.
 FAILING_LOAD_PENALTY = 0.8
 
-# The home of a prefix may be this much fuller than the mean: a cached prefix saves the
-# prompt's work, which a longer wait soon eats up.
+# A prefix's affinity server may exceed the mean load by this margin: a cached prefix
+# saves the work of the prompt, but a longer wait soon costs more.
 AFFINITY_LOAD_MARGIN = 0.25
 AFFINITY_MAX_LOAD = 0.9
 
 
 class PlacementPolicy(Protocol):
-    """A placement plug-in; one instance serves one group at one entry."""
+    """Placement plug-in; one object serves one group at one entry."""
 
     def place(
         self,
@@ -67,46 +67,57 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Choose a server among the group's that are within the entry's subset."""
+        """Select one of the group's servers in the entry's subset."""
 
 
 def select_eligible(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> list[Candidate] | NoServerAvailable:
-    """Return the servers that may be given ``request``, or why there are none."""
-    known = normalize_ages(candidates)
-    up = [candidate for candidate in known if candidate.state not in UNAVAILABLE_STATES]
-    if not up:
-        return _explain_none_up(known, request)
-    with_room = [candidate for candidate in up if not candidate.is_full]
-    if not with_room:
-        return _explain_none_with_capacity(known, request)
+    """Return the servers that may receive ``request``, or why there are none."""
+    normalized = normalize_ages(candidates)
+    available = [
+        candidate
+        for candidate in normalized
+        if candidate.state not in UNAVAILABLE_STATES
+    ]
+    if not available:
+        return _explain_none_up(normalized, request)
+    with_capacity = [candidate for candidate in available if not candidate.is_full]
+    if not with_capacity:
+        return _explain_none_with_capacity(normalized, request)
     untried = [
         candidate
-        for candidate in with_room
+        for candidate in with_capacity
         if candidate.name not in request.excluded_servers
     ]
     if not untried:
-        return _explain_none_untried(known, up, request)
+        return _explain_none_untried(normalized, available, request)
     if not request.is_suspect:
         return untried
-    # Failure: two suspects on one server, which dies. Symptom: the innocent one is
-    # blamed twice. Apart, the second death leaves a single cause.
-    alone = [candidate for candidate in untried if not candidate.running_suspects]
-    return alone or ALL_SERVERS_RUN_SUSPECTS
+    # If a server crashes with two suspects on it, the innocent one is blamed twice.
+    # Kept apart, the second crash has a single possible cause.
+    without_suspects = [
+        candidate for candidate in untried if not candidate.running_suspects
+    ]
+    return without_suspects or ALL_SERVERS_RUN_SUSPECTS
 
 
 def _explain_none_up(
-    known: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
-    """Return what stands in the way of all; an ejected or silent server may be back."""
-    waited_for = [one for one in known if one.state is not ServerState.LEAVING]
-    rests = [one for one in waited_for if one.state is ServerState.BACKING_OFF]
-    if not rests or len(rests) < len(waited_for):
+    """Return why no server is available.
+
+    Backoffs are the reason only if no ejected or silent server could return earlier.
+    """
+    not_leaving = [one for one in candidates if one.state is not ServerState.LEAVING]
+    backing_off = [one for one in not_leaving if one.state is ServerState.BACKING_OFF]
+    if not backing_off or len(backing_off) < len(not_leaving):
         return NO_SERVER_IN_SERVICE
-    untried = [one for one in rests if one.name not in request.excluded_servers]
+    untried = [one for one in backing_off if one.name not in request.excluded_servers]
     if not untried:
-        return ALL_SERVERS_TRIED._replace(backoff_ends_at=_earliest_backoff_end(rests))
+        return ALL_SERVERS_TRIED._replace(
+            backoff_ends_at=_earliest_backoff_end(backing_off)
+        )
     reason = (
         UNTRIED_SERVERS_BACKING_OFF
         if request.excluded_servers
@@ -116,52 +127,54 @@
 
 
 def _explain_none_with_capacity(
-    known: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
-    """Return what stands in the way; room on a server already tried is no help."""
-    waited_for = [
+    """Return why no server has capacity, ignoring servers already tried."""
+    untried = [
         one
-        for one in known
+        for one in candidates
         if one.state is not ServerState.LEAVING
         and one.name not in request.excluded_servers
     ]
-    if waited_for and all(one.state is ServerState.BACKING_OFF for one in waited_for):
+    if untried and all(one.state is ServerState.BACKING_OFF for one in untried):
         return UNTRIED_SERVERS_BACKING_OFF._replace(
-            backoff_ends_at=_earliest_backoff_end(waited_for)
+            backoff_ends_at=_earliest_backoff_end(untried)
         )
     return ALL_SERVERS_FULL
 
 
 def _explain_none_untried(
-    known: Sequence[Candidate], up: Sequence[Candidate], request: PlacementRequest
+    candidates: Sequence[Candidate],
+    available: Sequence[Candidate],
+    request: PlacementRequest,
 ) -> NoServerAvailable:
-    if not request.excluded_servers.issuperset(_names(up)):
+    if not request.excluded_servers.issuperset(_names(available)):
         return UNTRIED_SERVERS_FULL
-    rests = [
+    backing_off = [
         one
-        for one in known
+        for one in candidates
         if one.state is ServerState.BACKING_OFF
         and one.name not in request.excluded_servers
     ]
-    if not rests:
+    if not backing_off:
         return ALL_SERVERS_TRIED
     return UNTRIED_SERVERS_BACKING_OFF._replace(
-        backoff_ends_at=_earliest_backoff_end(rests)
+        backoff_ends_at=_earliest_backoff_end(backing_off)
     )
 
 
-def _earliest_backoff_end(rests: Sequence[Candidate]) -> float:
-    return min(one.backoff_until for one in rests)
+def _earliest_backoff_end(backing_off: Sequence[Candidate]) -> float:
+    return min(one.backoff_until for one in backing_off)
 
 
 @placement_policies.register("two-choices")
 class TwoChoicesPolicy:
-    """The less loaded of two random servers, unless the prefix has a home with room.
+    """Selects the less loaded of two random servers, or the prefix's affinity server.
 
-    Load: some hundred entries place on the same servers by reports a second old. Harm
-    prevented: each choosing the least loaded server of its own view, all choose the
-    same one, which is overrun until the next report. Two random choices never do that,
-    and need no exact figures.
+    Hundreds of entries place requests on the same servers by load reports up to a
+    second old. If each selected the least loaded server, all would select the same one
+    and overload it until its next report. Two random choices avoid that and need no
+    exact loads. The affinity server of a prefix is used while it has spare capacity.
     """
 
     def place(
@@ -171,76 +184,85 @@
         now: float,
         rng: Random,
     ) -> SelectedServer | NoServerAvailable:
-        """Choose a server; ``now`` is not needed, since ages are in the candidates."""
-        able = select_eligible(correct_load_reports(candidates), request)
-        if isinstance(able, NoServerAvailable):
-            return able
-        proven, probed = _split_probed(able)
-        if probed and (not proven or _should_probe(request, rng)):
+        """Select a server; ``now`` is unused, since the candidates contain ages."""
+        eligible = select_eligible(correct_load_reports(candidates), request)
+        if isinstance(eligible, NoServerAvailable):
+            return eligible
+        unprobed, probed = _split_probed(eligible)
+        if probed and (not unprobed or _should_probe(request, rng)):
             return SelectedServer(rng.choice(probed).name, "probe of an ejected server")
-        if not proven:
-            # Only busy probed servers are left for this request.
+        if not unprobed:
+            # Only busy probed servers are left; other servers may be closed to this
+            # request alone.
             return (
                 UNTRIED_SERVERS_FULL
                 if request.excluded_servers or request.is_suspect
                 else ALL_SERVERS_FULL
             )
-        home = self._find_affinity_server(proven, request)
-        if home is not None:
-            return SelectedServer(home.name, "home of the prefix", _list_loads([home]))
-        drawn = _sample_pair(proven, request, rng)
-        best = min(drawn, key=lambda candidate: _compute_cost(candidate, request))
-        others = [candidate for candidate in drawn if candidate is not best]
-        why = "less loaded of two" if others else "the only one with room"
-        return SelectedServer(best.name, why, _list_loads([best, *others]))
+        affinity_server = self._find_affinity_server(unprobed, request)
+        if affinity_server is not None:
+            return SelectedServer(
+                affinity_server.name,
+                "home of the prefix",
+                _list_loads([affinity_server]),
+            )
+        sampled = _sample_pair(unprobed, request, rng)
+        best = min(sampled, key=lambda candidate: _compute_cost(candidate, request))
+        others = [candidate for candidate in sampled if candidate is not best]
+        reason = "less loaded of two" if others else "the only one with room"
+        return SelectedServer(best.name, reason, _list_loads([best, *others]))
 
     @staticmethod
     def _find_affinity_server(
-        proven: Sequence[Candidate], request: PlacementRequest
+        unprobed: Sequence[Candidate], request: PlacementRequest
     ) -> Candidate | None:
-        """Return the prefix's home by rendezvous hashing, if it has room to spare.
+        """Return the prefix's server by rendezvous hashing, if it has spare capacity.
 
-        Load: many requests that begin alike. Harm prevented: without the bound the home
-        of a popular prefix is overrun while others idle.
+        Without the load limit, the server of a popular prefix would be overloaded while
+        others are idle.
         """
         if not request.prefix_key or request.is_suspect:
             return None
-        sound = [one for one in proven if one.state is not ServerState.FAILING]
-        if not sound:
+        not_failing = [one for one in unprobed if one.state is not ServerState.FAILING]
+        if not not_failing:
             return None
-        home = max(sound, key=lambda one: stable_hash(request.prefix_key, one.name))
-        mean = sum(candidate.load for candidate in proven) / len(proven)
-        if home.load > min(AFFINITY_MAX_LOAD, mean + AFFINITY_LOAD_MARGIN):
+        preferred = max(
+            not_failing, key=lambda one: stable_hash(request.prefix_key, one.name)
+        )
+        mean_load = sum(candidate.load for candidate in unprobed) / len(unprobed)
+        if preferred.load > min(AFFINITY_MAX_LOAD, mean_load + AFFINITY_LOAD_MARGIN):
             return None
-        return home
+        return preferred
 
 
 def _names(candidates: Sequence[Candidate]) -> set[str]:
     return {candidate.name for candidate in candidates}
 
 
-def _split_probed(able: Sequence[Candidate]) -> tuple[list[Candidate], list[Candidate]]:
-    proven = [one for one in able if one.state is not ServerState.PROBING]
-    probed = [one for one in able if one.state is ServerState.PROBING]
-    return proven, [one for one in probed if one.own_in_flight == 0]
+def _split_probed(
+    eligible: Sequence[Candidate],
+) -> tuple[list[Candidate], list[Candidate]]:
+    unprobed = [one for one in eligible if one.state is not ServerState.PROBING]
+    probed = [one for one in eligible if one.state is ServerState.PROBING]
+    return unprobed, [one for one in probed if one.own_in_flight == 0]
 
 
 def _should_probe(request: PlacementRequest, rng: Random) -> bool:
-    # A probe may fail; only what may be run again is risked.
+    # A probe may fail, so that only repeatable requests are used.
     return (
         request.is_repeatable and not request.is_suspect and rng.random() < PROBE_SHARE
     )
 
 
 def _sample_pair(
-    proven: Sequence[Candidate], request: PlacementRequest, rng: Random
+    servers: Sequence[Candidate], request: PlacementRequest, rng: Random
 ) -> list[Candidate]:
-    """Draw two different servers, each as often as it has room."""
-    if len(proven) <= SAMPLED_SERVERS:
-        return list(proven)
-    near = [one for one in proven if one.data_centre == request.data_centre]
-    first = _sample_one(near if request.prefers_local and near else proven, rng)
-    return [first, _sample_one([one for one in proven if one is not first], rng)]
+    """Sample two different servers, weighted by effective capacity."""
+    if len(servers) <= SAMPLED_SERVERS:
+        return list(servers)
+    local = [one for one in servers if one.data_centre == request.data_centre]
+    first = _sample_one(local if request.prefers_local and local else servers, rng)
+    return [first, _sample_one([one for one in servers if one is not first], rng)]
 
 
 def _sample_one(servers: Sequence[Candidate], rng: Random) -> Candidate:
--- a/src/kingcupwheel/forwarding/admitting.py
+++ b/src/kingcupwheel/forwarding/admission.py
@@ -15,9 +15,9 @@
 from kingcupwheel.entry.refusals import NO_MANIFEST
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.deadlines import deadlines_for
 from kingcupwheel.forwarding.requests import ForwardRequest
-from kingcupwheel.forwarding.requests import fingerprint
-from kingcupwheel.forwarding.times import times_of
+from kingcupwheel.forwarding.requests import request_fingerprint
 from kingcupwheel.platform.headers import read_request_headers
 
 
@@ -30,11 +30,11 @@
 
 # When a caller is asked back by an entry that knows too little, in seconds: the store
 # is asked again within that.
-_UNKNOWING_RETRY_S = 0.3
-_HEADER_OVERHEAD = 4
+_STALE_RETRY_AFTER_S = 0.3
+_HEADER_OVERHEAD_BYTES = 4
 
 
-class Knowledge(NamedTuple):
+class ConfigurationSnapshot(NamedTuple):
     """The configuration to use and how old the knowledge of it is.
 
     ``trusted_s`` is how old it may be for a request with a key, ``denying_s`` for
@@ -43,11 +43,11 @@
 
     configuration: Configuration | None
     age_s: float
-    trusted_s: float
-    denying_s: float
+    max_age_with_key_s: float
+    max_age_to_deny_s: float
 
 
-class Received(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as it was read; header names are in lower case."""
 
     id: str
@@ -55,14 +55,16 @@
     target: str
     headers: Mapping[str, str]
     body: bytes
-    at: float
+    received_at: float
 
 
-def admit(received: Received, knowledge: Knowledge) -> ForwardRequest | Refusal:
+def admit_request(
+    received: ReceivedRequest, snapshot: ConfigurationSnapshot
+) -> ForwardRequest | Refusal:
     """Return what is to be forwarded, or the refusal that is final."""
-    configuration = knowledge.configuration
+    configuration = snapshot.configuration
     if configuration is None:
-        return NO_MANIFEST._replace(retry_after_s=_UNKNOWING_RETRY_S)
+        return NO_MANIFEST._replace(retry_after_s=_STALE_RETRY_AFTER_S)
     limits = configuration.limits
     if _header_bytes(received) > limits.max_header_bytes:
         return HEADERS_TOO_LARGE
@@ -72,23 +74,23 @@
     path = received.target.partition("?")[0]
     route = configuration.find_route(host, path)
     if route is None:
-        return _denied(NO_ROUTE, knowledge)
+        return _denial_if_fresh(NO_ROUTE, snapshot)
     head = read_request_headers(received.headers)
-    holder: KeyHolder | None = None
+    organisation_key: KeyHolder | None = None
     if configuration.has_organisations and not route.allows_anonymous:
-        if knowledge.age_s > knowledge.trusted_s:
-            return _too_old(knowledge)
-        holder = configuration.find_key_holder(head.key)
-        if holder is None:
-            return _denied(BAD_KEY, knowledge)
-    organisation = "" if holder is None else holder.organisation
+        if snapshot.age_s > snapshot.max_age_with_key_s:
+            return _refusal_of_stale_key(snapshot)
+        organisation_key = configuration.find_key_holder(head.api_key)
+        if organisation_key is None:
+            return _denial_if_fresh(BAD_KEY, snapshot)
+    organisation = "" if organisation_key is None else organisation_key.organisation
     priority = route.priority
-    if holder is not None and holder.priority is not None:
-        priority = holder.priority
+    if organisation_key is not None and organisation_key.priority is not None:
+        priority = organisation_key.priority
     return ForwardRequest(
         id=received.id,
         route=route,
-        service=_service(route),
+        service=_choose_service(route),
         organisation=organisation,
         priority=priority,
         method=received.method,
@@ -96,15 +98,15 @@
         headers=received.headers,
         head=head,
         body=received.body,
-        fingerprint=fingerprint(organisation, received.target, received.body),
-        received_at=received.at,
-        times=times_of(route, received.at, head.wait_s),
+        fingerprint=request_fingerprint(organisation, received.target, received.body),
+        received_at=received.received_at,
+        deadlines=deadlines_for(route, received.received_at, head.timeout_s),
         version=configuration.version,
-        version_age_s=knowledge.age_s,
+        version_age_s=snapshot.age_s,
     )
 
 
-def _too_old(knowledge: Knowledge) -> Refusal:
+def _refusal_of_stale_key(snapshot: ConfigurationSnapshot) -> Refusal:
     """Refuse a request with a key that may have been taken away meanwhile.
 
     Failure: an entry that is cut off from the store does not hear that a key is gone.
@@ -112,33 +114,33 @@
     working proves nothing, wherever it came from.
     """
     message = (
-        f"The configuration was last known to be the newest {knowledge.age_s:.1f} s "
+        f"The configuration was last known to be the newest {snapshot.age_s:.1f} s "
         "ago, and the key may have been taken away since."
     )
-    return Refusal(503, "configuration-too-old", message, _UNKNOWING_RETRY_S)
+    return Refusal(503, "configuration-too-old", message, _STALE_RETRY_AFTER_S)
 
 
-def _denied(refusal: Refusal, knowledge: Knowledge) -> Refusal:
+def _denial_if_fresh(refusal: Refusal, snapshot: ConfigurationSnapshot) -> Refusal:
     """Deny only what the newest configuration denies.
 
     Failure: a route or key was added that this entry has not heard of. Symptom: a
     caller is told that it does not exist, and does not ask again.
     """
-    if knowledge.age_s <= knowledge.denying_s:
+    if snapshot.age_s <= snapshot.max_age_to_deny_s:
         return refusal
-    message = f"The configuration known here is {knowledge.age_s:.1f} s old."
-    return Refusal(503, "configuration-too-old", message, _UNKNOWING_RETRY_S)
+    message = f"The configuration known here is {snapshot.age_s:.1f} s old."
+    return Refusal(503, "configuration-too-old", message, _STALE_RETRY_AFTER_S)
 
 
-def _service(route: ForwardRoute) -> str:
-    if len(route.shares) == 1:
-        return route.shares[0].service
-    weights = [share.weight for share in route.shares]
-    return random.choices(route.shares, weights)[0].service
+def _choose_service(route: ForwardRoute) -> str:
+    if len(route.traffic_split) == 1:
+        return route.traffic_split[0].service
+    weights = [share.weight for share in route.traffic_split]
+    return random.choices(route.traffic_split, weights)[0].service
 
 
-def _header_bytes(received: Received) -> int:
+def _header_bytes(received: ReceivedRequest) -> int:
     return sum(
-        len(name) + len(value) + _HEADER_OVERHEAD
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
         for name, value in received.headers.items()
     )
--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -22,17 +22,21 @@
     data_centre: str
     places: int
     leaving: bool
-    cold_s: float
-    created: int
-    born_ms: int = 0
+    warmup_left_s: float
+    created_revision: int
+    started_at_ms: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this life: no other one has it."""
-        return f"{self.instance}@{self.born_ms}" if self.born_ms else self.instance
+        return (
+            f"{self.instance}@{self.started_at_ms}"
+            if self.started_at_ms
+            else self.instance
+        )
 
-    def is_before(self, other: Backend) -> bool:
+    def started_before(self, other: Backend) -> bool:
         """Return whether this life began before the other one, as far as is told."""
-        if self.born_ms and other.born_ms:
-            return self.born_ms < other.born_ms
-        return self.created < other.created
+        if self.started_at_ms and other.started_at_ms:
+            return self.started_at_ms < other.started_at_ms
+        return self.created_revision < other.created_revision
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import body_of
-from kingcupwheel.forwarding.admitting import Received
+from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
 
@@ -31,26 +31,26 @@
 Environ = dict[str, Any]
 
 
-class Exchange:
+class HttpExchange:
     """Reads a request and writes its answer; belongs to one thread."""
 
     def __init__(self, environ: Environ, start_response: Callable[..., Any]) -> None:
         self._environ = environ
         self._start_response = start_response
-        self._at = monotonic()
+        self._received_at = monotonic()
 
     @property
     def socket(self) -> Any:
         """The caller's connection, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
-    def close_after(self) -> None:
+    def close_after_answer(self) -> None:
         """Close the connection after this answer."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
             close()
 
-    def received(self, entry: str, body_limit: int) -> Received:
+    def read_request(self, entry: str, body_limit: int) -> ReceivedRequest:
         """Read the request; of a body over the limit no more than shows that it is.
 
         Its connection is closed then: what is left of it would look like a request.
@@ -61,18 +61,18 @@
             target = target.decode("latin-1")
         body = self._environ["wsgi.input"].read(body_limit + 1)
         if len(body) > body_limit:
-            self.close_after()
-        own = str(new_request_id(entry, now=self._at))
-        return Received(
-            id=read_attempt_id(headers) or own,
+            self.close_after_answer()
+        own_id = str(new_request_id(entry, now=self._received_at))
+        return ReceivedRequest(
+            id=read_attempt_id(headers) or own_id,
             method=str(self._environ["REQUEST_METHOD"]),
             target=target,
             headers=headers,
             body=body,
-            at=self._at,
+            received_at=self._received_at,
         )
 
-    def pass_on(self, answer: Answer, request_id: str) -> Iterable[bytes]:
+    def send_answer(self, answer: Answer, request_id: str) -> Iterable[bytes]:
         """Send what a request came to."""
         match answer:
             case RefusedAnswer(refusal):
--- /dev/null
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -0,0 +1,453 @@
+"""Runs one request: placed, sent, sent again where that is right, answered."""
+
+from __future__ import annotations
+
+from functools import partial
+from time import monotonic
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+from kingcupwheel.decisions.crash_suspects import Quarantined
+from kingcupwheel.decisions.crash_suspects import Suspect
+from kingcupwheel.entry.answers import RefusedAnswer
+from kingcupwheel.entry.answers import StreamedAnswer
+from kingcupwheel.entry.answers import WholeAnswer
+from kingcupwheel.entry.refusals import CALLER_LEFT
+from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.entry.tickets import Place
+from kingcupwheel.forwarding.calls import Answered
+from kingcupwheel.forwarding.calls import AnswerLost
+from kingcupwheel.forwarding.calls import NotSent
+from kingcupwheel.forwarding.calls import OutgoingRequest
+from kingcupwheel.forwarding.calls import Rejected
+from kingcupwheel.forwarding.calls import Withheld
+from kingcupwheel.forwarding.exceptions import AnswerLostError
+from kingcupwheel.forwarding.final_refusals import SERVER_FAILED
+from kingcupwheel.forwarding.final_refusals import refusal_for_step
+from kingcupwheel.forwarding.final_refusals import retry_after_s
+from kingcupwheel.forwarding.http_metadata import NO_NOTICE
+from kingcupwheel.forwarding.http_metadata import ServerRequestMetadata
+from kingcupwheel.forwarding.outcomes import AttemptCounts
+from kingcupwheel.forwarding.outcomes import AttemptOutcome
+from kingcupwheel.forwarding.outcomes import NextStep
+from kingcupwheel.forwarding.outcomes import RetryPolicy
+from kingcupwheel.forwarding.outcomes import may_retry
+from kingcupwheel.forwarding.outcomes import next_step
+from kingcupwheel.forwarding.queue_wait import NoPlace
+from kingcupwheel.forwarding.queue_wait import PlacementConstraints
+from kingcupwheel.forwarding.queue_wait import wait_for_place
+from kingcupwheel.forwarding.streams import StreamRelay
+from kingcupwheel.forwarding.watchdog import AbortReason
+from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.platform.headers import build_server_headers
+from kingcupwheel.telemetry.json_logs import lines_of
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.entry.answers import Answer
+    from kingcupwheel.forwarding.calls import CallResult
+    from kingcupwheel.forwarding.calls import ServerAnswer
+    from kingcupwheel.forwarding.context import ForwardContext
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
+    from kingcupwheel.forwarding.requests import ForwardRequest
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
+
+log = lines_of("requests")
+
+# A whole answer of a plain service that is held before it is passed on, in bytes.
+_MAX_WHOLE_ANSWER_BYTES = 16_000_000
+_MIN_FAILURE_STATUS = 500
+
+
+class PlacedAnswer(NamedTuple):
+    """An answer that began, and the place it holds."""
+
+    place: Place
+    answer: ServerAnswer
+
+
+class RequestForwarder:
+    """One request's way to its answer; belongs to one thread."""
+
+    def __init__(
+        self, context: ForwardContext, request: ForwardRequest, watched: WatchedRequest
+    ) -> None:
+        self._context = context
+        self._request = request
+        self._watched = watched
+        self._group = context.group_of(request.service)
+        self._dispatcher = context.dispatchers.of(self._group)
+        route = request.route
+        self._policy = RetryPolicy(
+            route.is_idempotent, route.max_servers, route.target_latency_s
+        )
+        self._counts = AttemptCounts()
+        self._tried_servers: frozenset[str] = frozenset()
+        self._is_suspect = False
+        self._last_event_id = request.head.last_event_id
+        self._sent_at = 0.0
+        # The server that it was sent to last has begun to answer.
+        self._has_answer_begun = False
+        # Budget for one more send was taken when a silent server was given up.
+        self._has_reserved_retry = False
+
+    def forward(self) -> Answer:
+        """Return the answer, or the refusal that is final."""
+        verdict = self._context.guards.quarantine_verdict(self._request.fingerprint)
+        if isinstance(verdict, Quarantined):
+            message = f"{verdict.crash_count} servers died while they ran this request."
+            return self.log_refusal(
+                Refusal(503, "quarantined", message, verdict.remaining_s)
+            )
+        self._is_suspect = isinstance(verdict, Suspect)
+        self._context.guards.count_first_attempt(self._request.service)
+        result = self.send_until_answered()
+        if isinstance(result, Refusal):
+            return self.log_refusal(result)
+        if isinstance(result, WholeAnswer):
+            return result
+        relay = StreamRelay(self, result)
+        head = result.answer.head
+        return StreamedAnswer(head.status, head.caller_headers, relay.body())
+
+    def send_until_answered(self) -> PlacedAnswer | WholeAnswer | Refusal:
+        """Send until an answer can be passed on, or nothing more can be done.
+
+        A stream is returned as it begins, everything else once it is whole.
+        """
+        while True:
+            place = self._acquire_place()
+            if isinstance(place, Refusal):
+                return place
+            call_result = self._send(place)
+            if isinstance(call_result, Withheld):
+                self._release_withheld(place)
+                continue
+            if isinstance(call_result, Answered):
+                result = self._handle_answer(place, call_result.answer)
+            else:
+                result = self._handle_no_answer(place, call_result)
+            if result is not None:
+                return result
+
+    def _release_withheld(self, place: Place) -> None:
+        """Give back a place that a notice overtook; the next one is on another life."""
+        self._release(place)
+        self._context.metrics.ended_sends.labels("withheld").inc()
+        log.info("send-withheld", id=self._request.id, server=place.incarnation)
+
+    def _handle_answer(
+        self, place: Place, answer: ServerAnswer
+    ) -> PlacedAnswer | WholeAnswer | Refusal | None:
+        head = answer.head
+        self._context.record_notice(place, head.notice, self._request.id)
+        self._context.record_load(place, head.load)
+        is_success = head.status < _MIN_FAILURE_STATUS
+        if is_success and self._request.route.is_streamed and head.status == 200:
+            self._record_first_byte()
+            return PlacedAnswer(place, answer)
+        try:
+            body = answer.read_whole(_MAX_WHOLE_ANSWER_BYTES)
+        except AnswerLostError as error:
+            self.end_answer(place, answer)
+            return self.handle_failed_attempt(place, AttemptOutcome.LOST, str(error))
+        self.end_answer(place, answer)
+        if is_success:
+            self.record_success(place, monotonic() - self._sent_at)
+            return self._whole_answer(answer, body)
+        reason = f"status {head.status}"
+        refusal = self.handle_failed_attempt(
+            place, AttemptOutcome.FAILED, reason, head.notice
+        )
+        if isinstance(refusal, Refusal) and refusal.limit == SERVER_FAILED:
+            return self._whole_answer(answer, body)
+        return refusal
+
+    def _whole_answer(self, answer: ServerAnswer, body: bytes) -> WholeAnswer:
+        head = answer.head
+        self.log_finished(head.status, len(body), "whole")
+        return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
+
+    def _handle_no_answer(
+        self, place: Place, result: NotSent | Rejected | AnswerLost
+    ) -> Refusal | None:
+        notice = NO_NOTICE
+        if isinstance(result, AnswerLost) or (
+            isinstance(result, Rejected) and not result.is_other_instance
+        ):
+            # Before the place is released, which may give it to the next request.
+            notice = result.notice
+            self._context.record_notice(place, notice, self._request.id)
+        self._release(place)
+        match result:
+            case NotSent(why):
+                outcome = AttemptOutcome.NOT_SENT
+                if not self._watched.is_over:
+                    self._dispatcher.failed(place)
+            case Rejected(why, other_instance, faulty):
+                outcome = AttemptOutcome.REJECTED
+                if other_instance and faulty in ("", place.server):
+                    self._context.record_misdirection(place)
+                elif not (notice.rest_s or notice.is_leaving):
+                    request = self._request
+                    self._context.record_rejection(
+                        place, request.service, is_streamed=request.route.is_streamed
+                    )
+            case AnswerLost(why):
+                outcome = AttemptOutcome.LOST
+        return self.handle_failed_attempt(place, outcome, why, notice)
+
+    def handle_failed_attempt(
+        self,
+        place: Place,
+        outcome: AttemptOutcome,
+        reason: str,
+        notice: ServerNotice = NO_NOTICE,
+    ) -> Refusal | None:
+        """Return the refusal that follows a send, or None if another send does."""
+        request = self._request
+        self._counts = self._counts.with_outcome(outcome)
+        self._tried_servers |= {place.server}
+        if self._watched.abort_reason is AbortReason.CALLER_LEFT:
+            return CALLER_LEFT
+        if (
+            outcome in (AttemptOutcome.LOST, AttemptOutcome.FAILED)
+            and not self._watched.is_over
+        ):
+            self._dispatcher.failed(place)
+        if outcome is AttemptOutcome.LOST and self._watched.abort_reason is None:
+            self._context.guards.record_lost_answer(
+                request.fingerprint, place.incarnation
+            )
+        time_left_s = request.deadlines.deadline - monotonic()
+        if self._watched.is_over:
+            time_left_s = 0.0
+        is_retry_allowed = may_retry(self._counts, self._policy, time_left_s)
+        is_within_budget = is_retry_allowed and self._consume_retry()
+        step = next_step(
+            outcome,
+            self._counts,
+            self._policy,
+            time_left_s=time_left_s,
+            is_within_budget=is_within_budget,
+        )
+        if (
+            step is NextStep.TIMEOUT
+            and self._watched.abort_reason is AbortReason.SHUTDOWN
+        ):
+            step = NextStep.UNKNOWN
+        log.info(
+            "send-ended",
+            id=request.id,
+            server=place.server,
+            came=outcome.value,
+            why=reason,
+            ran=self._counts.possibly_run,
+            turned_away=self._counts.rejected,
+            rest_s=notice.rest_s,
+            leaving=notice.is_leaving,
+            left_s=round(time_left_s, 3),
+            budget=is_within_budget,
+            follows=step.value,
+        )
+        self._context.metrics.ended_sends.labels(outcome.value).inc()
+        rest_s = self._dispatcher.rest_left_s() if step is NextStep.REFUSE else 0.0
+        return refusal_for_step(step, reason, request.id, rest_s)
+
+    def _consume_retry(self) -> bool:
+        """Return whether the budget allows one more send; one may be reserved."""
+        reserved, self._has_reserved_retry = self._has_reserved_retry, False
+        return reserved or self._context.guards.consume_retry(self._request.service)
+
+    def _acquire_place(self) -> Place | Refusal:
+        """Wait for a place; a refusal promises "not run" only if nothing was sent."""
+        result = wait_for_place(
+            self._dispatcher,
+            self._request,
+            self._watched,
+            PlacementConstraints(
+                self._tried_servers, self._is_suspect, self._context.data_centre
+            ),
+        )
+        if isinstance(result, Place):
+            if self._counts.possibly_run or self._watched.may_dispatch():
+                self._log_place(result)
+                return result
+            self._release(result)
+            retry_s = retry_after_s(self._request.id)
+            result = NoPlace(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
+        if isinstance(result, NoPlace):
+            return self._refusal_without_place(result)
+        return result
+
+    def _refusal_without_place(self, no_place: NoPlace) -> Refusal:
+        if self._counts.possibly_run:
+            message = (
+                f"It was sent to a server, and no other took it: {no_place.reason}."
+            )
+            return Refusal(502, no_place.limit, message, 0.0, Outcome.UNKNOWN)
+        message = f"No server could take it in time: {no_place.reason}."
+        return Refusal(503, no_place.limit, message, no_place.retry_after_s)
+
+    def _log_place(self, place: Place) -> None:
+        request = self._request
+        self._context.metrics.queue_wait_seconds.observe(place.waited_s)
+        log.info(
+            "placed",
+            id=request.id,
+            server=place.server,
+            why=place.decision.reason,
+            weighed=[list(one) for one in place.decision.alternatives],
+            waited_s=round(place.waited_s, 3),
+            send=self._counts.possibly_run + self._counts.rejected + 1,
+            version=request.version,
+            version_age_s=round(request.version_age_s, 2),
+        )
+
+    def _send(self, place: Place) -> CallResult:
+        request = self._request
+        now = monotonic()
+        self._sent_at = now
+        self._has_answer_begun = False
+        metadata = ServerRequestMetadata(
+            instance=place.server,
+            time_left_s=max(0.001, request.deadlines.deadline - now),
+            organisation=request.organisation,
+            priority=request.priority,
+            last_event_id=self._last_event_id,
+        )
+        outgoing = OutgoingRequest(
+            request.method,
+            request.target,
+            build_server_headers(request.headers, metadata),
+            request.body,
+            request.head.attempt_id,
+        )
+        is_retry_allowed = may_retry(
+            self._counts.with_outcome(AttemptOutcome.LOST),
+            self._policy,
+            request.deadlines.deadline - now,
+        )
+        silence_timeout_s = (
+            request.deadlines.silence_timeout_s if is_retry_allowed else float("inf")
+        )
+        self._watched.is_resumable_elsewhere = (
+            is_retry_allowed and request.route.is_resumable
+        )
+        is_streamed = request.route.is_streamed
+        return self._context.server_client.send(
+            outgoing,
+            instance=place.server,
+            incarnation=place.incarnation,
+            address=place.address,
+            watched=self._watched,
+            silence_timeout_s=silence_timeout_s,
+            liveness=self._context.liveness.for_service(request.service)
+            if is_streamed
+            else None,
+            needs_new_connection=not request.route.is_idempotent,
+            may_abort_silent=partial(self._may_abort_silent, place),
+            may_send=partial(self._context.servers.may_send, place),
+        )
+
+    def _may_abort_silent(self, place: Place) -> bool:
+        """Return whether a silent server is given up; asked when it is silent for long.
+
+        Load: a group of ranks stands still, or all callers come back at once when the
+        power does and first events take seconds at every server. Harm prevented: an
+        answer that was about to come is ended because no other send is within the
+        budget, or read anew by a server that is as full. Within a quarter of a second
+        after such a return 38 callers were told 502, as counted in one day's log.
+        """
+        context, service = self._context, self._request.service
+        if self._request.route.is_streamed:
+            now = monotonic()
+            if not context.liveness.for_service(service).is_other_server_active(
+                place.server, now
+            ):
+                return False
+            if not self._has_answer_begun and context.servers.is_reported_full(
+                place, now
+            ):
+                return False
+        if self._are_others_resting(place):
+            return False
+        self._has_reserved_retry = (
+            self._has_reserved_retry or context.guards.consume_retry(service)
+        )
+        return self._has_reserved_retry
+
+    def _are_others_resting(self, place: Place) -> bool:
+        """Return whether all other servers rest until another send is too late."""
+        rest_s = self._dispatcher.rest_left_s(self._tried_servers | {place.server})
+        return (
+            rest_s > 0.0
+            and monotonic() + rest_s >= self._request.deadlines.first_byte_deadline
+        )
+
+    def _record_first_byte(self) -> None:
+        """Note how long the server took; waits before this send were not its own."""
+        self._has_answer_begun = True
+        latency_s = monotonic() - self._sent_at
+        self._dispatcher.saw_first_byte(latency_s, self._request.head.prompt_tokens)
+
+    def record_event(self, event_id: str) -> None:
+        """Note the last whole event that the caller has; a resume goes on after it."""
+        if event_id:
+            self._last_event_id = event_id
+
+    @property
+    def received_at(self) -> float:
+        """When the request came, monotonic."""
+        return self._request.received_at
+
+    @property
+    def request_id(self) -> str:
+        """The caller's name for this send."""
+        return self._request.id
+
+    @property
+    def last_event_id(self) -> str:
+        """The id of the last whole event that the caller has."""
+        return self._last_event_id
+
+    def end_answer(self, place: Place, answer: ServerAnswer) -> None:
+        """End an answer's connection and give its place back; called once."""
+        self._context.release_connection(place, answer)
+        self._release(place)
+
+    def _release(self, place: Place) -> None:
+        self._dispatcher.release(place)
+
+    def record_success(self, place: Place, latency_s: float) -> None:
+        """Count a whole answer; ``pace_s`` compares the servers of a service."""
+        self._dispatcher.succeeded(place, latency_s)
+        self._context.guards.clear_suspicion(self._request.fingerprint)
+
+    def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
+        """Log the final refusal and return it as an answer."""
+        self.log_finished(refusal.status, 0, refusal.limit, refusal.message)
+        return RefusedAnswer(refusal)
+
+    def log_finished(
+        self, status: int, body_bytes: int, how: str, reason: str = "", **times: object
+    ) -> None:
+        """Log the request's end as its caller sees it."""
+        request = self._request
+        took_s = monotonic() - request.received_at
+        self._context.metrics.record_answer(request.service, status, how, took_s)
+        log.info(
+            "finished",
+            id=request.id,
+            status=status,
+            how=how,
+            why=reason,
+            bytes=body_bytes,
+            took_s=round(took_s, 3),
+            ran=self._counts.possibly_run,
+            route=request.route.name,
+            organisation=request.organisation,
+            version=request.version,
+            **times,
+        )
--- a/src/kingcupwheel/forwarding/loadheads.py
+++ b/src/kingcupwheel/forwarding/load_aggregators.py
@@ -16,63 +16,67 @@
     from collections.abc import Sequence
 
 # Agents that are greeted one by one; the messages of so many are 100 a second.
-DIRECT_AGENTS = 24
+MAX_DIRECT_AGENTS = 24
 # Between two words of a head, in seconds: as often as an agent tells its own load, and
 # half as often from other data centres, whose bytes have a price.
-_NEAR_S = 0.25
-_FAR_S = 0.5
+_LOCAL_INTERVAL_S = 0.25
+_REMOTE_INTERVAL_S = 0.5
 # A head that was asked and said nothing for so long is passed over, in seconds: five of
 # its words.
-_SILENT_S = 1.25
+_SILENCE_TIMEOUT_S = 1.25
 # How long it is passed over; a killed process is back within that.
-_PASSED_OVER_S = 5.0
+_EXCLUSION_S = 5.0
 
 
-class HeadAsk(NamedTuple):
+class LoadQuery(NamedTuple):
     """Ask ``head`` for the loads of ``members``, each ``every_s`` seconds."""
 
-    head: str
+    aggregator: str
     members: tuple[str, ...]
-    every_s: float
+    interval_s: float
 
 
-class LoadHeads:
+class LoadAggregators:
     """The heads in use by an entry of a data centre; belongs to one thread."""
 
     def __init__(self, data_centre: str) -> None:
         self._data_centre = data_centre
-        self._heard_at: dict[str, float] = {}
-        self._asked_since: dict[str, float] = {}
-        self._passed_until: dict[str, float] = {}
+        self._replied_at: dict[str, float] = {}
+        self._queried_since: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
-    def heard(self, head: str, now: float) -> None:
+    def record_reply(self, aggregator: str, now: float) -> None:
         """Note that a head told something."""
-        self._heard_at[head] = now
+        self._replied_at[aggregator] = now
 
-    def asks(
+    def queries(
         self, agents_by_data_centre: Mapping[str, Sequence[str]], now: float
-    ) -> tuple[HeadAsk, ...]:
+    ) -> tuple[LoadQuery, ...]:
         """Return whom to ask now; a head that fell silent is replaced by the next."""
-        found: list[HeadAsk] = []
+        result: list[LoadQuery] = []
         for data_centre, agents in agents_by_data_centre.items():
             members = tuple(sorted(agents))
-            head = next(
+            aggregator = next(
                 (one for one in members if not self._is_silent(one, now)), members[0]
             )
-            self._asked_since.setdefault(head, now)
-            every_s = _NEAR_S if data_centre == self._data_centre else _FAR_S
-            found.append(HeadAsk(head, members, every_s))
-        return tuple(found)
+            self._queried_since.setdefault(aggregator, now)
+            every_s = (
+                _LOCAL_INTERVAL_S
+                if data_centre == self._data_centre
+                else _REMOTE_INTERVAL_S
+            )
+            result.append(LoadQuery(aggregator, members, every_s))
+        return tuple(result)
 
-    def _is_silent(self, head: str, now: float) -> bool:
-        if now < self._passed_until.get(head, float("-inf")):
+    def _is_silent(self, aggregator: str, now: float) -> bool:
+        if now < self._excluded_until.get(aggregator, float("-inf")):
             return True
-        asked_since = self._asked_since.get(head)
+        asked_since = self._queried_since.get(aggregator)
         if asked_since is None:
             return False
-        heard_at = max(asked_since, self._heard_at.get(head, float("-inf")))
-        if now - heard_at <= _SILENT_S:
+        heard_at = max(asked_since, self._replied_at.get(aggregator, float("-inf")))
+        if now - heard_at <= _SILENCE_TIMEOUT_S:
             return False
-        del self._asked_since[head]
-        self._passed_until[head] = now + _PASSED_OVER_S
+        del self._queried_since[aggregator]
+        self._excluded_until[aggregator] = now + _EXCLUSION_S
         return True
--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -55,7 +55,7 @@
         self._shape = shape
         self._popularity = ExpertPopularity(shape.layer_count, shape.expert_count)
         self._limits = plan_limits(
-            shape.places, shape.max_new_experts, shape.expert_copy_s
+            shape.placements_per_rank, shape.max_new_experts, shape.expert_copy_s
         )
         self._paces: list[float] = []
         self._last_reading: tuple[int, float] | None = None
--- /dev/null
+++ b/tests/forwarding/test_liveness.py
@@ -0,0 +1,49 @@
+from __future__ import annotations
+
+from kingcupwheel.forwarding.liveness import STALL_THRESHOLD_S
+from kingcupwheel.forwarding.liveness import LivenessTracker
+
+
+def test_a_silent_server_stands_out_while_others_send() -> None:
+    pulse = LivenessTracker()
+    pulse.record_activity("i-1", 0.0)
+    pulse.record_activity("i-2", 1.0)
+
+    assert pulse.is_other_server_active("i-1", 1.1)
+
+
+def test_when_the_whole_group_stands_still_no_server_stands_out() -> None:
+    """One rank stalls, so all do; other servers of the group have nothing to offer.
+
+    Seen without: 162 streams given up within three seconds, each read again elsewhere.
+    """
+    pulse = LivenessTracker()
+    pulse.record_activity("i-1", 1.0)
+    pulse.record_activity("i-2", 1.0)
+
+    assert not pulse.is_other_server_active("i-1", 1.0 + 2 * STALL_THRESHOLD_S)
+
+
+def test_a_server_alone_has_no_other_to_go_to() -> None:
+    pulse = LivenessTracker()
+    pulse.record_activity("i-1", 1.0)
+
+    assert not pulse.is_other_server_active("i-1", 1.0)
+
+
+def test_a_standstill_is_told_once_when_it_begins_and_once_when_it_ends() -> None:
+    """On-call sees from the entry's log that a whole service fell silent."""
+    pulse = LivenessTracker()
+    pulse.record_activity("i-1", 1.0)
+    told = [pulse.update_stalled(stream_count=3, now=now) for now in (1.1, 1.5, 1.6)]
+    pulse.record_activity("i-1", 2.0)
+    told.append(pulse.update_stalled(stream_count=3, now=2.0))
+
+    assert told == [False, True, False, True]
+
+
+def test_without_streams_under_way_silence_means_nothing() -> None:
+    pulse = LivenessTracker()
+    pulse.record_activity("i-1", 1.0)
+
+    assert not pulse.update_stalled(stream_count=0, now=9.0)
