--- a/src/kingcupwheel/decisions/matching.py
+++ b/src/kingcupwheel/decisions/matching.py
@@ -26,8 +26,8 @@
 
     __slots__ = ("_bids", "_capacity")
 
-    def __init__(self, places: int) -> None:
-        self._capacity = places
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._bids: list[_Bid] = []
 
     @property
@@ -78,8 +78,8 @@
     }
 
 
-def _build_options(options: Sequence[str], places: int) -> dict[str, _Option]:
-    each, extra = divmod(places, len(options))
+def _build_options(options: Sequence[str], capacity: int) -> dict[str, _Option]:
+    each, extra = divmod(capacity, len(options))
     ordered = sorted(options, key=lambda name: stable_hash("extra place", name))
     return {
         name: _Option(each + (number < extra)) for number, name in enumerate(ordered)
