--- a/src/kingcupwheel/decisions/server_notices.py
+++ b/src/kingcupwheel/decisions/server_notices.py
@@ -88,34 +88,35 @@
     def take_ended_backoffs(self, now: float) -> tuple[str, ...]:
         """Return the incarnations whose backoff has ended, each only once."""
         ended = tuple(
-            life
-            for life, notice in self._notice_by_incarnation.items()
+            incarnation
+            for incarnation, notice in self._notice_by_incarnation.items()
             if notice.backoff_until is not None and notice.backoff_until <= now
         )
-        for life in ended:
-            if self._notice_by_incarnation[life].is_leaving:
-                self._notice_by_incarnation[life].backoff_until = None
+        for incarnation in ended:
+            if self._notice_by_incarnation[incarnation].is_leaving:
+                self._notice_by_incarnation[incarnation].backoff_until = None
             else:
-                del self._notice_by_incarnation[life]
+                del self._notice_by_incarnation[incarnation]
         return ended
 
     def retain(self, incarnations: Collection[str], now: float) -> tuple[str, ...]:
         """Drop incarnations unlisted for ``ABSENT_RETENTION_S``; return them."""
-        for life, notice in self._notice_by_incarnation.items():
-            if life in incarnations:
+        for incarnation, notice in self._notice_by_incarnation.items():
+            if incarnation in incarnations:
                 notice.absent_at = None
             elif notice.absent_at is None:
                 notice.absent_at = now
         return self._remove(
-            life
-            for life, told in self._notice_by_incarnation.items()
-            if told.absent_at is not None and now - told.absent_at >= ABSENT_RETENTION_S
+            incarnation
+            for incarnation, notice in self._notice_by_incarnation.items()
+            if notice.absent_at is not None
+            and now - notice.absent_at >= ABSENT_RETENTION_S
         )
 
     def _remove(self, incarnations: Iterable[str]) -> tuple[str, ...]:
         removed = tuple(incarnations)
-        for life in removed:
-            del self._notice_by_incarnation[life]
+        for incarnation in removed:
+            del self._notice_by_incarnation[incarnation]
         return removed
 
     def _get_or_create(self, incarnation: str) -> _Notice:
