--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -72,14 +72,14 @@
     @property
     def effective_capacity(self) -> float:
         """Capacity reduced during slow start, while slow and with an old report."""
-        part = 1.0
+        fraction = 1.0
         if self.uptime_s < SLOW_START_S:
-            part *= max(_SLOW_START_MIN_FRACTION, self.uptime_s / SLOW_START_S)
+            fraction *= max(_SLOW_START_MIN_FRACTION, self.uptime_s / SLOW_START_S)
         if self.state is ServerState.SLOW:
-            part *= SLOW_CAPACITY_FRACTION
+            fraction *= SLOW_CAPACITY_FRACTION
         if self.report_age_s > REPORT_FRESH_S:
-            part *= REPORT_FRESH_S / self.report_age_s
-        return max(1.0, self.capacity * part)
+            fraction *= REPORT_FRESH_S / self.report_age_s
+        return max(1.0, self.capacity * fraction)
 
     @property
     def load(self) -> float:
--- a/src/kingcupwheel/decisions/drain_rate.py
+++ b/src/kingcupwheel/decisions/drain_rate.py
@@ -44,8 +44,10 @@
 
     def estimate_drain_s(self, work: float, now: float) -> float:
         """Return the seconds that ``work`` takes to drain; 0 if the rate is unknown."""
-        waited_s = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
-        busy_s = self._busy_s + waited_s
+        elapsed_s = (
+            0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
+        )
+        busy_s = self._busy_s + elapsed_s
         if busy_s < _MIN_OBSERVED_S:
             return 0.0
         if self._work <= 0.0:
@@ -56,8 +58,8 @@
         """Decay the totals and add the backlogged time since the last update."""
         if self._updated_at is None:
             return
-        waited_s = max(0.0, now - self._updated_at)
-        kept = exp(-waited_s / DRAIN_TIME_CONSTANT_S)
-        self._work *= kept
-        self._busy_s = self._busy_s * kept + waited_s
+        elapsed_s = max(0.0, now - self._updated_at)
+        decay = exp(-elapsed_s / DRAIN_TIME_CONSTANT_S)
+        self._work *= decay
+        self._busy_s = self._busy_s * decay + elapsed_s
         self._updated_at = now
--- a/src/kingcupwheel/decisions/max_duration.py
+++ b/src/kingcupwheel/decisions/max_duration.py
@@ -26,9 +26,11 @@
         return max(self._current_max_s, self._previous_max_s) or None
 
     def _advance_window(self, now: float) -> None:
-        span = int(now // WINDOW_S)
-        if span == self._window:
+        window = int(now // WINDOW_S)
+        if window == self._window:
             return
-        self._previous_max_s = self._current_max_s if span == self._window + 1 else 0.0
+        self._previous_max_s = (
+            self._current_max_s if window == self._window + 1 else 0.0
+        )
         self._current_max_s = 0.0
-        self._window = span
+        self._window = window
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -81,7 +81,7 @@
         if candidate.state not in UNAVAILABLE_STATES
     ]
     if not available:
-        return _explain_none_up(normalized, request)
+        return _explain_none_available(normalized, request)
     with_capacity = [candidate for candidate in available if not candidate.is_full]
     if not with_capacity:
         return _explain_none_with_capacity(normalized, request)
@@ -102,7 +102,7 @@
     return without_suspects or ALL_SERVERS_RUN_SUSPECTS
 
 
-def _explain_none_up(
+def _explain_none_available(
     candidates: Sequence[Candidate], request: PlacementRequest
 ) -> NoServerAvailable:
     """Return why no server is available.
--- a/src/kingcupwheel/decisions/server_notices.py
+++ b/src/kingcupwheel/decisions/server_notices.py
@@ -60,9 +60,9 @@
     def record_leaving(self, incarnation: str) -> bool:
         """Record that a server is leaving; return whether this was unknown."""
         notice = self._get_or_create(incarnation)
-        is_news = not notice.is_leaving
+        is_new = not notice.is_leaving
         notice.is_leaving = True
-        return is_news
+        return is_new
 
     def is_leaving(self, incarnation: str) -> bool:
         """Return whether the server has announced that it leaves."""
