--- a/src/kingcupwheel/decisions/candidates.py
+++ b/src/kingcupwheel/decisions/candidates.py
@@ -21,7 +21,6 @@
 # further second, so that requests move away before the link times out.
 REPORT_FRESH_S = 2.0
 
-
 # Load added to a server of another data centre. It is below one request of 16: the
 # distance costs about a millisecond once per answer, while one more request in a batch
 # costs about as much for every token.
@@ -62,7 +61,8 @@
         Several entries send to a server between two of its reports. If each counted
         only its own attempts, they would together send many times the capacity, and
         requests would wait there past their deadlines. The change in this entry's own
-        attempts is therefore scaled up by its share of the reported ones.
+        attempts since the report is therefore scaled by the ratio of all reported
+        attempts to its own.
         """
         reported = self.running + self.queued
         scale = (reported + 1) / (self.own_in_flight_at_report + 1)
--- a/src/kingcupwheel/decisions/fair_queue.py
+++ b/src/kingcupwheel/decisions/fair_queue.py
@@ -245,8 +245,8 @@
     def _predict_wait_s(self, own_flow: _Flow, work: float, now: float) -> float:
         """Return the predicted wait of a new request in ``own_flow``, in seconds.
 
-        In this time every other flow is served in proportion to its weight, but no more
-        than its backlog and ``MAX_BACKLOG_REFILLS``.
+        In this time every other flow is served in proportion to its weight, but at most
+        ``MAX_BACKLOG_REFILLS`` times its backlog.
         """
         own_work = own_flow.backlog + work
         work_before = own_flow.backlog
--- a/src/kingcupwheel/decisions/group_health.py
+++ b/src/kingcupwheel/decisions/group_health.py
@@ -15,9 +15,9 @@
     from collections.abc import Mapping
 
 
-# Largest fraction of a group that may be ejected. If more servers fail, the cause is
-# probably the requests, the network or the entry itself. Failing servers that are kept
-# receive only the requests that the others have no capacity for.
+# Largest fraction of a group that may be ejected. If more servers fail, the cause lies
+# with the requests, the link or the entry itself. Failing servers that are kept receive
+# only the requests that the others have no capacity for.
 MAX_EJECTED_SHARE = 1 / 2
 
 _OUT_OF_SERVICE_STATES = (ServerState.EJECTED, ServerState.PROBING)
@@ -80,10 +80,10 @@
             load_by_name, key=lambda name: _update_order(health_by_name, name)
         ):
             load = load_by_name[name]
-            has_room = (
+            has_capacity = (
                 total_in_flight <= total_capacity - load.capacity * load.is_in_service
             )
-            may_eject = ejections_left > 0 and has_room
+            may_eject = ejections_left > 0 and has_capacity
             state = health_by_name[name].update_state(
                 median_s, now, may_eject=may_eject
             )
