--- a/src/kingcupwheel/lockstep/change.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -25,9 +25,9 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.group import FIRST
-from kingcupwheel.lockstep.group import has_version
-from kingcupwheel.lockstep.group import is_void
+from kingcupwheel.lockstep.group_state import COORDINATOR_RANK
+from kingcupwheel.lockstep.group_state import is_armed_or_active
+from kingcupwheel.lockstep.group_state import is_version_void
 from kingcupwheel.lockstep.orders import Arm
 from kingcupwheel.lockstep.orders import Disarm
 from kingcupwheel.lockstep.orders import Hold
@@ -39,20 +39,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.lockstep.group import Group
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.group_state import GroupState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 # Experts by layer and rank.
-Layers = tuple[tuple[tuple[int, ...], ...], ...]
+LayerPlacements = tuple[tuple[tuple[int, ...], ...], ...]
 
 # Passes between the last one begun and the one that is held. With fewer the ranks are
 # armed too late and the group waits; with more a change takes effect later. Arming
 # takes some 15 ms, a pass under load as long.
-PASSES_AHEAD = 4
+HOLD_LEAD_PASSES = 4
 
 # Versions skipped by a coordinator that finds orders of a former life: more than that
 # life can have given without any rank showing them.
-VERSIONS_SKIPPED = 16
+RECOVERY_VERSION_GAP = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     """Ranks copy the weights of ``version``."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """All ranks are prepared; the holder is to hold the pass ``step``."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -82,7 +82,7 @@
     """The pass ``step`` is held; ranks are armed for it."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -91,7 +91,7 @@
     """All ranks are armed; the pass ``step`` may begin."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -100,7 +100,7 @@
     """Released; the map is in force once the pass ``step`` begins."""
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
 
 
@@ -113,83 +113,89 @@
     """
 
     version: int
-    layers: Layers
+    layers: LayerPlacements
     step: int
-    over: int
+    voided_version: int
 
 
 Phase = Idle | Preparing | Holding | Arming | Releasing | Settling | Voiding
 
 
-class Want(NamedTuple):
+class PendingOrder(NamedTuple):
     """An order that ``rank`` still needs."""
 
     rank: int
     order: RankOrder
 
 
-def advance(phase: Phase, group: Group) -> Phase:
+def advance_phase(phase: Phase, group: GroupState) -> Phase:
     """Return the phase that the reports lead to."""
     while True:
-        following = _next(phase, group)
+        following = _next_phase(phase, group)
         if following == phase:
             return phase
         phase = following
 
 
-class End(Enum):
+class ChangeOutcome(Enum):
     """How a change ended: its map came into force, or never will."""
 
     RELEASED = "released"
     VOIDED = "voided"
 
 
-def ended(before: Phase, after: Phase, group: Group) -> End | None:
+def change_outcome(
+    before: Phase, after: Phase, group: GroupState
+) -> ChangeOutcome | None:
     """Return how the change of ``before`` has ended by ``after``, None if it goes on.
 
     Failure: an agent wakes and finds its change made void and the pass begun. Symptom:
     it takes the map that never came into force for the one that experts are moved from.
     """
     match before:
-        case Preparing() | Holding() | Arming() if group.is_overtaken(before.version):
-            return End.VOIDED if isinstance(after, Idle) else None
+        case Preparing() | Holding() | Arming() if group.is_superseded(before.version):
+            return ChangeOutcome.VOIDED if isinstance(after, Idle) else None
         case Voiding() if isinstance(after, Idle):
-            return End.VOIDED
+            return ChangeOutcome.VOIDED
         case Arming() | Releasing() if isinstance(after, Settling | Idle):
-            return End.RELEASED
+            return ChangeOutcome.RELEASED
     return None
 
 
-def _next(phase: Phase, group: Group) -> Phase:
+def _next_phase(phase: Phase, group: GroupState) -> Phase:
     match phase:
-        case Preparing() | Holding() | Arming() if group.is_overtaken(phase.version):
-            return _overtaken(phase, group)
+        case Preparing() | Holding() | Arming() if group.is_superseded(phase.version):
+            return _phase_after_superseded(phase, group)
         case Preparing(version, layers) if group.all_prepared(version):
-            return Holding(version, layers, group.step + PASSES_AHEAD)
-        case Holding(version, layers) if group.held is not None:
+            return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
+        case Holding(version, layers) if group.held_step is not None:
             # A hold of a former life may have come late and keeps this one out; every
             # rank is prepared, and its pass has not begun either, so it serves as well.
-            return Arming(version, layers, group.held)
-        case Holding(version, layers, step) if group.step >= step:
+            return Arming(version, layers, group.held_step)
+        case Holding(version, layers, step) if group.latest_step >= step:
             # A hold that comes too late is refused, so a later pass may be asked for.
-            return Holding(version, layers, group.step + PASSES_AHEAD)
+            return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Arming(version, layers, step) if group.all_armed(version):
             return Releasing(version, layers, step)
-        case Releasing(version, layers, step) if not group.holds(step):
+        case Releasing(version, layers, step) if not group.is_held_up_to(step):
             return Settling(version, layers, step)
-        case Settling(version, layers, step) if group.holds(step):
+        case Settling(version, layers, step) if group.is_held_up_to(step):
             # A copy of a hold came after the release; every rank is armed.
             return Releasing(version, layers, step)
-        case Settling(version) if group.own.version == version:
+        case Settling(version) if group.coordinator_state.version == version:
             return Idle()
-        case Voiding(step=step) if not group.holds(step) and group.step >= step:
+        case Voiding(step=step) if (
+            not group.is_held_up_to(step) and group.latest_step >= step
+        ):
             # Not before the pass has begun: orders of another agent that ends the same
             # hold may be on their way, and would release a new one of the same pass.
             return Idle()
     return phase
 
 
-def _overtaken(phase: Preparing | Holding | Arming, group: Group) -> Phase:
+def _phase_after_superseded(
+    phase: Preparing | Holding | Arming, group: GroupState
+) -> Phase:
     """Return what follows a change that another agent made void.
 
     It did so while this agent's machine was frozen, and may not have released the pass.
@@ -198,10 +204,12 @@
         case Preparing():
             return Idle()
         case Holding(version, layers, step) | Arming(version, layers, step):
-            return Voiding(group.highest + VERSIONS_SKIPPED, layers, step, version)
+            return Voiding(
+                group.highest_version + RECOVERY_VERSION_GAP, layers, step, version
+            )
 
 
-def taken_up(group: Group, layers: Layers) -> Phase:
+def recover_phase(group: GroupState, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from with a hold that this life did not order.
 
     ``layers`` is the map in force. If every rank has one version prepared and some are
@@ -210,82 +218,95 @@
     can complete that version any more once a higher one is prepared. While no rank is
     armed the version may itself be one that makes others void, so it is not completed.
     """
-    if group.held is None:
+    if group.held_step is None:
         return Idle()
-    newest = group.newest
+    newest = group.newest_pending_version
     states = group.states_by_rank.values()
     shown = all(newest in (one.prepared, one.armed) for one in states)
     if shown and any(one.armed == newest for one in states):
-        return Arming(newest, (), group.held)
-    return Voiding(group.highest + VERSIONS_SKIPPED, layers, group.held, newest)
+        return Arming(newest, (), group.held_step)
+    return Voiding(
+        group.highest_version + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+    )
 
 
-def taken_up_without_first(group: Group, layers: Layers) -> Phase:
+def recover_phase_without_rank_0(group: GroupState, layers: LayerPlacements) -> Phase:
     """Return the phase to go on from while rank 0 and its agent can't be reached.
 
     Rank 0 is armed last. If another rank is not armed, it is not either, and the change
     is made void; else it may be, and its pass may have been released, so that nobody
     but rank 0's agent can tell.
     """
-    newest = group.newest
-    if group.held is None or group.others_armed(newest):
+    newest = group.newest_pending_version
+    if group.held_step is None or group.others_armed(newest):
         return Idle()
-    return Voiding(group.highest + VERSIONS_SKIPPED, layers, group.held, newest)
+    return Voiding(
+        group.highest_version + RECOVERY_VERSION_GAP, layers, group.held_step, newest
+    )
 
 
-def wants(phase: Phase, group: Group) -> tuple[Want, ...]:
+def pending_orders(phase: Phase, group: GroupState) -> tuple[PendingOrder, ...]:
     """Return the orders that ranks still need in ``phase``."""
     epoch = group.epoch
     match phase:
         case Preparing(version, layers):
             prepare = Prepare(epoch, version, layers)
-            return _for_ranks(group, prepare, lambda one: one.prepared == version)
+            return _orders_for_ranks(
+                group, prepare, lambda one: one.prepared == version
+            )
         case Holding(_, _, step):
-            return (Want(group.holder, Hold(epoch, step)),)
+            return (PendingOrder(group.holder_rank, Hold(epoch, step)),)
         case Arming(version, _, step):
             arm = Arm(epoch, version, step)
-            found = _for_ranks(group, arm, lambda one: has_version(one, version))
-            return tuple(want for want in found if want.rank != FIRST) or found
+            found = _orders_for_ranks(
+                group, arm, lambda one: is_armed_or_active(one, version)
+            )
+            return (
+                tuple(want for want in found if want.rank != COORDINATOR_RANK) or found
+            )
         case Releasing(step=step):
-            return _releases(group, step)
+            return _release_orders(group, step)
         case Voiding():
-            return _voiding(phase, group)
+            return _voiding_orders(phase, group)
         case _:
             return ()
 
 
-def _releases(group: Group, step: int) -> tuple[Want, ...]:
+def _release_orders(group: GroupState, step: int) -> tuple[PendingOrder, ...]:
     return tuple(
-        Want(rank, Release(group.epoch, state.held))
+        PendingOrder(rank, Release(group.epoch, state.held))
         for rank, state in group.states_by_rank.items()
         if state.held is not None and state.held <= step
     )
 
 
-def _voiding(phase: Voiding, group: Group) -> tuple[Want, ...]:
+def _voiding_orders(phase: Voiding, group: GroupState) -> tuple[PendingOrder, ...]:
     """Return what makes older armings void, and then releases the pass.
 
     A rank that is not armed prepares the higher version first. While none has, an agent
     that was frozen may wake and find all ranks armed, so none may be disarmed.
     """
-    if all(is_void(one, phase.over) for one in group.states_by_rank.values()):
-        return _releases(group, phase.step)
+    if all(
+        is_version_void(one, phase.voided_version)
+        for one in group.states_by_rank.values()
+    ):
+        return _release_orders(group, phase.step)
     prepare = Prepare(group.epoch, phase.version, phase.layers)
-    found: list[Want] = []
+    found: list[PendingOrder] = []
     for rank, state in group.states_by_rank.items():
         if state.armed:
-            if group.is_overtaken(state.armed):
-                found.append(Want(rank, Disarm(group.epoch, state.armed)))
-        elif not is_void(state, phase.over):
-            found.append(Want(rank, prepare))
+            if group.is_superseded(state.armed):
+                found.append(PendingOrder(rank, Disarm(group.epoch, state.armed)))
+        elif not is_version_void(state, phase.voided_version):
+            found.append(PendingOrder(rank, prepare))
     return tuple(found)
 
 
-def _for_ranks(
-    group: Group, order: RankOrder, is_done: Callable[[RankState], bool]
-) -> tuple[Want, ...]:
+def _orders_for_ranks(
+    group: GroupState, order: RankOrder, is_done: Callable[[RankState], bool]
+) -> tuple[PendingOrder, ...]:
     return tuple(
-        Want(rank, order)
+        PendingOrder(rank, order)
         for rank, state in group.states_by_rank.items()
         if not is_done(state)
     )
--- /dev/null
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -0,0 +1,299 @@
+"""Plans the next expert map of a group: few copies, the slowest ranks first.
+
+Load: all ranks run each pass together, and layer by layer the most loaded rank sets
+its length. Harm prevented: with experts dealt out in turn the slowest rank has three to
+four times the mean, passes take as much longer, and callers wait in the engines'
+queues. Copies take time on the rank that copies, so a round is bounded by its busiest
+copier, and the next round follows as soon as it is in force.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from collections.abc import Sequence
+
+
+# How long a rank may copy in a round, in seconds, over all layers. Where a copy takes
+# 0.11 s, three rounds of three are in force as soon as one of nine, the first after a
+# third. Where it takes 0.016 s a round's other steps take longer than its copies.
+ROUND_COPY_BUDGET_S = 0.34
+
+# A layer whose slowest rank is within this part over the mean is left alone, and that
+# much more where passes are short anyhow (see ``balancing``).
+SKEW_TOLERANCE = 0.04
+
+# A change must take this part of the mean off a layer's slowest rank.
+MIN_CHANGE_GAIN = 0.01
+
+# Coolest ranks that are tried as the other side of a change.
+_MAX_TARGET_RANKS = 6
+# Changes of one layer in one round, at least and for each rank; it bounds the time of a
+# plan. With 16 for 72 ranks a round from a skew of 2.8 ended at 1.35, with 36 at 1.26.
+_MIN_LAYER_CHANGE_LIMIT = 16
+_LAYER_CHANGES_PER_RANK = 0.5
+
+Placement = tuple[tuple[int, ...], ...]
+
+
+class PlanLimits(NamedTuple):
+    """What a map and a change may have: places a rank, new experts a rank and layer."""
+
+    slots_per_rank: int
+    new_experts_per_layer: int
+    copies_per_rank: int
+
+
+def plan_limits(places: int, spare: int, copy_s: float) -> PlanLimits:
+    """Return the bounds of a round; ``copy_s`` is how long one copy takes."""
+    return PlanLimits(
+        places, spare, max(1, int(ROUND_COPY_BUDGET_S / copy_s) if copy_s else spare)
+    )
+
+
+class PlacementPlan(NamedTuple):
+    """A map to change to; skews are of the slowest ranks over the mean, all layers."""
+
+    layers: tuple[Placement, ...]
+    copies: int
+    skew_before: float
+    skew_after: float
+
+
+class _PlacementChange(NamedTuple):
+    max_load: float
+    expert: int
+    target_rank: int
+    evicted_expert: int | None
+    is_move: bool
+
+
+def plan_placement(
+    layers: Sequence[Placement],
+    shares: Sequence[Sequence[float]],
+    limits: PlanLimits,
+    paces: Sequence[float] = (),
+    *,
+    skew_tolerance: Callable[[float], float] = lambda _: SKEW_TOLERANCE,
+) -> PlacementPlan | None:
+    """Return the next map towards even ranks, or None if no change is worth it.
+
+    ``paces`` are how many times its usual time each rank takes; a slow one is relieved
+    until its part of a pass takes as long as the others'. ``enough`` returns, for the
+    skew as it is, the part over the mean at which a layer is left alone.
+    """
+    ranks = len(layers[0])
+    copies_left = [limits.copies_per_rank] * ranks
+    editors = [
+        _LayerEditor(placement, load, limits, copies_left, paces or (1.0,) * ranks)
+        for placement, load in zip(layers, shares, strict=True)
+    ]
+    before = sum(editor.max_load for editor in editors)
+    mean = sum(editor.mean_load for editor in editors)
+    open_editors = list(editors)
+    tolerance = skew_tolerance(before / mean)
+    while open_editors:
+        worst = max(open_editors, key=lambda editor: editor.max_load - editor.mean_load)
+        if not worst.improve(tolerance):
+            open_editors.remove(worst)
+    copies = sum(editor.copies for editor in editors)
+    if not copies:
+        return None
+    after = sum(editor.max_load for editor in editors)
+    found = tuple(editor.placement for editor in editors)
+    return PlacementPlan(found, copies, before / mean, after / mean)
+
+
+class _LayerEditor:
+    """One layer's placement while it is changed; loads are times, paces included."""
+
+    def __init__(
+        self,
+        placement: Placement,
+        load: Sequence[float],
+        limits: PlanLimits,
+        copies_left: list[int],
+        paces: Sequence[float],
+    ) -> None:
+        self._pace_by_rank = paces
+        self._load_by_expert = load
+        self._slots_per_rank = limits.slots_per_rank
+        self._experts_by_rank = [set(experts) for experts in placement]
+        self._initial_experts_by_rank = [frozenset(experts) for experts in placement]
+        self._new_left_by_rank = [limits.new_experts_per_layer] * len(placement)
+        self._copies_left_by_rank = copies_left
+        self._ranks_by_expert: list[set[int]] = [set() for _ in load]
+        for rank, experts in enumerate(placement):
+            for expert in experts:
+                self._ranks_by_expert[expert].add(rank)
+        self._load_by_rank = [
+            self._compute_rank_load(rank) for rank in range(len(placement))
+        ]
+        self.mean_load = sum(load) / len(self._load_by_rank) or 1.0
+        self.copies = 0
+        self._changes_left = max(
+            _MIN_LAYER_CHANGE_LIMIT, int(_LAYER_CHANGES_PER_RANK * len(placement))
+        )
+
+    @property
+    def max_load(self) -> float:
+        """The load of the most loaded rank."""
+        return max(self._load_by_rank)
+
+    @property
+    def placement(self) -> Placement:
+        """The layer as it stands."""
+        return tuple(tuple(sorted(held)) for held in self._experts_by_rank)
+
+    def improve(self, skew_tolerance: float) -> bool:
+        """Make the change that relieves the slowest rank most; tell if there is one."""
+        order = sorted(
+            range(len(self._load_by_rank)), key=self._load_by_rank.__getitem__
+        )
+        hot = order[-1]
+        enough = self._load_by_rank[hot] <= self.mean_load * (1 + skew_tolerance)
+        if enough or not self._changes_left:
+            return False
+        limit = self._load_by_rank[hot] - MIN_CHANGE_GAIN * self.mean_load
+        best: _PlacementChange | None = None
+        for cool in order[:_MAX_TARGET_RANKS]:
+            for change in self._candidate_changes(hot, cool, limit):
+                if change.max_load < limit:
+                    best = change
+                    limit = change.max_load
+        if best is None:
+            return False
+        self._apply(hot, best)
+        return True
+
+    def _candidate_changes(
+        self, hot: int, cool: int, limit: float
+    ) -> list[_PlacementChange]:
+        """Return the changes that give ``cool`` an expert of ``hot``.
+
+        Those whose two ranks alone show that they leave one above ``limit`` are left
+        out: they are nine in ten, and weighing them took most of a plan's time.
+        """
+        found: list[_PlacementChange] = []
+        held = self._experts_by_rank[cool]
+        has_place = len(held) < self._slots_per_rank
+        most_off = (self._load_by_rank[hot] - limit) / self._pace_by_rank[hot]
+        for expert in self._experts_by_rank[hot]:
+            share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+            if share <= most_off or expert in held or not self._may_copy(cool, expert):
+                continue
+            if has_place:
+                found.append(self._evaluate_replica(hot, cool, expert, None))
+                found.append(self._evaluate_move(hot, cool, expert))
+            for other in held:
+                if len(self._ranks_by_expert[other]) > 1:
+                    found.append(self._evaluate_replica(hot, cool, expert, other))
+                elif other not in self._experts_by_rank[hot] and self._may_copy(
+                    hot, other
+                ):
+                    found.append(self._evaluate_swap(hot, cool, expert, other))
+        return found
+
+    def _may_copy(self, rank: int, expert: int) -> bool:
+        # Weights that the rank has now are there already.
+        if expert in self._initial_experts_by_rank[rank]:
+            return True
+        return self._new_left_by_rank[rank] > 0 and self._copies_left_by_rank[rank] > 0
+
+    def _evaluate_replica(
+        self, hot: int, cool: int, expert: int, evicted: int | None
+    ) -> _PlacementChange:
+        """Weigh one more replica of ``expert`` on ``cool``."""
+        count = len(self._ranks_by_expert[expert])
+        share = self._load_by_expert[expert] / count
+        smaller = self._load_by_expert[expert] / (count + 1)
+        hot_after = (
+            self._load_by_rank[hot] - (share - smaller) * self._pace_by_rank[hot]
+        )
+        cool_after = self._load_by_rank[cool] + smaller * self._pace_by_rank[cool]
+        most = hot_after
+        if evicted is not None:
+            count = len(self._ranks_by_expert[evicted])
+            cool_after -= (
+                self._load_by_expert[evicted] / count * self._pace_by_rank[cool]
+            )
+            more = self._load_by_expert[evicted] * (1 / (count - 1) - 1 / count)
+            for rank in self._ranks_by_expert[evicted]:
+                if rank == hot:
+                    most = max(most, hot_after + more * self._pace_by_rank[hot])
+                elif rank != cool:
+                    most = max(
+                        most, self._load_by_rank[rank] + more * self._pace_by_rank[rank]
+                    )
+        return _PlacementChange(
+            max(most, cool_after), expert, cool, evicted, is_move=False
+        )
+
+    def _evaluate_move(self, hot: int, cool: int, expert: int) -> _PlacementChange:
+        """Weigh that ``cool`` takes ``expert`` over; a slow rank may hold none."""
+        share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+        slowest = max(
+            self._load_by_rank[hot] - share * self._pace_by_rank[hot],
+            self._load_by_rank[cool] + share * self._pace_by_rank[cool],
+        )
+        return _PlacementChange(slowest, expert, cool, None, is_move=True)
+
+    def _evaluate_swap(
+        self, hot: int, cool: int, expert: int, other: int
+    ) -> _PlacementChange:
+        """Weigh an exchange of ``expert`` for ``other``."""
+        given = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+        taken = self._load_by_expert[other]
+        slowest = max(
+            self._load_by_rank[hot] + (taken - given) * self._pace_by_rank[hot],
+            self._load_by_rank[cool] + (given - taken) * self._pace_by_rank[cool],
+        )
+        return _PlacementChange(slowest, expert, cool, other, is_move=True)
+
+    def _apply(self, hot: int, change: _PlacementChange) -> None:
+        self._changes_left -= 1
+        touched = {hot, change.target_rank} | self._ranks_by_expert[change.expert]
+        if change.evicted_expert is not None:
+            touched |= self._ranks_by_expert[change.evicted_expert]
+            self._remove_expert(change.target_rank, change.evicted_expert)
+        self._add_expert(change.target_rank, change.expert)
+        if change.is_move:
+            self._remove_expert(hot, change.expert)
+            if change.evicted_expert is not None:
+                self._add_expert(hot, change.evicted_expert)
+        for rank in touched:
+            self._load_by_rank[rank] = self._compute_rank_load(rank)
+
+    def _remove_expert(self, rank: int, expert: int) -> None:
+        self._experts_by_rank[rank].discard(expert)
+        self._ranks_by_expert[expert].discard(rank)
+        if expert not in self._initial_experts_by_rank[rank]:
+            self._new_left_by_rank[rank] += 1
+            self._copies_left_by_rank[rank] += 1
+            self.copies -= 1
+
+    def _add_expert(self, rank: int, expert: int) -> None:
+        self._experts_by_rank[rank].add(expert)
+        self._ranks_by_expert[expert].add(rank)
+        if expert not in self._initial_experts_by_rank[rank]:
+            self._new_left_by_rank[rank] -= 1
+            self._copies_left_by_rank[rank] -= 1
+            self.copies += 1
+
+    def _compute_rank_load(self, rank: int) -> float:
+        return self._pace_by_rank[rank] * sum(
+            self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+            for expert in self._experts_by_rank[rank]
+        )
+
+
+def round_robin_placement(
+    ranks: int, layers: int, experts: int
+) -> tuple[Placement, ...]:
+    """Return the map that a group forms with: experts dealt out in turn."""
+    layer = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
+    return (layer,) * layers
--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -16,16 +16,16 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.lockstep.balancing import Balancer
-from kingcupwheel.lockstep.group import Group
-from kingcupwheel.lockstep.planning import dealt_in_turn
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.balancer import Balancer
+from kingcupwheel.lockstep.group_state import GroupState
+from kingcupwheel.lockstep.placement_planner import round_robin_placement
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.lockstep import RankStateReply
 
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change import Layers
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
 
 # Kinds of requests, each with experts that it likes.
 KINDS = 9
@@ -98,7 +98,7 @@
         self._demand = demand
         self._draw = Random(seed)
         self._ranks = [_Rank() for _ in range(ranks)]
-        self._layers: Layers = dealt_in_turn(
+        self._layers: LayerPlacements = round_robin_placement(
             ranks, shape.layer_count, shape.expert_count
         )
         self._liked = [self._new_liking() for _ in range(KINDS)]
@@ -129,7 +129,7 @@
         skews = 0.0
         changes = copies = 0
         counted_at = jumped_at = 0.0
-        pending: tuple[float, Layers] | None = None
+        pending: tuple[float, LayerPlacements] | None = None
         while self._now < seconds:
             self._arrive()
             skew = self._pass()
@@ -142,7 +142,7 @@
                 self._layers, pending = pending[1], None
             if balances and pending is None and self._now - counted_at >= COUNT_S:
                 counted_at = self._now
-                plan = balancer.take(
+                plan = balancer.plan_change(
                     self._group(), self._layers, self._told(), self._now
                 )
                 if plan is not None:
@@ -255,9 +255,9 @@
         stream.last_at = self._now
         stream.left -= 1
 
-    def _group(self) -> Group:
+    def _group(self) -> GroupState:
         ranks = len(self._ranks)
-        return Group(
+        return GroupState(
             1,
             ranks,
             {
@@ -286,7 +286,7 @@
     return max(sum(shares[one] / holders[one] for one in held) for held in placement)
 
 
-def _most_copied(before: Layers, after: Layers) -> int:
+def _most_copied(before: LayerPlacements, after: LayerPlacements) -> int:
     ranks = range(len(before[0]))
     return max(
         sum(
