--- a/src/kingcupwheel/forwarding/liveness.py
+++ b/src/kingcupwheel/forwarding/liveness.py
@@ -72,5 +72,5 @@
 
     def remove_server(self, server: str) -> None:
         """Remove a server that has left from all trackers."""
-        for pulse in tuple(self._by_service.values()):
-            pulse.remove_server(server)
+        for tracker in tuple(self._by_service.values()):
+            tracker.remove_server(server)
--- a/src/kingcupwheel/forwarding/load_aggregators.py
+++ b/src/kingcupwheel/forwarding/load_aggregators.py
@@ -59,12 +59,12 @@
                 (one for one in members if not self._is_silent(one, now)), members[0]
             )
             self._queried_since.setdefault(aggregator, now)
-            every_s = (
+            interval_s = (
                 _LOCAL_INTERVAL_S
                 if data_centre == self._data_centre
                 else _REMOTE_INTERVAL_S
             )
-            result.append(LoadQuery(aggregator, members, every_s))
+            result.append(LoadQuery(aggregator, members, interval_s))
         return tuple(result)
 
     def _is_silent(self, aggregator: str, now: float) -> bool:
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -165,22 +165,24 @@
         load = server.beat.load
         return load.running + load.queued >= load.capacity
 
-    def mark_resting(self, place: Place, for_s: float, request_id: str) -> None:
+    def mark_resting(self, place: Place, rest_s: float, request_id: str) -> None:
         """Send no requests to a server for the rest period that it asked for."""
         now = monotonic()
-        life = place.incarnation
+        incarnation = place.incarnation
         with self._servers.lock:
-            is_new = self._servers.notices.record_backoff(life, for_s, now)
+            is_new = self._servers.notices.record_backoff(incarnation, rest_s, now)
         if is_new:
-            log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
+            log.info(
+                "rest-asked", server=incarnation, for_s=round(rest_s, 3), id=request_id
+            )
 
     def mark_leaving(self, place: Place, request_id: str) -> bool:
         """Send no more requests to a leaving server; return whether that is new."""
-        life = place.incarnation
+        incarnation = place.incarnation
         with self._servers.lock:
-            is_new = self._servers.notices.record_leaving(life)
+            is_new = self._servers.notices.record_leaving(incarnation)
         if is_new:
-            log.info("server-leaves", server=life, id=request_id)
+            log.info("server-leaves", server=incarnation, id=request_id)
         return is_new
 
     def is_leaving(self, incarnation: str) -> bool:
@@ -201,17 +203,19 @@
             ended = self._servers.notices.take_ended_backoffs(monotonic())
         if not ended:
             return
-        for life in ended:
-            log.info("rest-ended", server=life)
+        for incarnation in ended:
+            log.info("rest-ended", server=incarnation)
         for service in tuple(self._groups_by_service):
             self._dispatchers.pump(service)
 
     def _remove_old_notices(self, now: float) -> None:
-        lives = {one.incarnation for one in tuple(self._backends_by_address.values())}
+        incarnations = {
+            one.incarnation for one in tuple(self._backends_by_address.values())
+        }
         with self._servers.lock:
-            forgotten = self._servers.notices.retain(lives, now)
-        for life in forgotten:
-            log.info("notice-forgotten", server=life)
+            forgotten = self._servers.notices.retain(incarnations, now)
+        for incarnation in forgotten:
+            log.info("notice-forgotten", server=incarnation)
 
     def mark_service_closed(self, service: str) -> None:
         """Record that all servers of a service reject requests at the moment.
