--- a/src/kingcupwheel/lockstep/__init__.py
+++ b/src/kingcupwheel/lockstep/__init__.py
@@ -1,7 +1,7 @@
-"""Expert maps of engines that take orders for a pass of all their ranks.
+"""Expert map changes of engine groups whose ranks run every pass in lock-step.
 
-One agent, the one beside rank 0, coordinates its group's changes; the others carry
-orders to the server beside them and tell what it reports.
+The agent beside rank 0 coordinates the changes of its group. The other agents execute
+its orders at their local backend server and return what that server reports.
 """
 
 from __future__ import annotations
--- a/src/kingcupwheel/lockstep/agent_client.py
+++ b/src/kingcupwheel/lockstep/agent_client.py
@@ -1,4 +1,4 @@
-"""Asks every rank of a group at once and gathers the answers."""
+"""Sends requests to all agents of a group in parallel and collects the replies."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 log = lines_of("maps")
 
-# What an answer takes beyond the wait that was asked for, in seconds: two ways between
-# data centres, two local calls, and room for a busy processor.
+# Time for a reply beyond the requested wait: a round trip between data centres, two
+# local calls and a margin for a busy processor.
 REPLY_TIMEOUT_S = 0.15
-# What a branch takes besides: two hops, and a tick of its head.
+# A branch adds two hops and one tick of its head.
 _BRANCH_EXTRA_TIMEOUT_S = 0.1
-# A link that left so many questions in a row without an answer is opened anew: one that
-# went silent stays so, while new ones work.
+# Consecutive unanswered requests after which a link is reconnected: a link that went
+# silent does not recover, while a new one works.
 _MAX_UNANSWERED_REQUESTS = 3
-# How long the members of a branch whose head was silent are asked directly, in seconds:
-# about what a process takes to be started again.
+# How long the members of a branch are asked directly after its head was silent: about
+# the restart time of a process.
 _HEAD_BYPASS_S = 3.0
 
 
 class AgentRequest(NamedTuple):
-    """What one agent is asked."""
+    """A request to one agent: the reply's content, an order, and how long to wait."""
 
     content: ReplyContent = ReplyContent.STATE
     order: RankOrder | None = None
@@ -47,7 +47,7 @@
 
 
 class _OutgoingRequest(NamedTuple):
-    """One message of a question: to an agent, or to the head of a branch."""
+    """One request message, to a single agent or to the head of a branch."""
 
     address: str
     request: AgentRequest
@@ -67,7 +67,7 @@
 
 
 class AgentClient:
-    """Questions to agents by address; ``told`` may be called from any thread."""
+    """Client of agents by address; ``handle_reply`` may be called from any thread."""
 
     def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
@@ -79,11 +79,11 @@
         self._changed = Condition()
 
     def set_branch_heads(self, heads_by_agent: Mapping[str, str]) -> None:
-        """Ask agents through these heads from now on; one left out is asked itself."""
+        """Route requests through these heads; other agents are asked directly."""
         self._heads_by_agent = heads_by_agent
 
     def handle_reply(self, message: RankStateReply | BranchReply) -> None:
-        """Take in an answer."""
+        """Store a reply if it is still awaited."""
         with self._changed:
             if message.number in self._replies_by_number:
                 self._replies_by_number[message.number] = message
@@ -92,9 +92,9 @@
     def request_all(
         self, requests_by_address: Mapping[str, AgentRequest]
     ) -> dict[str, RankStateReply]:
-        """Return the answers by address; those that came too late are left out.
+        """Return the replies by address, without those that missed the timeout.
 
-        Counts of a branch come summed with one of its members.
+        The summed counts of a branch are attached to one of its members.
         """
         outgoing = self._group_requests(requests_by_address)
         replies, silent = self._exchange(outgoing)
@@ -113,7 +113,7 @@
         self, requests_by_address: Mapping[str, AgentRequest]
     ) -> list[_OutgoingRequest]:
         now = monotonic()
-        # By the order itself, not what it holds: comparing maps of 72 ranks is slow.
+        # Keyed by the identity of the order: comparing maps of 72 ranks is slow.
         members: dict[tuple[str, ReplyContent, int], list[str]] = {}
         for address, request in requests_by_address.items():
             head = self._heads_by_agent.get(address, address)
@@ -131,32 +131,33 @@
         ]
 
     def _bypass_heads(self, silent: Iterable[_OutgoingRequest]) -> tuple[str, ...]:
-        """Return the agents behind silent heads, to be asked directly.
+        """Bypass silent heads for a while; return the members to ask directly.
 
-        Failure: the head of a branch is frozen or killed. Symptom: eight ranks seem
-        silent, and a change that holds a pass waits for all of them. Each is asked
-        itself at once, and so is the branch for a while.
+        When the head of a branch is frozen or killed, eight ranks seem silent, and a
+        change that holds a pass would wait for all of them.
         """
         members: list[str] = []
-        for part in silent:
-            if part.is_branch:
-                log.info("branch-silent", head=part.address, agents=len(part.members))
-                self._bypassed_until_by_head[part.address] = (
+        for request in silent:
+            if request.is_branch:
+                log.info(
+                    "branch-silent", head=request.address, agents=len(request.members)
+                )
+                self._bypassed_until_by_head[request.address] = (
                     monotonic() + _HEAD_BYPASS_S
                 )
-                members.extend(part.members)
+                members.extend(request.members)
         return tuple(members)
 
     def _exchange(
         self, outgoing: Iterable[_OutgoingRequest]
     ) -> tuple[dict[str, RankStateReply], tuple[_OutgoingRequest, ...]]:
-        """Send each part; return answers by address, and the parts without any."""
-        outgoing_by_number = {self._next_number(): part for part in outgoing}
+        """Send each request; return replies by address and the unanswered requests."""
+        outgoing_by_number = {self._next_number(): request for request in outgoing}
         began = monotonic()
         with self._changed:
             self._replies_by_number = dict.fromkeys(outgoing_by_number)
-        for number, part in outgoing_by_number.items():
-            self._send(number, part)
+        for number, request in outgoing_by_number.items():
+            self._send(number, request)
         longest_s = max(
             (one.timeout_s for one in outgoing_by_number.values()), default=0.0
         )
@@ -167,22 +168,24 @@
                 ),
                 max(0.0, began + longest_s - monotonic()),
             )
-            waited, self._replies_by_number = self._replies_by_number, {}
+            awaited, self._replies_by_number = self._replies_by_number, {}
         replies: dict[str, RankStateReply] = {}
-        for number, answer in waited.items():
-            if answer is not None:
-                replies.update(_replies_by_address(outgoing_by_number[number], answer))
+        for number, reply in awaited.items():
+            if reply is not None:
+                replies.update(_replies_by_address(outgoing_by_number[number], reply))
         silent = tuple(
-            outgoing_by_number[number] for number, one in waited.items() if one is None
+            outgoing_by_number[number] for number, one in awaited.items() if one is None
         )
         return replies, silent
 
     def _send(self, number: int, outgoing: _OutgoingRequest) -> None:
         request = outgoing.request
         wait_ms = int(request.wait_s * 1000)
-        ask = RankStateRequest(number, request.content, request.order, wait_ms)
+        rank_request = RankStateRequest(number, request.content, request.order, wait_ms)
         message = (
-            BranchRequest(number, ask, outgoing.members) if outgoing.is_branch else ask
+            BranchRequest(number, rank_request, outgoing.members)
+            if outgoing.is_branch
+            else rank_request
         )
         self._hub.send(OutgoingLink(outgoing.address, 0), message)
 
@@ -211,11 +214,11 @@
 ) -> dict[str, RankStateReply]:
     if isinstance(reply, RankStateReply):
         return {outgoing.address: reply}
-    told = dict(reply.reply_by_address)
-    if reply.counts and told:
-        first = next(iter(told))
-        one = told[first]
-        told[first] = RankStateReply(
+    replies = dict(reply.reply_by_address)
+    if reply.counts and replies:
+        first = next(iter(replies))
+        one = replies[first]
+        replies[first] = RankStateReply(
             one.number, one.state, reply.counts, reply.scale, one.placement
         )
-    return told
+    return replies
--- a/src/kingcupwheel/lockstep/balancer.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -1,8 +1,8 @@
-"""Decides when a group's map changes, and to what. Pure: times are arguments.
+"""Decides when to change a group's expert map, and to which map.
 
-Load: what experts are asked for drifts and jumps. Harm prevented: a map that follows
-too late makes every pass as long as its slowest rank's; one that follows each waver
-copies weights for nothing, which slows passes and has its price.
+The demand for experts drifts and jumps. A map that follows too late makes every pass
+as long as that of its slowest rank; a map that follows every fluctuation copies weights
+needlessly, which slows passes and costs traffic. Performs no I/O; times are arguments.
 """
 
 from __future__ import annotations
@@ -28,28 +28,30 @@
 
 log = lines_of("maps")
 
-# The least that a plan has to take off the skew, and for each second that its copies
-# take in all. A copy slows its group's passes by 15 in 100 while it lasts and has its
-# price by size; a skew of one doubles the passes.
+# Minimum reduction of the skew by a plan: a fixed part, and a part for each second of
+# copying in total. A copy slows its group's passes by 15 percent while it lasts and
+# costs traffic by its size; an excess skew of one doubles the pass time.
 MIN_SKEW_GAIN = 0.05
 MIN_SKEW_GAIN_PER_COPY_S = 0.018
 
-# A pass under this part of the longest good pause between a stream's events keeps
-# every caller on time, with room for a longer prompt beside it. A shorter one serves
-# nobody better, so a plan then has to take this much off the skew: on a calm day half
-# of all copies took it from 1.2 to 1.1 while passes took 40 of 120 ms.
+# A pass shorter than this ratio of the allowed gap between a stream's events keeps
+# every stream on time, with room for a longer prompt beside it. Shorter passes improve
+# nothing, so a plan then needs this larger reduction of the skew: otherwise, under
+# steady load, half of all copies only reduce it from 1.2 to 1.1 while passes take 40 of
+# 120 ms.
 SHORT_PASS_GAP_RATIO = 0.5
 SHORT_PASS_MIN_SKEW_GAIN = 0.3
-# The same for how far a plan goes: layers within this part over the mean are left alone
-# if passes are then short. The last third of a plan's copies take off a tenth.
+# Layers whose slowest rank is within this ratio over the mean are not changed if passes
+# are short after the plan. The last third of a plan's copies reduce the skew by a
+# tenth.
 SHORT_PASS_SKEW_TOLERANCE = 0.2
 
-# A rank's pace that changed by this factor is planned for at once.
+# A change of a rank's pace by this factor triggers a plan without new counts.
 PACE_CHANGE_FACTOR = 1.25
 
 
 class Balancer:
-    """Plans for one epoch of a group; belongs to one thread."""
+    """Plans map changes for one epoch of a group; not thread-safe."""
 
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
@@ -68,9 +70,9 @@
         replies: Iterable[RankStateReply],
         now: float,
     ) -> PlacementPlan | None:
-        """Return the map to change to from ``layers``, or None to leave it.
+        """Return the plan that replaces the map ``layers``, or None to keep it.
 
-        ``answers`` hold the counts since the last time.
+        ``replies`` hold the counts since the previous call; ``now`` is in seconds.
         """
         self._measure_pass_time(group.coordinator_state.step, now)
         is_updated = self._popularity.add_sample(unpack_counts(replies))
@@ -111,7 +113,10 @@
         return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
     def _skew_tolerance(self, skew: float) -> float:
-        """Return how far over the mean a layer may be after a plan from ``skew``."""
+        """Return the allowed ratio of a layer's slowest rank over the mean.
+
+        ``skew`` is the skew before the plan.
+        """
         expected_pass_s = (
             self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
         )
@@ -130,10 +135,10 @@
             self._pass_s = (now - before[1]) / (step - before[0])
 
     def _has_pace_changed(self, paces: Sequence[float]) -> bool:
-        """Return whether a rank has become slow, or sound again, since the last plan.
+        """Return whether a rank slowed down or recovered since the last plan.
 
-        Failure: a rank slows down tenfold, and hardly a pass ends. Symptom: counts are
-        too few for a new estimate, and nothing relieves that rank for seconds.
+        When a rank slows down tenfold, few passes end and the counts are too small for
+        a new estimate, so without this check that rank keeps its experts for seconds.
         """
         return any(
             not 1 / PACE_CHANGE_FACTOR < now / before < PACE_CHANGE_FACTOR
@@ -142,18 +147,20 @@
 
 
 def _has_pending_arming(group: GroupState) -> bool:
-    """Return whether a rank is armed for a map that is not in force yet.
+    """Return whether a rank is armed with a version that is not active yet.
 
-    Failure: an agent ends after its rank was armed. Symptom: its last word says that
-    the rank is armed, long after the pass began, and no change is planned again. What
-    rank 0 has in force began on all ranks in one pass.
+    The version is compared with that of rank 0, since a version becomes active on all
+    ranks in the same pass. An agent that ends after its rank was armed leaves a last
+    report that says so, which would block every later plan.
     """
     in_force = group.coordinator_state.version
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
 def unpack_counts(replies: Iterable[RankStateReply]) -> list[list[int]]:
-    """Return each answer's choices, layer by layer in one list."""
+    """Return the unscaled counts of each reply, layer by layer in one list."""
     return [
-        [count * told.scale for count in told.counts] for told in replies if told.counts
+        [count * reply.scale for count in reply.counts]
+        for reply in replies
+        if reply.counts
     ]
--- a/src/kingcupwheel/lockstep/branch_aggregator.py
+++ b/src/kingcupwheel/lockstep/branch_aggregator.py
@@ -1,4 +1,4 @@
-"""The head of a branch: passes a question on to its members and gathers the answers."""
+"""Forwards a request to the members of a branch and aggregates their replies."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
     from kingcupwheel.messages.lockstep import BranchRequest
     from kingcupwheel.messages.lockstep import RankStateReply
 
-# Numbers of questions of a head begin here: an agent may coordinate one group's maps
-# and be asked for a branch at the same time, and answers are told apart by number.
+# First number of forwarded requests. An agent may coordinate a group and be the head of
+# a branch at the same time; the number tells which of the two a reply belongs to.
 _FIRST_REQUEST_NUMBER = 1 << 40
 
 
 class _PendingBranchRequest:
-    """One question under way."""
+    """A forwarded request whose replies are being collected."""
 
-    def __init__(self, link: Link, ask: BranchRequest, until: float) -> None:
+    def __init__(self, link: Link, request: BranchRequest, deadline: float) -> None:
         self.link = link
-        self.number = ask.number
-        self.deadline = until
+        self.number = request.number
+        self.deadline = deadline
         self.awaited_by_number: dict[int, str] = {}
         self.replies_by_address: dict[str, RankStateReply] = {}
         self.counts: list[int] = []
 
     def add_reply(self, message: RankStateReply) -> None:
-        """Take in a member's answer; its counts are summed."""
+        """Store a member's reply and add its counts to the sum."""
         address = self.awaited_by_number.pop(message.number)
         self.replies_by_address[address] = msgspec.structs.replace(
             message, counts=b"", scale=1
@@ -51,7 +51,7 @@
             self.counts[index] += found * message.scale
 
     def build_reply(self) -> BranchReply:
-        """Return what was told so far."""
+        """Return the aggregate of the replies received so far."""
         if not self.counts:
             return BranchReply(self.number, self.replies_by_address)
         scale, counts = pack_counts(self.counts)
@@ -59,10 +59,10 @@
 
 
 class BranchAggregator:
-    """Questions that this agent passes on; safe from any thread.
+    """Requests that this agent forwards as the head of a branch; thread-safe.
 
-    A member that says nothing within the time of the question is left out: it may be
-    frozen, and the others' answers must not wait for it.
+    A member that does not reply within the timeout is omitted: it may be frozen, and
+    must not delay the replies of the others.
     """
 
     def __init__(self, hub: MessageHub) -> None:
@@ -72,7 +72,7 @@
         self._lock = Lock()
 
     def forward_request(self, link: Link, message: BranchRequest, now: float) -> None:
-        """Pass a question on to the members of its branch."""
+        """Forward a request to each member of the branch."""
         wait_s = message.request.wait_ms / 1000
         pending = _PendingBranchRequest(link, message, now + wait_s + REPLY_TIMEOUT_S)
         with self._lock:
@@ -80,14 +80,16 @@
                 number = next(self._numbers)
                 pending.awaited_by_number[number] = address
                 self._pending_by_number[number] = pending
-            asked = tuple(pending.awaited_by_number.items())
-        for number, address in asked:
-            ask = message.request
-            passed = RankStateRequest(number, ask.content, ask.order, ask.wait_ms)
-            self._hub.send(OutgoingLink(address, 0), passed)
+            awaited = tuple(pending.awaited_by_number.items())
+        for number, address in awaited:
+            request = message.request
+            forwarded = RankStateRequest(
+                number, request.content, request.order, request.wait_ms
+            )
+            self._hub.send(OutgoingLink(address, 0), forwarded)
 
     def handle_reply(self, message: RankStateReply) -> bool:
-        """Take in an answer; return whether it belongs to a branch of this agent."""
+        """Store a reply; return whether it answers a forwarded request."""
         with self._lock:
             pending = self._pending_by_number.pop(message.number, None)
             if pending is None:
@@ -99,15 +101,15 @@
         return True
 
     def on_tick(self, now: float) -> None:
-        """Answer for branches whose time is up with what there is."""
+        """Send the replies received so far for requests past their deadline."""
         with self._lock:
             expired = {
-                id(branch): branch
-                for branch in self._pending_by_number.values()
-                if now >= branch.deadline
+                id(pending): pending
+                for pending in self._pending_by_number.values()
+                if now >= pending.deadline
             }
-            for branch in expired.values():
-                for number in branch.awaited_by_number:
+            for pending in expired.values():
+                for number in pending.awaited_by_number:
                     del self._pending_by_number[number]
-        for branch in expired.values():
-            self._hub.send(branch.link, branch.build_reply())
+        for pending in expired.values():
+            self._hub.send(pending.link, pending.build_reply())
--- a/src/kingcupwheel/lockstep/branches.py
+++ b/src/kingcupwheel/lockstep/branches.py
@@ -1,11 +1,11 @@
-"""Which agents a coordinator asks through others. Pure.
-
-Load: a group of 72 ranks on links of 4 Mbit/s. Harm prevented: the counts of all ranks,
-1.7 KB each, take the coordinator's link for a quarter of a second, and a map of 3 KB to
-each of them for nearly half; until both are through the group runs on the old map. An
-agent asked for a branch passes the question on to its members and sums their counts, so
-the coordinator's link carries an eighth of that, and each answer crosses between data
-centres once a branch instead of once a rank.
+"""Partitions a group's agents into branches, which a coordinator asks through a head.
+
+In a group of 72 ranks on links of 4 Mbit/s the counts of all ranks, 1.7 KB each, occupy
+the coordinator's link for a quarter of a second, and sending each of them a map of 3 KB
+takes nearly half a second. Until both are done the group runs on the old map. The head
+of a branch forwards a request to its members and sums their counts, so the
+coordinator's link carries an eighth of that traffic, and replies cross between data
+centres once per branch instead of once per rank.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Groups of up to so many ranks are asked directly: their counts (a quarter of a
-# kilobyte a rank) are through in 10 ms, and a branch costs a hop of 2 to 4 ms.
+# Agents of groups up to this size are asked directly: their counts (a quarter of a
+# kilobyte per rank) arrive within 10 ms, and a branch adds a hop of 2 to 4 ms.
 MAX_DIRECT_RANKS = 24
-# Agents in a branch, its head among them: near the square root of 72, at which the
-# coordinator's link and a head's carry as much.
+# Agents in a branch, including its head. Close to the square root of 72, which puts the
+# same load on the coordinator's link and on that of a head.
 MAX_BRANCH_AGENTS = 8
 
 
 def assign_branch_heads(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
-    """Return the agent through which each agent is asked: itself, or its branch's head.
+    """Return for each agent the head of its branch, or itself in small groups.
 
-    A branch is within one data centre.
+    All members of a branch are in one data centre.
     """
     agents = sorted(data_centres_by_agent)
     if len(agents) <= MAX_DIRECT_RANKS:
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -1,21 +1,22 @@
-"""One change of a group's expert map, from its preparation to its first pass.
-
-Pure: phases and reports in, phases and orders out. Orders may get no answer, be lost or
-be carried out seconds later, so each is given again until the rank's report shows it.
-
-Safety rests on three facts. A rank holds a pass before any rank is armed for it, so no
-pass begins on two maps while some ranks are armed. The hold is released only when
-every rank is armed with one version, or when every rank has prepared a higher one,
-which makes each older arming void even if its order arrives later. Only the agent
-beside rank 0 begins changes, and each order names the epoch, so a former coordinator's
-orders are void.
-
-Failure: the machine of rank 0 is frozen right after it gave a hold. Symptom: the whole
-group stands still until it wakes, seconds later, and then has the backlog of all that
-time. Two rules let the other agents end such a hold without that machine. The pass is
-held at another machine's rank, which takes the release from them as well. And rank 0
-is armed last, after all others, so that while another rank is not armed rank 0 is not
-either, and it never will be once that rank has prepared a higher version.
+"""State machine of one change of a group's expert map.
+
+Performs no I/O: it maps phases and reports to phases and orders. An order may get no
+answer, be lost or be carried out seconds later, so each is sent again until the rank's
+report shows it.
+
+A change is a two-phase change (prepare, then arm), and its safety rests on three rules.
+A rank holds a pass before any rank is armed for it, so no pass begins on two maps while
+only some ranks are armed. The hold is released only when every rank is armed with one
+version, or when every rank has prepared a higher version, which invalidates each older
+arm order even if it arrives later. Only the agent beside rank 0 begins changes, and
+each order carries the epoch, so orders of a coordinator of an earlier epoch are void.
+
+If the machine of rank 0 freezes right after it ordered a hold, the whole group would
+stop until it wakes, seconds later, and then face the backlog of that time. Two rules
+let the other agents end such a hold without that machine. The pass is held at a rank on
+another machine, which accepts the release from them as well. Rank 0 is armed last, so
+while another rank is not armed rank 0 is not armed either, and it never will be once
+that rank has prepared a higher version.
 """
 
 from __future__ import annotations
@@ -42,27 +43,27 @@
     from kingcupwheel.lockstep.group_state import GroupState
     from kingcupwheel.lockstep.rank_reports import RankState
 
-# Experts by layer and rank.
+# Experts, by layer and by rank.
 LayerPlacements = tuple[tuple[tuple[int, ...], ...], ...]
 
-# Passes between the last one begun and the one that is held. With fewer the ranks are
-# armed too late and the group waits; with more a change takes effect later. Arming
-# takes some 15 ms, a pass under load as long.
+# Distance from the latest pass begun to the pass to hold. With fewer passes the ranks
+# are armed too late and the group waits; with more a change takes effect later. Arming
+# takes about 15 ms, as long as a pass under load.
 HOLD_LEAD_PASSES = 4
 
-# Versions skipped by a coordinator that finds orders of a former life: more than that
-# life can have given without any rank showing them.
+# Versions that a restarted coordinator skips when it finds orders of its former
+# process: more than that process can have ordered without any rank reporting them.
 RECOVERY_VERSION_GAP = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Idle:
-    """No change is under way."""
+    """No change is in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class Preparing:
-    """Ranks copy the weights of ``version``."""
+    """Ranks are copying the weights that ``version`` needs."""
 
     version: int
     layers: LayerPlacements
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """All ranks are prepared; the holder is to hold the pass ``step``."""
+    """All ranks are prepared; the holder rank has to hold the pass ``step``."""
 
     version: int
     layers: LayerPlacements
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arming:
-    """The pass ``step`` is held; ranks are armed for it."""
+    """The pass ``step`` is held; ranks are being armed for it."""
 
     version: int
     layers: LayerPlacements
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settling:
-    """Released; the map is in force once the pass ``step`` begins."""
+    """Released; the map becomes active when the pass ``step`` begins."""
 
     version: int
     layers: LayerPlacements
@@ -106,10 +107,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Voiding:
-    """The held pass ``step`` is released once all versions up to ``over`` are void.
+    """Versions up to ``voided_version`` are being voided, to release ``step``.
 
-    They are on a rank that is not armed and has prepared a higher one, ``version`` if
-    it has none yet.
+    A version is void on a rank that is not armed and has prepared a higher version.
+    Ranks without a higher version prepare ``version``.
     """
 
     version: int
@@ -122,14 +123,14 @@
 
 
 class PendingOrder(NamedTuple):
-    """An order that ``rank`` still needs."""
+    """An order that ``rank`` has not carried out yet."""
 
     rank: int
     order: RankOrder
 
 
 def advance_phase(phase: Phase, group: GroupState) -> Phase:
-    """Return the phase that the reports lead to."""
+    """Return the phase that follows from the reports in ``group``."""
     while True:
         following = _next_phase(phase, group)
         if following == phase:
@@ -138,7 +139,7 @@
 
 
 class ChangeOutcome(Enum):
-    """How a change ended: its map came into force, or never will."""
+    """Outcome of a change: its map became active, or never will."""
 
     RELEASED = "released"
     VOIDED = "voided"
@@ -147,10 +148,10 @@
 def change_outcome(
     before: Phase, after: Phase, group: GroupState
 ) -> ChangeOutcome | None:
-    """Return how the change of ``before`` has ended by ``after``, None if it goes on.
+    """Return the outcome of the change in ``before``, None while it is in progress.
 
-    Failure: an agent wakes and finds its change made void and the pass begun. Symptom:
-    it takes the map that never came into force for the one that experts are moved from.
+    An agent may wake and find its change voided and the pass begun. If it took that for
+    a release, it would plan from a map that was never active.
     """
     match before:
         case Preparing() | Holding() | Arming() if group.is_superseded(before.version):
@@ -169,26 +170,26 @@
         case Preparing(version, layers) if group.all_prepared(version):
             return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Holding(version, layers) if group.held_step is not None:
-            # A hold of a former life may have come late and keeps this one out; every
-            # rank is prepared, and its pass has not begun either, so it serves as well.
+            # A late hold of a former process may block this one. Every rank is prepared
+            # and the held pass has not begun, so that hold is used instead.
             return Arming(version, layers, group.held_step)
         case Holding(version, layers, step) if group.latest_step >= step:
-            # A hold that comes too late is refused, so a later pass may be asked for.
+            # The server refuses a hold of a pass that has begun; request a later one.
             return Holding(version, layers, group.latest_step + HOLD_LEAD_PASSES)
         case Arming(version, layers, step) if group.all_armed(version):
             return Releasing(version, layers, step)
         case Releasing(version, layers, step) if not group.is_held_up_to(step):
             return Settling(version, layers, step)
         case Settling(version, layers, step) if group.is_held_up_to(step):
-            # A copy of a hold came after the release; every rank is armed.
+            # A duplicate hold arrived after the release; every rank is armed.
             return Releasing(version, layers, step)
         case Settling(version) if group.coordinator_state.version == version:
             return Idle()
         case Voiding(step=step) if (
             not group.is_held_up_to(step) and group.latest_step >= step
         ):
-            # Not before the pass has begun: orders of another agent that ends the same
-            # hold may be on their way, and would release a new one of the same pass.
+            # Waits until the pass has begun: late orders of another agent that ends the
+            # same hold would release a new hold of the same pass.
             return Idle()
     return phase
 
@@ -196,9 +197,9 @@
 def _phase_after_superseded(
     phase: Preparing | Holding | Arming, group: GroupState
 ) -> Phase:
-    """Return what follows a change that another agent made void.
+    """Return the phase that follows a change that another agent voided.
 
-    It did so while this agent's machine was frozen, and may not have released the pass.
+    That agent acted while this machine was frozen, and may not have released the pass.
     """
     match phase:
         case Preparing():
@@ -210,13 +211,13 @@
 
 
 def recover_phase(group: GroupState, layers: LayerPlacements) -> Phase:
-    """Return the phase to go on from with a hold that this life did not order.
+    """Return the phase to continue from after a hold that this process did not order.
 
-    ``layers`` is the map in force. If every rank has one version prepared and some are
-    armed with it, the others may be as well by orders on their way, and the pass may
-    have been released: only going forward is right. Otherwise it can't have, and nobody
-    can complete that version any more once a higher one is prepared. While no rank is
-    armed the version may itself be one that makes others void, so it is not completed.
+    ``layers`` is the active map. If every rank has prepared one version and some ranks
+    are armed with it, orders in flight may arm the rest and may have released the pass,
+    so the change must be completed. Otherwise the pass can't have been released, and no
+    agent can complete that version once a higher one is prepared. While no rank is
+    armed the version may itself serve to void others, so it is not completed.
     """
     if group.held_step is None:
         return Idle()
@@ -231,11 +232,11 @@
 
 
 def recover_phase_without_rank_0(group: GroupState, layers: LayerPlacements) -> Phase:
-    """Return the phase to go on from while rank 0 and its agent can't be reached.
+    """Return the phase to continue from while rank 0 and its agent are unreachable.
 
-    Rank 0 is armed last. If another rank is not armed, it is not either, and the change
-    is made void; else it may be, and its pass may have been released, so that nobody
-    but rank 0's agent can tell.
+    Rank 0 is armed last. If another rank is not armed, neither is rank 0, and the
+    change is voided. Otherwise rank 0 may be armed and the pass may have been released,
+    which only the agent of rank 0 can tell, so nothing is done.
     """
     newest = group.newest_pending_version
     if group.held_step is None or group.others_armed(newest):
@@ -246,7 +247,7 @@
 
 
 def pending_orders(phase: Phase, group: GroupState) -> tuple[PendingOrder, ...]:
-    """Return the orders that ranks still need in ``phase``."""
+    """Return the orders that ranks have not carried out yet in ``phase``."""
     epoch = group.epoch
     match phase:
         case Preparing(version, layers):
@@ -262,7 +263,8 @@
                 group, arm, lambda one: is_armed_or_active(one, version)
             )
             return (
-                tuple(want for want in found if want.rank != COORDINATOR_RANK) or found
+                tuple(pending for pending in found if pending.rank != COORDINATOR_RANK)
+                or found
             )
         case Releasing(step=step):
             return _release_orders(group, step)
@@ -281,10 +283,10 @@
 
 
 def _voiding_orders(phase: Voiding, group: GroupState) -> tuple[PendingOrder, ...]:
-    """Return what makes older armings void, and then releases the pass.
+    """Return the orders that void older versions and then release the pass.
 
-    A rank that is not armed prepares the higher version first. While none has, an agent
-    that was frozen may wake and find all ranks armed, so none may be disarmed.
+    An unarmed rank prepares the higher version first. Until one has done so, an agent
+    that was frozen may wake and find all ranks armed, so no rank may be disarmed.
     """
     if all(
         is_version_void(one, phase.voided_version)
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -1,4 +1,4 @@
-"""What an agent knows of the group that it coordinates, and how far a change is."""
+"""State that an agent keeps of the group that it coordinates."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class CoordinationSession:
-    """One epoch of a group, from when an agent takes charge of it until it is left.
+    """Coordination of one epoch of a group by one agent, until it is closed.
 
-    ``layers`` is the map in force. ``rescues`` tells that the agent is not rank 0's and
-    only ends the change that it found. Belongs to one thread.
+    ``layers`` is the active map. ``is_rescue`` marks an agent beside another rank than
+    0, which only ends the change that it found. Not thread-safe.
     """
 
     def __init__(
@@ -50,28 +50,28 @@
 
     @property
     def group(self) -> GroupState:
-        """The ranks' latest reports."""
+        """The latest reports of all ranks."""
         return GroupState(
             self.roster.epoch, self.roster.rank_count, self._states_by_rank
         )
 
     @property
     def change_elapsed_s(self) -> float:
-        """Seconds since the change under way was begun or taken up."""
+        """Seconds since the change in progress was begun or recovered."""
         return monotonic() - self._change_began_at
 
     def begin_change(self, phase: Phase) -> None:
-        """Begin a change, whose time counts from now."""
+        """Enter the first phase of a change and restart its elapsed time."""
         self.phase = phase
         self._change_began_at = monotonic()
 
     def close(self) -> None:
-        """End the charge: everything is to be read anew."""
+        """Close the session; the group has to be read again."""
         self.phase = Idle()
         self.is_closed = True
 
     def update_states(self, replies: Mapping[str, RankStateReply]) -> bool:
-        """Take in states; leave and return False if the group is no longer the same."""
+        """Store the states; close and return False if the group changed or broke."""
         for rank, agent in self.roster.agents_by_rank.items():
             reply = replies.get(agent)
             if reply is None or reply.state is None:
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -1,9 +1,9 @@
-"""Keeps a group's ranks even: counts, plans and changes the map, round after round.
+"""Balances the load of a group's ranks by changing the expert map in rounds.
 
-It runs in every agent and plans only in the one beside rank 0. There is no lease: a
-group has one rank 0 in an epoch, and one agent beside it, so two coordinators of one
-epoch can't be. A former life's orders are dealt with when this one finds a held pass.
-When agents of other ranks act too is told in ``taking``.
+A coordinator runs in every agent, but only the one beside rank 0 plans changes. It
+needs no lease: a group has one rank 0 per epoch, with one agent beside it, so an epoch
+can't have two coordinators. Orders left by a former process are handled when this one
+finds a held pass. See ``takeover`` for when agents of other ranks act.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 
 log = lines_of("maps")
 
-# How often counts are read while nothing changes, in seconds. Twice as often halves the
-# time until a jump is seen, and doubles what the counts cost between data centres.
+# Interval of reading counts while no change is in progress. Half of it would halve the
+# delay until a jump is detected, and double the traffic between data centres.
 COUNTS_INTERVAL_S = 0.15
-# The shortest pause between two such readings, in seconds.
+# Minimum pause between two readings of the counts.
 _MIN_PAUSE_S = 0.02
-# How often ranks are looked at until a released pass begins, in seconds.
+# Interval of reading the states until a released pass begins.
 _SETTLING_POLL_INTERVAL_S = 0.01
 
 
 class Coordinator:
-    """Changes the map of the group whose rank 0 is beside this process.
+    """Coordinates map changes of the local rank's group in a background thread.
 
-    ``find_servers`` and ``shape`` are as for ``ChargeTaker``.
+    ``find_servers`` and ``shape`` are passed to ``TakeoverMonitor``.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread once the change under way is in force."""
+        """Stop the thread once the change in progress has ended."""
         self._stopping.set()
         self._thread.join()
 
@@ -98,7 +98,7 @@
             self._stopping.wait(pause_s)
 
     def _run_round(self) -> float:
-        """Do one round; return the seconds until the next."""
+        """Run one round; return the seconds until the next."""
         session = self._session
         if session is None:
             return self._try_take_over()
@@ -112,10 +112,10 @@
         self._group_client.reset_silent_agents()
 
     def _try_take_over(self) -> float:
-        taken = self._takeover.check()
-        if not isinstance(taken, CoordinationSession):
-            return taken
-        self._session = taken
+        result = self._takeover.check()
+        if not isinstance(result, CoordinationSession):
+            return result
+        self._session = result
         return 0.0
 
     def _continue_session(self, session: CoordinationSession) -> float:
@@ -125,11 +125,11 @@
                 return TAKEOVER_CHECK_INTERVAL_S
             return self._plan_change(session)
         self._driver.run_round(session)
-        # Settling waits for a pass to begin; the rest waits at the agents.
+        # Only Settling needs a pause: in other phases the agents wait for the order.
         return _SETTLING_POLL_INTERVAL_S if isinstance(session.phase, Settling) else 0.0
 
     def _plan_change(self, session: CoordinationSession) -> float:
-        """Read the counts, and begin a change if they call for one."""
+        """Read the counts and begin a change if one is planned."""
         began = monotonic()
         replies, silent = self._group_client.fetch_counts(session.roster)
         self._metrics.unanswered_requests.inc(silent)
@@ -137,7 +137,7 @@
             return TAKEOVER_CHECK_INTERVAL_S
         group = session.group
         if group.held_step is not None:
-            # A hold of a former life came late; see ``taken_up``.
+            # A hold of a former process arrived late; see ``recover_phase``.
             session.phase = recover_phase(group, session.layers)
             return 0.0
         plan = session.balancer.plan_change(
--- a/src/kingcupwheel/lockstep/direct_client.py
+++ b/src/kingcupwheel/lockstep/direct_client.py
@@ -1,4 +1,4 @@
-"""Asks servers themselves whose agents are silent."""
+"""Sends requests and orders to servers directly, bypassing their agents."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 log = lines_of("maps")
 
-# Servers asked side by side. A tenth of 72 agents may be killed at once; one after the
-# other their servers would hold up a held pass for a second and more.
+# Servers queried in parallel. A tenth of 72 agents may be killed at once; querying
+# their servers one by one would delay a held pass by more than a second.
 _MAX_PARALLEL_REQUESTS = 8
 
 
 class DirectServerClient:
-    """Questions to servers past their agents; belongs to one thread.
+    """Client of backend servers whose agents do not respond; not thread-safe.
 
-    Failure: an agent is frozen or killed between a hold and its release. Symptom: the
-    whole group stands still until it is back. Its server takes the order from here as
-    well, for a small price.
+    If an agent is frozen or killed between a hold and its release, the whole group
+    would stop until it is back. Its server accepts the orders from here as well, at a
+    small cost.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._clients_by_server: dict[str, RankClient] = {}
 
     def send_order(self, server: str, order: RankOrder) -> None:
-        """Give an order once; whether it was carried out is for the report to show."""
+        """Send an order once; only a later report shows whether it was carried out."""
         if server not in self._clients_by_server:
             self._clients_by_server = {server: RankClient(f"http://{server}")}
         result = self._clients_by_server[server].send_order(order)
@@ -46,7 +46,7 @@
     def request_all(
         self, requests_by_server: Mapping[str, RankStateRequest]
     ) -> dict[str, RankStateReply]:
-        """Return what servers tell, by address; silent ones are left out."""
+        """Return the replies by server address, without silent servers."""
         if not requests_by_server:
             return {}
         if len(requests_by_server) == 1:
--- a/src/kingcupwheel/lockstep/group_client.py
+++ b/src/kingcupwheel/lockstep/group_client.py
@@ -1,4 +1,4 @@
-"""Asks a group's ranks through their agents, or the servers of silent agents."""
+"""Queries a group's ranks through their agents, or directly if an agent is silent."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class GroupClient:
-    """Answers are by the agents' addresses; belongs to one thread.
+    """Client of all ranks of a group; replies are keyed by agent address.
 
-    An agent that was silent is not asked again until ``counts`` or ``forget``: its
-    server is asked itself meanwhile.
+    A silent agent is not asked again before the next ``fetch_counts`` or
+    ``reset_silent_agents``; until then its server is queried directly. Not thread-safe.
     """
 
     def __init__(self, agent_client: AgentClient) -> None:
@@ -39,17 +39,17 @@
         self._silent_agents: set[str] = set()
 
     def reset_silent_agents(self) -> None:
-        """Ask every agent again."""
+        """Send requests to every agent again."""
         self._silent_agents = set()
 
     def use_roster(self, roster: Roster) -> None:
-        """Ask the agents of ``roster`` through its heads from now on."""
+        """Route requests through the branch heads of ``roster``."""
         self._agent_client.set_branch_heads(roster.branch_heads)
 
     def fetch_placements(
         self, servers_by_agent: Mapping[str, PairedServer]
     ) -> RepliesByAgent:
-        """Return states and experts of every rank that can be reached."""
+        """Return the state and experts of every reachable rank."""
         self._agent_client.set_branch_heads(
             find_branch_heads(servers_by_agent, servers_by_agent)
         )
@@ -59,14 +59,14 @@
         direct_requests = dict.fromkeys(
             servers_by_agent, RankStateRequest(0, ReplyContent.PLACES)
         )
-        servers = {one: beside.server for one, beside in servers_by_agent.items()}
+        servers = {one: paired.server for one, paired in servers_by_agent.items()}
         self._query_servers(direct_requests, servers, replies)
         return replies
 
     def fetch_counts(self, roster: Roster) -> tuple[RepliesByAgent, int]:
-        """Return states and counts, and how many agents were silent.
+        """Return states and counts, and the number of silent agents.
 
-        Servers are not asked for their counts: from afar that holds up every pass.
+        Counts are never read from servers directly: a remote read delays every pass.
         """
         agents = tuple(roster.agents_by_rank.values())
         replies = self._agent_client.request_all(
@@ -87,23 +87,25 @@
     def send_orders(
         self, roster: Roster, pending_orders: Iterable[PendingOrder], wait_s: float
     ) -> RepliesByAgent:
-        """Give the orders and return the states after them.
+        """Send the orders and return the states after them.
 
-        A hold and its release go to the server past its agent: what gives them and
-        what carries them out must not be lost together.
+        A hold and its release go directly to the server, so that the sender of the
+        order and the process that executes it can't be lost together.
         """
         requests: dict[str, AgentRequest] = {}
         direct_requests: dict[str, RankStateRequest] = {}
-        for want in pending_orders:
-            agent = roster.agents_by_rank[want.rank]
-            if isinstance(want.order, Hold | Release):
-                self._direct_client.send_order(roster.server_of(agent), want.order)
+        for pending in pending_orders:
+            agent = roster.agents_by_rank[pending.rank]
+            if isinstance(pending.order, Hold | Release):
+                self._direct_client.send_order(roster.server_of(agent), pending.order)
                 requests[agent] = AgentRequest()
                 direct_requests[agent] = RankStateRequest(0, ReplyContent.STATE)
             else:
-                requests[agent] = AgentRequest(ReplyContent.STATE, want.order, wait_s)
+                requests[agent] = AgentRequest(
+                    ReplyContent.STATE, pending.order, wait_s
+                )
                 direct_requests[agent] = RankStateRequest(
-                    0, ReplyContent.STATE, want.order, int(wait_s * 1000)
+                    0, ReplyContent.STATE, pending.order, int(wait_s * 1000)
                 )
         replies = self._agent_client.request_all(
             {
@@ -121,7 +123,7 @@
         servers_by_agent: Mapping[str, str],
         replies: RepliesByAgent,
     ) -> None:
-        """Ask the servers whose agents are not among ``answers``, and add theirs."""
+        """Query the servers of agents without a reply and extend ``replies``."""
         agents_by_server = {
             servers_by_agent[agent]: agent
             for agent in requests_by_agent
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -1,9 +1,10 @@
-"""Gathers the loads of a data centre's servers and tells them to entries in one.
+"""Aggregates the loads of a data centre's servers into one message per entry.
 
-Load: 31 entries that each hear 72 agents four times a second are 9,000 messages a
-second, 290 of them at each entry and 120 at each agent. Harm prevented: between data
-centres each byte costs, and an agent's link and processor are its group's maps'. With
-one agent a data centre that tells for all, an entry hears twelve messages a second.
+If 31 entries each receive the load of 72 agents four times a second, that is 9,000
+messages a second: 290 at each entry and 120 at each agent. Traffic between data centres
+costs by the byte, and the link and processor of an agent are needed for the maps of its
+group. With one aggregating agent per data centre an entry receives twelve messages a
+second.
 """
 
 from __future__ import annotations
@@ -24,10 +25,11 @@
     from kingcupwheel.messages.membership import AgentHeartbeat
     from kingcupwheel.messages.membership import LoadsRequest
 
-# Members are asked to tell their loads so often, in seconds; they go on for four.
+# Members send their load for four seconds after each Hello message.
 _HELLO_INTERVAL_S = 1.0
-# What a member told counts for so long, and an entry is told without asking again.
+# How long a member's load is forwarded without a new heartbeat.
 _LOAD_TTL_S = 1.0
+# How long an entry is sent loads without renewing its subscription.
 _SUBSCRIPTION_TTL_S = 4.0
 
 
@@ -45,7 +47,7 @@
 
 
 class LoadAggregator:
-    """The loads of the members that entries asked for; safe from any thread."""
+    """Collects members' loads and sends them to subscribed entries; thread-safe."""
 
     def __init__(self, name: str, hub: MessageHub) -> None:
         self._hub = hub
@@ -56,7 +58,7 @@
         self._lock = Lock()
 
     def subscribe(self, link: Link, message: LoadsRequest, now: float) -> None:
-        """ReplyContent an entry the loads of these members for a while."""
+        """Create or renew the subscription of an entry."""
         with self._lock:
             subscription = self._subscriptions_by_link.setdefault(link, _Subscription())
             subscription.members = message.members
@@ -64,7 +66,7 @@
             subscription.renewed_at = now
 
     def handle_beat(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
-        """Take in the load of a member."""
+        """Store the load from a member's heartbeat."""
         if not isinstance(link, OutgoingLink):
             return
         load = beat.load
@@ -80,12 +82,12 @@
             self._loads_by_member[link.address] = _MemberLoad(server_load, now)
 
     def on_tick(self, now: float) -> None:
-        """Greet members and tell entries when it is time."""
+        """Send Hello messages and aggregated loads that are due."""
         with self._lock:
             for link in [
                 one
-                for one, by in self._subscriptions_by_link.items()
-                if now - by.renewed_at > _SUBSCRIPTION_TTL_S
+                for one, subscription in self._subscriptions_by_link.items()
+                if now - subscription.renewed_at > _SUBSCRIPTION_TTL_S
             ]:
                 del self._subscriptions_by_link[link]
             subscriptions = tuple(self._subscriptions_by_link.items())
@@ -94,13 +96,15 @@
             return
         if now - self._hello_sent_at >= _HELLO_INTERVAL_S:
             self._hello_sent_at = now
-            for member in {one for _, asker in subscriptions for one in asker.members}:
+            for member in {
+                one for _, subscription in subscriptions for one in subscription.members
+            }:
                 self._hub.send(OutgoingLink(member, 0), self._hello)
-        for link, asker in subscriptions:
-            if now - asker.sent_at >= asker.interval_s:
-                asker.sent_at = now
+        for link, subscription in subscriptions:
+            if now - subscription.sent_at >= subscription.interval_s:
+                subscription.sent_at = now
                 self._hub.send(
-                    link, LoadsReply(_fresh_loads(asker, loads_by_member, now))
+                    link, LoadsReply(_fresh_loads(subscription, loads_by_member, now))
                 )
 
 
--- a/src/kingcupwheel/lockstep/order_status.py
+++ b/src/kingcupwheel/lockstep/order_status.py
@@ -1,4 +1,4 @@
-"""Whether a rank's report shows that an order was carried out."""
+"""Checks of an order's status against the report of its rank."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def is_carried_out(order: RankOrder, state: RankState) -> bool:
-    """Return whether ``state`` shows ``order`` carried out."""
+    """Return whether ``state`` shows that ``order`` was carried out."""
     match order:
         case Prepare(_, version):
             return state.prepared == version
@@ -32,9 +32,10 @@
 
 
 def is_obsolete(order: RankOrder, state: RankState) -> bool:
-    """Return whether giving ``order`` again is pointless.
+    """Return whether ``order`` can't take effect any more.
 
-    The group has formed anew, a higher version took its place, or its pass has begun.
+    The group has a new epoch, a higher version supersedes the order, or its pass has
+    begun.
     """
     if state.epoch != order.epoch:
         return True
--- a/src/kingcupwheel/lockstep/orders.py
+++ b/src/kingcupwheel/lockstep/orders.py
@@ -1,4 +1,4 @@
-"""Orders to one rank; each names the epoch it is for and is void in any other."""
+"""Orders to one rank; an order is void in any epoch other than its own."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Copy the weights that ``layers`` (experts by layer and rank) needs here."""
+    """Copy the weights that the rank needs for ``layers`` (experts by layer, rank)."""
 
     epoch: int
     version: int
@@ -22,14 +22,14 @@
 
 
 class Disarm(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Forget that ``version`` is armed; void once it is in use."""
+    """Undo the arming of ``version``; void once that version is active."""
 
     epoch: int
     version: int
 
 
 class Hold(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Begin no pass ``step`` until it is released; it never expires."""
+    """Do not begin the pass ``step`` until it is released; a hold never expires."""
 
     epoch: int
     step: int
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -1,10 +1,10 @@
-"""Plans the next expert map of a group: few copies, the slowest ranks first.
+"""Plans the next expert map of a group with few copies, slowest ranks first.
 
-Load: all ranks run each pass together, and layer by layer the most loaded rank sets
-its length. Harm prevented: with experts dealt out in turn the slowest rank has three to
-four times the mean, passes take as much longer, and callers wait in the engines'
-queues. Copies take time on the rank that copies, so a round is bounded by its busiest
-copier, and the next round follows as soon as it is in force.
+All ranks run each pass together, and in each layer the most loaded rank determines the
+duration. With a round-robin placement the slowest rank has three to four times the mean
+load, passes take as much longer, and requests wait in the engines' queues. Copying
+takes time on the receiving rank, so a round is limited by the copies of its busiest
+rank, and the next round follows as soon as the map is active.
 """
 
 from __future__ import annotations
@@ -18,22 +18,24 @@
     from collections.abc import Sequence
 
 
-# How long a rank may copy in a round, in seconds, over all layers. Where a copy takes
-# 0.11 s, three rounds of three are in force as soon as one of nine, the first after a
-# third. Where it takes 0.016 s a round's other steps take longer than its copies.
+# Time that a rank may spend on copies in a round, over all layers. If a copy takes
+# 0.11 s, three rounds of three copies take as long as one of nine, and the first is
+# active after a third of that. If it takes 0.016 s, the other steps of a round take
+# longer than its copies.
 ROUND_COPY_BUDGET_S = 0.34
 
-# A layer whose slowest rank is within this part over the mean is left alone, and that
-# much more where passes are short anyhow (see ``balancing``).
+# A layer whose slowest rank is within this ratio over the mean is not changed. The
+# balancer uses a higher tolerance where passes are short.
 SKEW_TOLERANCE = 0.04
 
-# A change must take this part of the mean off a layer's slowest rank.
+# A change must reduce the load of a layer's slowest rank by this part of the mean.
 MIN_CHANGE_GAIN = 0.01
 
-# Coolest ranks that are tried as the other side of a change.
+# Least loaded ranks that are tried as the target of a change.
 _MAX_TARGET_RANKS = 6
-# Changes of one layer in one round, at least and for each rank; it bounds the time of a
-# plan. With 16 for 72 ranks a round from a skew of 2.8 ended at 1.35, with 36 at 1.26.
+# Limit of the changes of a layer in a round: the larger of a fixed number and one per
+# rank. It bounds the planning time. For 72 ranks and a skew of 2.8 a round reaches 1.35
+# with 16 changes and 1.26 with 36.
 _MIN_LAYER_CHANGE_LIMIT = 16
 _LAYER_CHANGES_PER_RANK = 0.5
 
@@ -41,7 +43,10 @@
 
 
 class PlanLimits(NamedTuple):
-    """What a map and a change may have: places a rank, new experts a rank and layer."""
+    """Limits of a plan: slots per rank and layer, new experts per rank and layer.
+
+    ``copies_per_rank`` limits the copies of a rank over all layers in one round.
+    """
 
     slots_per_rank: int
     new_experts_per_layer: int
@@ -49,14 +54,17 @@
 
 
 def plan_limits(places: int, spare: int, copy_s: float) -> PlanLimits:
-    """Return the bounds of a round; ``copy_s`` is how long one copy takes."""
+    """Return the limits of a round; ``copy_s`` is the duration of one copy."""
     return PlanLimits(
         places, spare, max(1, int(ROUND_COPY_BUDGET_S / copy_s) if copy_s else spare)
     )
 
 
 class PlacementPlan(NamedTuple):
-    """A map to change to; skews are of the slowest ranks over the mean, all layers."""
+    """A new map, its copies, and the skew before and after it.
+
+    The skew is the load of the slowest ranks over the mean, summed over all layers.
+    """
 
     layers: tuple[Placement, ...]
     copies: int
@@ -80,11 +88,12 @@
     *,
     skew_tolerance: Callable[[float], float] = lambda _: SKEW_TOLERANCE,
 ) -> PlacementPlan | None:
-    """Return the next map towards even ranks, or None if no change is worth it.
+    """Return the next map towards balanced ranks, or None if no change is sufficient.
 
-    ``paces`` are how many times its usual time each rank takes; a slow one is relieved
-    until its part of a pass takes as long as the others'. ``enough`` returns, for the
-    skew as it is, the part over the mean at which a layer is left alone.
+    ``paces`` are the ranks' pass times relative to the usual time; experts move away
+    from a slow rank until its part of a pass takes as long as that of the others.
+    ``skew_tolerance`` returns, for the present skew, the ratio over the mean up to
+    which a layer is not changed.
     """
     ranks = len(layers[0])
     copies_left = [limits.copies_per_rank] * ranks
@@ -109,7 +118,7 @@
 
 
 class _LayerEditor:
-    """One layer's placement while it is changed; loads are times, paces included."""
+    """Edits the placement of one layer; loads are times, including the paces."""
 
     def __init__(
         self,
@@ -146,11 +155,11 @@
 
     @property
     def placement(self) -> Placement:
-        """The layer as it stands."""
+        """The placement with all changes so far."""
         return tuple(tuple(sorted(held)) for held in self._experts_by_rank)
 
     def improve(self, skew_tolerance: float) -> bool:
-        """Make the change that relieves the slowest rank most; tell if there is one."""
+        """Apply the best change for the slowest rank; return whether one exists."""
         order = sorted(
             range(len(self._load_by_rank)), key=self._load_by_rank.__getitem__
         )
@@ -199,7 +208,7 @@
         return found
 
     def _may_copy(self, rank: int, expert: int) -> bool:
-        # Weights that the rank has now are there already.
+        # The rank still has the weights of its initial experts.
         if expert in self._initial_experts_by_rank[rank]:
             return True
         return self._new_left_by_rank[rank] > 0 and self._copies_left_by_rank[rank] > 0
@@ -207,7 +216,7 @@
     def _evaluate_replica(
         self, hot: int, cool: int, expert: int, evicted: int | None
     ) -> _PlacementChange:
-        """Weigh one more replica of ``expert`` on ``cool``."""
+        """Evaluate another replica of ``expert`` on ``cool``."""
         count = len(self._ranks_by_expert[expert])
         share = self._load_by_expert[expert] / count
         smaller = self._load_by_expert[expert] / (count + 1)
@@ -234,7 +243,7 @@
         )
 
     def _evaluate_move(self, hot: int, cool: int, expert: int) -> _PlacementChange:
-        """Weigh that ``cool`` takes ``expert`` over; a slow rank may hold none."""
+        """Evaluate a move of ``expert`` to ``cool``, which may empty a slow rank."""
         share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
         slowest = max(
             self._load_by_rank[hot] - share * self._pace_by_rank[hot],
@@ -245,7 +254,7 @@
     def _evaluate_swap(
         self, hot: int, cool: int, expert: int, other: int
     ) -> _PlacementChange:
-        """Weigh an exchange of ``expert`` for ``other``."""
+        """Evaluate a swap of ``expert`` for ``other``."""
         given = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
         taken = self._load_by_expert[other]
         slowest = max(
@@ -294,6 +303,6 @@
 def round_robin_placement(
     ranks: int, layers: int, experts: int
 ) -> tuple[Placement, ...]:
-    """Return the map that a group forms with: experts dealt out in turn."""
+    """Return the initial map of a group, with experts assigned round robin."""
     layer = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
     return (layer,) * layers
--- a/src/kingcupwheel/lockstep/popularity.py
+++ b/src/kingcupwheel/lockstep/popularity.py
@@ -1,9 +1,8 @@
-"""Estimates how much of each layer's work goes to each expert.
+"""Estimates the share of each expert in the work of its layer.
 
-Load: what experts are asked for drifts, and jumps within a second when callers turn to
-other work. Harm prevented: an estimate that remembers too long moves experts for a
-demand that is over; one that remembers too little moves them for the few requests that
-happen to run.
+The demand for experts drifts, and jumps within a second when callers change their kind
+of work. An estimate with too long a memory moves experts for a demand that is over; one
+with too short a memory moves them for the few requests that happen to run.
 """
 
 from __future__ import annotations
@@ -17,42 +16,43 @@
     from collections.abc import Sequence
 
 
-# Choices of experts in a layer below which a sample says too little and is added to the
-# next: some forty requests' prompts at eight choices a token.
+# A sample with fewer choices in a layer is too small and is merged into the next. This
+# is about forty requests' prompts at eight choices per token.
 MIN_SAMPLE_CHOICES = 4_000
 
-# Distance (sum of absolute differences of shares, 0 to 2) from which a sample is taken
-# as a jump and what came before is forgotten. Of 340 samples of two recorded days those
-# of a steady demand differed by 0.07 to 0.27, those across a jump by 0.35 to 0.88.
+# Distance (sum of absolute differences of shares, 0 to 2) above which a sample is a
+# jump and replaces the estimate. Samples of a steady demand differ by 0.07 to 0.27,
+# samples across a jump by 0.35 to 0.88 (340 samples of two days).
 JUMP_DISTANCE = 0.33
 
-# The same as a multiple of the distance that chance alone would show, worked out from
-# how much the ranks' own counts differ. On a recorded day of 16 ranks samples of a
-# steady demand were at 1.4 to 3.7 times that, those across a jump at 5.5 to 8.
+# Like JUMP_DISTANCE, as a multiple of the noise, which is estimated from the
+# differences between the ranks' counts. With 16 ranks, samples of a steady demand are
+# at 1.4 to 3.7 times the noise, samples across a jump at 5.5 to 8 times.
 JUMP_NOISE_FACTOR = 4.5
-# A distance below which nothing is taken as a jump, however little the chance.
+# A smaller distance is never a jump, however low the noise.
 MIN_JUMP_DISTANCE = 0.06
-# Layers by which chance is worked out: each costs as much as summing a layer's counts,
-# and requests differ alike in all of them.
+# Layers from which the noise is estimated. Each costs as much as summing the counts of
+# a layer, and requests differ in the same way in all layers.
 _NOISE_SAMPLE_LAYERS = 3
 
-# Part of the estimate that a sample takes without a jump. Played over the same recorded
-# samples, a quarter and the gains asked of a change (see ``balancing``) halve the
-# copies against 0.4 (900 for 1,500), with the mean skew within 0.03.
+# Weight of a new sample in the estimate without a jump. Together with the minimum gains
+# in ``balancer`` a quarter nearly halves the copies in comparison with 0.4 (900 instead
+# of 1,500), with a mean skew within 0.03.
 SAMPLE_WEIGHT = 0.25
 
-# The mean distance from zero of a normal variable of deviation 1.
+# Mean absolute value of a normal variable with a standard deviation of 1.
 _MEAN_ABS_NORMAL = math.sqrt(2 / math.pi)
 
 LayerShares = tuple[float, ...]
 
 
 class ExpertPopularity:
-    """The share of each expert in its layer's work, by layer.
+    """Estimate of the share of each expert in the work of its layer, by layer.
 
-    ``choices`` are those of a layer in the latest sample; ``jumped`` tells whether it
-    replaced what was known before, ``moved`` how far it was from that, and ``noise``
-    how far chance alone would have put it.
+    ``choice_count`` is the number of choices in a layer of the latest sample.
+    ``has_jumped`` tells whether that sample replaced the estimate, ``sample_distance``
+    its distance from the estimate, and ``noise_distance`` the distance expected from
+    noise alone.
     """
 
     def __init__(self, layers: int, experts: int) -> None:
@@ -66,9 +66,9 @@
         self.noise_distance = 0.0
 
     def add_sample(self, counts_by_source: Iterable[Sequence[float]]) -> bool:
-        """Add counts (all layers in one list); return whether the estimate moved.
+        """Add counts (all layers in one list); return whether the estimate changed.
 
-        Each part is of other requests than the rest: of one rank, or of some together.
+        Each source counts requests of its own: those of one rank or of several.
         """
         self._pending_counts.extend(counts_by_source)
         counts = [sum(column) for column in zip(*self._pending_counts, strict=True)]
@@ -86,7 +86,7 @@
         return True
 
     def _estimate_noise(self, sample: tuple[LayerShares, ...]) -> float:
-        """Return the distance that a sample of these parts has by chance alone."""
+        """Return the distance of the pending sample expected from noise alone."""
         parts = [one for one in self._pending_counts if any(one)]
         if len(parts) < 2:
             return 0.0
@@ -123,7 +123,7 @@
 
 
 def mean_distance(old: Sequence[LayerShares], new: Sequence[LayerShares]) -> float:
-    """Return the mean distance of the layers' shares, 0 to 2."""
+    """Return the distance between two samples, 0 to 2, as a mean over layers."""
     total = sum(
         abs(before - after)
         for first, second in zip(old, new, strict=True)
@@ -133,10 +133,10 @@
 
 
 def _expected_distance(parts: Sequence[Sequence[float]], shares: LayerShares) -> float:
-    """Return the mean distance between a sample of these parts and the truth.
+    """Return the expected distance between a sample of these parts and the truth.
 
-    Parts vary by whole requests, whose choices go together; their number and not the
-    choices' says how much a sample is worth.
+    The choices of one request are correlated, so the number of requests, not that of
+    choices, determines the accuracy of a sample.
     """
     sizes = [sum(part) for part in parts]
     whole = sum(sizes) or 1.0
--- a/src/kingcupwheel/lockstep/rank_reports.py
+++ b/src/kingcupwheel/lockstep/rank_reports.py
@@ -1,4 +1,4 @@
-"""What a rank of a lock-stepped group reports."""
+"""Reports of a rank of a lock-stepped group."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 
 class RankState(msgspec.Struct, frozen=True, array_like=True):
-    """A rank's report.
-
-    ``epoch`` names the group's formation; in a new one every rank is back on version 0
-    with nothing prepared, armed or held. ``step`` is the last pass begun; an idle group
-    begins none. ``version`` is the map in force, ``prepared`` and ``armed`` are
-    versions (0: none). ``held`` is the pass that waits to be released. ``pace`` over 1
-    is slow. ``born_ms`` is when the server started (Unix milliseconds, 0: not told).
+    """State of a rank.
+
+    ``epoch`` identifies the formation of the group; in a new epoch every rank starts
+    with version 0 and nothing prepared, armed or held. ``step`` is the latest pass
+    begun; an idle group begins none. ``version`` is the active map; ``prepared`` and
+    ``armed`` are versions (0: none). ``held`` is the pass that waits for its release.
+    ``pace`` is the pass time relative to the usual one; above 1 is slow. ``born_ms`` is
+    the start time of the server (Unix milliseconds, 0: unknown).
     """
 
     group: str
@@ -32,9 +33,9 @@
 
 
 class RankCounts(msgspec.Struct, frozen=True, array_like=True):
-    """How often a rank's requests chose each expert, layer by layer in one list.
+    """How often the requests of a rank chose each expert, layer by layer in one list.
 
-    They count from the server's start, which ``born_ms`` names (0: not told).
+    Counted since the server started at ``born_ms`` (Unix milliseconds, 0: unknown).
     """
 
     epoch: int
--- a/src/kingcupwheel/lockstep/roster.py
+++ b/src/kingcupwheel/lockstep/roster.py
@@ -1,4 +1,4 @@
-"""Where the ranks of a group are, and what map they have."""
+"""Addresses of a group's agents and servers, and the map from their reports."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class PairedServer(NamedTuple):
-    """The server beside an agent, and the data centre of both."""
+    """The address of an agent's server, and the data centre of both."""
 
     server: str
     data_centre: str
 
 
 class Roster(NamedTuple):
-    """Where the ranks of one epoch are: addresses of agents, and of servers.
+    """Addresses of the agents and servers of a group's ranks in one epoch.
 
-    ``ranks`` is the group's size; rank 0 may be missing from ``agents_by_rank`` for an
-    agent that ends a hold without it.
+    Rank 0 may be missing from ``agents_by_rank`` for an agent that ends a hold without
+    it, but is included in ``rank_count``.
     """
 
     epoch: int
@@ -39,16 +39,16 @@
     servers_by_agent: Mapping[str, PairedServer]
 
     def server_of(self, agent: str) -> str:
-        """Return the address of the server beside an agent."""
+        """Return the address of an agent's server."""
         return self.servers_by_agent[agent].server
 
     def is_same_incarnation(
         self, rank: int, known: RankState | None, reported: RankState
     ) -> bool:
-        """Return whether a report is of the same rank, epoch and life as before.
+        """Return whether a report has the same rank, epoch and server start as before.
 
-        A server that started anew has no map, and nothing prepared or armed, whatever
-        was seen of it before.
+        A restarted server has no map and nothing prepared or armed, whatever it
+        reported before.
         """
         if reported.epoch != self.epoch or reported.rank != rank:
             return False
@@ -56,12 +56,12 @@
 
     @property
     def branch_heads(self) -> dict[str, str]:
-        """The agents through which this group's agents are asked."""
+        """The head of the branch of each agent."""
         return find_branch_heads(self.servers_by_agent, self.agents_by_rank.values())
 
 
 class RankReport(NamedTuple):
-    """A rank that answered: its agent, its state and its experts by layer."""
+    """The agent, state and experts of a rank that responded."""
 
     agent: str
     state: RankState
@@ -71,20 +71,20 @@
 def collect_reports(
     own_state: RankState, replies: Mapping[str, RankStateReply]
 ) -> dict[int, RankReport]:
-    """Return the ranks among ``answers`` that are in the group and epoch of ``own``."""
+    """Return the reports by rank of the group and epoch of ``own_state``."""
     return {
-        told.state.rank: RankReport(agent, told.state, told.placement)
-        for agent, told in replies.items()
-        if told.state is not None
-        and told.state.epoch == own_state.epoch
-        and told.state.group == own_state.group
+        reply.state.rank: RankReport(agent, reply.state, reply.placement)
+        for agent, reply in replies.items()
+        if reply.state is not None
+        and reply.state.epoch == own_state.epoch
+        and reply.state.group == own_state.group
     }
 
 
 def find_branch_heads(
     servers_by_agent: Mapping[str, PairedServer], agents: Iterable[str]
 ) -> dict[str, str]:
-    """Return the agent through which each of ``agents`` is asked."""
+    """Return the head of the branch of each agent."""
     return assign_branch_heads(
         {agent: servers_by_agent[agent].data_centre for agent in agents}
     )
@@ -93,9 +93,9 @@
 def assemble_active_map(
     reports_by_rank: Mapping[int, RankReport], rank_count: int, shape: EngineShape
 ) -> LayerPlacements:
-    """Return the map in force, put together from each rank's experts.
+    """Return the active map, assembled from the experts of each rank.
 
-    A rank that is missing is given the experts that no other one has.
+    A missing rank is assigned the experts that no other rank holds.
     """
     if not all(
         len(one.experts_by_layer) == shape.layer_count
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -1,13 +1,13 @@
-"""Whether an agent has to take charge of its group, and what it then begins with.
+"""Decides whether an agent takes over the coordination of its group.
 
-The agent beside rank 0 does so whenever it has no charge.
+The agent beside rank 0 does so whenever it has no session.
 
-Failure: that agent is frozen, or killed, between a hold and its release. Symptom: the
-whole group stands still until it is back. The agents of two other ranks then end the
-change, and do nothing else. If rank 0's server answers they complete it: every rank is
-prepared before a pass is held, and completing it twice does no harm. If its whole
-machine is frozen they make the change void. For that the hold is given past the agents,
-to a server on another machine, so that what gave it and what holds it are not lost
+If that agent is frozen or killed between a hold and its release, the whole group would
+stop until it is back. The agents of two other ranks then end the change, and do nothing
+else. If the server of rank 0 responds they complete the change: every rank is prepared
+before a pass is held, and completing it twice is harmless. If its whole machine is
+frozen they void the change. For that the hold is sent directly to a server on another
+machine, so that the sender of the hold and the holder of the pass can't be lost
 together.
 """
 
@@ -41,19 +41,19 @@
 
 log = lines_of("maps")
 
-# How often an agent that does not coordinate looks whether it has to, in seconds.
+# How often an agent without a session checks whether it has to take over.
 TAKEOVER_CHECK_INTERVAL_S = 0.4
-# Ranks whose agents end a change that rank 0's leaves unfinished.
+# Ranks whose agents end a change that the agent of rank 0 left unfinished.
 RESCUER_RANKS = (1, 2)
-# How often they look at their own rank, in seconds.
+# How often these agents read the state of their own rank.
 RESCUE_CHECK_INTERVAL_S = 0.15
 
 
 class TakeoverMonitor:
-    """Looks at the rank beside this process, and then at its group, when it has to.
+    """Monitors the local rank and starts a session when a takeover is due.
 
-    ``find_servers`` returns the addresses of the group's servers by their agents'
-    addresses, ``shape`` the engine's shape once it is known.
+    ``find_servers`` returns the group's servers by agent address, ``shape`` the shape
+    of the engine or None while it is unknown.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._stall_detector = StallDetector()
 
     def check(self) -> CoordinationSession | float:
-        """Return the charge to take, or the seconds until the next look."""
+        """Return a new session, or the seconds until the next check."""
         report = self._client.fetch_state()
         if report.is_error() or not report.ok.is_open:
             return TAKEOVER_CHECK_INTERVAL_S
@@ -91,11 +91,11 @@
     def _start_session(
         self, own_state: RankState, shape: EngineShape, *, is_rescue: bool
     ) -> CoordinationSession | None:
-        """Return the charge of the group of ``own``, None if there is nothing to do."""
+        """Return a session of the rank's group, None if there is nothing to do."""
         servers_by_agent = self._find_servers()
         replies = self._group_client.fetch_placements(servers_by_agent)
         reports = collect_reports(own_state, replies)
-        # Rank 0 alone is missing: its whole machine is frozen or gone.
+        # Only rank 0 is missing: its whole machine is frozen or lost.
         is_rank_0_missing = is_rescue and set(reports) == set(range(1, own_state.ranks))
         if len(reports) < own_state.ranks and not is_rank_0_missing:
             log.info(
