--- a/src/kingcupwheel/forwarding/peers.py
+++ b/src/kingcupwheel/forwarding/peers.py
@@ -53,7 +53,7 @@
 
 
 class PeerTable:
-    """The other entries by name; not thread-safe, callers hold a lock."""
+    """The other entries by name; not thread-safe, its owner holds a lock."""
 
     def __init__(self, own_entry: EntryInfo) -> None:
         self._own_entry = own_entry
