--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -85,7 +85,7 @@
             priority=request.organisation.priority,
             work=self._plan.work,
             size=len(request.body),
-            first_by=request.deadline_at,
+            first_byte_deadline_at=request.deadline_at,
         )
         ticket = dispatcher.submit(wanted, ask)
         if not isinstance(ticket, Ticket):
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -81,7 +81,7 @@
             queued_at=now,
         )
         ticket = Ticket(waiting, ask)
-        is_late = waiting.deadline_at <= now < wanted.first_by
+        is_late = waiting.deadline_at <= now < wanted.first_byte_deadline_at
         with self._lock:
             if is_late and self._place_on_idle(ticket, now):
                 return ticket
@@ -96,7 +96,9 @@
         # Placed just before its deadline, a request would be run in vain: its first
         # byte takes as long as ever.
         with self._lock:
-            return wanted.first_by - self._first_byte.bound_s(wanted.size, monotonic())
+            return wanted.first_byte_deadline_at - self._first_byte.bound_s(
+                wanted.size, monotonic()
+            )
 
     def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
         if ticket.ask.is_suspect or ticket.ask.excluded_servers:
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -27,7 +27,7 @@
     priority: int
     work: float
     size: float
-    first_by: float
+    first_byte_deadline_at: float
 
 
 class Place(NamedTuple):
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -97,5 +97,5 @@
         priority=max(0, LOWEST_PRIORITY - request.priority),
         work=request.predicted_work,
         size=request.head.prompt_tokens,
-        first_by=request.deadlines.first_byte_deadline,
+        first_byte_deadline_at=request.deadlines.first_byte_deadline,
     )
