--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -84,7 +84,7 @@
             organisation=request.organisation.name,
             priority=request.organisation.priority,
             work=self._plan.work,
-            size=len(request.body),
+            size_bytes=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
         ticket = dispatcher.submit(wanted, ask)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -97,7 +97,7 @@
         # byte takes as long as ever.
         with self._lock:
             return wanted.first_byte_deadline_at - self._first_byte.bound_s(
-                wanted.size, monotonic()
+                wanted.size_bytes, monotonic()
             )
 
     def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -26,7 +26,7 @@
     organisation: str
     priority: int
     work: float
-    size: float
+    size_bytes: float
     first_byte_deadline_at: float
 
 
