--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -12,9 +12,9 @@
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import Place
+from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.entry.tickets import TimedOut
-from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
@@ -79,7 +79,7 @@
             is_repeatable=request.route.repeatable,
         )
         dispatcher = self._context.dispatchers.of(request.group)
-        wanted = Wanted(
+        wanted = SubmittedRequest(
             request_id=request.request_id,
             organisation=request.organisation.name,
             priority=request.organisation.priority,
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.servers import Server
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.entry.tickets import Wanted
+    from kingcupwheel.entry.tickets import SubmittedRequest
     from kingcupwheel.manifest.schema import ServerGroup
 
 # Waiting requests that only some servers may take (retries, suspects) are tried apart
@@ -69,7 +69,9 @@
         """How many requests wait."""
         return len(self._tickets_by_request_id)
 
-    def submit(self, wanted: Wanted, ask: PlacementRequest) -> Ticket | LimitRefusal:
+    def submit(
+        self, wanted: SubmittedRequest, ask: PlacementRequest
+    ) -> Ticket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
         waiting = QueuedRequest(
@@ -92,7 +94,7 @@
             self._pump(now)
         return ticket
 
-    def _leave_queue_by(self, wanted: Wanted) -> float:
+    def _leave_queue_by(self, wanted: SubmittedRequest) -> float:
         # Placed just before its deadline, a request would be run in vain: its first
         # byte takes as long as ever.
         with self._lock:
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -15,7 +15,7 @@
     from kingcupwheel.decisions.fair_queue import QueuedRequest
 
 
-class Wanted(NamedTuple):
+class SubmittedRequest(NamedTuple):
     """What a request asks of a group's queue.
 
     ``work`` is predicted work in tokens, ``size`` what its first byte's time grows
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -10,8 +10,8 @@
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import Place
+from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.entry.tickets import Ticket
-from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.final_refusals import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
@@ -90,8 +90,8 @@
         dispatcher.pump()
 
 
-def _ticket_request(request: ForwardRequest) -> Wanted:
-    return Wanted(
+def _ticket_request(request: ForwardRequest) -> SubmittedRequest:
+    return SubmittedRequest(
         request_id=request.id,
         organisation=request.organisation,
         priority=max(0, LOWEST_PRIORITY - request.priority),
