--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -135,7 +135,9 @@
 
     def release(self, place: Place) -> None:
         """Give the place back and let the next request have it."""
-        self._servers.give_back(place.address, place.incarnation, suspect=place.suspect)
+        self._servers.give_back(
+            place.address, place.incarnation, suspect=place.is_suspect
+        )
         self.pump()
 
     def succeeded(self, place: Place, token_s: float) -> None:
@@ -343,7 +345,7 @@
         decision=decision,
         waited_s=now - ticket.waiting.queued_at,
         work=ticket.waiting.work,
-        suspect=ticket.ask.is_suspect,
+        is_suspect=ticket.ask.is_suspect,
     )
 
 
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -40,7 +40,7 @@
     decision: SelectedServer
     waited_s: float
     work: float
-    suspect: bool
+    is_suspect: bool
 
 
 class TimedOut(NamedTuple):
