--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -158,7 +158,7 @@
 
 def _timed_out(timed_out: TimedOut, retry_after_s: float) -> Refusal:
     message = f"No server could take it in time: {timed_out.why}."
-    return Refusal(503, timed_out.limit, message, retry_after_s)
+    return Refusal(503, timed_out.reason, message, retry_after_s)
 
 
 def _dispatch_of(
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -51,7 +51,7 @@
     first rest still lasts where nothing but rests stands in the way, else 0.
     """
 
-    limit: str
+    reason: str
     why: str
     rest_s: float = 0.0
 
