--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -157,7 +157,7 @@
 
 
 def _timed_out(timed_out: TimedOut, retry_after_s: float) -> Refusal:
-    message = f"No server could take it in time: {timed_out.why}."
+    message = f"No server could take it in time: {timed_out.detail}."
     return Refusal(503, timed_out.reason, message, retry_after_s)
 
 
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -52,7 +52,7 @@
     """
 
     reason: str
-    why: str
+    detail: str
     rest_s: float = 0.0
 
 
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -78,7 +78,7 @@
             dispatcher.release(place)
         elif place is not None:
             after_s = retry_after_s(request.id, place.rest_s)
-            return NoPlace(place.reason, place.why, after_s)
+            return NoPlace(place.reason, place.detail, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
             if watched.abort_reason is AbortReason.CALLER_LEFT:
