--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -53,7 +53,7 @@
 
     reason: str
     detail: str
-    rest_s: float = 0.0
+    backoff_left_s: float = 0.0
 
 
 class Ticket:
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -77,7 +77,7 @@
                 return place
             dispatcher.release(place)
         elif place is not None:
-            after_s = retry_after_s(request.id, place.rest_s)
+            after_s = retry_after_s(request.id, place.backoff_left_s)
             return NoPlace(place.reason, place.detail, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
