--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -11,10 +11,10 @@
 from kingcupwheel.entry.reading import CREDIT_BYTES
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.entry.tickets import PlacementFailure
 from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.entry.tickets import Ticket
-from kingcupwheel.entry.tickets import TimedOut
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
@@ -94,13 +94,13 @@
         if place is None:
             self._record(Queued(ticket.waiting_ahead))
             place = self._wait(ticket)
-        if isinstance(place, TimedOut):
+        if isinstance(place, PlacementFailure):
             return _timed_out(place, self._context.limits.retry_after(request))
         self._count += 1
         self._record_place(place)
         return place
 
-    def _wait(self, ticket: Ticket) -> Reservation | TimedOut:
+    def _wait(self, ticket: Ticket) -> Reservation | PlacementFailure:
         dispatcher = self._context.dispatchers.of(self._plan.request.group)
         while True:
             place = ticket.wait(CALLER_CHECK_S)
@@ -156,7 +156,7 @@
         self._context.recorder.record(self._plan.request.request_id, event)
 
 
-def _timed_out(timed_out: TimedOut, retry_after_s: float) -> Refusal:
+def _timed_out(timed_out: PlacementFailure, retry_after_s: float) -> Refusal:
     message = f"No server could take it in time: {timed_out.detail}."
     return Refusal(503, timed_out.reason, message, retry_after_s)
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -27,9 +27,9 @@
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.decisions.server_health import ServerState
+from kingcupwheel.entry.tickets import PlacementFailure
 from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.entry.tickets import Ticket
-from kingcupwheel.entry.tickets import TimedOut
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -229,7 +229,7 @@
         ]
         for ticket in late:
             self._forget(ticket)
-            ticket.give(TimedOut("deadline", ticket.last_hindrance))
+            ticket.give(PlacementFailure("deadline", ticket.last_hindrance))
 
     def _place(self, ticket: Ticket, now: float) -> bool:
         with self._servers.lock:
@@ -240,7 +240,7 @@
             match decision:
                 case NoServerAvailable():
                     ticket.hindrance = decision
-                    place: Reservation | TimedOut | None = _in_vain(
+                    place: Reservation | PlacementFailure | None = _in_vain(
                         ticket, decision, now
                     )
                 case SelectedServer(server=name):
@@ -321,15 +321,15 @@
 
 def _in_vain(
     ticket: Ticket, hindrance: NoServerAvailable, now: float
-) -> TimedOut | None:
+) -> PlacementFailure | None:
     """Return the end of a wait that can't bring a place, None if it can."""
     over_at = hindrance.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
     if hindrance.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
-        return TimedOut("no-server", hindrance.reason, rest_s)
+        return PlacementFailure("no-server", hindrance.reason, rest_s)
     if over_at is not None and over_at >= ticket.waiting.deadline_at:
-        return TimedOut("servers-rest", hindrance.reason, rest_s)
+        return PlacementFailure("servers-rest", hindrance.reason, rest_s)
     return None
 
 
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -43,7 +43,7 @@
     is_suspect: bool
 
 
-class TimedOut(NamedTuple):
+class PlacementFailure(NamedTuple):
     """The wait ended without a place.
 
     ``limit`` is ``deadline``, or where waiting could not help ``no-server`` or
@@ -64,18 +64,18 @@
         self.ask = ask
         self.hindrance: NoServerAvailable | None = None
         self.waiting_ahead = 0
-        self._places: SimpleQueue[Reservation | TimedOut] = SimpleQueue()
+        self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
     def last_hindrance(self) -> str:
         """What stood in the way last."""
         return "no server is known" if self.hindrance is None else self.hindrance.reason
 
-    def give(self, place: Reservation | TimedOut) -> None:
+    def give(self, place: Reservation | PlacementFailure) -> None:
         """End the wait."""
         self._places.put(place)
 
-    def wait(self, timeout_s: float) -> Reservation | TimedOut | None:
+    def wait(self, timeout_s: float) -> Reservation | PlacementFailure | None:
         """Return the end of the wait, or None after ``timeout_s`` seconds."""
         try:
             return self._places.get(timeout=max(0.0, timeout_s))
