--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -108,7 +108,7 @@
                 return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
             return None
-        match self._queue.push(ticket.waiting, now):
+        match self._queue.push(ticket.queued, now):
             case Enqueued(ahead):
                 ticket.waiting_ahead = ahead
                 return None
@@ -124,7 +124,7 @@
             self.release(place)
 
     def _forget(self, ticket: Ticket) -> None:
-        request_id = ticket.waiting.request_id
+        request_id = ticket.queued.request_id
         if self._tickets_by_request_id.get(request_id) is ticket:
             del self._tickets_by_request_id[request_id]
         self._queue.remove(request_id, monotonic())
@@ -225,7 +225,7 @@
         late = [
             ticket
             for ticket in self._tickets_by_request_id.values()
-            if ticket.waiting.deadline_at <= now
+            if ticket.queued.deadline_at <= now
         ]
         for ticket in late:
             self._forget(ticket)
@@ -247,7 +247,7 @@
                     place = _take(servers[name], decision, ticket, now)
         if place is None:
             return False
-        del self._tickets_by_request_id[ticket.waiting.request_id]
+        del self._tickets_by_request_id[ticket.queued.request_id]
         ticket.give(place)
         return True
 
@@ -328,7 +328,7 @@
     if hindrance.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
         return PlacementFailure("no-server", hindrance.reason, rest_s)
-    if over_at is not None and over_at >= ticket.waiting.deadline_at:
+    if over_at is not None and over_at >= ticket.queued.deadline_at:
         return PlacementFailure("servers-rest", hindrance.reason, rest_s)
     return None
 
@@ -345,8 +345,8 @@
         incarnation=beat.incarnation,
         token=beat.token,
         decision=decision,
-        waited_s=now - ticket.waiting.queued_at,
-        work=ticket.waiting.work,
+        waited_s=now - ticket.queued.queued_at,
+        work=ticket.queued.work,
         is_suspect=ticket.ask.is_suspect,
     )
 
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -60,7 +60,7 @@
     """A request's wait for a place."""
 
     def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
-        self.waiting = waiting
+        self.queued = waiting
         self.ask = ask
         self.hindrance: NoServerAvailable | None = None
         self.waiting_ahead = 0
