--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -103,7 +103,10 @@
             )
 
     def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
-        if ticket.ask.is_suspect or ticket.ask.excluded_servers:
+        if (
+            ticket.placement_request.is_suspect
+            or ticket.placement_request.excluded_servers
+        ):
             if len(self._aside) >= _MAX_ASIDE:
                 return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
             self._aside.append(ticket)
@@ -235,7 +238,10 @@
         with self._servers.lock:
             servers = self._heard()
             decision = self._policy.place(
-                self._candidates(servers, now), ticket.ask, now, self._draw
+                self._candidates(servers, now),
+                ticket.placement_request,
+                now,
+                self._draw,
             )
             match decision:
                 case NoServerAvailable():
@@ -264,7 +270,9 @@
         with self._servers.lock:
             servers = self._heard()
             idle = [one for one in self._candidates(servers, now) if one.is_idle]
-            decision = self._policy.place(idle, ticket.ask, now, self._draw)
+            decision = self._policy.place(
+                idle, ticket.placement_request, now, self._draw
+            )
             if not isinstance(decision, SelectedServer):
                 return False
             place = _take(servers[decision.server], decision, ticket, now)
@@ -338,7 +346,7 @@
 ) -> Reservation:
     beat = server.known_beat
     server.in_flight += 1
-    server.suspects += ticket.ask.is_suspect
+    server.suspects += ticket.placement_request.is_suspect
     return Reservation(
         server=server.name,
         address=server.instance.address,
@@ -347,7 +355,7 @@
         decision=decision,
         waited_s=now - ticket.queued.queued_at,
         work=ticket.queued.work,
-        is_suspect=ticket.ask.is_suspect,
+        is_suspect=ticket.placement_request.is_suspect,
     )
 
 
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -61,7 +61,7 @@
 
     def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
         self.queued = waiting
-        self.ask = ask
+        self.placement_request = ask
         self.hindrance: NoServerAvailable | None = None
         self.waiting_ahead = 0
         self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
