--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -203,7 +203,7 @@
 
     def _tell_in_vain(self, held: Ticket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
-        hindrance = held.hindrance
+        hindrance = held.blocked_by
         if hindrance is None or hindrance.backoff_ends_at is None:
             return
         waiting = self._tickets_by_request_id.values()
@@ -245,7 +245,7 @@
             )
             match decision:
                 case NoServerAvailable():
-                    ticket.hindrance = decision
+                    ticket.blocked_by = decision
                     place: Reservation | PlacementFailure | None = _in_vain(
                         ticket, decision, now
                     )
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -62,14 +62,16 @@
     def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
         self.queued = waiting
         self.placement_request = ask
-        self.hindrance: NoServerAvailable | None = None
+        self.blocked_by: NoServerAvailable | None = None
         self.waiting_ahead = 0
         self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
     def last_hindrance(self) -> str:
         """What stood in the way last."""
-        return "no server is known" if self.hindrance is None else self.hindrance.reason
+        return (
+            "no server is known" if self.blocked_by is None else self.blocked_by.reason
+        )
 
     def give(self, place: Reservation | PlacementFailure) -> None:
         """End the wait."""
