--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -232,7 +232,7 @@
         ]
         for ticket in late:
             self._forget(ticket)
-            ticket.give(PlacementFailure("deadline", ticket.last_hindrance))
+            ticket.give(PlacementFailure("deadline", ticket.blocking_reason))
 
     def _place(self, ticket: Ticket, now: float) -> bool:
         with self._servers.lock:
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -67,7 +67,7 @@
         self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
-    def last_hindrance(self) -> str:
+    def blocking_reason(self) -> str:
         """What stood in the way last."""
         return (
             "no server is known" if self.blocked_by is None else self.blocked_by.reason
