--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -92,7 +92,7 @@
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
         place = ticket.wait(0)
         if place is None:
-            self._record(Queued(ticket.waiting_ahead))
+            self._record(Queued(ticket.requests_ahead))
             place = self._wait(ticket)
         if isinstance(place, PlacementFailure):
             return _timed_out(place, self._context.limits.retry_after(request))
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -113,7 +113,7 @@
             return None
         match self._queue.push(ticket.queued, now):
             case Enqueued(ahead):
-                ticket.waiting_ahead = ahead
+                ticket.requests_ahead = ahead
                 return None
             case LimitRefusal() as refused:
                 return refused
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -63,7 +63,7 @@
         self.queued = waiting
         self.placement_request = ask
         self.blocked_by: NoServerAvailable | None = None
-        self.waiting_ahead = 0
+        self.requests_ahead = 0
         self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
