--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -211,7 +211,7 @@
             ended = _in_vain(ticket, hindrance, now)
             if ended is not None:
                 self._forget(ticket)
-                ticket.give(ended)
+                ticket.complete(ended)
 
     def _next(self, now: float) -> Ticket | None:
         if self._held is not None:
@@ -232,7 +232,7 @@
         ]
         for ticket in late:
             self._forget(ticket)
-            ticket.give(PlacementFailure("deadline", ticket.blocking_reason))
+            ticket.complete(PlacementFailure("deadline", ticket.blocking_reason))
 
     def _place(self, ticket: Ticket, now: float) -> bool:
         with self._servers.lock:
@@ -254,7 +254,7 @@
         if place is None:
             return False
         del self._tickets_by_request_id[ticket.queued.request_id]
-        ticket.give(place)
+        ticket.complete(place)
         return True
 
     def _place_on_idle(self, ticket: Ticket, now: float) -> bool:
@@ -276,7 +276,7 @@
             if not isinstance(decision, SelectedServer):
                 return False
             place = _take(servers[decision.server], decision, ticket, now)
-        ticket.give(place)
+        ticket.complete(place)
         return True
 
     def _heard(self) -> dict[str, Server]:
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -73,7 +73,7 @@
             "no server is known" if self.blocked_by is None else self.blocked_by.reason
         )
 
-    def give(self, place: Reservation | PlacementFailure) -> None:
+    def complete(self, place: Reservation | PlacementFailure) -> None:
         """End the wait."""
         self._places.put(place)
 
