--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -12,9 +12,9 @@
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import PlacementFailure
+from kingcupwheel.entry.tickets import PlacementTicket
 from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.entry.tickets import SubmittedRequest
-from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
@@ -88,7 +88,7 @@
             first_byte_deadline_at=request.deadline_at,
         )
         ticket = dispatcher.submit(wanted, ask)
-        if not isinstance(ticket, Ticket):
+        if not isinstance(ticket, PlacementTicket):
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
         place = ticket.wait(0)
         if place is None:
@@ -100,7 +100,7 @@
         self._record_place(place)
         return place
 
-    def _wait(self, ticket: Ticket) -> Reservation | PlacementFailure:
+    def _wait(self, ticket: PlacementTicket) -> Reservation | PlacementFailure:
         dispatcher = self._context.dispatchers.of(self._plan.request.group)
         while True:
             place = ticket.wait(CALLER_CHECK_S)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -28,8 +28,8 @@
 from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.decisions.server_health import ServerState
 from kingcupwheel.entry.tickets import PlacementFailure
+from kingcupwheel.entry.tickets import PlacementTicket
 from kingcupwheel.entry.tickets import Reservation
-from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -57,9 +57,9 @@
         self._queue = FairQueue(max_requests=group.queue)
         self._health = GroupHealth()
         self._first_byte = FirstByteLatencyBound()
-        self._tickets_by_request_id: dict[str, Ticket] = {}
-        self._held: Ticket | None = None
-        self._aside: deque[Ticket] = deque()
+        self._tickets_by_request_id: dict[str, PlacementTicket] = {}
+        self._held: PlacementTicket | None = None
+        self._aside: deque[PlacementTicket] = deque()
         # Not seeded: entries that draw alike would all choose the same servers.
         self._draw = Random()
         self._lock = Lock()
@@ -71,7 +71,7 @@
 
     def submit(
         self, wanted: SubmittedRequest, ask: PlacementRequest
-    ) -> Ticket | LimitRefusal:
+    ) -> PlacementTicket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
         waiting = QueuedRequest(
@@ -82,7 +82,7 @@
             deadline_at=self._leave_queue_by(wanted),
             queued_at=now,
         )
-        ticket = Ticket(waiting, ask)
+        ticket = PlacementTicket(waiting, ask)
         is_late = waiting.deadline_at <= now < wanted.first_byte_deadline_at
         with self._lock:
             if is_late and self._place_on_idle(ticket, now):
@@ -102,7 +102,7 @@
                 wanted.size_bytes, monotonic()
             )
 
-    def _enqueue(self, ticket: Ticket, now: float) -> LimitRefusal | None:
+    def _enqueue(self, ticket: PlacementTicket, now: float) -> LimitRefusal | None:
         if (
             ticket.placement_request.is_suspect
             or ticket.placement_request.excluded_servers
@@ -118,7 +118,7 @@
             case LimitRefusal() as refused:
                 return refused
 
-    def withdraw(self, ticket: Ticket) -> None:
+    def withdraw(self, ticket: PlacementTicket) -> None:
         """Forget a ticket whose caller left; a place already given is returned."""
         with self._lock:
             self._forget(ticket)
@@ -126,7 +126,7 @@
         if isinstance(place, Reservation):
             self.release(place)
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _forget(self, ticket: PlacementTicket) -> None:
         request_id = ticket.queued.request_id
         if self._tickets_by_request_id.get(request_id) is ticket:
             del self._tickets_by_request_id[request_id]
@@ -201,7 +201,7 @@
                 self._tell_in_vain(waiting, now)
                 return
 
-    def _tell_in_vain(self, held: Ticket, now: float) -> None:
+    def _tell_in_vain(self, held: PlacementTicket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
         hindrance = held.blocked_by
         if hindrance is None or hindrance.backoff_ends_at is None:
@@ -213,7 +213,7 @@
                 self._forget(ticket)
                 ticket.complete(ended)
 
-    def _next(self, now: float) -> Ticket | None:
+    def _next(self, now: float) -> PlacementTicket | None:
         if self._held is not None:
             held, self._held = self._held, None
             return held
@@ -234,7 +234,7 @@
             self._forget(ticket)
             ticket.complete(PlacementFailure("deadline", ticket.blocking_reason))
 
-    def _place(self, ticket: Ticket, now: float) -> bool:
+    def _place(self, ticket: PlacementTicket, now: float) -> bool:
         with self._servers.lock:
             servers = self._heard()
             decision = self._policy.place(
@@ -257,7 +257,7 @@
         ticket.complete(place)
         return True
 
-    def _place_on_idle(self, ticket: Ticket, now: float) -> bool:
+    def _place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
         """Place a request whose first byte is predicted too late, if a server idles.
 
         Load: a busy moment, and then idle servers. Harm prevented: the slow first bytes
@@ -328,7 +328,7 @@
 
 
 def _in_vain(
-    ticket: Ticket, hindrance: NoServerAvailable, now: float
+    ticket: PlacementTicket, hindrance: NoServerAvailable, now: float
 ) -> PlacementFailure | None:
     """Return the end of a wait that can't bring a place, None if it can."""
     over_at = hindrance.backoff_ends_at
@@ -342,7 +342,7 @@
 
 
 def _take(
-    server: Server, decision: SelectedServer, ticket: Ticket, now: float
+    server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
     beat = server.known_beat
     server.in_flight += 1
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -56,7 +56,7 @@
     backoff_left_s: float = 0.0
 
 
-class Ticket:
+class PlacementTicket:
     """A request's wait for a place."""
 
     def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -9,9 +9,9 @@
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.entry.tickets import PlacementTicket
 from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.entry.tickets import SubmittedRequest
-from kingcupwheel.entry.tickets import Ticket
 from kingcupwheel.forwarding.final_refusals import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
@@ -68,7 +68,7 @@
         prefers_local=True,
     )
     ticket = dispatcher.submit(_ticket_request(request), placement_request)
-    if not isinstance(ticket, Ticket):
+    if not isinstance(ticket, PlacementTicket):
         return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
         place = ticket.wait(_POLL_INTERVAL_S)
