--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -42,7 +42,7 @@
         idle = [
             group
             for group, dispatcher in self._by_group.items()
-            if group.name == name and dispatcher.waiting == 0
+            if group.name == name and dispatcher.waiting_count == 0
         ]
         for group in idle:
             del self._by_group[group]
@@ -64,5 +64,5 @@
         """How many requests wait in each group."""
         waiting: dict[str, int] = {}
         for group, dispatcher in tuple(self._by_group.items()):
-            waiting[group.name] = waiting.get(group.name, 0) + dispatcher.waiting
+            waiting[group.name] = waiting.get(group.name, 0) + dispatcher.waiting_count
         return waiting
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -65,7 +65,7 @@
         self._lock = Lock()
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many requests wait."""
         return len(self._tickets_by_request_id)
 
