--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -210,7 +210,7 @@
             return
         dispatcher = self._context.dispatchers.of(self._plan.request.group)
         took_s = monotonic() - self._reader.began_at
-        dispatcher.succeeded(self._place, took_s / max(1, self._tokens))
+        dispatcher.record_success(self._place, took_s / max(1, self._tokens))
         first_s = (self._first_byte_at or monotonic()) - self._reader.began_at
         dispatcher.saw_first_byte(first_s, len(self._plan.request.body))
 
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -143,7 +143,7 @@
         )
         self.pump()
 
-    def succeeded(self, place: Reservation, token_s: float) -> None:
+    def record_success(self, place: Reservation, token_s: float) -> None:
         """Count a whole answer that took ``token_s`` seconds a token."""
         with self._lock:
             self._health.get(place.server).record_success(token_s, monotonic())
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -430,7 +430,7 @@
 
         ``latency_s`` is compared between the servers of a service.
         """
-        self._dispatcher.succeeded(place, latency_s)
+        self._dispatcher.record_success(place, latency_s)
         self._context.guards.clear_suspicion(self._request.fingerprint)
 
     def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
