--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -212,7 +212,7 @@
         took_s = monotonic() - self._reader.began_at
         dispatcher.record_success(self._place, took_s / max(1, self._tokens))
         first_s = (self._first_byte_at or monotonic()) - self._reader.began_at
-        dispatcher.saw_first_byte(first_s, len(self._plan.request.body))
+        dispatcher.record_first_byte_latency(first_s, len(self._plan.request.body))
 
     def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
         self._context.recorder.record(self._plan.request.request_id, event)
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -148,7 +148,7 @@
         with self._lock:
             self._health.get(place.server).record_success(token_s, monotonic())
 
-    def saw_first_byte(self, seconds: float, size: float) -> None:
+    def record_first_byte_latency(self, seconds: float, size: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
         with self._lock:
             self._first_byte.record(seconds, size, monotonic())
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -395,7 +395,9 @@
         """Record the time to first byte, counted from the send to this server."""
         self._has_answer_begun = True
         latency_s = monotonic() - self._sent_at
-        self._dispatcher.saw_first_byte(latency_s, self._request.head.prompt_tokens)
+        self._dispatcher.record_first_byte_latency(
+            latency_s, self._request.head.prompt_tokens
+        )
 
     def record_event(self, event_id: str) -> None:
         """Record the last event sent to the caller, after which a resume starts."""
