--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -125,7 +125,7 @@
 
     def failed(self, place: Reservation) -> None:
         """Count an attempt that failed through its server."""
-        self._context.dispatchers.of(self._plan.request.group).failed(place)
+        self._context.dispatchers.of(self._plan.request.group).record_failure(place)
 
     def dispatch(self, place: Reservation, held: Held | None) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -153,7 +153,7 @@
         with self._lock:
             self._first_byte.record(seconds, size, monotonic())
 
-    def failed(self, place: Reservation) -> None:
+    def record_failure(self, place: Reservation) -> None:
         """Count an attempt that failed through its server.
 
         Failure: a server that starts anew under its name takes all it ran with it.
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -184,7 +184,7 @@
             case NotSent(reason):
                 outcome = AttemptOutcome.NOT_SENT
                 if not self._watched.is_over:
-                    self._dispatcher.failed(place)
+                    self._dispatcher.record_failure(place)
             case Rejected(reason, is_other_instance, faulty_server):
                 outcome = AttemptOutcome.REJECTED
                 if is_other_instance and faulty_server in ("", place.server):
@@ -215,7 +215,7 @@
             outcome in (AttemptOutcome.LOST, AttemptOutcome.FAILED)
             and not self._watched.is_over
         ):
-            self._dispatcher.failed(place)
+            self._dispatcher.record_failure(place)
         if outcome is AttemptOutcome.LOST and self._watched.abort_reason is None:
             self._context.guards.record_lost_answer(
                 request.fingerprint, place.incarnation
