--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -164,7 +164,7 @@
         with self._lock:
             self._health.get(place.server).record_failure(monotonic())
 
-    def rest_left_s(self, avoid: frozenset[str] = frozenset()) -> float:
+    def get_backoff_left_s(self, avoid: frozenset[str] = frozenset()) -> float:
         """Return how long every server but ``avoid`` still rests or leaves.
 
         It is 0 if any of them may get work, or if none of them rests.
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -252,7 +252,9 @@
             follows=step.value,
         )
         self._context.metrics.ended_sends.labels(outcome.value).inc()
-        rest_s = self._dispatcher.rest_left_s() if step is NextStep.REFUSE else 0.0
+        rest_s = (
+            self._dispatcher.get_backoff_left_s() if step is NextStep.REFUSE else 0.0
+        )
         return refusal_for_step(step, reason, request.id, rest_s)
 
     def _consume_retry(self) -> bool:
@@ -385,7 +387,9 @@
 
     def _are_others_resting(self, place: Reservation) -> bool:
         """Return whether all other servers rest until it is too late for a retry."""
-        rest_s = self._dispatcher.rest_left_s(self._tried_servers | {place.server})
+        rest_s = self._dispatcher.get_backoff_left_s(
+            self._tried_servers | {place.server}
+        )
         return (
             rest_s > 0.0
             and monotonic() + rest_s >= self._request.deadlines.first_byte_deadline
