--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -57,7 +57,7 @@
         """Forget the failures of an earlier life of the group's ``server``."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
-                dispatcher.restarted(server)
+                dispatcher.reset_server_health(server)
 
     @property
     def waiting_by_group(self) -> dict[str, int]:
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -179,7 +179,7 @@
             return 0.0
         return max(0.0, found.backoff_ends_at - now)
 
-    def restarted(self, server: str) -> None:
+    def reset_server_health(self, server: str) -> None:
         """Forget the failures of a server's earlier life."""
         with self._lock:
             self._health.reset(server)
