--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -109,7 +109,7 @@
             if self._watch.gone():
                 dispatcher.withdraw(ticket)
                 self._watch.raise_gone()
-            dispatcher.pump()
+            dispatcher.place_waiting()
 
     def _record_place(self, place: Reservation) -> None:
         decision = place.decision
--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -51,7 +51,7 @@
         """Place what can be placed in the group; called when a heartbeat came."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
-                dispatcher.pump()
+                dispatcher.place_waiting()
 
     def restarted(self, name: str, server: str) -> None:
         """Forget the failures of an earlier life of the group's ``server``."""
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -141,7 +141,7 @@
         self._servers.give_back(
             place.address, place.incarnation, suspect=place.is_suspect
         )
-        self.pump()
+        self.place_waiting()
 
     def record_success(self, place: Reservation, token_s: float) -> None:
         """Count a whole answer that took ``token_s`` seconds a token."""
@@ -184,7 +184,7 @@
         with self._lock:
             self._health.reset(server)
 
-    def pump(self) -> None:
+    def place_waiting(self) -> None:
         """Place what can be placed; called whenever a place may have come free."""
         with self._lock:
             self._pump(monotonic())
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -87,7 +87,7 @@
                 reason = AbortReason.SHUTDOWN.value
                 return NoPlace(LEAVING.limit, reason, retry_after_s(request.id))
             return NoPlace("time-up", "no place", retry_after_s(request.id))
-        dispatcher.pump()
+        dispatcher.place_waiting()
 
 
 def _ticket_request(request: ForwardRequest) -> SubmittedRequest:
