--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -208,7 +208,7 @@
         """
         if self._place is None or ended.outcome is not Outcome.RAN:
             return
-        dispatcher = self._context.dispatchers.of(self._plan.request.group)
+        dispatcher = self._context.dispatchers.get(self._plan.request.group)
         took_s = monotonic() - self._reader.began_at
         dispatcher.record_success(self._place, took_s / max(1, self._tokens))
         first_s = (self._first_byte_at or monotonic()) - self._reader.began_at
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -78,7 +78,7 @@
             data_centre=self._context.settings.data_centre,
             is_repeatable=request.route.repeatable,
         )
-        dispatcher = self._context.dispatchers.of(request.group)
+        dispatcher = self._context.dispatchers.get(request.group)
         wanted = SubmittedRequest(
             request_id=request.request_id,
             organisation=request.organisation.name,
@@ -101,7 +101,7 @@
         return place
 
     def _wait(self, ticket: PlacementTicket) -> Reservation | PlacementFailure:
-        dispatcher = self._context.dispatchers.of(self._plan.request.group)
+        dispatcher = self._context.dispatchers.get(self._plan.request.group)
         while True:
             place = ticket.wait(CALLER_CHECK_S)
             if place is not None:
@@ -121,11 +121,11 @@
 
     def release(self, place: Reservation) -> None:
         """Give a place back that was not used, or whose attempt has ended."""
-        self._context.dispatchers.of(self._plan.request.group).release(place)
+        self._context.dispatchers.get(self._plan.request.group).release(place)
 
     def failed(self, place: Reservation) -> None:
         """Count an attempt that failed through its server."""
-        self._context.dispatchers.of(self._plan.request.group).record_failure(place)
+        self._context.dispatchers.get(self._plan.request.group).record_failure(place)
 
     def dispatch(self, place: Reservation, held: Held | None) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -26,7 +26,7 @@
         self._by_group: dict[ServerGroup, GroupDispatcher] = {}
         self._lock = Lock()
 
-    def of(self, group: ServerGroup) -> GroupDispatcher:
+    def get(self, group: ServerGroup) -> GroupDispatcher:
         """Return the dispatcher for ``group`` as its request was admitted under."""
         with self._lock:
             known = self._by_group.get(group)
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -77,7 +77,7 @@
         self._request = request
         self._watched = watched
         self._group = context.group_of(request.service)
-        self._dispatcher = context.dispatchers.of(self._group)
+        self._dispatcher = context.dispatchers.get(self._group)
         route = request.route
         self._policy = RetryPolicy(
             route.is_idempotent, route.max_servers, route.target_latency_s
