--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -47,7 +47,7 @@
         for group in idle:
             del self._by_group[group]
 
-    def pump(self, name: str) -> None:
+    def place_waiting(self, name: str) -> None:
         """Place what can be placed in the group; called when a heartbeat came."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -149,7 +149,7 @@
         if beat.crashed:
             self._context.limits.heard(beat.crashed)
         self._keeper.heard(beat.manifest_version, "", address)
-        self._context.dispatchers.pump(beat.group)
+        self._context.dispatchers.place_waiting(beat.group)
 
     def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
         self._membership.heard(beat, monotonic())
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -104,7 +104,7 @@
             if known is None or known.incarnation != backend.incarnation:
                 self._register_incarnation(backend, now)
         for service in {backend.service for backend in by_address.values()}:
-            self._dispatchers.pump(service)
+            self._dispatchers.place_waiting(service)
 
     def _register_incarnation(self, backend: Backend, now: float) -> None:
         self._servers.heard(backend.address, _heartbeat(backend, _load(0, 0)), now)
@@ -204,7 +204,7 @@
         for life in ended:
             log.info("rest-ended", server=life)
         for service in tuple(self._groups_by_service):
-            self._dispatchers.pump(service)
+            self._dispatchers.place_waiting(service)
 
     def _remove_old_notices(self, now: float) -> None:
         lives = {one.incarnation for one in tuple(self._backends_by_address.values())}
@@ -249,7 +249,7 @@
                 self._apply_agent_report(backend, one, now)
                 services.add(backend.service)
         for service in services:
-            self._dispatchers.pump(service)
+            self._dispatchers.place_waiting(service)
 
     def _apply_agent_report(
         self, backend: Backend, report: ReportedServerLoad, now: float
@@ -330,7 +330,7 @@
                     self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
-            self._dispatchers.pump(service)
+            self._dispatchers.place_waiting(service)
 
     def _update_load(
         self, backend: Backend, reported: BackendLoad, now: float, *, is_up: bool = True
