--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -53,7 +53,7 @@
             if group.name == name:
                 dispatcher.place_waiting()
 
-    def restarted(self, name: str, server: str) -> None:
+    def reset_server_health(self, name: str, server: str) -> None:
         """Forget the failures of an earlier life of the group's ``server``."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -220,7 +220,9 @@
                 inbox.put(AgentGone("the agent restarted while it ran"))
         server = self._context.servers.by_address(address)
         if server is not None:
-            self._context.dispatchers.restarted(server.instance.group, server.name)
+            self._context.dispatchers.reset_server_health(
+                server.instance.group, server.name
+            )
 
     def _send_beats(self) -> None:
         context = self._context
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -116,7 +116,7 @@
                 server = self._servers.by_address(backend.address)
                 if server is not None:
                     server.first_heard_at = now - _WARM_UPTIME_S
-        self._dispatchers.restarted(backend.service, backend.instance)
+        self._dispatchers.reset_server_health(backend.service, backend.instance)
 
     def record_load(self, place: Reservation, load: ReportedLoad | None) -> None:
         """Record the load in an answer's headers."""
