--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -60,7 +60,7 @@
                 dispatcher.reset_server_health(server)
 
     @property
-    def waiting_by_group(self) -> dict[str, int]:
+    def waiting_count_by_group(self) -> dict[str, int]:
         """How many requests wait in each group."""
         waiting: dict[str, int] = {}
         for group, dispatcher in tuple(self._by_group.items()):
--- a/src/kingcupwheel/entry/operators.py
+++ b/src/kingcupwheel/entry/operators.py
@@ -106,7 +106,7 @@
             manifest_version=self._keeper.version,
             leaving=self._context.leaving.is_set(),
             in_progress=self._in_progress(),
-            waiting_by_group=self._context.dispatchers.waiting_by_group,
+            waiting_by_group=self._context.dispatchers.waiting_count_by_group,
             servers=[_row(server, now) for server in servers],
         )
 
