--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -11,7 +11,7 @@
 
     from kingcupwheel.claims.retention import ClaimRetention
     from kingcupwheel.claims.store import ClaimStore
-    from kingcupwheel.entry.dispatchers import Dispatchers
+    from kingcupwheel.entry.dispatchers import DispatcherRegistry
     from kingcupwheel.entry.inbox import Inboxes
     from kingcupwheel.entry.limits import Limits
     from kingcupwheel.entry.observing import Observer
@@ -28,7 +28,7 @@
     hub: MessageHub
     servers: ServerTable
     inboxes: Inboxes
-    dispatchers: Dispatchers
+    dispatchers: DispatcherRegistry
     limits: Limits
     claims: ClaimStore
     retention: ClaimRetention
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.callers import CallerPages
 from kingcupwheel.entry.context import EntryContext
-from kingcupwheel.entry.dispatchers import Dispatchers
+from kingcupwheel.entry.dispatchers import DispatcherRegistry
 from kingcupwheel.entry.gateway import SPARE_THREADS
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
@@ -80,7 +80,7 @@
             hub=self._hub,
             servers=servers,
             inboxes=Inboxes(),
-            dispatchers=Dispatchers(servers, data_centre=settings.data_centre),
+            dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
             limits=limits,
             claims=ClaimStore(client),
             retention=self._retention,
--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatchers.py
@@ -13,7 +13,7 @@
     from kingcupwheel.manifest.schema import ServerGroup
 
 
-class Dispatchers:
+class DispatcherRegistry:
     """One dispatcher for each definition of a group.
 
     Requests admitted under an earlier manifest finish with the group as it was then; a
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.dispatchers import Dispatchers
+    from kingcupwheel.entry.dispatchers import DispatcherRegistry
     from kingcupwheel.entry.tickets import Reservation
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerClient
@@ -34,7 +34,7 @@
 
     data_centre: str
     configuration_cache: ConfigurationCache
-    dispatchers: Dispatchers
+    dispatchers: DispatcherRegistry
     servers: ServerRegistry
     server_client: ServerClient
     connection_pool: ConnectionPool
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-from kingcupwheel.entry.dispatchers import Dispatchers
+from kingcupwheel.entry.dispatchers import DispatcherRegistry
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.forwarding.admission import ConfigurationSnapshot
@@ -93,7 +93,7 @@
             tick_s=_TICK_INTERVAL_S,
         )
         table = ServerTable(settings.timings)
-        dispatchers = Dispatchers(table, data_centre=settings.data_centre)
+        dispatchers = DispatcherRegistry(table, data_centre=settings.data_centre)
         budget = RetryBudget(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.entry.dispatchers import Dispatchers
+    from kingcupwheel.entry.dispatchers import DispatcherRegistry
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.entry.tickets import Reservation
     from kingcupwheel.forwarding.backends import Backend
@@ -51,7 +51,7 @@
 class ServerRegistry:
     """Updates the server table from lists, answers and agent reports; thread-safe."""
 
-    def __init__(self, servers: ServerTable, dispatchers: Dispatchers) -> None:
+    def __init__(self, servers: ServerTable, dispatchers: DispatcherRegistry) -> None:
         self._servers = servers
         self._dispatchers = dispatchers
         self._backends_by_address: dict[str, Backend] = {}
