--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -31,7 +31,7 @@
     from kingcupwheel.entry.watching import CallerWatch
 
 # How often a waiting thread looks whether its caller is still there.
-CALLER_CHECK_S = 0.5
+CALLER_POLL_INTERVAL_S = 0.5
 
 
 class Plan(NamedTuple):
@@ -103,7 +103,7 @@
     def _wait(self, ticket: PlacementTicket) -> Reservation | PlacementFailure:
         dispatcher = self._context.dispatchers.get(self._plan.request.group)
         while True:
-            place = ticket.wait(CALLER_CHECK_S)
+            place = ticket.wait(CALLER_POLL_INTERVAL_S)
             if place is not None:
                 return place
             if self._watch.gone():
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.attempting import CALLER_CHECK_S
+from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import HeadKnown
 from kingcupwheel.entry.following import NeverSeen
@@ -55,7 +55,7 @@
         running = isinstance(first, Started) and first.running
         over_at: float | None = None
         while True:
-            step = reader.next(CALLER_CHECK_S)
+            step = reader.next(CALLER_POLL_INTERVAL_S)
             match step:
                 case HeadKnown() | Ended() | NotStarted():
                     return step
