--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -183,7 +183,9 @@
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
         whole = ended.outcome is Outcome.RAN
-        self._context.limits.ran(request, self._plan.work, self._tokens, whole=whole)
+        self._context.limits.ran(
+            request, self._plan.predicted_work, self._tokens, whole=whole
+        )
         self._context.observer.answered(
             request,
             server=self._reader.server,
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -42,7 +42,7 @@
     """
 
     request: CallerRequest
-    work: float
+    predicted_work: float
     suspect: bool
 
 
@@ -72,7 +72,7 @@
         request = self._plan.request
         ask = PlacementRequest(
             prefix_key=request.prefix_key,
-            work=self._plan.work,
+            work=self._plan.predicted_work,
             excluded_servers=self._avoid,
             is_suspect=self._plan.suspect,
             data_centre=self._context.settings.data_centre,
@@ -83,7 +83,7 @@
             request_id=request.request_id,
             organisation=request.organisation.name,
             priority=request.organisation.priority,
-            work=self._plan.work,
+            work=self._plan.predicted_work,
             size_bytes=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
@@ -179,7 +179,7 @@
         path=request.path,
         headers=request.headers,
         body=request.body,
-        work=plan.work,
+        work=plan.predicted_work,
         deadline_s=max(0.0, request.deadline_at - monotonic()),
         credit=CREDIT_BYTES,
         manifest_version=request.manifest_version,
