--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -43,7 +43,7 @@
 
     request: CallerRequest
     predicted_work: float
-    suspect: bool
+    is_suspect: bool
 
 
 class Attempts:
@@ -74,7 +74,7 @@
             prefix_key=request.prefix_key,
             work=self._plan.predicted_work,
             excluded_servers=self._avoid,
-            is_suspect=self._plan.suspect,
+            is_suspect=self._plan.is_suspect,
             data_centre=self._context.settings.data_centre,
             is_repeatable=request.route.repeatable,
         )
@@ -184,5 +184,5 @@
         credit=CREDIT_BYTES,
         manifest_version=request.manifest_version,
         repeatable=request.route.repeatable,
-        suspect=plan.suspect,
+        suspect=plan.is_suspect,
     )
