--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -25,7 +25,7 @@
     from collections.abc import Iterator
 
     from kingcupwheel.entry.answers import Answer
-    from kingcupwheel.entry.attempting import Plan
+    from kingcupwheel.entry.attempting import AdmittedRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.following import HeadKnown
     from kingcupwheel.entry.reading import AnswerReader
@@ -52,7 +52,7 @@
     def __init__(
         self,
         context: EntryContext,
-        plan: Plan,
+        plan: AdmittedRequest,
         reader: AnswerReader,
         watch: CallerWatch,
         place: Reservation | None,
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -34,7 +34,7 @@
 CALLER_POLL_INTERVAL_S = 0.5
 
 
-class Plan(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """What is known of a request before it is placed.
 
     ``work`` is predicted work in tokens; ``suspect`` tells that it ran where a server
@@ -49,7 +49,9 @@
 class Attempts:
     """Starts the attempts of one request; belongs to one thread."""
 
-    def __init__(self, context: EntryContext, plan: Plan, watch: CallerWatch) -> None:
+    def __init__(
+        self, context: EntryContext, plan: AdmittedRequest, watch: CallerWatch
+    ) -> None:
         self._context = context
         self._plan = plan
         self._watch = watch
@@ -162,7 +164,7 @@
 
 
 def _dispatch_of(
-    plan: Plan, key: AttemptKey, place: Reservation, claim: ClaimRef | None
+    plan: AdmittedRequest, key: AttemptKey, place: Reservation, claim: ClaimRef | None
 ) -> Dispatch:
     request = plan.request
     return Dispatch(
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -7,8 +7,8 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.entry.answering import Answering
 from kingcupwheel.entry.answers import RefusedAnswer
+from kingcupwheel.entry.attempting import AdmittedRequest
 from kingcupwheel.entry.attempting import Attempts
-from kingcupwheel.entry.attempting import Plan
 from kingcupwheel.entry.exceptions import CallerGoneError
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import HeadKnown
@@ -67,20 +67,20 @@
         if isinstance(admitted, Refusal):
             return self._refuse(admitted)
         self._record(Admitted(admitted))
-        plan = Plan(self._request, admitted, is_suspect=verdict.suspect)
+        plan = AdmittedRequest(self._request, admitted, is_suspect=verdict.suspect)
         try:
             return self._run(plan)
         except CallerGoneError:
             self._record(CallerLeft(0))
             return self._give_up(plan, CALLER_LEFT)
 
-    def _run(self, plan: Plan) -> Answer:
+    def _run(self, plan: AdmittedRequest) -> Answer:
         attempts = Attempts(self._context, plan, self._watch)
         if self._request.route.repeatable:
             return self._run_repeatable(plan, attempts)
         return self._run_once(plan, attempts)
 
-    def _run_repeatable(self, plan: Plan, attempts: Attempts) -> Answer:
+    def _run_repeatable(self, plan: AdmittedRequest, attempts: Attempts) -> Answer:
         while True:
             place = attempts.place()
             if isinstance(place, Refusal):
@@ -94,7 +94,7 @@
             if refusal is not None:
                 return self._give_up(plan, refusal)
 
-    def _run_once(self, plan: Plan, attempts: Attempts) -> Answer:
+    def _run_once(self, plan: AdmittedRequest, attempts: Attempts) -> Answer:
         claims = Claims(self._context, self._request)
         held: Held | None = None
         while True:
@@ -119,7 +119,7 @@
 
     def _run_claimed(
         self,
-        plan: Plan,
+        plan: AdmittedRequest,
         attempts: Attempts,
         claims: Claims,
         place: Reservation,
@@ -148,7 +148,9 @@
                 return found
         return Final(EARLIER_SEND_RUNNING)
 
-    def _found(self, plan: Plan, attempts: Attempts, found: Final | Joinable) -> Answer:
+    def _found(
+        self, plan: AdmittedRequest, attempts: Attempts, found: Final | Joinable
+    ) -> Answer:
         if isinstance(found, Final):
             return self._give_up(plan, found.refusal)
         reader = found.reader
@@ -177,7 +179,7 @@
 
     def _answering(
         self,
-        plan: Plan,
+        plan: AdmittedRequest,
         attempts: Attempts,
         place: Reservation,
         reader: AnswerReader,
@@ -193,7 +195,7 @@
         self._context.inboxes.close(reader.inbox)
         attempts.release(place)
 
-    def _give_up(self, plan: Plan, refusal: Refusal) -> RefusedAnswer:
+    def _give_up(self, plan: AdmittedRequest, refusal: Refusal) -> RefusedAnswer:
         # A refusal after an attempt that may have run is no ``not-run`` any more.
         may_have_run = self._judge.may_have_run
         if may_have_run and refusal.outcome is Outcome.NOT_RUN:
