--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -63,7 +63,7 @@
         """Attempts placed so far."""
         return self._count
 
-    def avoid(self, server: str, *, suspect: bool = False) -> None:
+    def exclude_server(self, server: str, *, suspect: bool = False) -> None:
         """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
         self._avoid |= {server}
         if suspect:
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -72,7 +72,7 @@
             retry_after_s = self._context.limits.retry_after(self._request)
             return Refusal(503, reason.value, message, retry_after_s)
         if reason is not AgentRefusal.STALE_TOKEN:
-            attempts.avoid(place.server)
+            attempts.exclude_server(place.server)
         self._note(attempts, f"{place.server} said {reason.value}")
         return None
 
@@ -102,7 +102,7 @@
         verdict = self._context.limits.verdict(self._request)
         if isinstance(verdict, Refusal):
             return verdict._replace(outcome=Outcome.UNKNOWN)
-        attempts.avoid(place.server, suspect=verdict.suspect)
+        attempts.exclude_server(place.server, suspect=verdict.suspect)
         self._note(attempts, detail)
         return None
 
