--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -69,7 +69,7 @@
         if suspect:
             self._plan = self._plan._replace(suspect=True)
 
-    def place(self) -> Reservation | Refusal:
+    def reserve_server(self) -> Reservation | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
         request = self._plan.request
         ask = PlacementRequest(
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -82,7 +82,7 @@
 
     def _run_repeatable(self, plan: AdmittedRequest, attempts: Attempts) -> Answer:
         while True:
-            place = attempts.place()
+            place = attempts.reserve_server()
             if isinstance(place, Refusal):
                 return self._give_up(plan, place)
             reader = attempts.dispatch(place, None)
@@ -98,7 +98,7 @@
         claims = Claims(self._context, self._request)
         held: Held | None = None
         while True:
-            place = attempts.place()
+            place = attempts.reserve_server()
             if isinstance(place, Refusal):
                 return self._give_up(plan, place)
             taken = claims.take(place, attempts.count, held)
