--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -125,7 +125,7 @@
         """Give a place back that was not used, or whose attempt has ended."""
         self._context.dispatchers.get(self._plan.request.group).release(place)
 
-    def failed(self, place: Reservation) -> None:
+    def record_failure(self, place: Reservation) -> None:
         """Count an attempt that failed through its server."""
         self._context.dispatchers.get(self._plan.request.group).record_failure(place)
 
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -80,7 +80,7 @@
         self, outcome: Outcome, detail: str, attempts: Attempts, place: Reservation
     ) -> Refusal | None:
         self._runs += 1
-        attempts.failed(place)
+        attempts.record_failure(place)
         repeat = (
             self._request.route.repeatable
             and outcome is Outcome.UNKNOWN
