--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -46,7 +46,7 @@
     is_suspect: bool
 
 
-class Attempts:
+class AttemptDispatcher:
     """Starts the attempts of one request; belongs to one thread."""
 
     def __init__(
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -15,7 +15,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.attempting import Attempts
+    from kingcupwheel.entry.attempting import AttemptDispatcher
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.tickets import Reservation
@@ -50,7 +50,7 @@
     def judge(
         self,
         step: Ended | NotStarted | WaitOver,
-        attempts: Attempts,
+        attempts: AttemptDispatcher,
         place: Reservation,
     ) -> Refusal | None:
         """Return the final refusal, or None if another attempt follows."""
@@ -64,7 +64,7 @@
                 return wait_over()
 
     def _turned_away_by(
-        self, reason: AgentRefusal, attempts: Attempts, place: Reservation
+        self, reason: AgentRefusal, attempts: AttemptDispatcher, place: Reservation
     ) -> Refusal | None:
         self._turned_away += 1
         if self._late or self._watch.gone() or self._turned_away > MAX_TURNED_AWAY:
@@ -77,7 +77,11 @@
         return None
 
     def _failed(
-        self, outcome: Outcome, detail: str, attempts: Attempts, place: Reservation
+        self,
+        outcome: Outcome,
+        detail: str,
+        attempts: AttemptDispatcher,
+        place: Reservation,
     ) -> Refusal | None:
         self._runs += 1
         attempts.record_failure(place)
@@ -95,7 +99,7 @@
         return self._repeat_elsewhere(detail, attempts, place)
 
     def _repeat_elsewhere(
-        self, detail: str, attempts: Attempts, place: Reservation
+        self, detail: str, attempts: AttemptDispatcher, place: Reservation
     ) -> Refusal | None:
         # The server may have died of this very request: the verdict of when it came is
         # not the verdict of now.
@@ -110,7 +114,7 @@
     def _late(self) -> bool:
         return monotonic() >= self._request.deadline_at
 
-    def _note(self, attempts: Attempts, why: str) -> None:
+    def _note(self, attempts: AttemptDispatcher, why: str) -> None:
         event = Retried(attempts.count, why)
         self._context.recorder.record(self._request.request_id, event)
 
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -8,7 +8,7 @@
 from kingcupwheel.entry.answering import Answering
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.attempting import AdmittedRequest
-from kingcupwheel.entry.attempting import Attempts
+from kingcupwheel.entry.attempting import AttemptDispatcher
 from kingcupwheel.entry.exceptions import CallerGoneError
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import HeadKnown
@@ -75,12 +75,14 @@
             return self._give_up(plan, CALLER_LEFT)
 
     def _run(self, plan: AdmittedRequest) -> Answer:
-        attempts = Attempts(self._context, plan, self._watch)
+        attempts = AttemptDispatcher(self._context, plan, self._watch)
         if self._request.route.repeatable:
             return self._run_repeatable(plan, attempts)
         return self._run_once(plan, attempts)
 
-    def _run_repeatable(self, plan: AdmittedRequest, attempts: Attempts) -> Answer:
+    def _run_repeatable(
+        self, plan: AdmittedRequest, attempts: AttemptDispatcher
+    ) -> Answer:
         while True:
             place = attempts.reserve_server()
             if isinstance(place, Refusal):
@@ -94,7 +96,7 @@
             if refusal is not None:
                 return self._give_up(plan, refusal)
 
-    def _run_once(self, plan: AdmittedRequest, attempts: Attempts) -> Answer:
+    def _run_once(self, plan: AdmittedRequest, attempts: AttemptDispatcher) -> Answer:
         claims = Claims(self._context, self._request)
         held: Held | None = None
         while True:
@@ -120,7 +122,7 @@
     def _run_claimed(
         self,
         plan: AdmittedRequest,
-        attempts: Attempts,
+        attempts: AttemptDispatcher,
         claims: Claims,
         place: Reservation,
         held: Held,
@@ -149,7 +151,10 @@
         return Final(EARLIER_SEND_RUNNING)
 
     def _found(
-        self, plan: AdmittedRequest, attempts: Attempts, found: Final | Joinable
+        self,
+        plan: AdmittedRequest,
+        attempts: AttemptDispatcher,
+        found: Final | Joinable,
     ) -> Answer:
         if isinstance(found, Final):
             return self._give_up(plan, found.refusal)
@@ -180,7 +185,7 @@
     def _answering(
         self,
         plan: AdmittedRequest,
-        attempts: Attempts,
+        attempts: AttemptDispatcher,
         place: Reservation,
         reader: AnswerReader,
     ) -> Answering:
@@ -190,7 +195,7 @@
         return Answering(self._context, plan, reader, self._watch, place, end)
 
     def _end_attempt(
-        self, attempts: Attempts, place: Reservation, reader: AnswerReader
+        self, attempts: AttemptDispatcher, place: Reservation, reader: AnswerReader
     ) -> None:
         self._context.inboxes.close(reader.inbox)
         attempts.release(place)
