--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -8,7 +8,7 @@
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import NotStarted
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.waiting import WaitOver
+from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Retried
@@ -49,7 +49,7 @@
 
     def judge(
         self,
-        step: Ended | NotStarted | WaitOver,
+        step: Ended | NotStarted | WaitAbandoned,
         attempts: AttemptDispatcher,
         place: Reservation,
     ) -> Refusal | None:
@@ -59,7 +59,7 @@
                 return self._turned_away_by(reason, attempts, place)
             case Ended(outcome, detail):
                 return self._failed(outcome, detail, attempts, place)
-            case WaitOver():
+            case WaitAbandoned():
                 self._runs += 1
                 return wait_over()
 
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -25,7 +25,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.waiting import HeadWait
-from kingcupwheel.entry.waiting import WaitOver
+from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
@@ -169,7 +169,7 @@
         match step:
             case Ended(outcome, detail):
                 return self._give_up(plan, earlier_send(outcome, detail))
-            case WaitOver():
+            case WaitAbandoned():
                 return self._give_up(plan, wait_over())
             case _:
                 detail = "its server did not run it"
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -30,11 +30,11 @@
 _CANCEL_S = 2.0
 
 
-class WaitOver(NamedTuple):
+class WaitAbandoned(NamedTuple):
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadStep = HeadKnown | Ended | NotStarted | WaitOver
+HeadStep = HeadKnown | Ended | NotStarted | WaitAbandoned
 
 
 class HeadWait:
@@ -71,7 +71,7 @@
                 return Ended(Outcome.UNKNOWN, "the server's instance is silent")
             over_at = over_at or self._give_up_if_over(reader, running)
             if over_at is not None and monotonic() - over_at > _CANCEL_S:
-                return WaitOver()
+                return WaitAbandoned()
 
     def _is_better_elsewhere(self, reader: AnswerReader) -> bool:
         """Tell whether to stop waiting for an agent that has gone silent.
