--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -39,7 +39,7 @@
     from kingcupwheel.entry.reading import AnswerReader
     from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.tickets import Reservation
-    from kingcupwheel.entry.waiting import HeadStep
+    from kingcupwheel.entry.waiting import HeadWaitResult
     from kingcupwheel.entry.watching import CallerWatch
 
 
@@ -175,7 +175,7 @@
                 detail = "its server did not run it"
                 return self._give_up(plan, earlier_send(Outcome.UNKNOWN, detail))
 
-    def _head_of(self, found: Joinable) -> HeadStep:
+    def _head_of(self, found: Joinable) -> HeadWaitResult:
         match found.first:
             case HeadKnown() | Ended():
                 return found.first
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -34,7 +34,7 @@
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadStep = HeadKnown | Ended | NotStarted | WaitAbandoned
+HeadWaitResult = HeadKnown | Ended | NotStarted | WaitAbandoned
 
 
 class HeadWait:
@@ -47,7 +47,7 @@
         self._request = request
         self._watch = watch
 
-    def wait(self, reader: AnswerReader, first: Step | None = None) -> HeadStep:
+    def wait(self, reader: AnswerReader, first: Step | None = None) -> HeadWaitResult:
         """Return once the head is known, the attempt is over, or the wait is.
 
         ``first`` is a step that was read before.
