--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -24,7 +24,7 @@
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import earlier_send
-from kingcupwheel.entry.waiting import HeadWait
+from kingcupwheel.entry.waiting import HeadWaiter
 from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Admitted
@@ -55,7 +55,7 @@
         self._context = context
         self._request = request
         self._watch = watch
-        self._head = HeadWait(context, request, watch)
+        self._head = HeadWaiter(context, request, watch)
         self._judge = Judge(context, request, watch)
 
     def answer(self) -> Answer:
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -37,7 +37,7 @@
 HeadWaitResult = HeadKnown | Ended | NotStarted | WaitAbandoned
 
 
-class HeadWait:
+class HeadWaiter:
     """One request's wait for the head of its answer; belongs to one thread."""
 
     def __init__(
