--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -24,7 +24,7 @@
 # Places that may turn a request away before it is refused. An agent's refusal costs one
 # message and no run; three cover a restart, a full server and a stale heartbeat in a
 # row, while more would keep a caller waiting on a group that has no room.
-MAX_TURNED_AWAY = 3
+MAX_AGENT_REFUSALS = 3
 # A repeatable request runs at most twice: a second failure is more likely the request's
 # or the group's fault than the server's.
 MAX_RUNS = 2
@@ -67,7 +67,7 @@
         self, reason: AgentRefusal, attempts: AttemptDispatcher, place: Reservation
     ) -> Refusal | None:
         self._turned_away += 1
-        if self._late or self._watch.gone() or self._turned_away > MAX_TURNED_AWAY:
+        if self._late or self._watch.gone() or self._turned_away > MAX_AGENT_REFUSALS:
             message = f"The last server asked did not take it: {reason.value}."
             retry_after_s = self._context.limits.retry_after(self._request)
             return Refusal(503, reason.value, message, retry_after_s)
