--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -27,7 +27,7 @@
 MAX_AGENT_REFUSALS = 3
 # A repeatable request runs at most twice: a second failure is more likely the request's
 # or the group's fault than the server's.
-MAX_RUNS = 2
+MAX_REPEATABLE_RUNS = 2
 
 
 class Judge:
@@ -88,7 +88,7 @@
         repeat = (
             self._request.route.repeatable
             and outcome is Outcome.UNKNOWN
-            and self._runs < MAX_RUNS
+            and self._runs < MAX_REPEATABLE_RUNS
             and not self._late
             and self._context.limits.may_retry(self._request)
         )
