--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -47,7 +47,7 @@
         """Whether any attempt so far may have run."""
         return self._runs > 0
 
-    def judge(
+    def handle_failed_attempt(
         self,
         step: Ended | NotStarted | WaitAbandoned,
         attempts: AttemptDispatcher,
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -92,7 +92,7 @@
             if isinstance(step, HeadKnown):
                 return self._answering(plan, attempts, place, reader).pass_on(step)
             self._end_attempt(attempts, place, reader)
-            refusal = self._judge.judge(step, attempts, place)
+            refusal = self._judge.handle_failed_attempt(step, attempts, place)
             if refusal is not None:
                 return self._give_up(plan, refusal)
 
@@ -134,7 +134,7 @@
         self._end_attempt(attempts, place, reader)
         if isinstance(step, Ended):
             claims.finish(held, Outcome.UNKNOWN, step.detail)
-        refusal = self._judge.judge(step, attempts, place)
+        refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
     def _settle(self, claims: Claims) -> Free | Final | Joinable:
