--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -30,7 +30,7 @@
 MAX_REPEATABLE_RUNS = 2
 
 
-class Judge:
+class RetryController:
     """Counts one request's failures; belongs to one thread."""
 
     def __init__(
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.joining import Final
 from kingcupwheel.entry.joining import Free
 from kingcupwheel.entry.joining import Joinable
-from kingcupwheel.entry.judging import Judge
+from kingcupwheel.entry.judging import RetryController
 from kingcupwheel.entry.judging import wait_over
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
@@ -56,7 +56,7 @@
         self._request = request
         self._watch = watch
         self._head = HeadWaiter(context, request, watch)
-        self._judge = Judge(context, request, watch)
+        self._judge = RetryController(context, request, watch)
 
     def answer(self) -> Answer:
         """Return the answer, or the refusal that is final."""
