--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -61,7 +61,7 @@
                 return self._failed(outcome, detail, attempts, place)
             case WaitAbandoned():
                 self._runs += 1
-                return wait_over()
+                return build_wait_abandoned_refusal()
 
     def _turned_away_by(
         self, reason: AgentRefusal, attempts: AttemptDispatcher, place: Reservation
@@ -119,7 +119,7 @@
         self._context.recorder.record(self._request.request_id, event)
 
 
-def wait_over() -> Refusal:
+def build_wait_abandoned_refusal() -> Refusal:
     """Return what a caller is told whose wait ended while the request ran."""
     message = "The wait for its answer is over; it was given to a server and may run."
     return Refusal(504, "deadline", message, 1.0, Outcome.UNKNOWN)
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -19,7 +19,7 @@
 from kingcupwheel.entry.joining import Free
 from kingcupwheel.entry.joining import Joinable
 from kingcupwheel.entry.judging import RetryController
-from kingcupwheel.entry.judging import wait_over
+from kingcupwheel.entry.judging import build_wait_abandoned_refusal
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
@@ -170,7 +170,7 @@
             case Ended(outcome, detail):
                 return self._give_up(plan, earlier_send(outcome, detail))
             case WaitAbandoned():
-                return self._give_up(plan, wait_over())
+                return self._give_up(plan, build_wait_abandoned_refusal())
             case _:
                 detail = "its server did not run it"
                 return self._give_up(plan, earlier_send(Outcome.UNKNOWN, detail))
