--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -106,7 +106,7 @@
         verdict = self._context.limits.verdict(self._request)
         if isinstance(verdict, Refusal):
             return verdict._replace(outcome=Outcome.UNKNOWN)
-        attempts.exclude_server(place.server, suspect=verdict.suspect)
+        attempts.exclude_server(place.server, suspect=verdict.is_suspect)
         self._note(attempts, detail)
         return None
 
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -33,7 +33,7 @@
 class Clean(NamedTuple):
     """The request may go on; ``suspect`` ones run where no other suspect runs."""
 
-    suspect: bool
+    is_suspect: bool
 
 
 class Limits:
@@ -63,8 +63,8 @@
                 )
                 return Refusal(422, "quarantined", message, for_s)
             case Suspect():
-                return Clean(suspect=True)
-        return Clean(suspect=False)
+                return Clean(is_suspect=True)
+        return Clean(is_suspect=False)
 
     def admit(self, request: CallerRequest) -> float | Refusal:
         """Return the predicted work in tokens, or a refusal."""
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -67,7 +67,7 @@
         if isinstance(admitted, Refusal):
             return self._refuse(admitted)
         self._record(Admitted(admitted))
-        plan = AdmittedRequest(self._request, admitted, is_suspect=verdict.suspect)
+        plan = AdmittedRequest(self._request, admitted, is_suspect=verdict.is_suspect)
         try:
             return self._run(plan)
         except CallerGoneError:
