--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -30,7 +30,7 @@
 _RETRY_AFTER_S = 2.0
 
 
-class Clean(NamedTuple):
+class NotQuarantined(NamedTuple):
     """The request may go on; ``suspect`` ones run where no other suspect runs."""
 
     is_suspect: bool
@@ -51,7 +51,7 @@
         self._configured: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
 
-    def verdict(self, request: CallerRequest) -> Clean | Refusal:
+    def verdict(self, request: CallerRequest) -> NotQuarantined | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
             verdict = self._suspects.get_status(request.fingerprint, monotonic())
@@ -63,8 +63,8 @@
                 )
                 return Refusal(422, "quarantined", message, for_s)
             case Suspect():
-                return Clean(is_suspect=True)
-        return Clean(is_suspect=False)
+                return NotQuarantined(is_suspect=True)
+        return NotQuarantined(is_suspect=False)
 
     def admit(self, request: CallerRequest) -> float | Refusal:
         """Return the predicted work in tokens, or a refusal."""
