--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -103,7 +103,7 @@
     ) -> Refusal | None:
         # The server may have died of this very request: the verdict of when it came is
         # not the verdict of now.
-        verdict = self._context.limits.verdict(self._request)
+        verdict = self._context.limits.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
             return verdict._replace(outcome=Outcome.UNKNOWN)
         attempts.exclude_server(place.server, suspect=verdict.is_suspect)
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -51,7 +51,7 @@
         self._configured: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
 
-    def verdict(self, request: CallerRequest) -> NotQuarantined | Refusal:
+    def check_quarantine(self, request: CallerRequest) -> NotQuarantined | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
             verdict = self._suspects.get_status(request.fingerprint, monotonic())
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -60,7 +60,7 @@
 
     def answer(self) -> Answer:
         """Return the answer, or the refusal that is final."""
-        verdict = self._context.limits.verdict(self._request)
+        verdict = self._context.limits.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
             return self._refuse(verdict)
         admitted = self._context.limits.admit(self._request)
