--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -92,7 +92,7 @@
             self._configured[organisation.name] = (organisation, share)
             self._admission.configure(organisation.name, organisation.allowance, share)
 
-    def know(self, organisation: Organisation) -> None:
+    def register_organisation(self, organisation: Organisation) -> None:
         """Take part in the organisation's allowance without a request of its own."""
         with self._lock:
             if organisation.name not in self._configured:
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -99,7 +99,7 @@
         for told in beat.shares:
             organisation = self._organisation_named(told.organisation)
             if organisation is not None and told.demand > _NO_DEMAND:
-                self._limits.know(organisation)
+                self._limits.register_organisation(organisation)
         with self._lock:
             peer = self._peer_by_name.setdefault(beat.name, _Peer(now))
             peer.sent_at = beat.sent_at
