--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -107,7 +107,7 @@
                 allowance = known[0].allowance
                 self._admission.configure(organisation.name, allowance, share)
 
-    def demands(self, now: float) -> list[tuple[Organisation, float]]:
+    def list_demands(self, now: float) -> list[tuple[Organisation, float]]:
         """Return the organisations seen here and their demand on the allowance."""
         with self._lock:
             return [
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -110,7 +110,7 @@
     def renew(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
         told_by_peer: dict[str, list[ShareReport]] = {}
-        for organisation, demand in self._limits.demands(now):
+        for organisation, demand in self._limits.list_demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
                 self._forget(organisation)
