--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -115,7 +115,7 @@
                 for name, (organisation, _) in self._configured.items()
             ]
 
-    def forget(self, organisation: Organisation) -> None:
+    def remove_organisation(self, organisation: Organisation) -> None:
         """Drop an organisation that has not been seen for a while."""
         with self._lock:
             self._configured.pop(organisation.name, None)
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -170,7 +170,7 @@
         return [one for one in told if one is not None]
 
     def _forget(self, organisation: Organisation) -> None:
-        self._limits.forget(organisation)
+        self._limits.remove_organisation(organisation)
         with self._lock:
             self._share_by_organisation.pop(organisation.name, None)
             self._used_at.pop(organisation.name, None)
