--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -121,7 +121,7 @@
             self._configured.pop(organisation.name, None)
             self._admission.remove_organisation(organisation.name)
 
-    def not_run(self, request: CallerRequest, predicted: float) -> None:
+    def settle_not_run(self, request: CallerRequest, predicted: float) -> None:
         """Settle an admitted request that took no work of a server."""
         name = request.organisation.name
         with self._lock:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -208,7 +208,7 @@
         if may_have_run:
             self._context.limits.ran(self._request, plan.predicted_work, 0, whole=False)
         else:
-            self._context.limits.not_run(self._request, plan.predicted_work)
+            self._context.limits.settle_not_run(self._request, plan.predicted_work)
         return self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> RefusedAnswer:
