--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -127,7 +127,7 @@
         with self._lock:
             self._admission.settle(name, predicted, 0.0, monotonic())
 
-    def ran(
+    def settle_run(
         self, request: CallerRequest, predicted: float, tokens: int, *, whole: bool
     ) -> None:
         """Settle an admitted request whose answer took about ``tokens`` tokens.
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -206,7 +206,9 @@
         if may_have_run and refusal.outcome is Outcome.NOT_RUN:
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if may_have_run:
-            self._context.limits.ran(self._request, plan.predicted_work, 0, whole=False)
+            self._context.limits.settle_run(
+                self._request, plan.predicted_work, 0, whole=False
+            )
         else:
             self._context.limits.settle_not_run(self._request, plan.predicted_work)
         return self._refuse(refusal)
