--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -90,7 +90,7 @@
             and outcome is Outcome.UNKNOWN
             and self._runs < MAX_REPEATABLE_RUNS
             and not self._late
-            and self._context.limits.may_retry(self._request)
+            and self._context.limits.try_acquire_retry(self._request)
         )
         if not repeat:
             status = 504 if self._late else 502
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -142,7 +142,7 @@
                 self._predictor.record_answer(name, request.route.path, prompt, tokens)
                 self._suspects.clear(request.fingerprint)
 
-    def may_retry(self, request: CallerRequest) -> bool:
+    def try_acquire_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
         with self._lock:
             return self._budget(request.group.name).try_acquire(monotonic())
