--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -69,7 +69,7 @@
         self._turned_away += 1
         if self._late or self._watch.gone() or self._turned_away > MAX_AGENT_REFUSALS:
             message = f"The last server asked did not take it: {reason.value}."
-            retry_after_s = self._context.limits.retry_after(self._request)
+            retry_after_s = self._context.limits.get_retry_after_s(self._request)
             return Refusal(503, reason.value, message, retry_after_s)
         if reason is not AgentRefusal.STALE_TOKEN:
             attempts.exclude_server(place.server)
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -150,7 +150,7 @@
     def _budget(self, group: str) -> RetryBudget:
         return self._budgets_by_group.setdefault(group, RetryBudget())
 
-    def retry_after(self, request: CallerRequest) -> float:
+    def get_retry_after_s(self, request: CallerRequest) -> float:
         """Return seconds to stay away, spread by request."""
         return _RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
 
