--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -154,7 +154,7 @@
         """Return seconds to stay away, spread by request."""
         return _RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
 
-    def heard(self, crashed: tuple[tuple[str, int], ...]) -> None:
+    def record_crashes(self, crashed: tuple[tuple[str, int], ...]) -> None:
         """Take in what ran when servers died, as an agent or a peer tells it."""
         with self._lock:
             now = monotonic()
