--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -244,7 +244,7 @@
             self._keeper.version,
             self._keeper.digest,
             context.leaving.is_set(),
-            context.limits.crashed,
+            context.limits.recent_crashes,
         )
 
     def say_leaving(self) -> None:
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -162,7 +162,7 @@
                 self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
-    def crashed(self) -> tuple[tuple[str, int], ...]:
+    def recent_crashes(self) -> tuple[tuple[str, int], ...]:
         """Fingerprints and the deaths held against them, to tell peers."""
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
