--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -13,7 +13,7 @@
     from kingcupwheel.claims.store import ClaimStore
     from kingcupwheel.entry.dispatchers import DispatcherRegistry
     from kingcupwheel.entry.inbox import Inboxes
-    from kingcupwheel.entry.limits import Limits
+    from kingcupwheel.entry.limits import RequestLimiter
     from kingcupwheel.entry.observing import Observer
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.link.hub import MessageHub
@@ -29,7 +29,7 @@
     servers: ServerTable
     inboxes: Inboxes
     dispatchers: DispatcherRegistry
-    limits: Limits
+    limits: RequestLimiter
     claims: ClaimStore
     retention: ClaimRetention
     recorder: Recorder
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
 from kingcupwheel.entry.inbox import Inboxes
-from kingcupwheel.entry.limits import Limits
+from kingcupwheel.entry.limits import RequestLimiter
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.operators import OPERATOR_THREADS
 from kingcupwheel.entry.operators import OperatorPages
@@ -74,7 +74,7 @@
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = Limits(lambda one: self._sharing.first_share(one))
+        limits = RequestLimiter(lambda one: self._sharing.first_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -36,7 +36,7 @@
     is_suspect: bool
 
 
-class Limits:
+class RequestLimiter:
     """The decisions that belong to no group's queue; safe from any thread.
 
     ``share_of`` returns this entry's part of an organisation's allowance, 0 to 1.
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.entry.limits import Limits
+    from kingcupwheel.entry.limits import RequestLimiter
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
@@ -52,7 +52,7 @@
     def __init__(
         self,
         name: str,
-        limits: Limits,
+        limits: RequestLimiter,
         membership: Membership,
         *,
         send: Callable[[OutgoingLink, Message], None],
