--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -58,7 +58,7 @@
         self._head = HeadWaiter(context, request, watch)
         self._judge = RetryController(context, request, watch)
 
-    def answer(self) -> Answer:
+    def run(self) -> Answer:
         """Return the answer, or the refusal that is final."""
         verdict = self._context.limits.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
