--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.refusals import BUSY
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
-from kingcupwheel.entry.running import RequestRun
+from kingcupwheel.entry.running import RequestRunner
 from kingcupwheel.entry.watching import SocketWatch
 from kingcupwheel.trace.events import Received
 
@@ -139,7 +139,7 @@
             return exchange.refuse(parsed.error)
         self._record_received(parsed.ok)
         watch = SocketWatch(exchange.socket)
-        return exchange.pass_on(RequestRun(self._context, parsed.ok, watch).run())
+        return exchange.pass_on(RequestRunner(self._context, parsed.ok, watch).run())
 
     def _record_received(self, request: CallerRequest) -> None:
         event = Received(
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -46,7 +46,7 @@
 _OF_THIS_SEND = " This send was not run; an earlier one of the same key may have been."
 
 
-class RequestRun:
+class RequestRunner:
     """One request's way to its answer; belongs to one thread."""
 
     def __init__(
