--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -74,7 +74,7 @@
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = RequestLimiter(lambda one: self._sharing.first_share(one))
+        limits = RequestLimiter(lambda one: self._sharing.get_initial_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -69,7 +69,7 @@
         self._told_peers: frozenset[str] = frozenset()
         self._lock = Lock()
 
-    def first_share(self, organisation: Organisation) -> float:
+    def get_initial_share(self, organisation: Organisation) -> float:
         """Return the share to begin with: an equal part.
 
         Nothing is lent before there is demand, so that equal parts add up to the whole;
