--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -122,7 +122,7 @@
             case InstancesReply(instances):
                 self._on_instances(instances)
             case ShareHeartbeat():
-                self._sharing.heard(message, monotonic())
+                self._sharing.handle_heartbeat(message, monotonic())
             case Hello():
                 pass
             case _:
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -90,7 +90,7 @@
             self._share_by_organisation[organisation] = known
         return known
 
-    def heard(self, beat: ShareHeartbeat, now: float) -> None:
+    def handle_heartbeat(self, beat: ShareHeartbeat, now: float) -> None:
         """Take in what another entry tells; called on the hub's thread.
 
         An organisation not in use here takes part as well: its share is lent only by
