--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -193,7 +193,7 @@
             self._on_finding(finding)
         if now - self._beat_at >= self._context.settings.timings.heartbeat_s:
             self._beat_at = now
-            self._sharing.renew(now)
+            self._sharing.update_shares(now)
             self._send_beats()
 
     def _on_finding(self, finding: Finding) -> None:
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -107,7 +107,7 @@
                 peer.echoed_at = max(peer.echoed_at, beat.echo)
             peer.told_by_organisation = {one.organisation: one for one in beat.shares}
 
-    def renew(self, now: float) -> None:
+    def update_shares(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
         told_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limits.list_demands(now):
