--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -23,7 +23,7 @@
 from kingcupwheel.entry.peers import PeerFetcher
 from kingcupwheel.entry.recording import Recording
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.sharing import Sharing
+from kingcupwheel.entry.sharing import AllowanceBalancer
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
@@ -103,7 +103,7 @@
             leaving=self._leaving,
             ask_seeds=self._ask_seeds,
         )
-        self._sharing = Sharing(
+        self._sharing = AllowanceBalancer(
             settings.name,
             limits,
             self._membership,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -47,7 +47,7 @@
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.entry.peers import PeerFetcher
     from kingcupwheel.entry.servers import Finding
-    from kingcupwheel.entry.sharing import Sharing
+    from kingcupwheel.entry.sharing import AllowanceBalancer
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.keeper import ManifestKeeper
     from kingcupwheel.messages.base import Message
@@ -65,7 +65,7 @@
         keeper: ManifestKeeper,
         fetcher: PeerFetcher,
         burn: BurnCounter,
-        sharing: Sharing,
+        sharing: AllowanceBalancer,
     ) -> None:
         self._context = context
         self._membership = membership
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -46,7 +46,7 @@
         self.told_by_organisation: dict[str, ShareReport] = {}
 
 
-class Sharing:
+class AllowanceBalancer:
     """The shares of one entry; safe from any thread."""
 
     def __init__(
