--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -43,7 +43,7 @@
     def __init__(self, now: float) -> None:
         self.echoed_at = now
         self.sent_at = -1.0
-        self.told_by_organisation: dict[str, ShareReport] = {}
+        self.report_by_organisation: dict[str, ShareReport] = {}
 
 
 class AllowanceBalancer:
@@ -105,7 +105,7 @@
             peer.sent_at = beat.sent_at
             if beat.echo >= 0:
                 peer.echoed_at = max(peer.echoed_at, beat.echo)
-            peer.told_by_organisation = {one.organisation: one for one in beat.shares}
+            peer.report_by_organisation = {one.organisation: one for one in beat.shares}
 
     def update_shares(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
@@ -164,7 +164,7 @@
         """Return what the other entries told last of the organisation."""
         with self._lock:
             told = [
-                peer.told_by_organisation.get(organisation)
+                peer.report_by_organisation.get(organisation)
                 for peer in self._peer_by_name.values()
             ]
         return [one for one in told if one is not None]
@@ -205,7 +205,7 @@
         self, member: str, organisation: str, members: int, now: float
     ) -> PeerShare:
         peer = self._peer_by_name.setdefault(member, _Peer(now))
-        told = peer.told_by_organisation.get(organisation)
+        told = peer.report_by_organisation.get(organisation)
         age_s = now - peer.echoed_at
         if told is None:
             # Not in use there: it begins with an equal part as soon as it is.
