--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -42,7 +42,7 @@
 
     def __init__(self, now: float) -> None:
         self.echoed_at = now
-        self.sent_at = -1.0
+        self.last_sent_at = -1.0
         self.report_by_organisation: dict[str, ShareReport] = {}
 
 
@@ -102,7 +102,7 @@
                 self._limits.register_organisation(organisation)
         with self._lock:
             peer = self._peer_by_name.setdefault(beat.name, _Peer(now))
-            peer.sent_at = beat.sent_at
+            peer.last_sent_at = beat.sent_at
             if beat.echo >= 0:
                 peer.echoed_at = max(peer.echoed_at, beat.echo)
             peer.report_by_organisation = {one.organisation: one for one in beat.shares}
@@ -217,7 +217,7 @@
         if not address:
             return
         with self._lock:
-            echo = self._peer_by_name.setdefault(member, _Peer(now)).sent_at
+            echo = self._peer_by_name.setdefault(member, _Peer(now)).last_sent_at
         self._send(
             OutgoingLink(address, 0), ShareHeartbeat(self._name, now, echo, shares)
         )
