--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -41,7 +41,7 @@
     """What another entry told last, and which of this entry's beats it has had."""
 
     def __init__(self, now: float) -> None:
-        self.echoed_at = now
+        self.last_echo_at = now
         self.last_sent_at = -1.0
         self.report_by_organisation: dict[str, ShareReport] = {}
 
@@ -104,7 +104,7 @@
             peer = self._peer_by_name.setdefault(beat.name, _Peer(now))
             peer.last_sent_at = beat.sent_at
             if beat.echo >= 0:
-                peer.echoed_at = max(peer.echoed_at, beat.echo)
+                peer.last_echo_at = max(peer.last_echo_at, beat.echo)
             peer.report_by_organisation = {one.organisation: one for one in beat.shares}
 
     def update_shares(self, now: float) -> None:
@@ -206,7 +206,7 @@
     ) -> PeerShare:
         peer = self._peer_by_name.setdefault(member, _Peer(now))
         told = peer.report_by_organisation.get(organisation)
-        age_s = now - peer.echoed_at
+        age_s = now - peer.last_echo_at
         if told is None:
             # Not in use there: it begins with an equal part as soon as it is.
             return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
