--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -34,7 +34,7 @@
 
 # An unstreamed answer up to this size is read to its end first, so that its head can
 # tell the outcome; a larger one is passed on as it comes, to bound the entry's memory.
-WHOLE_ANSWER_BYTES = 256 * 1024
+MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
 # How long one wait for the next bytes lasts before the caller is looked at again. There
 # is no limit on the whole: an agent that sends ``RunningAttempts`` is alive, however
 # slow.
@@ -81,7 +81,7 @@
 
     def _read_whole(self, head: HeadKnown) -> Answer:
         parts: list[bytes] = []
-        while self._reader.offset <= WHOLE_ANSWER_BYTES:
+        while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
             match self._next():
                 case Chunk(data):
                     parts.append(data)
