--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -71,7 +71,7 @@
         self._last_chunk_at = 0.0
         self._finished = False
 
-    def pass_on(self, head: HeadKnown) -> Answer:
+    def relay(self, head: HeadKnown) -> Answer:
         """Return the answer: whole if it is short and unstreamed, else as a stream."""
         self._status = head.status
         if _is_event_stream(head) or self._plan.request.streamed:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -90,7 +90,7 @@
             reader = attempts.dispatch(place, None)
             step = self._head.wait(reader)
             if isinstance(step, HeadKnown):
-                return self._answering(plan, attempts, place, reader).pass_on(step)
+                return self._answering(plan, attempts, place, reader).relay(step)
             self._end_attempt(attempts, place, reader)
             refusal = self._judge.handle_failed_attempt(step, attempts, place)
             if refusal is not None:
@@ -130,7 +130,7 @@
         reader = attempts.dispatch(place, held)
         step = self._head.wait(reader)
         if isinstance(step, HeadKnown):
-            return self._answering(plan, attempts, place, reader).pass_on(step)
+            return self._answering(plan, attempts, place, reader).relay(step)
         self._end_attempt(attempts, place, reader)
         if isinstance(step, Ended):
             claims.finish(held, Outcome.UNKNOWN, step.detail)
@@ -164,7 +164,7 @@
             answering = Answering(
                 self._context, plan, reader, self._watch, None, found.end
             )
-            return answering.pass_on(step)
+            return answering.relay(step)
         found.end()
         match step:
             case Ended(outcome, detail):
