--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -43,7 +43,7 @@
 _LEFT = Ended(Outcome.UNKNOWN, "the caller left")
 
 
-class Answering:
+class AnswerRelay:
     """The second half of a request: its answer's head is known.
 
     ``end`` frees the place and the inbox; it is called exactly once.
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.claims.records import Held
-from kingcupwheel.entry.answering import Answering
+from kingcupwheel.entry.answering import AnswerRelay
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.attempting import AdmittedRequest
 from kingcupwheel.entry.attempting import AttemptDispatcher
@@ -161,7 +161,7 @@
         reader = found.reader
         step = self._head_of(found)
         if isinstance(step, HeadKnown):
-            answering = Answering(
+            answering = AnswerRelay(
                 self._context, plan, reader, self._watch, None, found.end
             )
             return answering.relay(step)
@@ -188,11 +188,11 @@
         attempts: AttemptDispatcher,
         place: Reservation,
         reader: AnswerReader,
-    ) -> Answering:
+    ) -> AnswerRelay:
         def end() -> None:
             self._end_attempt(attempts, place, reader)
 
-        return Answering(self._context, plan, reader, self._watch, place, end)
+        return AnswerRelay(self._context, plan, reader, self._watch, place, end)
 
     def _end_attempt(
         self, attempts: AttemptDispatcher, place: Reservation, reader: AnswerReader
