--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -74,7 +74,7 @@
     def relay(self, head: HeadKnown) -> Answer:
         """Return the answer: whole if it is short and unstreamed, else as a stream."""
         self._status = head.status
-        if _is_event_stream(head) or self._plan.request.streamed:
+        if _is_event_stream(head) or self._plan.request.is_streamed:
             body = self._stream((), tells_outcome=_is_event_stream(head))
             return StreamedAnswer(head.status, head.headers, body)
         return self._read_whole(head)
@@ -198,7 +198,7 @@
 
     @property
     def _tokens(self) -> int:
-        if self._plan.request.streamed:
+        if self._plan.request.is_streamed:
             return len(self._gaps_s) + 1
         return int(self._reader.offset / DEFAULT_BYTES_PER_TOKEN)
 
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -176,7 +176,7 @@
         organisation=request.organisation.name,
         fingerprint=request.fingerprint,
         priority=request.organisation.priority,
-        streamed=request.streamed,
+        streamed=request.is_streamed,
         method=request.method,
         path=request.path,
         headers=request.headers,
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -129,7 +129,7 @@
             fingerprint=fingerprint_of(organisation.name, http.path, digest),
             prefix_key=_prefix_key(organisation.name, prompt.prefix),
             idempotency_key=http.headers.get(_KEY_HEADER, ""),
-            streamed=prompt.streamed,
+            is_streamed=prompt.streamed,
             max_tokens=prompt.max_tokens,
             received_at=now,
             deadline_s=route.deadline_s if deadline is None else deadline,
--- a/src/kingcupwheel/entry/requests.py
+++ b/src/kingcupwheel/entry/requests.py
@@ -34,7 +34,7 @@
     fingerprint: str
     prefix_key: str
     idempotency_key: str
-    streamed: bool
+    is_streamed: bool
     max_tokens: int | None
     received_at: float
     deadline_s: float
