--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -133,7 +133,7 @@
             max_tokens=prompt.max_tokens,
             received_at=now,
             deadline_s=route.deadline_s if deadline is None else deadline,
-            own_deadline=deadline is not None,
+            has_own_deadline=deadline is not None,
             manifest_version=in_force.version,
         )
     )
--- a/src/kingcupwheel/entry/requests.py
+++ b/src/kingcupwheel/entry/requests.py
@@ -38,7 +38,7 @@
     max_tokens: int | None
     received_at: float
     deadline_s: float
-    own_deadline: bool
+    has_own_deadline: bool
     manifest_version: int
 
     @property
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -124,6 +124,6 @@
         if gone:
             event = CallerLeft(0)
             self._context.recorder.record(request.request_id, event)
-        if gone or (late and request.own_deadline):
+        if gone or (late and request.has_own_deadline):
             return monotonic() - _CANCEL_S
         return None
