--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -22,7 +22,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import bad_request
 from kingcupwheel.entry.requests import CallerRequest
-from kingcupwheel.entry.requests import fingerprint_of
+from kingcupwheel.entry.requests import compute_fingerprint
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
 from kingcupwheel.manifest.routing import RouteFound
@@ -126,7 +126,7 @@
             headers=_passed_on(http.headers),
             body=http.body,
             body_digest=digest,
-            fingerprint=fingerprint_of(organisation.name, http.path, digest),
+            fingerprint=compute_fingerprint(organisation.name, http.path, digest),
             prefix_key=_prefix_key(organisation.name, prompt.prefix),
             idempotency_key=http.headers.get(_KEY_HEADER, ""),
             is_streamed=prompt.streamed,
--- a/src/kingcupwheel/entry/requests.py
+++ b/src/kingcupwheel/entry/requests.py
@@ -47,7 +47,7 @@
         return self.received_at + self.deadline_s
 
 
-def fingerprint_of(organisation: str, path: str, body_digest: str) -> str:
+def compute_fingerprint(organisation: str, path: str, body_digest: str) -> str:
     """Return what names a request that is sent again, under whatever key.
 
     It is what crashes are attributed to: a caller repeats the same body, while keys
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.requests import fingerprint_of
+from kingcupwheel.entry.requests import compute_fingerprint
 
 
 if TYPE_CHECKING:
@@ -53,4 +53,4 @@
     """Return the fingerprint of a request, empty without a body."""
     if not body:
         return ""
-    return fingerprint_of(organisation, target, body.hex())
+    return compute_fingerprint(organisation, target, body.hex())
