--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -107,10 +107,10 @@
     def refuse(self, refusal: Refusal) -> Iterable[bytes]:
         """Answer a request that did not get as far as being run, and record why."""
         record = self._context.recorder.record
-        event = Refused(refusal.limit, refusal.message, refusal.retry_after_s)
+        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         record(self.request_id, event)
         outcome = refusal.outcome.value
-        record(self.request_id, Finished(outcome, refusal.status, 0, refusal.limit))
+        record(self.request_id, Finished(outcome, refusal.status, 0, refusal.reason))
         return self._send_refusal(refusal)
 
     def _send_refusal(self, refusal: Refusal) -> Iterable[bytes]:
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -41,7 +41,7 @@
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
-        self._metrics.count(Count.REFUSALS, by=refusal.limit)
+        self._metrics.count(Count.REFUSALS, by=refusal.reason)
         self._observe(
             Observed(
                 organisation=request.organisation.name,
@@ -50,8 +50,8 @@
                 server="",
                 outcome=refusal.outcome,
                 status=refusal.status,
-                reason=refusal.limit,
-                caller_left=refusal.limit == _CALLER_LEFT,
+                reason=refusal.reason,
+                caller_left=refusal.reason == _CALLER_LEFT,
             )
         )
 
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -21,7 +21,7 @@
     """
 
     status: int
-    limit: str
+    reason: str
     message: str
     retry_after_s: float = 0.0
     outcome: Outcome = Outcome.NOT_RUN
@@ -40,7 +40,7 @@
 def body_of(refusal: Refusal, request_id: str) -> RefusalBody:
     """Return what the caller reads."""
     return RefusalBody(
-        reason=refusal.limit,
+        reason=refusal.reason,
         message=refusal.message,
         outcome=refusal.outcome.value,
         request_id=request_id,
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -217,10 +217,10 @@
         if not self._request.route.repeatable and refusal.outcome is Outcome.NOT_RUN:
             # Whoever sends a key again must not take it for never run by this answer.
             refusal = refusal._replace(message=refusal.message + _OF_THIS_SEND)
-        event = Refused(refusal.limit, refusal.message, refusal.retry_after_s)
+        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
         outcome = refusal.outcome.value
-        self._record(Finished(outcome, refusal.status, 0, refusal.limit))
+        self._record(Finished(outcome, refusal.status, 0, refusal.reason))
         self._context.observer.refused(self._request, refusal)
         return RefusedAnswer(refusal)
 
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -193,12 +193,12 @@
         if snapshot.configuration is not None:
             version = snapshot.configuration.version
         took_s = monotonic() - received.received_at
-        self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
+        self._context.metrics.record_answer("", refusal.status, refusal.reason, took_s)
         log.info(
             "refused",
             id=received.id,
             status=refusal.status,
-            how=refusal.limit,
+            how=refusal.reason,
             why=refusal.message,
             retry_after_s=refusal.retry_after_s,
             target=received.target,
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -160,7 +160,7 @@
         refusal = self.handle_failed_attempt(
             place, AttemptOutcome.FAILED, reason, head.notice
         )
-        if isinstance(refusal, Refusal) and refusal.limit == SERVER_FAILED:
+        if isinstance(refusal, Refusal) and refusal.reason == SERVER_FAILED:
             return self._whole_answer(answer, body)
         return refusal
 
@@ -282,7 +282,7 @@
                 return result
             self._release(result)
             retry_s = retry_after_s(self._request.id)
-            result = NoPlace(LEAVING.limit, AbortReason.SHUTDOWN.value, retry_s)
+            result = NoPlace(LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s)
         if isinstance(result, NoPlace):
             return self._refusal_without_place(result)
         return result
@@ -441,7 +441,7 @@
 
     def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
         """Log the final refusal and return it as an answer."""
-        self.log_finished(refusal.status, 0, refusal.limit, refusal.message)
+        self.log_finished(refusal.status, 0, refusal.reason, refusal.message)
         return RefusedAnswer(refusal)
 
     def log_finished(
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -85,7 +85,7 @@
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 reason = AbortReason.SHUTDOWN.value
-                return NoPlace(LEAVING.limit, reason, retry_after_s(request.id))
+                return NoPlace(LEAVING.reason, reason, retry_after_s(request.id))
             return NoPlace("time-up", "no place", retry_after_s(request.id))
         dispatcher.place_waiting()
 
