--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.parsing import HttpRequest
-from kingcupwheel.entry.refusals import body_of
+from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
 from kingcupwheel.utils.request_ids import new_request_id
@@ -114,7 +114,9 @@
         return self._send_refusal(refusal)
 
     def _send_refusal(self, refusal: Refusal) -> Iterable[bytes]:
-        body = msgspec.json.encode({"error": body_of(refusal, self.request_id)})
+        body = msgspec.json.encode(
+            {"error": build_refusal_body(refusal, self.request_id)}
+        )
         headers: list[tuple[str, str]] = [(OUTCOME_HEADER, refusal.outcome.value)]
         if refusal.retry_after_s > 0:
             headers.append(("Retry-After", str(max(1, round(refusal.retry_after_s)))))
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -37,7 +37,7 @@
     retry_after_s: float
 
 
-def body_of(refusal: Refusal, request_id: str) -> RefusalBody:
+def build_refusal_body(refusal: Refusal, request_id: str) -> RefusalBody:
     """Return what the caller reads."""
     return RefusalBody(
         reason=refusal.reason,
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.exchange import status_line
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
-from kingcupwheel.entry.refusals import body_of
+from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
@@ -87,7 +87,7 @@
                 return stream
 
     def _refuse(self, refusal: Refusal, request_id: str) -> Iterable[bytes]:
-        body = msgspec.json.encode({"error": body_of(refusal, request_id)})
+        body = msgspec.json.encode({"error": build_refusal_body(refusal, request_id)})
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
