--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -20,7 +20,7 @@
 from kingcupwheel.entry.refusals import NO_KEY
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.refusals import bad_request
+from kingcupwheel.entry.refusals import build_bad_request_refusal
 from kingcupwheel.entry.requests import CallerRequest
 from kingcupwheel.entry.requests import compute_fingerprint
 from kingcupwheel.manifest.routing import MethodNotAllowed
@@ -90,7 +90,7 @@
         return HEADERS_TOO_LARGE
     length = headers.get("content-length", "0")
     if not length.isdecimal():
-        return bad_request("Content-Length is no number.")
+        return build_bad_request_refusal("Content-Length is no number.")
     return BODY_TOO_LARGE if int(length) > body_bytes else None
 
 
@@ -154,7 +154,9 @@
     if not key and not found.route.repeatable:
         return KEY_MISSING
     if len(key) > _MAX_IDEMPOTENCY_KEY:
-        return bad_request("Idempotency-Key is longer than 255 characters.")
+        return build_bad_request_refusal(
+            "Idempotency-Key is longer than 255 characters."
+        )
     return None
 
 
@@ -164,9 +166,13 @@
     try:
         seconds = float(text)
     except ValueError:
-        return bad_request("Kingcupwheel-Deadline is no number of seconds.")
+        return build_bad_request_refusal(
+            "Kingcupwheel-Deadline is no number of seconds."
+        )
     if not 0 < seconds < 86_400:
-        return bad_request("Kingcupwheel-Deadline is not between 0 and 86400 seconds.")
+        return build_bad_request_refusal(
+            "Kingcupwheel-Deadline is not between 0 and 86400 seconds."
+        )
     return seconds
 
 
@@ -176,9 +182,9 @@
     try:
         decoded = msgspec.json.decode(body)
     except msgspec.DecodeError:
-        return bad_request("The body is no JSON.")
+        return build_bad_request_refusal("The body is no JSON.")
     if not isinstance(decoded, dict):
-        return bad_request("The body is no JSON object.")
+        return build_bad_request_refusal("The body is no JSON object.")
     max_tokens = decoded.get("max_tokens")
     limit = max_tokens if isinstance(max_tokens, int) and max_tokens > 0 else None
     return Prompt(decoded.get("stream") is True, limit, _prefix_of(decoded))
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -48,7 +48,7 @@
     )
 
 
-def bad_request(message: str) -> Refusal:
+def build_bad_request_refusal(message: str) -> Refusal:
     """Return a refusal of a malformed request."""
     return Refusal(400, "bad-request", message)
 
