--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -29,8 +29,8 @@
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import KEY_REUSED
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.entry.refusals import build_earlier_send_refusal
 from kingcupwheel.entry.refusals import claim_unreachable
-from kingcupwheel.entry.refusals import earlier_send
 from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Outcome
@@ -160,7 +160,7 @@
         if record.body_digest != self._request.body_digest:
             return Final(KEY_REUSED)
         if record.final is not None:
-            return Final(earlier_send(record.final, record.reason))
+            return Final(build_earlier_send_refusal(record.final, record.reason))
         self._context.recorder.record(
             self._request.request_id, Joined(record.request_id)
         )
@@ -227,7 +227,7 @@
 
     def _lost(self, held: Held, reason: str) -> Finding:
         self.finish(held, Outcome.UNKNOWN, reason)
-        return Final(earlier_send(Outcome.UNKNOWN, reason))
+        return Final(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
     def _take_over(self, held: Held, inbox: Inbox) -> Finding:
         """Make sure that the earlier dispatch can't start, then free the claim.
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -82,7 +82,7 @@
 )
 
 
-def earlier_send(outcome: Outcome, reason: str) -> Refusal:
+def build_earlier_send_refusal(outcome: Outcome, reason: str) -> Refusal:
     """Return what a resend is told of an earlier send without an answer to read."""
     message = f"An earlier send of this Idempotency-Key ended: {reason}."
     return Refusal(409, "earlier-send", message, outcome=outcome)
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -23,7 +23,7 @@
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.refusals import earlier_send
+from kingcupwheel.entry.refusals import build_earlier_send_refusal
 from kingcupwheel.entry.waiting import HeadWaiter
 from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import Outcome
@@ -168,12 +168,14 @@
         found.end()
         match step:
             case Ended(outcome, detail):
-                return self._give_up(plan, earlier_send(outcome, detail))
+                return self._give_up(plan, build_earlier_send_refusal(outcome, detail))
             case WaitAbandoned():
                 return self._give_up(plan, build_wait_abandoned_refusal())
             case _:
                 detail = "its server did not run it"
-                return self._give_up(plan, earlier_send(Outcome.UNKNOWN, detail))
+                return self._give_up(
+                    plan, build_earlier_send_refusal(Outcome.UNKNOWN, detail)
+                )
 
     def _head_of(self, found: Joinable) -> HeadWaitResult:
         match found.first:
