--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -29,8 +29,8 @@
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import KEY_REUSED
 from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.entry.refusals import build_claim_refusal
 from kingcupwheel.entry.refusals import build_earlier_send_refusal
-from kingcupwheel.entry.refusals import claim_unreachable
 from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Outcome
@@ -104,7 +104,7 @@
         """Return the claim as the platform has it, None if there is none."""
         found = self._context.claims.read(self._claim_id)
         if found.is_error():
-            return claim_unreachable(found.error, claimed=True)
+            return build_claim_refusal(found.error, claimed=True)
         return found.ok
 
     def take(
@@ -124,7 +124,7 @@
             case ClaimMoved():
                 return Again()
             case ClaimUnreachable() as error:
-                return claim_unreachable(error)
+                return build_claim_refusal(error)
 
     def _record_for(
         self, place: Reservation, attempt: int, held: Held | None
@@ -249,7 +249,7 @@
                 case ClaimMoved():
                     return Again()
                 case ClaimUnreachable() as error:
-                    return Final(claim_unreachable(error, claimed=True))
+                    return Final(build_claim_refusal(error, claimed=True))
         raised = written.ok
         self._note(raised, "raised the fence of")
         return self._entomb(raised, inbox)
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -88,7 +88,7 @@
     return Refusal(409, "earlier-send", message, outcome=outcome)
 
 
-def claim_unreachable(error: ClaimUnreachable, *, claimed: bool = False) -> Refusal:
+def build_claim_refusal(error: ClaimUnreachable, *, claimed: bool = False) -> Refusal:
     """Return the refusal of a request whose claim can't be made or settled.
 
     ``claimed`` tells that an earlier send made a claim: it may have run, and a caller
