--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -12,12 +12,12 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.entry.refusals import API_KEY_MISSING
 from kingcupwheel.entry.refusals import BAD_KEY
 from kingcupwheel.entry.refusals import BAD_METHOD
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
 from kingcupwheel.entry.refusals import KEY_MISSING
-from kingcupwheel.entry.refusals import NO_KEY
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
@@ -75,7 +75,7 @@
     """Return the organisation that the bearer key belongs to."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER):
-        return Error(NO_KEY)
+        return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER) :].strip()
     organisation = in_force.organisation_of_key(key)
     return Error(BAD_KEY) if organisation is None else Ok(organisation)
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -53,7 +53,7 @@
     return Refusal(400, "bad-request", message)
 
 
-NO_KEY = Refusal(401, "no-key", "A bearer key is needed.")
+API_KEY_MISSING = Refusal(401, "no-key", "A bearer key is needed.")
 BAD_KEY = Refusal(401, "bad-key", "The key belongs to no organisation.")
 NO_ROUTE = Refusal(404, "no-route", "No route has this host and path.")
 BAD_METHOD = Refusal(405, "bad-method", "The route does not take this method.")
