--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -13,7 +13,7 @@
 from expression import Result
 
 from kingcupwheel.entry.refusals import API_KEY_MISSING
-from kingcupwheel.entry.refusals import BAD_KEY
+from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import BAD_METHOD
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
@@ -78,7 +78,7 @@
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER) :].strip()
     organisation = in_force.organisation_of_key(key)
-    return Error(BAD_KEY) if organisation is None else Ok(organisation)
+    return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
 def check_sizes(
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -54,7 +54,7 @@
 
 
 API_KEY_MISSING = Refusal(401, "no-key", "A bearer key is needed.")
-BAD_KEY = Refusal(401, "bad-key", "The key belongs to no organisation.")
+API_KEY_UNKNOWN = Refusal(401, "bad-key", "The key belongs to no organisation.")
 NO_ROUTE = Refusal(404, "no-route", "No route has this host and path.")
 BAD_METHOD = Refusal(405, "bad-method", "The route does not take this method.")
 BODY_TOO_LARGE = Refusal(413, "body-too-large", "The body is over the entry's limit.")
--- a/src/kingcupwheel/forwarding/admission.py
+++ b/src/kingcupwheel/forwarding/admission.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.refusals import BAD_KEY
+from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
 from kingcupwheel.entry.refusals import NO_MANIFEST
@@ -82,7 +82,7 @@
             return _refusal_of_stale_key(snapshot)
         organisation_key = configuration.find_key_holder(head.api_key)
         if organisation_key is None:
-            return _denial_if_fresh(BAD_KEY, snapshot)
+            return _denial_if_fresh(API_KEY_UNKNOWN, snapshot)
     organisation = "" if organisation_key is None else organisation_key.organisation
     priority = route.priority
     if organisation_key is not None and organisation_key.priority is not None:
