--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -27,7 +27,7 @@
 from kingcupwheel.entry.inbox import Inbox
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
-from kingcupwheel.entry.refusals import KEY_REUSED
+from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_REUSED
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_claim_refusal
 from kingcupwheel.entry.refusals import build_earlier_send_refusal
@@ -158,7 +158,7 @@
         """Find out what became of the claim held by an earlier send."""
         record = held.record
         if record.body_digest != self._request.body_digest:
-            return Final(KEY_REUSED)
+            return Final(IDEMPOTENCY_KEY_REUSED)
         if record.final is not None:
             return Final(build_earlier_send_refusal(record.final, record.reason))
         self._context.recorder.record(
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -61,7 +61,7 @@
 HEADERS_TOO_LARGE = Refusal(
     431, "headers-too-large", "The headers are over the entry's limit."
 )
-KEY_REUSED = Refusal(
+IDEMPOTENCY_KEY_REUSED = Refusal(
     422, "idempotency-key-reused", "The Idempotency-Key was used with another body."
 )
 KEY_MISSING = Refusal(
