--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.refusals import BAD_METHOD
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
-from kingcupwheel.entry.refusals import KEY_MISSING
+from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_MISSING
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
@@ -152,7 +152,7 @@
 def _key_problem(http: HttpRequest, found: RouteFound) -> Refusal | None:
     key = http.headers.get(_KEY_HEADER, "")
     if not key and not found.route.repeatable:
-        return KEY_MISSING
+        return IDEMPOTENCY_KEY_MISSING
     if len(key) > _MAX_IDEMPOTENCY_KEY:
         return build_bad_request_refusal(
             "Idempotency-Key is longer than 255 characters."
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -64,7 +64,7 @@
 IDEMPOTENCY_KEY_REUSED = Refusal(
     422, "idempotency-key-reused", "The Idempotency-Key was used with another body."
 )
-KEY_MISSING = Refusal(
+IDEMPOTENCY_KEY_MISSING = Refusal(
     400,
     "idempotency-key-missing",
     "This route runs requests at most once and needs an Idempotency-Key.",
