--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.parsing import organisation_of
 from kingcupwheel.entry.parsing import parse
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
-from kingcupwheel.entry.refusals import BUSY
+from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.entry.refusals import LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
 from kingcupwheel.entry.running import RequestRunner
@@ -76,7 +76,7 @@
             # The server would read whatever body comes before the next request; here
             # it is not even listened to, because few threads are left.
             exchange.close_after()
-            return exchange.refuse(BUSY)
+            return exchange.refuse(ENTRY_BUSY)
         try:
             body = self._answer(exchange)
         except BaseException:
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -70,7 +70,9 @@
     "This route runs requests at most once and needs an Idempotency-Key.",
 )
 NO_MANIFEST = Refusal(503, "no-manifest", "No configuration is in force yet.", 2.0)
-BUSY = Refusal(503, "entry-busy", "The entry answers as many requests as it may.", 1.0)
+ENTRY_BUSY = Refusal(
+    503, "entry-busy", "The entry answers as many requests as it may.", 1.0
+)
 CALLER_LEFT = Refusal(499, "caller-left", "The caller left before it was placed.")
 LEAVING = Refusal(503, "entry-leaving", "The entry stops; use another one.", 1.0)
 EARLIER_SEND_RUNNING = Refusal(
