--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.parsing import parse
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import ENTRY_BUSY
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
 from kingcupwheel.entry.running import RequestRunner
 from kingcupwheel.entry.watching import SocketWatch
@@ -107,7 +107,7 @@
         in_force = self._in_force()
         if self._closed or in_force is None:
             exchange.discard_body(limits.body_bytes)
-            return exchange.refuse(LEAVING if self._closed else NO_MANIFEST)
+            return exchange.refuse(ENTRY_LEAVING if self._closed else NO_MANIFEST)
         refusal = check_sizes(
             exchange.headers,
             header_bytes=limits.header_bytes,
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -74,7 +74,7 @@
     503, "entry-busy", "The entry answers as many requests as it may.", 1.0
 )
 CALLER_LEFT = Refusal(499, "caller-left", "The caller left before it was placed.")
-LEAVING = Refusal(503, "entry-leaving", "The entry stops; use another one.", 1.0)
+ENTRY_LEAVING = Refusal(503, "entry-leaving", "The entry stops; use another one.", 1.0)
 EARLIER_SEND_RUNNING = Refusal(
     409,
     "earlier-send-running",
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from kingcupwheel.entry.answers import RefusedAnswer
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.active_requests import ActiveRequests
 from kingcupwheel.forwarding.admission import admit_request
@@ -123,7 +123,7 @@
         retry_s = (
             _PEER_RETRY_AFTER_S if self._has_live_peers() else _RESTART_RETRY_AFTER_S
         )
-        return LEAVING._replace(retry_after_s=with_jitter(retry_s, request.id))
+        return ENTRY_LEAVING._replace(retry_after_s=with_jitter(retry_s, request.id))
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.refusals import CALLER_LEFT
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.forwarding.calls import Answered
@@ -282,7 +282,7 @@
                 return result
             self._release(result)
             retry_s = retry_after_s(self._request.id)
-            result = NoPlace(LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s)
+            result = NoPlace(ENTRY_LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s)
         if isinstance(result, NoPlace):
             return self._refusal_without_place(result)
         return result
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import PlacementTicket
 from kingcupwheel.entry.tickets import Reservation
@@ -85,7 +85,7 @@
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 reason = AbortReason.SHUTDOWN.value
-                return NoPlace(LEAVING.reason, reason, retry_after_s(request.id))
+                return NoPlace(ENTRY_LEAVING.reason, reason, retry_after_s(request.id))
             return NoPlace("time-up", "no place", retry_after_s(request.id))
         dispatcher.place_waiting()
 
