--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -71,11 +71,11 @@
         """Answer one request."""
         exchange = Exchange(self._context, environ, start_response)
         if self._context.leaving.is_set():
-            exchange.close_after()
+            exchange.close_connection_after()
         if not self._enter():
             # The server would read whatever body comes before the next request; here
             # it is not even listened to, because few threads are left.
-            exchange.close_after()
+            exchange.close_connection_after()
             return exchange.refuse(ENTRY_BUSY)
         try:
             body = self._answer(exchange)
@@ -126,7 +126,7 @@
             return exchange.send(page.status, (), msgspec.json.encode(page.body))
         body = exchange.read_body(limits.body_bytes)
         if body is None:
-            exchange.close_after()
+            exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
         parsed = parse(
             exchange.http_request(body),
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -73,7 +73,7 @@
         """The caller's connection, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
-    def close_after(self) -> None:
+    def close_connection_after(self) -> None:
         """Close the connection after this answer."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
@@ -96,7 +96,7 @@
             if not part:
                 break
             left -= len(part)
-        self.close_after()
+        self.close_connection_after()
 
     def http_request(self, body: bytes) -> HttpRequest:
         """Return the request as parsing takes it."""
