--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -139,7 +139,9 @@
             return exchange.refuse(parsed.error)
         self._record_received(parsed.ok)
         watch = SocketWatch(exchange.socket)
-        return exchange.pass_on(RequestRunner(self._context, parsed.ok, watch).run())
+        return exchange.send_answer(
+            RequestRunner(self._context, parsed.ok, watch).run()
+        )
 
     def _record_received(self, request: CallerRequest) -> None:
         event = Received(
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -131,7 +131,7 @@
         self._start(status, (kind, length, *headers))
         return (body,)
 
-    def pass_on(self, answer: Answer) -> Iterable[bytes]:
+    def send_answer(self, answer: Answer) -> Iterable[bytes]:
         """Send what a request came to."""
         match answer:
             case RefusedAnswer(refusal):
