--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -123,7 +123,7 @@
             return exchange.refuse(found.error)
         if exchange.path.startswith(OWN_PREFIX):
             page = self._pages.answer(exchange.method, exchange.path, found.ok)
-            return exchange.send(page.status, (), msgspec.json.encode(page.body))
+            return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
         body = exchange.read_body(limits.body_bytes)
         if body is None:
             exchange.close_connection_after()
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -120,9 +120,9 @@
         headers: list[tuple[str, str]] = [(OUTCOME_HEADER, refusal.outcome.value)]
         if refusal.retry_after_s > 0:
             headers.append(("Retry-After", str(max(1, round(refusal.retry_after_s)))))
-        return self.send(refusal.status, tuple(headers), body)
+        return self.send_json(refusal.status, tuple(headers), body)
 
-    def send(
+    def send_json(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> Iterable[bytes]:
         """Answer with a whole JSON body."""
