--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -129,7 +129,7 @@
             exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
         parsed = parse(
-            exchange.http_request(body),
+            exchange.build_http_request(body),
             found.ok,
             in_force,
             request_id=exchange.request_id,
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -98,7 +98,7 @@
             left -= len(part)
         self.close_connection_after()
 
-    def http_request(self, body: bytes) -> HttpRequest:
+    def build_http_request(self, body: bytes) -> HttpRequest:
         """Return the request as parsing takes it."""
         host = self.headers.get("host", "").rsplit(":", 1)[0].lower()
         query = str(self._environ.get("QUERY_STRING", ""))
