--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from kingcupwheel.entry.exchange import DISCARDED_BYTES
+from kingcupwheel.entry.exchange import DISCARD_CHUNK_BYTES
 from kingcupwheel.entry.exchange import Exchange
 from kingcupwheel.entry.parsing import check_sizes
 from kingcupwheel.entry.parsing import organisation_of
@@ -119,7 +119,7 @@
         found = organisation_of(exchange.headers, in_force)
         if found.is_error():
             # Little, because anybody may send it and hold a thread meanwhile.
-            exchange.discard_body(DISCARDED_BYTES)
+            exchange.discard_body(DISCARD_CHUNK_BYTES)
             return exchange.refuse(found.error)
         if exchange.path.startswith(OWN_PREFIX):
             page = self._pages.answer(exchange.method, exchange.path, found.ok)
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -38,7 +38,7 @@
 REQUEST_ID_HEADER = "Kingcupwheel-Request-Id"
 OUTCOME_HEADER = "Kingcupwheel-Outcome"
 # Read at a time of what is dropped.
-DISCARDED_BYTES = 65_536
+DISCARD_CHUNK_BYTES = 65_536
 
 
 class Exchange:
@@ -92,7 +92,7 @@
         """
         left = limit
         while left > 0:
-            part = self._environ["wsgi.input"].read(min(left, DISCARDED_BYTES))
+            part = self._environ["wsgi.input"].read(min(left, DISCARD_CHUNK_BYTES))
             if not part:
                 break
             left -= len(part)
