--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -154,10 +154,10 @@
 
     def _start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
         told = (REQUEST_ID_HEADER, self.request_id)
-        self._start_response(status_line(status), [*headers, told])
+        self._start_response(format_status_line(status), [*headers, told])
 
 
-def status_line(status: int) -> str:
+def format_status_line(status: int) -> str:
     """Return the status and its phrase as WSGI wants them."""
     try:
         phrase = HTTPStatus(status).phrase
--- a/src/kingcupwheel/forwarding/endpoints.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.exchange import status_line
+from kingcupwheel.entry.exchange import format_status_line
 from kingcupwheel.platform import entry_endpoints
 
 
@@ -29,7 +29,7 @@
         status = 404
         if environ["PATH_INFO"] == entry_endpoints.READY_PATH:
             status = 200 if self._is_ready() else 503
-        start_response(status_line(status), [("Content-Length", "0")])
+        start_response(format_status_line(status), [("Content-Length", "0")])
         return (b"",)
 
 
@@ -50,19 +50,19 @@
     ) -> Iterable[bytes]:
         """Handle one WSGI request."""
         if environ["PATH_INFO"] != entry_endpoints.ADDRESSES_PATH:
-            start_response(status_line(404), [("Content-Length", "0")])
+            start_response(format_status_line(404), [("Content-Length", "0")])
             return (b"",)
         data_centre = entry_endpoints.parse_data_centre(
             str(environ.get("QUERY_STRING", ""))
         )
         found = self._addresses(data_centre)
         if not found:
-            start_response(status_line(503), [("Content-Length", "0")])
+            start_response(format_status_line(503), [("Content-Length", "0")])
             return (b"",)
         body = entry_endpoints.encode_addresses(found, self._keep_s)
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
         ]
-        start_response(status_line(200), headers)
+        start_response(format_status_line(200), headers)
         return (body,)
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -11,8 +11,8 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
+from kingcupwheel.entry.exchange import format_status_line
 from kingcupwheel.entry.exchange import headers_of
-from kingcupwheel.entry.exchange import status_line
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
@@ -80,10 +80,10 @@
                 return self._refuse(refusal, request_id)
             case WholeAnswer(status, headers, body):
                 length = ("Content-Length", str(len(body)))
-                self._start_response(status_line(status), [*headers, length])
+                self._start_response(format_status_line(status), [*headers, length])
                 return (body,)
             case StreamedAnswer(status, headers, stream):
-                self._start_response(status_line(status), list(headers))
+                self._start_response(format_status_line(status), list(headers))
                 return stream
 
     def _refuse(self, refusal: Refusal, request_id: str) -> Iterable[bytes]:
@@ -94,5 +94,5 @@
         ]
         if refusal.retry_after_s > 0:
             headers.append(("Retry-After", f"{refusal.retry_after_s:.2f}"))
-        self._start_response(status_line(refusal.status), headers)
+        self._start_response(format_status_line(refusal.status), headers)
         return (body,)
