--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -56,7 +56,7 @@
         self.received_at = monotonic()
         name = context.settings.name
         self.request_id = str(new_request_id(name, now=time.time()))
-        self.headers = headers_of(environ)
+        self.headers = extract_headers(environ)
 
     @property
     def method(self) -> str:
@@ -166,7 +166,7 @@
     return f"{status} {phrase}"
 
 
-def headers_of(environ: dict[str, Any]) -> dict[str, str]:
+def extract_headers(environ: dict[str, Any]) -> dict[str, str]:
     """Return a WSGI request's headers by lower-case name."""
     headers = {
         name[5:].replace("_", "-").lower(): str(value)
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -11,8 +11,8 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
+from kingcupwheel.entry.exchange import extract_headers
 from kingcupwheel.entry.exchange import format_status_line
-from kingcupwheel.entry.exchange import headers_of
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
@@ -56,7 +56,7 @@
         After a longer body the connection is closed, since the rest of the body would
         be taken for the next request.
         """
-        headers = headers_of(self._environ)
+        headers = extract_headers(self._environ)
         target = self._environ.get("REQUEST_URI") or self._environ["PATH_INFO"]
         if isinstance(target, bytes):
             target = target.decode("latin-1")
