--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from kingcupwheel.entry.exchange import DISCARD_CHUNK_BYTES
-from kingcupwheel.entry.exchange import Exchange
+from kingcupwheel.entry.exchange import HttpExchange
 from kingcupwheel.entry.parsing import check_sizes
 from kingcupwheel.entry.parsing import organisation_of
 from kingcupwheel.entry.parsing import parse
@@ -69,7 +69,7 @@
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         """Answer one request."""
-        exchange = Exchange(self._context, environ, start_response)
+        exchange = HttpExchange(self._context, environ, start_response)
         if self._context.leaving.is_set():
             exchange.close_connection_after()
         if not self._enter():
@@ -102,7 +102,7 @@
         finally:
             self._leave()
 
-    def _answer(self, exchange: Exchange) -> Iterable[bytes]:
+    def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
         limits = self._context.settings.entry
         in_force = self._in_force()
         if self._closed or in_force is None:
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -41,7 +41,7 @@
 DISCARD_CHUNK_BYTES = 65_536
 
 
-class Exchange:
+class HttpExchange:
     """Reads a request and writes its response; belongs to one thread."""
 
     def __init__(
