--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -183,7 +183,7 @@
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
         whole = ended.outcome is Outcome.RAN
-        self._context.limits.settle_run(
+        self._context.limiter.settle_run(
             request, self._plan.predicted_work, self._tokens, whole=whole
         )
         self._context.observer.answered(
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -97,7 +97,7 @@
             self._record(Queued(ticket.requests_ahead))
             place = self._wait(ticket)
         if isinstance(place, PlacementFailure):
-            return _timed_out(place, self._context.limits.get_retry_after_s(request))
+            return _timed_out(place, self._context.limiter.get_retry_after_s(request))
         self._count += 1
         self._record_place(place)
         return place
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -29,7 +29,7 @@
     servers: ServerTable
     inboxes: Inboxes
     dispatchers: DispatcherRegistry
-    limits: RequestLimiter
+    limiter: RequestLimiter
     claims: ClaimStore
     retention: ClaimRetention
     recorder: Recorder
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -81,7 +81,7 @@
             servers=servers,
             inboxes=Inboxes(),
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
-            limits=limits,
+            limiter=limits,
             claims=ClaimStore(client),
             retention=self._retention,
             recorder=self._recording.recorder,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -147,14 +147,14 @@
         if restarted is not None:
             self._on_finding(restarted)
         if beat.crashed:
-            self._context.limits.record_crashes(beat.crashed)
+            self._context.limiter.record_crashes(beat.crashed)
         self._keeper.heard(beat.manifest_version, "", address)
         self._context.dispatchers.place_waiting(beat.group)
 
     def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
         self._membership.heard(beat, monotonic())
         if beat.crashed:
-            self._context.limits.record_crashes(beat.crashed)
+            self._context.limiter.record_crashes(beat.crashed)
         if isinstance(link, OutgoingLink):
             address = link.address
         else:
@@ -244,7 +244,7 @@
             self._keeper.version,
             self._keeper.digest,
             context.leaving.is_set(),
-            context.limits.recent_crashes,
+            context.limiter.recent_crashes,
         )
 
     def say_leaving(self) -> None:
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -69,7 +69,7 @@
         self._turned_away += 1
         if self._late or self._watch.gone() or self._turned_away > MAX_AGENT_REFUSALS:
             message = f"The last server asked did not take it: {reason.value}."
-            retry_after_s = self._context.limits.get_retry_after_s(self._request)
+            retry_after_s = self._context.limiter.get_retry_after_s(self._request)
             return Refusal(503, reason.value, message, retry_after_s)
         if reason is not AgentRefusal.STALE_TOKEN:
             attempts.exclude_server(place.server)
@@ -90,7 +90,7 @@
             and outcome is Outcome.UNKNOWN
             and self._runs < MAX_REPEATABLE_RUNS
             and not self._late
-            and self._context.limits.try_acquire_retry(self._request)
+            and self._context.limiter.try_acquire_retry(self._request)
         )
         if not repeat:
             status = 504 if self._late else 502
@@ -103,7 +103,7 @@
     ) -> Refusal | None:
         # The server may have died of this very request: the verdict of when it came is
         # not the verdict of now.
-        verdict = self._context.limits.check_quarantine(self._request)
+        verdict = self._context.limiter.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
             return verdict._replace(outcome=Outcome.UNKNOWN)
         attempts.exclude_server(place.server, suspect=verdict.is_suspect)
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -60,10 +60,10 @@
 
     def run(self) -> Answer:
         """Return the answer, or the refusal that is final."""
-        verdict = self._context.limits.check_quarantine(self._request)
+        verdict = self._context.limiter.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
             return self._refuse(verdict)
-        admitted = self._context.limits.admit(self._request)
+        admitted = self._context.limiter.admit(self._request)
         if isinstance(admitted, Refusal):
             return self._refuse(admitted)
         self._record(Admitted(admitted))
@@ -208,11 +208,11 @@
         if may_have_run and refusal.outcome is Outcome.NOT_RUN:
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if may_have_run:
-            self._context.limits.settle_run(
+            self._context.limiter.settle_run(
                 self._request, plan.predicted_work, 0, whole=False
             )
         else:
-            self._context.limits.settle_not_run(self._request, plan.predicted_work)
+            self._context.limiter.settle_not_run(self._request, plan.predicted_work)
         return self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> RefusedAnswer:
