--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -140,7 +140,7 @@
     def _next(self) -> Chunk | Ended | None:
         """Return the next bytes or the end; None once the caller has left."""
         while True:
-            step = self._reader.next(_WAIT_S)
+            step = self._reader.read_step(_WAIT_S)
             match step:
                 case Chunk():
                     self._time_chunk()
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -208,7 +208,7 @@
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
             reader.resume(why="joined by a resend")
-            step = reader.next(_ASK_AGAIN_S)
+            step = reader.read_step(_ASK_AGAIN_S)
             if not isinstance(step, Elapsed):
                 return step
         return Elapsed()
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -82,7 +82,7 @@
         """Bytes of the body read so far."""
         return self._following.offset
 
-    def next(self, timeout_s: float) -> Step | Elapsed:
+    def read_step(self, timeout_s: float) -> Step | Elapsed:
         """Return the next step that matters to the caller, or ``Elapsed``."""
         until = monotonic() + timeout_s
         while True:
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -55,7 +55,7 @@
         running = isinstance(first, Started) and first.running
         over_at: float | None = None
         while True:
-            step = reader.next(CALLER_POLL_INTERVAL_S)
+            step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
                 case HeadKnown() | Ended() | NotStarted():
                     return step
