--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -211,9 +211,9 @@
         if self._place is None or ended.outcome is not Outcome.RAN:
             return
         dispatcher = self._context.dispatchers.get(self._plan.request.group)
-        took_s = monotonic() - self._reader.began_at
+        took_s = monotonic() - self._reader.started_at
         dispatcher.record_success(self._place, took_s / max(1, self._tokens))
-        first_s = (self._first_byte_at or monotonic()) - self._reader.began_at
+        first_s = (self._first_byte_at or monotonic()) - self._reader.started_at
         dispatcher.record_first_byte_latency(first_s, len(self._plan.request.body))
 
     def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -73,7 +73,7 @@
         return self._server
 
     @property
-    def began_at(self) -> float:
+    def started_at(self) -> float:
         """When the attempt was sent, monotonic."""
         return self._began_at
 
