--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -207,7 +207,7 @@
         # An agent that was just dialled may need a moment, and one message may be lost.
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
-            reader.resume(why="joined by a resend")
+            reader.request_resume(why="joined by a resend")
             step = reader.read_step(_ASK_AGAIN_S)
             if not isinstance(step, Elapsed):
                 return step
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -107,7 +107,7 @@
             self._heard_at = now
         elif now - self._heard_at > self._quiet_s:
             self._heard_at = now
-            self.resume(why="nothing was heard of it")
+            self.request_resume(why="nothing was heard of it")
 
     def _step(
         self, item: Message | LinkReplaced | AgentGone | Elapsed
@@ -133,10 +133,10 @@
         return step
 
     def _resume(self, step: ResumeAt) -> Step:
-        self.resume(why=step.why)
+        self.request_resume(why=step.why)
         return Nothing()
 
-    def resume(self, *, why: str) -> None:
+    def request_resume(self, *, why: str) -> None:
         """Ask the agent for the answer from the next byte on."""
         offset = self._following.offset
         event = Resumed(self._server, self._inbox.key.attempt, offset, why)
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -99,7 +99,7 @@
         if step.cancelled:
             return NotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
-        reader.resume(why="the dispatch did not arrive")
+        reader.request_resume(why="the dispatch did not arrive")
         return None
 
     def _note_started(self, reader: AnswerReader, running: bool) -> None:
