--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -8,7 +8,7 @@
 
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.reading import CREDIT_BYTES
+from kingcupwheel.entry.reading import FLOW_CREDIT_BYTES
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.tickets import PlacementFailure
@@ -183,7 +183,7 @@
         body=request.body,
         work=plan.predicted_work,
         deadline_s=max(0.0, request.deadline_at - monotonic()),
-        credit=CREDIT_BYTES,
+        credit=FLOW_CREDIT_BYTES,
         manifest_version=request.manifest_version,
         repeatable=request.route.repeatable,
         suspect=plan.is_suspect,
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -30,7 +30,7 @@
 
 # Bytes of an answer that may be under way unacknowledged: many frames of tokens, so
 # that acknowledgements are rare, yet little memory for a caller who reads slowly.
-CREDIT_BYTES = 256 * 1024
+FLOW_CREDIT_BYTES = 256 * 1024
 
 
 class AnswerReader:
@@ -142,12 +142,12 @@
         event = Resumed(self._server, self._inbox.key.attempt, offset, why)
         self._recorder.record(self._traced_as, event)
         self._send(
-            ResumeRequest(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id)
+            ResumeRequest(*self._inbox.key, offset, FLOW_CREDIT_BYTES, self._claim_id)
         )
 
     def _acknowledge_some(self) -> None:
         offset = self._following.offset
-        if offset - self._acked >= CREDIT_BYTES // 2:
+        if offset - self._acked >= FLOW_CREDIT_BYTES // 2:
             self._acked = offset
             self._send(Ack(*self._inbox.key, offset))
 
