--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -31,7 +31,7 @@
 class Started(NamedTuple):
     """The agent holds the attempt; ``running`` tells that its server has it."""
 
-    running: bool
+    is_running: bool
 
 
 class HeadKnown(NamedTuple):
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -52,7 +52,7 @@
 
         ``first`` is a step that was read before.
         """
-        running = isinstance(first, Started) and first.running
+        running = isinstance(first, Started) and first.is_running
         over_at: float | None = None
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
