--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -67,7 +67,7 @@
     """
 
     incarnation: str
-    cancelled: bool
+    is_cancelled: bool
 
 
 class ResumeAt(NamedTuple):
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -96,7 +96,7 @@
         """
         if step.incarnation != reader.inbox.incarnation:
             return Ended(Outcome.UNKNOWN, "the agent restarted")
-        if step.cancelled:
+        if step.is_cancelled:
             return NotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
         reader.request_resume(why="the dispatch did not arrive")
