--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -74,7 +74,7 @@
     """Ask the agent again from ``offset``; ``why`` is a short reason."""
 
     offset: int
-    why: str
+    reason: str
 
 
 class Nothing(NamedTuple):
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -133,7 +133,7 @@
         return step
 
     def _resume(self, step: ResumeAt) -> Step:
-        self.request_resume(why=step.why)
+        self.request_resume(why=step.reason)
         return Nothing()
 
     def request_resume(self, *, why: str) -> None:
