--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -28,7 +28,7 @@
 MAX_RESUMES_WITHOUT_PROGRESS = 5
 
 
-class Started(NamedTuple):
+class AttemptStarted(NamedTuple):
     """The agent holds the attempt; ``running`` tells that its server has it."""
 
     is_running: bool
@@ -81,7 +81,16 @@
     """The message changes nothing."""
 
 
-Step = Started | HeadKnown | Chunk | Ended | NotStarted | NeverSeen | ResumeAt | Nothing
+Step = (
+    AttemptStarted
+    | HeadKnown
+    | Chunk
+    | Ended
+    | NotStarted
+    | NeverSeen
+    | ResumeAt
+    | Nothing
+)
 
 
 class Following:
@@ -108,7 +117,7 @@
             case ResponseData(offset=offset, data=data):
                 return self._on_data(offset, data)
             case AttemptAccepted(running=running):
-                return Started(running)
+                return AttemptStarted(running)
             case ResponseHead(status=status, headers=headers):
                 return self._on_head(status, headers)
             case AttemptEnd(length=length, outcome=outcome, detail=detail):
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -7,11 +7,11 @@
 from typing import NamedTuple
 
 from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
+from kingcupwheel.entry.following import AttemptStarted
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import HeadKnown
 from kingcupwheel.entry.following import NeverSeen
 from kingcupwheel.entry.following import NotStarted
-from kingcupwheel.entry.following import Started
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -52,7 +52,7 @@
 
         ``first`` is a step that was read before.
         """
-        running = isinstance(first, Started) and first.is_running
+        running = isinstance(first, AttemptStarted) and first.is_running
         over_at: float | None = None
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
@@ -63,7 +63,7 @@
                     settled = self._never_seen(reader, step)
                     if settled is not None:
                         return settled
-                case Started(now_running):
+                case AttemptStarted(now_running):
                     running = running or now_running
                     self._note_started(reader, now_running)
             if self._is_better_elsewhere(reader):
