--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -27,7 +27,7 @@
     from kingcupwheel.entry.answers import Answer
     from kingcupwheel.entry.attempting import AdmittedRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import HeadKnown
+    from kingcupwheel.entry.following import HeadReceived
     from kingcupwheel.entry.reading import AnswerReader
     from kingcupwheel.entry.tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
@@ -71,7 +71,7 @@
         self._last_chunk_at = 0.0
         self._finished = False
 
-    def relay(self, head: HeadKnown) -> Answer:
+    def relay(self, head: HeadReceived) -> Answer:
         """Return the answer: whole if it is short and unstreamed, else as a stream."""
         self._status = head.status
         if _is_event_stream(head) or self._plan.request.is_streamed:
@@ -79,7 +79,7 @@
             return StreamedAnswer(head.status, head.headers, body)
         return self._read_whole(head)
 
-    def _read_whole(self, head: HeadKnown) -> Answer:
+    def _read_whole(self, head: HeadReceived) -> Answer:
         parts: list[bytes] = []
         while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
             match self._next():
@@ -94,13 +94,13 @@
         body_stream = self._stream(parts, tells_outcome=False)
         return StreamedAnswer(head.status, head.headers, body_stream)
 
-    def _whole(self, head: HeadKnown, body: bytes, ended: Ended) -> Answer:
+    def _whole(self, head: HeadReceived, body: bytes, ended: Ended) -> Answer:
         if ended.outcome is Outcome.RAN:
             return WholeAnswer(head.status, head.headers, body, ended.outcome)
         message = f"The answer was cut short: {ended.detail}.".encode()
         return WholeAnswer(502, (), message, ended.outcome)
 
-    def _caller_left(self, head: HeadKnown) -> Answer:
+    def _caller_left(self, head: HeadReceived) -> Answer:
         return WholeAnswer(head.status, (), b"", Outcome.UNKNOWN)
 
     def _stream(
@@ -220,7 +220,7 @@
         self._context.recorder.record(self._plan.request.request_id, event)
 
 
-def _is_event_stream(head: HeadKnown) -> bool:
+def _is_event_stream(head: HeadReceived) -> bool:
     return any(
         name.lower() == "content-type" and value.startswith(_EVENT_STREAM)
         for name, value in head.headers
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -34,7 +34,7 @@
     is_running: bool
 
 
-class HeadKnown(NamedTuple):
+class HeadReceived(NamedTuple):
     """Status and headers of the answer."""
 
     status: int
@@ -83,7 +83,7 @@
 
 Step = (
     AttemptStarted
-    | HeadKnown
+    | HeadReceived
     | Chunk
     | Ended
     | NotStarted
@@ -136,7 +136,7 @@
         if self._head_known:
             return Nothing()
         self._head_known = True
-        return HeadKnown(status, headers)
+        return HeadReceived(status, headers)
 
     def _on_data(self, offset: int, data: bytes) -> Step:
         if offset > self._offset or not self._head_known:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.attempting import AttemptDispatcher
 from kingcupwheel.entry.exceptions import CallerGoneError
 from kingcupwheel.entry.following import Ended
-from kingcupwheel.entry.following import HeadKnown
+from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.joining import MAX_MOVES
 from kingcupwheel.entry.joining import Again
 from kingcupwheel.entry.joining import Claims
@@ -89,7 +89,7 @@
                 return self._give_up(plan, place)
             reader = attempts.dispatch(place, None)
             step = self._head.wait(reader)
-            if isinstance(step, HeadKnown):
+            if isinstance(step, HeadReceived):
                 return self._answering(plan, attempts, place, reader).relay(step)
             self._end_attempt(attempts, place, reader)
             refusal = self._judge.handle_failed_attempt(step, attempts, place)
@@ -129,7 +129,7 @@
     ) -> Answer | None:
         reader = attempts.dispatch(place, held)
         step = self._head.wait(reader)
-        if isinstance(step, HeadKnown):
+        if isinstance(step, HeadReceived):
             return self._answering(plan, attempts, place, reader).relay(step)
         self._end_attempt(attempts, place, reader)
         if isinstance(step, Ended):
@@ -160,7 +160,7 @@
             return self._give_up(plan, found.refusal)
         reader = found.reader
         step = self._head_of(found)
-        if isinstance(step, HeadKnown):
+        if isinstance(step, HeadReceived):
             answering = AnswerRelay(
                 self._context, plan, reader, self._watch, None, found.end
             )
@@ -179,7 +179,7 @@
 
     def _head_of(self, found: Joinable) -> HeadWaitResult:
         match found.first:
-            case HeadKnown() | Ended():
+            case HeadReceived() | Ended():
                 return found.first
             case first:
                 return self._head.wait(found.reader, first)
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -9,7 +9,7 @@
 from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
 from kingcupwheel.entry.following import AttemptStarted
 from kingcupwheel.entry.following import Ended
-from kingcupwheel.entry.following import HeadKnown
+from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.following import NeverSeen
 from kingcupwheel.entry.following import NotStarted
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
@@ -34,7 +34,7 @@
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadWaitResult = HeadKnown | Ended | NotStarted | WaitAbandoned
+HeadWaitResult = HeadReceived | Ended | NotStarted | WaitAbandoned
 
 
 class HeadWaiter:
@@ -57,7 +57,7 @@
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
-                case HeadKnown() | Ended() | NotStarted():
+                case HeadReceived() | Ended() | NotStarted():
                     return step
                 case NeverSeen():
                     settled = self._never_seen(reader, step)
