--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
-from kingcupwheel.entry.following import Chunk
+from kingcupwheel.entry.following import BodyChunk
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -83,7 +83,7 @@
         parts: list[bytes] = []
         while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
             match self._next():
-                case Chunk(data):
+                case BodyChunk(data):
                     parts.append(data)
                 case Ended() as ended:
                     self._finish(ended)
@@ -111,7 +111,7 @@
             yield from parts
             while True:
                 match self._next():
-                    case Chunk(data):
+                    case BodyChunk(data):
                         yield data
                     case Ended() as ended:
                         self._finish(ended)
@@ -137,12 +137,12 @@
         }
         return b"event: kingcupwheel\ndata: " + msgspec.json.encode(told) + b"\n\n"
 
-    def _next(self) -> Chunk | Ended | None:
+    def _next(self) -> BodyChunk | Ended | None:
         """Return the next bytes or the end; None once the caller has left."""
         while True:
             step = self._reader.read_step(_WAIT_S)
             match step:
-                case Chunk():
+                case BodyChunk():
                     self._time_chunk()
                     return step
                 case Ended():
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -41,7 +41,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class Chunk(NamedTuple):
+class BodyChunk(NamedTuple):
     """The next bytes of the body."""
 
     data: bytes
@@ -84,7 +84,7 @@
 Step = (
     AttemptStarted
     | HeadReceived
-    | Chunk
+    | BodyChunk
     | Ended
     | NotStarted
     | NeverSeen
@@ -146,7 +146,7 @@
             return Nothing()
         self._resumes = 0
         self._offset += len(fresh)
-        return Chunk(fresh)
+        return BodyChunk(fresh)
 
     def _on_end(self, length: int, outcome: Outcome, detail: str) -> Step:
         whole = self._offset == length and self._head_known
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.following import Chunk
+from kingcupwheel.entry.following import BodyChunk
 from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import Following
 from kingcupwheel.entry.following import Nothing
@@ -126,7 +126,7 @@
         match step:
             case ResumeAt():
                 return self._resume(step)
-            case Chunk():
+            case BodyChunk():
                 self._acknowledge_some()
             case Ended():
                 self._send(Ack(*self._inbox.key, self._following.offset))
