--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -11,8 +11,8 @@
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import Ended
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
@@ -40,7 +40,7 @@
 # slow.
 _WAIT_S = 1.0
 _EVENT_STREAM = "text/event-stream"
-_LEFT = Ended(Outcome.UNKNOWN, "the caller left")
+_LEFT = AnswerEnded(Outcome.UNKNOWN, "the caller left")
 
 
 class AnswerRelay:
@@ -85,7 +85,7 @@
             match self._next():
                 case BodyChunk(data):
                     parts.append(data)
-                case Ended() as ended:
+                case AnswerEnded() as ended:
                     self._finish(ended)
                     body = b"".join(parts)
                     return self._whole(head, body, ended)
@@ -94,7 +94,7 @@
         body_stream = self._stream(parts, tells_outcome=False)
         return StreamedAnswer(head.status, head.headers, body_stream)
 
-    def _whole(self, head: HeadReceived, body: bytes, ended: Ended) -> Answer:
+    def _whole(self, head: HeadReceived, body: bytes, ended: AnswerEnded) -> Answer:
         if ended.outcome is Outcome.RAN:
             return WholeAnswer(head.status, head.headers, body, ended.outcome)
         message = f"The answer was cut short: {ended.detail}.".encode()
@@ -113,7 +113,7 @@
                 match self._next():
                     case BodyChunk(data):
                         yield data
-                    case Ended() as ended:
+                    case AnswerEnded() as ended:
                         self._finish(ended)
                         if tells_outcome:
                             yield self._outcome_event(ended)
@@ -125,11 +125,11 @@
             self._left()
             raise
 
-    def _raise_if_cut(self, ended: Ended) -> None:
+    def _raise_if_cut(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
             raise AnswerCutError(ended.detail)
 
-    def _outcome_event(self, ended: Ended) -> bytes:
+    def _outcome_event(self, ended: AnswerEnded) -> bytes:
         told = {
             "request_id": self._plan.request.request_id,
             "outcome": ended.outcome.value,
@@ -137,7 +137,7 @@
         }
         return b"event: kingcupwheel\ndata: " + msgspec.json.encode(told) + b"\n\n"
 
-    def _next(self) -> BodyChunk | Ended | None:
+    def _next(self) -> BodyChunk | AnswerEnded | None:
         """Return the next bytes or the end; None once the caller has left."""
         while True:
             step = self._reader.read_step(_WAIT_S)
@@ -145,7 +145,7 @@
                 case BodyChunk():
                     self._time_chunk()
                     return step
-                case Ended():
+                case AnswerEnded():
                     return step
             if self._watch.gone():
                 self._left()
@@ -173,7 +173,7 @@
         self._record(CallerLeft(self._reader.offset))
         self._finish(_LEFT)
 
-    def _finish(self, ended: Ended) -> None:
+    def _finish(self, ended: AnswerEnded) -> None:
         request = self._plan.request
         self._finished = True
         self._end()
@@ -202,7 +202,7 @@
             return len(self._gaps_s) + 1
         return int(self._reader.offset / DEFAULT_BYTES_PER_TOKEN)
 
-    def _judge_server(self, ended: Ended) -> None:
+    def _judge_server(self, ended: AnswerEnded) -> None:
         """Count a whole answer by its time a token.
 
         Prompts and answers differ in length, so that whole times say little of a
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -47,7 +47,7 @@
     data: bytes
 
 
-class Ended(NamedTuple):
+class AnswerEnded(NamedTuple):
     """The last step: nothing more will come."""
 
     outcome: Outcome
@@ -85,7 +85,7 @@
     AttemptStarted
     | HeadReceived
     | BodyChunk
-    | Ended
+    | AnswerEnded
     | NotStarted
     | NeverSeen
     | ResumeAt
@@ -151,11 +151,11 @@
     def _on_end(self, length: int, outcome: Outcome, detail: str) -> Step:
         whole = self._offset == length and self._head_known
         if whole or outcome is not Outcome.RAN:
-            return Ended(outcome, detail)
+            return AnswerEnded(outcome, detail)
         return self._resume("end before its frames")
 
     def _resume(self, why: str) -> Step:
         self._resumes += 1
         if self._resumes > MAX_RESUMES_WITHOUT_PROGRESS:
-            return Ended(Outcome.UNKNOWN, "the rest of the answer is gone")
+            return AnswerEnded(Outcome.UNKNOWN, "the rest of the answer is gone")
         return ResumeAt(self._offset, why)
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.following import Ended
+from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import NotStarted
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.waiting import WaitAbandoned
@@ -49,7 +49,7 @@
 
     def handle_failed_attempt(
         self,
-        step: Ended | NotStarted | WaitAbandoned,
+        step: AnswerEnded | NotStarted | WaitAbandoned,
         attempts: AttemptDispatcher,
         place: Reservation,
     ) -> Refusal | None:
@@ -57,7 +57,7 @@
         match step:
             case NotStarted(reason):
                 return self._turned_away_by(reason, attempts, place)
-            case Ended(outcome, detail):
+            case AnswerEnded(outcome, detail):
                 return self._failed(outcome, detail, attempts, place)
             case WaitAbandoned():
                 self._runs += 1
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -5,8 +5,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
+from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import Following
 from kingcupwheel.entry.following import Nothing
 from kingcupwheel.entry.following import ResumeAt
@@ -116,7 +116,7 @@
             case Elapsed():
                 return item
             case AgentGone(detail):
-                return Ended(Outcome.UNKNOWN, detail)
+                return AnswerEnded(Outcome.UNKNOWN, detail)
             case LinkReplaced():
                 return self._resume(self._following.link_replaced())
             case message:
@@ -128,7 +128,7 @@
                 return self._resume(step)
             case BodyChunk():
                 self._acknowledge_some()
-            case Ended():
+            case AnswerEnded():
                 self._send(Ack(*self._inbox.key, self._following.offset))
         return step
 
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -10,7 +10,7 @@
 from kingcupwheel.entry.attempting import AdmittedRequest
 from kingcupwheel.entry.attempting import AttemptDispatcher
 from kingcupwheel.entry.exceptions import CallerGoneError
-from kingcupwheel.entry.following import Ended
+from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.joining import MAX_MOVES
 from kingcupwheel.entry.joining import Again
@@ -132,7 +132,7 @@
         if isinstance(step, HeadReceived):
             return self._answering(plan, attempts, place, reader).relay(step)
         self._end_attempt(attempts, place, reader)
-        if isinstance(step, Ended):
+        if isinstance(step, AnswerEnded):
             claims.finish(held, Outcome.UNKNOWN, step.detail)
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
@@ -167,7 +167,7 @@
             return answering.relay(step)
         found.end()
         match step:
-            case Ended(outcome, detail):
+            case AnswerEnded(outcome, detail):
                 return self._give_up(plan, build_earlier_send_refusal(outcome, detail))
             case WaitAbandoned():
                 return self._give_up(plan, build_wait_abandoned_refusal())
@@ -179,7 +179,7 @@
 
     def _head_of(self, found: Joinable) -> HeadWaitResult:
         match found.first:
-            case HeadReceived() | Ended():
+            case HeadReceived() | AnswerEnded():
                 return found.first
             case first:
                 return self._head.wait(found.reader, first)
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
+from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import AttemptStarted
-from kingcupwheel.entry.following import Ended
 from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.following import NeverSeen
 from kingcupwheel.entry.following import NotStarted
@@ -34,7 +34,7 @@
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadWaitResult = HeadReceived | Ended | NotStarted | WaitAbandoned
+HeadWaitResult = HeadReceived | AnswerEnded | NotStarted | WaitAbandoned
 
 
 class HeadWaiter:
@@ -57,7 +57,7 @@
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
-                case HeadReceived() | Ended() | NotStarted():
+                case HeadReceived() | AnswerEnded() | NotStarted():
                     return step
                 case NeverSeen():
                     settled = self._never_seen(reader, step)
@@ -68,7 +68,7 @@
                     self._note_started(reader, now_running)
             if self._is_better_elsewhere(reader):
                 reader.cancel()
-                return Ended(Outcome.UNKNOWN, "the server's instance is silent")
+                return AnswerEnded(Outcome.UNKNOWN, "the server's instance is silent")
             over_at = over_at or self._give_up_if_over(reader, running)
             if over_at is not None and monotonic() - over_at > _CANCEL_S:
                 return WaitAbandoned()
@@ -88,14 +88,14 @@
 
     def _never_seen(
         self, reader: AnswerReader, step: NeverSeen
-    ) -> Ended | NotStarted | None:
+    ) -> AnswerEnded | NotStarted | None:
         """Return what follows from it, or None if the agent has to be asked again.
 
         The dispatch was lost, or is still on its way over an old link. Cancelling
         leaves a tombstone; asking again tells that it stands.
         """
         if step.incarnation != reader.inbox.incarnation:
-            return Ended(Outcome.UNKNOWN, "the agent restarted")
+            return AnswerEnded(Outcome.UNKNOWN, "the agent restarted")
         if step.is_cancelled:
             return NotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
