--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -54,7 +54,7 @@
     detail: str
 
 
-class NotStarted(NamedTuple):
+class AttemptNotStarted(NamedTuple):
     """The last step: the agent did not run it and never will."""
 
     reason: DispatchRefusal
@@ -86,7 +86,7 @@
     | HeadReceived
     | BodyChunk
     | AnswerEnded
-    | NotStarted
+    | AttemptNotStarted
     | NeverSeen
     | ResumeAt
     | Nothing
@@ -123,7 +123,7 @@
             case AttemptEnd(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
             case AttemptRefused(reason=reason):
-                return NotStarted(reason)
+                return AttemptNotStarted(reason)
             case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
                 return NeverSeen(incarnation, cancelled)
         return Nothing()
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -19,8 +19,8 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
+from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.following import NeverSeen
-from kingcupwheel.entry.following import NotStarted
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import AttemptKey
 from kingcupwheel.entry.inbox import Elapsed
@@ -196,7 +196,7 @@
                 return self._take_over(held, inbox)
             case NeverSeen():
                 return self._lost(held, "the agent restarted after the claim")
-            case NotStarted():
+            case AttemptNotStarted():
                 return Free(held)
             case Elapsed():
                 return self._lost(held, "the agent does not answer")
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import NotStarted
+from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
@@ -49,13 +49,13 @@
 
     def handle_failed_attempt(
         self,
-        step: AnswerEnded | NotStarted | WaitAbandoned,
+        step: AnswerEnded | AttemptNotStarted | WaitAbandoned,
         attempts: AttemptDispatcher,
         place: Reservation,
     ) -> Refusal | None:
         """Return the final refusal, or None if another attempt follows."""
         match step:
-            case NotStarted(reason):
+            case AttemptNotStarted(reason):
                 return self._turned_away_by(reason, attempts, place)
             case AnswerEnded(outcome, detail):
                 return self._failed(outcome, detail, attempts, place)
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -8,10 +8,10 @@
 
 from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
 from kingcupwheel.entry.following import AnswerEnded
+from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.following import AttemptStarted
 from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.following import NeverSeen
-from kingcupwheel.entry.following import NotStarted
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -34,7 +34,7 @@
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadWaitResult = HeadReceived | AnswerEnded | NotStarted | WaitAbandoned
+HeadWaitResult = HeadReceived | AnswerEnded | AttemptNotStarted | WaitAbandoned
 
 
 class HeadWaiter:
@@ -57,7 +57,7 @@
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
-                case HeadReceived() | AnswerEnded() | NotStarted():
+                case HeadReceived() | AnswerEnded() | AttemptNotStarted():
                     return step
                 case NeverSeen():
                     settled = self._never_seen(reader, step)
@@ -88,7 +88,7 @@
 
     def _never_seen(
         self, reader: AnswerReader, step: NeverSeen
-    ) -> AnswerEnded | NotStarted | None:
+    ) -> AnswerEnded | AttemptNotStarted | None:
         """Return what follows from it, or None if the agent has to be asked again.
 
         The dispatch was lost, or is still on its way over an old link. Cancelling
@@ -97,7 +97,7 @@
         if step.incarnation != reader.inbox.incarnation:
             return AnswerEnded(Outcome.UNKNOWN, "the agent restarted")
         if step.is_cancelled:
-            return NotStarted(AgentRefusal.CANCELLED)
+            return AttemptNotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
         reader.request_resume(why="the dispatch did not arrive")
         return None
