--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -60,7 +60,7 @@
     reason: DispatchRefusal
 
 
-class NeverSeen(NamedTuple):
+class AttemptNeverSeen(NamedTuple):
     """The agent's life ``incarnation`` never saw the attempt.
 
     ``cancelled`` tells that it will not run there any more either.
@@ -87,7 +87,7 @@
     | BodyChunk
     | AnswerEnded
     | AttemptNotStarted
-    | NeverSeen
+    | AttemptNeverSeen
     | ResumeAt
     | Nothing
 )
@@ -125,7 +125,7 @@
             case AttemptRefused(reason=reason):
                 return AttemptNotStarted(reason)
             case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
-                return NeverSeen(incarnation, cancelled)
+                return AttemptNeverSeen(incarnation, cancelled)
         return Nothing()
 
     def link_replaced(self) -> ResumeAt:
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -19,8 +19,8 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
+from kingcupwheel.entry.following import AttemptNeverSeen
 from kingcupwheel.entry.following import AttemptNotStarted
-from kingcupwheel.entry.following import NeverSeen
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import AttemptKey
 from kingcupwheel.entry.inbox import Elapsed
@@ -192,9 +192,11 @@
         )
         step = self._ask(reader)
         match step:
-            case NeverSeen(incarnation, _) if incarnation == held.record.incarnation:
+            case AttemptNeverSeen(incarnation, _) if (
+                incarnation == held.record.incarnation
+            ):
                 return self._take_over(held, inbox)
-            case NeverSeen():
+            case AttemptNeverSeen():
                 return self._lost(held, "the agent restarted after the claim")
             case AttemptNotStarted():
                 return Free(held)
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -8,10 +8,10 @@
 
 from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
 from kingcupwheel.entry.following import AnswerEnded
+from kingcupwheel.entry.following import AttemptNeverSeen
 from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.following import AttemptStarted
 from kingcupwheel.entry.following import HeadReceived
-from kingcupwheel.entry.following import NeverSeen
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -59,7 +59,7 @@
             match step:
                 case HeadReceived() | AnswerEnded() | AttemptNotStarted():
                     return step
-                case NeverSeen():
+                case AttemptNeverSeen():
                     settled = self._never_seen(reader, step)
                     if settled is not None:
                         return settled
@@ -87,7 +87,7 @@
         return server is not None and monotonic() - server.heard_at > gone_s
 
     def _never_seen(
-        self, reader: AnswerReader, step: NeverSeen
+        self, reader: AnswerReader, step: AttemptNeverSeen
     ) -> AnswerEnded | AttemptNotStarted | None:
         """Return what follows from it, or None if the agent has to be asked again.
 
