--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -70,7 +70,7 @@
     is_cancelled: bool
 
 
-class ResumeAt(NamedTuple):
+class ResumeNeeded(NamedTuple):
     """Ask the agent again from ``offset``; ``why`` is a short reason."""
 
     offset: int
@@ -88,7 +88,7 @@
     | AnswerEnded
     | AttemptNotStarted
     | AttemptNeverSeen
-    | ResumeAt
+    | ResumeNeeded
     | Nothing
 )
 
@@ -128,9 +128,9 @@
                 return AttemptNeverSeen(incarnation, cancelled)
         return Nothing()
 
-    def link_replaced(self) -> ResumeAt:
+    def link_replaced(self) -> ResumeNeeded:
         """Return the step to take after the link was replaced."""
-        return ResumeAt(self._offset, "link replaced")
+        return ResumeNeeded(self._offset, "link replaced")
 
     def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> Step:
         if self._head_known:
@@ -158,4 +158,4 @@
         self._resumes += 1
         if self._resumes > MAX_RESUMES_WITHOUT_PROGRESS:
             return AnswerEnded(Outcome.UNKNOWN, "the rest of the answer is gone")
-        return ResumeAt(self._offset, why)
+        return ResumeNeeded(self._offset, why)
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -9,7 +9,7 @@
 from kingcupwheel.entry.following import BodyChunk
 from kingcupwheel.entry.following import Following
 from kingcupwheel.entry.following import Nothing
-from kingcupwheel.entry.following import ResumeAt
+from kingcupwheel.entry.following import ResumeNeeded
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import Elapsed
 from kingcupwheel.entry.inbox import LinkReplaced
@@ -124,7 +124,7 @@
 
     def _take(self, step: Step) -> Step:
         match step:
-            case ResumeAt():
+            case ResumeNeeded():
                 return self._resume(step)
             case BodyChunk():
                 self._acknowledge_some()
@@ -132,7 +132,7 @@
                 self._send(Ack(*self._inbox.key, self._following.offset))
         return step
 
-    def _resume(self, step: ResumeAt) -> Step:
+    def _resume(self, step: ResumeNeeded) -> Step:
         self.request_resume(why=step.reason)
         return Nothing()
 
