--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -77,7 +77,7 @@
     reason: str
 
 
-class Nothing(NamedTuple):
+class NoStep(NamedTuple):
     """The message changes nothing."""
 
 
@@ -89,7 +89,7 @@
     | AttemptNotStarted
     | AttemptNeverSeen
     | ResumeNeeded
-    | Nothing
+    | NoStep
 )
 
 
@@ -126,7 +126,7 @@
                 return AttemptNotStarted(reason)
             case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
                 return AttemptNeverSeen(incarnation, cancelled)
-        return Nothing()
+        return NoStep()
 
     def link_replaced(self) -> ResumeNeeded:
         """Return the step to take after the link was replaced."""
@@ -134,7 +134,7 @@
 
     def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> Step:
         if self._head_known:
-            return Nothing()
+            return NoStep()
         self._head_known = True
         return HeadReceived(status, headers)
 
@@ -143,7 +143,7 @@
             return self._resume("frames missing")
         fresh = data[self._offset - offset :]
         if not fresh:
-            return Nothing()
+            return NoStep()
         self._resumes = 0
         self._offset += len(fresh)
         return BodyChunk(fresh)
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -8,7 +8,7 @@
 from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import BodyChunk
 from kingcupwheel.entry.following import Following
-from kingcupwheel.entry.following import Nothing
+from kingcupwheel.entry.following import NoStep
 from kingcupwheel.entry.following import ResumeNeeded
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import Elapsed
@@ -89,7 +89,7 @@
             item = self._inbox.get(until - monotonic())
             self._resume_if_quiet(item)
             step = self._step(item)
-            if not isinstance(step, Nothing):
+            if not isinstance(step, NoStep):
                 return step
 
     def _resume_if_quiet(
@@ -134,7 +134,7 @@
 
     def _resume(self, step: ResumeNeeded) -> Step:
         self.request_resume(why=step.reason)
-        return Nothing()
+        return NoStep()
 
     def request_resume(self, *, why: str) -> None:
         """Ask the agent for the answer from the next byte on."""
