--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -81,7 +81,7 @@
     """The message changes nothing."""
 
 
-Step = (
+AnswerStep = (
     AttemptStarted
     | HeadReceived
     | BodyChunk
@@ -111,7 +111,7 @@
         """Whether status and headers have been passed on."""
         return self._head_known
 
-    def on(self, message: Message) -> Step:
+    def on(self, message: Message) -> AnswerStep:
         """Return what ``message`` brings."""
         match message:
             case ResponseData(offset=offset, data=data):
@@ -132,13 +132,13 @@
         """Return the step to take after the link was replaced."""
         return ResumeNeeded(self._offset, "link replaced")
 
-    def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> Step:
+    def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> AnswerStep:
         if self._head_known:
             return NoStep()
         self._head_known = True
         return HeadReceived(status, headers)
 
-    def _on_data(self, offset: int, data: bytes) -> Step:
+    def _on_data(self, offset: int, data: bytes) -> AnswerStep:
         if offset > self._offset or not self._head_known:
             return self._resume("frames missing")
         fresh = data[self._offset - offset :]
@@ -148,13 +148,13 @@
         self._offset += len(fresh)
         return BodyChunk(fresh)
 
-    def _on_end(self, length: int, outcome: Outcome, detail: str) -> Step:
+    def _on_end(self, length: int, outcome: Outcome, detail: str) -> AnswerStep:
         whole = self._offset == length and self._head_known
         if whole or outcome is not Outcome.RAN:
             return AnswerEnded(outcome, detail)
         return self._resume("end before its frames")
 
-    def _resume(self, why: str) -> Step:
+    def _resume(self, why: str) -> AnswerStep:
         self._resumes += 1
         if self._resumes > MAX_RESUMES_WITHOUT_PROGRESS:
             return AnswerEnded(Outcome.UNKNOWN, "the rest of the answer is gone")
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -44,7 +44,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import Step
+    from kingcupwheel.entry.following import AnswerStep
     from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.tickets import Reservation
 
@@ -64,7 +64,7 @@
     """
 
     reader: AnswerReader
-    first: Step
+    first: AnswerStep
     end: Callable[[], None]
 
 
@@ -205,7 +205,7 @@
             case _:
                 return Joinable(reader, step, end)
 
-    def _ask(self, reader: AnswerReader) -> Step | Elapsed:
+    def _ask(self, reader: AnswerReader) -> AnswerStep | Elapsed:
         # An agent that was just dialled may need a moment, and one message may be lost.
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -22,7 +22,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.following import Step
+    from kingcupwheel.entry.following import AnswerStep
     from kingcupwheel.entry.inbox import Inbox
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
@@ -82,7 +82,7 @@
         """Bytes of the body read so far."""
         return self._following.offset
 
-    def read_step(self, timeout_s: float) -> Step | Elapsed:
+    def read_step(self, timeout_s: float) -> AnswerStep | Elapsed:
         """Return the next step that matters to the caller, or ``Elapsed``."""
         until = monotonic() + timeout_s
         while True:
@@ -111,7 +111,7 @@
 
     def _step(
         self, item: Message | LinkReplaced | AgentGone | Elapsed
-    ) -> Step | Elapsed:
+    ) -> AnswerStep | Elapsed:
         match item:
             case Elapsed():
                 return item
@@ -122,7 +122,7 @@
             case message:
                 return self._take(self._following.on(message))
 
-    def _take(self, step: Step) -> Step:
+    def _take(self, step: AnswerStep) -> AnswerStep:
         match step:
             case ResumeNeeded():
                 return self._resume(step)
@@ -132,7 +132,7 @@
                 self._send(Ack(*self._inbox.key, self._following.offset))
         return step
 
-    def _resume(self, step: ResumeNeeded) -> Step:
+    def _resume(self, step: ResumeNeeded) -> AnswerStep:
         self.request_resume(why=step.reason)
         return NoStep()
 
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import Step
+    from kingcupwheel.entry.following import AnswerStep
     from kingcupwheel.entry.reading import AnswerReader
     from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.watching import CallerWatch
@@ -47,7 +47,9 @@
         self._request = request
         self._watch = watch
 
-    def wait(self, reader: AnswerReader, first: Step | None = None) -> HeadWaitResult:
+    def wait(
+        self, reader: AnswerReader, first: AnswerStep | None = None
+    ) -> HeadWaitResult:
         """Return once the head is known, the attempt is over, or the wait is.
 
         ``first`` is a step that was read before.
