--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -111,7 +111,7 @@
         """Whether status and headers have been passed on."""
         return self._head_known
 
-    def on(self, message: Message) -> AnswerStep:
+    def process_message(self, message: Message) -> AnswerStep:
         """Return what ``message`` brings."""
         match message:
             case ResponseData(offset=offset, data=data):
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -120,7 +120,7 @@
             case LinkReplaced():
                 return self._resume(self._following.link_replaced())
             case message:
-                return self._take(self._following.on(message))
+                return self._take(self._following.process_message(message))
 
     def _take(self, step: AnswerStep) -> AnswerStep:
         match step:
