--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -128,7 +128,7 @@
                 return AttemptNeverSeen(incarnation, cancelled)
         return NoStep()
 
-    def link_replaced(self) -> ResumeNeeded:
+    def resume_on_new_link(self) -> ResumeNeeded:
         """Return the step to take after the link was replaced."""
         return ResumeNeeded(self._offset, "link replaced")
 
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -118,7 +118,7 @@
             case AgentGone(detail):
                 return AnswerEnded(Outcome.UNKNOWN, detail)
             case LinkReplaced():
-                return self._resume(self._following.link_replaced())
+                return self._resume(self._following.resume_on_new_link())
             case message:
                 return self._take(self._following.process_message(message))
 
