--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -107,7 +107,7 @@
         return self._offset
 
     @property
-    def head_known(self) -> bool:
+    def has_head(self) -> bool:
         """Whether status and headers have been passed on."""
         return self._head_known
 
