--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -93,7 +93,7 @@
 )
 
 
-class Following:
+class AnswerAssembler:
     """The state of one answer being followed; belongs to one thread."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -5,9 +5,9 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
+from kingcupwheel.entry.following import AnswerAssembler
 from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import Following
 from kingcupwheel.entry.following import NoStep
 from kingcupwheel.entry.following import ResumeNeeded
 from kingcupwheel.entry.inbox import AgentGone
@@ -56,7 +56,7 @@
         self._traced_as = traced_as
         self._server = server
         self._claim_id = claim_id
-        self._following = Following()
+        self._following = AnswerAssembler()
         self._acked = 0
         self._quiet_s = quiet_s
         self._heard_at = monotonic()
