--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -30,7 +30,7 @@
     detail: str
 
 
-class Elapsed(NamedTuple):
+class WaitTimedOut(NamedTuple):
     """Nothing came within the time waited."""
 
 
@@ -47,12 +47,14 @@
         """Add an item; called on the hub's thread."""
         self._items.put(item)
 
-    def get(self, timeout_s: float) -> Message | LinkReplaced | AgentGone | Elapsed:
+    def get(
+        self, timeout_s: float
+    ) -> Message | LinkReplaced | AgentGone | WaitTimedOut:
         """Return the next item, or ``Elapsed`` after ``timeout_s`` seconds."""
         try:
             return self._items.get(timeout=max(0.0, timeout_s))
         except Empty:
-            return Elapsed()
+            return WaitTimedOut()
 
 
 class Inboxes:
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -23,8 +23,8 @@
 from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.inbox import AgentGone
 from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import Elapsed
 from kingcupwheel.entry.inbox import Inbox
+from kingcupwheel.entry.inbox import WaitTimedOut
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_REUSED
@@ -200,20 +200,20 @@
                 return self._lost(held, "the agent restarted after the claim")
             case AttemptNotStarted():
                 return Free(held)
-            case Elapsed():
+            case WaitTimedOut():
                 return self._lost(held, "the agent does not answer")
             case _:
                 return Joinable(reader, step, end)
 
-    def _ask(self, reader: AnswerReader) -> AnswerStep | Elapsed:
+    def _ask(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
         # An agent that was just dialled may need a moment, and one message may be lost.
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
             reader.request_resume(why="joined by a resend")
             step = reader.read_step(_ASK_AGAIN_S)
-            if not isinstance(step, Elapsed):
+            if not isinstance(step, WaitTimedOut):
                 return step
-        return Elapsed()
+        return WaitTimedOut()
 
     def _open_inbox(self, record: ClaimRecord) -> Inbox | None:
         # Another thread here may follow the same answer; the agent sends it to one
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -11,8 +11,8 @@
 from kingcupwheel.entry.following import NoStep
 from kingcupwheel.entry.following import ResumeNeeded
 from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import Elapsed
 from kingcupwheel.entry.inbox import LinkReplaced
+from kingcupwheel.entry.inbox import WaitTimedOut
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import CancelRequest
@@ -82,7 +82,7 @@
         """Bytes of the body read so far."""
         return self._following.offset
 
-    def read_step(self, timeout_s: float) -> AnswerStep | Elapsed:
+    def read_step(self, timeout_s: float) -> AnswerStep | WaitTimedOut:
         """Return the next step that matters to the caller, or ``Elapsed``."""
         until = monotonic() + timeout_s
         while True:
@@ -93,7 +93,7 @@
                 return step
 
     def _resume_if_quiet(
-        self, item: Message | LinkReplaced | AgentGone | Elapsed
+        self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
     ) -> None:
         """Ask again where the agent has lost the way to this reader.
 
@@ -103,17 +103,17 @@
         Asking again gives the agent the new way; asking needlessly does no harm.
         """
         now = monotonic()
-        if not isinstance(item, Elapsed):
+        if not isinstance(item, WaitTimedOut):
             self._heard_at = now
         elif now - self._heard_at > self._quiet_s:
             self._heard_at = now
             self.request_resume(why="nothing was heard of it")
 
     def _step(
-        self, item: Message | LinkReplaced | AgentGone | Elapsed
-    ) -> AnswerStep | Elapsed:
+        self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
+    ) -> AnswerStep | WaitTimedOut:
         match item:
-            case Elapsed():
+            case WaitTimedOut():
                 return item
             case AgentGone(detail):
                 return AnswerEnded(Outcome.UNKNOWN, detail)
