--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -34,7 +34,7 @@
     """Nothing came within the time waited."""
 
 
-class Inbox:
+class AttemptInbox:
     """What is still to be read about one attempt."""
 
     def __init__(self, key: AttemptKey, address: str, incarnation: str) -> None:
@@ -61,26 +61,28 @@
     """The inboxes of all attempts under way; safe from any thread."""
 
     def __init__(self) -> None:
-        self._by_key: dict[AttemptKey, Inbox] = {}
-        self._by_claim_id: dict[str, Inbox] = {}
+        self._by_key: dict[AttemptKey, AttemptInbox] = {}
+        self._by_claim_id: dict[str, AttemptInbox] = {}
         self._lock = Lock()
 
-    def open(self, key: AttemptKey, address: str, incarnation: str) -> Inbox | None:
+    def open(
+        self, key: AttemptKey, address: str, incarnation: str
+    ) -> AttemptInbox | None:
         """Return a new inbox, or None while another thread follows that attempt."""
-        inbox = Inbox(key, address, incarnation)
+        inbox = AttemptInbox(key, address, incarnation)
         with self._lock:
             if key in self._by_key:
                 return None
             self._by_key[key] = inbox
         return inbox
 
-    def close(self, inbox: Inbox) -> None:
+    def close(self, inbox: AttemptInbox) -> None:
         """Forget the inbox; what comes later is dropped."""
         with self._lock:
             if self._by_key.get(inbox.key) is inbox:
                 del self._by_key[inbox.key]
 
-    def listen_for_claim(self, claim_id: str, inbox: Inbox) -> None:
+    def listen_for_claim(self, claim_id: str, inbox: AttemptInbox) -> None:
         """Let messages that name only the claim reach ``inbox`` as well."""
         with self._lock:
             self._by_claim_id[claim_id] = inbox
@@ -104,7 +106,7 @@
         if inbox is not None:
             inbox.put(message)
 
-    def at(self, address: str) -> tuple[Inbox, ...]:
+    def at(self, address: str) -> tuple[AttemptInbox, ...]:
         """Return the inboxes of attempts at the agent with that address."""
         with self._lock:
             return tuple(i for i in self._by_key.values() if i.address == address)
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -22,8 +22,8 @@
 from kingcupwheel.entry.following import AttemptNeverSeen
 from kingcupwheel.entry.following import AttemptNotStarted
 from kingcupwheel.entry.inbox import AgentGone
+from kingcupwheel.entry.inbox import AttemptInbox
 from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import Inbox
 from kingcupwheel.entry.inbox import WaitTimedOut
 from kingcupwheel.entry.reading import AnswerReader
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
@@ -179,7 +179,7 @@
         return found
 
     def _explore_agent(
-        self, held: Held, inbox: Inbox, end: Callable[[], None]
+        self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
     ) -> Finding:
         reader = AnswerReader(
             inbox,
@@ -215,7 +215,7 @@
                 return step
         return WaitTimedOut()
 
-    def _open_inbox(self, record: ClaimRecord) -> Inbox | None:
+    def _open_inbox(self, record: ClaimRecord) -> AttemptInbox | None:
         # Another thread here may follow the same answer; the agent sends it to one
         # reader at a time, so this one waits until that one has read it.
         key = AttemptKey(record.request_id, record.attempt)
@@ -231,7 +231,7 @@
         self.finish(held, Outcome.UNKNOWN, reason)
         return Final(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held: Held, inbox: Inbox) -> Finding:
+    def _take_over(self, held: Held, inbox: AttemptInbox) -> Finding:
         """Make sure that the earlier dispatch can't start, then free the claim.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -256,7 +256,7 @@
         self._note(raised, "raised the fence of")
         return self._entomb(raised, inbox)
 
-    def _entomb(self, held: Held, inbox: Inbox) -> Finding:
+    def _entomb(self, held: Held, inbox: AttemptInbox) -> Finding:
         record = held.record
         order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
         self._context.inboxes.listen_for_claim(held.claim_id, inbox)
@@ -275,7 +275,7 @@
         return self._lost(held, "the agent does not answer")
 
     def _entombed(
-        self, order: TombstoneRequest, inbox: Inbox, record: ClaimRecord
+        self, order: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
     ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.following import AnswerStep
-    from kingcupwheel.entry.inbox import Inbox
+    from kingcupwheel.entry.inbox import AttemptInbox
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        inbox: Inbox,
+        inbox: AttemptInbox,
         hub: MessageHub,
         recorder: Recorder,
         *,
@@ -63,7 +63,7 @@
         self._began_at = self._heard_at
 
     @property
-    def inbox(self) -> Inbox:
+    def inbox(self) -> AttemptInbox:
         """Where the attempt's messages arrive."""
         return self._inbox
 
