--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -82,7 +82,7 @@
             if self._by_key.get(inbox.key) is inbox:
                 del self._by_key[inbox.key]
 
-    def listen_for_claim(self, claim_id: str, inbox: AttemptInbox) -> None:
+    def subscribe_to_claim(self, claim_id: str, inbox: AttemptInbox) -> None:
         """Let messages that name only the claim reach ``inbox`` as well."""
         with self._lock:
             self._by_claim_id[claim_id] = inbox
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -259,7 +259,7 @@
     def _entomb(self, held: Held, inbox: AttemptInbox) -> Finding:
         record = held.record
         order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
-        self._context.inboxes.listen_for_claim(held.claim_id, inbox)
+        self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
         try:
             answer = self._entombed(order, inbox, record)
         finally:
