--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -87,7 +87,7 @@
         with self._lock:
             self._by_claim_id[claim_id] = inbox
 
-    def forget_claim(self, claim_id: str) -> None:
+    def unsubscribe_from_claim(self, claim_id: str) -> None:
         """End ``listen_for_claim``."""
         with self._lock:
             self._by_claim_id.pop(claim_id, None)
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -263,7 +263,7 @@
         try:
             answer = self._entombed(order, inbox, record)
         finally:
-            self._context.inboxes.forget_claim(held.claim_id)
+            self._context.inboxes.unsubscribe_from_claim(held.claim_id)
         match answer:
             case TombstoneReply(accepted=True, ran=False):
                 return Free(held)
