--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -96,7 +96,7 @@
                 self._on_running(address, message, attempts)
             case TombstoneReply(claim_id), OutgoingLink(address):
                 self._context.servers.alive(address, monotonic())
-                self._context.inboxes.deliver_claim(claim_id, message)
+                self._context.inboxes.deliver_to_claim(claim_id, message)
             case _:
                 self._on_peer_message(link, message)
 
--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -100,7 +100,7 @@
         inbox.put(message)
         return True
 
-    def deliver_claim(self, claim_id: str, message: Message) -> None:
+    def deliver_to_claim(self, claim_id: str, message: Message) -> None:
         """Hand ``message`` to whoever listens for the claim."""
         inbox = self._by_claim_id.get(claim_id)
         if inbox is not None:
