--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -202,11 +202,11 @@
             case Silent(address):
                 logger.warning("Link to %s is silent; opening a new one.", address)
                 self._context.hub.reconnect(address)
-                for inbox in inboxes.at(address):
+                for inbox in inboxes.list_by_address(address):
                     inbox.put(LinkReplaced())
             case Gone(address):
                 logger.warning("Agent at %s is gone.", address)
-                for inbox in inboxes.at(address):
+                for inbox in inboxes.list_by_address(address):
                     inbox.put(AgentGone("the server's instance does not answer"))
             case Restarted(address, incarnation):
                 self._on_restarted(address, incarnation)
@@ -215,7 +215,7 @@
         # Only attempts of earlier lives are lost: the first heartbeat of a new life may
         # come after a dispatch to it.
         logger.warning("Agent at %s restarted.", address)
-        for inbox in self._context.inboxes.at(address):
+        for inbox in self._context.inboxes.list_by_address(address):
             if inbox.incarnation != incarnation:
                 inbox.put(AgentGone("the agent restarted while it ran"))
         server = self._context.servers.by_address(address)
--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -106,7 +106,7 @@
         if inbox is not None:
             inbox.put(message)
 
-    def at(self, address: str) -> tuple[AttemptInbox, ...]:
+    def list_by_address(self, address: str) -> tuple[AttemptInbox, ...]:
         """Return the inboxes of attempts at the agent with that address."""
         with self._lock:
             return tuple(i for i in self._by_key.values() if i.address == address)
