--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -12,7 +12,7 @@
     from kingcupwheel.claims.retention import ClaimRetention
     from kingcupwheel.claims.store import ClaimStore
     from kingcupwheel.entry.dispatchers import DispatcherRegistry
-    from kingcupwheel.entry.inbox import Inboxes
+    from kingcupwheel.entry.inbox import InboxRegistry
     from kingcupwheel.entry.limits import RequestLimiter
     from kingcupwheel.entry.observing import Observer
     from kingcupwheel.entry.servers import ServerTable
@@ -27,7 +27,7 @@
     settings: Settings
     hub: MessageHub
     servers: ServerTable
-    inboxes: Inboxes
+    inboxes: InboxRegistry
     dispatchers: DispatcherRegistry
     limiter: RequestLimiter
     claims: ClaimStore
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.gateway import SPARE_THREADS
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
-from kingcupwheel.entry.inbox import Inboxes
+from kingcupwheel.entry.inbox import InboxRegistry
 from kingcupwheel.entry.limits import RequestLimiter
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.operators import OPERATOR_THREADS
@@ -79,7 +79,7 @@
             settings=settings,
             hub=self._hub,
             servers=servers,
-            inboxes=Inboxes(),
+            inboxes=InboxRegistry(),
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
             limiter=limits,
             claims=ClaimStore(client),
--- a/src/kingcupwheel/entry/inbox.py
+++ b/src/kingcupwheel/entry/inbox.py
@@ -57,7 +57,7 @@
             return WaitTimedOut()
 
 
-class Inboxes:
+class InboxRegistry:
     """The inboxes of all attempts under way; safe from any thread."""
 
     def __init__(self) -> None:
