--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -64,7 +64,7 @@
     """
 
     reader: AnswerReader
-    first: AnswerStep
+    first_step: AnswerStep
     end: Callable[[], None]
 
 
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -178,9 +178,9 @@
                 )
 
     def _head_of(self, found: Joinable) -> HeadWaitResult:
-        match found.first:
+        match found.first_step:
             case HeadReceived() | AnswerEnded():
-                return found.first
+                return found.first_step
             case first:
                 return self._head.wait(found.reader, first)
 
