--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -65,7 +65,7 @@
 
     reader: AnswerReader
     first_step: AnswerStep
-    end: Callable[[], None]
+    close: Callable[[], None]
 
 
 class Free(NamedTuple):
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -162,10 +162,10 @@
         step = self._head_of(found)
         if isinstance(step, HeadReceived):
             answering = AnswerRelay(
-                self._context, plan, reader, self._watch, None, found.end
+                self._context, plan, reader, self._watch, None, found.close
             )
             return answering.relay(step)
-        found.end()
+        found.close()
         match step:
             case AnswerEnded(outcome, detail):
                 return self._give_up(plan, build_earlier_send_refusal(outcome, detail))
