--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -57,7 +57,7 @@
 MAX_MOVES = 4
 
 
-class Joinable(NamedTuple):
+class EarlierRun(NamedTuple):
     """The earlier run's answer, being read; ``first`` is what came already.
 
     ``end`` is to be called once it has been read, or will not be.
@@ -84,7 +84,7 @@
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = Joinable | Free | Final | Again
+Finding = EarlierRun | Free | Final | Again
 
 
 class Claims:
@@ -174,7 +174,7 @@
             visit.end()
 
         found = self._explore_agent(held, inbox, end)
-        if not isinstance(found, Joinable):
+        if not isinstance(found, EarlierRun):
             end()
         return found
 
@@ -203,7 +203,7 @@
             case WaitTimedOut():
                 return self._lost(held, "the agent does not answer")
             case _:
-                return Joinable(reader, step, end)
+                return EarlierRun(reader, step, end)
 
     def _ask(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
         # An agent that was just dialled may need a moment, and one message may be lost.
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -15,9 +15,9 @@
 from kingcupwheel.entry.joining import MAX_MOVES
 from kingcupwheel.entry.joining import Again
 from kingcupwheel.entry.joining import Claims
+from kingcupwheel.entry.joining import EarlierRun
 from kingcupwheel.entry.joining import Final
 from kingcupwheel.entry.joining import Free
-from kingcupwheel.entry.joining import Joinable
 from kingcupwheel.entry.judging import RetryController
 from kingcupwheel.entry.judging import build_wait_abandoned_refusal
 from kingcupwheel.entry.refusals import CALLER_LEFT
@@ -137,7 +137,7 @@
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
-    def _settle(self, claims: Claims) -> Free | Final | Joinable:
+    def _settle(self, claims: Claims) -> Free | Final | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
         for _ in range(MAX_MOVES):
             held = claims.read()
@@ -154,7 +154,7 @@
         self,
         plan: AdmittedRequest,
         attempts: AttemptDispatcher,
-        found: Final | Joinable,
+        found: Final | EarlierRun,
     ) -> Answer:
         if isinstance(found, Final):
             return self._give_up(plan, found.refusal)
@@ -177,7 +177,7 @@
                     plan, build_earlier_send_refusal(Outcome.UNKNOWN, detail)
                 )
 
-    def _head_of(self, found: Joinable) -> HeadWaitResult:
+    def _head_of(self, found: EarlierRun) -> HeadWaitResult:
         match found.first_step:
             case HeadReceived() | AnswerEnded():
                 return found.first_step
