--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -68,7 +68,7 @@
     close: Callable[[], None]
 
 
-class Free(NamedTuple):
+class ClaimAvailable(NamedTuple):
     """The claim is this request's to run; no earlier dispatch can start any more."""
 
     held: Held
@@ -84,7 +84,7 @@
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = EarlierRun | Free | Final | Again
+Finding = EarlierRun | ClaimAvailable | Final | Again
 
 
 class Claims:
@@ -199,7 +199,7 @@
             case AttemptNeverSeen():
                 return self._lost(held, "the agent restarted after the claim")
             case AttemptNotStarted():
-                return Free(held)
+                return ClaimAvailable(held)
             case WaitTimedOut():
                 return self._lost(held, "the agent does not answer")
             case _:
@@ -266,7 +266,7 @@
             self._context.inboxes.unsubscribe_from_claim(held.claim_id)
         match answer:
             case TombstoneReply(accepted=True, ran=False):
-                return Free(held)
+                return ClaimAvailable(held)
             case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
                 return Again()
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -14,10 +14,10 @@
 from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.joining import MAX_MOVES
 from kingcupwheel.entry.joining import Again
+from kingcupwheel.entry.joining import ClaimAvailable
 from kingcupwheel.entry.joining import Claims
 from kingcupwheel.entry.joining import EarlierRun
 from kingcupwheel.entry.joining import Final
-from kingcupwheel.entry.joining import Free
 from kingcupwheel.entry.judging import RetryController
 from kingcupwheel.entry.judging import build_wait_abandoned_refusal
 from kingcupwheel.entry.refusals import CALLER_LEFT
@@ -114,7 +114,7 @@
             if isinstance(taken, Refusal):
                 return self._give_up(plan, taken)
             found = self._settle(claims)
-            if isinstance(found, Free):
+            if isinstance(found, ClaimAvailable):
                 held = found.held
                 continue
             return self._found(plan, attempts, found)
@@ -137,7 +137,7 @@
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
-    def _settle(self, claims: Claims) -> Free | Final | EarlierRun:
+    def _settle(self, claims: Claims) -> ClaimAvailable | Final | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
         for _ in range(MAX_MOVES):
             held = claims.read()
