--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -74,7 +74,7 @@
     held: Held
 
 
-class Final(NamedTuple):
+class ClaimRefused(NamedTuple):
     """Nothing is left to read or run."""
 
     refusal: Refusal
@@ -84,7 +84,7 @@
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = EarlierRun | ClaimAvailable | Final | Again
+Finding = EarlierRun | ClaimAvailable | ClaimRefused | Again
 
 
 class Claims:
@@ -158,15 +158,15 @@
         """Find out what became of the claim held by an earlier send."""
         record = held.record
         if record.body_digest != self._request.body_digest:
-            return Final(IDEMPOTENCY_KEY_REUSED)
+            return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
         if record.final is not None:
-            return Final(build_earlier_send_refusal(record.final, record.reason))
+            return ClaimRefused(build_earlier_send_refusal(record.final, record.reason))
         self._context.recorder.record(
             self._request.request_id, Joined(record.request_id)
         )
         inbox = self._open_inbox(record)
         if inbox is None:
-            return Final(EARLIER_SEND_RUNNING)
+            return ClaimRefused(EARLIER_SEND_RUNNING)
         visit = Visit(self._context.servers, record)
 
         def end() -> None:
@@ -229,7 +229,7 @@
 
     def _lost(self, held: Held, reason: str) -> Finding:
         self.finish(held, Outcome.UNKNOWN, reason)
-        return Final(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
+        return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
     def _take_over(self, held: Held, inbox: AttemptInbox) -> Finding:
         """Make sure that the earlier dispatch can't start, then free the claim.
@@ -251,7 +251,7 @@
                 case ClaimMoved():
                     return Again()
                 case ClaimUnreachable() as error:
-                    return Final(build_claim_refusal(error, claimed=True))
+                    return ClaimRefused(build_claim_refusal(error, claimed=True))
         raised = written.ok
         self._note(raised, "raised the fence of")
         return self._entomb(raised, inbox)
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -15,9 +15,9 @@
 from kingcupwheel.entry.joining import MAX_MOVES
 from kingcupwheel.entry.joining import Again
 from kingcupwheel.entry.joining import ClaimAvailable
+from kingcupwheel.entry.joining import ClaimRefused
 from kingcupwheel.entry.joining import Claims
 from kingcupwheel.entry.joining import EarlierRun
-from kingcupwheel.entry.joining import Final
 from kingcupwheel.entry.judging import RetryController
 from kingcupwheel.entry.judging import build_wait_abandoned_refusal
 from kingcupwheel.entry.refusals import CALLER_LEFT
@@ -137,26 +137,26 @@
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
-    def _settle(self, claims: Claims) -> ClaimAvailable | Final | EarlierRun:
+    def _settle(self, claims: Claims) -> ClaimAvailable | ClaimRefused | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
         for _ in range(MAX_MOVES):
             held = claims.read()
             if isinstance(held, Refusal):
-                return Final(held)
+                return ClaimRefused(held)
             if held is None:
                 break
             found = claims.explore(held)
             if not isinstance(found, Again):
                 return found
-        return Final(EARLIER_SEND_RUNNING)
+        return ClaimRefused(EARLIER_SEND_RUNNING)
 
     def _found(
         self,
         plan: AdmittedRequest,
         attempts: AttemptDispatcher,
-        found: Final | EarlierRun,
+        found: ClaimRefused | EarlierRun,
     ) -> Answer:
-        if isinstance(found, Final):
+        if isinstance(found, ClaimRefused):
             return self._give_up(plan, found.refusal)
         reader = found.reader
         step = self._head_of(found)
