--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -80,11 +80,11 @@
     refusal: Refusal
 
 
-class Again(NamedTuple):
+class ClaimChanged(NamedTuple):
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = EarlierRun | ClaimAvailable | ClaimRefused | Again
+Finding = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
 class Claims:
@@ -109,7 +109,7 @@
 
     def take(
         self, place: Reservation, attempt: int, held: Held | None
-    ) -> Held | Again | Refusal:
+    ) -> Held | ClaimChanged | Refusal:
         """Make the claim for ``place``, or move the one held there."""
         record = self._record_for(place, attempt, held)
         if held is None:
@@ -122,7 +122,7 @@
             return written.ok
         match written.error:
             case ClaimMoved():
-                return Again()
+                return ClaimChanged()
             case ClaimUnreachable() as error:
                 return build_claim_refusal(error)
 
@@ -249,7 +249,7 @@
         if written.is_error():
             match written.error:
                 case ClaimMoved():
-                    return Again()
+                    return ClaimChanged()
                 case ClaimUnreachable() as error:
                     return ClaimRefused(build_claim_refusal(error, claimed=True))
         raised = written.ok
@@ -269,7 +269,7 @@
                 return ClaimAvailable(held)
             case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
-                return Again()
+                return ClaimChanged()
             case TombstoneReply():
                 return self._lost(held, "the agent restarted after the claim")
         return self._lost(held, "the agent does not answer")
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -13,8 +13,8 @@
 from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.entry.joining import MAX_MOVES
-from kingcupwheel.entry.joining import Again
 from kingcupwheel.entry.joining import ClaimAvailable
+from kingcupwheel.entry.joining import ClaimChanged
 from kingcupwheel.entry.joining import ClaimRefused
 from kingcupwheel.entry.joining import Claims
 from kingcupwheel.entry.joining import EarlierRun
@@ -146,7 +146,7 @@
             if held is None:
                 break
             found = claims.explore(held)
-            if not isinstance(found, Again):
+            if not isinstance(found, ClaimChanged):
                 return found
         return ClaimRefused(EARLIER_SEND_RUNNING)
 
