--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -84,7 +84,7 @@
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
+ClaimResolution = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
 class Claims:
@@ -154,7 +154,7 @@
         )
         self._context.claims.move(held, record)
 
-    def explore(self, held: Held) -> Finding:
+    def explore(self, held: Held) -> ClaimResolution:
         """Find out what became of the claim held by an earlier send."""
         record = held.record
         if record.body_digest != self._request.body_digest:
@@ -180,7 +180,7 @@
 
     def _explore_agent(
         self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
-    ) -> Finding:
+    ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
             self._context.hub,
@@ -227,11 +227,11 @@
             time.sleep(_FOLLOWED_CHECK_S)
         return None
 
-    def _lost(self, held: Held, reason: str) -> Finding:
+    def _lost(self, held: Held, reason: str) -> ClaimResolution:
         self.finish(held, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held: Held, inbox: AttemptInbox) -> Finding:
+    def _take_over(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
         """Make sure that the earlier dispatch can't start, then free the claim.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -256,7 +256,7 @@
         self._note(raised, "raised the fence of")
         return self._entomb(raised, inbox)
 
-    def _entomb(self, held: Held, inbox: AttemptInbox) -> Finding:
+    def _entomb(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
         record = held.record
         order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
         self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
