--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -107,7 +107,7 @@
             return build_claim_refusal(found.error, claimed=True)
         return found.ok
 
-    def take(
+    def acquire(
         self, place: Reservation, attempt: int, held: Held | None
     ) -> Held | ClaimChanged | Refusal:
         """Make the claim for ``place``, or move the one held there."""
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -103,7 +103,7 @@
             place = attempts.reserve_server()
             if isinstance(place, Refusal):
                 return self._give_up(plan, place)
-            taken = claims.take(place, attempts.count, held)
+            taken = claims.acquire(place, attempts.count, held)
             if isinstance(taken, Held):
                 held = taken
                 answer = self._run_claimed(plan, attempts, claims, place, held)
