--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -144,7 +144,7 @@
             created_at=time.time() if held is None else held.record.created_at,
         )
 
-    def finish(self, held: Held, outcome: Outcome, reason: str) -> None:
+    def record_final_outcome(self, held: Held, outcome: Outcome, reason: str) -> None:
         """Record that nothing can change any more; a failure to write is harmless.
 
         The next reader of the claim finds the same dead agent and says the same.
@@ -228,7 +228,7 @@
         return None
 
     def _lost(self, held: Held, reason: str) -> ClaimResolution:
-        self.finish(held, Outcome.UNKNOWN, reason)
+        self.record_final_outcome(held, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
     def _take_over(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -133,7 +133,7 @@
             return self._answering(plan, attempts, place, reader).relay(step)
         self._end_attempt(attempts, place, reader)
         if isinstance(step, AnswerEnded):
-            claims.finish(held, Outcome.UNKNOWN, step.detail)
+            claims.record_final_outcome(held, Outcome.UNKNOWN, step.detail)
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
