--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -154,7 +154,7 @@
         )
         self._context.claims.move(held, record)
 
-    def explore(self, held: Held) -> ClaimResolution:
+    def resolve(self, held: Held) -> ClaimResolution:
         """Find out what became of the claim held by an earlier send."""
         record = held.record
         if record.body_digest != self._request.body_digest:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -145,7 +145,7 @@
                 return ClaimRefused(held)
             if held is None:
                 break
-            found = claims.explore(held)
+            found = claims.resolve(held)
             if not isinstance(found, ClaimChanged):
                 return found
         return ClaimRefused(EARLIER_SEND_RUNNING)
