--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -87,7 +87,7 @@
 ClaimResolution = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
-class Claims:
+class ClaimResolver:
     """The claim of one request; belongs to one thread."""
 
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.joining import ClaimAvailable
 from kingcupwheel.entry.joining import ClaimChanged
 from kingcupwheel.entry.joining import ClaimRefused
-from kingcupwheel.entry.joining import Claims
+from kingcupwheel.entry.joining import ClaimResolver
 from kingcupwheel.entry.joining import EarlierRun
 from kingcupwheel.entry.judging import RetryController
 from kingcupwheel.entry.judging import build_wait_abandoned_refusal
@@ -97,7 +97,7 @@
                 return self._give_up(plan, refusal)
 
     def _run_once(self, plan: AdmittedRequest, attempts: AttemptDispatcher) -> Answer:
-        claims = Claims(self._context, self._request)
+        claims = ClaimResolver(self._context, self._request)
         held: Held | None = None
         while True:
             place = attempts.reserve_server()
@@ -123,7 +123,7 @@
         self,
         plan: AdmittedRequest,
         attempts: AttemptDispatcher,
-        claims: Claims,
+        claims: ClaimResolver,
         place: Reservation,
         held: Held,
     ) -> Answer | None:
@@ -137,7 +137,9 @@
         refusal = self._judge.handle_failed_attempt(step, attempts, place)
         return None if refusal is None else self._give_up(plan, refusal)
 
-    def _settle(self, claims: Claims) -> ClaimAvailable | ClaimRefused | EarlierRun:
+    def _settle(
+        self, claims: ClaimResolver
+    ) -> ClaimAvailable | ClaimRefused | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
         for _ in range(MAX_MOVES):
             held = claims.read()
