--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -54,7 +54,7 @@
 _ASK_AGAIN_S = 1.0
 # Changes of one claim by others before this entry stops competing for it: each means
 # that another entry made progress with it.
-MAX_MOVES = 4
+MAX_CLAIM_CHANGES = 4
 
 
 class EarlierRun(NamedTuple):
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.exceptions import CallerGoneError
 from kingcupwheel.entry.following import AnswerEnded
 from kingcupwheel.entry.following import HeadReceived
-from kingcupwheel.entry.joining import MAX_MOVES
+from kingcupwheel.entry.joining import MAX_CLAIM_CHANGES
 from kingcupwheel.entry.joining import ClaimAvailable
 from kingcupwheel.entry.joining import ClaimChanged
 from kingcupwheel.entry.joining import ClaimRefused
@@ -141,7 +141,7 @@
         self, claims: ClaimResolver
     ) -> ClaimAvailable | ClaimRefused | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
-        for _ in range(MAX_MOVES):
+        for _ in range(MAX_CLAIM_CHANGES):
             held = claims.read()
             if isinstance(held, Refusal):
                 return ClaimRefused(held)
