--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answering.py
@@ -38,9 +38,9 @@
 # How long one wait for the next bytes lasts before the caller is looked at again. There
 # is no limit on the whole: an agent that sends ``RunningAttempts`` is alive, however
 # slow.
-_WAIT_S = 1.0
+_POLL_INTERVAL_S = 1.0
 _EVENT_STREAM = "text/event-stream"
-_LEFT = AnswerEnded(Outcome.UNKNOWN, "the caller left")
+_CALLER_LEFT = AnswerEnded(Outcome.UNKNOWN, "the caller left")
 
 
 class AnswerRelay:
@@ -52,139 +52,141 @@
     def __init__(
         self,
         context: EntryContext,
-        plan: AdmittedRequest,
+        admitted: AdmittedRequest,
         reader: AnswerReader,
         watch: CallerWatch,
-        place: Reservation | None,
-        end: Callable[[], None],
+        reservation: Reservation | None,
+        on_end: Callable[[], None],
     ) -> None:
         self._context = context
-        self._plan = plan
+        self._admitted = admitted
         self._reader = reader
         self._watch = watch
-        self._place = place
-        self._end = end
+        self._reservation = reservation
+        self._on_end = on_end
         self._status = 0
         self._first_byte_s: float | None = None
         self._first_byte_at: float | None = None
         self._gaps_s: list[float] = []
         self._last_chunk_at = 0.0
-        self._finished = False
+        self._is_finished = False
 
     def relay(self, head: HeadReceived) -> Answer:
         """Return the answer: whole if it is short and unstreamed, else as a stream."""
         self._status = head.status
-        if _is_event_stream(head) or self._plan.request.is_streamed:
-            body = self._stream((), tells_outcome=_is_event_stream(head))
+        if _is_event_stream(head) or self._admitted.request.is_streamed:
+            body = self._stream_body((), tells_outcome=_is_event_stream(head))
             return StreamedAnswer(head.status, head.headers, body)
         return self._read_whole(head)
 
     def _read_whole(self, head: HeadReceived) -> Answer:
         parts: list[bytes] = []
         while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
-            match self._next():
+            match self._read_next():
                 case BodyChunk(data):
                     parts.append(data)
                 case AnswerEnded() as ended:
                     self._finish(ended)
                     body = b"".join(parts)
-                    return self._whole(head, body, ended)
+                    return self._build_whole_answer(head, body, ended)
                 case None:
-                    return self._caller_left(head)
-        body_stream = self._stream(parts, tells_outcome=False)
+                    return self._build_caller_left_answer(head)
+        body_stream = self._stream_body(parts, tells_outcome=False)
         return StreamedAnswer(head.status, head.headers, body_stream)
 
-    def _whole(self, head: HeadReceived, body: bytes, ended: AnswerEnded) -> Answer:
+    def _build_whole_answer(
+        self, head: HeadReceived, body: bytes, ended: AnswerEnded
+    ) -> Answer:
         if ended.outcome is Outcome.RAN:
             return WholeAnswer(head.status, head.headers, body, ended.outcome)
         message = f"The answer was cut short: {ended.detail}.".encode()
         return WholeAnswer(502, (), message, ended.outcome)
 
-    def _caller_left(self, head: HeadReceived) -> Answer:
+    def _build_caller_left_answer(self, head: HeadReceived) -> Answer:
         return WholeAnswer(head.status, (), b"", Outcome.UNKNOWN)
 
-    def _stream(
+    def _stream_body(
         self, parts: Iterable[bytes], *, tells_outcome: bool
     ) -> Iterator[bytes]:
         """Yield what was read already, then the rest as it comes."""
         try:
             yield from parts
             while True:
-                match self._next():
+                match self._read_next():
                     case BodyChunk(data):
                         yield data
                     case AnswerEnded() as ended:
                         self._finish(ended)
                         if tells_outcome:
-                            yield self._outcome_event(ended)
+                            yield self._encode_outcome_event(ended)
                         self._raise_if_cut(ended)
                         return
                     case None:
                         return
         except GeneratorExit:
-            self._left()
+            self._handle_caller_left()
             raise
 
     def _raise_if_cut(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
             raise AnswerCutError(ended.detail)
 
-    def _outcome_event(self, ended: AnswerEnded) -> bytes:
+    def _encode_outcome_event(self, ended: AnswerEnded) -> bytes:
         told = {
-            "request_id": self._plan.request.request_id,
+            "request_id": self._admitted.request.request_id,
             "outcome": ended.outcome.value,
             "reason": ended.detail,
         }
         return b"event: kingcupwheel\ndata: " + msgspec.json.encode(told) + b"\n\n"
 
-    def _next(self) -> BodyChunk | AnswerEnded | None:
+    def _read_next(self) -> BodyChunk | AnswerEnded | None:
         """Return the next bytes or the end; None once the caller has left."""
         while True:
-            step = self._reader.read_step(_WAIT_S)
+            step = self._reader.read_step(_POLL_INTERVAL_S)
             match step:
                 case BodyChunk():
-                    self._time_chunk()
+                    self._record_chunk_time()
                     return step
                 case AnswerEnded():
                     return step
             if self._watch.gone():
-                self._left()
+                self._handle_caller_left()
                 return None
 
-    def _time_chunk(self) -> None:
+    def _record_chunk_time(self) -> None:
         now = monotonic()
         if self._first_byte_s is None:
-            self._first_byte_s = now - self._plan.request.received_at
+            self._first_byte_s = now - self._admitted.request.received_at
             self._first_byte_at = now
             self._record(FirstByte(self._reader.server, self._reader.inbox.key.attempt))
         else:
             self._gaps_s.append(now - self._last_chunk_at)
         self._last_chunk_at = now
 
-    def _left(self) -> None:
+    def _handle_caller_left(self) -> None:
         """Cancel what the caller left behind, unless it may not be repeated.
 
         A caller that leaves while the last bytes are written has its outcome already.
         """
-        if self._finished:
+        if self._is_finished:
             return
-        if self._plan.request.route.repeatable:
+        if self._admitted.request.route.repeatable:
             self._reader.cancel()
         self._record(CallerLeft(self._reader.offset))
-        self._finish(_LEFT)
+        self._finish(_CALLER_LEFT)
 
     def _finish(self, ended: AnswerEnded) -> None:
-        request = self._plan.request
-        self._finished = True
-        self._end()
-        self._judge_server(ended)
+        request = self._admitted.request
+        self._is_finished = True
+        self._on_end()
+        self._record_server_latency(ended)
         length = self._reader.offset
         self._record(
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
         whole = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
-            request, self._plan.predicted_work, self._tokens, whole=whole
+            request, self._admitted.predicted_work, self._token_count, is_whole=whole
         )
         self._context.observer.answered(
             request,
@@ -193,31 +195,31 @@
             status=self._status,
             first_byte_s=self._first_byte_s,
             gaps_s=self._gaps_s,
-            caller_left=ended is _LEFT,
+            caller_left=ended is _CALLER_LEFT,
         )
 
     @property
-    def _tokens(self) -> int:
-        if self._plan.request.is_streamed:
+    def _token_count(self) -> int:
+        if self._admitted.request.is_streamed:
             return len(self._gaps_s) + 1
         return int(self._reader.offset / DEFAULT_BYTES_PER_TOKEN)
 
-    def _judge_server(self, ended: AnswerEnded) -> None:
+    def _record_server_latency(self, ended: AnswerEnded) -> None:
         """Count a whole answer by its time a token.
 
         Prompts and answers differ in length, so that whole times say little of a
         server; the wait in this entry's queue says nothing of it.
         """
-        if self._place is None or ended.outcome is not Outcome.RAN:
+        if self._reservation is None or ended.outcome is not Outcome.RAN:
             return
-        dispatcher = self._context.dispatchers.get(self._plan.request.group)
+        dispatcher = self._context.dispatchers.get(self._admitted.request.group)
         took_s = monotonic() - self._reader.started_at
-        dispatcher.record_success(self._place, took_s / max(1, self._tokens))
+        dispatcher.record_success(self._reservation, took_s / max(1, self._token_count))
         first_s = (self._first_byte_at or monotonic()) - self._reader.started_at
-        dispatcher.record_first_byte_latency(first_s, len(self._plan.request.body))
+        dispatcher.record_first_byte_latency(first_s, len(self._admitted.request.body))
 
     def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
-        self._context.recorder.record(self._plan.request.request_id, event)
+        self._context.recorder.record(self._admitted.request.request_id, event)
 
 
 def _is_event_stream(head: HeadReceived) -> bool:
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -50,33 +50,33 @@
     """Starts the attempts of one request; belongs to one thread."""
 
     def __init__(
-        self, context: EntryContext, plan: AdmittedRequest, watch: CallerWatch
+        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
     ) -> None:
         self._context = context
-        self._plan = plan
+        self._admitted = admitted
         self._watch = watch
         self._count = 0
-        self._avoid: frozenset[str] = frozenset()
+        self._excluded_servers: frozenset[str] = frozenset()
 
     @property
     def count(self) -> int:
         """Attempts placed so far."""
         return self._count
 
-    def exclude_server(self, server: str, *, suspect: bool = False) -> None:
+    def exclude_server(self, server: str, *, is_suspect: bool = False) -> None:
         """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
-        self._avoid |= {server}
-        if suspect:
-            self._plan = self._plan._replace(suspect=True)
+        self._excluded_servers |= {server}
+        if is_suspect:
+            self._admitted = self._admitted._replace(suspect=True)
 
     def reserve_server(self) -> Reservation | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
-        request = self._plan.request
+        request = self._admitted.request
         ask = PlacementRequest(
             prefix_key=request.prefix_key,
-            work=self._plan.predicted_work,
-            excluded_servers=self._avoid,
-            is_suspect=self._plan.is_suspect,
+            work=self._admitted.predicted_work,
+            excluded_servers=self._excluded_servers,
+            is_suspect=self._admitted.is_suspect,
             data_centre=self._context.settings.data_centre,
             is_repeatable=request.route.repeatable,
         )
@@ -85,7 +85,7 @@
             request_id=request.request_id,
             organisation=request.organisation.name,
             priority=request.organisation.priority,
-            work=self._plan.predicted_work,
+            work=self._admitted.predicted_work,
             size_bytes=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
@@ -95,15 +95,19 @@
         place = ticket.wait(0)
         if place is None:
             self._record(Queued(ticket.requests_ahead))
-            place = self._wait(ticket)
+            place = self._wait_for_reservation(ticket)
         if isinstance(place, PlacementFailure):
-            return _timed_out(place, self._context.limiter.get_retry_after_s(request))
+            return _build_placement_refusal(
+                place, self._context.limiter.get_retry_after_s(request)
+            )
         self._count += 1
-        self._record_place(place)
+        self._record_reservation(place)
         return place
 
-    def _wait(self, ticket: PlacementTicket) -> Reservation | PlacementFailure:
-        dispatcher = self._context.dispatchers.get(self._plan.request.group)
+    def _wait_for_reservation(
+        self, ticket: PlacementTicket
+    ) -> Reservation | PlacementFailure:
+        dispatcher = self._context.dispatchers.get(self._admitted.request.group)
         while True:
             place = ticket.wait(CALLER_POLL_INTERVAL_S)
             if place is not None:
@@ -113,65 +117,76 @@
                 self._watch.raise_gone()
             dispatcher.place_waiting()
 
-    def _record_place(self, place: Reservation) -> None:
-        decision = place.decision
+    def _record_reservation(self, reservation: Reservation) -> None:
+        decision = reservation.decision
         alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
         event = Placed(
-            place.server, self._count, place.waited_s, decision.reason, alternatives
+            reservation.server,
+            self._count,
+            reservation.waited_s,
+            decision.reason,
+            alternatives,
         )
         self._record(event)
 
-    def release(self, place: Reservation) -> None:
+    def release(self, reservation: Reservation) -> None:
         """Give a place back that was not used, or whose attempt has ended."""
-        self._context.dispatchers.get(self._plan.request.group).release(place)
+        self._context.dispatchers.get(self._admitted.request.group).release(reservation)
 
-    def record_failure(self, place: Reservation) -> None:
+    def record_failure(self, reservation: Reservation) -> None:
         """Count an attempt that failed through its server."""
-        self._context.dispatchers.get(self._plan.request.group).record_failure(place)
+        self._context.dispatchers.get(self._admitted.request.group).record_failure(
+            reservation
+        )
 
-    def dispatch(self, place: Reservation, held: Held | None) -> AnswerReader:
+    def dispatch(self, reservation: Reservation, held: Held | None) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
 
         After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
         dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
         """
         context = self._context
-        request = self._plan.request
+        request = self._admitted.request
         key = AttemptKey(request.request_id, self._count)
-        inbox = context.inboxes.open(key, place.address, place.incarnation)
+        inbox = context.inboxes.open(key, reservation.address, reservation.incarnation)
         assert inbox is not None, "attempt numbers are not reused"
         claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
-        message = _dispatch_of(self._plan, key, place, claim)
-        context.hub.send(OutgoingLink(place.address, 0), message)
-        self._record(Dispatched(place.server, self._count))
+        message = _build_dispatch(self._admitted, key, reservation, claim)
+        context.hub.send(OutgoingLink(reservation.address, 0), message)
+        self._record(Dispatched(reservation.server, self._count))
         return AnswerReader(
             inbox,
             context.hub,
             context.recorder,
-            traced_as=request.request_id,
-            server=place.server,
+            trace_request_id=request.request_id,
+            server=reservation.server,
             claim_id=None if held is None else held.claim_id,
-            quiet_s=context.settings.timings.silence_s,
+            silence_timeout_s=context.settings.timings.silence_s,
         )
 
     def _record(self, event: Queued | Placed | Dispatched) -> None:
-        self._context.recorder.record(self._plan.request.request_id, event)
+        self._context.recorder.record(self._admitted.request.request_id, event)
 
 
-def _timed_out(timed_out: PlacementFailure, retry_after_s: float) -> Refusal:
-    message = f"No server could take it in time: {timed_out.detail}."
-    return Refusal(503, timed_out.reason, message, retry_after_s)
+def _build_placement_refusal(
+    failure: PlacementFailure, retry_after_s: float
+) -> Refusal:
+    message = f"No server could take it in time: {failure.detail}."
+    return Refusal(503, failure.reason, message, retry_after_s)
 
 
-def _dispatch_of(
-    plan: AdmittedRequest, key: AttemptKey, place: Reservation, claim: ClaimRef | None
+def _build_dispatch(
+    admitted: AdmittedRequest,
+    key: AttemptKey,
+    reservation: Reservation,
+    claim: ClaimRef | None,
 ) -> Dispatch:
-    request = plan.request
+    request = admitted.request
     return Dispatch(
         request_id=key.request_id,
         attempt=key.attempt,
-        incarnation=place.incarnation,
-        token=place.token,
+        incarnation=reservation.incarnation,
+        token=reservation.token,
         claim=claim,
         organisation=request.organisation.name,
         fingerprint=request.fingerprint,
@@ -181,10 +196,10 @@
         path=request.path,
         headers=request.headers,
         body=request.body,
-        work=plan.predicted_work,
+        work=admitted.predicted_work,
         deadline_s=max(0.0, request.deadline_at - monotonic()),
         credit=FLOW_CREDIT_BYTES,
         manifest_version=request.manifest_version,
         repeatable=request.route.repeatable,
-        suspect=plan.is_suspect,
+        suspect=admitted.is_suspect,
     )
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -108,7 +108,7 @@
             limits,
             self._membership,
             send=self._hub.send,
-            organisation_named=self._organisation_named,
+            find_organisation=self._organisation_named,
         )
         self._handler = Handler(
             self._context,
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/dispatching.py
@@ -41,7 +41,7 @@
 
 # Waiting requests that only some servers may take (retries, suspects) are tried apart
 # from the queue, so that they don't hold up the rest; they are rare, so few suffice.
-_MAX_ASIDE = 32
+_MAX_CONSTRAINED = 32
 
 
 class GroupDispatcher:
@@ -56,12 +56,12 @@
         self._policy = placement_policies.get(group.placement)()
         self._queue = FairQueue(max_requests=group.queue)
         self._health = GroupHealth()
-        self._first_byte = FirstByteLatencyBound()
+        self._first_byte_latency = FirstByteLatencyBound()
         self._tickets_by_request_id: dict[str, PlacementTicket] = {}
-        self._held: PlacementTicket | None = None
-        self._aside: deque[PlacementTicket] = deque()
+        self._blocked_head: PlacementTicket | None = None
+        self._constrained: deque[PlacementTicket] = deque()
         # Not seeded: entries that draw alike would all choose the same servers.
-        self._draw = Random()
+        self._random = Random()
         self._lock = Lock()
 
     @property
@@ -70,36 +70,36 @@
         return len(self._tickets_by_request_id)
 
     def submit(
-        self, wanted: SubmittedRequest, ask: PlacementRequest
+        self, request: SubmittedRequest, placement_request: PlacementRequest
     ) -> PlacementTicket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
         waiting = QueuedRequest(
-            request_id=wanted.request_id,
-            organisation=wanted.organisation,
-            priority=wanted.priority,
-            work=wanted.work,
-            deadline_at=self._leave_queue_by(wanted),
+            request_id=request.request_id,
+            organisation=request.organisation,
+            priority=request.priority,
+            work=request.work,
+            deadline_at=self._compute_queue_deadline(request),
             queued_at=now,
         )
-        ticket = PlacementTicket(waiting, ask)
-        is_late = waiting.deadline_at <= now < wanted.first_byte_deadline_at
+        ticket = PlacementTicket(waiting, placement_request)
+        is_late = waiting.deadline_at <= now < request.first_byte_deadline_at
         with self._lock:
-            if is_late and self._place_on_idle(ticket, now):
+            if is_late and self._try_place_on_idle(ticket, now):
                 return ticket
             refused = self._enqueue(ticket, now)
             if refused is not None:
                 return refused
-            self._tickets_by_request_id[wanted.request_id] = ticket
-            self._pump(now)
+            self._tickets_by_request_id[request.request_id] = ticket
+            self._place_waiting(now)
         return ticket
 
-    def _leave_queue_by(self, wanted: SubmittedRequest) -> float:
+    def _compute_queue_deadline(self, request: SubmittedRequest) -> float:
         # Placed just before its deadline, a request would be run in vain: its first
         # byte takes as long as ever.
         with self._lock:
-            return wanted.first_byte_deadline_at - self._first_byte.bound_s(
-                wanted.size_bytes, monotonic()
+            return request.first_byte_deadline_at - self._first_byte_latency.bound_s(
+                request.size_bytes, monotonic()
             )
 
     def _enqueue(self, ticket: PlacementTicket, now: float) -> LimitRefusal | None:
@@ -107,9 +107,9 @@
             ticket.placement_request.is_suspect
             or ticket.placement_request.excluded_servers
         ):
-            if len(self._aside) >= _MAX_ASIDE:
+            if len(self._constrained) >= _MAX_CONSTRAINED:
                 return LimitRefusal("retries-full", "Too many retries wait.", 1.0)
-            self._aside.append(ticket)
+            self._constrained.append(ticket)
             return None
         match self._queue.push(ticket.queued, now):
             case Enqueued(ahead):
@@ -121,20 +121,20 @@
     def withdraw(self, ticket: PlacementTicket) -> None:
         """Forget a ticket whose caller left; a place already given is returned."""
         with self._lock:
-            self._forget(ticket)
+            self._remove(ticket)
         place = ticket.wait(0)
         if isinstance(place, Reservation):
             self.release(place)
 
-    def _forget(self, ticket: PlacementTicket) -> None:
+    def _remove(self, ticket: PlacementTicket) -> None:
         request_id = ticket.queued.request_id
         if self._tickets_by_request_id.get(request_id) is ticket:
             del self._tickets_by_request_id[request_id]
         self._queue.remove(request_id, monotonic())
-        if self._held is ticket:
-            self._held = None
-        if ticket in self._aside:
-            self._aside.remove(ticket)
+        if self._blocked_head is ticket:
+            self._blocked_head = None
+        if ticket in self._constrained:
+            self._constrained.remove(ticket)
 
     def release(self, place: Reservation) -> None:
         """Give the place back and let the next request have it."""
@@ -151,7 +151,7 @@
     def record_first_byte_latency(self, seconds: float, size: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
         with self._lock:
-            self._first_byte.record(seconds, size, monotonic())
+            self._first_byte_latency.record(seconds, size, monotonic())
 
     def record_failure(self, place: Reservation) -> None:
         """Count an attempt that failed through its server.
@@ -164,7 +164,9 @@
         with self._lock:
             self._health.get(place.server).record_failure(monotonic())
 
-    def get_backoff_left_s(self, avoid: frozenset[str] = frozenset()) -> float:
+    def get_backoff_left_s(
+        self, excluded_servers: frozenset[str] = frozenset()
+    ) -> float:
         """Return how long every server but ``avoid`` still rests or leaves.
 
         It is 0 if any of them may get work, or if none of them rests.
@@ -172,8 +174,8 @@
         now = monotonic()
         with self._lock, self._servers.lock:
             found = select_eligible(
-                self._candidates(self._heard(), now),
-                PlacementRequest(excluded_servers=avoid),
+                self._build_candidates(self._list_heard_servers(), now),
+                PlacementRequest(excluded_servers=excluded_servers),
             )
         if not isinstance(found, NoServerAvailable) or found.backoff_ends_at is None:
             return 0.0
@@ -187,35 +189,35 @@
     def place_waiting(self) -> None:
         """Place what can be placed; called whenever a place may have come free."""
         with self._lock:
-            self._pump(monotonic())
+            self._place_waiting(monotonic())
 
-    def _pump(self, now: float) -> None:
+    def _place_waiting(self, now: float) -> None:
         self._expire(now)
-        for _ in range(len(self._aside)):
-            ticket = self._aside.popleft()
-            if not self._place(ticket, now):
-                self._aside.append(ticket)
-        while (waiting := self._next(now)) is not None:
-            if not self._place(waiting, now):
-                self._held = waiting
-                self._tell_in_vain(waiting, now)
+        for _ in range(len(self._constrained)):
+            ticket = self._constrained.popleft()
+            if not self._try_place(ticket, now):
+                self._constrained.append(ticket)
+        while (waiting := self._pop_next(now)) is not None:
+            if not self._try_place(waiting, now):
+                self._blocked_head = waiting
+                self._fail_unplaceable(waiting, now)
                 return
 
-    def _tell_in_vain(self, held: PlacementTicket, now: float) -> None:
+    def _fail_unplaceable(self, blocked_ticket: PlacementTicket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
-        hindrance = held.blocked_by
+        hindrance = blocked_ticket.blocked_by
         if hindrance is None or hindrance.backoff_ends_at is None:
             return
         waiting = self._tickets_by_request_id.values()
-        for ticket in [one for one in waiting if one not in self._aside]:
-            ended = _in_vain(ticket, hindrance, now)
+        for ticket in [one for one in waiting if one not in self._constrained]:
+            ended = _find_placement_failure(ticket, hindrance, now)
             if ended is not None:
-                self._forget(ticket)
+                self._remove(ticket)
                 ticket.complete(ended)
 
-    def _next(self, now: float) -> PlacementTicket | None:
-        if self._held is not None:
-            held, self._held = self._held, None
+    def _pop_next(self, now: float) -> PlacementTicket | None:
+        if self._blocked_head is not None:
+            held, self._blocked_head = self._blocked_head, None
             return held
         while (waiting := self._queue.pop(now)) is not None:
             ticket = self._tickets_by_request_id.get(waiting.request_id)
@@ -231,33 +233,33 @@
             if ticket.queued.deadline_at <= now
         ]
         for ticket in late:
-            self._forget(ticket)
+            self._remove(ticket)
             ticket.complete(PlacementFailure("deadline", ticket.blocking_reason))
 
-    def _place(self, ticket: PlacementTicket, now: float) -> bool:
+    def _try_place(self, ticket: PlacementTicket, now: float) -> bool:
         with self._servers.lock:
-            servers = self._heard()
+            servers = self._list_heard_servers()
             decision = self._policy.place(
-                self._candidates(servers, now),
+                self._build_candidates(servers, now),
                 ticket.placement_request,
                 now,
-                self._draw,
+                self._random,
             )
             match decision:
                 case NoServerAvailable():
                     ticket.blocked_by = decision
-                    place: Reservation | PlacementFailure | None = _in_vain(
-                        ticket, decision, now
+                    place: Reservation | PlacementFailure | None = (
+                        _find_placement_failure(ticket, decision, now)
                     )
                 case SelectedServer(server=name):
-                    place = _take(servers[name], decision, ticket, now)
+                    place = _reserve(servers[name], decision, ticket, now)
         if place is None:
             return False
         del self._tickets_by_request_id[ticket.queued.request_id]
         ticket.complete(place)
         return True
 
-    def _place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
+    def _try_place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
         """Place a request whose first byte is predicted too late, if a server idles.
 
         Load: a busy moment, and then idle servers. Harm prevented: the slow first bytes
@@ -265,33 +267,35 @@
         refused though nothing waits. A place where nothing runs is taken from nobody,
         and what is seen there corrects the bound.
         """
-        if len(self._queue) or self._held is not None:
+        if len(self._queue) or self._blocked_head is not None:
             return False
         with self._servers.lock:
-            servers = self._heard()
-            idle = [one for one in self._candidates(servers, now) if one.is_idle]
+            servers = self._list_heard_servers()
+            idle = [one for one in self._build_candidates(servers, now) if one.is_idle]
             decision = self._policy.place(
-                idle, ticket.placement_request, now, self._draw
+                idle, ticket.placement_request, now, self._random
             )
             if not isinstance(decision, SelectedServer):
                 return False
-            place = _take(servers[decision.server], decision, ticket, now)
+            place = _reserve(servers[decision.server], decision, ticket, now)
         ticket.complete(place)
         return True
 
-    def _heard(self) -> dict[str, Server]:
+    def _list_heard_servers(self) -> dict[str, Server]:
         return {
             server.name: server
             for server in self._servers.of_group(self._group.name)
             if server.beat is not None
         }
 
-    def _candidates(self, servers: dict[str, Server], now: float) -> list[Candidate]:
+    def _build_candidates(
+        self, servers: dict[str, Server], now: float
+    ) -> list[Candidate]:
         concurrency = self._group.concurrency
         notices = self._servers.notices
         plain = [
             replace(
-                _candidate(server, concurrency, now),
+                _build_candidate(server, concurrency, now),
                 backoff_until=notices.backoff_until(server.known_beat.incarnation)
                 or 0.0,
             )
@@ -300,7 +304,7 @@
         kept_from = {
             name: state
             for name, server in servers.items()
-            if (state := self._kept_from(server, now)) is not None
+            if (state := self._find_excluding_state(server, now)) is not None
         }
         loads = [
             ServerLoad(
@@ -315,7 +319,7 @@
         state_by_name.update(kept_from)
         return [replace(one, state=state_by_name[one.name]) for one in plain]
 
-    def _kept_from(self, server: Server, now: float) -> ServerState | None:
+    def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
         """Return why a server gets nothing, whatever became of what it got so far."""
         life = server.known_beat.incarnation
         if server.is_going or self._servers.notices.is_leaving(life):
@@ -327,21 +331,21 @@
         return None
 
 
-def _in_vain(
-    ticket: PlacementTicket, hindrance: NoServerAvailable, now: float
+def _find_placement_failure(
+    ticket: PlacementTicket, blocked_by: NoServerAvailable, now: float
 ) -> PlacementFailure | None:
     """Return the end of a wait that can't bring a place, None if it can."""
-    over_at = hindrance.backoff_ends_at
+    over_at = blocked_by.backoff_ends_at
     rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
-    if hindrance.reason == ALL_SERVERS_TRIED.reason:
+    if blocked_by.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
-        return PlacementFailure("no-server", hindrance.reason, rest_s)
+        return PlacementFailure("no-server", blocked_by.reason, rest_s)
     if over_at is not None and over_at >= ticket.queued.deadline_at:
-        return PlacementFailure("servers-rest", hindrance.reason, rest_s)
+        return PlacementFailure("servers-rest", blocked_by.reason, rest_s)
     return None
 
 
-def _take(
+def _reserve(
     server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
     beat = server.known_beat
@@ -359,7 +363,7 @@
     )
 
 
-def _candidate(server: Server, concurrency: int, now: float) -> Candidate:
+def _build_candidate(server: Server, concurrency: int, now: float) -> Candidate:
     load = server.known_beat.load
     return Candidate(
         name=server.name,
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/exchange.py
@@ -128,7 +128,7 @@
         """Answer with a whole JSON body."""
         kind = ("Content-Type", "application/json")
         length = ("Content-Length", str(len(body)))
-        self._start(status, (kind, length, *headers))
+        self._send_head(status, (kind, length, *headers))
         return (body,)
 
     def send_answer(self, answer: Answer) -> Iterable[bytes]:
@@ -139,20 +139,20 @@
             case WholeAnswer(status, headers, body, outcome):
                 length = ("Content-Length", str(len(body)))
                 told = (OUTCOME_HEADER, outcome.value)
-                self._start(status, (*headers, length, told))
+                self._send_head(status, (*headers, length, told))
                 return (body,)
             case StreamedAnswer(status, headers, stream):
-                self._start(status, headers)
-                return self._stream(stream)
+                self._send_head(status, headers)
+                return self._stream_body(stream)
 
-    def _stream(self, stream: Iterator[bytes]) -> Iterator[bytes]:
+    def _stream_body(self, stream: Iterator[bytes]) -> Iterator[bytes]:
         try:
             yield from stream
         except AnswerCutError as error:
             logger.warning("Answer cut: %s. [%s]", error, self.request_id)
             raise
 
-    def _start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
+    def _send_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
         told = (REQUEST_ID_HEADER, self.request_id)
         self._start_response(format_status_line(status), [*headers, told])
 
--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/following.py
@@ -98,8 +98,8 @@
 
     def __init__(self) -> None:
         self._offset = 0
-        self._head_known = False
-        self._resumes = 0
+        self._has_head = False
+        self._resume_count = 0
 
     @property
     def offset(self) -> int:
@@ -109,7 +109,7 @@
     @property
     def has_head(self) -> bool:
         """Whether status and headers have been passed on."""
-        return self._head_known
+        return self._has_head
 
     def process_message(self, message: Message) -> AnswerStep:
         """Return what ``message`` brings."""
@@ -133,29 +133,29 @@
         return ResumeNeeded(self._offset, "link replaced")
 
     def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> AnswerStep:
-        if self._head_known:
+        if self._has_head:
             return NoStep()
-        self._head_known = True
+        self._has_head = True
         return HeadReceived(status, headers)
 
     def _on_data(self, offset: int, data: bytes) -> AnswerStep:
-        if offset > self._offset or not self._head_known:
+        if offset > self._offset or not self._has_head:
             return self._resume("frames missing")
         fresh = data[self._offset - offset :]
         if not fresh:
             return NoStep()
-        self._resumes = 0
+        self._resume_count = 0
         self._offset += len(fresh)
         return BodyChunk(fresh)
 
     def _on_end(self, length: int, outcome: Outcome, detail: str) -> AnswerStep:
-        whole = self._offset == length and self._head_known
+        whole = self._offset == length and self._has_head
         if whole or outcome is not Outcome.RAN:
             return AnswerEnded(outcome, detail)
         return self._resume("end before its frames")
 
     def _resume(self, why: str) -> AnswerStep:
-        self._resumes += 1
-        if self._resumes > MAX_RESUMES_WITHOUT_PROGRESS:
+        self._resume_count += 1
+        if self._resume_count > MAX_RESUMES_WITHOUT_PROGRESS:
             return AnswerEnded(Outcome.UNKNOWN, "the rest of the answer is gone")
         return ResumeNeeded(self._offset, why)
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/joining.py
@@ -49,9 +49,9 @@
     from kingcupwheel.entry.tickets import Reservation
 
 # How often a thread looks again whether another one here still follows the answer.
-_FOLLOWED_CHECK_S = 0.1
+_INBOX_POLL_INTERVAL_S = 0.1
 # How often an unanswered question to an agent is asked again over the link of then.
-_ASK_AGAIN_S = 1.0
+_QUERY_RETRY_INTERVAL_S = 1.0
 # Changes of one claim by others before this entry stops competing for it: each means
 # that another entry made progress with it.
 MAX_CLAIM_CHANGES = 4
@@ -104,20 +104,20 @@
         """Return the claim as the platform has it, None if there is none."""
         found = self._context.claims.read(self._claim_id)
         if found.is_error():
-            return build_claim_refusal(found.error, claimed=True)
+            return build_claim_refusal(found.error, is_claimed=True)
         return found.ok
 
     def acquire(
-        self, place: Reservation, attempt: int, held: Held | None
+        self, reservation: Reservation, attempt: int, held_claim: Held | None
     ) -> Held | ClaimChanged | Refusal:
         """Make the claim for ``place``, or move the one held there."""
-        record = self._record_for(place, attempt, held)
-        if held is None:
+        record = self._build_record(reservation, attempt, held_claim)
+        if held_claim is None:
             written = self._context.claims.make(self._claim_id, record)
         else:
-            written = self._context.claims.move(held, record)
+            written = self._context.claims.move(held_claim, record)
         if written.is_ok():
-            self._note(written.ok, "made" if held is None else "moved")
+            self._record_claim(written.ok, "made" if held_claim is None else "moved")
             self._context.retention.remember(written.ok)
             return written.ok
         match written.error:
@@ -126,8 +126,8 @@
             case ClaimUnreachable() as error:
                 return build_claim_refusal(error)
 
-    def _record_for(
-        self, place: Reservation, attempt: int, held: Held | None
+    def _build_record(
+        self, reservation: Reservation, attempt: int, held: Held | None
     ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
@@ -137,9 +137,9 @@
             nonce=new_nonce(),
             body_digest=request.body_digest,
             entry=self._context.settings.name,
-            agent=place.server,
-            address=place.address,
-            incarnation=place.incarnation,
+            agent=reservation.server,
+            address=reservation.address,
+            incarnation=reservation.incarnation,
             fence=1 if held is None else held.record.fence + 1,
             created_at=time.time() if held is None else held.record.created_at,
         )
@@ -173,44 +173,46 @@
             self._context.inboxes.close(inbox)
             visit.end()
 
-        found = self._explore_agent(held, inbox, end)
+        found = self._resolve_at_agent(held, inbox, end)
         if not isinstance(found, EarlierRun):
             end()
         return found
 
-    def _explore_agent(
+    def _resolve_at_agent(
         self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
     ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
             self._context.hub,
             self._context.recorder,
-            traced_as=self._request.request_id,
+            trace_request_id=self._request.request_id,
             server=held.record.agent,
             claim_id=held.claim_id,
-            quiet_s=self._context.settings.timings.silence_s,
+            silence_timeout_s=self._context.settings.timings.silence_s,
         )
-        step = self._ask(reader)
+        step = self._query_agent(reader)
         match step:
             case AttemptNeverSeen(incarnation, _) if (
                 incarnation == held.record.incarnation
             ):
                 return self._take_over(held, inbox)
             case AttemptNeverSeen():
-                return self._lost(held, "the agent restarted after the claim")
+                return self._finish_as_unknown(
+                    held, "the agent restarted after the claim"
+                )
             case AttemptNotStarted():
                 return ClaimAvailable(held)
             case WaitTimedOut():
-                return self._lost(held, "the agent does not answer")
+                return self._finish_as_unknown(held, "the agent does not answer")
             case _:
                 return EarlierRun(reader, step, end)
 
-    def _ask(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
+    def _query_agent(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
         # An agent that was just dialled may need a moment, and one message may be lost.
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
-            reader.request_resume(why="joined by a resend")
-            step = reader.read_step(_ASK_AGAIN_S)
+            reader.request_resume(reason="joined by a resend")
+            step = reader.read_step(_QUERY_RETRY_INTERVAL_S)
             if not isinstance(step, WaitTimedOut):
                 return step
         return WaitTimedOut()
@@ -224,10 +226,10 @@
             inbox = inboxes.open(key, record.address, record.incarnation)
             if inbox is not None:
                 return inbox
-            time.sleep(_FOLLOWED_CHECK_S)
+            time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _lost(self, held: Held, reason: str) -> ClaimResolution:
+    def _finish_as_unknown(self, held: Held, reason: str) -> ClaimResolution:
         self.record_final_outcome(held, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
@@ -251,17 +253,17 @@
                 case ClaimMoved():
                     return ClaimChanged()
                 case ClaimUnreachable() as error:
-                    return ClaimRefused(build_claim_refusal(error, claimed=True))
+                    return ClaimRefused(build_claim_refusal(error, is_claimed=True))
         raised = written.ok
-        self._note(raised, "raised the fence of")
-        return self._entomb(raised, inbox)
+        self._record_claim(raised, "raised the fence of")
+        return self._write_tombstone(raised, inbox)
 
-    def _entomb(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
+    def _write_tombstone(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
         record = held.record
         order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
         self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
         try:
-            answer = self._entombed(order, inbox, record)
+            answer = self._request_tombstone(order, inbox, record)
         finally:
             self._context.inboxes.unsubscribe_from_claim(held.claim_id)
         match answer:
@@ -271,22 +273,24 @@
                 # The earlier dispatch arrived in between: look at its run.
                 return ClaimChanged()
             case TombstoneReply():
-                return self._lost(held, "the agent restarted after the claim")
-        return self._lost(held, "the agent does not answer")
+                return self._finish_as_unknown(
+                    held, "the agent restarted after the claim"
+                )
+        return self._finish_as_unknown(held, "the agent does not answer")
 
-    def _entombed(
+    def _request_tombstone(
         self, order: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
     ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
             self._context.hub.send(OutgoingLink(record.address, 0), order)
-            match inbox.get(_ASK_AGAIN_S):
+            match inbox.get(_QUERY_RETRY_INTERVAL_S):
                 case TombstoneReply() as answer:
                     return answer
                 case AgentGone():
                     return None
         return None
 
-    def _note(self, held: Held, detail: str) -> None:
+    def _record_claim(self, held: Held, detail: str) -> None:
         event = Claimed(held.claim_id, held.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/judging.py
@@ -39,83 +39,90 @@
         self._context = context
         self._request = request
         self._watch = watch
-        self._runs = 0
-        self._turned_away = 0
+        self._run_count = 0
+        self._agent_refusal_count = 0
 
     @property
     def may_have_run(self) -> bool:
         """Whether any attempt so far may have run."""
-        return self._runs > 0
+        return self._run_count > 0
 
     def handle_failed_attempt(
         self,
         step: AnswerEnded | AttemptNotStarted | WaitAbandoned,
         attempts: AttemptDispatcher,
-        place: Reservation,
+        reservation: Reservation,
     ) -> Refusal | None:
         """Return the final refusal, or None if another attempt follows."""
         match step:
             case AttemptNotStarted(reason):
-                return self._turned_away_by(reason, attempts, place)
+                return self._handle_agent_refusal(reason, attempts, reservation)
             case AnswerEnded(outcome, detail):
-                return self._failed(outcome, detail, attempts, place)
+                return self._handle_lost_answer(outcome, detail, attempts, reservation)
             case WaitAbandoned():
-                self._runs += 1
+                self._run_count += 1
                 return build_wait_abandoned_refusal()
 
-    def _turned_away_by(
-        self, reason: AgentRefusal, attempts: AttemptDispatcher, place: Reservation
+    def _handle_agent_refusal(
+        self,
+        reason: AgentRefusal,
+        attempts: AttemptDispatcher,
+        reservation: Reservation,
     ) -> Refusal | None:
-        self._turned_away += 1
-        if self._late or self._watch.gone() or self._turned_away > MAX_AGENT_REFUSALS:
+        self._agent_refusal_count += 1
+        if (
+            self._is_past_deadline
+            or self._watch.gone()
+            or self._agent_refusal_count > MAX_AGENT_REFUSALS
+        ):
             message = f"The last server asked did not take it: {reason.value}."
             retry_after_s = self._context.limiter.get_retry_after_s(self._request)
             return Refusal(503, reason.value, message, retry_after_s)
         if reason is not AgentRefusal.STALE_TOKEN:
-            attempts.exclude_server(place.server)
-        self._note(attempts, f"{place.server} said {reason.value}")
+            attempts.exclude_server(reservation.server)
+        self._record_retry(attempts, f"{reservation.server} said {reason.value}")
         return None
 
-    def _failed(
+    def _handle_lost_answer(
         self,
         outcome: Outcome,
         detail: str,
         attempts: AttemptDispatcher,
-        place: Reservation,
+        reservation: Reservation,
     ) -> Refusal | None:
-        self._runs += 1
-        attempts.record_failure(place)
+        self._run_count += 1
+        attempts.record_failure(reservation)
         repeat = (
             self._request.route.repeatable
             and outcome is Outcome.UNKNOWN
-            and self._runs < MAX_REPEATABLE_RUNS
-            and not self._late
+            and self._run_count < MAX_REPEATABLE_RUNS
+            and not self._is_past_deadline
             and self._context.limiter.try_acquire_retry(self._request)
         )
         if not repeat:
-            status = 504 if self._late else 502
+            status = 504 if self._is_past_deadline else 502
             message = f"It was given to a server and its answer is lost: {detail}."
             return Refusal(status, "answer-lost", message, 0.0, outcome)
-        return self._repeat_elsewhere(detail, attempts, place)
+        return self._retry_elsewhere(detail, attempts, reservation)
 
-    def _repeat_elsewhere(
-        self, detail: str, attempts: AttemptDispatcher, place: Reservation
+    def _retry_elsewhere(
+        self, detail: str, attempts: AttemptDispatcher, reservation: Reservation
     ) -> Refusal | None:
         # The server may have died of this very request: the verdict of when it came is
         # not the verdict of now.
         verdict = self._context.limiter.check_quarantine(self._request)
         if isinstance(verdict, Refusal):
             return verdict._replace(outcome=Outcome.UNKNOWN)
-        attempts.exclude_server(place.server, suspect=verdict.is_suspect)
-        self._note(attempts, detail)
+        attempts.exclude_server(reservation.server, is_suspect=verdict.is_suspect)
+        self._record_retry(attempts, detail)
         return None
 
     @property
-    def _late(self) -> bool:
+    def _is_past_deadline(self) -> bool:
         return monotonic() >= self._request.deadline_at
 
-    def _note(self, attempts: AttemptDispatcher, why: str) -> None:
-        event = Retried(attempts.count, why)
+    def _record_retry(self, attempts: AttemptDispatcher, reason: str) -> None:
+        event = Retried(attempts.count, reason)
         self._context.recorder.record(self._request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/limits.py
@@ -47,8 +47,8 @@
         self._admission = AdmissionController()
         self._predictor = WorkPredictor()
         self._suspects = CrashSuspects()
-        self._budgets_by_group: dict[str, RetryBudget] = {}
-        self._configured: dict[str, tuple[Organisation, float]] = {}
+        self._retry_budget_by_group: dict[str, RetryBudget] = {}
+        self._configured_by_name: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
 
     def check_quarantine(self, request: CallerRequest) -> NotQuarantined | Refusal:
@@ -82,28 +82,28 @@
             if isinstance(decision, LimitRefusal):
                 message = f"The organisation's allowance is used up: {decision.detail}"
                 return Refusal(429, decision.limit, message, decision.retry_after_s)
-            self._budget(request.group.name).record_first_attempt(now)
+            self._get_retry_budget(request.group.name).record_first_attempt(now)
         return work
 
     def _configure(self, organisation: Organisation) -> None:
-        known = self._configured.get(organisation.name)
+        known = self._configured_by_name.get(organisation.name)
         if known is None or known[0] is not organisation:
             share = self._share_of(organisation)
-            self._configured[organisation.name] = (organisation, share)
+            self._configured_by_name[organisation.name] = (organisation, share)
             self._admission.configure(organisation.name, organisation.allowance, share)
 
     def register_organisation(self, organisation: Organisation) -> None:
         """Take part in the organisation's allowance without a request of its own."""
         with self._lock:
-            if organisation.name not in self._configured:
+            if organisation.name not in self._configured_by_name:
                 self._configure(organisation)
 
     def set_share(self, organisation: Organisation, share: float) -> None:
         """Use this part (0 to 1) of the organisation's allowance from now on."""
         with self._lock:
-            known = self._configured.get(organisation.name)
+            known = self._configured_by_name.get(organisation.name)
             if known is not None and known[1] != share:
-                self._configured[organisation.name] = (known[0], share)
+                self._configured_by_name[organisation.name] = (known[0], share)
                 allowance = known[0].allowance
                 self._admission.configure(organisation.name, allowance, share)
 
@@ -112,23 +112,28 @@
         with self._lock:
             return [
                 (organisation, self._admission.get_demand(name, now))
-                for name, (organisation, _) in self._configured.items()
+                for name, (organisation, _) in self._configured_by_name.items()
             ]
 
     def remove_organisation(self, organisation: Organisation) -> None:
         """Drop an organisation that has not been seen for a while."""
         with self._lock:
-            self._configured.pop(organisation.name, None)
+            self._configured_by_name.pop(organisation.name, None)
             self._admission.remove_organisation(organisation.name)
 
-    def settle_not_run(self, request: CallerRequest, predicted: float) -> None:
+    def settle_not_run(self, request: CallerRequest, predicted_work: float) -> None:
         """Settle an admitted request that took no work of a server."""
         name = request.organisation.name
         with self._lock:
-            self._admission.settle(name, predicted, 0.0, monotonic())
+            self._admission.settle(name, predicted_work, 0.0, monotonic())
 
     def settle_run(
-        self, request: CallerRequest, predicted: float, tokens: int, *, whole: bool
+        self,
+        request: CallerRequest,
+        predicted_work: float,
+        tokens: int,
+        *,
+        is_whole: bool,
     ) -> None:
         """Settle an admitted request whose answer took about ``tokens`` tokens.
 
@@ -137,18 +142,18 @@
         name = request.organisation.name
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
         with self._lock:
-            self._admission.settle(name, predicted, prompt + tokens, monotonic())
-            if whole:
+            self._admission.settle(name, predicted_work, prompt + tokens, monotonic())
+            if is_whole:
                 self._predictor.record_answer(name, request.route.path, prompt, tokens)
                 self._suspects.clear(request.fingerprint)
 
     def try_acquire_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
         with self._lock:
-            return self._budget(request.group.name).try_acquire(monotonic())
+            return self._get_retry_budget(request.group.name).try_acquire(monotonic())
 
-    def _budget(self, group: str) -> RetryBudget:
-        return self._budgets_by_group.setdefault(group, RetryBudget())
+    def _get_retry_budget(self, group: str) -> RetryBudget:
+        return self._retry_budget_by_group.setdefault(group, RetryBudget())
 
     def get_retry_after_s(self, request: CallerRequest) -> float:
         """Return seconds to stay away, spread by request."""
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/reading.py
@@ -45,22 +45,22 @@
         hub: MessageHub,
         recorder: Recorder,
         *,
-        traced_as: str,
+        trace_request_id: str,
         server: str,
         claim_id: str | None,
-        quiet_s: float,
+        silence_timeout_s: float,
     ) -> None:
         self._inbox = inbox
         self._hub = hub
         self._recorder = recorder
-        self._traced_as = traced_as
+        self._trace_request_id = trace_request_id
         self._server = server
         self._claim_id = claim_id
-        self._following = AnswerAssembler()
-        self._acked = 0
-        self._quiet_s = quiet_s
-        self._heard_at = monotonic()
-        self._began_at = self._heard_at
+        self._assembler = AnswerAssembler()
+        self._acked_offset = 0
+        self._silence_timeout_s = silence_timeout_s
+        self._last_heard_at = monotonic()
+        self._started_at = self._last_heard_at
 
     @property
     def inbox(self) -> AttemptInbox:
@@ -75,24 +75,24 @@
     @property
     def started_at(self) -> float:
         """When the attempt was sent, monotonic."""
-        return self._began_at
+        return self._started_at
 
     @property
     def offset(self) -> int:
         """Bytes of the body read so far."""
-        return self._following.offset
+        return self._assembler.offset
 
     def read_step(self, timeout_s: float) -> AnswerStep | WaitTimedOut:
         """Return the next step that matters to the caller, or ``Elapsed``."""
         until = monotonic() + timeout_s
         while True:
             item = self._inbox.get(until - monotonic())
-            self._resume_if_quiet(item)
-            step = self._step(item)
+            self._resume_if_silent(item)
+            step = self._process_item(item)
             if not isinstance(step, NoStep):
                 return step
 
-    def _resume_if_quiet(
+    def _resume_if_silent(
         self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
     ) -> None:
         """Ask again where the agent has lost the way to this reader.
@@ -104,12 +104,12 @@
         """
         now = monotonic()
         if not isinstance(item, WaitTimedOut):
-            self._heard_at = now
-        elif now - self._heard_at > self._quiet_s:
-            self._heard_at = now
-            self.request_resume(why="nothing was heard of it")
+            self._last_heard_at = now
+        elif now - self._last_heard_at > self._silence_timeout_s:
+            self._last_heard_at = now
+            self.request_resume(reason="nothing was heard of it")
 
-    def _step(
+    def _process_item(
         self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
     ) -> AnswerStep | WaitTimedOut:
         match item:
@@ -118,37 +118,37 @@
             case AgentGone(detail):
                 return AnswerEnded(Outcome.UNKNOWN, detail)
             case LinkReplaced():
-                return self._resume(self._following.resume_on_new_link())
+                return self._resume_at(self._assembler.resume_on_new_link())
             case message:
-                return self._take(self._following.process_message(message))
+                return self._process_step(self._assembler.process_message(message))
 
-    def _take(self, step: AnswerStep) -> AnswerStep:
+    def _process_step(self, step: AnswerStep) -> AnswerStep:
         match step:
             case ResumeNeeded():
-                return self._resume(step)
+                return self._resume_at(step)
             case BodyChunk():
-                self._acknowledge_some()
+                self._acknowledge_if_due()
             case AnswerEnded():
-                self._send(Ack(*self._inbox.key, self._following.offset))
+                self._send(Ack(*self._inbox.key, self._assembler.offset))
         return step
 
-    def _resume(self, step: ResumeNeeded) -> AnswerStep:
-        self.request_resume(why=step.reason)
+    def _resume_at(self, step: ResumeNeeded) -> AnswerStep:
+        self.request_resume(reason=step.reason)
         return NoStep()
 
-    def request_resume(self, *, why: str) -> None:
+    def request_resume(self, *, reason: str) -> None:
         """Ask the agent for the answer from the next byte on."""
-        offset = self._following.offset
-        event = Resumed(self._server, self._inbox.key.attempt, offset, why)
-        self._recorder.record(self._traced_as, event)
+        offset = self._assembler.offset
+        event = Resumed(self._server, self._inbox.key.attempt, offset, reason)
+        self._recorder.record(self._trace_request_id, event)
         self._send(
             ResumeRequest(*self._inbox.key, offset, FLOW_CREDIT_BYTES, self._claim_id)
         )
 
-    def _acknowledge_some(self) -> None:
-        offset = self._following.offset
-        if offset - self._acked >= FLOW_CREDIT_BYTES // 2:
-            self._acked = offset
+    def _acknowledge_if_due(self) -> None:
+        offset = self._assembler.offset
+        if offset - self._acked_offset >= FLOW_CREDIT_BYTES // 2:
+            self._acked_offset = offset
             self._send(Ack(*self._inbox.key, offset))
 
     def cancel(self) -> None:
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -90,7 +90,9 @@
     return Refusal(409, "earlier-send", message, outcome=outcome)
 
 
-def build_claim_refusal(error: ClaimUnreachable, *, claimed: bool = False) -> Refusal:
+def build_claim_refusal(
+    error: ClaimUnreachable, *, is_claimed: bool = False
+) -> Refusal:
     """Return the refusal of a request whose claim can't be made or settled.
 
     ``claimed`` tells that an earlier send made a claim: it may have run, and a caller
@@ -100,5 +102,5 @@
         "The request may run at most once, and the platform can't record it now: "
         f"{error.detail}."
     )
-    outcome = Outcome.UNKNOWN if claimed else Outcome.NOT_RUN
+    outcome = Outcome.UNKNOWN if is_claimed else Outcome.NOT_RUN
     return Refusal(503, "claim-unavailable", message, error.retry_after_s, outcome)
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -43,7 +43,9 @@
     from kingcupwheel.entry.watching import CallerWatch
 
 
-_OF_THIS_SEND = " This send was not run; an earlier one of the same key may have been."
+_EARLIER_SEND_NOTE = (
+    " This send was not run; an earlier one of the same key may have been."
+)
 
 
 class RequestRunner:
@@ -55,8 +57,8 @@
         self._context = context
         self._request = request
         self._watch = watch
-        self._head = HeadWaiter(context, request, watch)
-        self._judge = RetryController(context, request, watch)
+        self._head_waiter = HeadWaiter(context, request, watch)
+        self._retries = RetryController(context, request, watch)
 
     def run(self) -> Answer:
         """Return the answer, or the refusal that is final."""
@@ -69,75 +71,79 @@
         self._record(Admitted(admitted))
         plan = AdmittedRequest(self._request, admitted, is_suspect=verdict.is_suspect)
         try:
-            return self._run(plan)
+            return self._run_admitted(plan)
         except CallerGoneError:
             self._record(CallerLeft(0))
             return self._give_up(plan, CALLER_LEFT)
 
-    def _run(self, plan: AdmittedRequest) -> Answer:
-        attempts = AttemptDispatcher(self._context, plan, self._watch)
+    def _run_admitted(self, admitted: AdmittedRequest) -> Answer:
+        attempts = AttemptDispatcher(self._context, admitted, self._watch)
         if self._request.route.repeatable:
-            return self._run_repeatable(plan, attempts)
-        return self._run_once(plan, attempts)
+            return self._run_repeatable(admitted, attempts)
+        return self._run_once(admitted, attempts)
 
     def _run_repeatable(
-        self, plan: AdmittedRequest, attempts: AttemptDispatcher
+        self, admitted: AdmittedRequest, attempts: AttemptDispatcher
     ) -> Answer:
         while True:
             place = attempts.reserve_server()
             if isinstance(place, Refusal):
-                return self._give_up(plan, place)
+                return self._give_up(admitted, place)
             reader = attempts.dispatch(place, None)
-            step = self._head.wait(reader)
+            step = self._head_waiter.wait(reader)
             if isinstance(step, HeadReceived):
-                return self._answering(plan, attempts, place, reader).relay(step)
+                return self._build_relay(admitted, attempts, place, reader).relay(step)
             self._end_attempt(attempts, place, reader)
-            refusal = self._judge.handle_failed_attempt(step, attempts, place)
+            refusal = self._retries.handle_failed_attempt(step, attempts, place)
             if refusal is not None:
-                return self._give_up(plan, refusal)
+                return self._give_up(admitted, refusal)
 
-    def _run_once(self, plan: AdmittedRequest, attempts: AttemptDispatcher) -> Answer:
+    def _run_once(
+        self, admitted: AdmittedRequest, attempts: AttemptDispatcher
+    ) -> Answer:
         claims = ClaimResolver(self._context, self._request)
         held: Held | None = None
         while True:
             place = attempts.reserve_server()
             if isinstance(place, Refusal):
-                return self._give_up(plan, place)
+                return self._give_up(admitted, place)
             taken = claims.acquire(place, attempts.count, held)
             if isinstance(taken, Held):
                 held = taken
-                answer = self._run_claimed(plan, attempts, claims, place, held)
+                answer = self._run_claimed(admitted, attempts, claims, place, held)
                 if answer is not None:
                     return answer
                 continue
             attempts.release(place)
             if isinstance(taken, Refusal):
-                return self._give_up(plan, taken)
-            found = self._settle(claims)
+                return self._give_up(admitted, taken)
+            found = self._resolve_claim(claims)
             if isinstance(found, ClaimAvailable):
                 held = found.held
                 continue
-            return self._found(plan, attempts, found)
+            return self._answer_from_earlier_run(admitted, attempts, found)
 
     def _run_claimed(
         self,
-        plan: AdmittedRequest,
+        admitted: AdmittedRequest,
         attempts: AttemptDispatcher,
         claims: ClaimResolver,
-        place: Reservation,
-        held: Held,
+        reservation: Reservation,
+        held_claim: Held,
     ) -> Answer | None:
-        reader = attempts.dispatch(place, held)
-        step = self._head.wait(reader)
+        reader = attempts.dispatch(reservation, held_claim)
+        step = self._head_waiter.wait(reader)
         if isinstance(step, HeadReceived):
-            return self._answering(plan, attempts, place, reader).relay(step)
-        self._end_attempt(attempts, place, reader)
+            return self._build_relay(admitted, attempts, reservation, reader).relay(
+                step
+            )
+        self._end_attempt(attempts, reservation, reader)
         if isinstance(step, AnswerEnded):
-            claims.record_final_outcome(held, Outcome.UNKNOWN, step.detail)
-        refusal = self._judge.handle_failed_attempt(step, attempts, place)
-        return None if refusal is None else self._give_up(plan, refusal)
+            claims.record_final_outcome(held_claim, Outcome.UNKNOWN, step.detail)
+        refusal = self._retries.handle_failed_attempt(step, attempts, reservation)
+        return None if refusal is None else self._give_up(admitted, refusal)
 
-    def _settle(
+    def _resolve_claim(
         self, claims: ClaimResolver
     ) -> ClaimAvailable | ClaimRefused | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
@@ -152,75 +158,82 @@
                 return found
         return ClaimRefused(EARLIER_SEND_RUNNING)
 
-    def _found(
+    def _answer_from_earlier_run(
         self,
-        plan: AdmittedRequest,
+        admitted: AdmittedRequest,
         attempts: AttemptDispatcher,
-        found: ClaimRefused | EarlierRun,
+        resolution: ClaimRefused | EarlierRun,
     ) -> Answer:
-        if isinstance(found, ClaimRefused):
-            return self._give_up(plan, found.refusal)
-        reader = found.reader
-        step = self._head_of(found)
+        if isinstance(resolution, ClaimRefused):
+            return self._give_up(admitted, resolution.refusal)
+        reader = resolution.reader
+        step = self._wait_for_head(resolution)
         if isinstance(step, HeadReceived):
             answering = AnswerRelay(
-                self._context, plan, reader, self._watch, None, found.close
+                self._context, admitted, reader, self._watch, None, resolution.close
             )
             return answering.relay(step)
-        found.close()
+        resolution.close()
         match step:
             case AnswerEnded(outcome, detail):
-                return self._give_up(plan, build_earlier_send_refusal(outcome, detail))
+                return self._give_up(
+                    admitted, build_earlier_send_refusal(outcome, detail)
+                )
             case WaitAbandoned():
-                return self._give_up(plan, build_wait_abandoned_refusal())
+                return self._give_up(admitted, build_wait_abandoned_refusal())
             case _:
                 detail = "its server did not run it"
                 return self._give_up(
-                    plan, build_earlier_send_refusal(Outcome.UNKNOWN, detail)
+                    admitted, build_earlier_send_refusal(Outcome.UNKNOWN, detail)
                 )
 
-    def _head_of(self, found: EarlierRun) -> HeadWaitResult:
-        match found.first_step:
+    def _wait_for_head(self, resolution: EarlierRun) -> HeadWaitResult:
+        match resolution.first_step:
             case HeadReceived() | AnswerEnded():
-                return found.first_step
+                return resolution.first_step
             case first:
-                return self._head.wait(found.reader, first)
+                return self._head_waiter.wait(resolution.reader, first)
 
-    def _answering(
+    def _build_relay(
         self,
-        plan: AdmittedRequest,
+        admitted: AdmittedRequest,
         attempts: AttemptDispatcher,
-        place: Reservation,
+        reservation: Reservation,
         reader: AnswerReader,
     ) -> AnswerRelay:
         def end() -> None:
-            self._end_attempt(attempts, place, reader)
+            self._end_attempt(attempts, reservation, reader)
 
-        return AnswerRelay(self._context, plan, reader, self._watch, place, end)
+        return AnswerRelay(
+            self._context, admitted, reader, self._watch, reservation, end
+        )
 
     def _end_attempt(
-        self, attempts: AttemptDispatcher, place: Reservation, reader: AnswerReader
+        self,
+        attempts: AttemptDispatcher,
+        reservation: Reservation,
+        reader: AnswerReader,
     ) -> None:
         self._context.inboxes.close(reader.inbox)
-        attempts.release(place)
+        attempts.release(reservation)
 
-    def _give_up(self, plan: AdmittedRequest, refusal: Refusal) -> RefusedAnswer:
+    def _give_up(self, admitted: AdmittedRequest, refusal: Refusal) -> RefusedAnswer:
         # A refusal after an attempt that may have run is no ``not-run`` any more.
-        may_have_run = self._judge.may_have_run
+        may_have_run = self._retries.may_have_run
         if may_have_run and refusal.outcome is Outcome.NOT_RUN:
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if may_have_run:
             self._context.limiter.settle_run(
-                self._request, plan.predicted_work, 0, whole=False
+                self._request, admitted.predicted_work, 0, is_whole=False
             )
         else:
-            self._context.limiter.settle_not_run(self._request, plan.predicted_work)
+            self._context.limiter.settle_not_run(self._request, admitted.predicted_work)
         return self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> RefusedAnswer:
         if not self._request.route.repeatable and refusal.outcome is Outcome.NOT_RUN:
             # Whoever sends a key again must not take it for never run by this answer.
-            refusal = refusal._replace(message=refusal.message + _OF_THIS_SEND)
+            refusal = refusal._replace(message=refusal.message + _EARLIER_SEND_NOTE)
         event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
         outcome = refusal.outcome.value
--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -30,14 +30,14 @@
 # Demand below this part of an equal share is not told: nobody need lend or borrow then,
 # and 43,000 organisations that each send a little would ride on every heartbeat. Both
 # sides count an organisation that is not told as an equal share without demand.
-_QUIET_PART = 0.5
+_MIN_SHARED_DEMAND_FRACTION = 0.5
 # An organisation without demand for so long is forgotten, here and in what is told to
 # others: 43,000 of them, each on two entries, would otherwise ride on every heartbeat.
-_IDLE_S = 60.0
-_NO_DEMAND = 1e-6
+_IDLE_TIMEOUT_S = 60.0
+_MIN_DEMAND = 1e-6
 
 
-class _Peer:
+class _PeerState:
     """What another entry told last, and which of this entry's beats it has had."""
 
     def __init__(self, now: float) -> None:
@@ -56,17 +56,17 @@
         membership: Membership,
         *,
         send: Callable[[OutgoingLink, Message], None],
-        organisation_named: Callable[[str], Organisation | None],
+        find_organisation: Callable[[str], Organisation | None],
     ) -> None:
         self._name = name
         self._limits = limits
         self._membership = membership
         self._send = send
-        self._organisation_named = organisation_named
+        self._find_organisation = find_organisation
         self._share_by_organisation: dict[str, Share] = {}
-        self._used_at: dict[str, float] = {}
-        self._peer_by_name: dict[str, _Peer] = {}
-        self._told_peers: frozenset[str] = frozenset()
+        self._used_at_by_organisation: dict[str, float] = {}
+        self._peer_by_name: dict[str, _PeerState] = {}
+        self._reported_peers: frozenset[str] = frozenset()
         self._lock = Lock()
 
     def get_initial_share(self, organisation: Organisation) -> float:
@@ -79,11 +79,11 @@
         now = monotonic()
         members = self._membership.members_for(organisation, now)
         with self._lock:
-            share = self._share(organisation.name, len(members))
-            self._used_at[organisation.name] = now
+            share = self._get_share(organisation.name, len(members))
+            self._used_at_by_organisation[organisation.name] = now
         return share.usable_fraction(max(1, len(members)))
 
-    def _share(self, organisation: str, members: int) -> Share:
+    def _get_share(self, organisation: str, members: int) -> Share:
         known = self._share_by_organisation.get(organisation)
         if known is None:
             known = Share(held=1.0 / max(1, members))
@@ -97,11 +97,11 @@
         telling how little is wanted.
         """
         for told in beat.shares:
-            organisation = self._organisation_named(told.organisation)
-            if organisation is not None and told.demand > _NO_DEMAND:
+            organisation = self._find_organisation(told.organisation)
+            if organisation is not None and told.demand > _MIN_DEMAND:
                 self._limits.register_organisation(organisation)
         with self._lock:
-            peer = self._peer_by_name.setdefault(beat.name, _Peer(now))
+            peer = self._peer_by_name.setdefault(beat.name, _PeerState(now))
             peer.last_sent_at = beat.sent_at
             if beat.echo >= 0:
                 peer.last_echo_at = max(peer.last_echo_at, beat.echo)
@@ -113,21 +113,21 @@
         for organisation, demand in self._limits.list_demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
-                self._forget(organisation)
+                self._remove_organisation(organisation)
                 continue
-            if self._is_quiet(organisation, demand, members):
+            if self._reset_if_unshared(organisation, demand, members):
                 continue
-            told = self._renew_one(organisation, demand, members, now)
+            told = self._update_share(organisation, demand, members, now)
             for member in members:
                 if member != self._name:
                     told_by_peer.setdefault(member, []).append(told)
         # Those told before get one more message that names nothing, so that they don't
         # go on counting on what was true then.
-        for peer in self._told_peers | told_by_peer.keys():
-            self._tell(peer, tuple(told_by_peer.get(peer, ())), now)
-        self._told_peers = frozenset(told_by_peer)
+        for peer in self._reported_peers | told_by_peer.keys():
+            self._send_heartbeat(peer, tuple(told_by_peer.get(peer, ())), now)
+        self._reported_peers = frozenset(told_by_peer)
 
-    def _is_quiet(
+    def _reset_if_unshared(
         self, organisation: Organisation, demand: float, members: tuple[str, ...]
     ) -> bool:
         """Tell whether an equal share is enough here and at every other entry.
@@ -137,12 +137,12 @@
         """
         name = organisation.name
         equal = 1.0 / max(1, len(members))
-        if demand >= _QUIET_PART * equal or self._name not in members:
+        if demand >= _MIN_SHARED_DEMAND_FRACTION * equal or self._name not in members:
             return False
-        if self._is_wanted_elsewhere(name, equal):
+        if self._has_peer_demand(name, equal):
             return False
         with self._lock:
-            before = self._share(name, len(members))
+            before = self._get_share(name, len(members))
             share = before._replace(held=equal, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limits.set_share(
@@ -150,17 +150,19 @@
         )
         return True
 
-    def _is_wanted_elsewhere(self, organisation: str, equal: float) -> bool:
-        told = self._told(organisation)
-        return any(one.demand >= _QUIET_PART * equal for one in told)
+    def _has_peer_demand(self, organisation: str, equal: float) -> bool:
+        told = self._list_peer_reports(organisation)
+        return any(one.demand >= _MIN_SHARED_DEMAND_FRACTION * equal for one in told)
 
     def _is_idle(self, organisation: str, demand: float, now: float) -> bool:
-        told = self._told(organisation)
-        if demand > _NO_DEMAND or any(one.demand > _NO_DEMAND for one in told):
-            self._used_at[organisation] = now
-        return now - self._used_at.get(organisation, now) > _IDLE_S
+        told = self._list_peer_reports(organisation)
+        if demand > _MIN_DEMAND or any(one.demand > _MIN_DEMAND for one in told):
+            self._used_at_by_organisation[organisation] = now
+        return (
+            now - self._used_at_by_organisation.get(organisation, now) > _IDLE_TIMEOUT_S
+        )
 
-    def _told(self, organisation: str) -> list[ShareReport]:
+    def _list_peer_reports(self, organisation: str) -> list[ShareReport]:
         """Return what the other entries told last of the organisation."""
         with self._lock:
             told = [
@@ -169,13 +171,13 @@
             ]
         return [one for one in told if one is not None]
 
-    def _forget(self, organisation: Organisation) -> None:
+    def _remove_organisation(self, organisation: Organisation) -> None:
         self._limits.remove_organisation(organisation)
         with self._lock:
             self._share_by_organisation.pop(organisation.name, None)
-            self._used_at.pop(organisation.name, None)
+            self._used_at_by_organisation.pop(organisation.name, None)
 
-    def _renew_one(
+    def _update_share(
         self,
         organisation: Organisation,
         demand: float,
@@ -184,10 +186,10 @@
     ) -> ShareReport:
         name = organisation.name
         with self._lock:
-            before = self._share(name, len(members))
+            before = self._get_share(name, len(members))
             if self._name in members:
                 peers = [
-                    self._peer_share(member, name, len(members), now)
+                    self._build_peer_share(member, name, len(members), now)
                     for member in members
                     if member != self._name
                 ]
@@ -201,10 +203,10 @@
         )
         return ShareReport(name, demand, share.held, share.wants_more)
 
-    def _peer_share(
+    def _build_peer_share(
         self, member: str, organisation: str, members: int, now: float
     ) -> PeerShare:
-        peer = self._peer_by_name.setdefault(member, _Peer(now))
+        peer = self._peer_by_name.setdefault(member, _PeerState(now))
         told = peer.report_by_organisation.get(organisation)
         age_s = now - peer.last_echo_at
         if told is None:
@@ -212,12 +214,14 @@
             return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
         return PeerShare(told.demand, told.held, told.wants_more, age_s)
 
-    def _tell(self, member: str, shares: tuple[ShareReport, ...], now: float) -> None:
+    def _send_heartbeat(
+        self, member: str, shares: tuple[ShareReport, ...], now: float
+    ) -> None:
         address = self._membership.address_of(member)
         if not address:
             return
         with self._lock:
-            echo = self._peer_by_name.setdefault(member, _Peer(now)).last_sent_at
+            echo = self._peer_by_name.setdefault(member, _PeerState(now)).last_sent_at
         self._send(
             OutgoingLink(address, 0), ShareHeartbeat(self._name, now, echo, shares)
         )
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/tickets.py
@@ -59,12 +59,14 @@
 class PlacementTicket:
     """A request's wait for a place."""
 
-    def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
-        self.queued = waiting
-        self.placement_request = ask
+    def __init__(
+        self, queued: QueuedRequest, placement_request: PlacementRequest
+    ) -> None:
+        self.queued = queued
+        self.placement_request = placement_request
         self.blocked_by: NoServerAvailable | None = None
         self.requests_ahead = 0
-        self._places: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
+        self._results: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
     def blocking_reason(self) -> str:
@@ -73,13 +75,13 @@
             "no server is known" if self.blocked_by is None else self.blocked_by.reason
         )
 
-    def complete(self, place: Reservation | PlacementFailure) -> None:
+    def complete(self, result: Reservation | PlacementFailure) -> None:
         """End the wait."""
-        self._places.put(place)
+        self._results.put(result)
 
     def wait(self, timeout_s: float) -> Reservation | PlacementFailure | None:
         """Return the end of the wait, or None after ``timeout_s`` seconds."""
         try:
-            return self._places.get(timeout=max(0.0, timeout_s))
+            return self._results.get(timeout=max(0.0, timeout_s))
         except Empty:
             return None
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -27,7 +27,7 @@
 
 # How long the agent is given to say what became of a cancelled attempt. It answers at
 # once; a caller that is owed its final answer does not wait for one that is silent.
-_CANCEL_S = 2.0
+_CANCEL_TIMEOUT_S = 2.0
 
 
 class WaitAbandoned(NamedTuple):
@@ -48,13 +48,13 @@
         self._watch = watch
 
     def wait(
-        self, reader: AnswerReader, first: AnswerStep | None = None
+        self, reader: AnswerReader, first_step: AnswerStep | None = None
     ) -> HeadWaitResult:
         """Return once the head is known, the attempt is over, or the wait is.
 
         ``first`` is a step that was read before.
         """
-        running = isinstance(first, AttemptStarted) and first.is_running
+        running = isinstance(first_step, AttemptStarted) and first_step.is_running
         over_at: float | None = None
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
@@ -62,20 +62,20 @@
                 case HeadReceived() | AnswerEnded() | AttemptNotStarted():
                     return step
                 case AttemptNeverSeen():
-                    settled = self._never_seen(reader, step)
+                    settled = self._handle_never_seen(reader, step)
                     if settled is not None:
                         return settled
                 case AttemptStarted(now_running):
                     running = running or now_running
-                    self._note_started(reader, now_running)
-            if self._is_better_elsewhere(reader):
+                    self._record_started(reader, now_running)
+            if self._should_retry_elsewhere(reader):
                 reader.cancel()
                 return AnswerEnded(Outcome.UNKNOWN, "the server's instance is silent")
-            over_at = over_at or self._give_up_if_over(reader, running)
-            if over_at is not None and monotonic() - over_at > _CANCEL_S:
+            over_at = over_at or self._cancel_if_abandoned(reader, running)
+            if over_at is not None and monotonic() - over_at > _CANCEL_TIMEOUT_S:
                 return WaitAbandoned()
 
-    def _is_better_elsewhere(self, reader: AnswerReader) -> bool:
+    def _should_retry_elsewhere(self, reader: AnswerReader) -> bool:
         """Tell whether to stop waiting for an agent that has gone silent.
 
         An agent that died is given up only after ``give_up_s``, because what may not be
@@ -88,7 +88,7 @@
         gone_s = self._context.settings.timings.gone_s
         return server is not None and monotonic() - server.heard_at > gone_s
 
-    def _never_seen(
+    def _handle_never_seen(
         self, reader: AnswerReader, step: AttemptNeverSeen
     ) -> AnswerEnded | AttemptNotStarted | None:
         """Return what follows from it, or None if the agent has to be asked again.
@@ -101,15 +101,15 @@
         if step.is_cancelled:
             return AttemptNotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
-        reader.request_resume(why="the dispatch did not arrive")
+        reader.request_resume(reason="the dispatch did not arrive")
         return None
 
-    def _note_started(self, reader: AnswerReader, running: bool) -> None:
+    def _record_started(self, reader: AnswerReader, running: bool) -> None:
         if running:
             event = StartedEvent(reader.server, reader.inbox.key.attempt)
             self._context.recorder.record(self._request.request_id, event)
 
-    def _give_up_if_over(self, reader: AnswerReader, running: bool) -> float | None:
+    def _cancel_if_abandoned(self, reader: AnswerReader, running: bool) -> float | None:
         """Cancel work that nobody waits for; return when the wait was over.
 
         A run that may not be repeated goes on: its result is wanted all the same, and
@@ -127,5 +127,5 @@
             event = CallerLeft(0)
             self._context.recorder.record(request.request_id, event)
         if gone or (late and request.has_own_deadline):
-            return monotonic() - _CANCEL_S
+            return monotonic() - _CANCEL_TIMEOUT_S
         return None
