--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempting.py
@@ -67,7 +67,7 @@
         """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
         self._excluded_servers |= {server}
         if is_suspect:
-            self._admitted = self._admitted._replace(suspect=True)
+            self._admitted = self._admitted._replace(is_suspect=True)
 
     def reserve_server(self) -> Reservation | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
