--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/running.py
@@ -24,7 +24,7 @@
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_earlier_send_refusal
-from kingcupwheel.entry.waiting import HeadWaiter
+from kingcupwheel.entry.waiting import AnswerHeadWaiter
 from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Admitted
@@ -57,7 +57,7 @@
         self._context = context
         self._request = request
         self._watch = watch
-        self._head_waiter = HeadWaiter(context, request, watch)
+        self._head_waiter = AnswerHeadWaiter(context, request, watch)
         self._retries = RetryController(context, request, watch)
 
     def run(self) -> Answer:
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/waiting.py
@@ -37,7 +37,7 @@
 HeadWaitResult = HeadReceived | AnswerEnded | AttemptNotStarted | WaitAbandoned
 
 
-class HeadWaiter:
+class AnswerHeadWaiter:
     """One request's wait for the head of its answer; belongs to one thread."""
 
     def __init__(
