--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/sharing.py
@@ -52,14 +52,14 @@
     def __init__(
         self,
         name: str,
-        limits: RequestLimiter,
+        limiter: RequestLimiter,
         membership: Membership,
         *,
         send: Callable[[OutgoingLink, Message], None],
         find_organisation: Callable[[str], Organisation | None],
     ) -> None:
         self._name = name
-        self._limits = limits
+        self._limiter = limiter
         self._membership = membership
         self._send = send
         self._find_organisation = find_organisation
@@ -99,7 +99,7 @@
         for told in beat.shares:
             organisation = self._find_organisation(told.organisation)
             if organisation is not None and told.demand > _MIN_DEMAND:
-                self._limits.register_organisation(organisation)
+                self._limiter.register_organisation(organisation)
         with self._lock:
             peer = self._peer_by_name.setdefault(beat.name, _PeerState(now))
             peer.last_sent_at = beat.sent_at
@@ -110,7 +110,7 @@
     def update_shares(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
         told_by_peer: dict[str, list[ShareReport]] = {}
-        for organisation, demand in self._limits.list_demands(now):
+        for organisation, demand in self._limiter.list_demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
                 self._remove_organisation(organisation)
@@ -145,7 +145,7 @@
             before = self._get_share(name, len(members))
             share = before._replace(held=equal, wants_more_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(
+        self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
         )
         return True
@@ -172,7 +172,7 @@
         return [one for one in told if one is not None]
 
     def _remove_organisation(self, organisation: Organisation) -> None:
-        self._limits.remove_organisation(organisation)
+        self._limiter.remove_organisation(organisation)
         with self._lock:
             self._share_by_organisation.pop(organisation.name, None)
             self._used_at_by_organisation.pop(organisation.name, None)
@@ -198,7 +198,7 @@
                 # Left out of the set: the members count on this part being free.
                 share = before._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
-        self._limits.set_share(
+        self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
         )
         return ShareReport(name, demand, share.held, share.wants_more)
