--- a/src/kingcupwheel/entry/sharing.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.entry.limits import RequestLimiter
     from kingcupwheel.entry.membership import Membership
+    from kingcupwheel.entry.request_limiter import RequestLimiter
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
 
--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.attempting import CALLER_POLL_INTERVAL_S
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import AttemptNeverSeen
-from kingcupwheel.entry.following import AttemptNotStarted
-from kingcupwheel.entry.following import AttemptStarted
-from kingcupwheel.entry.following import HeadReceived
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
+from kingcupwheel.entry.answer_assembler import AttemptNotStarted
+from kingcupwheel.entry.answer_assembler import AttemptStarted
+from kingcupwheel.entry.answer_assembler import HeadReceived
+from kingcupwheel.entry.attempt_dispatcher import CALLER_POLL_INTERVAL_S
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -19,10 +19,10 @@
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import AnswerStep
-    from kingcupwheel.entry.reading import AnswerReader
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.watching import CallerWatch
 
 # How long the agent is given to say what became of a cancelled attempt. It answers at
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -5,14 +5,14 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.following import AnswerAssembler
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import NoStep
-from kingcupwheel.entry.following import ResumeNeeded
-from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import LinkReplaced
-from kingcupwheel.entry.inbox import WaitTimedOut
+from kingcupwheel.entry.answer_assembler import AnswerAssembler
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answer_assembler import NoStep
+from kingcupwheel.entry.answer_assembler import ResumeNeeded
+from kingcupwheel.entry.attempt_inboxes import AgentGone
+from kingcupwheel.entry.attempt_inboxes import LinkReplaced
+from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import CancelRequest
@@ -22,8 +22,8 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.following import AnswerStep
-    from kingcupwheel.entry.inbox import AttemptInbox
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.attempt_inboxes import AttemptInbox
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
--- a/src/kingcupwheel/entry/answering.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import BodyChunk
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import BodyChunk
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
@@ -24,12 +24,12 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
+    from kingcupwheel.entry.answer_assembler import HeadReceived
+    from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
-    from kingcupwheel.entry.attempting import AdmittedRequest
+    from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import HeadReceived
-    from kingcupwheel.entry.reading import AnswerReader
-    from kingcupwheel.entry.tickets import Reservation
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
 # An unstreamed answer up to this size is read to its end first, so that its head can
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from kingcupwheel.entry.exchange import DISCARD_CHUNK_BYTES
-from kingcupwheel.entry.exchange import HttpExchange
+from kingcupwheel.entry.http_exchange import DISCARD_CHUNK_BYTES
+from kingcupwheel.entry.http_exchange import HttpExchange
 from kingcupwheel.entry.parsing import check_sizes
 from kingcupwheel.entry.parsing import organisation_of
 from kingcupwheel.entry.parsing import parse
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
-from kingcupwheel.entry.running import RequestRunner
+from kingcupwheel.entry.request_runner import RequestRunner
 from kingcupwheel.entry.watching import SocketWatch
 from kingcupwheel.trace.events import Received
 
@@ -28,9 +28,9 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.callers import CallerPages
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.manifest.inforce import InForce
 
 logger = logging.getLogger("kingcupwheel.entry")
--- a/src/kingcupwheel/entry/attempting.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -7,14 +7,14 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.candidates import PlacementRequest
-from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.reading import FLOW_CREDIT_BYTES
-from kingcupwheel.entry.reading import AnswerReader
+from kingcupwheel.entry.answer_reader import FLOW_CREDIT_BYTES
+from kingcupwheel.entry.answer_reader import AnswerReader
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.placement_tickets import PlacementFailure
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.tickets import PlacementFailure
-from kingcupwheel.entry.tickets import PlacementTicket
-from kingcupwheel.entry.tickets import Reservation
-from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
@@ -26,8 +26,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.records import Held
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.watching import CallerWatch
 
 # How often a waiting thread looks whether its caller is still there.
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -19,13 +19,13 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
-from kingcupwheel.entry.following import AttemptNeverSeen
-from kingcupwheel.entry.following import AttemptNotStarted
-from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import AttemptInbox
-from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import WaitTimedOut
-from kingcupwheel.entry.reading import AnswerReader
+from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
+from kingcupwheel.entry.answer_assembler import AttemptNotStarted
+from kingcupwheel.entry.answer_reader import AnswerReader
+from kingcupwheel.entry.attempt_inboxes import AgentGone
+from kingcupwheel.entry.attempt_inboxes import AttemptInbox
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_REUSED
 from kingcupwheel.entry.refusals import Refusal
@@ -43,10 +43,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import AnswerStep
-    from kingcupwheel.entry.requests import CallerRequest
-    from kingcupwheel.entry.tickets import Reservation
+    from kingcupwheel.entry.placement_tickets import Reservation
 
 # How often a thread looks again whether another one here still follows the answer.
 _INBOX_POLL_INTERVAL_S = 0.1
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -11,10 +11,10 @@
 
     from kingcupwheel.claims.retention import ClaimRetention
     from kingcupwheel.claims.store import ClaimStore
-    from kingcupwheel.entry.dispatchers import DispatcherRegistry
-    from kingcupwheel.entry.inbox import InboxRegistry
-    from kingcupwheel.entry.limits import RequestLimiter
+    from kingcupwheel.entry.attempt_inboxes import InboxRegistry
+    from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.observing import Observer
+    from kingcupwheel.entry.request_limiter import RequestLimiter
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -8,22 +8,22 @@
 
 from kingcupwheel.claims.retention import ClaimRetention
 from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
+from kingcupwheel.entry.attempt_inboxes import InboxRegistry
 from kingcupwheel.entry.callers import CallerPages
 from kingcupwheel.entry.context import EntryContext
-from kingcupwheel.entry.dispatchers import DispatcherRegistry
+from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.gateway import SPARE_THREADS
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
-from kingcupwheel.entry.inbox import InboxRegistry
-from kingcupwheel.entry.limits import RequestLimiter
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.operators import OPERATOR_THREADS
 from kingcupwheel.entry.operators import OperatorPages
 from kingcupwheel.entry.peers import PeerFetcher
 from kingcupwheel.entry.recording import Recording
+from kingcupwheel.entry.request_limiter import RequestLimiter
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.sharing import AllowanceBalancer
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatcher_registry.py
@@ -5,7 +5,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.dispatching import GroupDispatcher
+from kingcupwheel.entry.group_dispatcher import GroupDispatcher
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/dispatching.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -27,16 +27,16 @@
 from kingcupwheel.decisions.group_health import ServerLoad
 from kingcupwheel.decisions.placement import select_eligible
 from kingcupwheel.decisions.server_health import ServerState
-from kingcupwheel.entry.tickets import PlacementFailure
-from kingcupwheel.entry.tickets import PlacementTicket
-from kingcupwheel.entry.tickets import Reservation
+from kingcupwheel.entry.placement_tickets import PlacementFailure
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
 from kingcupwheel.plugins.kernel import placement_policies
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.placement_tickets import SubmittedRequest
     from kingcupwheel.entry.servers import Server
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.entry.tickets import SubmittedRequest
     from kingcupwheel.manifest.schema import ServerGroup
 
 # Waiting requests that only some servers may take (retries, suspects) are tried apart
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import LinkReplaced
+from kingcupwheel.entry.attempt_inboxes import AgentGone
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.attempt_inboxes import LinkReplaced
 from kingcupwheel.entry.servers import Gone
 from kingcupwheel.entry.servers import Restarted
 from kingcupwheel.entry.servers import Silent
@@ -43,11 +43,11 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.entry.peers import PeerFetcher
     from kingcupwheel.entry.servers import Finding
-    from kingcupwheel.entry.sharing import AllowanceBalancer
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.keeper import ManifestKeeper
     from kingcupwheel.messages.base import Message
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -17,8 +17,8 @@
     from collections.abc import Sequence
 
     from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.metrics.client import Metrics
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -12,6 +12,8 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.entry.caller_requests import CallerRequest
+from kingcupwheel.entry.caller_requests import compute_fingerprint
 from kingcupwheel.entry.refusals import API_KEY_MISSING
 from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import BAD_METHOD
@@ -21,8 +23,6 @@
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
-from kingcupwheel.entry.requests import CallerRequest
-from kingcupwheel.entry.requests import compute_fingerprint
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
 from kingcupwheel.manifest.routing import RouteFound
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/request_limiter.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.entry.requests import CallerRequest
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.manifest.schema import Organisation
 
 # How long a caller that found no place is asked to stay away: about two heartbeats, in
--- a/src/kingcupwheel/entry/running.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -5,27 +5,27 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.claims.records import Held
-from kingcupwheel.entry.answering import AnswerRelay
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import HeadReceived
+from kingcupwheel.entry.answer_head_waiter import AnswerHeadWaiter
+from kingcupwheel.entry.answer_head_waiter import WaitAbandoned
+from kingcupwheel.entry.answer_relay import AnswerRelay
 from kingcupwheel.entry.answers import RefusedAnswer
-from kingcupwheel.entry.attempting import AdmittedRequest
-from kingcupwheel.entry.attempting import AttemptDispatcher
+from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
+from kingcupwheel.entry.attempt_dispatcher import AttemptDispatcher
+from kingcupwheel.entry.claim_resolver import MAX_CLAIM_CHANGES
+from kingcupwheel.entry.claim_resolver import ClaimAvailable
+from kingcupwheel.entry.claim_resolver import ClaimChanged
+from kingcupwheel.entry.claim_resolver import ClaimRefused
+from kingcupwheel.entry.claim_resolver import ClaimResolver
+from kingcupwheel.entry.claim_resolver import EarlierRun
 from kingcupwheel.entry.exceptions import CallerGoneError
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import HeadReceived
-from kingcupwheel.entry.joining import MAX_CLAIM_CHANGES
-from kingcupwheel.entry.joining import ClaimAvailable
-from kingcupwheel.entry.joining import ClaimChanged
-from kingcupwheel.entry.joining import ClaimRefused
-from kingcupwheel.entry.joining import ClaimResolver
-from kingcupwheel.entry.joining import EarlierRun
-from kingcupwheel.entry.judging import RetryController
-from kingcupwheel.entry.judging import build_wait_abandoned_refusal
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_earlier_send_refusal
-from kingcupwheel.entry.waiting import AnswerHeadWaiter
-from kingcupwheel.entry.waiting import WaitAbandoned
+from kingcupwheel.entry.retry_controller import RetryController
+from kingcupwheel.entry.retry_controller import build_wait_abandoned_refusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
@@ -34,12 +34,12 @@
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.answer_head_waiter import HeadWaitResult
+    from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.reading import AnswerReader
-    from kingcupwheel.entry.requests import CallerRequest
-    from kingcupwheel.entry.tickets import Reservation
-    from kingcupwheel.entry.waiting import HeadWaitResult
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
 
--- a/src/kingcupwheel/entry/judging.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -5,20 +5,20 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import AttemptNotStarted
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import AttemptNotStarted
+from kingcupwheel.entry.answer_head_waiter import WaitAbandoned
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Retried
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.attempting import AttemptDispatcher
+    from kingcupwheel.entry.attempt_dispatcher import AttemptDispatcher
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.requests import CallerRequest
-    from kingcupwheel.entry.tickets import Reservation
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
 # Places that may turn a request away before it is refused. An agent's refusal costs one
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -10,8 +10,8 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.dispatchers import DispatcherRegistry
-    from kingcupwheel.entry.tickets import Reservation
+    from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.forwarding.calls import ServerAnswer
     from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-from kingcupwheel.entry.dispatchers import DispatcherRegistry
+from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.forwarding.admission import ConfigurationSnapshot
--- a/src/kingcupwheel/forwarding/endpoints.py
+++ b/src/kingcupwheel/forwarding/endpoints.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.exchange import format_status_line
+from kingcupwheel.entry.http_exchange import format_status_line
 from kingcupwheel.platform import entry_endpoints
 
 
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -12,10 +12,10 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
+from kingcupwheel.entry.placement_tickets import Reservation
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.tickets import Reservation
 from kingcupwheel.forwarding.calls import Answered
 from kingcupwheel.forwarding.calls import AnswerLost
 from kingcupwheel.forwarding.calls import NotSent
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -6,19 +6,19 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.tickets import PlacementTicket
-from kingcupwheel.entry.tickets import Reservation
-from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.forwarding.final_refusals import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.dispatching import GroupDispatcher
+    from kingcupwheel.entry.group_dispatcher import GroupDispatcher
     from kingcupwheel.forwarding.requests import ForwardRequest
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.requests import compute_fingerprint
+from kingcupwheel.entry.caller_requests import compute_fingerprint
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.entry.dispatchers import DispatcherRegistry
+    from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.servers import ServerTable
-    from kingcupwheel.entry.tickets import Reservation
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.http_metadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
--- a/tests/burn/builders.py
+++ b/tests/burn/builders.py
@@ -7,7 +7,7 @@
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import goals_of
 from kingcupwheel.burn.observed import Observed
-from kingcupwheel.entry.requests import CallerRequest
+from kingcupwheel.entry.caller_requests import CallerRequest
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
--- a/tests/entry/test_waiting.py
+++ b/tests/entry/test_answer_head_waiter.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 from typing import cast
 
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.inbox import AttemptInbox
-from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import WaitTimedOut
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_head_waiter import AnswerHeadWaiter
+from kingcupwheel.entry.answer_head_waiter import WaitAbandoned
+from kingcupwheel.entry.attempt_inboxes import AttemptInbox
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.waiting import AnswerHeadWaiter
-from kingcupwheel.entry.waiting import WaitAbandoned
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.settings.schema import Timings
 from tests.burn.builders import caller_request
@@ -21,9 +21,9 @@
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.reading import AnswerReader
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.watching import CallerWatch
 
 TIMINGS = Timings()
--- a/tests/entry/test_answering.py
+++ b/tests/entry/test_answering.py
@@ -7,23 +7,23 @@
 
 import pytest
 
-from kingcupwheel.entry.answering import MAX_BUFFERED_ANSWER_BYTES
-from kingcupwheel.entry.answering import AnswerRelay
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answer_assembler import HeadReceived
+from kingcupwheel.entry.answer_relay import MAX_BUFFERED_ANSWER_BYTES
+from kingcupwheel.entry.answer_relay import AnswerRelay
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.attempting import AdmittedRequest
+from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
 from kingcupwheel.entry.exceptions import AnswerCutError
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import HeadReceived
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Finished
 from tests.burn.builders import caller_request
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import AnswerStep
-    from kingcupwheel.entry.reading import AnswerReader
     from kingcupwheel.entry.watching import CallerWatch
 
 EVENTS = HeadReceived(200, (("Content-Type", "text/event-stream"),))
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -3,11 +3,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.entry.following import MAX_RESUMES_WITHOUT_PROGRESS
-from kingcupwheel.entry.following import AnswerAssembler
-from kingcupwheel.entry.following import AnswerEnded
-from kingcupwheel.entry.following import BodyChunk
-from kingcupwheel.entry.following import ResumeNeeded
+from kingcupwheel.entry.answer_assembler import MAX_RESUMES_WITHOUT_PROGRESS
+from kingcupwheel.entry.answer_assembler import AnswerAssembler
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answer_assembler import ResumeNeeded
 from kingcupwheel.messages.attempts import AttemptEnd
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import ResponseData
--- a/tests/entry/test_dispatching.py
+++ b/tests/entry/test_group_dispatcher.py
@@ -6,12 +6,12 @@
 
 from kingcupwheel.decisions.admission import LimitRefusal
 from kingcupwheel.decisions.candidates import PlacementRequest
-from kingcupwheel.entry.dispatching import GroupDispatcher
+from kingcupwheel.entry.group_dispatcher import GroupDispatcher
+from kingcupwheel.entry.placement_tickets import PlacementFailure
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.tickets import PlacementFailure
-from kingcupwheel.entry.tickets import PlacementTicket
-from kingcupwheel.entry.tickets import Reservation
-from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.settings.schema import Timings
--- a/tests/entry/test_sharing.py
+++ b/tests/entry/test_sharing.py
@@ -6,9 +6,9 @@
 
 from freezegun import freeze_time
 
-from kingcupwheel.entry.limits import RequestLimiter
+from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.sharing import AllowanceBalancer
+from kingcupwheel.entry.request_limiter import RequestLimiter
 from kingcupwheel.manifest.schema import Allowance
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.messages.membership import ShareHeartbeat
--- a/tests/forwarding/test_serverbook.py
+++ b/tests/forwarding/test_serverbook.py
@@ -5,11 +5,11 @@
 import pytest
 
 from kingcupwheel.decisions.candidates import PlacementRequest
-from kingcupwheel.entry.dispatchers import DispatcherRegistry
+from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.tickets import PlacementTicket
-from kingcupwheel.entry.tickets import Reservation
-from kingcupwheel.entry.tickets import SubmittedRequest
 from kingcupwheel.forwarding.backends import Backend
 from kingcupwheel.forwarding.server_registry import ServerRegistry
 from kingcupwheel.forwarding.server_registry import places_at_pace
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -58,7 +58,7 @@
     ),
     "health": (
         Edit(
-            "entry/dispatching.py",
+            "entry/group_dispatcher.py",
             "state_by_name = self._health.update_states(loads, now)",
             "state_by_name = {one.name: ServerState.HEALTHY for one in loads}",
         ),
