--- a/src/kingcupwheel/entry/waiting.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.attempting import CALLER_CHECK_S
-from kingcupwheel.entry.following import Ended
-from kingcupwheel.entry.following import HeadKnown
-from kingcupwheel.entry.following import NeverSeen
-from kingcupwheel.entry.following import NotStarted
-from kingcupwheel.entry.following import Started
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
+from kingcupwheel.entry.answer_assembler import AttemptNotStarted
+from kingcupwheel.entry.answer_assembler import AttemptStarted
+from kingcupwheel.entry.answer_assembler import HeadReceived
+from kingcupwheel.entry.attempt_dispatcher import CALLER_POLL_INTERVAL_S
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -19,25 +19,25 @@
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import Step
-    from kingcupwheel.entry.reading import AnswerReader
-    from kingcupwheel.entry.requests import CallerRequest
     from kingcupwheel.entry.watching import CallerWatch
 
 # How long the agent is given to say what became of a cancelled attempt. It answers at
 # once; a caller that is owed its final answer does not wait for one that is silent.
-_CANCEL_S = 2.0
+_CANCEL_TIMEOUT_S = 2.0
 
 
-class WaitOver(NamedTuple):
+class WaitAbandoned(NamedTuple):
     """The caller's wait is over; what runs may go on and its end is not known."""
 
 
-HeadStep = HeadKnown | Ended | NotStarted | WaitOver
+HeadWaitResult = HeadReceived | AnswerEnded | AttemptNotStarted | WaitAbandoned
 
 
-class HeadWait:
+class AnswerHeadWaiter:
     """One request's wait for the head of its answer; belongs to one thread."""
 
     def __init__(
@@ -47,33 +47,35 @@
         self._request = request
         self._watch = watch
 
-    def wait(self, reader: AnswerReader, first: Step | None = None) -> HeadStep:
+    def wait(
+        self, reader: AnswerReader, first_step: AnswerStep | None = None
+    ) -> HeadWaitResult:
         """Return once the head is known, the attempt is over, or the wait is.
 
         ``first`` is a step that was read before.
         """
-        running = isinstance(first, Started) and first.running
+        running = isinstance(first_step, AttemptStarted) and first_step.is_running
         over_at: float | None = None
         while True:
-            step = reader.next(CALLER_CHECK_S)
+            step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
-                case HeadKnown() | Ended() | NotStarted():
+                case HeadReceived() | AnswerEnded() | AttemptNotStarted():
                     return step
-                case NeverSeen():
-                    settled = self._never_seen(reader, step)
+                case AttemptNeverSeen():
+                    settled = self._handle_never_seen(reader, step)
                     if settled is not None:
                         return settled
-                case Started(now_running):
+                case AttemptStarted(now_running):
                     running = running or now_running
-                    self._note_started(reader, now_running)
-            if self._is_better_elsewhere(reader):
+                    self._record_started(reader, now_running)
+            if self._should_retry_elsewhere(reader):
                 reader.cancel()
-                return Ended(Outcome.UNKNOWN, "the server's instance is silent")
-            over_at = over_at or self._give_up_if_over(reader, running)
-            if over_at is not None and monotonic() - over_at > _CANCEL_S:
-                return WaitOver()
+                return AnswerEnded(Outcome.UNKNOWN, "the server's instance is silent")
+            over_at = over_at or self._cancel_if_abandoned(reader, running)
+            if over_at is not None and monotonic() - over_at > _CANCEL_TIMEOUT_S:
+                return WaitAbandoned()
 
-    def _is_better_elsewhere(self, reader: AnswerReader) -> bool:
+    def _should_retry_elsewhere(self, reader: AnswerReader) -> bool:
         """Tell whether to stop waiting for an agent that has gone silent.
 
         An agent that died is given up only after ``give_up_s``, because what may not be
@@ -86,28 +88,28 @@
         gone_s = self._context.settings.timings.gone_s
         return server is not None and monotonic() - server.heard_at > gone_s
 
-    def _never_seen(
-        self, reader: AnswerReader, step: NeverSeen
-    ) -> Ended | NotStarted | None:
+    def _handle_never_seen(
+        self, reader: AnswerReader, step: AttemptNeverSeen
+    ) -> AnswerEnded | AttemptNotStarted | None:
         """Return what follows from it, or None if the agent has to be asked again.
 
         The dispatch was lost, or is still on its way over an old link. Cancelling
         leaves a tombstone; asking again tells that it stands.
         """
         if step.incarnation != reader.inbox.incarnation:
-            return Ended(Outcome.UNKNOWN, "the agent restarted")
-        if step.cancelled:
-            return NotStarted(AgentRefusal.CANCELLED)
+            return AnswerEnded(Outcome.UNKNOWN, "the agent restarted")
+        if step.is_cancelled:
+            return AttemptNotStarted(AgentRefusal.CANCELLED)
         reader.cancel()
-        reader.resume(why="the dispatch did not arrive")
+        reader.request_resume(reason="the dispatch did not arrive")
         return None
 
-    def _note_started(self, reader: AnswerReader, running: bool) -> None:
+    def _record_started(self, reader: AnswerReader, running: bool) -> None:
         if running:
             event = StartedEvent(reader.server, reader.inbox.key.attempt)
             self._context.recorder.record(self._request.request_id, event)
 
-    def _give_up_if_over(self, reader: AnswerReader, running: bool) -> float | None:
+    def _cancel_if_abandoned(self, reader: AnswerReader, running: bool) -> float | None:
         """Cancel work that nobody waits for; return when the wait was over.
 
         A run that may not be repeated goes on: its result is wanted all the same, and
@@ -124,6 +126,6 @@
         if gone:
             event = CallerLeft(0)
             self._context.recorder.record(request.request_id, event)
-        if gone or (late and request.own_deadline):
-            return monotonic() - _CANCEL_S
+        if gone or (late and request.has_own_deadline):
+            return monotonic() - _CANCEL_TIMEOUT_S
         return None
--- a/src/kingcupwheel/entry/reading.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -5,14 +5,14 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.following import Chunk
-from kingcupwheel.entry.following import Ended
-from kingcupwheel.entry.following import Following
-from kingcupwheel.entry.following import Nothing
-from kingcupwheel.entry.following import ResumeAt
-from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import Elapsed
-from kingcupwheel.entry.inbox import LinkReplaced
+from kingcupwheel.entry.answer_assembler import AnswerAssembler
+from kingcupwheel.entry.answer_assembler import AnswerEnded
+from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answer_assembler import NoStep
+from kingcupwheel.entry.answer_assembler import ResumeNeeded
+from kingcupwheel.entry.attempt_inboxes import AgentGone
+from kingcupwheel.entry.attempt_inboxes import LinkReplaced
+from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import CancelRequest
@@ -22,15 +22,15 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.following import Step
-    from kingcupwheel.entry.inbox import Inbox
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.attempt_inboxes import AttemptInbox
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
 
 # Bytes of an answer that may be under way unacknowledged: many frames of tokens, so
 # that acknowledgements are rare, yet little memory for a caller who reads slowly.
-CREDIT_BYTES = 256 * 1024
+FLOW_CREDIT_BYTES = 256 * 1024
 
 
 class AnswerReader:
@@ -41,29 +41,29 @@
 
     def __init__(
         self,
-        inbox: Inbox,
+        inbox: AttemptInbox,
         hub: MessageHub,
         recorder: Recorder,
         *,
-        traced_as: str,
+        trace_request_id: str,
         server: str,
         claim_id: str | None,
-        quiet_s: float,
+        silence_timeout_s: float,
     ) -> None:
         self._inbox = inbox
         self._hub = hub
         self._recorder = recorder
-        self._traced_as = traced_as
+        self._trace_request_id = trace_request_id
         self._server = server
         self._claim_id = claim_id
-        self._following = Following()
-        self._acked = 0
-        self._quiet_s = quiet_s
-        self._heard_at = monotonic()
-        self._began_at = self._heard_at
+        self._assembler = AnswerAssembler()
+        self._acked_offset = 0
+        self._silence_timeout_s = silence_timeout_s
+        self._last_heard_at = monotonic()
+        self._started_at = self._last_heard_at
 
     @property
-    def inbox(self) -> Inbox:
+    def inbox(self) -> AttemptInbox:
         """Where the attempt's messages arrive."""
         return self._inbox
 
@@ -73,27 +73,27 @@
         return self._server
 
     @property
-    def began_at(self) -> float:
+    def started_at(self) -> float:
         """When the attempt was sent, monotonic."""
-        return self._began_at
+        return self._started_at
 
     @property
     def offset(self) -> int:
         """Bytes of the body read so far."""
-        return self._following.offset
+        return self._assembler.offset
 
-    def next(self, timeout_s: float) -> Step | Elapsed:
+    def read_step(self, timeout_s: float) -> AnswerStep | WaitTimedOut:
         """Return the next step that matters to the caller, or ``Elapsed``."""
         until = monotonic() + timeout_s
         while True:
             item = self._inbox.get(until - monotonic())
-            self._resume_if_quiet(item)
-            step = self._step(item)
-            if not isinstance(step, Nothing):
+            self._resume_if_silent(item)
+            step = self._process_item(item)
+            if not isinstance(step, NoStep):
                 return step
 
-    def _resume_if_quiet(
-        self, item: Message | LinkReplaced | AgentGone | Elapsed
+    def _resume_if_silent(
+        self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
     ) -> None:
         """Ask again where the agent has lost the way to this reader.
 
@@ -103,52 +103,52 @@
         Asking again gives the agent the new way; asking needlessly does no harm.
         """
         now = monotonic()
-        if not isinstance(item, Elapsed):
-            self._heard_at = now
-        elif now - self._heard_at > self._quiet_s:
-            self._heard_at = now
-            self.resume(why="nothing was heard of it")
-
-    def _step(
-        self, item: Message | LinkReplaced | AgentGone | Elapsed
-    ) -> Step | Elapsed:
+        if not isinstance(item, WaitTimedOut):
+            self._last_heard_at = now
+        elif now - self._last_heard_at > self._silence_timeout_s:
+            self._last_heard_at = now
+            self.request_resume(reason="nothing was heard of it")
+
+    def _process_item(
+        self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
+    ) -> AnswerStep | WaitTimedOut:
         match item:
-            case Elapsed():
+            case WaitTimedOut():
                 return item
             case AgentGone(detail):
-                return Ended(Outcome.UNKNOWN, detail)
+                return AnswerEnded(Outcome.UNKNOWN, detail)
             case LinkReplaced():
-                return self._resume(self._following.link_replaced())
+                return self._resume_at(self._assembler.resume_on_new_link())
             case message:
-                return self._take(self._following.on(message))
+                return self._process_step(self._assembler.process_message(message))
 
-    def _take(self, step: Step) -> Step:
+    def _process_step(self, step: AnswerStep) -> AnswerStep:
         match step:
-            case ResumeAt():
-                return self._resume(step)
-            case Chunk():
-                self._acknowledge_some()
-            case Ended():
-                self._send(Ack(*self._inbox.key, self._following.offset))
+            case ResumeNeeded():
+                return self._resume_at(step)
+            case BodyChunk():
+                self._acknowledge_if_due()
+            case AnswerEnded():
+                self._send(Ack(*self._inbox.key, self._assembler.offset))
         return step
 
-    def _resume(self, step: ResumeAt) -> Step:
-        self.resume(why=step.why)
-        return Nothing()
+    def _resume_at(self, step: ResumeNeeded) -> AnswerStep:
+        self.request_resume(reason=step.reason)
+        return NoStep()
 
-    def resume(self, *, why: str) -> None:
+    def request_resume(self, *, reason: str) -> None:
         """Ask the agent for the answer from the next byte on."""
-        offset = self._following.offset
-        event = Resumed(self._server, self._inbox.key.attempt, offset, why)
-        self._recorder.record(self._traced_as, event)
+        offset = self._assembler.offset
+        event = Resumed(self._server, self._inbox.key.attempt, offset, reason)
+        self._recorder.record(self._trace_request_id, event)
         self._send(
-            ResumeRequest(*self._inbox.key, offset, CREDIT_BYTES, self._claim_id)
+            ResumeRequest(*self._inbox.key, offset, FLOW_CREDIT_BYTES, self._claim_id)
         )
 
-    def _acknowledge_some(self) -> None:
-        offset = self._following.offset
-        if offset - self._acked >= CREDIT_BYTES // 2:
-            self._acked = offset
+    def _acknowledge_if_due(self) -> None:
+        offset = self._assembler.offset
+        if offset - self._acked_offset >= FLOW_CREDIT_BYTES // 2:
+            self._acked_offset = offset
             self._send(Ack(*self._inbox.key, offset))
 
     def cancel(self) -> None:
--- /dev/null
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -0,0 +1,205 @@
+"""Starts attempts: waits for a place, dispatches once, opens the inbox first."""
+
+from __future__ import annotations
+
+from time import monotonic
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.entry.answer_reader import FLOW_CREDIT_BYTES
+from kingcupwheel.entry.answer_reader import AnswerReader
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.placement_tickets import PlacementFailure
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.link.links import OutgoingLink
+from kingcupwheel.messages.attempts import ClaimRef
+from kingcupwheel.messages.attempts import Dispatch
+from kingcupwheel.trace.events import Alternative
+from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import Queued
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.claims.records import Held
+    from kingcupwheel.entry.caller_requests import CallerRequest
+    from kingcupwheel.entry.context import EntryContext
+    from kingcupwheel.entry.watching import CallerWatch
+
+# How often a waiting thread looks whether its caller is still there.
+CALLER_POLL_INTERVAL_S = 0.5
+
+
+class AdmittedRequest(NamedTuple):
+    """What is known of a request before it is placed.
+
+    ``work`` is predicted work in tokens; ``suspect`` tells that it ran where a server
+    died.
+    """
+
+    request: CallerRequest
+    predicted_work: float
+    is_suspect: bool
+
+
+class AttemptDispatcher:
+    """Starts the attempts of one request; belongs to one thread."""
+
+    def __init__(
+        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
+    ) -> None:
+        self._context = context
+        self._admitted = admitted
+        self._watch = watch
+        self._count = 0
+        self._excluded_servers: frozenset[str] = frozenset()
+
+    @property
+    def count(self) -> int:
+        """Attempts placed so far."""
+        return self._count
+
+    def exclude_server(self, server: str, *, is_suspect: bool = False) -> None:
+        """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
+        self._excluded_servers |= {server}
+        if is_suspect:
+            self._admitted = self._admitted._replace(is_suspect=True)
+
+    def reserve_server(self) -> Reservation | Refusal:
+        """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
+        request = self._admitted.request
+        ask = PlacementRequest(
+            prefix_key=request.prefix_key,
+            work=self._admitted.predicted_work,
+            excluded_servers=self._excluded_servers,
+            is_suspect=self._admitted.is_suspect,
+            data_centre=self._context.settings.data_centre,
+            is_repeatable=request.route.repeatable,
+        )
+        dispatcher = self._context.dispatchers.get(request.group)
+        wanted = SubmittedRequest(
+            request_id=request.request_id,
+            organisation=request.organisation.name,
+            priority=request.organisation.priority,
+            work=self._admitted.predicted_work,
+            size_bytes=len(request.body),
+            first_byte_deadline_at=request.deadline_at,
+        )
+        ticket = dispatcher.submit(wanted, ask)
+        if not isinstance(ticket, PlacementTicket):
+            return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
+        place = ticket.wait(0)
+        if place is None:
+            self._record(Queued(ticket.requests_ahead))
+            place = self._wait_for_reservation(ticket)
+        if isinstance(place, PlacementFailure):
+            return _build_placement_refusal(
+                place, self._context.limiter.get_retry_after_s(request)
+            )
+        self._count += 1
+        self._record_reservation(place)
+        return place
+
+    def _wait_for_reservation(
+        self, ticket: PlacementTicket
+    ) -> Reservation | PlacementFailure:
+        dispatcher = self._context.dispatchers.get(self._admitted.request.group)
+        while True:
+            place = ticket.wait(CALLER_POLL_INTERVAL_S)
+            if place is not None:
+                return place
+            if self._watch.gone():
+                dispatcher.withdraw(ticket)
+                self._watch.raise_gone()
+            dispatcher.place_waiting()
+
+    def _record_reservation(self, reservation: Reservation) -> None:
+        decision = reservation.decision
+        alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
+        event = Placed(
+            reservation.server,
+            self._count,
+            reservation.waited_s,
+            decision.reason,
+            alternatives,
+        )
+        self._record(event)
+
+    def release(self, reservation: Reservation) -> None:
+        """Give a place back that was not used, or whose attempt has ended."""
+        self._context.dispatchers.get(self._admitted.request.group).release(reservation)
+
+    def record_failure(self, reservation: Reservation) -> None:
+        """Count an attempt that failed through its server."""
+        self._context.dispatchers.get(self._admitted.request.group).record_failure(
+            reservation
+        )
+
+    def dispatch(self, reservation: Reservation, held: Held | None) -> AnswerReader:
+        """Send the request to the agent of ``place``, exactly once.
+
+        After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
+        dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
+        """
+        context = self._context
+        request = self._admitted.request
+        key = AttemptKey(request.request_id, self._count)
+        inbox = context.inboxes.open(key, reservation.address, reservation.incarnation)
+        assert inbox is not None, "attempt numbers are not reused"
+        claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
+        message = _build_dispatch(self._admitted, key, reservation, claim)
+        context.hub.send(OutgoingLink(reservation.address, 0), message)
+        self._record(Dispatched(reservation.server, self._count))
+        return AnswerReader(
+            inbox,
+            context.hub,
+            context.recorder,
+            trace_request_id=request.request_id,
+            server=reservation.server,
+            claim_id=None if held is None else held.claim_id,
+            silence_timeout_s=context.settings.timings.silence_s,
+        )
+
+    def _record(self, event: Queued | Placed | Dispatched) -> None:
+        self._context.recorder.record(self._admitted.request.request_id, event)
+
+
+def _build_placement_refusal(
+    failure: PlacementFailure, retry_after_s: float
+) -> Refusal:
+    message = f"No server could take it in time: {failure.detail}."
+    return Refusal(503, failure.reason, message, retry_after_s)
+
+
+def _build_dispatch(
+    admitted: AdmittedRequest,
+    key: AttemptKey,
+    reservation: Reservation,
+    claim: ClaimRef | None,
+) -> Dispatch:
+    request = admitted.request
+    return Dispatch(
+        request_id=key.request_id,
+        attempt=key.attempt,
+        incarnation=reservation.incarnation,
+        token=reservation.token,
+        claim=claim,
+        organisation=request.organisation.name,
+        fingerprint=request.fingerprint,
+        priority=request.organisation.priority,
+        streamed=request.is_streamed,
+        method=request.method,
+        path=request.path,
+        headers=request.headers,
+        body=request.body,
+        work=admitted.predicted_work,
+        deadline_s=max(0.0, request.deadline_at - monotonic()),
+        credit=FLOW_CREDIT_BYTES,
+        manifest_version=request.manifest_version,
+        repeatable=request.route.repeatable,
+        suspect=admitted.is_suspect,
+    )
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -8,22 +8,22 @@
 
 from kingcupwheel.claims.retention import ClaimRetention
 from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
+from kingcupwheel.entry.attempt_inboxes import InboxRegistry
 from kingcupwheel.entry.callers import CallerPages
 from kingcupwheel.entry.context import EntryContext
-from kingcupwheel.entry.dispatchers import Dispatchers
+from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.gateway import SPARE_THREADS
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
-from kingcupwheel.entry.inbox import Inboxes
-from kingcupwheel.entry.limits import Limits
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.operators import OPERATOR_THREADS
 from kingcupwheel.entry.operators import OperatorPages
 from kingcupwheel.entry.peers import PeerFetcher
 from kingcupwheel.entry.recording import Recording
+from kingcupwheel.entry.request_limiter import RequestLimiter
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.sharing import Sharing
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
@@ -74,14 +74,14 @@
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = Limits(lambda one: self._sharing.first_share(one))
+        limits = RequestLimiter(lambda one: self._sharing.get_initial_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
             servers=servers,
-            inboxes=Inboxes(),
-            dispatchers=Dispatchers(servers, data_centre=settings.data_centre),
-            limits=limits,
+            inboxes=InboxRegistry(),
+            dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
+            limiter=limits,
             claims=ClaimStore(client),
             retention=self._retention,
             recorder=self._recording.recorder,
@@ -103,12 +103,12 @@
             leaving=self._leaving,
             ask_seeds=self._ask_seeds,
         )
-        self._sharing = Sharing(
+        self._sharing = AllowanceBalancer(
             settings.name,
             limits,
             self._membership,
             send=self._hub.send,
-            organisation_named=self._organisation_named,
+            find_organisation=self._organisation_named,
         )
         self._handler = Handler(
             self._context,
--- a/src/kingcupwheel/entry/tickets.py
+++ b/src/kingcupwheel/entry/placement_tickets.py
@@ -15,7 +15,7 @@
     from kingcupwheel.decisions.fair_queue import QueuedRequest
 
 
-class Wanted(NamedTuple):
+class SubmittedRequest(NamedTuple):
     """What a request asks of a group's queue.
 
     ``work`` is predicted work in tokens, ``size`` what its first byte's time grows
@@ -26,11 +26,11 @@
     organisation: str
     priority: int
     work: float
-    size: float
-    first_by: float
+    size_bytes: float
+    first_byte_deadline_at: float
 
 
-class Place(NamedTuple):
+class Reservation(NamedTuple):
     """A server to dispatch to, as of its latest heartbeat."""
 
     server: str
@@ -40,10 +40,10 @@
     decision: SelectedServer
     waited_s: float
     work: float
-    suspect: bool
+    is_suspect: bool
 
 
-class TimedOut(NamedTuple):
+class PlacementFailure(NamedTuple):
     """The wait ended without a place.
 
     ``limit`` is ``deadline``, or where waiting could not help ``no-server`` or
@@ -51,33 +51,37 @@
     first rest still lasts where nothing but rests stands in the way, else 0.
     """
 
-    limit: str
-    why: str
-    rest_s: float = 0.0
+    reason: str
+    detail: str
+    backoff_left_s: float = 0.0
 
 
-class Ticket:
+class PlacementTicket:
     """A request's wait for a place."""
 
-    def __init__(self, waiting: QueuedRequest, ask: PlacementRequest) -> None:
-        self.waiting = waiting
-        self.ask = ask
-        self.hindrance: NoServerAvailable | None = None
-        self.waiting_ahead = 0
-        self._places: SimpleQueue[Place | TimedOut] = SimpleQueue()
+    def __init__(
+        self, queued: QueuedRequest, placement_request: PlacementRequest
+    ) -> None:
+        self.queued = queued
+        self.placement_request = placement_request
+        self.blocked_by: NoServerAvailable | None = None
+        self.requests_ahead = 0
+        self._results: SimpleQueue[Reservation | PlacementFailure] = SimpleQueue()
 
     @property
-    def last_hindrance(self) -> str:
+    def blocking_reason(self) -> str:
         """What stood in the way last."""
-        return "no server is known" if self.hindrance is None else self.hindrance.reason
+        return (
+            "no server is known" if self.blocked_by is None else self.blocked_by.reason
+        )
 
-    def give(self, place: Place | TimedOut) -> None:
+    def complete(self, result: Reservation | PlacementFailure) -> None:
         """End the wait."""
-        self._places.put(place)
+        self._results.put(result)
 
-    def wait(self, timeout_s: float) -> Place | TimedOut | None:
+    def wait(self, timeout_s: float) -> Reservation | PlacementFailure | None:
         """Return the end of the wait, or None after ``timeout_s`` seconds."""
         try:
-            return self._places.get(timeout=max(0.0, timeout_s))
+            return self._results.get(timeout=max(0.0, timeout_s))
         except Empty:
             return None
--- /dev/null
+++ b/src/kingcupwheel/forwarding/admission.py
@@ -0,0 +1,146 @@
+"""Admits a request with its route, organisation and deadlines, or refuses it.
+
+Deterministic except for the choice of a service if the route has several.
+"""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
+from kingcupwheel.entry.refusals import BODY_TOO_LARGE
+from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
+from kingcupwheel.entry.refusals import NO_MANIFEST
+from kingcupwheel.entry.refusals import NO_ROUTE
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.deadlines import deadlines_for
+from kingcupwheel.forwarding.requests import ForwardRequest
+from kingcupwheel.forwarding.requests import request_fingerprint
+from kingcupwheel.platform.headers import read_request_headers
+
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from kingcupwheel.forwarding.configuration import Configuration
+    from kingcupwheel.forwarding.configuration import ForwardRoute
+    from kingcupwheel.forwarding.configuration import KeyHolder
+
+# Retry delay for callers of an entry whose configuration is missing or outdated. The
+# entry reads the store again within that time.
+_STALE_RETRY_AFTER_S = 0.3
+_HEADER_OVERHEAD_BYTES = 4
+
+
+class ConfigurationSnapshot(NamedTuple):
+    """The current configuration and the time since it was known to be the newest.
+
+    ``max_age_with_key_s`` is the greatest age at which a request with a key is
+    admitted, ``max_age_to_deny_s`` that at which an unknown route or key is denied.
+    """
+
+    configuration: Configuration | None
+    age_s: float
+    max_age_with_key_s: float
+    max_age_to_deny_s: float
+
+
+class ReceivedRequest(NamedTuple):
+    """A request as read from the caller; header names are in lower case."""
+
+    id: str
+    method: str
+    target: str
+    headers: Mapping[str, str]
+    body: bytes
+    received_at: float
+
+
+def admit_request(
+    received: ReceivedRequest, snapshot: ConfigurationSnapshot
+) -> ForwardRequest | Refusal:
+    """Return the request to forward, or the final refusal."""
+    configuration = snapshot.configuration
+    if configuration is None:
+        return NO_MANIFEST._replace(retry_after_s=_STALE_RETRY_AFTER_S)
+    limits = configuration.limits
+    if _header_bytes(received) > limits.max_header_bytes:
+        return HEADERS_TOO_LARGE
+    if len(received.body) > limits.max_body_bytes:
+        return BODY_TOO_LARGE
+    host = received.headers.get("host", "").rsplit(":", 1)[0].lower()
+    path = received.target.partition("?")[0]
+    route = configuration.find_route(host, path)
+    if route is None:
+        return _denial_if_fresh(NO_ROUTE, snapshot)
+    head = read_request_headers(received.headers)
+    organisation_key: KeyHolder | None = None
+    if configuration.has_organisations and not route.allows_anonymous:
+        if snapshot.age_s > snapshot.max_age_with_key_s:
+            return _refusal_of_stale_key(snapshot)
+        organisation_key = configuration.find_key_holder(head.api_key)
+        if organisation_key is None:
+            return _denial_if_fresh(API_KEY_UNKNOWN, snapshot)
+    organisation = "" if organisation_key is None else organisation_key.organisation
+    priority = route.priority
+    if organisation_key is not None and organisation_key.priority is not None:
+        priority = organisation_key.priority
+    return ForwardRequest(
+        id=received.id,
+        route=route,
+        service=_choose_service(route),
+        organisation=organisation,
+        priority=priority,
+        method=received.method,
+        target=received.target,
+        headers=received.headers,
+        head=head,
+        body=received.body,
+        fingerprint=request_fingerprint(organisation, received.target, received.body),
+        received_at=received.received_at,
+        deadlines=deadlines_for(route, received.received_at, head.timeout_s),
+        version=configuration.version,
+        version_age_s=snapshot.age_s,
+    )
+
+
+def _refusal_of_stale_key(snapshot: ConfigurationSnapshot) -> Refusal:
+    """Return the refusal of a request whose key may have been revoked meanwhile.
+
+    An entry that is cut off from the store does not learn that a key was revoked, and
+    would go on accepting it. A configuration older than the time within which a revoked
+    key must stop working proves nothing, whatever its source.
+    """
+    message = (
+        f"The configuration was last known to be the newest {snapshot.age_s:.1f} s "
+        "ago, and the key may have been taken away since."
+    )
+    return Refusal(503, "configuration-too-old", message, _STALE_RETRY_AFTER_S)
+
+
+def _denial_if_fresh(refusal: Refusal, snapshot: ConfigurationSnapshot) -> Refusal:
+    """Return the denial if the configuration is recent, else a retryable refusal.
+
+    An entry with an outdated configuration may not know a new route or key. A caller
+    that is denied does not retry.
+    """
+    if snapshot.age_s <= snapshot.max_age_to_deny_s:
+        return refusal
+    message = f"The configuration known here is {snapshot.age_s:.1f} s old."
+    return Refusal(503, "configuration-too-old", message, _STALE_RETRY_AFTER_S)
+
+
+def _choose_service(route: ForwardRoute) -> str:
+    if len(route.traffic_split) == 1:
+        return route.traffic_split[0].service
+    weights = [share.weight for share in route.traffic_split]
+    return random.choices(route.traffic_split, weights)[0].service
+
+
+def _header_bytes(received: ReceivedRequest) -> int:
+    return sum(
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
+        for name, value in received.headers.items()
+    )
--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from kingcupwheel.entry.answers import RefusedAnswer
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.forwarding.admitting import admit
+from kingcupwheel.forwarding.active_requests import ActiveRequests
+from kingcupwheel.forwarding.admission import admit_request
 from kingcupwheel.forwarding.configuration import RequestLimits
-from kingcupwheel.forwarding.exchange import Exchange
-from kingcupwheel.forwarding.guards import spread
-from kingcupwheel.forwarding.runs import ForwardRun
-from kingcupwheel.forwarding.underway import Underway
+from kingcupwheel.forwarding.exchange import HttpExchange
+from kingcupwheel.forwarding.forwarder import RequestForwarder
+from kingcupwheel.forwarding.retry_guards import with_jitter
 from kingcupwheel.forwarding.watchdog import WatchedRequest
 from kingcupwheel.telemetry.json_logs import lines_of
 
@@ -26,8 +26,8 @@
     from collections.abc import Iterator
 
     from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-    from kingcupwheel.forwarding.admitting import Knowledge
-    from kingcupwheel.forwarding.admitting import Received
+    from kingcupwheel.forwarding.admission import ConfigurationSnapshot
+    from kingcupwheel.forwarding.admission import ReceivedRequest
     from kingcupwheel.forwarding.context import ForwardContext
     from kingcupwheel.forwarding.exchange import Environ
     from kingcupwheel.forwarding.requests import ForwardRequest
@@ -50,7 +50,7 @@
     def __init__(
         self,
         context: ForwardContext,
-        configuration_snapshot: Callable[[], Knowledge],
+        configuration_snapshot: Callable[[], ConfigurationSnapshot],
         *,
         name: str,
         has_live_peers: Callable[[], bool],
@@ -61,7 +61,7 @@
         self._has_live_peers = has_live_peers
         self._shutdown_schedule: ShutdownSchedule | None = None
         self._refuses_new = False
-        self._active_requests = Underway()
+        self._active_requests = ActiveRequests()
 
     @property
     def in_progress_count(self) -> int:
@@ -71,7 +71,7 @@
     @property
     def received_at_by_id(self) -> dict[str, float]:
         """Monotonic receive time of each request in progress, by its id."""
-        return self._active_requests.came_at_by_id
+        return self._active_requests.received_at_by_id
 
     def begin_shutdown(self, schedule: ShutdownSchedule) -> None:
         """Accept only requests that can end in time; abort the rest at the deadline.
@@ -89,15 +89,15 @@
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         """Handle one WSGI request."""
-        exchange = Exchange(environ, start_response)
+        exchange = HttpExchange(environ, start_response)
         if self._shutdown_schedule is not None:
-            exchange.close_after()
-        received = exchange.received(self._name, self._body_limit())
-        received = received._replace(id=self._active_requests.enter(received))
+            exchange.close_after_answer()
+        received = exchange.read_request(self._name, self._body_limit())
+        received = received._replace(id=self._active_requests.add(received))
         try:
             body = self._answer(exchange, received)
         except BaseException:
-            self._active_requests.leave(received.id)
+            self._active_requests.remove(received.id)
             raise
         return self._track_until_sent(body, received.id)
 
@@ -112,18 +112,18 @@
         if schedule is None:
             return None
         now = monotonic()
-        over_at = request.times.over_at
+        deadline = request.deadlines.deadline
         if not self._refuses_new and schedule.may_accept(
             now,
-            deadline_at=over_at,
-            longest_recent_s=self._active_requests.longest_s(request, now),
+            deadline_at=deadline,
+            longest_recent_s=self._active_requests.longest_answer_s(request, now),
             is_streamed=request.route.is_streamed,
         ):
             return None
         retry_s = (
             _PEER_RETRY_AFTER_S if self._has_live_peers() else _RESTART_RETRY_AFTER_S
         )
-        return LEAVING._replace(retry_after_s=spread(retry_s, request.id))
+        return ENTRY_LEAVING._replace(retry_after_s=with_jitter(retry_s, request.id))
 
     def _may_dispatch(self, request: ForwardRequest) -> bool:
         """Return whether a request that was never sent may still be dispatched."""
@@ -131,11 +131,11 @@
         if schedule is None:
             return True
         now = monotonic()
-        over_at = request.times.over_at
+        deadline = request.deadlines.deadline
         return schedule.may_dispatch(
             now,
-            deadline_at=over_at,
-            longest_recent_s=self._active_requests.longest_s(request, now),
+            deadline_at=deadline,
+            longest_recent_s=self._active_requests.longest_answer_s(request, now),
         )
 
     def _track_until_sent(
@@ -144,25 +144,29 @@
         try:
             yield from body
         finally:
-            self._active_requests.leave(request_id)
+            self._active_requests.remove(request_id)
 
-    def _answer(self, exchange: Exchange, received: Received) -> Iterable[bytes]:
-        request = admit(received, self._configuration_snapshot())
+    def _answer(
+        self, exchange: HttpExchange, received: ReceivedRequest
+    ) -> Iterable[bytes]:
+        request = admit_request(received, self._configuration_snapshot())
         if not isinstance(request, Refusal):
             request = self._shutdown_refusal(request) or request
         if isinstance(request, Refusal):
             self._log_refused(received, request)
-            return exchange.pass_on(RefusedAnswer(request), received.id)
+            return exchange.send_answer(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
-            exchange.socket, request.times.over_at, partial(self._may_dispatch, request)
+            exchange.socket,
+            request.deadlines.deadline,
+            partial(self._may_dispatch, request),
         )
         self._context.watchdog.watch(watched)
         try:
-            answer = ForwardRun(self._context, request, watched).answer()
+            answer = RequestForwarder(self._context, request, watched).forward()
         except BaseException:
             self._context.watchdog.unwatch(watched)
             raise
-        body = exchange.pass_on(answer, received.id)
+        body = exchange.send_answer(answer, received.id)
         refused = isinstance(answer, RefusedAnswer)
         return self._watch_until_sent(body, watched, None if refused else request)
 
@@ -181,20 +185,20 @@
         finally:
             self._context.watchdog.unwatch(watched)
             if answered is not None:
-                self._active_requests.answered(answered, monotonic())
+                self._active_requests.record_answer(answered, monotonic())
 
-    def _log_refused(self, received: Received, refusal: Refusal) -> None:
+    def _log_refused(self, received: ReceivedRequest, refusal: Refusal) -> None:
         snapshot = self._configuration_snapshot()
         version = 0
         if snapshot.configuration is not None:
             version = snapshot.configuration.version
-        took_s = monotonic() - received.at
-        self._context.metrics.record_answer("", refusal.status, refusal.limit, took_s)
+        took_s = monotonic() - received.received_at
+        self._context.metrics.record_answer("", refusal.status, refusal.reason, took_s)
         log.info(
             "refused",
             id=received.id,
             status=refusal.status,
-            how=refusal.limit,
+            how=refusal.reason,
             why=refusal.message,
             retry_after_s=refusal.retry_after_s,
             target=received.target,
--- a/src/kingcupwheel/forwarding/calls.py
+++ b/src/kingcupwheel/forwarding/calls.py
@@ -1,4 +1,4 @@
-"""One send of a request to one server, and the head of what comes back."""
+"""HTTP client that sends a request to one server and reads the answer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.exceptions import NotConnectedError
-from kingcupwheel.forwarding.heads import NO_NOTICE
+from kingcupwheel.forwarding.http_metadata import NO_NOTICE
 from kingcupwheel.platform.headers import read_response_headers
 
 
@@ -25,72 +25,78 @@
     from urllib3.connection import HTTPConnection
 
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.heads import AnswerHead
-    from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulse
+    from kingcupwheel.forwarding.http_metadata import AnswerHead
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
+    from kingcupwheel.forwarding.liveness import LivenessTracker
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
-# Read at a time; an event of a stream has some hundred bytes.
+# An event of a stream has a few hundred bytes, so one read takes many.
 _READ_BYTES = 65_536
 
-_BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
+_CONNECTION_ERRORS = (
+    urllib3.exceptions.HTTPError,
+    http.client.HTTPException,
+    OSError,
+    ValueError,
+)
 
 
-class Outgoing(NamedTuple):
-    """A request as a server gets it; ``attempt`` is echoed in the server's answer."""
+class OutgoingRequest(NamedTuple):
+    """A request as sent to a server, which echoes ``attempt_id`` in its answer."""
 
     method: str
     target: str
     headers: Mapping[str, str]
     body: bytes
-    attempt: str
+    attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
     """No byte was sent."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Withheld:
-    """No byte was sent: the server may not get the request any more."""
+    """No byte was sent, since the server may get no requests any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
-    """The server says that it has not run the request and never will."""
+class Rejected:
+    """The server states that it has not run the request and never will."""
 
-    why: str
-    other_instance: bool
-    faulty: str
+    reason: str
+    is_other_instance: bool
+    faulty_server: str
     notice: ServerNotice
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """It was sent and may have run; no answer can be had.
+class AnswerLost:
+    """The request was sent and may have run, but its answer is lost.
 
-    ``notice`` is what the head of an answer said that came too early to be passed on.
+    ``notice`` is from the head of an answer that arrived before the request was sent
+    completely and is therefore not used.
     """
 
-    why: str
+    reason: str
     notice: ServerNotice = NO_NOTICE
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The server's own answer begins; its body is read through ``ServerAnswer``."""
+    """The server has begun its answer; the body is read from ``answer``."""
 
     answer: ServerAnswer
 
 
-Sent = NotSent | Withheld | TurnedAway | Lost | Answered
+CallResult = NotSent | Withheld | Rejected | AnswerLost | Answered
 
 
 class ServerAnswer:
-    """An answer whose head is in hand; belongs to one thread."""
+    """An answer whose head has been read; not thread-safe."""
 
     def __init__(
         self,
@@ -107,15 +113,16 @@
         self.on_data: Callable[[], None] | None = None
 
     def read(self) -> bytes:
-        """Return the next bytes, empty at the whole answer's end.
+        """Return the next bytes, empty at the end of the complete answer.
 
-        Raises AnswerLostError if the rest can't be had. A connection that this process
-        shut down ends like an orderly one; an answer without a length would look whole.
+        Raises AnswerLostError if the rest can't be read, also if the request was
+        aborted: reading from a connection that this process has shut down ends without
+        an error, and an answer without a length would seem complete.
         """
         try:
             data = self._response.read1(_READ_BYTES)
-        except _BROKEN as error:
-            raise AnswerLostError(self._why(error)) from error
+        except _CONNECTION_ERRORS as error:
+            raise AnswerLostError(self._loss_reason(error)) from error
         if data:
             self._watched.record_progress()
             if self.on_data is not None:
@@ -127,7 +134,7 @@
         return b""
 
     def read_whole(self, limit: int) -> bytes:
-        """Return the whole body; raises AnswerLostError, also over ``limit`` bytes."""
+        """Return the whole body; raises AnswerLostError, also above ``limit`` bytes."""
         parts: list[bytes] = []
         size = 0
         while data := self.read():
@@ -137,88 +144,96 @@
                 raise AnswerLostError(f"the body is over {limit} bytes")
         return b"".join(parts)
 
-    def _why(self, error: Exception) -> str:
+    def _loss_reason(self, error: Exception) -> str:
         if self._watched.abort_reason is not None:
             return self._watched.abort_reason.value
         return f"cut: {type(error).__name__}"
 
-    def end(self, life: str, connections: ConnectionPool) -> None:
-        """Keep the connection if its answer was whole, else close it.
+    def end(self, incarnation: str, connections: ConnectionPool) -> None:
+        """Return the connection to the pool if the answer was complete, else reset it.
 
-        A server that is still at work on an answer learns by a reset that it is not
-        wanted; see ``watchdog``.
+        The reset tells a server that is still generating that the answer is not needed;
+        see ``watchdog``.
         """
         if self.is_whole:
             self._watched.detach()
         else:
             self._watched.reset_server()
         head = self.head
-        keeps = self.is_whole and head.framed and not head.closes
-        if keeps and 200 <= head.status < 300:
-            connections.release(life, self._connection, head.idle_s)
+        is_reusable = self.is_whole and head.is_framed and not head.closes_connection
+        if is_reusable and 200 <= head.status < 300:
+            connections.release(incarnation, self._connection, head.idle_timeout_s)
             return
-        # An answer that came before its request was read leaves bytes on the way; its
-        # connection is not used again.
+        # The server may have answered before it read the whole request. The rest of the
+        # request is then still in transit, so the connection can't be reused.
         self._response.close()
         self._connection.close()
 
 
-def _beat(pulse: Pulse, instance: str) -> None:
-    pulse.beat(instance, monotonic())
+def _record_activity(liveness: LivenessTracker, instance: str) -> None:
+    liveness.record_activity(instance, monotonic())
 
 
-class ServerCalls:
-    """Sends requests to servers; safe from any thread."""
+class ServerClient:
+    """HTTP client for backend servers; thread-safe."""
 
     def __init__(self, connections: ConnectionPool) -> None:
         self._connections = connections
 
     def send(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         *,
         instance: str,
-        life: str,
+        incarnation: str,
         address: str,
         watched: WatchedRequest,
-        silence_s: float,
-        pulse: Pulse | None,
-        fresh: bool,
-        may_give_up: Callable[[], bool],
-        may_begin: Callable[[], bool],
-    ) -> Sent:
+        silence_timeout_s: float,
+        liveness: LivenessTracker | None,
+        needs_new_connection: bool,
+        may_abort_silent: Callable[[], bool],
+        may_send: Callable[[], bool],
+    ) -> CallResult:
         """Send the request once and wait for the head of its answer.
 
-        ``fresh`` asks for a new connection: what may run only once must not cross the
-        close of a kept one, after which nobody knows whether it has run. A silent
-        server is given up only when ``may_give_up`` says so. ``may_begin`` is asked in
-        the moment before bytes leave, since the place was given earlier.
+        ``needs_new_connection`` is for requests that may run only once: if the server
+        closes a pooled connection just as the request is sent, it is unknown whether it
+        has run. The read from a silent server is aborted only if ``may_abort_silent``
+        returns True. ``may_send`` is called right before the first byte is sent, since
+        the server may have become unavailable after the place was assigned.
         """
-        connection = None if fresh else self._connections.acquire(life)
+        connection = (
+            None if needs_new_connection else self._connections.acquire(incarnation)
+        )
         if connection is None:
             try:
                 connection = self._connections.open(address)
             except NotConnectedError as error:
                 return NotSent(f"no connection: {error}")
         assert connection.sock is not None, "an open connection has a socket"
-        if not may_begin():
+        if not may_send():
             connection.close()
             return Withheld()
-        if not watched.attach(connection.sock, silence_s, instance, may_give_up):
+        if not watched.attach(
+            connection.sock, silence_timeout_s, instance, may_abort_silent
+        ):
             watched.detach()
             connection.close()
             return NotSent("the request was over before it was sent")
-        sent = self._exchange(request, connection, watched)
-        if isinstance(sent, Answered) and pulse is not None:
-            sent.answer.on_data = partial(_beat, pulse, instance)
-        if not isinstance(sent, Answered):
+        result = self._exchange(request, connection, watched)
+        if isinstance(result, Answered) and liveness is not None:
+            result.answer.on_data = partial(_record_activity, liveness, instance)
+        if not isinstance(result, Answered):
             watched.detach()
             connection.close()
-        return sent
+        return result
 
     def _exchange(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
-    ) -> Sent:
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
+    ) -> CallResult:
         try:
             connection.request(
                 request.method,
@@ -229,43 +244,54 @@
                 decode_content=False,
                 enforce_content_length=True,
             )
-        except _BROKEN as error:
-            # A server may have answered before it read the whole body.
-            return self._early(request, connection, watched, type(error).__name__)
-        return self._head(request, connection, watched)
+        except _CONNECTION_ERRORS as error:
+            # The server may have answered before it read the whole body.
+            return self._read_early_answer(
+                request, connection, watched, type(error).__name__
+            )
+        return self._read_head(request, connection, watched)
 
-    def _early(
+    def _read_early_answer(
         self,
-        request: Outgoing,
+        request: OutgoingRequest,
         connection: HTTPConnection,
         watched: WatchedRequest,
-        why: str,
-    ) -> Sent:
-        found = self._head(request, connection, watched)
-        if isinstance(found, TurnedAway):
-            return found
+        reason: str,
+    ) -> CallResult:
+        result = self._read_head(request, connection, watched)
+        if isinstance(result, Rejected):
+            return result
         notice = NO_NOTICE
-        if isinstance(found, Answered):
-            notice = found.answer.head.notice
+        if isinstance(result, Answered):
+            notice = result.answer.head.notice
             watched.detach()
             connection.close()
-        return Lost(f"cut while it was sent: {why}", notice)
+        return AnswerLost(f"cut while it was sent: {reason}", notice)
 
-    def _head(
-        self, request: Outgoing, connection: HTTPConnection, watched: WatchedRequest
-    ) -> Sent:
+    def _read_head(
+        self,
+        request: OutgoingRequest,
+        connection: HTTPConnection,
+        watched: WatchedRequest,
+    ) -> CallResult:
         try:
             response = connection.getresponse()
             head = read_response_headers(response.status, response.headers)
-        except _BROKEN as error:
-            cut = watched.abort_reason
-            return Lost(cut.value if cut else f"no answer: {type(error).__name__}")
+        except _CONNECTION_ERRORS as error:
+            abort_reason = watched.abort_reason
+            return AnswerLost(
+                abort_reason.value
+                if abort_reason
+                else f"no answer: {type(error).__name__}"
+            )
         watched.record_progress()
-        if head.attempt and head.attempt != request.attempt:
-            return Lost("the answer was another request's")
-        if head.not_run:
-            why = f"status {head.status}"
-            return TurnedAway(why, head.other_instance, head.faulty, head.notice)
-        if not head.signed:
-            return Lost(f"an unsigned answer with status {head.status}")
+        if head.attempt_id and head.attempt_id != request.attempt_id:
+            return AnswerLost("the answer was another request's")
+        if head.is_rejection:
+            reason = f"status {head.status}"
+            return Rejected(
+                reason, head.is_other_instance, head.faulty_server, head.notice
+            )
+        if not head.is_signed:
+            return AnswerLost(f"an unsigned answer with status {head.status}")
         return Answered(ServerAnswer(head, response, connection, watched))
--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -10,17 +10,17 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.dispatchers import Dispatchers
-    from kingcupwheel.entry.tickets import Place
+    from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
+    from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.forwarding.calls import ServerAnswer
-    from kingcupwheel.forwarding.calls import ServerCalls
+    from kingcupwheel.forwarding.calls import ServerClient
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
     from kingcupwheel.forwarding.connection_pool import ConnectionPool
-    from kingcupwheel.forwarding.guards import Guards
-    from kingcupwheel.forwarding.heads import ReportedLoad
-    from kingcupwheel.forwarding.heads import ServerNotice
-    from kingcupwheel.forwarding.pulse import Pulses
-    from kingcupwheel.forwarding.serverbook import ServerBook
+    from kingcupwheel.forwarding.http_metadata import ReportedLoad
+    from kingcupwheel.forwarding.http_metadata import ServerNotice
+    from kingcupwheel.forwarding.liveness import LivenessTrackers
+    from kingcupwheel.forwarding.retry_guards import RetryGuards
+    from kingcupwheel.forwarding.server_registry import ServerRegistry
     from kingcupwheel.forwarding.watchdog import Watchdog
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.telemetry.metrics import EntryMetrics
@@ -34,12 +34,12 @@
 
     data_centre: str
     configuration_cache: ConfigurationCache
-    dispatchers: Dispatchers
-    servers: ServerBook
-    server_client: ServerCalls
+    dispatchers: DispatcherRegistry
+    servers: ServerRegistry
+    server_client: ServerClient
     connection_pool: ConnectionPool
-    guards: Guards
-    liveness: Pulses
+    guards: RetryGuards
+    liveness: LivenessTrackers
     watchdog: Watchdog
     metrics: EntryMetrics
 
@@ -47,15 +47,15 @@
         """Return the server group in whose queue a service's requests wait."""
         return self.servers.group_of(service)
 
-    def record_load(self, place: Place, load: ReportedLoad | None) -> None:
+    def record_load(self, place: Reservation, load: ReportedLoad | None) -> None:
         """Record the load that an answer reported."""
-        self.servers.saw_load(place, load)
+        self.servers.record_load(place, load)
 
     def record_notice(
-        self, place: Place, notice: ServerNotice, request_id: str
+        self, place: Reservation, notice: ServerNotice, request_id: str
     ) -> None:
         """Record what an answer says about its server: a rest period or a shutdown."""
-        for header in notice.unreadable:
+        for header in notice.unreadable_headers:
             self.metrics.server_notices.labels("unreadable").inc()
             log.warning(
                 "notice-unreadable",
@@ -65,32 +65,32 @@
             )
         if notice.rest_s:
             self.metrics.server_notices.labels("rest").inc()
-            self.servers.rests(place, notice.rest_s, request_id)
-        if notice.leaving and self.servers.leaves(place, request_id):
+            self.servers.mark_resting(place, notice.rest_s, request_id)
+        if notice.is_leaving and self.servers.mark_leaving(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
-    def release_connection(self, place: Place, answer: ServerAnswer) -> None:
+    def release_connection(self, place: Reservation, answer: ServerAnswer) -> None:
         """Release a finished answer's connection; close all if the server leaves."""
         answer.end(place.incarnation, self.connection_pool)
         if self.servers.is_leaving(place.incarnation):
             self.connection_pool.close_server(place.incarnation)
 
-    def record_misdirection(self, place: Place) -> None:
+    def record_misdirection(self, place: Reservation) -> None:
         """Record that another incarnation of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
-        self.servers.misdirected(place)
+        self.servers.refute_address(place)
 
     def record_rejection(
-        self, place: Place, service: str, *, is_streamed: bool
+        self, place: Reservation, service: str, *, is_streamed: bool
     ) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if is_streamed and self.guards.is_closed(
+        if is_streamed and self.guards.record_rejection(
             service,
             place.server,
-            quiet_s=self.liveness.of(service).quiet_s(monotonic()),
+            idle_s=self.liveness.for_service(service).idle_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.servers.closed(service)
+            self.servers.mark_service_closed(service)
         else:
-            self.servers.full(place)
+            self.servers.mark_full(place)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -8,12 +8,12 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-from kingcupwheel.entry.dispatchers import Dispatchers
+from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.forwarding.admitting import Knowledge
+from kingcupwheel.forwarding.admission import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
-from kingcupwheel.forwarding.calls import ServerCalls
+from kingcupwheel.forwarding.calls import ServerClient
 from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
 from kingcupwheel.forwarding.connection_pool import ConnectionPool
 from kingcupwheel.forwarding.context import ForwardContext
@@ -21,12 +21,12 @@
 from kingcupwheel.forwarding.endpoints import ReadinessEndpoint
 from kingcupwheel.forwarding.entry_membership import EntryMembership
 from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
-from kingcupwheel.forwarding.guards import Budget
-from kingcupwheel.forwarding.guards import Guards
+from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.load_poller import AgentLoadPoller
-from kingcupwheel.forwarding.pulse import Pulses
+from kingcupwheel.forwarding.retry_guards import RetryBudget
+from kingcupwheel.forwarding.retry_guards import RetryGuards
 from kingcupwheel.forwarding.server_list import ServerListHandler
-from kingcupwheel.forwarding.serverbook import ServerBook
+from kingcupwheel.forwarding.server_registry import ServerRegistry
 from kingcupwheel.forwarding.store_maintenance import StoreMaintainer
 from kingcupwheel.forwarding.store_watcher import ConfigurationHandler
 from kingcupwheel.forwarding.store_watcher import StoreWatcher
@@ -93,23 +93,23 @@
             tick_s=_TICK_INTERVAL_S,
         )
         table = ServerTable(settings.timings)
-        dispatchers = Dispatchers(table, data_centre=settings.data_centre)
-        budget = Budget(
+        dispatchers = DispatcherRegistry(table, data_centre=settings.data_centre)
+        budget = RetryBudget(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = Guards(budget, lambda: self._membership.fleet_size)
+        self._guards = RetryGuards(budget, lambda: self._membership.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
             configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            servers=ServerBook(table, dispatchers),
-            server_client=ServerCalls(connections),
+            servers=ServerRegistry(table, dispatchers),
+            server_client=ServerClient(connections),
             connection_pool=connections,
             guards=self._guards,
-            liveness=Pulses(),
+            liveness=LivenessTrackers(),
             watchdog=Watchdog(),
             metrics=self._metrics,
         )
@@ -234,8 +234,8 @@
             watcher.stop()
         log.info("stopped", cut=cut, took_s=round(monotonic() - began, 2))
 
-    def _configuration_snapshot(self) -> Knowledge:
-        return Knowledge(
+    def _configuration_snapshot(self) -> ConfigurationSnapshot:
+        return ConfigurationSnapshot(
             self._configuration_cache.current,
             self._configuration_cache.age_s(),
             self._forwarding.revoke_ms / _MS_PER_S - _REVOKE_MARGIN_S,
@@ -264,14 +264,14 @@
     def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.servers.list_is(backends)
+        self._context.servers.set_listed(backends)
         for backend in gone:
-            self._context.connection_pool.close_server(backend.life)
-            self._context.liveness.forget(backend.instance)
+            self._context.connection_pool.close_server(backend.incarnation)
+            self._context.liveness.remove_server(backend.instance)
             if not backend.leaving and not self._context.servers.is_leaving(
-                backend.life
+                backend.incarnation
             ):
-                self._guards.gone(backend.life)
+                self._guards.record_server_death(backend.incarnation)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
@@ -289,10 +289,10 @@
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
         self._log_stalls(now)
-        self._context.servers.end_rests()
+        self._context.servers.end_expired_rests()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.servers.refresh()
+            self._context.servers.refresh_unreported()
             self._abort_slow_streams()
         self._load_poller.on_tick(now)
 
@@ -301,17 +301,17 @@
 
         One slow rank would hold up all the streams of its group.
         """
-        slow = frozenset(self._context.servers.slow())
+        slow = frozenset(self._context.servers.avoided_instances())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
-            streams = self._context.servers.in_flight(service)
-            quiet_s = pulse.quiet_s(now)
-            if pulse.turned(streams=streams, now=now):
-                event = "service-silent" if pulse.stands_still else "service-heard"
+            streams = self._context.servers.in_flight_requests(service)
+            quiet_s = pulse.idle_s(now)
+            if pulse.update_stalled(stream_count=streams, now=now):
+                event = "service-silent" if pulse.is_stalled else "service-heard"
                 servers_log.info(
                     event, service=service, streams=streams, quiet_s=round(quiet_s, 2)
                 )
--- /dev/null
+++ b/src/kingcupwheel/forwarding/deadlines.py
@@ -0,0 +1,68 @@
+"""Computes the deadlines and timeouts of a request.
+
+Deadlines are monotonic times; names that end in ``_s`` are durations in seconds.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.forwarding.configuration import ForwardRoute
+
+# Subtracted from the caller's timeout for network latency and late timers.
+NETWORK_ALLOWANCE_S = 0.04
+
+# Callers abandon a stream that sends nothing for the largest of this time and of these
+# multiples of its target latency and its target gap between events.
+MIN_STREAM_PATIENCE_S = 2.0
+_PATIENCE_TARGET_LATENCIES = 4.0
+_PATIENCE_GAPS = 8.0
+
+# The read from a stream's server is aborted after this fraction of the caller's
+# patience, so that another server can still resume the stream in time.
+STREAM_SILENCE_FRACTION = 0.55
+# The same for plain answers that can be retried, as a fraction of the total time.
+PLAIN_SILENCE_FRACTION = 0.45
+
+
+class Deadlines(NamedTuple):
+    """Deadlines of a request and of its first byte.
+
+    ``silence_timeout_s`` is how long a server may send nothing before another one is
+    tried.
+    """
+
+    deadline: float
+    first_byte_deadline: float
+    silence_timeout_s: float
+
+
+def deadlines_for(
+    route: ForwardRoute, received_at: float, timeout_s: float | None
+) -> Deadlines:
+    """Return the deadlines of a request that was received at ``received_at``.
+
+    A request that outlives its caller would use a server's time while others wait.
+    Therefore the caller's timeout and that of the route both bound it. The first byte
+    of a stream has an earlier deadline, since its caller leaves when nothing arrives.
+    """
+    total_s = route.timeout_s if timeout_s is None else min(route.timeout_s, timeout_s)
+    deadline = received_at + total_s - NETWORK_ALLOWANCE_S
+    if not route.is_streamed:
+        silence_timeout_s = total_s
+        if route.is_idempotent and route.max_servers > 1:
+            silence_timeout_s = total_s * PLAIN_SILENCE_FRACTION
+        return Deadlines(deadline, deadline, silence_timeout_s)
+    patience_s = max(
+        MIN_STREAM_PATIENCE_S,
+        _PATIENCE_TARGET_LATENCIES * route.target_latency_s,
+        _PATIENCE_GAPS * route.max_event_gap_s,
+    )
+    first_byte_deadline = min(deadline, received_at + patience_s - NETWORK_ALLOWANCE_S)
+    silence_timeout_s = patience_s
+    if route.is_resumable and route.max_servers > 1:
+        silence_timeout_s = patience_s * STREAM_SILENCE_FRACTION
+    return Deadlines(deadline, first_byte_deadline, silence_timeout_s)
--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.forwarding.configuration_cache import ConfigurationCache
-    from kingcupwheel.forwarding.guards import Guards
+    from kingcupwheel.forwarding.retry_guards import RetryGuards
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.link.links import Link
     from kingcupwheel.platform.object_store import ObjectStore
@@ -52,7 +52,7 @@
         own_entry: EntryInfo,
         hub: MessageHub,
         configuration_cache: ConfigurationCache,
-        guards: Guards,
+        guards: RetryGuards,
     ) -> None:
         self._own_entry = own_entry
         self._hub = hub
@@ -163,7 +163,7 @@
             echo=echo,
             version=self._configuration_cache.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
-            crashed=self._guards.crashed,
+            crashed=self._guards.recent_deaths,
             known_entries=known,
         )
 
@@ -174,7 +174,7 @@
             is_new = self._peers.record_heartbeat(heartbeat, now)
             self._peers.add_known(heartbeat.known_entries, now)
         if heartbeat.crashed:
-            self._guards.heard(heartbeat.crashed)
+            self._guards.merge_peer_deaths(heartbeat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request off the HTTP server and writes its answer."""
+"""Reads a caller's request from the HTTP server and writes the answer."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.answers import WholeAnswer
-from kingcupwheel.entry.exchange import headers_of
-from kingcupwheel.entry.exchange import status_line
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
-from kingcupwheel.entry.refusals import body_of
-from kingcupwheel.forwarding.admitting import Received
+from kingcupwheel.entry.http_exchange import extract_headers
+from kingcupwheel.entry.http_exchange import format_status_line
+from kingcupwheel.entry.refusals import build_refusal_body
+from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
 from kingcupwheel.utils.request_ids import new_request_id
 
@@ -31,67 +31,68 @@
 Environ = dict[str, Any]
 
 
-class Exchange:
-    """Reads a request and writes its answer; belongs to one thread."""
+class HttpExchange:
+    """One request and its answer on the WSGI interface; not thread-safe."""
 
     def __init__(self, environ: Environ, start_response: Callable[..., Any]) -> None:
         self._environ = environ
         self._start_response = start_response
-        self._at = monotonic()
+        self._received_at = monotonic()
 
     @property
     def socket(self) -> Any:
-        """The caller's connection, None outside the HTTP server."""
+        """The caller's socket, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
-    def close_after(self) -> None:
+    def close_after_answer(self) -> None:
         """Close the connection after this answer."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
             close()
 
-    def received(self, entry: str, body_limit: int) -> Received:
-        """Read the request; of a body over the limit no more than shows that it is.
+    def read_request(self, entry: str, body_limit: int) -> ReceivedRequest:
+        """Read the request, at most one byte more than ``body_limit`` of its body.
 
-        Its connection is closed then: what is left of it would look like a request.
+        After a longer body the connection is closed, since the rest of the body would
+        be taken for the next request.
         """
-        headers = headers_of(self._environ)
+        headers = extract_headers(self._environ)
         target = self._environ.get("REQUEST_URI") or self._environ["PATH_INFO"]
         if isinstance(target, bytes):
             target = target.decode("latin-1")
         body = self._environ["wsgi.input"].read(body_limit + 1)
         if len(body) > body_limit:
-            self.close_after()
-        own = str(new_request_id(entry, now=self._at))
-        return Received(
-            id=read_attempt_id(headers) or own,
+            self.close_after_answer()
+        own_id = str(new_request_id(entry, now=self._received_at))
+        return ReceivedRequest(
+            id=read_attempt_id(headers) or own_id,
             method=str(self._environ["REQUEST_METHOD"]),
             target=target,
             headers=headers,
             body=body,
-            at=self._at,
+            received_at=self._received_at,
         )
 
-    def pass_on(self, answer: Answer, request_id: str) -> Iterable[bytes]:
-        """Send what a request came to."""
+    def send_answer(self, answer: Answer, request_id: str) -> Iterable[bytes]:
+        """Start the response and return its body."""
         match answer:
             case RefusedAnswer(refusal):
                 return self._refuse(refusal, request_id)
             case WholeAnswer(status, headers, body):
                 length = ("Content-Length", str(len(body)))
-                self._start_response(status_line(status), [*headers, length])
+                self._start_response(format_status_line(status), [*headers, length])
                 return (body,)
             case StreamedAnswer(status, headers, stream):
-                self._start_response(status_line(status), list(headers))
+                self._start_response(format_status_line(status), list(headers))
                 return stream
 
     def _refuse(self, refusal: Refusal, request_id: str) -> Iterable[bytes]:
-        body = msgspec.json.encode({"error": body_of(refusal, request_id)})
+        body = msgspec.json.encode({"error": build_refusal_body(refusal, request_id)})
         headers = [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
         ]
         if refusal.retry_after_s > 0:
             headers.append(("Retry-After", f"{refusal.retry_after_s:.2f}"))
-        self._start_response(status_line(refusal.status), headers)
+        self._start_response(format_status_line(refusal.status), headers)
         return (body,)
--- /dev/null
+++ b/src/kingcupwheel/forwarding/final_refusals.py
@@ -0,0 +1,43 @@
+"""Refusals of requests that no server has answered."""
+
+from __future__ import annotations
+
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.outcomes import NextStep
+from kingcupwheel.forwarding.retry_guards import with_jitter
+from kingcupwheel.messages.attempts import Outcome
+
+
+# Limit of a refusal in whose place the server's own error answer is sent.
+SERVER_FAILED = "server-failed"
+# Delay before a caller retries if no place was found in time: about one answer's time.
+_BASE_RETRY_AFTER_S = 0.4
+
+
+def retry_after_s(request_id: str, rest_s: float = 0.0) -> float:
+    """Return the delay before the caller retries, with jitter by the request's id.
+
+    ``rest_s`` is how long all servers still rest, 0 if any of them may get work.
+    """
+    return with_jitter(max(_BASE_RETRY_AFTER_S, rest_s), request_id)
+
+
+def refusal_for_step(
+    step: NextStep, reason: str, request_id: str, rest_s: float = 0.0
+) -> Refusal | None:
+    """Return the refusal for a step, None if the step is a retry."""
+    match step:
+        case NextStep.RETRY:
+            return None
+        case NextStep.PASS_ON:
+            return Refusal(500, SERVER_FAILED, reason, outcome=Outcome.RAN)
+        case NextStep.REFUSE:
+            message = f"No server took it: {reason}."
+            after_s = retry_after_s(request_id, rest_s)
+            return Refusal(503, "no-server-took-it", message, after_s)
+        case NextStep.UNKNOWN:
+            message = f"It was sent to a server, and its answer is lost: {reason}."
+            return Refusal(502, "answer-lost", message, 0.0, Outcome.UNKNOWN)
+        case NextStep.TIMEOUT:
+            message = f"Its time is up, and a server may have run it: {reason}."
+            return Refusal(504, "time-up", message, 0.0, Outcome.UNKNOWN)
--- /dev/null
+++ b/src/kingcupwheel/forwarding/http_metadata.py
@@ -0,0 +1,86 @@
+"""Metadata of requests and answers, independent of the headers that carry it."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+
+class CallerMetadata(NamedTuple):
+    """Metadata that a caller sends with its request.
+
+    ``attempt_id`` identifies this send. ``timeout_s`` is how long the caller waits from
+    the time of the send, None if unknown. ``prompt_tokens`` and ``answer_tokens`` are 0
+    if unknown; the latter is an estimate or an upper bound.
+    """
+
+    attempt_id: str
+    timeout_s: float | None
+    api_key: str
+    last_event_id: str
+    prompt_tokens: int
+    answer_tokens: int
+
+
+class ServerRequestMetadata(NamedTuple):
+    """Metadata that is sent to a server with the caller's request.
+
+    ``instance`` is the only server that may run it, ``time_left_s`` the time until its
+    deadline. ``priority`` 0 is the most urgent. A stream is resumed after
+    ``last_event_id``.
+    """
+
+    instance: str
+    time_left_s: float
+    organisation: str
+    priority: int | None
+    last_event_id: str
+
+
+class ReportedLoad(NamedTuple):
+    """Load reported in an answer: running and waiting requests, and places."""
+
+    running: int
+    waiting: int
+    places: int
+
+
+class ServerNotice(NamedTuple):
+    """Notice in a server's answer about its availability.
+
+    A server that ``is_leaving`` accepts no new requests. ``rest_s`` is how long it asks
+    to get none, None if it does not ask. ``unreadable_headers`` are the names of
+    headers with invalid values.
+    """
+
+    is_leaving: bool = False
+    rest_s: float | None = None
+    unreadable_headers: tuple[str, ...] = ()
+
+
+NO_NOTICE = ServerNotice()
+
+
+class AnswerHead(NamedTuple):
+    """Status and parsed headers of a server's answer.
+
+    ``is_rejection`` means that the server has not run the request and never will,
+    ``is_other_instance`` that the request named another server, ``is_signed`` that the
+    answer was made by the server itself. ``faulty_server`` is the server that the
+    answer names as the cause, empty if it names none. If the body is not ``is_framed``,
+    it ends when the connection is closed. ``idle_timeout_s`` is how long the server
+    keeps an idle connection. ``caller_headers`` are sent to the caller.
+    """
+
+    status: int
+    attempt_id: str
+    is_signed: bool
+    is_rejection: bool
+    is_other_instance: bool
+    faulty_server: str
+    length: int | None
+    is_framed: bool
+    closes_connection: bool
+    idle_timeout_s: float | None
+    load: ReportedLoad | None
+    notice: ServerNotice
+    caller_headers: tuple[tuple[str, str], ...]
--- /dev/null
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -0,0 +1,101 @@
+"""Waits for a place on a server in the shared dispatch queue."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+from typing import NamedTuple
+
+from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
+from kingcupwheel.entry.refusals import CALLER_LEFT
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.final_refusals import retry_after_s
+from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
+from kingcupwheel.forwarding.watchdog import AbortReason
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.entry.group_dispatcher import GroupDispatcher
+    from kingcupwheel.forwarding.requests import ForwardRequest
+    from kingcupwheel.forwarding.watchdog import WatchedRequest
+
+# Interval at which a waiting thread checks whether its request is over.
+_POLL_INTERVAL_S = 0.05
+# Load added to servers of other data centres, as a fraction of their capacity: one and
+# a half requests of six. Traffic between data centres has a cost, and since the ranks
+# of a group run each pass together, a less loaded rank is no faster. This saves three
+# tenths of the traffic between data centres at the same time to first event.
+REMOTE_LOAD_PENALTY = 0.25
+
+
+class PlacementConstraints(NamedTuple):
+    """Constraints on the choice of a server.
+
+    ``tried_servers`` are not used again. ``is_suspect`` tells that a server may have
+    crashed because of the request. ``data_centre`` is the one of this entry.
+    """
+
+    tried_servers: frozenset[str]
+    is_suspect: bool
+    data_centre: str
+
+
+class NoPlace(NamedTuple):
+    """No place was found in time; ``limit`` names the limit that was reached."""
+
+    limit: str
+    reason: str
+    retry_after_s: float
+
+
+def wait_for_place(
+    dispatcher: GroupDispatcher,
+    request: ForwardRequest,
+    watched: WatchedRequest,
+    constraints: PlacementConstraints,
+) -> Reservation | NoPlace | Refusal:
+    """Return a place, the reason for none, or the refusal if the caller has left."""
+    placement_request = PlacementRequest(
+        work=request.predicted_work,
+        excluded_servers=constraints.tried_servers,
+        is_suspect=constraints.is_suspect,
+        data_centre=constraints.data_centre,
+        is_repeatable=request.route.is_idempotent,
+        remote_load_penalty=REMOTE_LOAD_PENALTY,
+        prefers_local=True,
+    )
+    ticket = dispatcher.submit(_ticket_request(request), placement_request)
+    if not isinstance(ticket, PlacementTicket):
+        return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
+    while True:
+        place = ticket.wait(_POLL_INTERVAL_S)
+        if isinstance(place, Reservation):
+            if not watched.is_over:
+                return place
+            dispatcher.release(place)
+        elif place is not None:
+            after_s = retry_after_s(request.id, place.backoff_left_s)
+            return NoPlace(place.reason, place.detail, after_s)
+        if watched.is_over:
+            dispatcher.withdraw(ticket)
+            if watched.abort_reason is AbortReason.CALLER_LEFT:
+                return CALLER_LEFT
+            if watched.abort_reason is AbortReason.SHUTDOWN:
+                reason = AbortReason.SHUTDOWN.value
+                return NoPlace(ENTRY_LEAVING.reason, reason, retry_after_s(request.id))
+            return NoPlace("time-up", "no place", retry_after_s(request.id))
+        dispatcher.place_waiting()
+
+
+def _ticket_request(request: ForwardRequest) -> SubmittedRequest:
+    return SubmittedRequest(
+        request_id=request.id,
+        organisation=request.organisation,
+        priority=max(0, LOWEST_PRIORITY - request.priority),
+        work=request.predicted_work,
+        size_bytes=request.head.prompt_tokens,
+        first_byte_deadline_at=request.deadlines.first_byte_deadline,
+    )
--- a/src/kingcupwheel/forwarding/requests.py
+++ b/src/kingcupwheel/forwarding/requests.py
@@ -1,31 +1,30 @@
-"""A caller's request on its way straight to a server."""
+"""A caller's request that is forwarded to a server."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.entry.requests import fingerprint_of
+from kingcupwheel.entry.caller_requests import compute_fingerprint
 
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from kingcupwheel.forwarding.configuration import ForwardRoute
-    from kingcupwheel.forwarding.heads import CallerHead
-    from kingcupwheel.forwarding.times import Times
+    from kingcupwheel.forwarding.deadlines import Deadlines
+    from kingcupwheel.forwarding.http_metadata import CallerMetadata
 
-# Priority 0 is the most urgent on the platform; the queue's is the other way round.
-LEAST_URGENT = 9
+# The platform's priorities are 0 (most urgent) to 9; the queue's order is reversed.
+LOWEST_PRIORITY = 9
 
 
 class ForwardRequest(NamedTuple):
-    """Everything that is known of a request before it is placed.
+    """An admitted request, before it is assigned to a server.
 
-    ``id`` is the caller's name for this send, so that one search finds it in every
-    log. ``fingerprint`` names the same request sent again, empty for one that has no
-    body to tell it by. ``target`` is path and query as they came. ``received_at`` is
-    monotonic.
+    ``id`` is the caller's id of this send, so that one search finds it in all logs.
+    ``fingerprint`` is the same for every send of the same request, and empty without a
+    body. ``target`` is the unchanged path and query. ``received_at`` is monotonic.
     """
 
     id: str
@@ -36,22 +35,22 @@
     method: str
     target: str
     headers: Mapping[str, str]
-    head: CallerHead
+    head: CallerMetadata
     body: bytes
     fingerprint: str
     received_at: float
-    times: Times
+    deadlines: Deadlines
     version: int
     version_age_s: float
 
     @property
-    def work(self) -> float:
-        """Predicted work in prompt tokens; one written costs about ten read."""
+    def predicted_work(self) -> float:
+        """Predicted work in prompt tokens; an answer token costs about ten of them."""
         return max(1.0, self.head.prompt_tokens + 10.0 * self.head.answer_tokens)
 
 
-def fingerprint(organisation: str, target: str, body: bytes) -> str:
-    """Return what names this request when it comes again, empty without a body."""
+def request_fingerprint(organisation: str, target: str, body: bytes) -> str:
+    """Return the fingerprint of a request, empty without a body."""
     if not body:
         return ""
-    return fingerprint_of(organisation, target, body.hex())
+    return compute_fingerprint(organisation, target, body.hex())
--- a/src/kingcupwheel/lockstep/balancing.py
+++ b/src/kingcupwheel/lockstep/balancer.py
@@ -9,11 +9,11 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.planning import GOOD_ENOUGH
-from kingcupwheel.lockstep.planning import Plan
-from kingcupwheel.lockstep.planning import bounds_of
-from kingcupwheel.lockstep.planning import plan
-from kingcupwheel.lockstep.popularity import Popularity
+from kingcupwheel.lockstep.placement_planner import SKEW_TOLERANCE
+from kingcupwheel.lockstep.placement_planner import PlacementPlan
+from kingcupwheel.lockstep.placement_planner import plan_limits
+from kingcupwheel.lockstep.placement_planner import plan_placement
+from kingcupwheel.lockstep.popularity import ExpertPopularity
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
@@ -22,8 +22,8 @@
     from collections.abc import Sequence
 
     from kingcupwheel.forwarding.configuration import EngineShape
-    from kingcupwheel.lockstep.change import Layers
-    from kingcupwheel.lockstep.group import Group
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
+    from kingcupwheel.lockstep.group_state import GroupState
     from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
@@ -31,21 +31,21 @@
 # The least that a plan has to take off the skew, and for each second that its copies
 # take in all. A copy slows its group's passes by 15 in 100 while it lasts and has its
 # price by size; a skew of one doubles the passes.
-LEAST_SKEW_GAIN = 0.05
-SKEW_GAIN_A_COPYING_S = 0.018
+MIN_SKEW_GAIN = 0.05
+MIN_SKEW_GAIN_PER_COPY_S = 0.018
 
 # A pass under this part of the longest good pause between a stream's events keeps
 # every caller on time, with room for a longer prompt beside it. A shorter one serves
 # nobody better, so a plan then has to take this much off the skew: on a calm day half
 # of all copies took it from 1.2 to 1.1 while passes took 40 of 120 ms.
-SHORT_PASS_PART = 0.5
-SHORT_PASS_GAIN = 0.3
+SHORT_PASS_GAP_RATIO = 0.5
+SHORT_PASS_MIN_SKEW_GAIN = 0.3
 # The same for how far a plan goes: layers within this part over the mean are left alone
 # if passes are then short. The last third of a plan's copies take off a tenth.
-SHORT_PASS_ENOUGH = 0.2
+SHORT_PASS_SKEW_TOLERANCE = 0.2
 
 # A rank's pace that changed by this factor is planned for at once.
-PACE_CHANGE = 1.25
+PACE_CHANGE_FACTOR = 1.25
 
 
 class Balancer:
@@ -53,99 +53,107 @@
 
     def __init__(self, shape: EngineShape) -> None:
         self._shape = shape
-        self._popularity = Popularity(shape.layer_count, shape.expert_count)
-        self._bounds = bounds_of(
+        self._popularity = ExpertPopularity(shape.layer_count, shape.expert_count)
+        self._limits = plan_limits(
             shape.placements_per_rank, shape.max_new_experts, shape.expert_copy_s
         )
         self._paces: list[float] = []
-        self._passed: tuple[int, float] | None = None
+        self._last_reading: tuple[int, float] | None = None
         self._pass_s = 0.0
 
-    def take(
+    def plan_change(
         self,
-        group: Group,
-        layers: Layers,
-        answers: Iterable[RankStateReply],
+        group: GroupState,
+        layers: LayerPlacements,
+        replies: Iterable[RankStateReply],
         now: float,
-    ) -> Plan | None:
+    ) -> PlacementPlan | None:
         """Return the map to change to from ``layers``, or None to leave it.
 
         ``answers`` hold the counts since the last time.
         """
-        self._time_passes(group.own.step, now)
-        moved = self._popularity.take(counts_of(answers))
-        paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]
-        if not moved and not self._pace_changed(paces):
+        self._measure_pass_time(group.coordinator_state.step, now)
+        is_updated = self._popularity.add_sample(unpack_counts(replies))
+        paces = [group.states_by_rank[rank].pace for rank in range(group.rank_count)]
+        if not is_updated and not self._has_pace_changed(paces):
             return None
-        if _is_armed_anew(group):
+        if _has_pending_arming(group):
             return None
         shares = self._popularity.shares
         if shares is None:
             return None
         self._paces = paces
-        found = plan(layers, shares, self._bounds, paces, enough=self._enough)
-        if found is None or not self._is_worth_it(found):
+        plan = plan_placement(
+            layers, shares, self._limits, paces, skew_tolerance=self._skew_tolerance
+        )
+        if plan is None or not self._has_sufficient_gain(plan):
             return None
         log.info(
             "change-planned",
-            version=group.highest + 1,
-            copies=found.copies,
-            skew=round(found.skew_before, 2),
-            skew_after=round(found.skew_after, 2),
-            jumped=self._popularity.jumped,
-            moved=round(self._popularity.moved, 3),
-            noise=round(self._popularity.noise, 3),
-            choices=round(self._popularity.choices),
+            version=group.highest_version + 1,
+            copies=plan.copies,
+            skew=round(plan.skew_before, 2),
+            skew_after=round(plan.skew_after, 2),
+            jumped=self._popularity.has_jumped,
+            moved=round(self._popularity.sample_distance, 3),
+            noise=round(self._popularity.noise_distance, 3),
+            choices=round(self._popularity.choice_count),
             slowest_pace=round(max(paces), 2),
             pass_ms=round(self._pass_s * 1000, 1),
         )
-        return found
+        return plan
 
-    def _is_worth_it(self, found: Plan) -> bool:
-        gain = found.skew_before - found.skew_after
-        if self._is_short(self._pass_s):
-            return gain >= SHORT_PASS_GAIN
-        copying_s = found.copies * self._shape.expert_copy_s
-        return gain >= LEAST_SKEW_GAIN + SKEW_GAIN_A_COPYING_S * copying_s
+    def _has_sufficient_gain(self, plan: PlacementPlan) -> bool:
+        gain = plan.skew_before - plan.skew_after
+        if self._is_short_pass(self._pass_s):
+            return gain >= SHORT_PASS_MIN_SKEW_GAIN
+        copying_s = plan.copies * self._shape.expert_copy_s
+        return gain >= MIN_SKEW_GAIN + MIN_SKEW_GAIN_PER_COPY_S * copying_s
 
-    def _enough(self, skew: float) -> float:
+    def _skew_tolerance(self, skew: float) -> float:
         """Return how far over the mean a layer may be after a plan from ``skew``."""
-        then_s = self._pass_s * (1 + SHORT_PASS_ENOUGH) / max(1.0, skew)
-        return SHORT_PASS_ENOUGH if self._is_short(then_s) else GOOD_ENOUGH
+        expected_pass_s = (
+            self._pass_s * (1 + SHORT_PASS_SKEW_TOLERANCE) / max(1.0, skew)
+        )
+        return (
+            SHORT_PASS_SKEW_TOLERANCE
+            if self._is_short_pass(expected_pass_s)
+            else SKEW_TOLERANCE
+        )
 
-    def _is_short(self, pass_s: float) -> bool:
-        return 0.0 < pass_s < SHORT_PASS_PART * self._shape.max_event_gap_s
+    def _is_short_pass(self, pass_s: float) -> bool:
+        return 0.0 < pass_s < SHORT_PASS_GAP_RATIO * self._shape.max_event_gap_s
 
-    def _time_passes(self, step: int, now: float) -> None:
-        before, self._passed = self._passed, (step, now)
+    def _measure_pass_time(self, step: int, now: float) -> None:
+        before, self._last_reading = self._last_reading, (step, now)
         if before is not None and step > before[0]:
             self._pass_s = (now - before[1]) / (step - before[0])
 
-    def _pace_changed(self, paces: Sequence[float]) -> bool:
+    def _has_pace_changed(self, paces: Sequence[float]) -> bool:
         """Return whether a rank has become slow, or sound again, since the last plan.
 
         Failure: a rank slows down tenfold, and hardly a pass ends. Symptom: counts are
         too few for a new estimate, and nothing relieves that rank for seconds.
         """
         return any(
-            not 1 / PACE_CHANGE < now / before < PACE_CHANGE
+            not 1 / PACE_CHANGE_FACTOR < now / before < PACE_CHANGE_FACTOR
             for now, before in zip(paces, self._paces, strict=False)
         )
 
 
-def _is_armed_anew(group: Group) -> bool:
+def _has_pending_arming(group: GroupState) -> bool:
     """Return whether a rank is armed for a map that is not in force yet.
 
     Failure: an agent ends after its rank was armed. Symptom: its last word says that
     the rank is armed, long after the pass began, and no change is planned again. What
     rank 0 has in force began on all ranks in one pass.
     """
-    in_force = group.own.version
+    in_force = group.coordinator_state.version
     return any(state.armed > in_force for state in group.states_by_rank.values())
 
 
-def counts_of(answers: Iterable[RankStateReply]) -> list[list[int]]:
+def unpack_counts(replies: Iterable[RankStateReply]) -> list[list[int]]:
     """Return each answer's choices, layer by layer in one list."""
     return [
-        [count * told.scale for count in told.counts] for told in answers if told.counts
+        [count * told.scale for count in told.counts] for told in replies if told.counts
     ]
--- a/src/kingcupwheel/lockstep/branching.py
+++ b/src/kingcupwheel/lockstep/branches.py
@@ -18,26 +18,26 @@
 
 # Groups of up to so many ranks are asked directly: their counts (a quarter of a
 # kilobyte a rank) are through in 10 ms, and a branch costs a hop of 2 to 4 ms.
-DIRECT_RANKS = 24
+MAX_DIRECT_RANKS = 24
 # Agents in a branch, its head among them: near the square root of 72, at which the
 # coordinator's link and a head's carry as much.
-BRANCH_AGENTS = 8
+MAX_BRANCH_AGENTS = 8
 
 
-def heads_by_agent(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
+def assign_branch_heads(data_centres_by_agent: Mapping[str, str]) -> dict[str, str]:
     """Return the agent through which each agent is asked: itself, or its branch's head.
 
     A branch is within one data centre.
     """
     agents = sorted(data_centres_by_agent)
-    if len(agents) <= DIRECT_RANKS:
+    if len(agents) <= MAX_DIRECT_RANKS:
         return {agent: agent for agent in agents}
     by_data_centre: dict[str, list[str]] = {}
     for agent in agents:
         by_data_centre.setdefault(data_centres_by_agent[agent], []).append(agent)
     heads: dict[str, str] = {}
     for members in by_data_centre.values():
-        for start in range(0, len(members), BRANCH_AGENTS):
-            branch = members[start : start + BRANCH_AGENTS]
+        for start in range(0, len(members), MAX_BRANCH_AGENTS):
+            branch = members[start : start + MAX_BRANCH_AGENTS]
             heads.update(dict.fromkeys(branch, branch[0]))
     return heads
--- a/src/kingcupwheel/lockstep/charge.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -5,25 +5,25 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.lockstep.change import Idle
-from kingcupwheel.lockstep.group import Group
+from kingcupwheel.lockstep.change_protocol import Idle
+from kingcupwheel.lockstep.group_state import GroupState
 from kingcupwheel.telemetry.json_logs import lines_of
 
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.balancing import Balancer
-    from kingcupwheel.lockstep.change import Layers
-    from kingcupwheel.lockstep.change import Phase
-    from kingcupwheel.lockstep.rosters import Roster
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.balancer import Balancer
+    from kingcupwheel.lockstep.change_protocol import LayerPlacements
+    from kingcupwheel.lockstep.change_protocol import Phase
+    from kingcupwheel.lockstep.rank_reports import RankState
+    from kingcupwheel.lockstep.roster import Roster
     from kingcupwheel.messages.lockstep import RankStateReply
 
 log = lines_of("maps")
 
 
-class Charge:
+class CoordinationSession:
     """One epoch of a group, from when an agent takes charge of it until it is left.
 
     ``layers`` is the map in force. ``rescues`` tells that the agent is not rank 0's and
@@ -34,54 +34,56 @@
         self,
         roster: Roster,
         states_by_rank: Mapping[int, RankState],
-        layers: Layers,
+        layers: LayerPlacements,
         balancer: Balancer,
         *,
-        rescues: bool,
+        is_rescue: bool,
     ) -> None:
         self.roster = roster
         self.layers = layers
         self.balancer = balancer
-        self.rescues = rescues
+        self.is_rescue = is_rescue
         self.phase: Phase = Idle()
-        self.is_left = False
+        self.is_closed = False
         self._states_by_rank = dict(states_by_rank)
-        self._began_at = monotonic()
+        self._change_began_at = monotonic()
 
     @property
-    def group(self) -> Group:
+    def group(self) -> GroupState:
         """The ranks' latest reports."""
-        return Group(self.roster.epoch, self.roster.ranks, self._states_by_rank)
+        return GroupState(
+            self.roster.epoch, self.roster.rank_count, self._states_by_rank
+        )
 
     @property
-    def change_took_s(self) -> float:
+    def change_elapsed_s(self) -> float:
         """Seconds since the change under way was begun or taken up."""
-        return monotonic() - self._began_at
+        return monotonic() - self._change_began_at
 
-    def begin(self, phase: Phase) -> None:
+    def begin_change(self, phase: Phase) -> None:
         """Begin a change, whose time counts from now."""
         self.phase = phase
-        self._began_at = monotonic()
+        self._change_began_at = monotonic()
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """End the charge: everything is to be read anew."""
         self.phase = Idle()
-        self.is_left = True
+        self.is_closed = True
 
-    def take_in(self, answers: Mapping[str, RankStateReply]) -> bool:
+    def update_states(self, replies: Mapping[str, RankStateReply]) -> bool:
         """Take in states; leave and return False if the group is no longer the same."""
         for rank, agent in self.roster.agents_by_rank.items():
-            told = answers.get(agent)
-            if told is None or told.state is None:
+            reply = replies.get(agent)
+            if reply is None or reply.state is None:
                 continue
             known = self._states_by_rank.get(rank)
-            if not self.roster.goes_on(rank, known, told.state):
-                log.info("group-changed", rank=rank, epoch=told.state.epoch)
-                self.leave()
+            if not self.roster.is_same_incarnation(rank, known, reply.state):
+                log.info("group-changed", rank=rank, epoch=reply.state.epoch)
+                self.close()
                 return False
-            if not told.state.is_open:
-                log.info("group-broken", rank=rank, epoch=told.state.epoch)
-                self.leave()
+            if not reply.state.is_open:
+                log.info("group-broken", rank=rank, epoch=reply.state.epoch)
+                self.close()
                 return False
-            self._states_by_rank[rank] = told.state
+            self._states_by_rank[rank] = reply.state
         return True
--- a/src/kingcupwheel/lockstep/group.py
+++ b/src/kingcupwheel/lockstep/group_state.py
@@ -9,38 +9,38 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.lockstep.state import RankState
+    from kingcupwheel.lockstep.rank_reports import RankState
 
 # The rank that coordinates, and is armed last.
-FIRST = 0
+COORDINATOR_RANK = 0
 # The rank that holds the pass; in a group of one it is the same.
-HOLDER = 1
+HOLDER_RANK = 1
 
 
-class Group(NamedTuple):
+class GroupState(NamedTuple):
     """The ranks' latest reports of one epoch, by rank."""
 
     epoch: int
-    ranks: int
+    rank_count: int
     states_by_rank: Mapping[int, RankState]
 
     @property
-    def own(self) -> RankState:
+    def coordinator_state(self) -> RankState:
         """The report of rank 0, beside the coordinator."""
-        return self.states_by_rank[FIRST]
+        return self.states_by_rank[COORDINATOR_RANK]
 
     @property
-    def holder(self) -> int:
+    def holder_rank(self) -> int:
         """The rank that holds passes."""
-        return min(HOLDER, self.ranks - 1)
+        return min(HOLDER_RANK, self.rank_count - 1)
 
     @property
-    def held(self) -> int | None:
+    def held_step(self) -> int | None:
         """The pass that waits to be released at some rank."""
         states = self.states_by_rank.values()
         return next((one.held for one in states if one.held is not None), None)
 
-    def holds(self, step: int) -> bool:
+    def is_held_up_to(self, step: int) -> bool:
         """Return whether ``step`` or an earlier pass is held.
 
         One that is later is held for another change, by the coordinator alone.
@@ -49,18 +49,18 @@
         return any(one is not None and one <= step for one in held)
 
     @property
-    def step(self) -> int:
+    def latest_step(self) -> int:
         """The last pass that any rank shows begun."""
         return max(one.step for one in self.states_by_rank.values())
 
     @property
-    def newest(self) -> int:
+    def newest_pending_version(self) -> int:
         """The highest version that any rank shows prepared or armed."""
         states = self.states_by_rank.values()
         return max(max(one.prepared, one.armed) for one in states)
 
     @property
-    def highest(self) -> int:
+    def highest_version(self) -> int:
         """The highest version that any rank shows."""
         states = self.states_by_rank.values()
         return max(max(one.version, one.prepared, one.armed) for one in states)
@@ -71,29 +71,33 @@
 
     def all_armed(self, version: int) -> bool:
         """Return whether every rank shows ``version`` armed or in force."""
-        return all(has_version(one, version) for one in self.states_by_rank.values())
+        return all(
+            is_armed_or_active(one, version) for one in self.states_by_rank.values()
+        )
 
     def others_armed(self, version: int) -> bool:
         """Return whether every rank but 0 shows ``version`` armed or in force."""
         return all(
-            has_version(one, version)
+            is_armed_or_active(one, version)
             for rank, one in self.states_by_rank.items()
-            if rank != FIRST
+            if rank != COORDINATOR_RANK
         )
 
-    def is_overtaken(self, version: int) -> bool:
+    def is_superseded(self, version: int) -> bool:
         """Return whether one rank can't be armed with ``version`` any more.
 
         Nobody can complete that version then.
         """
-        return any(is_void(one, version) for one in self.states_by_rank.values())
+        return any(
+            is_version_void(one, version) for one in self.states_by_rank.values()
+        )
 
 
-def has_version(state: RankState, version: int) -> bool:
+def is_armed_or_active(state: RankState, version: int) -> bool:
     """Return whether the rank shows ``version`` armed or in force."""
     return version in (state.armed, state.version)
 
 
-def is_void(state: RankState, version: int) -> bool:
+def is_version_void(state: RankState, version: int) -> bool:
     """Return whether the rank is not armed, and never again can be with ``version``."""
     return state.prepared > version and not state.armed
--- a/src/kingcupwheel/messages/lockstep.py
+++ b/src/kingcupwheel/messages/lockstep.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from kingcupwheel.lockstep.orders import RankOrder
-from kingcupwheel.lockstep.state import RankState
+from kingcupwheel.lockstep.rank_reports import RankState
 from kingcupwheel.messages.base import Message
 
 
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -6,10 +6,10 @@
 import re
 from typing import TYPE_CHECKING
 
-from kingcupwheel.forwarding.heads import AnswerHead
-from kingcupwheel.forwarding.heads import CallerHead
-from kingcupwheel.forwarding.heads import ReportedLoad
-from kingcupwheel.forwarding.heads import ServerNotice
+from kingcupwheel.forwarding.http_metadata import AnswerHead
+from kingcupwheel.forwarding.http_metadata import CallerMetadata
+from kingcupwheel.forwarding.http_metadata import ReportedLoad
+from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
 from kingcupwheel.utils.numbers import whole_number
@@ -20,7 +20,7 @@
 
     from urllib3 import HTTPHeaderDict
 
-    from kingcupwheel.forwarding.heads import ServerCall
+    from kingcupwheel.forwarding.http_metadata import ServerRequestMetadata
 
 # Identifies one send of a caller; a retry by the caller has a new id.
 _ATTEMPT_ID = "x-attempt-id"
@@ -56,18 +56,18 @@
 _MAX_PRIORITY = 9
 
 
-def read_request_headers(headers: Mapping[str, str]) -> CallerHead:
+def read_request_headers(headers: Mapping[str, str]) -> CallerMetadata:
     """Return the parsed headers of a request; names are in lower case."""
     key = headers.get("authorization", "")
     prompt_tokens, answer_tokens = _parse_token_usage(headers.get(_TOKEN_USAGE, ""))
     hint = whole_number(headers.get(_LENGTH_HINT, ""))
     if hint is not None:
         answer_tokens = min(answer_tokens, hint) if answer_tokens else hint
-    return CallerHead(
-        attempt=headers.get(_ATTEMPT_ID, ""),
-        wait_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
-        key=key[7:] if key[:7].lower() == "bearer " else "",
-        last_event=headers.get(_LAST_EVENT_ID, ""),
+    return CallerMetadata(
+        attempt_id=headers.get(_ATTEMPT_ID, ""),
+        timeout_s=_parse_deadline_s(headers.get(_DEADLINE_MS, "")),
+        api_key=key[7:] if key[:7].lower() == "bearer " else "",
+        last_event_id=headers.get(_LAST_EVENT_ID, ""),
         prompt_tokens=prompt_tokens,
         answer_tokens=answer_tokens,
     )
@@ -79,7 +79,7 @@
 
 
 def build_server_headers(
-    headers: Mapping[str, str], call: ServerCall
+    headers: Mapping[str, str], call: ServerRequestMetadata
 ) -> dict[str, str]:
     """Return the headers of the request to a server, from the caller's ``headers``."""
     sent = {
@@ -88,14 +88,14 @@
         if name not in _REMOVED_FROM_REQUESTS
     }
     sent["host"] = headers.get("host", "")
-    sent[_DEADLINE_MS] = str(max(1, int(call.left_s * _MS_PER_S)))
+    sent[_DEADLINE_MS] = str(max(1, int(call.time_left_s * _MS_PER_S)))
     sent[_EXPECT_INSTANCE] = call.instance
     if call.organisation:
         sent[_TENANT] = call.organisation
     if call.priority is not None:
         sent[_REQUEST_PRIORITY] = str(max(0, min(_MAX_PRIORITY, call.priority)))
-    if call.last_event:
-        sent[_LAST_EVENT_ID] = call.last_event
+    if call.last_event_id:
+        sent[_LAST_EVENT_ID] = call.last_event_id
     return sent
 
 
@@ -110,18 +110,18 @@
     is_not_run = _NOT_EXECUTED in headers or status == 421
     return AnswerHead(
         status=status,
-        attempt=headers.get(_ATTEMPT_ID, ""),
-        signed=_RESPONSE_SIGNATURE in headers,
-        not_run=is_not_run,
-        other_instance=status == 421,
-        faulty=headers.get(_AT_SERVER, ""),
+        attempt_id=headers.get(_ATTEMPT_ID, ""),
+        is_signed=_RESPONSE_SIGNATURE in headers,
+        is_rejection=is_not_run,
+        is_other_instance=status == 421,
+        faulty_server=headers.get(_AT_SERVER, ""),
         length=whole_number(length),
-        framed=length != "" or "transfer-encoding" in headers,
-        closes="close" in headers.get("connection", "").lower(),
-        idle_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
+        is_framed=length != "" or "transfer-encoding" in headers,
+        closes_connection="close" in headers.get("connection", "").lower(),
+        idle_timeout_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
         load=_parse_server_load(headers.get(_SERVER_LOAD, "")),
         notice=_read_notice(headers, is_refused=is_not_run and status == 503),
-        passed=passed,
+        caller_headers=passed,
     )
 
 
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -62,9 +62,9 @@
             data_centre=entry.zone,
             places=entry.slots,
             leaving=entry.state == "draining" or stored.is_deleting,
-            cold_s=entry.cold_remaining_ms / _MS_PER_S,
-            created=stored.created_revision,
-            born_ms=entry.born,
+            warmup_left_s=entry.cold_remaining_ms / _MS_PER_S,
+            created_revision=stored.created_revision,
+            started_at_ms=entry.born,
         )
     )
 
--- /dev/null
+++ b/tests/forwarding/test_admission.py
@@ -0,0 +1,94 @@
+from __future__ import annotations
+
+from kingcupwheel.entry.refusals import Refusal
+from kingcupwheel.forwarding.admission import admit_request
+from kingcupwheel.forwarding.requests import ForwardRequest
+from tests.forwarding.builders import configuration
+from tests.forwarding.builders import configuration_snapshot
+from tests.forwarding.builders import received_request
+from tests.forwarding.builders import route
+
+
+def test_longest_matching_prefix_selects_the_route() -> None:
+    longer = route(Name="longer", PathPrefix="/plain/deep/", Service="other")
+    found = configuration(Routes=[route(), longer])
+
+    request = admit_request(
+        received_request("/plain/deep/x?q=1"),
+        configuration_snapshot(configuration=found),
+    )
+
+    assert isinstance(request, ForwardRequest)
+    assert request.route.name == "longer"
+    assert request.organisation == "org"
+
+
+def test_outdated_configuration_refuses_requests_with_a_key() -> None:
+    """Guards against accepting a revoked key at an entry without access to the store.
+
+    The caller is told at once that the request has not run, and retries elsewhere.
+    """
+    refusal = admit_request(received_request(), configuration_snapshot(age_s=4.0))
+
+    assert isinstance(refusal, Refusal)
+    assert (refusal.status, refusal.reason) == (503, "configuration-too-old")
+    assert refusal.retry_after_s > 0
+
+
+def test_outdated_configuration_does_not_deny_an_unknown_route() -> None:
+    """Guards against a 404 for a new route at an entry without access to the store."""
+    recent = admit_request(
+        received_request("/unknown/x"), configuration_snapshot(age_s=0.5)
+    )
+    outdated = admit_request(
+        received_request("/unknown/x"), configuration_snapshot(age_s=9.0)
+    )
+
+    assert isinstance(recent, Refusal)
+    assert recent.status == 404
+    assert isinstance(outdated, Refusal)
+    assert outdated.status == 503
+
+
+def test_unknown_key_is_denied() -> None:
+    refusal = admit_request(
+        received_request(authorization="Bearer nobody"), configuration_snapshot()
+    )
+
+    assert isinstance(refusal, Refusal)
+    assert refusal.status == 401
+
+
+def test_anonymous_route_needs_neither_key_nor_recent_configuration() -> None:
+    found = configuration(Routes=[route(Anonymous=True)])
+
+    request = admit_request(
+        received_request(authorization=""),
+        configuration_snapshot(age_s=30.0, configuration=found),
+    )
+
+    assert isinstance(request, ForwardRequest)
+    assert request.organisation == ""
+
+
+def test_missing_configuration_denies_nothing() -> None:
+    refusal = admit_request(
+        received_request(), configuration_snapshot(configuration=None)
+    )
+
+    assert isinstance(refusal, Refusal)
+    assert refusal.status == 503
+
+
+def test_shorter_of_caller_timeout_and_route_timeout_applies() -> None:
+    long_timeout = admit_request(
+        received_request(x_deadline_ms="5000"), configuration_snapshot()
+    )
+    short_timeout = admit_request(
+        received_request(x_deadline_ms="300"), configuration_snapshot()
+    )
+
+    assert isinstance(long_timeout, ForwardRequest)
+    assert isinstance(short_timeout, ForwardRequest)
+    assert 100.7 < long_timeout.deadlines.deadline < 100.8
+    assert 100.2 < short_timeout.deadlines.deadline < 100.3
