--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -42,8 +42,12 @@
         ),
     ),
     "own-data-centre-first": (
-        Edit("forwarding/placing.py", "prefers_local=True", "prefers_local=False"),
-        Edit("forwarding/placing.py", "FAR_LOAD = 0.25", "FAR_LOAD = 0.0"),
+        Edit("forwarding/queue_wait.py", "prefers_local=True", "prefers_local=False"),
+        Edit(
+            "forwarding/queue_wait.py",
+            "REMOTE_LOAD_PENALTY = 0.25",
+            "REMOTE_LOAD_PENALTY = 0.0",
+        ),
     ),
     "own-in-flight": (
         Edit(
@@ -54,7 +58,7 @@
     ),
     "health": (
         Edit(
-            "entry/dispatching.py",
+            "entry/group_dispatcher.py",
             "state_by_name = self._health.update_states(loads, now)",
             "state_by_name = {one.name: ServerState.HEALTHY for one in loads}",
         ),
@@ -64,23 +68,23 @@
     ),
     "closed-groups-wait": (
         Edit(
-            "forwarding/guards.py",
-            "return closures.turned_away(server, quiet_s=quiet_s, now=monotonic())",
+            "forwarding/retry_guards.py",
+            "return detector.record_rejection(server, idle_s=idle_s, now=monotonic())",
             "return False",
         ),
     ),
     "full-servers-are-not-silent": (
         Edit(
-            "forwarding/runs.py",
-            "if not self._begun and context.servers.is_told_full(place, now):",
-            "if now < 0.0:",
+            "forwarding/forwarder.py",
+            "not self._has_answer_begun and context.servers.is_reported_full(",
+            "now < 0.0 and context.servers.is_reported_full(",
         ),
     ),
     "silent-servers-given-up": (
         Edit(
-            "forwarding/runs.py",
-            'silence_s = request.times.silence_s if again else float("inf")',
-            'silence_s = float("inf")',
+            "forwarding/forwarder.py",
+            'request.deadlines.silence_timeout_s if is_retry_allowed else float("inf")',
+            'float("inf")',
         ),
     ),
     "admission-bounds": (
@@ -107,23 +111,23 @@
     ),
     "retry-after-spread": (
         Edit(
-            "forwarding/guards.py",
+            "forwarding/retry_guards.py",
             "return base_s * (1.0 + 0.5 * stable_fraction(request_id))",
             "return base_s",
         ),
     ),
     "map-changes": (
         Edit(
-            "lockstep/balancing.py",
-            "if found is None or not self._is_worth_it(found):",
-            "if found is not None or found is None:",
+            "lockstep/balancer.py",
+            "if plan is None or not self._has_sufficient_gain(plan):",
+            "if plan is not None or plan is None:",
         ),
     ),
     "jumps": (
         Edit(
             "lockstep/popularity.py",
-            "return 0.0 < by_chance < self.moved and self.moved > LEAST_JUMP",
-            "return by_chance < 0.0",
+            "0.0 < noise_threshold < self.sample_distance",
+            "noise_threshold < 0.0",
         ),
         Edit(
             "lockstep/popularity.py",
@@ -132,47 +136,57 @@
         ),
     ),
     "small-gains-left": (
-        Edit("lockstep/balancing.py", "SHORT_PASS_GAIN = 0.3", "SHORT_PASS_GAIN = 0.0"),
         Edit(
-            "lockstep/balancing.py",
-            "SKEW_GAIN_A_COPYING_S = 0.018",
-            "SKEW_GAIN_A_COPYING_S = 0.0",
+            "lockstep/balancer.py",
+            "SHORT_PASS_MIN_SKEW_GAIN = 0.3",
+            "SHORT_PASS_MIN_SKEW_GAIN = 0.0",
+        ),
+        Edit(
+            "lockstep/balancer.py",
+            "MIN_SKEW_GAIN_PER_COPY_S = 0.018",
+            "MIN_SKEW_GAIN_PER_COPY_S = 0.0",
         ),
     ),
     "slow-ranks-avoided": (
         Edit(
-            "forwarding/serverbook.py",
+            "forwarding/server_registry.py",
             "AVOIDED_PACE = 2.5",
             'AVOIDED_PACE = float("inf")',
         ),
     ),
     "slow-ranks-given-less": (
-        Edit("forwarding/serverbook.py", "if pace <= SLOW_PACE:", "if pace > 0.0:"),
+        Edit("forwarding/server_registry.py", "pace <= SLOW_PACE:", "pace > 0.0:"),
     ),
     "slow-ranks-relieved-of-experts": (
         Edit(
-            "lockstep/balancing.py",
-            "paces = [group.states_by_rank[rank].pace for rank in range(group.ranks)]",
-            "paces = [1.0 for _ in range(group.ranks)]",
+            "lockstep/balancer.py",
+            "[group.states_by_rank[rank].pace for rank in range(group.rank_count)]",
+            "[1.0 for _ in range(group.rank_count)]",
         ),
     ),
-    "rescuers": (Edit("lockstep/taking.py", "RESCUERS = (1, 2)", "RESCUERS = ()"),),
+    "rescuers": (
+        Edit("lockstep/takeover.py", "RESCUER_RANKS = (1, 2)", "RESCUER_RANKS = ()"),
+    ),
     "direct-orders": (
         Edit(
-            "lockstep/direct.py",
-            "if not asks_by_server:",
-            "if not asks_by_server or asks_by_server:",
+            "lockstep/direct_client.py",
+            "if not requests_by_server:",
+            "if not requests_by_server or requests_by_server:",
         ),
     ),
     "branches": (
         Edit(
-            "lockstep/asking.py",
+            "lockstep/agent_client.py",
             "head = self._heads_by_agent.get(address, address)",
             "head = address",
         ),
     ),
     "load-boards": (
-        Edit("forwarding/loadheads.py", "DIRECT_AGENTS = 24", "DIRECT_AGENTS = 10_000"),
+        Edit(
+            "forwarding/load_aggregators.py",
+            "MAX_DIRECT_AGENTS = 24",
+            "MAX_DIRECT_AGENTS = 10_000",
+        ),
     ),
     "long-watches": (
         Edit(
