--- a/src/kingcupwheel/entry/following.py
+++ b/src/kingcupwheel/entry/answer_assembler.py
@@ -28,69 +28,78 @@
 MAX_RESUMES_WITHOUT_PROGRESS = 5
 
 
-class Started(NamedTuple):
+class AttemptStarted(NamedTuple):
     """The agent holds the attempt; ``running`` tells that its server has it."""
 
-    running: bool
+    is_running: bool
 
 
-class HeadKnown(NamedTuple):
+class HeadReceived(NamedTuple):
     """Status and headers of the answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
-class Chunk(NamedTuple):
+class BodyChunk(NamedTuple):
     """The next bytes of the body."""
 
     data: bytes
 
 
-class Ended(NamedTuple):
+class AnswerEnded(NamedTuple):
     """The last step: nothing more will come."""
 
     outcome: Outcome
     detail: str
 
 
-class NotStarted(NamedTuple):
+class AttemptNotStarted(NamedTuple):
     """The last step: the agent did not run it and never will."""
 
     reason: DispatchRefusal
 
 
-class NeverSeen(NamedTuple):
+class AttemptNeverSeen(NamedTuple):
     """The agent's life ``incarnation`` never saw the attempt.
 
     ``cancelled`` tells that it will not run there any more either.
     """
 
     incarnation: str
-    cancelled: bool
+    is_cancelled: bool
 
 
-class ResumeAt(NamedTuple):
+class ResumeNeeded(NamedTuple):
     """Ask the agent again from ``offset``; ``why`` is a short reason."""
 
     offset: int
-    why: str
+    reason: str
 
 
-class Nothing(NamedTuple):
+class NoStep(NamedTuple):
     """The message changes nothing."""
 
 
-Step = Started | HeadKnown | Chunk | Ended | NotStarted | NeverSeen | ResumeAt | Nothing
+AnswerStep = (
+    AttemptStarted
+    | HeadReceived
+    | BodyChunk
+    | AnswerEnded
+    | AttemptNotStarted
+    | AttemptNeverSeen
+    | ResumeNeeded
+    | NoStep
+)
 
 
-class Following:
+class AnswerAssembler:
     """The state of one answer being followed; belongs to one thread."""
 
     def __init__(self) -> None:
         self._offset = 0
-        self._head_known = False
-        self._resumes = 0
+        self._has_head = False
+        self._resume_count = 0
 
     @property
     def offset(self) -> int:
@@ -98,55 +107,55 @@
         return self._offset
 
     @property
-    def head_known(self) -> bool:
+    def has_head(self) -> bool:
         """Whether status and headers have been passed on."""
-        return self._head_known
+        return self._has_head
 
-    def on(self, message: Message) -> Step:
+    def process_message(self, message: Message) -> AnswerStep:
         """Return what ``message`` brings."""
         match message:
             case ResponseData(offset=offset, data=data):
                 return self._on_data(offset, data)
             case AttemptAccepted(running=running):
-                return Started(running)
+                return AttemptStarted(running)
             case ResponseHead(status=status, headers=headers):
                 return self._on_head(status, headers)
             case AttemptEnd(length=length, outcome=outcome, detail=detail):
                 return self._on_end(length, outcome, detail)
             case AttemptRefused(reason=reason):
-                return NotStarted(reason)
+                return AttemptNotStarted(reason)
             case AttemptUnknown(incarnation=incarnation, cancelled=cancelled):
-                return NeverSeen(incarnation, cancelled)
-        return Nothing()
+                return AttemptNeverSeen(incarnation, cancelled)
+        return NoStep()
 
-    def link_replaced(self) -> ResumeAt:
+    def resume_on_new_link(self) -> ResumeNeeded:
         """Return the step to take after the link was replaced."""
-        return ResumeAt(self._offset, "link replaced")
+        return ResumeNeeded(self._offset, "link replaced")
 
-    def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> Step:
-        if self._head_known:
-            return Nothing()
-        self._head_known = True
-        return HeadKnown(status, headers)
+    def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> AnswerStep:
+        if self._has_head:
+            return NoStep()
+        self._has_head = True
+        return HeadReceived(status, headers)
 
-    def _on_data(self, offset: int, data: bytes) -> Step:
-        if offset > self._offset or not self._head_known:
+    def _on_data(self, offset: int, data: bytes) -> AnswerStep:
+        if offset > self._offset or not self._has_head:
             return self._resume("frames missing")
         fresh = data[self._offset - offset :]
         if not fresh:
-            return Nothing()
-        self._resumes = 0
+            return NoStep()
+        self._resume_count = 0
         self._offset += len(fresh)
-        return Chunk(fresh)
+        return BodyChunk(fresh)
 
-    def _on_end(self, length: int, outcome: Outcome, detail: str) -> Step:
-        whole = self._offset == length and self._head_known
+    def _on_end(self, length: int, outcome: Outcome, detail: str) -> AnswerStep:
+        whole = self._offset == length and self._has_head
         if whole or outcome is not Outcome.RAN:
-            return Ended(outcome, detail)
+            return AnswerEnded(outcome, detail)
         return self._resume("end before its frames")
 
-    def _resume(self, why: str) -> Step:
-        self._resumes += 1
-        if self._resumes > MAX_RESUMES_WITHOUT_PROGRESS:
-            return Ended(Outcome.UNKNOWN, "the rest of the answer is gone")
-        return ResumeAt(self._offset, why)
+    def _resume(self, why: str) -> AnswerStep:
+        self._resume_count += 1
+        if self._resume_count > MAX_RESUMES_WITHOUT_PROGRESS:
+            return AnswerEnded(Outcome.UNKNOWN, "the rest of the answer is gone")
+        return ResumeNeeded(self._offset, why)
--- a/src/kingcupwheel/entry/joining.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -19,18 +19,18 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
-from kingcupwheel.entry.following import NeverSeen
-from kingcupwheel.entry.following import NotStarted
-from kingcupwheel.entry.inbox import AgentGone
-from kingcupwheel.entry.inbox import AttemptKey
-from kingcupwheel.entry.inbox import Elapsed
-from kingcupwheel.entry.inbox import Inbox
-from kingcupwheel.entry.reading import AnswerReader
+from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
+from kingcupwheel.entry.answer_assembler import AttemptNotStarted
+from kingcupwheel.entry.answer_reader import AnswerReader
+from kingcupwheel.entry.attempt_inboxes import AgentGone
+from kingcupwheel.entry.attempt_inboxes import AttemptInbox
+from kingcupwheel.entry.attempt_inboxes import AttemptKey
+from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
-from kingcupwheel.entry.refusals import KEY_REUSED
+from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_REUSED
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.refusals import claim_unreachable
-from kingcupwheel.entry.refusals import earlier_send
+from kingcupwheel.entry.refusals import build_claim_refusal
+from kingcupwheel.entry.refusals import build_earlier_send_refusal
 from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Outcome
@@ -43,51 +43,51 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from kingcupwheel.entry.answer_assembler import AnswerStep
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.following import Step
-    from kingcupwheel.entry.requests import CallerRequest
-    from kingcupwheel.entry.tickets import Place
+    from kingcupwheel.entry.placement_tickets import Reservation
 
 # How often a thread looks again whether another one here still follows the answer.
-_FOLLOWED_CHECK_S = 0.1
+_INBOX_POLL_INTERVAL_S = 0.1
 # How often an unanswered question to an agent is asked again over the link of then.
-_ASK_AGAIN_S = 1.0
+_QUERY_RETRY_INTERVAL_S = 1.0
 # Changes of one claim by others before this entry stops competing for it: each means
 # that another entry made progress with it.
-MAX_MOVES = 4
+MAX_CLAIM_CHANGES = 4
 
 
-class Joinable(NamedTuple):
+class EarlierRun(NamedTuple):
     """The earlier run's answer, being read; ``first`` is what came already.
 
     ``end`` is to be called once it has been read, or will not be.
     """
 
     reader: AnswerReader
-    first: Step
-    end: Callable[[], None]
+    first_step: AnswerStep
+    close: Callable[[], None]
 
 
-class Free(NamedTuple):
+class ClaimAvailable(NamedTuple):
     """The claim is this request's to run; no earlier dispatch can start any more."""
 
     held: Held
 
 
-class Final(NamedTuple):
+class ClaimRefused(NamedTuple):
     """Nothing is left to read or run."""
 
     refusal: Refusal
 
 
-class Again(NamedTuple):
+class ClaimChanged(NamedTuple):
     """Another entry changed the claim meanwhile; look at it anew."""
 
 
-Finding = Joinable | Free | Final | Again
+ClaimResolution = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
-class Claims:
+class ClaimResolver:
     """The claim of one request; belongs to one thread."""
 
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
@@ -104,29 +104,31 @@
         """Return the claim as the platform has it, None if there is none."""
         found = self._context.claims.read(self._claim_id)
         if found.is_error():
-            return claim_unreachable(found.error, claimed=True)
+            return build_claim_refusal(found.error, is_claimed=True)
         return found.ok
 
-    def take(
-        self, place: Place, attempt: int, held: Held | None
-    ) -> Held | Again | Refusal:
+    def acquire(
+        self, reservation: Reservation, attempt: int, held_claim: Held | None
+    ) -> Held | ClaimChanged | Refusal:
         """Make the claim for ``place``, or move the one held there."""
-        record = self._record_for(place, attempt, held)
-        if held is None:
+        record = self._build_record(reservation, attempt, held_claim)
+        if held_claim is None:
             written = self._context.claims.make(self._claim_id, record)
         else:
-            written = self._context.claims.move(held, record)
+            written = self._context.claims.move(held_claim, record)
         if written.is_ok():
-            self._note(written.ok, "made" if held is None else "moved")
+            self._record_claim(written.ok, "made" if held_claim is None else "moved")
             self._context.retention.remember(written.ok)
             return written.ok
         match written.error:
             case ClaimMoved():
-                return Again()
+                return ClaimChanged()
             case ClaimUnreachable() as error:
-                return claim_unreachable(error)
+                return build_claim_refusal(error)
 
-    def _record_for(self, place: Place, attempt: int, held: Held | None) -> ClaimRecord:
+    def _build_record(
+        self, reservation: Reservation, attempt: int, held: Held | None
+    ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
             organisation=request.organisation.name,
@@ -135,14 +137,14 @@
             nonce=new_nonce(),
             body_digest=request.body_digest,
             entry=self._context.settings.name,
-            agent=place.server,
-            address=place.address,
-            incarnation=place.incarnation,
+            agent=reservation.server,
+            address=reservation.address,
+            incarnation=reservation.incarnation,
             fence=1 if held is None else held.record.fence + 1,
             created_at=time.time() if held is None else held.record.created_at,
         )
 
-    def finish(self, held: Held, outcome: Outcome, reason: str) -> None:
+    def record_final_outcome(self, held: Held, outcome: Outcome, reason: str) -> None:
         """Record that nothing can change any more; a failure to write is harmless.
 
         The next reader of the claim finds the same dead agent and says the same.
@@ -152,66 +154,70 @@
         )
         self._context.claims.move(held, record)
 
-    def explore(self, held: Held) -> Finding:
+    def resolve(self, held: Held) -> ClaimResolution:
         """Find out what became of the claim held by an earlier send."""
         record = held.record
         if record.body_digest != self._request.body_digest:
-            return Final(KEY_REUSED)
+            return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
         if record.final is not None:
-            return Final(earlier_send(record.final, record.reason))
+            return ClaimRefused(build_earlier_send_refusal(record.final, record.reason))
         self._context.recorder.record(
             self._request.request_id, Joined(record.request_id)
         )
         inbox = self._open_inbox(record)
         if inbox is None:
-            return Final(EARLIER_SEND_RUNNING)
+            return ClaimRefused(EARLIER_SEND_RUNNING)
         visit = Visit(self._context.servers, record)
 
         def end() -> None:
             self._context.inboxes.close(inbox)
             visit.end()
 
-        found = self._explore_agent(held, inbox, end)
-        if not isinstance(found, Joinable):
+        found = self._resolve_at_agent(held, inbox, end)
+        if not isinstance(found, EarlierRun):
             end()
         return found
 
-    def _explore_agent(
-        self, held: Held, inbox: Inbox, end: Callable[[], None]
-    ) -> Finding:
+    def _resolve_at_agent(
+        self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
+    ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
             self._context.hub,
             self._context.recorder,
-            traced_as=self._request.request_id,
+            trace_request_id=self._request.request_id,
             server=held.record.agent,
             claim_id=held.claim_id,
-            quiet_s=self._context.settings.timings.silence_s,
+            silence_timeout_s=self._context.settings.timings.silence_s,
         )
-        step = self._ask(reader)
+        step = self._query_agent(reader)
         match step:
-            case NeverSeen(incarnation, _) if incarnation == held.record.incarnation:
+            case AttemptNeverSeen(incarnation, _) if (
+                incarnation == held.record.incarnation
+            ):
                 return self._take_over(held, inbox)
-            case NeverSeen():
-                return self._lost(held, "the agent restarted after the claim")
-            case NotStarted():
-                return Free(held)
-            case Elapsed():
-                return self._lost(held, "the agent does not answer")
+            case AttemptNeverSeen():
+                return self._finish_as_unknown(
+                    held, "the agent restarted after the claim"
+                )
+            case AttemptNotStarted():
+                return ClaimAvailable(held)
+            case WaitTimedOut():
+                return self._finish_as_unknown(held, "the agent does not answer")
             case _:
-                return Joinable(reader, step, end)
+                return EarlierRun(reader, step, end)
 
-    def _ask(self, reader: AnswerReader) -> Step | Elapsed:
+    def _query_agent(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
         # An agent that was just dialled may need a moment, and one message may be lost.
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
-            reader.resume(why="joined by a resend")
-            step = reader.next(_ASK_AGAIN_S)
-            if not isinstance(step, Elapsed):
+            reader.request_resume(reason="joined by a resend")
+            step = reader.read_step(_QUERY_RETRY_INTERVAL_S)
+            if not isinstance(step, WaitTimedOut):
                 return step
-        return Elapsed()
+        return WaitTimedOut()
 
-    def _open_inbox(self, record: ClaimRecord) -> Inbox | None:
+    def _open_inbox(self, record: ClaimRecord) -> AttemptInbox | None:
         # Another thread here may follow the same answer; the agent sends it to one
         # reader at a time, so this one waits until that one has read it.
         key = AttemptKey(record.request_id, record.attempt)
@@ -220,14 +226,14 @@
             inbox = inboxes.open(key, record.address, record.incarnation)
             if inbox is not None:
                 return inbox
-            time.sleep(_FOLLOWED_CHECK_S)
+            time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _lost(self, held: Held, reason: str) -> Finding:
-        self.finish(held, Outcome.UNKNOWN, reason)
-        return Final(earlier_send(Outcome.UNKNOWN, reason))
+    def _finish_as_unknown(self, held: Held, reason: str) -> ClaimResolution:
+        self.record_final_outcome(held, Outcome.UNKNOWN, reason)
+        return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held: Held, inbox: Inbox) -> Finding:
+    def _take_over(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
         """Make sure that the earlier dispatch can't start, then free the claim.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -245,44 +251,46 @@
         if written.is_error():
             match written.error:
                 case ClaimMoved():
-                    return Again()
+                    return ClaimChanged()
                 case ClaimUnreachable() as error:
-                    return Final(claim_unreachable(error, claimed=True))
+                    return ClaimRefused(build_claim_refusal(error, is_claimed=True))
         raised = written.ok
-        self._note(raised, "raised the fence of")
-        return self._entomb(raised, inbox)
+        self._record_claim(raised, "raised the fence of")
+        return self._write_tombstone(raised, inbox)
 
-    def _entomb(self, held: Held, inbox: Inbox) -> Finding:
+    def _write_tombstone(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
         record = held.record
         order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
-        self._context.inboxes.listen_for_claim(held.claim_id, inbox)
+        self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
         try:
-            answer = self._entombed(order, inbox, record)
+            answer = self._request_tombstone(order, inbox, record)
         finally:
-            self._context.inboxes.forget_claim(held.claim_id)
+            self._context.inboxes.unsubscribe_from_claim(held.claim_id)
         match answer:
             case TombstoneReply(accepted=True, ran=False):
-                return Free(held)
+                return ClaimAvailable(held)
             case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
-                return Again()
+                return ClaimChanged()
             case TombstoneReply():
-                return self._lost(held, "the agent restarted after the claim")
-        return self._lost(held, "the agent does not answer")
+                return self._finish_as_unknown(
+                    held, "the agent restarted after the claim"
+                )
+        return self._finish_as_unknown(held, "the agent does not answer")
 
-    def _entombed(
-        self, order: TombstoneRequest, inbox: Inbox, record: ClaimRecord
+    def _request_tombstone(
+        self, order: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
     ) -> TombstoneReply | None:
         until = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < until:
             self._context.hub.send(OutgoingLink(record.address, 0), order)
-            match inbox.get(_ASK_AGAIN_S):
+            match inbox.get(_QUERY_RETRY_INTERVAL_S):
                 case TombstoneReply() as answer:
                     return answer
                 case AgentGone():
                     return None
         return None
 
-    def _note(self, held: Held, detail: str) -> None:
+    def _record_claim(self, held: Held, detail: str) -> None:
         event = Claimed(held.claim_id, held.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -11,10 +11,10 @@
 
     from kingcupwheel.claims.retention import ClaimRetention
     from kingcupwheel.claims.store import ClaimStore
-    from kingcupwheel.entry.dispatchers import Dispatchers
-    from kingcupwheel.entry.inbox import Inboxes
-    from kingcupwheel.entry.limits import Limits
+    from kingcupwheel.entry.attempt_inboxes import InboxRegistry
+    from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.observing import Observer
+    from kingcupwheel.entry.request_limiter import RequestLimiter
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
@@ -27,9 +27,9 @@
     settings: Settings
     hub: MessageHub
     servers: ServerTable
-    inboxes: Inboxes
-    dispatchers: Dispatchers
-    limits: Limits
+    inboxes: InboxRegistry
+    dispatchers: DispatcherRegistry
+    limiter: RequestLimiter
     claims: ClaimStore
     retention: ClaimRetention
     recorder: Recorder
--- a/src/kingcupwheel/entry/dispatchers.py
+++ b/src/kingcupwheel/entry/dispatcher_registry.py
@@ -5,7 +5,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.dispatching import GroupDispatcher
+from kingcupwheel.entry.group_dispatcher import GroupDispatcher
 
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
     from kingcupwheel.manifest.schema import ServerGroup
 
 
-class Dispatchers:
+class DispatcherRegistry:
     """One dispatcher for each definition of a group.
 
     Requests admitted under an earlier manifest finish with the group as it was then; a
@@ -26,7 +26,7 @@
         self._by_group: dict[ServerGroup, GroupDispatcher] = {}
         self._lock = Lock()
 
-    def of(self, group: ServerGroup) -> GroupDispatcher:
+    def get(self, group: ServerGroup) -> GroupDispatcher:
         """Return the dispatcher for ``group`` as its request was admitted under."""
         with self._lock:
             known = self._by_group.get(group)
@@ -42,27 +42,27 @@
         idle = [
             group
             for group, dispatcher in self._by_group.items()
-            if group.name == name and dispatcher.waiting == 0
+            if group.name == name and dispatcher.waiting_count == 0
         ]
         for group in idle:
             del self._by_group[group]
 
-    def pump(self, name: str) -> None:
+    def place_waiting(self, name: str) -> None:
         """Place what can be placed in the group; called when a heartbeat came."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
-                dispatcher.pump()
+                dispatcher.place_waiting()
 
-    def restarted(self, name: str, server: str) -> None:
+    def reset_server_health(self, name: str, server: str) -> None:
         """Forget the failures of an earlier life of the group's ``server``."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
-                dispatcher.restarted(server)
+                dispatcher.reset_server_health(server)
 
     @property
-    def waiting_by_group(self) -> dict[str, int]:
+    def waiting_count_by_group(self) -> dict[str, int]:
         """How many requests wait in each group."""
         waiting: dict[str, int] = {}
         for group, dispatcher in tuple(self._by_group.items()):
-            waiting[group.name] = waiting.get(group.name, 0) + dispatcher.waiting
+            waiting[group.name] = waiting.get(group.name, 0) + dispatcher.waiting_count
         return waiting
--- a/src/kingcupwheel/entry/exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.parsing import HttpRequest
-from kingcupwheel.entry.refusals import body_of
+from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
 from kingcupwheel.utils.request_ids import new_request_id
@@ -38,10 +38,10 @@
 REQUEST_ID_HEADER = "Kingcupwheel-Request-Id"
 OUTCOME_HEADER = "Kingcupwheel-Outcome"
 # Read at a time of what is dropped.
-DISCARDED_BYTES = 65_536
+DISCARD_CHUNK_BYTES = 65_536
 
 
-class Exchange:
+class HttpExchange:
     """Reads a request and writes its response; belongs to one thread."""
 
     def __init__(
@@ -56,7 +56,7 @@
         self.received_at = monotonic()
         name = context.settings.name
         self.request_id = str(new_request_id(name, now=time.time()))
-        self.headers = headers_of(environ)
+        self.headers = extract_headers(environ)
 
     @property
     def method(self) -> str:
@@ -73,7 +73,7 @@
         """The caller's connection, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
-    def close_after(self) -> None:
+    def close_connection_after(self) -> None:
         """Close the connection after this answer."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
@@ -92,13 +92,13 @@
         """
         left = limit
         while left > 0:
-            part = self._environ["wsgi.input"].read(min(left, DISCARDED_BYTES))
+            part = self._environ["wsgi.input"].read(min(left, DISCARD_CHUNK_BYTES))
             if not part:
                 break
             left -= len(part)
-        self.close_after()
+        self.close_connection_after()
 
-    def http_request(self, body: bytes) -> HttpRequest:
+    def build_http_request(self, body: bytes) -> HttpRequest:
         """Return the request as parsing takes it."""
         host = self.headers.get("host", "").rsplit(":", 1)[0].lower()
         query = str(self._environ.get("QUERY_STRING", ""))
@@ -107,29 +107,31 @@
     def refuse(self, refusal: Refusal) -> Iterable[bytes]:
         """Answer a request that did not get as far as being run, and record why."""
         record = self._context.recorder.record
-        event = Refused(refusal.limit, refusal.message, refusal.retry_after_s)
+        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         record(self.request_id, event)
         outcome = refusal.outcome.value
-        record(self.request_id, Finished(outcome, refusal.status, 0, refusal.limit))
+        record(self.request_id, Finished(outcome, refusal.status, 0, refusal.reason))
         return self._send_refusal(refusal)
 
     def _send_refusal(self, refusal: Refusal) -> Iterable[bytes]:
-        body = msgspec.json.encode({"error": body_of(refusal, self.request_id)})
+        body = msgspec.json.encode(
+            {"error": build_refusal_body(refusal, self.request_id)}
+        )
         headers: list[tuple[str, str]] = [(OUTCOME_HEADER, refusal.outcome.value)]
         if refusal.retry_after_s > 0:
             headers.append(("Retry-After", str(max(1, round(refusal.retry_after_s)))))
-        return self.send(refusal.status, tuple(headers), body)
+        return self.send_json(refusal.status, tuple(headers), body)
 
-    def send(
+    def send_json(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> Iterable[bytes]:
         """Answer with a whole JSON body."""
         kind = ("Content-Type", "application/json")
         length = ("Content-Length", str(len(body)))
-        self._start(status, (kind, length, *headers))
+        self._send_head(status, (kind, length, *headers))
         return (body,)
 
-    def pass_on(self, answer: Answer) -> Iterable[bytes]:
+    def send_answer(self, answer: Answer) -> Iterable[bytes]:
         """Send what a request came to."""
         match answer:
             case RefusedAnswer(refusal):
@@ -137,25 +139,25 @@
             case WholeAnswer(status, headers, body, outcome):
                 length = ("Content-Length", str(len(body)))
                 told = (OUTCOME_HEADER, outcome.value)
-                self._start(status, (*headers, length, told))
+                self._send_head(status, (*headers, length, told))
                 return (body,)
             case StreamedAnswer(status, headers, stream):
-                self._start(status, headers)
-                return self._stream(stream)
+                self._send_head(status, headers)
+                return self._stream_body(stream)
 
-    def _stream(self, stream: Iterator[bytes]) -> Iterator[bytes]:
+    def _stream_body(self, stream: Iterator[bytes]) -> Iterator[bytes]:
         try:
             yield from stream
         except AnswerCutError as error:
             logger.warning("Answer cut: %s. [%s]", error, self.request_id)
             raise
 
-    def _start(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
+    def _send_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
         told = (REQUEST_ID_HEADER, self.request_id)
-        self._start_response(status_line(status), [*headers, told])
+        self._start_response(format_status_line(status), [*headers, told])
 
 
-def status_line(status: int) -> str:
+def format_status_line(status: int) -> str:
     """Return the status and its phrase as WSGI wants them."""
     try:
         phrase = HTTPStatus(status).phrase
@@ -164,7 +166,7 @@
     return f"{status} {phrase}"
 
 
-def headers_of(environ: dict[str, Any]) -> dict[str, str]:
+def extract_headers(environ: dict[str, Any]) -> dict[str, str]:
     """Return a WSGI request's headers by lower-case name."""
     headers = {
         name[5:].replace("_", "-").lower(): str(value)
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -12,17 +12,17 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.entry.refusals import BAD_KEY
+from kingcupwheel.entry.caller_requests import CallerRequest
+from kingcupwheel.entry.caller_requests import compute_fingerprint
+from kingcupwheel.entry.refusals import API_KEY_MISSING
+from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import BAD_METHOD
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import HEADERS_TOO_LARGE
-from kingcupwheel.entry.refusals import KEY_MISSING
-from kingcupwheel.entry.refusals import NO_KEY
+from kingcupwheel.entry.refusals import IDEMPOTENCY_KEY_MISSING
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.refusals import bad_request
-from kingcupwheel.entry.requests import CallerRequest
-from kingcupwheel.entry.requests import fingerprint_of
+from kingcupwheel.entry.refusals import build_bad_request_refusal
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
 from kingcupwheel.manifest.routing import RouteFound
@@ -75,10 +75,10 @@
     """Return the organisation that the bearer key belongs to."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER):
-        return Error(NO_KEY)
+        return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER) :].strip()
     organisation = in_force.organisation_of_key(key)
-    return Error(BAD_KEY) if organisation is None else Ok(organisation)
+    return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
 def check_sizes(
@@ -90,7 +90,7 @@
         return HEADERS_TOO_LARGE
     length = headers.get("content-length", "0")
     if not length.isdecimal():
-        return bad_request("Content-Length is no number.")
+        return build_bad_request_refusal("Content-Length is no number.")
     return BODY_TOO_LARGE if int(length) > body_bytes else None
 
 
@@ -126,14 +126,14 @@
             headers=_passed_on(http.headers),
             body=http.body,
             body_digest=digest,
-            fingerprint=fingerprint_of(organisation.name, http.path, digest),
+            fingerprint=compute_fingerprint(organisation.name, http.path, digest),
             prefix_key=_prefix_key(organisation.name, prompt.prefix),
             idempotency_key=http.headers.get(_KEY_HEADER, ""),
-            streamed=prompt.streamed,
+            is_streamed=prompt.streamed,
             max_tokens=prompt.max_tokens,
             received_at=now,
             deadline_s=route.deadline_s if deadline is None else deadline,
-            own_deadline=deadline is not None,
+            has_own_deadline=deadline is not None,
             manifest_version=in_force.version,
         )
     )
@@ -152,9 +152,11 @@
 def _key_problem(http: HttpRequest, found: RouteFound) -> Refusal | None:
     key = http.headers.get(_KEY_HEADER, "")
     if not key and not found.route.repeatable:
-        return KEY_MISSING
+        return IDEMPOTENCY_KEY_MISSING
     if len(key) > _MAX_IDEMPOTENCY_KEY:
-        return bad_request("Idempotency-Key is longer than 255 characters.")
+        return build_bad_request_refusal(
+            "Idempotency-Key is longer than 255 characters."
+        )
     return None
 
 
@@ -164,9 +166,13 @@
     try:
         seconds = float(text)
     except ValueError:
-        return bad_request("Kingcupwheel-Deadline is no number of seconds.")
+        return build_bad_request_refusal(
+            "Kingcupwheel-Deadline is no number of seconds."
+        )
     if not 0 < seconds < 86_400:
-        return bad_request("Kingcupwheel-Deadline is not between 0 and 86400 seconds.")
+        return build_bad_request_refusal(
+            "Kingcupwheel-Deadline is not between 0 and 86400 seconds."
+        )
     return seconds
 
 
@@ -176,9 +182,9 @@
     try:
         decoded = msgspec.json.decode(body)
     except msgspec.DecodeError:
-        return bad_request("The body is no JSON.")
+        return build_bad_request_refusal("The body is no JSON.")
     if not isinstance(decoded, dict):
-        return bad_request("The body is no JSON object.")
+        return build_bad_request_refusal("The body is no JSON object.")
     max_tokens = decoded.get("max_tokens")
     limit = max_tokens if isinstance(max_tokens, int) and max_tokens > 0 else None
     return Prompt(decoded.get("stream") is True, limit, _prefix_of(decoded))
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -21,7 +21,7 @@
     """
 
     status: int
-    limit: str
+    reason: str
     message: str
     retry_after_s: float = 0.0
     outcome: Outcome = Outcome.NOT_RUN
@@ -37,10 +37,10 @@
     retry_after_s: float
 
 
-def body_of(refusal: Refusal, request_id: str) -> RefusalBody:
+def build_refusal_body(refusal: Refusal, request_id: str) -> RefusalBody:
     """Return what the caller reads."""
     return RefusalBody(
-        reason=refusal.limit,
+        reason=refusal.reason,
         message=refusal.message,
         outcome=refusal.outcome.value,
         request_id=request_id,
@@ -48,31 +48,33 @@
     )
 
 
-def bad_request(message: str) -> Refusal:
+def build_bad_request_refusal(message: str) -> Refusal:
     """Return a refusal of a malformed request."""
     return Refusal(400, "bad-request", message)
 
 
-NO_KEY = Refusal(401, "no-key", "A bearer key is needed.")
-BAD_KEY = Refusal(401, "bad-key", "The key belongs to no organisation.")
+API_KEY_MISSING = Refusal(401, "no-key", "A bearer key is needed.")
+API_KEY_UNKNOWN = Refusal(401, "bad-key", "The key belongs to no organisation.")
 NO_ROUTE = Refusal(404, "no-route", "No route has this host and path.")
 BAD_METHOD = Refusal(405, "bad-method", "The route does not take this method.")
 BODY_TOO_LARGE = Refusal(413, "body-too-large", "The body is over the entry's limit.")
 HEADERS_TOO_LARGE = Refusal(
     431, "headers-too-large", "The headers are over the entry's limit."
 )
-KEY_REUSED = Refusal(
+IDEMPOTENCY_KEY_REUSED = Refusal(
     422, "idempotency-key-reused", "The Idempotency-Key was used with another body."
 )
-KEY_MISSING = Refusal(
+IDEMPOTENCY_KEY_MISSING = Refusal(
     400,
     "idempotency-key-missing",
     "This route runs requests at most once and needs an Idempotency-Key.",
 )
 NO_MANIFEST = Refusal(503, "no-manifest", "No configuration is in force yet.", 2.0)
-BUSY = Refusal(503, "entry-busy", "The entry answers as many requests as it may.", 1.0)
+ENTRY_BUSY = Refusal(
+    503, "entry-busy", "The entry answers as many requests as it may.", 1.0
+)
 CALLER_LEFT = Refusal(499, "caller-left", "The caller left before it was placed.")
-LEAVING = Refusal(503, "entry-leaving", "The entry stops; use another one.", 1.0)
+ENTRY_LEAVING = Refusal(503, "entry-leaving", "The entry stops; use another one.", 1.0)
 EARLIER_SEND_RUNNING = Refusal(
     409,
     "earlier-send-running",
@@ -82,13 +84,15 @@
 )
 
 
-def earlier_send(outcome: Outcome, reason: str) -> Refusal:
+def build_earlier_send_refusal(outcome: Outcome, reason: str) -> Refusal:
     """Return what a resend is told of an earlier send without an answer to read."""
     message = f"An earlier send of this Idempotency-Key ended: {reason}."
     return Refusal(409, "earlier-send", message, outcome=outcome)
 
 
-def claim_unreachable(error: ClaimUnreachable, *, claimed: bool = False) -> Refusal:
+def build_claim_refusal(
+    error: ClaimUnreachable, *, is_claimed: bool = False
+) -> Refusal:
     """Return the refusal of a request whose claim can't be made or settled.
 
     ``claimed`` tells that an earlier send made a claim: it may have run, and a caller
@@ -98,5 +102,5 @@
         "The request may run at most once, and the platform can't record it now: "
         f"{error.detail}."
     )
-    outcome = Outcome.UNKNOWN if claimed else Outcome.NOT_RUN
+    outcome = Outcome.UNKNOWN if is_claimed else Outcome.NOT_RUN
     return Refusal(503, "claim-unavailable", message, error.retry_after_s, outcome)
--- a/src/kingcupwheel/entry/limits.py
+++ b/src/kingcupwheel/entry/request_limiter.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.entry.requests import CallerRequest
+    from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.manifest.schema import Organisation
 
 # How long a caller that found no place is asked to stay away: about two heartbeats, in
@@ -30,13 +30,13 @@
 _RETRY_AFTER_S = 2.0
 
 
-class Clean(NamedTuple):
+class NotQuarantined(NamedTuple):
     """The request may go on; ``suspect`` ones run where no other suspect runs."""
 
-    suspect: bool
+    is_suspect: bool
 
 
-class Limits:
+class RequestLimiter:
     """The decisions that belong to no group's queue; safe from any thread.
 
     ``share_of`` returns this entry's part of an organisation's allowance, 0 to 1.
@@ -47,11 +47,11 @@
         self._admission = AdmissionController()
         self._predictor = WorkPredictor()
         self._suspects = CrashSuspects()
-        self._budgets_by_group: dict[str, RetryBudget] = {}
-        self._configured: dict[str, tuple[Organisation, float]] = {}
+        self._retry_budget_by_group: dict[str, RetryBudget] = {}
+        self._configured_by_name: dict[str, tuple[Organisation, float]] = {}
         self._lock = Lock()
 
-    def verdict(self, request: CallerRequest) -> Clean | Refusal:
+    def check_quarantine(self, request: CallerRequest) -> NotQuarantined | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
             verdict = self._suspects.get_status(request.fingerprint, monotonic())
@@ -63,8 +63,8 @@
                 )
                 return Refusal(422, "quarantined", message, for_s)
             case Suspect():
-                return Clean(suspect=True)
-        return Clean(suspect=False)
+                return NotQuarantined(is_suspect=True)
+        return NotQuarantined(is_suspect=False)
 
     def admit(self, request: CallerRequest) -> float | Refusal:
         """Return the predicted work in tokens, or a refusal."""
@@ -82,53 +82,58 @@
             if isinstance(decision, LimitRefusal):
                 message = f"The organisation's allowance is used up: {decision.detail}"
                 return Refusal(429, decision.limit, message, decision.retry_after_s)
-            self._budget(request.group.name).record_first_attempt(now)
+            self._get_retry_budget(request.group.name).record_first_attempt(now)
         return work
 
     def _configure(self, organisation: Organisation) -> None:
-        known = self._configured.get(organisation.name)
+        known = self._configured_by_name.get(organisation.name)
         if known is None or known[0] is not organisation:
             share = self._share_of(organisation)
-            self._configured[organisation.name] = (organisation, share)
+            self._configured_by_name[organisation.name] = (organisation, share)
             self._admission.configure(organisation.name, organisation.allowance, share)
 
-    def know(self, organisation: Organisation) -> None:
+    def register_organisation(self, organisation: Organisation) -> None:
         """Take part in the organisation's allowance without a request of its own."""
         with self._lock:
-            if organisation.name not in self._configured:
+            if organisation.name not in self._configured_by_name:
                 self._configure(organisation)
 
     def set_share(self, organisation: Organisation, share: float) -> None:
         """Use this part (0 to 1) of the organisation's allowance from now on."""
         with self._lock:
-            known = self._configured.get(organisation.name)
+            known = self._configured_by_name.get(organisation.name)
             if known is not None and known[1] != share:
-                self._configured[organisation.name] = (known[0], share)
+                self._configured_by_name[organisation.name] = (known[0], share)
                 allowance = known[0].allowance
                 self._admission.configure(organisation.name, allowance, share)
 
-    def demands(self, now: float) -> list[tuple[Organisation, float]]:
+    def list_demands(self, now: float) -> list[tuple[Organisation, float]]:
         """Return the organisations seen here and their demand on the allowance."""
         with self._lock:
             return [
                 (organisation, self._admission.get_demand(name, now))
-                for name, (organisation, _) in self._configured.items()
+                for name, (organisation, _) in self._configured_by_name.items()
             ]
 
-    def forget(self, organisation: Organisation) -> None:
+    def remove_organisation(self, organisation: Organisation) -> None:
         """Drop an organisation that has not been seen for a while."""
         with self._lock:
-            self._configured.pop(organisation.name, None)
+            self._configured_by_name.pop(organisation.name, None)
             self._admission.remove_organisation(organisation.name)
 
-    def not_run(self, request: CallerRequest, predicted: float) -> None:
+    def settle_not_run(self, request: CallerRequest, predicted_work: float) -> None:
         """Settle an admitted request that took no work of a server."""
         name = request.organisation.name
         with self._lock:
-            self._admission.settle(name, predicted, 0.0, monotonic())
-
-    def ran(
-        self, request: CallerRequest, predicted: float, tokens: int, *, whole: bool
+            self._admission.settle(name, predicted_work, 0.0, monotonic())
+
+    def settle_run(
+        self,
+        request: CallerRequest,
+        predicted_work: float,
+        tokens: int,
+        *,
+        is_whole: bool,
     ) -> None:
         """Settle an admitted request whose answer took about ``tokens`` tokens.
 
@@ -137,24 +142,24 @@
         name = request.organisation.name
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
         with self._lock:
-            self._admission.settle(name, predicted, prompt + tokens, monotonic())
-            if whole:
+            self._admission.settle(name, predicted_work, prompt + tokens, monotonic())
+            if is_whole:
                 self._predictor.record_answer(name, request.route.path, prompt, tokens)
                 self._suspects.clear(request.fingerprint)
 
-    def may_retry(self, request: CallerRequest) -> bool:
+    def try_acquire_retry(self, request: CallerRequest) -> bool:
         """Return whether the group's retry budget allows one more attempt."""
         with self._lock:
-            return self._budget(request.group.name).try_acquire(monotonic())
+            return self._get_retry_budget(request.group.name).try_acquire(monotonic())
 
-    def _budget(self, group: str) -> RetryBudget:
-        return self._budgets_by_group.setdefault(group, RetryBudget())
+    def _get_retry_budget(self, group: str) -> RetryBudget:
+        return self._retry_budget_by_group.setdefault(group, RetryBudget())
 
-    def retry_after(self, request: CallerRequest) -> float:
+    def get_retry_after_s(self, request: CallerRequest) -> float:
         """Return seconds to stay away, spread by request."""
         return _RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
 
-    def heard(self, crashed: tuple[tuple[str, int], ...]) -> None:
+    def record_crashes(self, crashed: tuple[tuple[str, int], ...]) -> None:
         """Take in what ran when servers died, as an agent or a peer tells it."""
         with self._lock:
             now = monotonic()
@@ -162,7 +167,7 @@
                 self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
-    def crashed(self) -> tuple[tuple[str, int], ...]:
+    def recent_crashes(self) -> tuple[tuple[str, int], ...]:
         """Fingerprints and the deaths held against them, to tell peers."""
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -1,4 +1,4 @@
-"""Waits for a place on a server, in the queue that all ways to servers share."""
+"""Waits for a place on a server in the shared dispatch queue."""
 
 from __future__ import annotations
 
@@ -6,33 +6,37 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.candidates import PlacementRequest
+from kingcupwheel.entry.placement_tickets import PlacementTicket
+from kingcupwheel.entry.placement_tickets import Reservation
+from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.refusals import CALLER_LEFT
-from kingcupwheel.entry.refusals import LEAVING
+from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import Refusal
-from kingcupwheel.entry.tickets import Place
-from kingcupwheel.entry.tickets import Ticket
-from kingcupwheel.entry.tickets import Wanted
 from kingcupwheel.forwarding.final_refusals import retry_after_s
 from kingcupwheel.forwarding.requests import LOWEST_PRIORITY
 from kingcupwheel.forwarding.watchdog import AbortReason
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.dispatching import GroupDispatcher
+    from kingcupwheel.entry.group_dispatcher import GroupDispatcher
     from kingcupwheel.forwarding.requests import ForwardRequest
     from kingcupwheel.forwarding.watchdog import WatchedRequest
 
-# How often a thread that waits for a place looks whether the wait is over.
+# Interval at which a waiting thread checks whether its request is over.
 _POLL_INTERVAL_S = 0.05
-# A server of another data centre counts as so much fuller, one and a half requests of
-# six: every byte between data centres has its price, and the ranks of a group run each
-# pass together, so that one with a request less is no faster. It took three tenths off
-# the bytes between data centres of a calm day, with the same times to first events.
+# Load added to servers of other data centres, as a fraction of their capacity: one and
+# a half requests of six. Traffic between data centres has a cost, and since the ranks
+# of a group run each pass together, a less loaded rank is no faster. This saves three
+# tenths of the traffic between data centres at the same time to first event.
 REMOTE_LOAD_PENALTY = 0.25
 
 
 class PlacementConstraints(NamedTuple):
-    """What bears on the choice: servers tried, suspicion, and where this entry is."""
+    """Constraints on the choice of a server.
+
+    ``tried_servers`` are not used again. ``is_suspect`` tells that a server may have
+    crashed because of the request. ``data_centre`` is the one of this entry.
+    """
 
     tried_servers: frozenset[str]
     is_suspect: bool
@@ -40,7 +44,7 @@
 
 
 class NoPlace(NamedTuple):
-    """No place was found in time."""
+    """No place was found in time; ``limit`` names the limit that was reached."""
 
     limit: str
     reason: str
@@ -52,8 +56,8 @@
     request: ForwardRequest,
     watched: WatchedRequest,
     constraints: PlacementConstraints,
-) -> Place | NoPlace | Refusal:
-    """Return a place, what hindered one, or the refusal if the caller has left."""
+) -> Reservation | NoPlace | Refusal:
+    """Return a place, the reason for none, or the refusal if the caller has left."""
     placement_request = PlacementRequest(
         work=request.predicted_work,
         excluded_servers=constraints.tried_servers,
@@ -64,34 +68,34 @@
         prefers_local=True,
     )
     ticket = dispatcher.submit(_ticket_request(request), placement_request)
-    if not isinstance(ticket, Ticket):
+    if not isinstance(ticket, PlacementTicket):
         return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
         place = ticket.wait(_POLL_INTERVAL_S)
-        if isinstance(place, Place):
+        if isinstance(place, Reservation):
             if not watched.is_over:
                 return place
             dispatcher.release(place)
         elif place is not None:
-            after_s = retry_after_s(request.id, place.rest_s)
-            return NoPlace(place.limit, place.why, after_s)
+            after_s = retry_after_s(request.id, place.backoff_left_s)
+            return NoPlace(place.reason, place.detail, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
             if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 reason = AbortReason.SHUTDOWN.value
-                return NoPlace(LEAVING.limit, reason, retry_after_s(request.id))
+                return NoPlace(ENTRY_LEAVING.reason, reason, retry_after_s(request.id))
             return NoPlace("time-up", "no place", retry_after_s(request.id))
-        dispatcher.pump()
+        dispatcher.place_waiting()
 
 
-def _ticket_request(request: ForwardRequest) -> Wanted:
-    return Wanted(
+def _ticket_request(request: ForwardRequest) -> SubmittedRequest:
+    return SubmittedRequest(
         request_id=request.id,
         organisation=request.organisation,
         priority=max(0, LOWEST_PRIORITY - request.priority),
         work=request.predicted_work,
-        size=request.head.prompt_tokens,
-        first_by=request.deadlines.first_byte_deadline,
+        size_bytes=request.head.prompt_tokens,
+        first_byte_deadline_at=request.deadlines.first_byte_deadline,
     )
