--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -152,7 +152,7 @@
             case LoadsRequest():
                 self._load_aggregator.subscribe(link, message, monotonic())
             case AgentHeartbeat():
-                self._load_aggregator.handle_beat(link, message, monotonic())
+                self._load_aggregator.handle_heartbeat(link, message, monotonic())
             case Hello():
                 with self._lock:
                     self._hello_at_by_entry[link] = monotonic()
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -65,7 +65,7 @@
             subscription.interval_s = message.every_s
             subscription.renewed_at = now
 
-    def handle_beat(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
+    def handle_heartbeat(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
         """Store the load from a member's heartbeat."""
         if not isinstance(link, OutgoingLink):
             return
