--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -200,7 +200,7 @@
             return
         state = result.ok
         load = BackendLoad(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
-        beat = AgentHeartbeat(
+        heartbeat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
             data_centre="",
@@ -214,7 +214,7 @@
             born_ms=state.born_ms,
         )
         for link in links:
-            self._hub.send(link, beat)
+            self._hub.send(link, heartbeat)
 
     def _find_servers(self) -> Mapping[str, PairedServer]:
         """Return the servers of this service by the address of their agent.
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -65,18 +65,20 @@
             subscription.interval_s = message.every_s
             subscription.renewed_at = now
 
-    def handle_heartbeat(self, link: Link, beat: AgentHeartbeat, now: float) -> None:
+    def handle_heartbeat(
+        self, link: Link, heartbeat: AgentHeartbeat, now: float
+    ) -> None:
         """Store the load from a member's heartbeat."""
         if not isinstance(link, OutgoingLink):
             return
-        load = beat.load
+        load = heartbeat.load
         server_load = ReportedServerLoad(
-            beat.name,
+            heartbeat.name,
             load.running,
             load.queued,
             load.pace,
-            beat.server_up,
-            beat.born_ms,
+            heartbeat.server_up,
+            heartbeat.born_ms,
         )
         with self._lock:
             self._loads_by_member[link.address] = _MemberLoad(server_load, now)
--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -53,10 +53,14 @@
     copies_per_rank: int
 
 
-def plan_limits(places: int, spare: int, copy_s: float) -> PlanLimits:
+def plan_limits(
+    slots_per_rank: int, new_experts_per_layer: int, copy_s: float
+) -> PlanLimits:
     """Return the limits of a round; ``copy_s`` is the duration of one copy."""
     return PlanLimits(
-        places, spare, max(1, int(ROUND_COPY_BUDGET_S / copy_s) if copy_s else spare)
+        slots_per_rank,
+        new_experts_per_layer,
+        max(1, int(ROUND_COPY_BUDGET_S / copy_s) if copy_s else new_experts_per_layer),
     )
 
 
@@ -101,10 +105,10 @@
         _LayerEditor(placement, load, limits, copies_left, paces or (1.0,) * ranks)
         for placement, load in zip(layers, shares, strict=True)
     ]
-    before = sum(editor.max_load for editor in editors)
-    mean = sum(editor.mean_load for editor in editors)
+    max_load_before = sum(editor.max_load for editor in editors)
+    mean_load = sum(editor.mean_load for editor in editors)
     open_editors = list(editors)
-    tolerance = skew_tolerance(before / mean)
+    tolerance = skew_tolerance(max_load_before / mean_load)
     while open_editors:
         worst = max(open_editors, key=lambda editor: editor.max_load - editor.mean_load)
         if not worst.improve(tolerance):
@@ -112,9 +116,11 @@
     copies = sum(editor.copies for editor in editors)
     if not copies:
         return None
-    after = sum(editor.max_load for editor in editors)
-    found = tuple(editor.placement for editor in editors)
-    return PlacementPlan(found, copies, before / mean, after / mean)
+    max_load_after = sum(editor.max_load for editor in editors)
+    placements = tuple(editor.placement for editor in editors)
+    return PlacementPlan(
+        placements, copies, max_load_before / mean_load, max_load_after / mean_load
+    )
 
 
 class _LayerEditor:
@@ -189,13 +195,17 @@
         """
         found: list[_PlacementChange] = []
         held = self._experts_by_rank[cool]
-        has_place = len(held) < self._slots_per_rank
-        most_off = (self._load_by_rank[hot] - limit) / self._pace_by_rank[hot]
+        has_free_slot = len(held) < self._slots_per_rank
+        load_reduction = (self._load_by_rank[hot] - limit) / self._pace_by_rank[hot]
         for expert in self._experts_by_rank[hot]:
             share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
-            if share <= most_off or expert in held or not self._may_copy(cool, expert):
+            if (
+                share <= load_reduction
+                or expert in held
+                or not self._may_copy(cool, expert)
+            ):
                 continue
-            if has_place:
+            if has_free_slot:
                 found.append(self._evaluate_replica(hot, cool, expert, None))
                 found.append(self._evaluate_move(hot, cool, expert))
             for other in held:
