--- a/src/kingcupwheel/lockstep/placement_planner.py
+++ b/src/kingcupwheel/lockstep/placement_planner.py
@@ -169,122 +169,137 @@
         order = sorted(
             range(len(self._load_by_rank)), key=self._load_by_rank.__getitem__
         )
-        hot = order[-1]
-        enough = self._load_by_rank[hot] <= self.mean_load * (1 + skew_tolerance)
-        if enough or not self._changes_left:
+        source = order[-1]
+        is_balanced = self._load_by_rank[source] <= self.mean_load * (
+            1 + skew_tolerance
+        )
+        if is_balanced or not self._changes_left:
             return False
-        limit = self._load_by_rank[hot] - MIN_CHANGE_GAIN * self.mean_load
+        limit = self._load_by_rank[source] - MIN_CHANGE_GAIN * self.mean_load
         best: _PlacementChange | None = None
-        for cool in order[:_MAX_TARGET_RANKS]:
-            for change in self._candidate_changes(hot, cool, limit):
+        for target in order[:_MAX_TARGET_RANKS]:
+            for change in self._candidate_changes(source, target, limit):
                 if change.max_load < limit:
                     best = change
                     limit = change.max_load
         if best is None:
             return False
-        self._apply(hot, best)
+        self._apply(source, best)
         return True
 
     def _candidate_changes(
-        self, hot: int, cool: int, limit: float
+        self, source: int, target: int, limit: float
     ) -> list[_PlacementChange]:
-        """Return the changes that give ``cool`` an expert of ``hot``.
+        """Return the changes that give ``target`` an expert of ``source``.
 
-        Those whose two ranks alone show that they leave one above ``limit`` are left
-        out: they are nine in ten, and weighing them took most of a plan's time.
+        Skips changes that leave one of these two ranks above ``limit``: they are nine
+        in ten, and evaluating them would take most of the planning time.
         """
         found: list[_PlacementChange] = []
-        held = self._experts_by_rank[cool]
+        held = self._experts_by_rank[target]
         has_free_slot = len(held) < self._slots_per_rank
-        load_reduction = (self._load_by_rank[hot] - limit) / self._pace_by_rank[hot]
-        for expert in self._experts_by_rank[hot]:
+        load_reduction = (self._load_by_rank[source] - limit) / self._pace_by_rank[
+            source
+        ]
+        for expert in self._experts_by_rank[source]:
             share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
             if (
                 share <= load_reduction
                 or expert in held
-                or not self._may_copy(cool, expert)
+                or not self._can_copy(target, expert)
             ):
                 continue
             if has_free_slot:
-                found.append(self._evaluate_replica(hot, cool, expert, None))
-                found.append(self._evaluate_move(hot, cool, expert))
+                found.append(self._evaluate_replica(source, target, expert, None))
+                found.append(self._evaluate_move(source, target, expert))
             for other in held:
                 if len(self._ranks_by_expert[other]) > 1:
-                    found.append(self._evaluate_replica(hot, cool, expert, other))
-                elif other not in self._experts_by_rank[hot] and self._may_copy(
-                    hot, other
+                    found.append(self._evaluate_replica(source, target, expert, other))
+                elif other not in self._experts_by_rank[source] and self._can_copy(
+                    source, other
                 ):
-                    found.append(self._evaluate_swap(hot, cool, expert, other))
+                    found.append(self._evaluate_swap(source, target, expert, other))
         return found
 
-    def _may_copy(self, rank: int, expert: int) -> bool:
+    def _can_copy(self, rank: int, expert: int) -> bool:
         # The rank still has the weights of its initial experts.
         if expert in self._initial_experts_by_rank[rank]:
             return True
         return self._new_left_by_rank[rank] > 0 and self._copies_left_by_rank[rank] > 0
 
     def _evaluate_replica(
-        self, hot: int, cool: int, expert: int, evicted: int | None
+        self, source: int, target: int, expert: int, evicted: int | None
     ) -> _PlacementChange:
-        """Evaluate another replica of ``expert`` on ``cool``."""
+        """Evaluate another replica of ``expert`` on ``target``."""
         count = len(self._ranks_by_expert[expert])
         share = self._load_by_expert[expert] / count
-        smaller = self._load_by_expert[expert] / (count + 1)
-        hot_after = (
-            self._load_by_rank[hot] - (share - smaller) * self._pace_by_rank[hot]
+        new_share = self._load_by_expert[expert] / (count + 1)
+        source_load = (
+            self._load_by_rank[source]
+            - (share - new_share) * self._pace_by_rank[source]
+        )
+        target_load = (
+            self._load_by_rank[target] + new_share * self._pace_by_rank[target]
         )
-        cool_after = self._load_by_rank[cool] + smaller * self._pace_by_rank[cool]
-        most = hot_after
+        max_load = source_load
         if evicted is not None:
             count = len(self._ranks_by_expert[evicted])
-            cool_after -= (
-                self._load_by_expert[evicted] / count * self._pace_by_rank[cool]
+            target_load -= (
+                self._load_by_expert[evicted] / count * self._pace_by_rank[target]
             )
-            more = self._load_by_expert[evicted] * (1 / (count - 1) - 1 / count)
+            added_load = self._load_by_expert[evicted] * (1 / (count - 1) - 1 / count)
             for rank in self._ranks_by_expert[evicted]:
-                if rank == hot:
-                    most = max(most, hot_after + more * self._pace_by_rank[hot])
-                elif rank != cool:
-                    most = max(
-                        most, self._load_by_rank[rank] + more * self._pace_by_rank[rank]
+                if rank == source:
+                    max_load = max(
+                        max_load, source_load + added_load * self._pace_by_rank[source]
+                    )
+                elif rank != target:
+                    max_load = max(
+                        max_load,
+                        self._load_by_rank[rank]
+                        + added_load * self._pace_by_rank[rank],
                     )
         return _PlacementChange(
-            max(most, cool_after), expert, cool, evicted, is_move=False
+            max(max_load, target_load), expert, target, evicted, is_move=False
         )
 
-    def _evaluate_move(self, hot: int, cool: int, expert: int) -> _PlacementChange:
-        """Evaluate a move of ``expert`` to ``cool``, which may empty a slow rank."""
+    def _evaluate_move(self, source: int, target: int, expert: int) -> _PlacementChange:
+        """Evaluate a move of ``expert`` to ``target``, which may empty a slow rank."""
         share = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
-        slowest = max(
-            self._load_by_rank[hot] - share * self._pace_by_rank[hot],
-            self._load_by_rank[cool] + share * self._pace_by_rank[cool],
+        max_load = max(
+            self._load_by_rank[source] - share * self._pace_by_rank[source],
+            self._load_by_rank[target] + share * self._pace_by_rank[target],
         )
-        return _PlacementChange(slowest, expert, cool, None, is_move=True)
+        return _PlacementChange(max_load, expert, target, None, is_move=True)
 
     def _evaluate_swap(
-        self, hot: int, cool: int, expert: int, other: int
+        self, source: int, target: int, expert: int, other: int
     ) -> _PlacementChange:
         """Evaluate a swap of ``expert`` for ``other``."""
-        given = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
-        taken = self._load_by_expert[other]
-        slowest = max(
-            self._load_by_rank[hot] + (taken - given) * self._pace_by_rank[hot],
-            self._load_by_rank[cool] + (given - taken) * self._pace_by_rank[cool],
+        given_load = self._load_by_expert[expert] / len(self._ranks_by_expert[expert])
+        taken_load = self._load_by_expert[other]
+        max_load = max(
+            self._load_by_rank[source]
+            + (taken_load - given_load) * self._pace_by_rank[source],
+            self._load_by_rank[target]
+            + (given_load - taken_load) * self._pace_by_rank[target],
         )
-        return _PlacementChange(slowest, expert, cool, other, is_move=True)
+        return _PlacementChange(max_load, expert, target, other, is_move=True)
 
-    def _apply(self, hot: int, change: _PlacementChange) -> None:
+    def _apply(self, source: int, change: _PlacementChange) -> None:
         self._changes_left -= 1
-        touched = {hot, change.target_rank} | self._ranks_by_expert[change.expert]
+        changed_ranks = {source, change.target_rank} | self._ranks_by_expert[
+            change.expert
+        ]
         if change.evicted_expert is not None:
-            touched |= self._ranks_by_expert[change.evicted_expert]
+            changed_ranks |= self._ranks_by_expert[change.evicted_expert]
             self._remove_expert(change.target_rank, change.evicted_expert)
         self._add_expert(change.target_rank, change.expert)
         if change.is_move:
-            self._remove_expert(hot, change.expert)
+            self._remove_expert(source, change.expert)
             if change.evicted_expert is not None:
-                self._add_expert(hot, change.evicted_expert)
-        for rank in touched:
+                self._add_expert(source, change.evicted_expert)
+        for rank in changed_ranks:
             self._load_by_rank[rank] = self._compute_rank_load(rank)
 
     def _remove_expert(self, rank: int, expert: int) -> None:
