--- a/src/kingcupwheel/lockstep/__init__.py
+++ b/src/kingcupwheel/lockstep/__init__.py
@@ -1,6 +1,6 @@
 """Expert map changes of engine groups whose ranks run every pass in lock-step.
 
-The agent beside rank 0 coordinates the changes of its group. The other agents execute
+The agent of rank 0 coordinates the changes of its group. The other agents execute
 its orders at their local backend server and return what that server reports.
 """
 
--- a/src/kingcupwheel/lockstep/change_protocol.py
+++ b/src/kingcupwheel/lockstep/change_protocol.py
@@ -8,7 +8,7 @@
 A rank holds a pass before any rank is armed for it, so no pass begins on two maps while
 only some ranks are armed. The hold is released only when every rank is armed with one
 version, or when every rank has prepared a higher version, which invalidates each older
-arm order even if it arrives later. Only the agent beside rank 0 begins changes, and
+arm order even if it arrives later. Only the agent of rank 0 begins changes, and
 each order carries the epoch, so orders of a coordinator of an earlier epoch are void.
 
 If the machine of rank 0 freezes right after it ordered a hold, the whole group would
--- a/src/kingcupwheel/lockstep/coordination_session.py
+++ b/src/kingcupwheel/lockstep/coordination_session.py
@@ -26,7 +26,7 @@
 class CoordinationSession:
     """Coordination of one epoch of a group by one agent, until it is closed.
 
-    ``layers`` is the active map. ``is_rescue`` marks an agent beside another rank than
+    ``layers`` is the active map. ``is_rescue`` marks the agent of another rank than
     0, which only ends the change that it found. Not thread-safe.
     """
 
--- a/src/kingcupwheel/lockstep/coordinator.py
+++ b/src/kingcupwheel/lockstep/coordinator.py
@@ -1,7 +1,7 @@
 """Balances the load of a group's ranks by changing the expert map in rounds.
 
-A coordinator runs in every agent, but only the one beside rank 0 plans changes. It
-needs no lease: a group has one rank 0 per epoch, with one agent beside it, so an epoch
+A coordinator runs in every agent, but only that of rank 0 plans changes. It
+needs no lease: a group has one rank 0 per epoch, with one agent, so an epoch
 can't have two coordinators. Orders left by a former process are handled when this one
 finds a held pass. See ``takeover`` for when agents of other ranks act.
 """
--- a/src/kingcupwheel/lockstep/takeover.py
+++ b/src/kingcupwheel/lockstep/takeover.py
@@ -1,6 +1,6 @@
 """Decides whether an agent takes over the coordination of its group.
 
-The agent beside rank 0 does so whenever it has no session.
+The agent of rank 0 does so whenever it has no session.
 
 If that agent is frozen or killed between a hold and its release, the whole group would
 stop until it is back. The agents of two other ranks then end the change, and do nothing
