--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -169,13 +169,13 @@
             return ClaimRefused(EARLIER_SEND_RUNNING)
         visit = Visit(self._context.servers, record)
 
-        def end() -> None:
+        def close() -> None:
             self._context.inboxes.close(inbox)
             visit.end()
 
-        found = self._resolve_at_agent(held, inbox, end)
+        found = self._resolve_at_agent(held, inbox, close)
         if not isinstance(found, EarlierRun):
-            end()
+            close()
         return found
 
     def _resolve_at_agent(
