--- a/src/kingcupwheel/entry/allowance_balancer.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -83,33 +83,35 @@
             self._used_at_by_organisation[organisation.name] = now
         return share.usable_fraction(max(1, len(members)))
 
-    def _get_share(self, organisation: str, members: int) -> Share:
+    def _get_share(self, organisation: str, member_count: int) -> Share:
         known = self._share_by_organisation.get(organisation)
         if known is None:
-            known = Share(held=1.0 / max(1, members))
+            known = Share(held=1.0 / max(1, member_count))
             self._share_by_organisation[organisation] = known
         return known
 
-    def handle_heartbeat(self, beat: ShareHeartbeat, now: float) -> None:
+    def handle_heartbeat(self, heartbeat: ShareHeartbeat, now: float) -> None:
         """Take in what another entry tells; called on the hub's thread.
 
         An organisation not in use here takes part as well: its share is lent only by
         telling how little is wanted.
         """
-        for told in beat.shares:
-            organisation = self._find_organisation(told.organisation)
-            if organisation is not None and told.demand > _MIN_DEMAND:
+        for report in heartbeat.shares:
+            organisation = self._find_organisation(report.organisation)
+            if organisation is not None and report.demand > _MIN_DEMAND:
                 self._limiter.register_organisation(organisation)
         with self._lock:
-            peer = self._peer_by_name.setdefault(beat.name, _PeerState(now))
-            peer.last_sent_at = beat.sent_at
-            if beat.echo >= 0:
-                peer.last_echo_at = max(peer.last_echo_at, beat.echo)
-            peer.report_by_organisation = {one.organisation: one for one in beat.shares}
+            peer = self._peer_by_name.setdefault(heartbeat.name, _PeerState(now))
+            peer.last_sent_at = heartbeat.sent_at
+            if heartbeat.echo >= 0:
+                peer.last_echo_at = max(peer.last_echo_at, heartbeat.echo)
+            peer.report_by_organisation = {
+                one.organisation: one for one in heartbeat.shares
+            }
 
     def update_shares(self, now: float) -> None:
         """Work out every share anew and tell the others; about every heartbeat."""
-        told_by_peer: dict[str, list[ShareReport]] = {}
+        reports_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limiter.list_demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
@@ -117,15 +119,15 @@
                 continue
             if self._reset_if_unshared(organisation, demand, members):
                 continue
-            told = self._update_share(organisation, demand, members, now)
+            report = self._update_share(organisation, demand, members, now)
             for member in members:
                 if member != self._name:
-                    told_by_peer.setdefault(member, []).append(told)
+                    reports_by_peer.setdefault(member, []).append(report)
         # Those told before get one more message that names nothing, so that they don't
         # go on counting on what was true then.
-        for peer in self._reported_peers | told_by_peer.keys():
-            self._send_heartbeat(peer, tuple(told_by_peer.get(peer, ())), now)
-        self._reported_peers = frozenset(told_by_peer)
+        for peer in self._reported_peers | reports_by_peer.keys():
+            self._send_heartbeat(peer, tuple(reports_by_peer.get(peer, ())), now)
+        self._reported_peers = frozenset(reports_by_peer)
 
     def _reset_if_unshared(
         self, organisation: Organisation, demand: float, members: tuple[str, ...]
@@ -136,27 +138,32 @@
         the allowance for a heartbeat, while neither needs half of what it holds.
         """
         name = organisation.name
-        equal = 1.0 / max(1, len(members))
-        if demand >= _MIN_SHARED_DEMAND_FRACTION * equal or self._name not in members:
+        equal_share = 1.0 / max(1, len(members))
+        if (
+            demand >= _MIN_SHARED_DEMAND_FRACTION * equal_share
+            or self._name not in members
+        ):
             return False
-        if self._has_peer_demand(name, equal):
+        if self._has_peer_demand(name, equal_share):
             return False
         with self._lock:
-            before = self._get_share(name, len(members))
-            share = before._replace(held=equal, wants_more_since=None)
+            previous = self._get_share(name, len(members))
+            share = previous._replace(held=equal_share, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
         )
         return True
 
-    def _has_peer_demand(self, organisation: str, equal: float) -> bool:
-        told = self._list_peer_reports(organisation)
-        return any(one.demand >= _MIN_SHARED_DEMAND_FRACTION * equal for one in told)
+    def _has_peer_demand(self, organisation: str, equal_share: float) -> bool:
+        reports = self._list_peer_reports(organisation)
+        return any(
+            one.demand >= _MIN_SHARED_DEMAND_FRACTION * equal_share for one in reports
+        )
 
     def _is_idle(self, organisation: str, demand: float, now: float) -> bool:
-        told = self._list_peer_reports(organisation)
-        if demand > _MIN_DEMAND or any(one.demand > _MIN_DEMAND for one in told):
+        reports = self._list_peer_reports(organisation)
+        if demand > _MIN_DEMAND or any(one.demand > _MIN_DEMAND for one in reports):
             self._used_at_by_organisation[organisation] = now
         return (
             now - self._used_at_by_organisation.get(organisation, now) > _IDLE_TIMEOUT_S
@@ -165,11 +172,11 @@
     def _list_peer_reports(self, organisation: str) -> list[ShareReport]:
         """Return what the other entries told last of the organisation."""
         with self._lock:
-            told = [
+            reports = [
                 peer.report_by_organisation.get(organisation)
                 for peer in self._peer_by_name.values()
             ]
-        return [one for one in told if one is not None]
+        return [one for one in reports if one is not None]
 
     def _remove_organisation(self, organisation: Organisation) -> None:
         self._limiter.remove_organisation(organisation)
@@ -186,17 +193,17 @@
     ) -> ShareReport:
         name = organisation.name
         with self._lock:
-            before = self._get_share(name, len(members))
+            previous = self._get_share(name, len(members))
             if self._name in members:
                 peers = [
                     self._build_peer_share(member, name, len(members), now)
                     for member in members
                     if member != self._name
                 ]
-                share = compute_next_share(before, demand, peers, now)
+                share = compute_next_share(previous, demand, peers, now)
             else:
                 # Left out of the set: the members count on this part being free.
-                share = before._replace(held=0.0, wants_more_since=None)
+                share = previous._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
@@ -204,15 +211,15 @@
         return ShareReport(name, demand, share.held, share.wants_more)
 
     def _build_peer_share(
-        self, member: str, organisation: str, members: int, now: float
+        self, member: str, organisation: str, member_count: int, now: float
     ) -> PeerShare:
         peer = self._peer_by_name.setdefault(member, _PeerState(now))
-        told = peer.report_by_organisation.get(organisation)
+        report = peer.report_by_organisation.get(organisation)
         age_s = now - peer.last_echo_at
-        if told is None:
+        if report is None:
             # Not in use there: it begins with an equal part as soon as it is.
-            return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
-        return PeerShare(told.demand, told.held, told.wants_more, age_s)
+            return PeerShare(0.0, 1.0 / max(1, member_count), False, age_s)
+        return PeerShare(report.demand, report.held, report.wants_more, age_s)
 
     def _send_heartbeat(
         self, member: str, shares: tuple[ShareReport, ...], now: float
--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -54,25 +54,28 @@
 
         ``first`` is a step that was read before.
         """
-        running = isinstance(first_step, AttemptStarted) and first_step.is_running
-        over_at: float | None = None
+        is_running = isinstance(first_step, AttemptStarted) and first_step.is_running
+        abandoned_at: float | None = None
         while True:
             step = reader.read_step(CALLER_POLL_INTERVAL_S)
             match step:
                 case HeadReceived() | AnswerEnded() | AttemptNotStarted():
                     return step
                 case AttemptNeverSeen():
-                    settled = self._handle_never_seen(reader, step)
-                    if settled is not None:
-                        return settled
+                    result = self._handle_never_seen(reader, step)
+                    if result is not None:
+                        return result
                 case AttemptStarted(now_running):
-                    running = running or now_running
+                    is_running = is_running or now_running
                     self._record_started(reader, now_running)
             if self._should_retry_elsewhere(reader):
                 reader.cancel()
                 return AnswerEnded(Outcome.UNKNOWN, "the server's instance is silent")
-            over_at = over_at or self._cancel_if_abandoned(reader, running)
-            if over_at is not None and monotonic() - over_at > _CANCEL_TIMEOUT_S:
+            abandoned_at = abandoned_at or self._cancel_if_abandoned(reader, is_running)
+            if (
+                abandoned_at is not None
+                and monotonic() - abandoned_at > _CANCEL_TIMEOUT_S
+            ):
                 return WaitAbandoned()
 
     def _should_retry_elsewhere(self, reader: AnswerReader) -> bool:
@@ -104,28 +107,30 @@
         reader.request_resume(reason="the dispatch did not arrive")
         return None
 
-    def _record_started(self, reader: AnswerReader, running: bool) -> None:
-        if running:
+    def _record_started(self, reader: AnswerReader, is_running: bool) -> None:
+        if is_running:
             event = StartedEvent(reader.server, reader.inbox.key.attempt)
             self._context.recorder.record(self._request.request_id, event)
 
-    def _cancel_if_abandoned(self, reader: AnswerReader, running: bool) -> float | None:
+    def _cancel_if_abandoned(
+        self, reader: AnswerReader, is_running: bool
+    ) -> float | None:
         """Cancel work that nobody waits for; return when the wait was over.
 
         A run that may not be repeated goes on: its result is wanted all the same, and
         the caller gets it by sending the same Idempotency-Key.
         """
         request = self._request
-        late = monotonic() >= request.deadline_at
-        gone = self._watch.gone()
-        if request.route.repeatable or not running:
-            if late or gone:
+        is_late = monotonic() >= request.deadline_at
+        is_caller_gone = self._watch.gone()
+        if request.route.repeatable or not is_running:
+            if is_late or is_caller_gone:
                 reader.cancel()
                 return monotonic()
             return None
-        if gone:
+        if is_caller_gone:
             event = CallerLeft(0)
             self._context.recorder.record(request.request_id, event)
-        if gone or (late and request.has_own_deadline):
+        if is_caller_gone or (is_late and request.has_own_deadline):
             return monotonic() - _CANCEL_TIMEOUT_S
         return None
--- a/src/kingcupwheel/entry/answer_reader.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -84,9 +84,9 @@
 
     def read_step(self, timeout_s: float) -> AnswerStep | WaitTimedOut:
         """Return the next step that matters to the caller, or ``Elapsed``."""
-        until = monotonic() + timeout_s
+        deadline = monotonic() + timeout_s
         while True:
-            item = self._inbox.get(until - monotonic())
+            item = self._inbox.get(deadline - monotonic())
             self._resume_if_silent(item)
             step = self._process_item(item)
             if not isinstance(step, NoStep):
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -132,12 +132,12 @@
             raise AnswerCutError(ended.detail)
 
     def _encode_outcome_event(self, ended: AnswerEnded) -> bytes:
-        told = {
+        payload = {
             "request_id": self._admitted.request.request_id,
             "outcome": ended.outcome.value,
             "reason": ended.detail,
         }
-        return b"event: kingcupwheel\ndata: " + msgspec.json.encode(told) + b"\n\n"
+        return b"event: kingcupwheel\ndata: " + msgspec.json.encode(payload) + b"\n\n"
 
     def _read_next(self) -> BodyChunk | AnswerEnded | None:
         """Return the next bytes or the end; None once the caller has left."""
@@ -184,9 +184,9 @@
         self._record(
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
-        whole = ended.outcome is Outcome.RAN
+        is_whole = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
-            request, self._admitted.predicted_work, self._token_count, is_whole=whole
+            request, self._admitted.predicted_work, self._token_count, is_whole=is_whole
         )
         self._context.observer.answered(
             request,
@@ -213,10 +213,14 @@
         if self._reservation is None or ended.outcome is not Outcome.RAN:
             return
         dispatcher = self._context.dispatchers.get(self._admitted.request.group)
-        took_s = monotonic() - self._reader.started_at
-        dispatcher.record_success(self._reservation, took_s / max(1, self._token_count))
-        first_s = (self._first_byte_at or monotonic()) - self._reader.started_at
-        dispatcher.record_first_byte_latency(first_s, len(self._admitted.request.body))
+        duration_s = monotonic() - self._reader.started_at
+        dispatcher.record_success(
+            self._reservation, duration_s / max(1, self._token_count)
+        )
+        first_byte_s = (self._first_byte_at or monotonic()) - self._reader.started_at
+        dispatcher.record_first_byte_latency(
+            first_byte_s, len(self._admitted.request.body)
+        )
 
     def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -72,7 +72,7 @@
     def reserve_server(self) -> Reservation | Refusal:
         """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
         request = self._admitted.request
-        ask = PlacementRequest(
+        placement_request = PlacementRequest(
             prefix_key=request.prefix_key,
             work=self._admitted.predicted_work,
             excluded_servers=self._excluded_servers,
@@ -81,7 +81,7 @@
             is_repeatable=request.route.repeatable,
         )
         dispatcher = self._context.dispatchers.get(request.group)
-        wanted = SubmittedRequest(
+        submitted = SubmittedRequest(
             request_id=request.request_id,
             organisation=request.organisation.name,
             priority=request.organisation.priority,
@@ -89,29 +89,29 @@
             size_bytes=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
-        ticket = dispatcher.submit(wanted, ask)
+        ticket = dispatcher.submit(submitted, placement_request)
         if not isinstance(ticket, PlacementTicket):
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
-        place = ticket.wait(0)
-        if place is None:
+        result = ticket.wait(0)
+        if result is None:
             self._record(Queued(ticket.requests_ahead))
-            place = self._wait_for_reservation(ticket)
-        if isinstance(place, PlacementFailure):
+            result = self._wait_for_reservation(ticket)
+        if isinstance(result, PlacementFailure):
             return _build_placement_refusal(
-                place, self._context.limiter.get_retry_after_s(request)
+                result, self._context.limiter.get_retry_after_s(request)
             )
         self._count += 1
-        self._record_reservation(place)
-        return place
+        self._record_reservation(result)
+        return result
 
     def _wait_for_reservation(
         self, ticket: PlacementTicket
     ) -> Reservation | PlacementFailure:
         dispatcher = self._context.dispatchers.get(self._admitted.request.group)
         while True:
-            place = ticket.wait(CALLER_POLL_INTERVAL_S)
-            if place is not None:
-                return place
+            result = ticket.wait(CALLER_POLL_INTERVAL_S)
+            if result is not None:
+                return result
             if self._watch.gone():
                 dispatcher.withdraw(ticket)
                 self._watch.raise_gone()
@@ -139,7 +139,9 @@
             reservation
         )
 
-    def dispatch(self, reservation: Reservation, held: Held | None) -> AnswerReader:
+    def dispatch(
+        self, reservation: Reservation, held_claim: Held | None
+    ) -> AnswerReader:
         """Send the request to the agent of ``place``, exactly once.
 
         After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
@@ -150,7 +152,11 @@
         key = AttemptKey(request.request_id, self._count)
         inbox = context.inboxes.open(key, reservation.address, reservation.incarnation)
         assert inbox is not None, "attempt numbers are not reused"
-        claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
+        claim = (
+            None
+            if held_claim is None
+            else ClaimRef(held_claim.claim_id, held_claim.record.fence)
+        )
         message = _build_dispatch(self._admitted, key, reservation, claim)
         context.hub.send(OutgoingLink(reservation.address, 0), message)
         self._record(Dispatched(reservation.server, self._count))
@@ -160,7 +166,7 @@
             context.recorder,
             trace_request_id=request.request_id,
             server=reservation.server,
-            claim_id=None if held is None else held.claim_id,
+            claim_id=None if held_claim is None else held_claim.claim_id,
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -102,10 +102,10 @@
 
     def read(self) -> Held | Refusal | None:
         """Return the claim as the platform has it, None if there is none."""
-        found = self._context.claims.read(self._claim_id)
-        if found.is_error():
-            return build_claim_refusal(found.error, is_claimed=True)
-        return found.ok
+        result = self._context.claims.read(self._claim_id)
+        if result.is_error():
+            return build_claim_refusal(result.error, is_claimed=True)
+        return result.ok
 
     def acquire(
         self, reservation: Reservation, attempt: int, held_claim: Held | None
@@ -127,7 +127,7 @@
                 return build_claim_refusal(error)
 
     def _build_record(
-        self, reservation: Reservation, attempt: int, held: Held | None
+        self, reservation: Reservation, attempt: int, held_claim: Held | None
     ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
@@ -140,23 +140,27 @@
             agent=reservation.server,
             address=reservation.address,
             incarnation=reservation.incarnation,
-            fence=1 if held is None else held.record.fence + 1,
-            created_at=time.time() if held is None else held.record.created_at,
+            fence=1 if held_claim is None else held_claim.record.fence + 1,
+            created_at=time.time()
+            if held_claim is None
+            else held_claim.record.created_at,
         )
 
-    def record_final_outcome(self, held: Held, outcome: Outcome, reason: str) -> None:
+    def record_final_outcome(
+        self, held_claim: Held, outcome: Outcome, reason: str
+    ) -> None:
         """Record that nothing can change any more; a failure to write is harmless.
 
         The next reader of the claim finds the same dead agent and says the same.
         """
         record = msgspec.structs.replace(
-            held.record, nonce=new_nonce(), final=outcome, reason=reason
+            held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
         )
-        self._context.claims.move(held, record)
+        self._context.claims.move(held_claim, record)
 
-    def resolve(self, held: Held) -> ClaimResolution:
+    def resolve(self, held_claim: Held) -> ClaimResolution:
         """Find out what became of the claim held by an earlier send."""
-        record = held.record
+        record = held_claim.record
         if record.body_digest != self._request.body_digest:
             return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
         if record.final is not None:
@@ -173,44 +177,44 @@
             self._context.inboxes.close(inbox)
             visit.end()
 
-        found = self._resolve_at_agent(held, inbox, close)
-        if not isinstance(found, EarlierRun):
+        resolution = self._resolve_at_agent(held_claim, inbox, close)
+        if not isinstance(resolution, EarlierRun):
             close()
-        return found
+        return resolution
 
     def _resolve_at_agent(
-        self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
+        self, held_claim: Held, inbox: AttemptInbox, close: Callable[[], None]
     ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
             self._context.hub,
             self._context.recorder,
             trace_request_id=self._request.request_id,
-            server=held.record.agent,
-            claim_id=held.claim_id,
+            server=held_claim.record.agent,
+            claim_id=held_claim.claim_id,
             silence_timeout_s=self._context.settings.timings.silence_s,
         )
         step = self._query_agent(reader)
         match step:
             case AttemptNeverSeen(incarnation, _) if (
-                incarnation == held.record.incarnation
+                incarnation == held_claim.record.incarnation
             ):
-                return self._take_over(held, inbox)
+                return self._take_over(held_claim, inbox)
             case AttemptNeverSeen():
                 return self._finish_as_unknown(
-                    held, "the agent restarted after the claim"
+                    held_claim, "the agent restarted after the claim"
                 )
             case AttemptNotStarted():
-                return ClaimAvailable(held)
+                return ClaimAvailable(held_claim)
             case WaitTimedOut():
-                return self._finish_as_unknown(held, "the agent does not answer")
+                return self._finish_as_unknown(held_claim, "the agent does not answer")
             case _:
-                return EarlierRun(reader, step, end)
+                return EarlierRun(reader, step, close)
 
     def _query_agent(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
         # An agent that was just dialled may need a moment, and one message may be lost.
-        until = monotonic() + self._context.settings.timings.give_up_s
-        while monotonic() < until:
+        deadline = monotonic() + self._context.settings.timings.give_up_s
+        while monotonic() < deadline:
             reader.request_resume(reason="joined by a resend")
             step = reader.read_step(_QUERY_RETRY_INTERVAL_S)
             if not isinstance(step, WaitTimedOut):
@@ -229,11 +233,11 @@
             time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _finish_as_unknown(self, held: Held, reason: str) -> ClaimResolution:
-        self.record_final_outcome(held, Outcome.UNKNOWN, reason)
+    def _finish_as_unknown(self, held_claim: Held, reason: str) -> ClaimResolution:
+        self.record_final_outcome(held_claim, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
+    def _take_over(self, held_claim: Held, inbox: AttemptInbox) -> ClaimResolution:
         """Make sure that the earlier dispatch can't start, then free the claim.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -242,48 +246,52 @@
         names an agent which never heard of the run.
         """
         record = msgspec.structs.replace(
-            held.record,
+            held_claim.record,
             nonce=new_nonce(),
             entry=self._context.settings.name,
-            fence=held.record.fence + 1,
+            fence=held_claim.record.fence + 1,
         )
-        written = self._context.claims.move(held, record)
+        written = self._context.claims.move(held_claim, record)
         if written.is_error():
             match written.error:
                 case ClaimMoved():
                     return ClaimChanged()
                 case ClaimUnreachable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
-        raised = written.ok
-        self._record_claim(raised, "raised the fence of")
-        return self._write_tombstone(raised, inbox)
-
-    def _write_tombstone(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
-        record = held.record
-        order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
-        self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
+        updated_claim = written.ok
+        self._record_claim(updated_claim, "raised the fence of")
+        return self._write_tombstone(updated_claim, inbox)
+
+    def _write_tombstone(
+        self, held_claim: Held, inbox: AttemptInbox
+    ) -> ClaimResolution:
+        record = held_claim.record
+        request = TombstoneRequest(
+            held_claim.claim_id, record.fence, record.incarnation
+        )
+        self._context.inboxes.subscribe_to_claim(held_claim.claim_id, inbox)
         try:
-            answer = self._request_tombstone(order, inbox, record)
+            reply = self._request_tombstone(request, inbox, record)
         finally:
-            self._context.inboxes.unsubscribe_from_claim(held.claim_id)
-        match answer:
+            self._context.inboxes.unsubscribe_from_claim(held_claim.claim_id)
+        match reply:
             case TombstoneReply(accepted=True, ran=False):
-                return ClaimAvailable(held)
+                return ClaimAvailable(held_claim)
             case TombstoneReply(accepted=True):
                 # The earlier dispatch arrived in between: look at its run.
                 return ClaimChanged()
             case TombstoneReply():
                 return self._finish_as_unknown(
-                    held, "the agent restarted after the claim"
+                    held_claim, "the agent restarted after the claim"
                 )
-        return self._finish_as_unknown(held, "the agent does not answer")
+        return self._finish_as_unknown(held_claim, "the agent does not answer")
 
     def _request_tombstone(
-        self, order: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
+        self, request: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
     ) -> TombstoneReply | None:
-        until = monotonic() + self._context.settings.timings.give_up_s
-        while monotonic() < until:
-            self._context.hub.send(OutgoingLink(record.address, 0), order)
+        deadline = monotonic() + self._context.settings.timings.give_up_s
+        while monotonic() < deadline:
+            self._context.hub.send(OutgoingLink(record.address, 0), request)
             match inbox.get(_QUERY_RETRY_INTERVAL_S):
                 case TombstoneReply() as answer:
                     return answer
@@ -291,6 +299,6 @@
                     return None
         return None
 
-    def _record_claim(self, held: Held, detail: str) -> None:
-        event = Claimed(held.claim_id, held.record.fence, detail)
+    def _record_claim(self, held_claim: Held, detail: str) -> None:
+        event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/dispatcher_registry.py
+++ b/src/kingcupwheel/entry/dispatcher_registry.py
@@ -29,14 +29,14 @@
     def get(self, group: ServerGroup) -> GroupDispatcher:
         """Return the dispatcher for ``group`` as its request was admitted under."""
         with self._lock:
-            known = self._by_group.get(group)
-            if known is None:
+            dispatcher = self._by_group.get(group)
+            if dispatcher is None:
                 self._forget_idle(group.name)
-                known = GroupDispatcher(
+                dispatcher = GroupDispatcher(
                     group, self._servers, data_centre=self._data_centre
                 )
-                self._by_group[group] = known
-        return known
+                self._by_group[group] = dispatcher
+        return dispatcher
 
     def _forget_idle(self, name: str) -> None:
         idle = [
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -74,7 +74,7 @@
     ) -> PlacementTicket | LimitRefusal:
         """Queue the request, then place what can be placed."""
         now = monotonic()
-        waiting = QueuedRequest(
+        queued = QueuedRequest(
             request_id=request.request_id,
             organisation=request.organisation,
             priority=request.priority,
@@ -82,14 +82,14 @@
             deadline_at=self._compute_queue_deadline(request),
             queued_at=now,
         )
-        ticket = PlacementTicket(waiting, placement_request)
-        is_late = waiting.deadline_at <= now < request.first_byte_deadline_at
+        ticket = PlacementTicket(queued, placement_request)
+        is_late = queued.deadline_at <= now < request.first_byte_deadline_at
         with self._lock:
             if is_late and self._try_place_on_idle(ticket, now):
                 return ticket
-            refused = self._enqueue(ticket, now)
-            if refused is not None:
-                return refused
+            refusal = self._enqueue(ticket, now)
+            if refusal is not None:
+                return refusal
             self._tickets_by_request_id[request.request_id] = ticket
             self._place_waiting(now)
         return ticket
@@ -122,9 +122,9 @@
         """Forget a ticket whose caller left; a place already given is returned."""
         with self._lock:
             self._remove(ticket)
-        place = ticket.wait(0)
-        if isinstance(place, Reservation):
-            self.release(place)
+        result = ticket.wait(0)
+        if isinstance(result, Reservation):
+            self.release(result)
 
     def _remove(self, ticket: PlacementTicket) -> None:
         request_id = ticket.queued.request_id
@@ -136,33 +136,33 @@
         if ticket in self._constrained:
             self._constrained.remove(ticket)
 
-    def release(self, place: Reservation) -> None:
+    def release(self, reservation: Reservation) -> None:
         """Give the place back and let the next request have it."""
         self._servers.give_back(
-            place.address, place.incarnation, suspect=place.is_suspect
+            reservation.address, reservation.incarnation, suspect=reservation.is_suspect
         )
         self.place_waiting()
 
-    def record_success(self, place: Reservation, token_s: float) -> None:
+    def record_success(self, reservation: Reservation, token_s: float) -> None:
         """Count a whole answer that took ``token_s`` seconds a token."""
         with self._lock:
-            self._health.get(place.server).record_success(token_s, monotonic())
+            self._health.get(reservation.server).record_success(token_s, monotonic())
 
-    def record_first_byte_latency(self, seconds: float, size: float) -> None:
+    def record_first_byte_latency(self, seconds: float, size_bytes: float) -> None:
         """Note the time from dispatch to first byte of a request of that size."""
         with self._lock:
-            self._first_byte_latency.record(seconds, size, monotonic())
+            self._first_byte_latency.record(seconds, size_bytes, monotonic())
 
-    def record_failure(self, place: Reservation) -> None:
+    def record_failure(self, reservation: Reservation) -> None:
         """Count an attempt that failed through its server.
 
         Failure: a server that starts anew under its name takes all it ran with it.
         Symptom: those losses, noticed late, would eject the new life for seconds.
         """
-        if not self._servers.is_living(place.address, place.incarnation):
+        if not self._servers.is_living(reservation.address, reservation.incarnation):
             return
         with self._lock:
-            self._health.get(place.server).record_failure(monotonic())
+            self._health.get(reservation.server).record_failure(monotonic())
 
     def get_backoff_left_s(
         self, excluded_servers: frozenset[str] = frozenset()
@@ -173,13 +173,16 @@
         """
         now = monotonic()
         with self._lock, self._servers.lock:
-            found = select_eligible(
-                self._build_candidates(self._list_heard_servers(), now),
+            selection = select_eligible(
+                self._build_candidates(self._get_heard_servers_by_name(), now),
                 PlacementRequest(excluded_servers=excluded_servers),
             )
-        if not isinstance(found, NoServerAvailable) or found.backoff_ends_at is None:
+        if (
+            not isinstance(selection, NoServerAvailable)
+            or selection.backoff_ends_at is None
+        ):
             return 0.0
-        return max(0.0, found.backoff_ends_at - now)
+        return max(0.0, selection.backoff_ends_at - now)
 
     def reset_server_health(self, server: str) -> None:
         """Forget the failures of a server's earlier life."""
@@ -197,48 +200,48 @@
             ticket = self._constrained.popleft()
             if not self._try_place(ticket, now):
                 self._constrained.append(ticket)
-        while (waiting := self._pop_next(now)) is not None:
-            if not self._try_place(waiting, now):
-                self._blocked_head = waiting
-                self._fail_unplaceable(waiting, now)
+        while (next_ticket := self._pop_next(now)) is not None:
+            if not self._try_place(next_ticket, now):
+                self._blocked_head = next_ticket
+                self._fail_unplaceable(next_ticket, now)
                 return
 
     def _fail_unplaceable(self, blocked_ticket: PlacementTicket, now: float) -> None:
         """End the waits behind ``held`` that end before the first rest does."""
-        hindrance = blocked_ticket.blocked_by
-        if hindrance is None or hindrance.backoff_ends_at is None:
+        blocked_by = blocked_ticket.blocked_by
+        if blocked_by is None or blocked_by.backoff_ends_at is None:
             return
-        waiting = self._tickets_by_request_id.values()
-        for ticket in [one for one in waiting if one not in self._constrained]:
-            ended = _find_placement_failure(ticket, hindrance, now)
-            if ended is not None:
+        tickets = self._tickets_by_request_id.values()
+        for ticket in [one for one in tickets if one not in self._constrained]:
+            failure = _find_placement_failure(ticket, blocked_by, now)
+            if failure is not None:
                 self._remove(ticket)
-                ticket.complete(ended)
+                ticket.complete(failure)
 
     def _pop_next(self, now: float) -> PlacementTicket | None:
         if self._blocked_head is not None:
-            held, self._blocked_head = self._blocked_head, None
-            return held
-        while (waiting := self._queue.pop(now)) is not None:
-            ticket = self._tickets_by_request_id.get(waiting.request_id)
+            head, self._blocked_head = self._blocked_head, None
+            return head
+        while (queued := self._queue.pop(now)) is not None:
+            ticket = self._tickets_by_request_id.get(queued.request_id)
             if ticket is not None:
                 return ticket
         return None
 
     def _expire(self, now: float) -> None:
         self._queue.take_expired(now)
-        late = [
+        expired = [
             ticket
             for ticket in self._tickets_by_request_id.values()
             if ticket.queued.deadline_at <= now
         ]
-        for ticket in late:
+        for ticket in expired:
             self._remove(ticket)
             ticket.complete(PlacementFailure("deadline", ticket.blocking_reason))
 
     def _try_place(self, ticket: PlacementTicket, now: float) -> bool:
         with self._servers.lock:
-            servers = self._list_heard_servers()
+            servers = self._get_heard_servers_by_name()
             decision = self._policy.place(
                 self._build_candidates(servers, now),
                 ticket.placement_request,
@@ -248,15 +251,15 @@
             match decision:
                 case NoServerAvailable():
                     ticket.blocked_by = decision
-                    place: Reservation | PlacementFailure | None = (
+                    result: Reservation | PlacementFailure | None = (
                         _find_placement_failure(ticket, decision, now)
                     )
                 case SelectedServer(server=name):
-                    place = _reserve(servers[name], decision, ticket, now)
-        if place is None:
+                    result = _reserve(servers[name], decision, ticket, now)
+        if result is None:
             return False
         del self._tickets_by_request_id[ticket.queued.request_id]
-        ticket.complete(place)
+        ticket.complete(result)
         return True
 
     def _try_place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
@@ -270,18 +273,18 @@
         if len(self._queue) or self._blocked_head is not None:
             return False
         with self._servers.lock:
-            servers = self._list_heard_servers()
+            servers = self._get_heard_servers_by_name()
             idle = [one for one in self._build_candidates(servers, now) if one.is_idle]
             decision = self._policy.place(
                 idle, ticket.placement_request, now, self._random
             )
             if not isinstance(decision, SelectedServer):
                 return False
-            place = _reserve(servers[decision.server], decision, ticket, now)
-        ticket.complete(place)
+            reservation = _reserve(servers[decision.server], decision, ticket, now)
+        ticket.complete(reservation)
         return True
 
-    def _list_heard_servers(self) -> dict[str, Server]:
+    def _get_heard_servers_by_name(self) -> dict[str, Server]:
         return {
             server.name: server
             for server in self._servers.of_group(self._group.name)
@@ -293,7 +296,7 @@
     ) -> list[Candidate]:
         concurrency = self._group.concurrency
         notices = self._servers.notices
-        plain = [
+        candidates = [
             replace(
                 _build_candidate(server, concurrency, now),
                 backoff_until=notices.backoff_until(server.known_beat.incarnation)
@@ -301,7 +304,7 @@
             )
             for server in servers.values()
         ]
-        kept_from = {
+        excluding_state_by_name = {
             name: state
             for name, server in servers.items()
             if (state := self._find_excluding_state(server, now)) is not None
@@ -311,22 +314,22 @@
                 one.name,
                 one.estimated_in_flight,
                 one.capacity,
-                one.name not in kept_from,
+                one.name not in excluding_state_by_name,
             )
-            for one in plain
+            for one in candidates
         ]
         state_by_name = self._health.update_states(loads, now)
-        state_by_name.update(kept_from)
-        return [replace(one, state=state_by_name[one.name]) for one in plain]
+        state_by_name.update(excluding_state_by_name)
+        return [replace(one, state=state_by_name[one.name]) for one in candidates]
 
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
         """Return why a server gets nothing, whatever became of what it got so far."""
-        life = server.known_beat.incarnation
-        if server.is_going or self._servers.notices.is_leaving(life):
+        incarnation = server.known_beat.incarnation
+        if server.is_going or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
         if not server.in_service:
             return ServerState.DOWN
-        if self._servers.notices.is_backing_off(life, now):
+        if self._servers.notices.is_backing_off(incarnation, now):
             return ServerState.BACKING_OFF
         return None
 
@@ -335,27 +338,27 @@
     ticket: PlacementTicket, blocked_by: NoServerAvailable, now: float
 ) -> PlacementFailure | None:
     """Return the end of a wait that can't bring a place, None if it can."""
-    over_at = blocked_by.backoff_ends_at
-    rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
+    backoff_ends_at = blocked_by.backoff_ends_at
+    backoff_left_s = 0.0 if backoff_ends_at is None else max(0.0, backoff_ends_at - now)
     if blocked_by.reason == ALL_SERVERS_TRIED.reason:
         # No wait brings a server that was not tried.
-        return PlacementFailure("no-server", blocked_by.reason, rest_s)
-    if over_at is not None and over_at >= ticket.queued.deadline_at:
-        return PlacementFailure("servers-rest", blocked_by.reason, rest_s)
+        return PlacementFailure("no-server", blocked_by.reason, backoff_left_s)
+    if backoff_ends_at is not None and backoff_ends_at >= ticket.queued.deadline_at:
+        return PlacementFailure("servers-rest", blocked_by.reason, backoff_left_s)
     return None
 
 
 def _reserve(
     server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
-    beat = server.known_beat
+    heartbeat = server.known_beat
     server.in_flight += 1
     server.suspects += ticket.placement_request.is_suspect
     return Reservation(
         server=server.name,
         address=server.instance.address,
-        incarnation=beat.incarnation,
-        token=beat.token,
+        incarnation=heartbeat.incarnation,
+        token=heartbeat.token,
         decision=decision,
         waited_s=now - ticket.queued.queued_at,
         work=ticket.queued.work,
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -79,23 +79,25 @@
         if close is not None:
             close()
 
-    def read_body(self, limit: int) -> bytes | None:
+    def read_body(self, limit_bytes: int) -> bytes | None:
         """Return the body, or None if it is longer than ``limit`` bytes."""
-        body: bytes = self._environ["wsgi.input"].read(limit + 1)
-        return body if len(body) <= limit else None
+        body: bytes = self._environ["wsgi.input"].read(limit_bytes + 1)
+        return body if len(body) <= limit_bytes else None
 
-    def discard_body(self, limit: int) -> None:
+    def discard_body(self, limit_bytes: int) -> None:
         """Read and drop up to ``limit`` bytes, then close after the answer.
 
         Failure: a connection is closed while the caller still sends. Symptom: it gets a
         reset in place of the refusal. Past the limit that has to be accepted.
         """
-        left = limit
-        while left > 0:
-            part = self._environ["wsgi.input"].read(min(left, DISCARD_CHUNK_BYTES))
+        left_bytes = limit_bytes
+        while left_bytes > 0:
+            part = self._environ["wsgi.input"].read(
+                min(left_bytes, DISCARD_CHUNK_BYTES)
+            )
             if not part:
                 break
-            left -= len(part)
+            left_bytes -= len(part)
         self.close_connection_after()
 
     def build_http_request(self, body: bytes) -> HttpRequest:
@@ -126,9 +128,9 @@
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> Iterable[bytes]:
         """Answer with a whole JSON body."""
-        kind = ("Content-Type", "application/json")
+        content_type = ("Content-Type", "application/json")
         length = ("Content-Length", str(len(body)))
-        self._send_head(status, (kind, length, *headers))
+        self._send_head(status, (content_type, length, *headers))
         return (body,)
 
     def send_answer(self, answer: Answer) -> Iterable[bytes]:
@@ -153,8 +155,8 @@
             raise
 
     def _send_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
-        told = (REQUEST_ID_HEADER, self.request_id)
-        self._start_response(format_status_line(status), [*headers, told])
+        request_id_header = (REQUEST_ID_HEADER, self.request_id)
+        self._start_response(format_status_line(status), [*headers, request_id_header])
 
 
 def format_status_line(status: int) -> str:
--- a/src/kingcupwheel/entry/request_limiter.py
+++ b/src/kingcupwheel/entry/request_limiter.py
@@ -27,7 +27,7 @@
 
 # How long a caller that found no place is asked to stay away: about two heartbeats, in
 # which a group's state is known anew; spread so that callers don't return together.
-_RETRY_AFTER_S = 2.0
+_BASE_RETRY_AFTER_S = 2.0
 
 
 class NotQuarantined(NamedTuple):
@@ -42,8 +42,8 @@
     ``share_of`` returns this entry's part of an organisation's allowance, 0 to 1.
     """
 
-    def __init__(self, share_of: Callable[[Organisation], float]) -> None:
-        self._share_of = share_of
+    def __init__(self, get_share: Callable[[Organisation], float]) -> None:
+        self._get_share = get_share
         self._admission = AdmissionController()
         self._predictor = WorkPredictor()
         self._suspects = CrashSuspects()
@@ -54,8 +54,8 @@
     def check_quarantine(self, request: CallerRequest) -> NotQuarantined | Refusal:
         """Refuse what crashed every server that ran it."""
         with self._lock:
-            verdict = self._suspects.get_status(request.fingerprint, monotonic())
-        match verdict:
+            status = self._suspects.get_status(request.fingerprint, monotonic())
+        match status:
             case Quarantined(deaths, for_s):
                 message = (
                     f"Earlier sends of this request ran, and {deaths} backend servers "
@@ -88,7 +88,7 @@
     def _configure(self, organisation: Organisation) -> None:
         known = self._configured_by_name.get(organisation.name)
         if known is None or known[0] is not organisation:
-            share = self._share_of(organisation)
+            share = self._get_share(organisation)
             self._configured_by_name[organisation.name] = (organisation, share)
             self._admission.configure(organisation.name, organisation.allowance, share)
 
@@ -157,14 +157,14 @@
 
     def get_retry_after_s(self, request: CallerRequest) -> float:
         """Return seconds to stay away, spread by request."""
-        return _RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
+        return _BASE_RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
 
-    def record_crashes(self, crashed: tuple[tuple[str, int], ...]) -> None:
+    def record_crashes(self, crashes: tuple[tuple[str, int], ...]) -> None:
         """Take in what ran when servers died, as an agent or a peer tells it."""
         with self._lock:
             now = monotonic()
-            for fingerprint, death in crashed:
-                self._suspects.record_crash_id(fingerprint, death, now)
+            for fingerprint, crash_id in crashes:
+                self._suspects.record_crash_id(fingerprint, crash_id, now)
 
     @property
     def recent_crashes(self) -> tuple[tuple[str, int], ...]:
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -62,19 +62,21 @@
 
     def run(self) -> Answer:
         """Return the answer, or the refusal that is final."""
-        verdict = self._context.limiter.check_quarantine(self._request)
-        if isinstance(verdict, Refusal):
-            return self._refuse(verdict)
-        admitted = self._context.limiter.admit(self._request)
-        if isinstance(admitted, Refusal):
-            return self._refuse(admitted)
-        self._record(Admitted(admitted))
-        plan = AdmittedRequest(self._request, admitted, is_suspect=verdict.is_suspect)
+        quarantine_status = self._context.limiter.check_quarantine(self._request)
+        if isinstance(quarantine_status, Refusal):
+            return self._refuse(quarantine_status)
+        predicted_work = self._context.limiter.admit(self._request)
+        if isinstance(predicted_work, Refusal):
+            return self._refuse(predicted_work)
+        self._record(Admitted(predicted_work))
+        admitted = AdmittedRequest(
+            self._request, predicted_work, is_suspect=quarantine_status.is_suspect
+        )
         try:
-            return self._run_admitted(plan)
+            return self._run_admitted(admitted)
         except CallerGoneError:
             self._record(CallerLeft(0))
-            return self._give_up(plan, CALLER_LEFT)
+            return self._give_up(admitted, CALLER_LEFT)
 
     def _run_admitted(self, admitted: AdmittedRequest) -> Answer:
         attempts = AttemptDispatcher(self._context, admitted, self._watch)
@@ -86,15 +88,17 @@
         self, admitted: AdmittedRequest, attempts: AttemptDispatcher
     ) -> Answer:
         while True:
-            place = attempts.reserve_server()
-            if isinstance(place, Refusal):
-                return self._give_up(admitted, place)
-            reader = attempts.dispatch(place, None)
+            reservation = attempts.reserve_server()
+            if isinstance(reservation, Refusal):
+                return self._give_up(admitted, reservation)
+            reader = attempts.dispatch(reservation, None)
             step = self._head_waiter.wait(reader)
             if isinstance(step, HeadReceived):
-                return self._build_relay(admitted, attempts, place, reader).relay(step)
-            self._end_attempt(attempts, place, reader)
-            refusal = self._retries.handle_failed_attempt(step, attempts, place)
+                return self._build_relay(admitted, attempts, reservation, reader).relay(
+                    step
+                )
+            self._end_attempt(attempts, reservation, reader)
+            refusal = self._retries.handle_failed_attempt(step, attempts, reservation)
             if refusal is not None:
                 return self._give_up(admitted, refusal)
 
@@ -102,26 +106,28 @@
         self, admitted: AdmittedRequest, attempts: AttemptDispatcher
     ) -> Answer:
         claims = ClaimResolver(self._context, self._request)
-        held: Held | None = None
+        held_claim: Held | None = None
         while True:
-            place = attempts.reserve_server()
-            if isinstance(place, Refusal):
-                return self._give_up(admitted, place)
-            taken = claims.acquire(place, attempts.count, held)
-            if isinstance(taken, Held):
-                held = taken
-                answer = self._run_claimed(admitted, attempts, claims, place, held)
+            reservation = attempts.reserve_server()
+            if isinstance(reservation, Refusal):
+                return self._give_up(admitted, reservation)
+            acquired = claims.acquire(reservation, attempts.count, held_claim)
+            if isinstance(acquired, Held):
+                held_claim = acquired
+                answer = self._run_claimed(
+                    admitted, attempts, claims, reservation, held_claim
+                )
                 if answer is not None:
                     return answer
                 continue
-            attempts.release(place)
-            if isinstance(taken, Refusal):
-                return self._give_up(admitted, taken)
-            found = self._resolve_claim(claims)
-            if isinstance(found, ClaimAvailable):
-                held = found.held
+            attempts.release(reservation)
+            if isinstance(acquired, Refusal):
+                return self._give_up(admitted, acquired)
+            resolution = self._resolve_claim(claims)
+            if isinstance(resolution, ClaimAvailable):
+                held_claim = resolution.held
                 continue
-            return self._answer_from_earlier_run(admitted, attempts, found)
+            return self._answer_from_earlier_run(admitted, attempts, resolution)
 
     def _run_claimed(
         self,
@@ -148,14 +154,14 @@
     ) -> ClaimAvailable | ClaimRefused | EarlierRun:
         """Look at the claim of an earlier send until there is something to do."""
         for _ in range(MAX_CLAIM_CHANGES):
-            held = claims.read()
-            if isinstance(held, Refusal):
-                return ClaimRefused(held)
-            if held is None:
+            held_claim = claims.read()
+            if isinstance(held_claim, Refusal):
+                return ClaimRefused(held_claim)
+            if held_claim is None:
                 break
-            found = claims.resolve(held)
-            if not isinstance(found, ClaimChanged):
-                return found
+            resolution = claims.resolve(held_claim)
+            if not isinstance(resolution, ClaimChanged):
+                return resolution
         return ClaimRefused(EARLIER_SEND_RUNNING)
 
     def _answer_from_earlier_run(
@@ -169,10 +175,10 @@
         reader = resolution.reader
         step = self._wait_for_head(resolution)
         if isinstance(step, HeadReceived):
-            answering = AnswerRelay(
+            relay = AnswerRelay(
                 self._context, admitted, reader, self._watch, None, resolution.close
             )
-            return answering.relay(step)
+            return relay.relay(step)
         resolution.close()
         match step:
             case AnswerEnded(outcome, detail):
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -92,14 +92,14 @@
     ) -> Refusal | None:
         self._run_count += 1
         attempts.record_failure(reservation)
-        repeat = (
+        may_retry = (
             self._request.route.repeatable
             and outcome is Outcome.UNKNOWN
             and self._run_count < MAX_REPEATABLE_RUNS
             and not self._is_past_deadline
             and self._context.limiter.try_acquire_retry(self._request)
         )
-        if not repeat:
+        if not may_retry:
             status = 504 if self._is_past_deadline else 502
             message = f"It was given to a server and its answer is lost: {detail}."
             return Refusal(status, "answer-lost", message, 0.0, outcome)
@@ -110,10 +110,12 @@
     ) -> Refusal | None:
         # The server may have died of this very request: the verdict of when it came is
         # not the verdict of now.
-        verdict = self._context.limiter.check_quarantine(self._request)
-        if isinstance(verdict, Refusal):
-            return verdict._replace(outcome=Outcome.UNKNOWN)
-        attempts.exclude_server(reservation.server, is_suspect=verdict.is_suspect)
+        quarantine_status = self._context.limiter.check_quarantine(self._request)
+        if isinstance(quarantine_status, Refusal):
+            return quarantine_status._replace(outcome=Outcome.UNKNOWN)
+        attempts.exclude_server(
+            reservation.server, is_suspect=quarantine_status.is_suspect
+        )
         self._record_retry(attempts, detail)
         return None
 
