--- a/src/kingcupwheel/entry/allowance_balancer.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -1,8 +1,8 @@
-"""Splits each organisation's allowance over its entries by what they see of it.
+"""Splits each organisation's allowance over its entries by their demand.
 
-The arithmetic is ``decisions.allowance_shares``; this module exchanges demands and
+``decisions.allowance_shares`` computes the shares. This module exchanges demands and
 shares with the other entries of each organisation's set, about every heartbeat, for
-organisations in use.
+organisations with recent demand.
 """
 
 from __future__ import annotations
@@ -27,18 +27,23 @@
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
 
-# Demand below this part of an equal share is not told: nobody need lend or borrow then,
-# and 43,000 organisations that each send a little would ride on every heartbeat. Both
-# sides count an organisation that is not told as an equal share without demand.
+# Demand below this fraction of an equal share is not reported: no entry needs to lend
+# or borrow then, and 43,000 organisations with little demand would be reported on every
+# heartbeat. Both sides count an unreported organisation as an equal share without
+# demand.
 _MIN_SHARED_DEMAND_FRACTION = 0.5
-# An organisation without demand for so long is forgotten, here and in what is told to
-# others: 43,000 of them, each on two entries, would otherwise ride on every heartbeat.
+# Time without demand after which an organisation is removed here and from the reports:
+# 43,000 of them, each on two entries, would otherwise be reported on every heartbeat.
 _IDLE_TIMEOUT_S = 60.0
 _MIN_DEMAND = 1e-6
 
 
 class _PeerState:
-    """What another entry told last, and which of this entry's beats it has had."""
+    """Last reports of another entry.
+
+    ``last_sent_at`` is that entry's clock in its last heartbeat, to be echoed to it;
+    ``last_echo_at`` is when the last heartbeat that it echoed was sent from here.
+    """
 
     def __init__(self, now: float) -> None:
         self.last_echo_at = now
@@ -47,7 +52,7 @@
 
 
 class AllowanceBalancer:
-    """The shares of one entry; safe from any thread."""
+    """Shares of one entry in the organisations' allowances; thread-safe."""
 
     def __init__(
         self,
@@ -70,11 +75,12 @@
         self._lock = Lock()
 
     def get_initial_share(self, organisation: Organisation) -> float:
-        """Return the share to begin with: an equal part.
+        """Return the initial share, equal for all entries of the organisation's set.
 
-        Nothing is lent before there is demand, so that equal parts add up to the whole;
-        an entry that has just started may add one such part until its peers have heard
-        of it. Beginning with nothing would refuse every organisation's first burst.
+        No share is lent before there is demand, so equal shares add up to the
+        allowance. An entry that has just started may exceed it by one equal share until
+        its peers know of it. With an initial share of 0, every organisation's first
+        burst would be refused.
         """
         now = monotonic()
         members = self._membership.members_for(organisation, now)
@@ -91,10 +97,10 @@
         return known
 
     def handle_heartbeat(self, heartbeat: ShareHeartbeat, now: float) -> None:
-        """Take in what another entry tells; called on the hub's thread.
+        """Store the reports of another entry; called on the hub's thread.
 
-        An organisation not in use here takes part as well: its share is lent only by
-        telling how little is wanted.
+        An organisation without requests here is registered as well, because its share
+        is lent only if this entry reports its low demand.
         """
         for report in heartbeat.shares:
             organisation = self._find_organisation(report.organisation)
@@ -110,7 +116,7 @@
             }
 
     def update_shares(self, now: float) -> None:
-        """Work out every share anew and tell the others; about every heartbeat."""
+        """Compute all shares anew and report them to peers; about every heartbeat."""
         reports_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limiter.list_demands(now):
             members = self._membership.members_for(organisation, now)
@@ -123,8 +129,8 @@
             for member in members:
                 if member != self._name:
                     reports_by_peer.setdefault(member, []).append(report)
-        # Those told before get one more message that names nothing, so that they don't
-        # go on counting on what was true then.
+        # Peers that got reports before get one empty heartbeat, so that they don't keep
+        # using outdated ones.
         for peer in self._reported_peers | reports_by_peer.keys():
             self._send_heartbeat(peer, tuple(reports_by_peer.get(peer, ())), now)
         self._reported_peers = frozenset(reports_by_peer)
@@ -132,10 +138,11 @@
     def _reset_if_unshared(
         self, organisation: Organisation, demand: float, members: tuple[str, ...]
     ) -> bool:
-        """Tell whether an equal share is enough here and at every other entry.
+        """Reset to an equal share if it is enough here and at every other entry.
 
-        Both go back to it by themselves. Until the slower one has, the sum may be over
-        the allowance for a heartbeat, while neither needs half of what it holds.
+        Returns whether it was reset. Each entry resets on its own. Until the last one
+        has, the sum may exceed the allowance for a heartbeat, while no entry needs half
+        of its share.
         """
         name = organisation.name
         equal_share = 1.0 / max(1, len(members))
@@ -170,7 +177,7 @@
         )
 
     def _list_peer_reports(self, organisation: str) -> list[ShareReport]:
-        """Return what the other entries told last of the organisation."""
+        """Return the other entries' last reports of the organisation."""
         with self._lock:
             reports = [
                 peer.report_by_organisation.get(organisation)
@@ -202,7 +209,7 @@
                 ]
                 share = compute_next_share(previous, demand, peers, now)
             else:
-                # Left out of the set: the members count on this part being free.
+                # Not in the organisation's set: its members use this entry's share.
                 share = previous._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limiter.set_share(
@@ -217,7 +224,7 @@
         report = peer.report_by_organisation.get(organisation)
         age_s = now - peer.last_echo_at
         if report is None:
-            # Not in use there: it begins with an equal part as soon as it is.
+            # No demand there: the peer starts with an equal share once there is some.
             return PeerShare(0.0, 1.0 / max(1, member_count), False, age_s)
         return PeerShare(report.demand, report.held, report.wants_more, age_s)
 
--- a/src/kingcupwheel/entry/answer_assembler.py
+++ b/src/kingcupwheel/entry/answer_assembler.py
@@ -1,8 +1,8 @@
-"""Follows one attempt's answer: the next offset only, resuming where a gap shows.
+"""Assembles one attempt's answer in order and requests missing parts.
 
-Pure: messages in, steps out. Frames can arrive late, twice or from an old link; only
-bytes at the next offset of this attempt are passed on, so that a caller never gets
-bytes of another answer, a hole or a repetition.
+Performs no I/O: it takes messages and returns steps. Frames can arrive late, twice or
+from an old link. Only bytes at the next offset of this attempt are returned, so that a
+caller never gets bytes of another answer, a gap or a duplicate.
 """
 
 from __future__ import annotations
@@ -23,47 +23,47 @@
 if TYPE_CHECKING:
     from kingcupwheel.messages.base import Message
 
-# Resumes in a row that bring no new byte before the rest is held to be gone: a few
-# lost frames are mended by one or two, and a freed buffer by none.
+# Consecutive resumes without new bytes after which the rest of the answer counts as
+# lost. One or two recover a few lost frames; no number recovers a freed buffer.
 MAX_RESUMES_WITHOUT_PROGRESS = 5
 
 
 class AttemptStarted(NamedTuple):
-    """The agent holds the attempt; ``running`` tells that its server has it."""
+    """The agent has accepted the attempt; if ``is_running``, its server has it."""
 
     is_running: bool
 
 
 class HeadReceived(NamedTuple):
-    """Status and headers of the answer."""
+    """Status and headers of the answer arrived."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
 class BodyChunk(NamedTuple):
-    """The next bytes of the body."""
+    """The next bytes of the body arrived."""
 
     data: bytes
 
 
 class AnswerEnded(NamedTuple):
-    """The last step: nothing more will come."""
+    """The last step: the answer has ended or is lost."""
 
     outcome: Outcome
     detail: str
 
 
 class AttemptNotStarted(NamedTuple):
-    """The last step: the agent did not run it and never will."""
+    """The last step: the agent refused the attempt and will not run it."""
 
     reason: DispatchRefusal
 
 
 class AttemptNeverSeen(NamedTuple):
-    """The agent's life ``incarnation`` never saw the attempt.
+    """The agent's ``incarnation`` never received the attempt.
 
-    ``cancelled`` tells that it will not run there any more either.
+    ``is_cancelled`` means that a tombstone keeps it from running there later.
     """
 
     incarnation: str
@@ -71,14 +71,14 @@
 
 
 class ResumeNeeded(NamedTuple):
-    """Ask the agent again from ``offset``; ``why`` is a short reason."""
+    """The answer has to be requested again from ``offset`` on."""
 
     offset: int
     reason: str
 
 
 class NoStep(NamedTuple):
-    """The message changes nothing."""
+    """The message is a duplicate or irrelevant."""
 
 
 AnswerStep = (
@@ -94,7 +94,7 @@
 
 
 class AnswerAssembler:
-    """The state of one answer being followed; belongs to one thread."""
+    """Assembles the frames of one answer; not thread-safe."""
 
     def __init__(self) -> None:
         self._offset = 0
@@ -103,16 +103,16 @@
 
     @property
     def offset(self) -> int:
-        """Bytes of the body passed on so far."""
+        """Number of bytes of the body returned so far."""
         return self._offset
 
     @property
     def has_head(self) -> bool:
-        """Whether status and headers have been passed on."""
+        """Whether status and headers have been returned."""
         return self._has_head
 
     def process_message(self, message: Message) -> AnswerStep:
-        """Return what ``message`` brings."""
+        """Return the step that follows from a message."""
         match message:
             case ResponseData(offset=offset, data=data):
                 return self._on_data(offset, data)
@@ -129,7 +129,7 @@
         return NoStep()
 
     def resume_on_new_link(self) -> ResumeNeeded:
-        """Return the step to take after the link was replaced."""
+        """Return the step that follows the replacement of the link."""
         return ResumeNeeded(self._offset, "link replaced")
 
     def _on_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> AnswerStep:
--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -1,4 +1,4 @@
-"""Waits for an answer's head, and gives up what nobody waits for any more."""
+"""Waits for the head of an answer and cancels abandoned attempts."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.watching import CallerWatch
 
-# How long the agent is given to say what became of a cancelled attempt. It answers at
-# once; a caller that is owed its final answer does not wait for one that is silent.
+# Time for the agent to report the outcome of a cancelled attempt. It replies at once; a
+# caller that is to get its final answer does not wait longer for a silent agent.
 _CANCEL_TIMEOUT_S = 2.0
 
 
 class WaitAbandoned(NamedTuple):
-    """The caller's wait is over; what runs may go on and its end is not known."""
+    """The caller's wait has ended; the attempt may go on, its outcome is unknown."""
 
 
 HeadWaitResult = HeadReceived | AnswerEnded | AttemptNotStarted | WaitAbandoned
 
 
 class AnswerHeadWaiter:
-    """One request's wait for the head of its answer; belongs to one thread."""
+    """Waits for the head of one request's answer; not thread-safe."""
 
     def __init__(
         self, context: EntryContext, request: CallerRequest, watch: CallerWatch
@@ -50,9 +50,9 @@
     def wait(
         self, reader: AnswerReader, first_step: AnswerStep | None = None
     ) -> HeadWaitResult:
-        """Return once the head is known, the attempt is over, or the wait is.
+        """Return once the head is received, the attempt has ended or the wait has.
 
-        ``first`` is a step that was read before.
+        ``first_step`` is a step that was read before.
         """
         is_running = isinstance(first_step, AttemptStarted) and first_step.is_running
         abandoned_at: float | None = None
@@ -79,11 +79,12 @@
                 return WaitAbandoned()
 
     def _should_retry_elsewhere(self, reader: AnswerReader) -> bool:
-        """Tell whether to stop waiting for an agent that has gone silent.
+        """Return whether to retry elsewhere because the agent is silent.
 
-        An agent that died is given up only after ``give_up_s``, because what may not be
-        repeated can't be run elsewhere. What may be repeated need not wait for that: a
-        mechanic would wait 20 s for a first word that another server has in one.
+        A silent agent is declared lost only after ``give_up_s`` (20 s by default),
+        because a request that must not be repeated can't run elsewhere. A repeatable
+        request does not wait that long, as another server can send its first token
+        within a second.
         """
         if not self._request.route.repeatable:
             return False
@@ -94,10 +95,10 @@
     def _handle_never_seen(
         self, reader: AnswerReader, step: AttemptNeverSeen
     ) -> AnswerEnded | AttemptNotStarted | None:
-        """Return what follows from it, or None if the agent has to be asked again.
+        """Return the result of the wait, or None if the agent is queried again.
 
-        The dispatch was lost, or is still on its way over an old link. Cancelling
-        leaves a tombstone; asking again tells that it stands.
+        The dispatch was lost, or is still in transit on an old link. Cancelling makes
+        the agent write a tombstone; the next query confirms that it is in place.
         """
         if step.incarnation != reader.inbox.incarnation:
             return AnswerEnded(Outcome.UNKNOWN, "the agent restarted")
@@ -115,10 +116,10 @@
     def _cancel_if_abandoned(
         self, reader: AnswerReader, is_running: bool
     ) -> float | None:
-        """Cancel work that nobody waits for; return when the wait was over.
+        """Cancel an abandoned attempt; return when the wait ended, None if it goes on.
 
-        A run that may not be repeated goes on: its result is wanted all the same, and
-        the caller gets it by sending the same Idempotency-Key.
+        A run that must not be repeated is not cancelled: the caller gets its result by
+        sending the same Idempotency-Key again.
         """
         request = self._request
         is_late = monotonic() >= request.deadline_at
--- a/src/kingcupwheel/entry/answer_reader.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reads one attempt's answer from its inbox, resuming and acknowledging on the way."""
+"""Reads one attempt's answer from its inbox, with resumes and acknowledgements."""
 
 from __future__ import annotations
 
@@ -28,15 +28,16 @@
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
 
-# Bytes of an answer that may be under way unacknowledged: many frames of tokens, so
-# that acknowledgements are rare, yet little memory for a caller who reads slowly.
+# Unacknowledged bytes of an answer that an agent may send. Many frames of tokens fit,
+# so that acknowledgements are rare; a slow caller's answer still takes little memory.
 FLOW_CREDIT_BYTES = 256 * 1024
 
 
 class AnswerReader:
-    """Follows the attempt of one inbox; belongs to one request thread.
+    """Reads the answer of one attempt from its inbox; not thread-safe.
 
-    ``traced_as`` is the request id under which resumptions are recorded.
+    Resumes are recorded in the trace of ``trace_request_id``. After
+    ``silence_timeout_s`` without a message the answer is requested again.
     """
 
     def __init__(
@@ -64,26 +65,26 @@
 
     @property
     def inbox(self) -> AttemptInbox:
-        """Where the attempt's messages arrive."""
+        """Inbox that gets the attempt's messages."""
         return self._inbox
 
     @property
     def server(self) -> str:
-        """The name of the backend server's instance."""
+        """Name of the backend server's instance."""
         return self._server
 
     @property
     def started_at(self) -> float:
-        """When the attempt was sent, monotonic."""
+        """Time when the attempt was sent, monotonic."""
         return self._started_at
 
     @property
     def offset(self) -> int:
-        """Bytes of the body read so far."""
+        """Number of bytes of the body read so far."""
         return self._assembler.offset
 
     def read_step(self, timeout_s: float) -> AnswerStep | WaitTimedOut:
-        """Return the next step that matters to the caller, or ``Elapsed``."""
+        """Return the next step other than ``NoStep``, or ``WaitTimedOut``."""
         deadline = monotonic() + timeout_s
         while True:
             item = self._inbox.get(deadline - monotonic())
@@ -95,12 +96,12 @@
     def _resume_if_silent(
         self, item: Message | LinkReplaced | AgentGone | WaitTimedOut
     ) -> None:
-        """Ask again where the agent has lost the way to this reader.
+        """Request the answer again if the agent sends it to an old connection.
 
-        A connection that broke is made anew below this process, and heartbeats come
-        again, but the agent still sends the answer to the old one. Symptom: a link that
-        is alive and an attempt of which nothing is heard, not even ``RunningAttempts``.
-        Asking again gives the agent the new way; asking needlessly does no harm.
+        The transport replaces a broken connection unnoticed. Heartbeats arrive again,
+        but the agent still sends the answer to the old connection: the link is alive,
+        yet no message of the attempt arrives, not even ``RunningAttempts``. The request
+        tells the agent the new connection; a needless one does no harm.
         """
         now = monotonic()
         if not isinstance(item, WaitTimedOut):
@@ -137,7 +138,7 @@
         return NoStep()
 
     def request_resume(self, *, reason: str) -> None:
-        """Ask the agent for the answer from the next byte on."""
+        """Request the answer from the next byte on from the agent."""
         offset = self._assembler.offset
         event = Resumed(self._server, self._inbox.key.attempt, offset, reason)
         self._recorder.record(self._trace_request_id, event)
@@ -152,7 +153,7 @@
             self._send(Ack(*self._inbox.key, offset))
 
     def cancel(self) -> None:
-        """Tell the agent that the answer is not wanted any more."""
+        """Tell the agent that the answer is no longer needed."""
         self._send(CancelRequest(*self._inbox.key))
 
     def _send(self, message: Message) -> None:
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to the caller, whole or visibly cut."""
+"""Relays an answer to the caller, complete or recognisably truncated."""
 
 from __future__ import annotations
 
@@ -32,21 +32,23 @@
     from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
-# An unstreamed answer up to this size is read to its end first, so that its head can
-# tell the outcome; a larger one is passed on as it comes, to bound the entry's memory.
+# An unstreamed answer up to this size is read to its end before its head is sent, so
+# that the head has the outcome. A larger one is sent while it is read, to bound the
+# entry's memory.
 MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
-# How long one wait for the next bytes lasts before the caller is looked at again. There
-# is no limit on the whole: an agent that sends ``RunningAttempts`` is alive, however
-# slow.
+# Longest wait for the next bytes before the caller's connection is checked again. The
+# total wait has no limit: an agent that sends ``RunningAttempts`` is alive, however
+# slow its answer.
 _POLL_INTERVAL_S = 1.0
 _EVENT_STREAM = "text/event-stream"
 _CALLER_LEFT = AnswerEnded(Outcome.UNKNOWN, "the caller left")
 
 
 class AnswerRelay:
-    """The second half of a request: its answer's head is known.
+    """Relays the body of an answer after its head was received; not thread-safe.
 
-    ``end`` frees the place and the inbox; it is called exactly once.
+    ``on_end`` releases the reservation and the inbox; it is called exactly once.
+    ``reservation`` is None for the answer of an earlier send's run.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         self._is_finished = False
 
     def relay(self, head: HeadReceived) -> Answer:
-        """Return the answer: whole if it is short and unstreamed, else as a stream."""
+        """Return the answer: buffered if short and unstreamed, else as a stream."""
         self._status = head.status
         if _is_event_stream(head) or self._admitted.request.is_streamed:
             body = self._stream_body((), tells_outcome=_is_event_stream(head))
@@ -108,7 +110,7 @@
     def _stream_body(
         self, parts: Iterable[bytes], *, tells_outcome: bool
     ) -> Iterator[bytes]:
-        """Yield what was read already, then the rest as it comes."""
+        """Yield the chunks read so far, then the rest as it arrives."""
         try:
             yield from parts
             while True:
@@ -140,7 +142,7 @@
         return b"event: kingcupwheel\ndata: " + msgspec.json.encode(payload) + b"\n\n"
 
     def _read_next(self) -> BodyChunk | AnswerEnded | None:
-        """Return the next bytes or the end; None once the caller has left."""
+        """Return the next chunk or the end, None once the caller has left."""
         while True:
             step = self._reader.read_step(_POLL_INTERVAL_S)
             match step:
@@ -164,9 +166,10 @@
         self._last_chunk_at = now
 
     def _handle_caller_left(self) -> None:
-        """Cancel what the caller left behind, unless it may not be repeated.
+        """Cancel the attempt of a caller that left, if it may be repeated.
 
-        A caller that leaves while the last bytes are written has its outcome already.
+        Does nothing if the answer has ended: the outcome of a caller that leaves while
+        the last bytes are written is already recorded.
         """
         if self._is_finished:
             return
@@ -205,10 +208,10 @@
         return int(self._reader.offset / DEFAULT_BYTES_PER_TOKEN)
 
     def _record_server_latency(self, ended: AnswerEnded) -> None:
-        """Count a whole answer by its time a token.
+        """Record the time per token and the first-byte latency of a complete answer.
 
-        Prompts and answers differ in length, so that whole times say little of a
-        server; the wait in this entry's queue says nothing of it.
+        Total times say little about a server, because prompts and answers differ in
+        length. The wait in this entry's queue says nothing about it and is left out.
         """
         if self._reservation is None or ended.outcome is not Outcome.RAN:
             return
--- a/src/kingcupwheel/entry/answers.py
+++ b/src/kingcupwheel/entry/answers.py
@@ -1,4 +1,4 @@
-"""What a request comes to, as handed to the HTTP layer."""
+"""Results of a request, as passed to the HTTP layer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WholeAnswer(NamedTuple):
-    """An answer that ended before its head was sent, so the head tells the outcome."""
+    """An answer read completely before its head is sent; a header has the outcome."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -23,10 +23,10 @@
 
 
 class StreamedAnswer(NamedTuple):
-    """An answer passed on as it comes.
+    """An answer that is sent while it is read.
 
-    ``body`` raises ``AnswerCutError`` where the rest can't be had, so that the
-    connection is closed without the mark of a whole answer.
+    ``body`` raises ``AnswerCutError`` if the rest is lost, so that the connection is
+    closed without the regular end of a body.
     """
 
     status: int
@@ -35,7 +35,7 @@
 
 
 class RefusedAnswer(NamedTuple):
-    """No answer of a backend server; the refusal is the final answer."""
+    """A refusal in place of a backend server's answer."""
 
     refusal: Refusal
 
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts attempts: waits for a place, dispatches once, opens the inbox first."""
+"""Reserves a server for each attempt of a request and dispatches it once."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.watching import CallerWatch
 
-# How often a waiting thread looks whether its caller is still there.
+# Interval at which a waiting thread checks whether its caller is still connected.
 CALLER_POLL_INTERVAL_S = 0.5
 
 
 class AdmittedRequest(NamedTuple):
-    """What is known of a request before it is placed.
+    """An admitted request with the inputs of its placement.
 
-    ``work`` is predicted work in tokens; ``suspect`` tells that it ran where a server
-    died.
+    ``predicted_work`` is in tokens. ``is_suspect`` means that the request ran on a
+    server when it crashed.
     """
 
     request: CallerRequest
@@ -47,7 +47,7 @@
 
 
 class AttemptDispatcher:
-    """Starts the attempts of one request; belongs to one thread."""
+    """Starts the attempts of one request; not thread-safe."""
 
     def __init__(
         self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
@@ -60,17 +60,20 @@
 
     @property
     def count(self) -> int:
-        """Attempts placed so far."""
+        """Number of attempts placed so far."""
         return self._count
 
     def exclude_server(self, server: str, *, is_suspect: bool = False) -> None:
-        """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
+        """Place no further attempt on ``server``; ``is_suspect`` marks the request."""
         self._excluded_servers |= {server}
         if is_suspect:
             self._admitted = self._admitted._replace(is_suspect=True)
 
     def reserve_server(self) -> Reservation | Refusal:
-        """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
+        """Wait for a server with free capacity.
+
+        Raises CallerGoneError if the caller disconnects meanwhile.
+        """
         request = self._admitted.request
         placement_request = PlacementRequest(
             prefix_key=request.prefix_key,
@@ -130,11 +133,11 @@
         self._record(event)
 
     def release(self, reservation: Reservation) -> None:
-        """Give a place back that was not used, or whose attempt has ended."""
+        """Release a reservation that was not used or whose attempt has ended."""
         self._context.dispatchers.get(self._admitted.request.group).release(reservation)
 
     def record_failure(self, reservation: Reservation) -> None:
-        """Count an attempt that failed through its server."""
+        """Count an attempt that failed because of its server."""
         self._context.dispatchers.get(self._admitted.request.group).record_failure(
             reservation
         )
@@ -142,10 +145,11 @@
     def dispatch(
         self, reservation: Reservation, held_claim: Held | None
     ) -> AnswerReader:
-        """Send the request to the agent of ``place``, exactly once.
+        """Send the request to the reserved server's agent, exactly once.
 
-        After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
-        dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
+        The inbox is opened first, so that no reply is lost. After a link is replaced
+        only ``ResumeRequest`` is sent: with a second copy of a dispatch in transit, a
+        ``wrong incarnation`` refusal would not prove that the request has not run.
         """
         context = self._context
         request = self._admitted.request
--- a/src/kingcupwheel/entry/attempt_inboxes.py
+++ b/src/kingcupwheel/entry/attempt_inboxes.py
@@ -1,4 +1,4 @@
-"""Hands messages about an attempt from the hub's thread to the request's thread."""
+"""Message queues from the hub's thread to the threads of requests."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt of one request."""
+    """Identifies one attempt of one request."""
 
     request_id: str
     attempt: int
 
 
 class LinkReplaced(NamedTuple):
-    """The link to the agent was silent and has been opened anew."""
+    """The link to the agent was silent and has been reopened."""
 
 
 class AgentGone(NamedTuple):
-    """The agent's life that had the attempt is over, or silent for too long."""
+    """The agent's incarnation with the attempt has ended or is silent too long."""
 
     detail: str
 
 
 class WaitTimedOut(NamedTuple):
-    """Nothing came within the time waited."""
+    """No item arrived before the timeout."""
 
 
 class AttemptInbox:
-    """What is still to be read about one attempt."""
+    """Queue of the unread messages and events of one attempt."""
 
     def __init__(self, key: AttemptKey, address: str, incarnation: str) -> None:
         self.key = key
@@ -50,7 +50,7 @@
     def get(
         self, timeout_s: float
     ) -> Message | LinkReplaced | AgentGone | WaitTimedOut:
-        """Return the next item, or ``Elapsed`` after ``timeout_s`` seconds."""
+        """Return the next item, or ``WaitTimedOut`` after ``timeout_s`` seconds."""
         try:
             return self._items.get(timeout=max(0.0, timeout_s))
         except Empty:
@@ -58,7 +58,7 @@
 
 
 class InboxRegistry:
-    """The inboxes of all attempts under way; safe from any thread."""
+    """Inboxes of all attempts in progress; thread-safe."""
 
     def __init__(self) -> None:
         self._by_key: dict[AttemptKey, AttemptInbox] = {}
@@ -68,7 +68,7 @@
     def open(
         self, key: AttemptKey, address: str, incarnation: str
     ) -> AttemptInbox | None:
-        """Return a new inbox, or None while another thread follows that attempt."""
+        """Return a new inbox, or None while another thread reads that attempt."""
         inbox = AttemptInbox(key, address, incarnation)
         with self._lock:
             if key in self._by_key:
@@ -77,23 +77,23 @@
         return inbox
 
     def close(self, inbox: AttemptInbox) -> None:
-        """Forget the inbox; what comes later is dropped."""
+        """Remove the inbox; later messages are dropped."""
         with self._lock:
             if self._by_key.get(inbox.key) is inbox:
                 del self._by_key[inbox.key]
 
     def subscribe_to_claim(self, claim_id: str, inbox: AttemptInbox) -> None:
-        """Let messages that name only the claim reach ``inbox`` as well."""
+        """Deliver messages that name only the claim to ``inbox`` as well."""
         with self._lock:
             self._by_claim_id[claim_id] = inbox
 
     def unsubscribe_from_claim(self, claim_id: str) -> None:
-        """End ``listen_for_claim``."""
+        """End the claim's subscription."""
         with self._lock:
             self._by_claim_id.pop(claim_id, None)
 
     def deliver(self, key: AttemptKey, message: Message) -> bool:
-        """Hand ``message`` to the attempt's inbox; False if nobody follows it."""
+        """Put a message into the attempt's inbox; False if there is none."""
         inbox = self._by_key.get(key)
         if inbox is None:
             return False
@@ -101,23 +101,23 @@
         return True
 
     def deliver_to_claim(self, claim_id: str, message: Message) -> None:
-        """Hand ``message`` to whoever listens for the claim."""
+        """Put a message into the inbox subscribed to the claim, if any."""
         inbox = self._by_claim_id.get(claim_id)
         if inbox is not None:
             inbox.put(message)
 
     def list_by_address(self, address: str) -> tuple[AttemptInbox, ...]:
-        """Return the inboxes of attempts at the agent with that address."""
+        """Return the inboxes of attempts at the agent with this address."""
         with self._lock:
             return tuple(i for i in self._by_key.values() if i.address == address)
 
     @property
     def request_ids(self) -> frozenset[str]:
-        """The requests with an attempt under way."""
+        """Ids of the requests with an attempt in progress."""
         with self._lock:
             return frozenset(key.request_id for key in self._by_key)
 
     @property
     def count(self) -> int:
-        """How many attempts are under way."""
+        """Number of attempts in progress."""
         return len(self._by_key)
--- a/src/kingcupwheel/entry/caller_requests.py
+++ b/src/kingcupwheel/entry/caller_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, read and checked."""
+"""Validated requests of callers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class CallerRequest(NamedTuple):
-    """Everything the entry needs to know of one request.
+    """A caller's request with its route, group and organisation.
 
-    ``fingerprint`` names the same request sent again; ``prefix_key`` names the start of
-    its prompt, empty where no prefix is cached.
-    ``received_at`` is monotonic; ``deadline_s`` is the wait for the first byte, in
-    seconds from then, and ``own_deadline`` tells that the caller named it.
+    ``fingerprint`` is equal for resends of the same request. ``prefix_key`` identifies
+    the prefix of its prompt and is empty if no prefix is cached. ``received_at`` is
+    monotonic; ``deadline_s`` is the longest wait for the first byte from then on, and
+    ``has_own_deadline`` means that the caller set it.
     """
 
     request_id: str
@@ -43,15 +43,15 @@
 
     @property
     def deadline_at(self) -> float:
-        """When the wait for the first byte ends, monotonic."""
+        """Deadline of the first byte, monotonic."""
         return self.received_at + self.deadline_s
 
 
 def compute_fingerprint(organisation: str, path: str, body_digest: str) -> str:
-    """Return what names a request that is sent again, under whatever key.
+    """Return a digest that is equal for resends of a request under any key.
 
-    It is what crashes are attributed to: a caller repeats the same body, while keys
-    and request ids change.
+    Crashes are attributed to it, because a caller that sends a request again repeats
+    the body, while keys and request ids change.
     """
     text = f"{organisation}\0{path}\0{body_digest}"
     return hashlib.sha256(text.encode()).hexdigest()[:32]
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -1,7 +1,7 @@
-"""Answers a request whose idempotency key was claimed before, and moves claims.
+"""Acquires the claim of an idempotency key, or resolves that of an earlier send.
 
-Every path here ends in the one answer of the one run, in a run of its own that is
-surely the only one, or in a truthful ``unknown``.
+Every resolution leads to the answer of the earlier run, to a run that is certain to be
+the only one, or to a truthful ``unknown``.
 """
 
 from __future__ import annotations
@@ -48,19 +48,19 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
 
-# How often a thread looks again whether another one here still follows the answer.
+# Interval at which a thread checks whether another one still reads the answer.
 _INBOX_POLL_INTERVAL_S = 0.1
-# How often an unanswered question to an agent is asked again over the link of then.
+# Interval at which an unanswered query is sent again, over the agent's current link.
 _QUERY_RETRY_INTERVAL_S = 1.0
-# Changes of one claim by others before this entry stops competing for it: each means
-# that another entry made progress with it.
+# Changes of a claim by other entries after which this entry stops competing for it.
+# Each change means that another entry has made progress with the claim.
 MAX_CLAIM_CHANGES = 4
 
 
 class EarlierRun(NamedTuple):
-    """The earlier run's answer, being read; ``first`` is what came already.
+    """The earlier run has an answer; ``first_step`` was read from ``reader``.
 
-    ``end`` is to be called once it has been read, or will not be.
+    ``close`` has to be called once the answer has been read or is abandoned.
     """
 
     reader: AnswerReader
@@ -69,26 +69,26 @@
 
 
 class ClaimAvailable(NamedTuple):
-    """The claim is this request's to run; no earlier dispatch can start any more."""
+    """The request may run under the claim; no earlier dispatch can start now."""
 
     held: Held
 
 
 class ClaimRefused(NamedTuple):
-    """Nothing is left to read or run."""
+    """The request is refused: there is no answer to read and it must not run."""
 
     refusal: Refusal
 
 
 class ClaimChanged(NamedTuple):
-    """Another entry changed the claim meanwhile; look at it anew."""
+    """Another entry changed the claim meanwhile; it has to be resolved again."""
 
 
 ClaimResolution = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
 class ClaimResolver:
-    """The claim of one request; belongs to one thread."""
+    """Acquires and resolves the claim of one request; not thread-safe."""
 
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
         self._context = context
@@ -97,11 +97,11 @@
 
     @property
     def claim_id(self) -> str:
-        """The digest that names the claim."""
+        """Digest that identifies the claim."""
         return self._claim_id
 
     def read(self) -> Held | Refusal | None:
-        """Return the claim as the platform has it, None if there is none."""
+        """Return the claim stored by the platform, None if there is none."""
         result = self._context.claims.read(self._claim_id)
         if result.is_error():
             return build_claim_refusal(result.error, is_claimed=True)
@@ -110,7 +110,7 @@
     def acquire(
         self, reservation: Reservation, attempt: int, held_claim: Held | None
     ) -> Held | ClaimChanged | Refusal:
-        """Make the claim for ``place``, or move the one held there."""
+        """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
             written = self._context.claims.make(self._claim_id, record)
@@ -149,9 +149,9 @@
     def record_final_outcome(
         self, held_claim: Held, outcome: Outcome, reason: str
     ) -> None:
-        """Record that nothing can change any more; a failure to write is harmless.
+        """Record the final outcome; a failure to write it is harmless.
 
-        The next reader of the claim finds the same dead agent and says the same.
+        The next reader of the claim finds the same lost agent and reports the same.
         """
         record = msgspec.structs.replace(
             held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
@@ -159,7 +159,7 @@
         self._context.claims.move(held_claim, record)
 
     def resolve(self, held_claim: Held) -> ClaimResolution:
-        """Find out what became of the claim held by an earlier send."""
+        """Determine the state of the run under an earlier send's claim."""
         record = held_claim.record
         if record.body_digest != self._request.body_digest:
             return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
@@ -212,7 +212,7 @@
                 return EarlierRun(reader, step, close)
 
     def _query_agent(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
-        # An agent that was just dialled may need a moment, and one message may be lost.
+        # A new connection to an agent takes time, and one message may be lost.
         deadline = monotonic() + self._context.settings.timings.give_up_s
         while monotonic() < deadline:
             reader.request_resume(reason="joined by a resend")
@@ -222,8 +222,8 @@
         return WaitTimedOut()
 
     def _open_inbox(self, record: ClaimRecord) -> AttemptInbox | None:
-        # Another thread here may follow the same answer; the agent sends it to one
-        # reader at a time, so this one waits until that one has read it.
+        # Another thread of this entry may read the same answer. The agent sends it to
+        # one reader at a time, so this thread waits until the other one has read it.
         key = AttemptKey(record.request_id, record.attempt)
         inboxes = self._context.inboxes
         while monotonic() < self._request.deadline_at:
@@ -238,12 +238,12 @@
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
     def _take_over(self, held_claim: Held, inbox: AttemptInbox) -> ClaimResolution:
-        """Make sure that the earlier dispatch can't start, then free the claim.
+        """Keep the earlier dispatch from starting, then make the claim available.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
-        raised while it still names the same agent, then that agent promises to refuse
-        the lower one; in the other order a crash in between would leave a claim that
-        names an agent which never heard of the run.
+        raised while it still names the same agent, then a tombstone at that agent
+        refuses the lower fence. In the reverse order, a crash in between would leave a
+        claim that names an agent which never received the dispatch.
         """
         record = msgspec.structs.replace(
             held_claim.record,
@@ -278,7 +278,7 @@
             case TombstoneReply(accepted=True, ran=False):
                 return ClaimAvailable(held_claim)
             case TombstoneReply(accepted=True):
-                # The earlier dispatch arrived in between: look at its run.
+                # The earlier dispatch arrived meanwhile, so its run is resolved.
                 return ClaimChanged()
             case TombstoneReply():
                 return self._finish_as_unknown(
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -1,4 +1,4 @@
-"""What request threads share: the parts of one entry."""
+"""Components of one entry that request threads share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EntryContext(NamedTuple):
-    """The shared parts; each is safe from any thread."""
+    """The shared components; each of them is thread-safe."""
 
     settings: Settings
     hub: MessageHub
--- a/src/kingcupwheel/entry/dispatcher_registry.py
+++ b/src/kingcupwheel/entry/dispatcher_registry.py
@@ -1,4 +1,4 @@
-"""The dispatchers of all groups, made when a group is first used."""
+"""Registry of group dispatchers, created when a group is first used."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class DispatcherRegistry:
-    """One dispatcher for each definition of a group.
+    """Keeps one dispatcher per group definition; thread-safe.
 
-    Requests admitted under an earlier manifest finish with the group as it was then; a
-    definition that nobody waits for any more is forgotten when another one arrives.
+    Requests admitted under an earlier manifest finish with that manifest's definition
+    of the group. A definition without waiting requests is removed when a new definition
+    of the group is first used.
     """
 
     def __init__(self, servers: ServerTable, *, data_centre: str) -> None:
@@ -27,7 +28,7 @@
         self._lock = Lock()
 
     def get(self, group: ServerGroup) -> GroupDispatcher:
-        """Return the dispatcher for ``group`` as its request was admitted under."""
+        """Return the dispatcher for this definition of a group."""
         with self._lock:
             dispatcher = self._by_group.get(group)
             if dispatcher is None:
@@ -48,20 +49,20 @@
             del self._by_group[group]
 
     def place_waiting(self, name: str) -> None:
-        """Place what can be placed in the group; called when a heartbeat came."""
+        """Place the group's waiting requests; called on each agent heartbeat."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
                 dispatcher.place_waiting()
 
     def reset_server_health(self, name: str, server: str) -> None:
-        """Forget the failures of an earlier life of the group's ``server``."""
+        """Forget the failures of an earlier incarnation of the group's ``server``."""
         for group, dispatcher in tuple(self._by_group.items()):
             if group.name == name:
                 dispatcher.reset_server_health(server)
 
     @property
     def waiting_count_by_group(self) -> dict[str, int]:
-        """How many requests wait in each group."""
+        """Number of waiting requests by group name."""
         waiting: dict[str, int] = {}
         for group, dispatcher in tuple(self._by_group.items()):
             waiting[group.name] = waiting.get(group.name, 0) + dispatcher.waiting_count
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -1,7 +1,7 @@
-"""Gives waiting requests to servers: the queue and the placement of each group.
+"""Request queue and placement of one server group.
 
-The decisions themselves are pure and live in ``decisions``; this module feeds them with
-what is known and carries out what they say, under one lock for each group.
+The decisions are pure functions and classes in ``decisions``; this module collects
+their inputs and applies their results, under one lock per group.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.manifest.schema import ServerGroup
 
-# Waiting requests that only some servers may take (retries, suspects) are tried apart
-# from the queue, so that they don't hold up the rest; they are rare, so few suffice.
+# Requests that only some servers may take (retries, crash suspects) wait outside the
+# queue, so that they don't block its head. They are rare, so few suffice.
 _MAX_CONSTRAINED = 32
 
 
 class GroupDispatcher:
-    """The queue of one server group; safe from any thread."""
+    """Queues and places the requests of one server group; thread-safe."""
 
     def __init__(
         self, group: ServerGroup, servers: ServerTable, *, data_centre: str
@@ -60,19 +60,22 @@
         self._tickets_by_request_id: dict[str, PlacementTicket] = {}
         self._blocked_head: PlacementTicket | None = None
         self._constrained: deque[PlacementTicket] = deque()
-        # Not seeded: entries that draw alike would all choose the same servers.
+        # Not seeded: entries with equal random numbers would choose the same servers.
         self._random = Random()
         self._lock = Lock()
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return len(self._tickets_by_request_id)
 
     def submit(
         self, request: SubmittedRequest, placement_request: PlacementRequest
     ) -> PlacementTicket | LimitRefusal:
-        """Queue the request, then place what can be placed."""
+        """Queue a request and place all requests that can be placed now.
+
+        Returns the request's ticket, or a refusal if the queue does not take it.
+        """
         now = monotonic()
         queued = QueuedRequest(
             request_id=request.request_id,
@@ -95,8 +98,8 @@
         return ticket
 
     def _compute_queue_deadline(self, request: SubmittedRequest) -> float:
-        # Placed just before its deadline, a request would be run in vain: its first
-        # byte takes as long as ever.
+        # A request placed just before its deadline would get its first byte too late,
+        # and the server's work on it would be wasted.
         with self._lock:
             return request.first_byte_deadline_at - self._first_byte_latency.bound_s(
                 request.size_bytes, monotonic()
@@ -119,7 +122,7 @@
                 return refused
 
     def withdraw(self, ticket: PlacementTicket) -> None:
-        """Forget a ticket whose caller left; a place already given is returned."""
+        """Remove the ticket of a caller that left; release its reservation, if any."""
         with self._lock:
             self._remove(ticket)
         result = ticket.wait(0)
@@ -137,27 +140,28 @@
             self._constrained.remove(ticket)
 
     def release(self, reservation: Reservation) -> None:
-        """Give the place back and let the next request have it."""
+        """Release a reservation and place waiting requests."""
         self._servers.give_back(
             reservation.address, reservation.incarnation, suspect=reservation.is_suspect
         )
         self.place_waiting()
 
     def record_success(self, reservation: Reservation, token_s: float) -> None:
-        """Count a whole answer that took ``token_s`` seconds a token."""
+        """Count a complete answer that took ``token_s`` seconds per token."""
         with self._lock:
             self._health.get(reservation.server).record_success(token_s, monotonic())
 
     def record_first_byte_latency(self, seconds: float, size_bytes: float) -> None:
-        """Note the time from dispatch to first byte of a request of that size."""
+        """Record a request's time from dispatch to first byte."""
         with self._lock:
             self._first_byte_latency.record(seconds, size_bytes, monotonic())
 
     def record_failure(self, reservation: Reservation) -> None:
-        """Count an attempt that failed through its server.
+        """Count an attempt that failed because of its server.
 
-        Failure: a server that starts anew under its name takes all it ran with it.
-        Symptom: those losses, noticed late, would eject the new life for seconds.
+        Attempts of an earlier incarnation are not counted: a server that restarts under
+        its name loses everything it ran, and these losses, noticed late, would eject
+        the new incarnation for seconds.
         """
         if not self._servers.is_living(reservation.address, reservation.incarnation):
             return
@@ -167,9 +171,10 @@
     def get_backoff_left_s(
         self, excluded_servers: frozenset[str] = frozenset()
     ) -> float:
-        """Return how long every server but ``avoid`` still rests or leaves.
+        """Return the time until the first backoff of the eligible servers ends.
 
-        It is 0 if any of them may get work, or if none of them rests.
+        It is 0 if any server outside ``excluded_servers`` may get work, or if none of
+        them is backing off.
         """
         now = monotonic()
         with self._lock, self._servers.lock:
@@ -185,12 +190,12 @@
         return max(0.0, selection.backoff_ends_at - now)
 
     def reset_server_health(self, server: str) -> None:
-        """Forget the failures of a server's earlier life."""
+        """Forget the failures of a server's earlier incarnation."""
         with self._lock:
             self._health.reset(server)
 
     def place_waiting(self) -> None:
-        """Place what can be placed; called whenever a place may have come free."""
+        """Place waiting requests; called whenever a server may have free capacity."""
         with self._lock:
             self._place_waiting(monotonic())
 
@@ -207,7 +212,10 @@
                 return
 
     def _fail_unplaceable(self, blocked_ticket: PlacementTicket, now: float) -> None:
-        """End the waits behind ``held`` that end before the first rest does."""
+        """Fail the tickets that expire before the first backoff ends.
+
+        They wait behind ``blocked_ticket``, which no server can take before then.
+        """
         blocked_by = blocked_ticket.blocked_by
         if blocked_by is None or blocked_by.backoff_ends_at is None:
             return
@@ -263,12 +271,12 @@
         return True
 
     def _try_place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
-        """Place a request whose first byte is predicted too late, if a server idles.
+        """Place a request with a late predicted first byte if a server is idle.
 
-        Load: a busy moment, and then idle servers. Harm prevented: the slow first bytes
-        of that moment still put the bound over callers' patience, so requests are
-        refused though nothing waits. A place where nothing runs is taken from nobody,
-        and what is seen there corrects the bound.
+        After a load peak, its slow first bytes keep the latency bound above callers'
+        deadlines, so requests would be refused although servers are idle and nothing
+        waits. An idle server's capacity is taken from no other request, and its
+        first-byte latency corrects the bound.
         """
         if len(self._queue) or self._blocked_head is not None:
             return False
@@ -323,7 +331,7 @@
         return [replace(one, state=state_by_name[one.name]) for one in candidates]
 
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
-        """Return why a server gets nothing, whatever became of what it got so far."""
+        """Return the state that excludes a server whatever its health, None if none."""
         incarnation = server.known_beat.incarnation
         if server.is_going or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
@@ -337,11 +345,11 @@
 def _find_placement_failure(
     ticket: PlacementTicket, blocked_by: NoServerAvailable, now: float
 ) -> PlacementFailure | None:
-    """Return the end of a wait that can't bring a place, None if it can."""
+    """Return why waiting can't lead to a placement, None if it can."""
     backoff_ends_at = blocked_by.backoff_ends_at
     backoff_left_s = 0.0 if backoff_ends_at is None else max(0.0, backoff_ends_at - now)
     if blocked_by.reason == ALL_SERVERS_TRIED.reason:
-        # No wait brings a server that was not tried.
+        # Waiting does not add a server that was not tried.
         return PlacementFailure("no-server", blocked_by.reason, backoff_left_s)
     if backoff_ends_at is not None and backoff_ends_at >= ticket.queued.deadline_at:
         return PlacementFailure("servers-rest", blocked_by.reason, backoff_left_s)
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its response in WSGI's terms."""
+"""HTTP request and response of one caller over WSGI."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 REQUEST_ID_HEADER = "Kingcupwheel-Request-Id"
 OUTCOME_HEADER = "Kingcupwheel-Outcome"
-# Read at a time of what is dropped.
+# Bytes of a discarded body read at a time.
 DISCARD_CHUNK_BYTES = 65_536
 
 
 class HttpExchange:
-    """Reads a request and writes its response; belongs to one thread."""
+    """Reads a request and writes its response; not thread-safe."""
 
     def __init__(
         self,
@@ -60,35 +60,35 @@
 
     @property
     def method(self) -> str:
-        """The HTTP method."""
+        """HTTP method of the request."""
         return str(self._environ["REQUEST_METHOD"])
 
     @property
     def path(self) -> str:
-        """The path, without its query."""
+        """Path of the request without the query."""
         return str(self._environ.get("PATH_INFO", "/"))
 
     @property
     def socket(self) -> Any:
-        """The caller's connection, None outside the HTTP server."""
+        """Socket of the caller's connection, None outside the HTTP server."""
         return self._environ.get(SOCKET_KEY)
 
     def close_connection_after(self) -> None:
-        """Close the connection after this answer."""
+        """Close the connection after this response."""
         close = self._environ.get(CLOSE_KEY)
         if close is not None:
             close()
 
     def read_body(self, limit_bytes: int) -> bytes | None:
-        """Return the body, or None if it is longer than ``limit`` bytes."""
+        """Return the body, or None if it is longer than ``limit_bytes``."""
         body: bytes = self._environ["wsgi.input"].read(limit_bytes + 1)
         return body if len(body) <= limit_bytes else None
 
     def discard_body(self, limit_bytes: int) -> None:
-        """Read and drop up to ``limit`` bytes, then close after the answer.
+        """Read and discard up to ``limit_bytes``, then close after the response.
 
-        Failure: a connection is closed while the caller still sends. Symptom: it gets a
-        reset in place of the refusal. Past the limit that has to be accepted.
+        If the connection were closed while the caller still sends, it would get a reset
+        in place of the refusal. Beyond the limit this is accepted.
         """
         left_bytes = limit_bytes
         while left_bytes > 0:
@@ -101,13 +101,13 @@
         self.close_connection_after()
 
     def build_http_request(self, body: bytes) -> HttpRequest:
-        """Return the request as parsing takes it."""
+        """Return the request in the form that is parsed."""
         host = self.headers.get("host", "").rsplit(":", 1)[0].lower()
         query = str(self._environ.get("QUERY_STRING", ""))
         return HttpRequest(self.method, host, self.path, query, self.headers, body)
 
     def refuse(self, refusal: Refusal) -> Iterable[bytes]:
-        """Answer a request that did not get as far as being run, and record why."""
+        """Send and record the refusal of a request that has not been run."""
         record = self._context.recorder.record
         event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         record(self.request_id, event)
@@ -127,14 +127,14 @@
     def send_json(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> Iterable[bytes]:
-        """Answer with a whole JSON body."""
+        """Send a response with a JSON body."""
         content_type = ("Content-Type", "application/json")
         length = ("Content-Length", str(len(body)))
         self._send_head(status, (content_type, length, *headers))
         return (body,)
 
     def send_answer(self, answer: Answer) -> Iterable[bytes]:
-        """Send what a request came to."""
+        """Send the result of a request."""
         match answer:
             case RefusedAnswer(refusal):
                 return self._send_refusal(refusal)
@@ -151,7 +151,7 @@
         try:
             yield from stream
         except AnswerCutError as error:
-            logger.warning("Answer cut: %s. [%s]", error, self.request_id)
+            logger.warning("Answer truncated: %s. [%s]", error, self.request_id)
             raise
 
     def _send_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> None:
@@ -160,7 +160,7 @@
 
 
 def format_status_line(status: int) -> str:
-    """Return the status and its phrase as WSGI wants them."""
+    """Return the status code and its phrase in WSGI's format."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -169,7 +169,7 @@
 
 
 def extract_headers(environ: dict[str, Any]) -> dict[str, str]:
-    """Return a WSGI request's headers by lower-case name."""
+    """Return the headers of a WSGI request by lower-case name."""
     headers = {
         name[5:].replace("_", "-").lower(): str(value)
         for name, value in environ.items()
--- a/src/kingcupwheel/entry/placement_tickets.py
+++ b/src/kingcupwheel/entry/placement_tickets.py
@@ -1,4 +1,4 @@
-"""A request's wait for a place on a server, and what ends it."""
+"""Tickets of requests that wait for placement, and the results of the wait."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class SubmittedRequest(NamedTuple):
-    """What a request asks of a group's queue.
+    """A request as submitted to a group's queue.
 
-    ``work`` is predicted work in tokens, ``size`` what its first byte's time grows
-    with; ``first_by`` is monotonic: when its first byte has to be there.
+    ``work`` is predicted work in tokens. The first byte's latency grows with
+    ``size_bytes``, the size of the body; ``first_byte_deadline_at`` is monotonic.
     """
 
     request_id: str
@@ -31,7 +31,7 @@
 
 
 class Reservation(NamedTuple):
-    """A server to dispatch to, as of its latest heartbeat."""
+    """Capacity reserved on a server, as of the server's latest heartbeat."""
 
     server: str
     address: str
@@ -44,11 +44,11 @@
 
 
 class PlacementFailure(NamedTuple):
-    """The wait ended without a place.
+    """The wait ended without a reservation.
 
-    ``limit`` is ``deadline``, or where waiting could not help ``no-server`` or
-    ``servers-rest``; ``why`` is what stood in the way last. ``rest_s`` is how long the
-    first rest still lasts where nothing but rests stands in the way, else 0.
+    ``reason`` is ``deadline``, or ``no-server`` or ``servers-rest`` if waiting longer
+    would not help; ``detail`` is why the last placement failed. ``backoff_left_s`` is
+    the time until the first backoff ends if only backoffs prevent a placement, else 0.
     """
 
     reason: str
@@ -57,7 +57,7 @@
 
 
 class PlacementTicket:
-    """A request's wait for a place."""
+    """A request's wait for a reservation; completed by its group's dispatcher."""
 
     def __init__(
         self, queued: QueuedRequest, placement_request: PlacementRequest
@@ -70,17 +70,17 @@
 
     @property
     def blocking_reason(self) -> str:
-        """What stood in the way last."""
+        """Why the last placement failed."""
         return (
             "no server is known" if self.blocked_by is None else self.blocked_by.reason
         )
 
     def complete(self, result: Reservation | PlacementFailure) -> None:
-        """End the wait."""
+        """End the wait with this result."""
         self._results.put(result)
 
     def wait(self, timeout_s: float) -> Reservation | PlacementFailure | None:
-        """Return the end of the wait, or None after ``timeout_s`` seconds."""
+        """Return the result of the wait, or None after ``timeout_s`` seconds."""
         try:
             return self._results.get(timeout=max(0.0, timeout_s))
         except Empty:
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them: status, reason, outcome and when to come back."""
+"""Refusals sent to callers: status, reason, outcome and retry delay."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Refusal(NamedTuple):
-    """The final answer to a request that gets no answer of a backend server.
+    """The final answer to a request without an answer of a backend server.
 
-    ``limit`` is machine-readable, ``message`` a sentence. ``retry_after_s`` is 0 where
-    coming back does not help.
+    ``reason`` is machine-readable, ``message`` a sentence. ``retry_after_s`` is 0 if a
+    retry would not help.
     """
 
     status: int
@@ -38,7 +38,7 @@
 
 
 def build_refusal_body(refusal: Refusal, request_id: str) -> RefusalBody:
-    """Return what the caller reads."""
+    """Return the body of the caller's response."""
     return RefusalBody(
         reason=refusal.reason,
         message=refusal.message,
@@ -85,7 +85,7 @@
 
 
 def build_earlier_send_refusal(outcome: Outcome, reason: str) -> Refusal:
-    """Return what a resend is told of an earlier send without an answer to read."""
+    """Return the refusal of a resend whose earlier send has no answer to read."""
     message = f"An earlier send of this Idempotency-Key ended: {reason}."
     return Refusal(409, "earlier-send", message, outcome=outcome)
 
@@ -93,10 +93,10 @@
 def build_claim_refusal(
     error: ClaimUnreachable, *, is_claimed: bool = False
 ) -> Refusal:
-    """Return the refusal of a request whose claim can't be made or settled.
+    """Return the refusal of a request whose claim can't be written or resolved.
 
-    ``claimed`` tells that an earlier send made a claim: it may have run, and a caller
-    who reads ``not-run`` after a resend would take the whole key for not run.
+    ``is_claimed`` means that an earlier send wrote a claim. That send may have run, and
+    a caller that gets ``not-run`` for a resend would take it for every send of the key.
     """
     message = (
         "The request may run at most once, and the platform can't record it now: "
--- a/src/kingcupwheel/entry/request_limiter.py
+++ b/src/kingcupwheel/entry/request_limiter.py
@@ -1,4 +1,4 @@
-"""What an entry allows: allowances, retry budgets and suspects, under one lock."""
+"""Limits of one entry: allowances, retry budgets and quarantine, under one lock."""
 
 from __future__ import annotations
 
@@ -25,21 +25,25 @@
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.manifest.schema import Organisation
 
-# How long a caller that found no place is asked to stay away: about two heartbeats, in
-# which a group's state is known anew; spread so that callers don't return together.
+# Delay before a caller whose request was not placed retries: about two heartbeats,
+# after which a group's state is known anew. Jitter is added so that callers don't
+# return at the same time.
 _BASE_RETRY_AFTER_S = 2.0
 
 
 class NotQuarantined(NamedTuple):
-    """The request may go on; ``suspect`` ones run where no other suspect runs."""
+    """The request may run.
+
+    A crash suspect (``is_suspect``) runs on a server without other suspects.
+    """
 
     is_suspect: bool
 
 
 class RequestLimiter:
-    """The decisions that belong to no group's queue; safe from any thread.
+    """Applies the limits that are independent of a group's queue; thread-safe.
 
-    ``share_of`` returns this entry's part of an organisation's allowance, 0 to 1.
+    ``get_share`` returns this entry's share of an organisation's allowance, 0 to 1.
     """
 
     def __init__(self, get_share: Callable[[Organisation], float]) -> None:
@@ -52,7 +56,7 @@
         self._lock = Lock()
 
     def check_quarantine(self, request: CallerRequest) -> NotQuarantined | Refusal:
-        """Refuse what crashed every server that ran it."""
+        """Refuse a request that crashed every server that ran it."""
         with self._lock:
             status = self._suspects.get_status(request.fingerprint, monotonic())
         match status:
@@ -67,7 +71,7 @@
         return NotQuarantined(is_suspect=False)
 
     def admit(self, request: CallerRequest) -> float | Refusal:
-        """Return the predicted work in tokens, or a refusal."""
+        """Admit a request; return its predicted work in tokens, or a refusal."""
         organisation = request.organisation
         with self._lock:
             now = monotonic()
@@ -93,13 +97,13 @@
             self._admission.configure(organisation.name, organisation.allowance, share)
 
     def register_organisation(self, organisation: Organisation) -> None:
-        """Take part in the organisation's allowance without a request of its own."""
+        """Track an organisation that this entry has no request from yet."""
         with self._lock:
             if organisation.name not in self._configured_by_name:
                 self._configure(organisation)
 
     def set_share(self, organisation: Organisation, share: float) -> None:
-        """Use this part (0 to 1) of the organisation's allowance from now on."""
+        """Set this entry's share (0 to 1) of the organisation's allowance."""
         with self._lock:
             known = self._configured_by_name.get(organisation.name)
             if known is not None and known[1] != share:
@@ -108,7 +112,7 @@
                 self._admission.configure(organisation.name, allowance, share)
 
     def list_demands(self, now: float) -> list[tuple[Organisation, float]]:
-        """Return the organisations seen here and their demand on the allowance."""
+        """Return the known organisations with their demand on the allowance."""
         with self._lock:
             return [
                 (organisation, self._admission.get_demand(name, now))
@@ -116,13 +120,13 @@
             ]
 
     def remove_organisation(self, organisation: Organisation) -> None:
-        """Drop an organisation that has not been seen for a while."""
+        """Remove an organisation without recent requests."""
         with self._lock:
             self._configured_by_name.pop(organisation.name, None)
             self._admission.remove_organisation(organisation.name)
 
     def settle_not_run(self, request: CallerRequest, predicted_work: float) -> None:
-        """Settle an admitted request that took no work of a server."""
+        """Settle the allowance of an admitted request that has not run."""
         name = request.organisation.name
         with self._lock:
             self._admission.settle(name, predicted_work, 0.0, monotonic())
@@ -135,9 +139,10 @@
         *,
         is_whole: bool,
     ) -> None:
-        """Settle an admitted request whose answer took about ``tokens`` tokens.
+        """Settle the allowance of a request whose answer had about ``tokens`` tokens.
 
-        One that ended whole is no suspect any more: its server lived on.
+        A request with a complete answer is no crash suspect any more, as its server
+        has survived it.
         """
         name = request.organisation.name
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
@@ -148,7 +153,7 @@
                 self._suspects.clear(request.fingerprint)
 
     def try_acquire_retry(self, request: CallerRequest) -> bool:
-        """Return whether the group's retry budget allows one more attempt."""
+        """Take one retry from the group's budget; return whether it allowed it."""
         with self._lock:
             return self._get_retry_budget(request.group.name).try_acquire(monotonic())
 
@@ -156,11 +161,14 @@
         return self._retry_budget_by_group.setdefault(group, RetryBudget())
 
     def get_retry_after_s(self, request: CallerRequest) -> float:
-        """Return seconds to stay away, spread by request."""
+        """Return the delay before the caller retries, with jitter by request id."""
         return _BASE_RETRY_AFTER_S * (1.0 + stable_fraction(request.request_id))
 
     def record_crashes(self, crashes: tuple[tuple[str, int], ...]) -> None:
-        """Take in what ran when servers died, as an agent or a peer tells it."""
+        """Record the requests that ran during server crashes.
+
+        Agents and peers report them as pairs of fingerprint and crash id.
+        """
         with self._lock:
             now = monotonic()
             for fingerprint, crash_id in crashes:
@@ -168,6 +176,6 @@
 
     @property
     def recent_crashes(self) -> tuple[tuple[str, int], ...]:
-        """Fingerprints and the deaths held against them, to tell peers."""
+        """Pairs of request fingerprint and crash id, to report to peers."""
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -1,4 +1,4 @@
-"""Runs one request: admitted, placed, claimed if need be, dispatched, answered."""
+"""Runs one request: admission, placement, claim, dispatch and answer."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class RequestRunner:
-    """One request's way to its answer; belongs to one thread."""
+    """Runs one request up to its answer or final refusal; not thread-safe."""
 
     def __init__(
         self, context: EntryContext, request: CallerRequest, watch: CallerWatch
@@ -61,7 +61,7 @@
         self._retries = RetryController(context, request, watch)
 
     def run(self) -> Answer:
-        """Return the answer, or the refusal that is final."""
+        """Return the answer or the final refusal."""
         quarantine_status = self._context.limiter.check_quarantine(self._request)
         if isinstance(quarantine_status, Refusal):
             return self._refuse(quarantine_status)
@@ -152,7 +152,11 @@
     def _resolve_claim(
         self, claims: ClaimResolver
     ) -> ClaimAvailable | ClaimRefused | EarlierRun:
-        """Look at the claim of an earlier send until there is something to do."""
+        """Resolve the claim of an earlier send.
+
+        Tries again if another entry changes the claim meanwhile, up to
+        ``MAX_CLAIM_CHANGES`` times.
+        """
         for _ in range(MAX_CLAIM_CHANGES):
             held_claim = claims.read()
             if isinstance(held_claim, Refusal):
@@ -224,7 +228,7 @@
         attempts.release(reservation)
 
     def _give_up(self, admitted: AdmittedRequest, refusal: Refusal) -> RefusedAnswer:
-        # A refusal after an attempt that may have run is no ``not-run`` any more.
+        # After an attempt that may have run, the outcome can't be ``not-run``.
         may_have_run = self._retries.may_have_run
         if may_have_run and refusal.outcome is Outcome.NOT_RUN:
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
@@ -238,7 +242,8 @@
 
     def _refuse(self, refusal: Refusal) -> RefusedAnswer:
         if not self._request.route.repeatable and refusal.outcome is Outcome.NOT_RUN:
-            # Whoever sends a key again must not take it for never run by this answer.
+            # A caller that sends a key again must not conclude from this refusal that
+            # the request has never run.
             refusal = refusal._replace(message=refusal.message + _EARLIER_SEND_NOTE)
         event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -1,4 +1,4 @@
-"""Decides what follows an attempt without an answer: another one, or a refusal."""
+"""Decides between a retry and a final refusal after a failed attempt."""
 
 from __future__ import annotations
 
@@ -21,17 +21,16 @@
     from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
-# Places that may turn a request away before it is refused. An agent's refusal costs one
-# message and no run; three cover a restart, a full server and a stale heartbeat in a
-# row, while more would keep a caller waiting on a group that has no room.
+# Agent refusals after which a request is still placed again. A refusal costs one
+# message and no run. Three cover a restart, a full server and a stale heartbeat in a
+# row; more would keep a caller waiting for a group without free capacity.
 MAX_AGENT_REFUSALS = 3
-# A repeatable request runs at most twice: a second failure is more likely the request's
-# or the group's fault than the server's.
+# A second failure is more likely caused by the request or the group than by the server.
 MAX_REPEATABLE_RUNS = 2
 
 
 class RetryController:
-    """Counts one request's failures; belongs to one thread."""
+    """Counts one request's failed attempts and limits its retries; not thread-safe."""
 
     def __init__(
         self, context: EntryContext, request: CallerRequest, watch: CallerWatch
@@ -44,7 +43,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt so far may have run."""
+        """Whether any attempt so far may have run on a server."""
         return self._run_count > 0
 
     def handle_failed_attempt(
@@ -53,7 +52,7 @@
         attempts: AttemptDispatcher,
         reservation: Reservation,
     ) -> Refusal | None:
-        """Return the final refusal, or None if another attempt follows."""
+        """Return the final refusal, or None if the request is to be retried."""
         match step:
             case AttemptNotStarted(reason):
                 return self._handle_agent_refusal(reason, attempts, reservation)
@@ -108,8 +107,8 @@
     def _retry_elsewhere(
         self, detail: str, attempts: AttemptDispatcher, reservation: Reservation
     ) -> Refusal | None:
-        # The server may have died of this very request: the verdict of when it came is
-        # not the verdict of now.
+        # The server may have crashed because of this request, so its quarantine status
+        # may have changed since it was admitted.
         quarantine_status = self._context.limiter.check_quarantine(self._request)
         if isinstance(quarantine_status, Refusal):
             return quarantine_status._replace(outcome=Outcome.UNKNOWN)
@@ -129,6 +128,6 @@
 
 
 def build_wait_abandoned_refusal() -> Refusal:
-    """Return what a caller is told whose wait ended while the request ran."""
+    """Return the refusal for a caller whose wait ended while the request ran."""
     message = "The wait for its answer is over; it was given to a server and may run."
     return Refusal(504, "deadline", message, 1.0, Outcome.UNKNOWN)
