--- a/src/kingcupwheel/forwarding/store_maintenance.py
+++ b/src/kingcupwheel/forwarding/store_maintenance.py
@@ -30,7 +30,7 @@
 # informs the others with its next heartbeat, so in a large fleet few have to read it.
 _REFRESH_AGE_JITTER_S = 0.9
 _POLL_INTERVAL_S = 0.2
-# Between two attempts to register or to list the entries.
+# Between two attempts to register or to list the entries, in seconds.
 _RETRY_INTERVAL_S = 1.0
 
 
