--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -10,8 +10,8 @@
 from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
 from kingcupwheel.entry.answer_assembler import AnswerEnded
 from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -100,12 +100,12 @@
         self, head: HeadReceived, body: bytes, ended: AnswerEnded
     ) -> Answer:
         if ended.outcome is Outcome.RAN:
-            return WholeAnswer(head.status, head.headers, body, ended.outcome)
+            return BufferedAnswer(head.status, head.headers, body, ended.outcome)
         message = f"The answer was cut short: {ended.detail}.".encode()
-        return WholeAnswer(502, (), message, ended.outcome)
+        return BufferedAnswer(502, (), message, ended.outcome)
 
     def _build_caller_left_answer(self, head: HeadReceived) -> Answer:
-        return WholeAnswer(head.status, (), b"", Outcome.UNKNOWN)
+        return BufferedAnswer(head.status, (), b"", Outcome.UNKNOWN)
 
     def _stream_body(
         self, parts: Iterable[bytes], *, tells_outcome: bool
--- a/src/kingcupwheel/entry/answers.py
+++ b/src/kingcupwheel/entry/answers.py
@@ -13,7 +13,7 @@
     from kingcupwheel.messages.attempts import Outcome
 
 
-class WholeAnswer(NamedTuple):
+class BufferedAnswer(NamedTuple):
     """An answer read completely before its head is sent; a header has the outcome."""
 
     status: int
@@ -40,4 +40,4 @@
     refusal: Refusal
 
 
-Answer = WholeAnswer | StreamedAnswer | RefusedAnswer
+Answer = BufferedAnswer | StreamedAnswer | RefusedAnswer
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
@@ -138,7 +138,7 @@
         match answer:
             case RefusedAnswer(refusal):
                 return self._send_refusal(refusal)
-            case WholeAnswer(status, headers, body, outcome):
+            case BufferedAnswer(status, headers, body, outcome):
                 length = ("Content-Length", str(len(body)))
                 told = (OUTCOME_HEADER, outcome.value)
                 self._send_head(status, (*headers, length, told))
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.gateway import CLOSE_KEY
 from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.http_exchange import extract_headers
@@ -78,7 +78,7 @@
         match answer:
             case RefusedAnswer(refusal):
                 return self._refuse(refusal, request_id)
-            case WholeAnswer(status, headers, body):
+            case BufferedAnswer(status, headers, body):
                 length = ("Content-Length", str(len(body)))
                 self._start_response(format_status_line(status), [*headers, length])
                 return (body,)
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -9,9 +9,9 @@
 
 from kingcupwheel.decisions.crash_suspects import Quarantined
 from kingcupwheel.decisions.crash_suspects import Suspect
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.placement_tickets import Reservation
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
@@ -105,13 +105,13 @@
         result = self.send_until_answered()
         if isinstance(result, Refusal):
             return self.log_refusal(result)
-        if isinstance(result, WholeAnswer):
+        if isinstance(result, BufferedAnswer):
             return result
         relay = StreamRelay(self, result)
         head = result.answer.head
         return StreamedAnswer(head.status, head.caller_headers, relay.body())
 
-    def send_until_answered(self) -> PlacedAnswer | WholeAnswer | Refusal:
+    def send_until_answered(self) -> PlacedAnswer | BufferedAnswer | Refusal:
         """Send the request until there is an answer, or no further send is allowed.
 
         A stream is returned once it has begun, any other answer once it is complete.
@@ -139,7 +139,7 @@
 
     def _handle_answer(
         self, place: Reservation, answer: ServerAnswer
-    ) -> PlacedAnswer | WholeAnswer | Refusal | None:
+    ) -> PlacedAnswer | BufferedAnswer | Refusal | None:
         head = answer.head
         self._context.record_notice(place, head.notice, self._request.id)
         self._context.record_load(place, head.load)
@@ -164,10 +164,10 @@
             return self._whole_answer(answer, body)
         return refusal
 
-    def _whole_answer(self, answer: ServerAnswer, body: bytes) -> WholeAnswer:
+    def _whole_answer(self, answer: ServerAnswer, body: bytes) -> BufferedAnswer:
         head = answer.head
         self.log_finished(head.status, len(body), "whole")
-        return WholeAnswer(head.status, head.caller_headers, body, Outcome.RAN)
+        return BufferedAnswer(head.status, head.caller_headers, body, Outcome.RAN)
 
     def _handle_no_answer(
         self, place: Reservation, result: NotSent | Rejected | AnswerLost
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.answers import WholeAnswer
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.events import EventSplitter
@@ -138,7 +138,7 @@
         )
         if refusal is None:
             result = self._forwarder.send_until_answered()
-            if not isinstance(result, Refusal | WholeAnswer):
+            if not isinstance(result, Refusal | BufferedAnswer):
                 log.info(
                     "resumed",
                     id=self._forwarder.request_id,
