--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -211,11 +211,11 @@
         reservation: Reservation,
         reader: AnswerReader,
     ) -> AnswerRelay:
-        def end() -> None:
+        def on_end() -> None:
             self._end_attempt(attempts, reservation, reader)
 
         return AnswerRelay(
-            self._context, admitted, reader, self._watch, reservation, end
+            self._context, admitted, reader, self._watch, reservation, on_end
         )
 
     def _end_attempt(
