--- a/src/kingcupwheel/entry/answer_assembler.py
+++ b/src/kingcupwheel/entry/answer_assembler.py
@@ -149,8 +149,8 @@
         return BodyChunk(fresh)
 
     def _on_end(self, length: int, outcome: Outcome, detail: str) -> AnswerStep:
-        whole = self._offset == length and self._has_head
-        if whole or outcome is not Outcome.RAN:
+        is_complete = self._offset == length and self._has_head
+        if is_complete or outcome is not Outcome.RAN:
             return AnswerEnded(outcome, detail)
         return self._resume("end before its frames")
 
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -79,9 +79,9 @@
         if _is_event_stream(head) or self._admitted.request.is_streamed:
             body = self._stream_body((), tells_outcome=_is_event_stream(head))
             return StreamedAnswer(head.status, head.headers, body)
-        return self._read_whole(head)
+        return self._read_buffered(head)
 
-    def _read_whole(self, head: HeadReceived) -> Answer:
+    def _read_buffered(self, head: HeadReceived) -> Answer:
         parts: list[bytes] = []
         while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
             match self._read_next():
@@ -90,13 +90,13 @@
                 case AnswerEnded() as ended:
                     self._finish(ended)
                     body = b"".join(parts)
-                    return self._build_whole_answer(head, body, ended)
+                    return self._build_buffered_answer(head, body, ended)
                 case None:
                     return self._build_caller_left_answer(head)
         body_stream = self._stream_body(parts, tells_outcome=False)
         return StreamedAnswer(head.status, head.headers, body_stream)
 
-    def _build_whole_answer(
+    def _build_buffered_answer(
         self, head: HeadReceived, body: bytes, ended: AnswerEnded
     ) -> Answer:
         if ended.outcome is Outcome.RAN:
@@ -187,9 +187,12 @@
         self._record(
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
-        is_whole = ended.outcome is Outcome.RAN
+        is_complete = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
-            request, self._admitted.predicted_work, self._token_count, is_whole=is_whole
+            request,
+            self._admitted.predicted_work,
+            self._token_count,
+            is_complete=is_complete,
         )
         self._context.observer.answered(
             request,
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -86,9 +86,9 @@
             queued_at=now,
         )
         ticket = PlacementTicket(queued, placement_request)
-        is_late = queued.deadline_at <= now < request.first_byte_deadline_at
+        is_predicted_late = queued.deadline_at <= now < request.first_byte_deadline_at
         with self._lock:
-            if is_late and self._try_place_on_idle(ticket, now):
+            if is_predicted_late and self._try_place_on_idle(ticket, now):
                 return ticket
             refusal = self._enqueue(ticket, now)
             if refusal is not None:
@@ -282,9 +282,11 @@
             return False
         with self._servers.lock:
             servers = self._get_heard_servers_by_name()
-            idle = [one for one in self._build_candidates(servers, now) if one.is_idle]
+            idle_candidates = [
+                one for one in self._build_candidates(servers, now) if one.is_idle
+            ]
             decision = self._policy.place(
-                idle, ticket.placement_request, now, self._random
+                idle_candidates, ticket.placement_request, now, self._random
             )
             if not isinstance(decision, SelectedServer):
                 return False
--- a/src/kingcupwheel/entry/request_limiter.py
+++ b/src/kingcupwheel/entry/request_limiter.py
@@ -137,7 +137,7 @@
         predicted_work: float,
         tokens: int,
         *,
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
         """Settle the allowance of a request whose answer had about ``tokens`` tokens.
 
@@ -148,7 +148,7 @@
         prompt = int(len(request.body) / DEFAULT_BYTES_PER_TOKEN)
         with self._lock:
             self._admission.settle(name, predicted_work, prompt + tokens, monotonic())
-            if is_whole:
+            if is_complete:
                 self._predictor.record_answer(name, request.route.path, prompt, tokens)
                 self._suspects.clear(request.fingerprint)
 
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -234,7 +234,7 @@
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if may_have_run:
             self._context.limiter.settle_run(
-                self._request, admitted.predicted_work, 0, is_whole=False
+                self._request, admitted.predicted_work, 0, is_complete=False
             )
         else:
             self._context.limiter.settle_not_run(self._request, admitted.predicted_work)
