--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -140,8 +140,8 @@
                 return self._send_refusal(refusal)
             case BufferedAnswer(status, headers, body, outcome):
                 length = ("Content-Length", str(len(body)))
-                told = (OUTCOME_HEADER, outcome.value)
-                self._send_head(status, (*headers, length, told))
+                outcome_header = (OUTCOME_HEADER, outcome.value)
+                self._send_head(status, (*headers, length, outcome_header))
                 return (body,)
             case StreamedAnswer(status, headers, stream):
                 self._send_head(status, headers)
