--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -89,7 +89,7 @@
             organisation=request.organisation.name,
             priority=request.organisation.priority,
             work=self._admitted.predicted_work,
-            size_bytes=len(request.body),
+            prompt_size=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
         ticket = dispatcher.submit(submitted, placement_request)
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -102,7 +102,7 @@
         # and the server's work on it would be wasted.
         with self._lock:
             return request.first_byte_deadline_at - self._first_byte_latency.bound_s(
-                request.size_bytes, monotonic()
+                request.prompt_size, monotonic()
             )
 
     def _enqueue(self, ticket: PlacementTicket, now: float) -> LimitRefusal | None:
--- a/src/kingcupwheel/entry/placement_tickets.py
+++ b/src/kingcupwheel/entry/placement_tickets.py
@@ -26,7 +26,7 @@
     organisation: str
     priority: int
     work: float
-    size_bytes: float
+    prompt_size: float
     first_byte_deadline_at: float
 
 
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -96,6 +96,6 @@
         organisation=request.organisation,
         priority=max(0, LOWEST_PRIORITY - request.priority),
         work=request.predicted_work,
-        size_bytes=request.head.prompt_tokens,
+        prompt_size=request.head.prompt_tokens,
         first_byte_deadline_at=request.deadlines.first_byte_deadline,
     )
