--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -121,7 +121,7 @@
                         self._finish(ended)
                         if tells_outcome:
                             yield self._encode_outcome_event(ended)
-                        self._raise_if_cut(ended)
+                        self._raise_if_truncated(ended)
                         return
                     case None:
                         return
@@ -129,7 +129,7 @@
             self._handle_caller_left()
             raise
 
-    def _raise_if_cut(self, ended: AnswerEnded) -> None:
+    def _raise_if_truncated(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
             raise AnswerCutError(ended.detail)
 
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -113,14 +113,14 @@
         """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
-            written = self._context.claims.make(self._claim_id, record)
+            result = self._context.claims.make(self._claim_id, record)
         else:
-            written = self._context.claims.move(held_claim, record)
-        if written.is_ok():
-            self._record_claim(written.ok, "made" if held_claim is None else "moved")
-            self._context.retention.remember(written.ok)
-            return written.ok
-        match written.error:
+            result = self._context.claims.move(held_claim, record)
+        if result.is_ok():
+            self._record_claim(result.ok, "made" if held_claim is None else "moved")
+            self._context.retention.remember(result.ok)
+            return result.ok
+        match result.error:
             case ClaimMoved():
                 return ClaimChanged()
             case ClaimUnreachable() as error:
@@ -251,14 +251,14 @@
             entry=self._context.settings.name,
             fence=held_claim.record.fence + 1,
         )
-        written = self._context.claims.move(held_claim, record)
-        if written.is_error():
-            match written.error:
+        result = self._context.claims.move(held_claim, record)
+        if result.is_error():
+            match result.error:
                 case ClaimMoved():
                     return ClaimChanged()
                 case ClaimUnreachable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
-        updated_claim = written.ok
+        updated_claim = result.ok
         self._record_claim(updated_claim, "raised the fence of")
         return self._write_tombstone(updated_claim, inbox)
 
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -151,10 +151,10 @@
         with self._lock:
             self._health.get(reservation.server).record_success(token_s, monotonic())
 
-    def record_first_byte_latency(self, seconds: float, size_bytes: float) -> None:
+    def record_first_byte_latency(self, seconds: float, prompt_size: float) -> None:
         """Record a request's time from dispatch to first byte."""
         with self._lock:
-            self._first_byte_latency.record(seconds, size_bytes, monotonic())
+            self._first_byte_latency.record(seconds, prompt_size, monotonic())
 
     def record_failure(self, reservation: Reservation) -> None:
         """Count an attempt that failed because of its server.
