--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -58,7 +58,7 @@
 
 
 class EarlierRun(NamedTuple):
-    """The earlier run has an answer; ``first_step`` was read from ``reader``.
+    """The earlier run can be read from ``reader``; ``first_step`` was read already.
 
     ``close`` has to be called once the answer has been read or is abandoned.
     """
@@ -278,7 +278,7 @@
             case TombstoneReply(accepted=True, ran=False):
                 return ClaimAvailable(held_claim)
             case TombstoneReply(accepted=True):
-                # The earlier dispatch arrived meanwhile, so its run is resolved.
+                # The earlier dispatch arrived meanwhile, so its run has to be resolved.
                 return ClaimChanged()
             case TombstoneReply():
                 return self._finish_as_unknown(
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -152,7 +152,7 @@
             self._health.get(reservation.server).record_success(token_s, monotonic())
 
     def record_first_byte_latency(self, seconds: float, prompt_size: float) -> None:
-        """Record a request's time from dispatch to first byte."""
+        """Record the time from dispatch to first byte of a prompt of this size."""
         with self._lock:
             self._first_byte_latency.record(seconds, prompt_size, monotonic())
 
--- a/src/kingcupwheel/entry/placement_tickets.py
+++ b/src/kingcupwheel/entry/placement_tickets.py
@@ -19,7 +19,8 @@
     """A request as submitted to a group's queue.
 
     ``work`` is predicted work in tokens. The first byte's latency grows with
-    ``size_bytes``, the size of the body; ``first_byte_deadline_at`` is monotonic.
+    ``prompt_size``, in any unit that is the same for all requests of the group.
+    ``first_byte_deadline_at`` is monotonic.
     """
 
     request_id: str
