--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -86,9 +86,9 @@
             queued_at=now,
         )
         ticket = PlacementTicket(queued, placement_request)
-        is_late = queued.deadline_at <= now < request.first_byte_deadline_at
+        is_predicted_late = queued.deadline_at <= now < request.first_byte_deadline_at
         with self._lock:
-            if is_late and self._try_place_on_idle(ticket, now):
+            if is_predicted_late and self._try_place_on_idle(ticket, now):
                 return ticket
             refusal = self._enqueue(ticket, now)
             if refusal is not None:
@@ -102,7 +102,7 @@
         # and the server's work on it would be wasted.
         with self._lock:
             return request.first_byte_deadline_at - self._first_byte_latency.bound_s(
-                request.size_bytes, monotonic()
+                request.prompt_size, monotonic()
             )
 
     def _enqueue(self, ticket: PlacementTicket, now: float) -> LimitRefusal | None:
@@ -151,10 +151,10 @@
         with self._lock:
             self._health.get(reservation.server).record_success(token_s, monotonic())
 
-    def record_first_byte_latency(self, seconds: float, size_bytes: float) -> None:
-        """Record a request's time from dispatch to first byte."""
+    def record_first_byte_latency(self, seconds: float, prompt_size: float) -> None:
+        """Record the time from dispatch to first byte of a prompt of this size."""
         with self._lock:
-            self._first_byte_latency.record(seconds, size_bytes, monotonic())
+            self._first_byte_latency.record(seconds, prompt_size, monotonic())
 
     def record_failure(self, reservation: Reservation) -> None:
         """Count an attempt that failed because of its server.
@@ -282,9 +282,11 @@
             return False
         with self._servers.lock:
             servers = self._get_heard_servers_by_name()
-            idle = [one for one in self._build_candidates(servers, now) if one.is_idle]
+            idle_candidates = [
+                one for one in self._build_candidates(servers, now) if one.is_idle
+            ]
             decision = self._policy.place(
-                idle, ticket.placement_request, now, self._random
+                idle_candidates, ticket.placement_request, now, self._random
             )
             if not isinstance(decision, SelectedServer):
                 return False
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -211,11 +211,11 @@
         reservation: Reservation,
         reader: AnswerReader,
     ) -> AnswerRelay:
-        def end() -> None:
+        def on_end() -> None:
             self._end_attempt(attempts, reservation, reader)
 
         return AnswerRelay(
-            self._context, admitted, reader, self._watch, reservation, end
+            self._context, admitted, reader, self._watch, reservation, on_end
         )
 
     def _end_attempt(
@@ -234,7 +234,7 @@
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if may_have_run:
             self._context.limiter.settle_run(
-                self._request, admitted.predicted_work, 0, is_whole=False
+                self._request, admitted.predicted_work, 0, is_complete=False
             )
         else:
             self._context.limiter.settle_not_run(self._request, admitted.predicted_work)
