--- a/src/kingcupwheel/entry/allowance_balancer.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -1,8 +1,8 @@
-"""Splits each organisation's allowance over its entries by what they see of it.
+"""Splits each organisation's allowance over its entries by their demand.
 
-The arithmetic is ``decisions.allowance_shares``; this module exchanges demands and
+``decisions.allowance_shares`` computes the shares. This module exchanges demands and
 shares with the other entries of each organisation's set, about every heartbeat, for
-organisations in use.
+organisations with recent demand.
 """
 
 from __future__ import annotations
@@ -27,18 +27,23 @@
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
 
-# Demand below this part of an equal share is not told: nobody need lend or borrow then,
-# and 43,000 organisations that each send a little would ride on every heartbeat. Both
-# sides count an organisation that is not told as an equal share without demand.
+# Demand below this fraction of an equal share is not reported: no entry needs to lend
+# or borrow then, and 43,000 organisations with little demand would be reported on every
+# heartbeat. Both sides count an unreported organisation as an equal share without
+# demand.
 _MIN_SHARED_DEMAND_FRACTION = 0.5
-# An organisation without demand for so long is forgotten, here and in what is told to
-# others: 43,000 of them, each on two entries, would otherwise ride on every heartbeat.
+# Time without demand after which an organisation is removed here and from the reports:
+# 43,000 of them, each on two entries, would otherwise be reported on every heartbeat.
 _IDLE_TIMEOUT_S = 60.0
 _MIN_DEMAND = 1e-6
 
 
 class _PeerState:
-    """What another entry told last, and which of this entry's beats it has had."""
+    """Last reports of another entry.
+
+    ``last_sent_at`` is that entry's clock in its last heartbeat, to be echoed to it;
+    ``last_echo_at`` is when the last heartbeat that it echoed was sent from here.
+    """
 
     def __init__(self, now: float) -> None:
         self.last_echo_at = now
@@ -47,7 +52,7 @@
 
 
 class AllowanceBalancer:
-    """The shares of one entry; safe from any thread."""
+    """Shares of one entry in the organisations' allowances; thread-safe."""
 
     def __init__(
         self,
@@ -70,11 +75,12 @@
         self._lock = Lock()
 
     def get_initial_share(self, organisation: Organisation) -> float:
-        """Return the share to begin with: an equal part.
+        """Return the initial share, equal for all entries of the organisation's set.
 
-        Nothing is lent before there is demand, so that equal parts add up to the whole;
-        an entry that has just started may add one such part until its peers have heard
-        of it. Beginning with nothing would refuse every organisation's first burst.
+        No share is lent before there is demand, so equal shares add up to the
+        allowance. An entry that has just started may exceed it by one equal share until
+        its peers know of it. With an initial share of 0, every organisation's first
+        burst would be refused.
         """
         now = monotonic()
         members = self._membership.members_for(organisation, now)
@@ -83,33 +89,35 @@
             self._used_at_by_organisation[organisation.name] = now
         return share.usable_fraction(max(1, len(members)))
 
-    def _get_share(self, organisation: str, members: int) -> Share:
+    def _get_share(self, organisation: str, member_count: int) -> Share:
         known = self._share_by_organisation.get(organisation)
         if known is None:
-            known = Share(held=1.0 / max(1, members))
+            known = Share(held=1.0 / max(1, member_count))
             self._share_by_organisation[organisation] = known
         return known
 
-    def handle_heartbeat(self, beat: ShareHeartbeat, now: float) -> None:
-        """Take in what another entry tells; called on the hub's thread.
+    def handle_heartbeat(self, heartbeat: ShareHeartbeat, now: float) -> None:
+        """Store the reports of another entry; called on the hub's thread.
 
-        An organisation not in use here takes part as well: its share is lent only by
-        telling how little is wanted.
+        An organisation without requests here is registered as well, because its share
+        is lent only if this entry reports its low demand.
         """
-        for told in beat.shares:
-            organisation = self._find_organisation(told.organisation)
-            if organisation is not None and told.demand > _MIN_DEMAND:
+        for report in heartbeat.shares:
+            organisation = self._find_organisation(report.organisation)
+            if organisation is not None and report.demand > _MIN_DEMAND:
                 self._limiter.register_organisation(organisation)
         with self._lock:
-            peer = self._peer_by_name.setdefault(beat.name, _PeerState(now))
-            peer.last_sent_at = beat.sent_at
-            if beat.echo >= 0:
-                peer.last_echo_at = max(peer.last_echo_at, beat.echo)
-            peer.report_by_organisation = {one.organisation: one for one in beat.shares}
+            peer = self._peer_by_name.setdefault(heartbeat.name, _PeerState(now))
+            peer.last_sent_at = heartbeat.sent_at
+            if heartbeat.echo >= 0:
+                peer.last_echo_at = max(peer.last_echo_at, heartbeat.echo)
+            peer.report_by_organisation = {
+                one.organisation: one for one in heartbeat.shares
+            }
 
     def update_shares(self, now: float) -> None:
-        """Work out every share anew and tell the others; about every heartbeat."""
-        told_by_peer: dict[str, list[ShareReport]] = {}
+        """Compute all shares anew and report them to peers; about every heartbeat."""
+        reports_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limiter.list_demands(now):
             members = self._membership.members_for(organisation, now)
             if self._is_idle(organisation.name, demand, now):
@@ -117,59 +125,65 @@
                 continue
             if self._reset_if_unshared(organisation, demand, members):
                 continue
-            told = self._update_share(organisation, demand, members, now)
+            report = self._update_share(organisation, demand, members, now)
             for member in members:
                 if member != self._name:
-                    told_by_peer.setdefault(member, []).append(told)
-        # Those told before get one more message that names nothing, so that they don't
-        # go on counting on what was true then.
-        for peer in self._reported_peers | told_by_peer.keys():
-            self._send_heartbeat(peer, tuple(told_by_peer.get(peer, ())), now)
-        self._reported_peers = frozenset(told_by_peer)
+                    reports_by_peer.setdefault(member, []).append(report)
+        # Peers that got reports before get one empty heartbeat, so that they don't keep
+        # using outdated ones.
+        for peer in self._reported_peers | reports_by_peer.keys():
+            self._send_heartbeat(peer, tuple(reports_by_peer.get(peer, ())), now)
+        self._reported_peers = frozenset(reports_by_peer)
 
     def _reset_if_unshared(
         self, organisation: Organisation, demand: float, members: tuple[str, ...]
     ) -> bool:
-        """Tell whether an equal share is enough here and at every other entry.
+        """Reset to an equal share if it is enough here and at every other entry.
 
-        Both go back to it by themselves. Until the slower one has, the sum may be over
-        the allowance for a heartbeat, while neither needs half of what it holds.
+        Returns whether it was reset. Each entry resets on its own. Until the last one
+        has, the sum may exceed the allowance for a heartbeat, while no entry needs half
+        of its share.
         """
         name = organisation.name
-        equal = 1.0 / max(1, len(members))
-        if demand >= _MIN_SHARED_DEMAND_FRACTION * equal or self._name not in members:
+        equal_share = 1.0 / max(1, len(members))
+        if (
+            demand >= _MIN_SHARED_DEMAND_FRACTION * equal_share
+            or self._name not in members
+        ):
             return False
-        if self._has_peer_demand(name, equal):
+        if self._has_peer_demand(name, equal_share):
             return False
         with self._lock:
-            before = self._get_share(name, len(members))
-            share = before._replace(held=equal, wants_more_since=None)
+            previous = self._get_share(name, len(members))
+            share = previous._replace(held=equal_share, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
         )
         return True
 
-    def _has_peer_demand(self, organisation: str, equal: float) -> bool:
-        told = self._list_peer_reports(organisation)
-        return any(one.demand >= _MIN_SHARED_DEMAND_FRACTION * equal for one in told)
+    def _has_peer_demand(self, organisation: str, equal_share: float) -> bool:
+        reports = self._list_peer_reports(organisation)
+        return any(
+            one.demand >= _MIN_SHARED_DEMAND_FRACTION * equal_share for one in reports
+        )
 
     def _is_idle(self, organisation: str, demand: float, now: float) -> bool:
-        told = self._list_peer_reports(organisation)
-        if demand > _MIN_DEMAND or any(one.demand > _MIN_DEMAND for one in told):
+        reports = self._list_peer_reports(organisation)
+        if demand > _MIN_DEMAND or any(one.demand > _MIN_DEMAND for one in reports):
             self._used_at_by_organisation[organisation] = now
         return (
             now - self._used_at_by_organisation.get(organisation, now) > _IDLE_TIMEOUT_S
         )
 
     def _list_peer_reports(self, organisation: str) -> list[ShareReport]:
-        """Return what the other entries told last of the organisation."""
+        """Return the other entries' last reports of the organisation."""
         with self._lock:
-            told = [
+            reports = [
                 peer.report_by_organisation.get(organisation)
                 for peer in self._peer_by_name.values()
             ]
-        return [one for one in told if one is not None]
+        return [one for one in reports if one is not None]
 
     def _remove_organisation(self, organisation: Organisation) -> None:
         self._limiter.remove_organisation(organisation)
@@ -186,17 +200,17 @@
     ) -> ShareReport:
         name = organisation.name
         with self._lock:
-            before = self._get_share(name, len(members))
+            previous = self._get_share(name, len(members))
             if self._name in members:
                 peers = [
                     self._build_peer_share(member, name, len(members), now)
                     for member in members
                     if member != self._name
                 ]
-                share = compute_next_share(before, demand, peers, now)
+                share = compute_next_share(previous, demand, peers, now)
             else:
-                # Left out of the set: the members count on this part being free.
-                share = before._replace(held=0.0, wants_more_since=None)
+                # Not in the organisation's set: its members use this entry's share.
+                share = previous._replace(held=0.0, wants_more_since=None)
             self._share_by_organisation[name] = share
         self._limiter.set_share(
             organisation, share.usable_fraction(max(1, len(members)))
@@ -204,15 +218,15 @@
         return ShareReport(name, demand, share.held, share.wants_more)
 
     def _build_peer_share(
-        self, member: str, organisation: str, members: int, now: float
+        self, member: str, organisation: str, member_count: int, now: float
     ) -> PeerShare:
         peer = self._peer_by_name.setdefault(member, _PeerState(now))
-        told = peer.report_by_organisation.get(organisation)
+        report = peer.report_by_organisation.get(organisation)
         age_s = now - peer.last_echo_at
-        if told is None:
-            # Not in use there: it begins with an equal part as soon as it is.
-            return PeerShare(0.0, 1.0 / max(1, members), False, age_s)
-        return PeerShare(told.demand, told.held, told.wants_more, age_s)
+        if report is None:
+            # No demand there: the peer starts with an equal share once there is some.
+            return PeerShare(0.0, 1.0 / max(1, member_count), False, age_s)
+        return PeerShare(report.demand, report.held, report.wants_more, age_s)
 
     def _send_heartbeat(
         self, member: str, shares: tuple[ShareReport, ...], now: float
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to the caller, whole or visibly cut."""
+"""Relays an answer to the caller, complete or recognisably truncated."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from kingcupwheel.decisions.work_predictor import DEFAULT_BYTES_PER_TOKEN
 from kingcupwheel.entry.answer_assembler import AnswerEnded
 from kingcupwheel.entry.answer_assembler import BodyChunk
+from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.answers import WholeAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
@@ -32,21 +32,23 @@
     from kingcupwheel.entry.placement_tickets import Reservation
     from kingcupwheel.entry.watching import CallerWatch
 
-# An unstreamed answer up to this size is read to its end first, so that its head can
-# tell the outcome; a larger one is passed on as it comes, to bound the entry's memory.
+# An unstreamed answer up to this size is read to its end before its head is sent, so
+# that the head has the outcome. A larger one is sent while it is read, to bound the
+# entry's memory.
 MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
-# How long one wait for the next bytes lasts before the caller is looked at again. There
-# is no limit on the whole: an agent that sends ``RunningAttempts`` is alive, however
-# slow.
+# Longest wait for the next bytes before the caller's connection is checked again. The
+# total wait has no limit: an agent that sends ``RunningAttempts`` is alive, however
+# slow its answer.
 _POLL_INTERVAL_S = 1.0
 _EVENT_STREAM = "text/event-stream"
 _CALLER_LEFT = AnswerEnded(Outcome.UNKNOWN, "the caller left")
 
 
 class AnswerRelay:
-    """The second half of a request: its answer's head is known.
+    """Relays the body of an answer after its head was received; not thread-safe.
 
-    ``end`` frees the place and the inbox; it is called exactly once.
+    ``on_end`` releases the reservation and the inbox; it is called exactly once.
+    ``reservation`` is None for the answer of an earlier send's run.
     """
 
     def __init__(
@@ -72,14 +74,14 @@
         self._is_finished = False
 
     def relay(self, head: HeadReceived) -> Answer:
-        """Return the answer: whole if it is short and unstreamed, else as a stream."""
+        """Return the answer: buffered if short and unstreamed, else as a stream."""
         self._status = head.status
         if _is_event_stream(head) or self._admitted.request.is_streamed:
             body = self._stream_body((), tells_outcome=_is_event_stream(head))
             return StreamedAnswer(head.status, head.headers, body)
-        return self._read_whole(head)
+        return self._read_buffered(head)
 
-    def _read_whole(self, head: HeadReceived) -> Answer:
+    def _read_buffered(self, head: HeadReceived) -> Answer:
         parts: list[bytes] = []
         while self._reader.offset <= MAX_BUFFERED_ANSWER_BYTES:
             match self._read_next():
@@ -88,27 +90,27 @@
                 case AnswerEnded() as ended:
                     self._finish(ended)
                     body = b"".join(parts)
-                    return self._build_whole_answer(head, body, ended)
+                    return self._build_buffered_answer(head, body, ended)
                 case None:
                     return self._build_caller_left_answer(head)
         body_stream = self._stream_body(parts, tells_outcome=False)
         return StreamedAnswer(head.status, head.headers, body_stream)
 
-    def _build_whole_answer(
+    def _build_buffered_answer(
         self, head: HeadReceived, body: bytes, ended: AnswerEnded
     ) -> Answer:
         if ended.outcome is Outcome.RAN:
-            return WholeAnswer(head.status, head.headers, body, ended.outcome)
+            return BufferedAnswer(head.status, head.headers, body, ended.outcome)
         message = f"The answer was cut short: {ended.detail}.".encode()
-        return WholeAnswer(502, (), message, ended.outcome)
+        return BufferedAnswer(502, (), message, ended.outcome)
 
     def _build_caller_left_answer(self, head: HeadReceived) -> Answer:
-        return WholeAnswer(head.status, (), b"", Outcome.UNKNOWN)
+        return BufferedAnswer(head.status, (), b"", Outcome.UNKNOWN)
 
     def _stream_body(
         self, parts: Iterable[bytes], *, tells_outcome: bool
     ) -> Iterator[bytes]:
-        """Yield what was read already, then the rest as it comes."""
+        """Yield the chunks read so far, then the rest as it arrives."""
         try:
             yield from parts
             while True:
@@ -119,7 +121,7 @@
                         self._finish(ended)
                         if tells_outcome:
                             yield self._encode_outcome_event(ended)
-                        self._raise_if_cut(ended)
+                        self._raise_if_truncated(ended)
                         return
                     case None:
                         return
@@ -127,20 +129,20 @@
             self._handle_caller_left()
             raise
 
-    def _raise_if_cut(self, ended: AnswerEnded) -> None:
+    def _raise_if_truncated(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
             raise AnswerCutError(ended.detail)
 
     def _encode_outcome_event(self, ended: AnswerEnded) -> bytes:
-        told = {
+        payload = {
             "request_id": self._admitted.request.request_id,
             "outcome": ended.outcome.value,
             "reason": ended.detail,
         }
-        return b"event: kingcupwheel\ndata: " + msgspec.json.encode(told) + b"\n\n"
+        return b"event: kingcupwheel\ndata: " + msgspec.json.encode(payload) + b"\n\n"
 
     def _read_next(self) -> BodyChunk | AnswerEnded | None:
-        """Return the next bytes or the end; None once the caller has left."""
+        """Return the next chunk or the end, None once the caller has left."""
         while True:
             step = self._reader.read_step(_POLL_INTERVAL_S)
             match step:
@@ -164,9 +166,10 @@
         self._last_chunk_at = now
 
     def _handle_caller_left(self) -> None:
-        """Cancel what the caller left behind, unless it may not be repeated.
+        """Cancel the attempt of a caller that left, if it may be repeated.
 
-        A caller that leaves while the last bytes are written has its outcome already.
+        Does nothing if the answer has ended: the outcome of a caller that leaves while
+        the last bytes are written is already recorded.
         """
         if self._is_finished:
             return
@@ -184,9 +187,12 @@
         self._record(
             Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
         )
-        whole = ended.outcome is Outcome.RAN
+        is_complete = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
-            request, self._admitted.predicted_work, self._token_count, is_whole=whole
+            request,
+            self._admitted.predicted_work,
+            self._token_count,
+            is_complete=is_complete,
         )
         self._context.observer.answered(
             request,
@@ -205,18 +211,22 @@
         return int(self._reader.offset / DEFAULT_BYTES_PER_TOKEN)
 
     def _record_server_latency(self, ended: AnswerEnded) -> None:
-        """Count a whole answer by its time a token.
+        """Record the time per token and the first-byte latency of a complete answer.
 
-        Prompts and answers differ in length, so that whole times say little of a
-        server; the wait in this entry's queue says nothing of it.
+        Total times say little about a server, because prompts and answers differ in
+        length. The wait in this entry's queue says nothing about it and is left out.
         """
         if self._reservation is None or ended.outcome is not Outcome.RAN:
             return
         dispatcher = self._context.dispatchers.get(self._admitted.request.group)
-        took_s = monotonic() - self._reader.started_at
-        dispatcher.record_success(self._reservation, took_s / max(1, self._token_count))
-        first_s = (self._first_byte_at or monotonic()) - self._reader.started_at
-        dispatcher.record_first_byte_latency(first_s, len(self._admitted.request.body))
+        duration_s = monotonic() - self._reader.started_at
+        dispatcher.record_success(
+            self._reservation, duration_s / max(1, self._token_count)
+        )
+        first_byte_s = (self._first_byte_at or monotonic()) - self._reader.started_at
+        dispatcher.record_first_byte_latency(
+            first_byte_s, len(self._admitted.request.body)
+        )
 
     def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts attempts: waits for a place, dispatches once, opens the inbox first."""
+"""Reserves a server for each attempt of a request and dispatches it once."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.watching import CallerWatch
 
-# How often a waiting thread looks whether its caller is still there.
+# Interval at which a waiting thread checks whether its caller is still connected.
 CALLER_POLL_INTERVAL_S = 0.5
 
 
 class AdmittedRequest(NamedTuple):
-    """What is known of a request before it is placed.
+    """An admitted request with the inputs of its placement.
 
-    ``work`` is predicted work in tokens; ``suspect`` tells that it ran where a server
-    died.
+    ``predicted_work`` is in tokens. ``is_suspect`` means that the request ran on a
+    server when it crashed.
     """
 
     request: CallerRequest
@@ -47,7 +47,7 @@
 
 
 class AttemptDispatcher:
-    """Starts the attempts of one request; belongs to one thread."""
+    """Starts the attempts of one request; not thread-safe."""
 
     def __init__(
         self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
@@ -60,19 +60,22 @@
 
     @property
     def count(self) -> int:
-        """Attempts placed so far."""
+        """Number of attempts placed so far."""
         return self._count
 
     def exclude_server(self, server: str, *, is_suspect: bool = False) -> None:
-        """Don't place a further attempt on ``server``; ``suspect`` as in ``Plan``."""
+        """Place no further attempt on ``server``; ``is_suspect`` marks the request."""
         self._excluded_servers |= {server}
         if is_suspect:
             self._admitted = self._admitted._replace(is_suspect=True)
 
     def reserve_server(self) -> Reservation | Refusal:
-        """Wait for a place; raises CallerGoneError if the caller leaves meanwhile."""
+        """Wait for a server with free capacity.
+
+        Raises CallerGoneError if the caller disconnects meanwhile.
+        """
         request = self._admitted.request
-        ask = PlacementRequest(
+        placement_request = PlacementRequest(
             prefix_key=request.prefix_key,
             work=self._admitted.predicted_work,
             excluded_servers=self._excluded_servers,
@@ -81,37 +84,37 @@
             is_repeatable=request.route.repeatable,
         )
         dispatcher = self._context.dispatchers.get(request.group)
-        wanted = SubmittedRequest(
+        submitted = SubmittedRequest(
             request_id=request.request_id,
             organisation=request.organisation.name,
             priority=request.organisation.priority,
             work=self._admitted.predicted_work,
-            size_bytes=len(request.body),
+            prompt_size=len(request.body),
             first_byte_deadline_at=request.deadline_at,
         )
-        ticket = dispatcher.submit(wanted, ask)
+        ticket = dispatcher.submit(submitted, placement_request)
         if not isinstance(ticket, PlacementTicket):
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
-        place = ticket.wait(0)
-        if place is None:
+        result = ticket.wait(0)
+        if result is None:
             self._record(Queued(ticket.requests_ahead))
-            place = self._wait_for_reservation(ticket)
-        if isinstance(place, PlacementFailure):
+            result = self._wait_for_reservation(ticket)
+        if isinstance(result, PlacementFailure):
             return _build_placement_refusal(
-                place, self._context.limiter.get_retry_after_s(request)
+                result, self._context.limiter.get_retry_after_s(request)
             )
         self._count += 1
-        self._record_reservation(place)
-        return place
+        self._record_reservation(result)
+        return result
 
     def _wait_for_reservation(
         self, ticket: PlacementTicket
     ) -> Reservation | PlacementFailure:
         dispatcher = self._context.dispatchers.get(self._admitted.request.group)
         while True:
-            place = ticket.wait(CALLER_POLL_INTERVAL_S)
-            if place is not None:
-                return place
+            result = ticket.wait(CALLER_POLL_INTERVAL_S)
+            if result is not None:
+                return result
             if self._watch.gone():
                 dispatcher.withdraw(ticket)
                 self._watch.raise_gone()
@@ -130,27 +133,34 @@
         self._record(event)
 
     def release(self, reservation: Reservation) -> None:
-        """Give a place back that was not used, or whose attempt has ended."""
+        """Release a reservation that was not used or whose attempt has ended."""
         self._context.dispatchers.get(self._admitted.request.group).release(reservation)
 
     def record_failure(self, reservation: Reservation) -> None:
-        """Count an attempt that failed through its server."""
+        """Count an attempt that failed because of its server."""
         self._context.dispatchers.get(self._admitted.request.group).record_failure(
             reservation
         )
 
-    def dispatch(self, reservation: Reservation, held: Held | None) -> AnswerReader:
-        """Send the request to the agent of ``place``, exactly once.
+    def dispatch(
+        self, reservation: Reservation, held_claim: Held | None
+    ) -> AnswerReader:
+        """Send the request to the reserved server's agent, exactly once.
 
-        After a link was replaced only ``ResumeRequest`` is sent: a second copy of a
-        dispatch would make ``wrong incarnation`` an unsafe ground for ``not-run``.
+        The inbox is opened first, so that no reply is lost. After a link is replaced
+        only ``ResumeRequest`` is sent: with a second copy of a dispatch in transit, a
+        ``wrong incarnation`` refusal would not prove that the request has not run.
         """
         context = self._context
         request = self._admitted.request
         key = AttemptKey(request.request_id, self._count)
         inbox = context.inboxes.open(key, reservation.address, reservation.incarnation)
         assert inbox is not None, "attempt numbers are not reused"
-        claim = None if held is None else ClaimRef(held.claim_id, held.record.fence)
+        claim = (
+            None
+            if held_claim is None
+            else ClaimRef(held_claim.claim_id, held_claim.record.fence)
+        )
         message = _build_dispatch(self._admitted, key, reservation, claim)
         context.hub.send(OutgoingLink(reservation.address, 0), message)
         self._record(Dispatched(reservation.server, self._count))
@@ -160,7 +170,7 @@
             context.recorder,
             trace_request_id=request.request_id,
             server=reservation.server,
-            claim_id=None if held is None else held.claim_id,
+            claim_id=None if held_claim is None else held_claim.claim_id,
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -1,7 +1,7 @@
-"""Answers a request whose idempotency key was claimed before, and moves claims.
+"""Acquires the claim of an idempotency key, or resolves that of an earlier send.
 
-Every path here ends in the one answer of the one run, in a run of its own that is
-surely the only one, or in a truthful ``unknown``.
+Every resolution leads to the answer of the earlier run, to a run that is certain to be
+the only one, or to a truthful ``unknown``.
 """
 
 from __future__ import annotations
@@ -48,19 +48,19 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
 
-# How often a thread looks again whether another one here still follows the answer.
+# Interval at which a thread checks whether another one still reads the answer.
 _INBOX_POLL_INTERVAL_S = 0.1
-# How often an unanswered question to an agent is asked again over the link of then.
+# Interval at which an unanswered query is sent again, over the agent's current link.
 _QUERY_RETRY_INTERVAL_S = 1.0
-# Changes of one claim by others before this entry stops competing for it: each means
-# that another entry made progress with it.
+# Changes of a claim by other entries after which this entry stops competing for it.
+# Each change means that another entry has made progress with the claim.
 MAX_CLAIM_CHANGES = 4
 
 
 class EarlierRun(NamedTuple):
-    """The earlier run's answer, being read; ``first`` is what came already.
+    """The earlier run can be read from ``reader``; ``first_step`` was read already.
 
-    ``end`` is to be called once it has been read, or will not be.
+    ``close`` has to be called once the answer has been read or is abandoned.
     """
 
     reader: AnswerReader
@@ -69,26 +69,26 @@
 
 
 class ClaimAvailable(NamedTuple):
-    """The claim is this request's to run; no earlier dispatch can start any more."""
+    """The request may run under the claim; no earlier dispatch can start now."""
 
     held: Held
 
 
 class ClaimRefused(NamedTuple):
-    """Nothing is left to read or run."""
+    """The request is refused: there is no answer to read and it must not run."""
 
     refusal: Refusal
 
 
 class ClaimChanged(NamedTuple):
-    """Another entry changed the claim meanwhile; look at it anew."""
+    """Another entry changed the claim meanwhile; it has to be resolved again."""
 
 
 ClaimResolution = EarlierRun | ClaimAvailable | ClaimRefused | ClaimChanged
 
 
 class ClaimResolver:
-    """The claim of one request; belongs to one thread."""
+    """Acquires and resolves the claim of one request; not thread-safe."""
 
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
         self._context = context
@@ -97,37 +97,37 @@
 
     @property
     def claim_id(self) -> str:
-        """The digest that names the claim."""
+        """Digest that identifies the claim."""
         return self._claim_id
 
     def read(self) -> Held | Refusal | None:
-        """Return the claim as the platform has it, None if there is none."""
-        found = self._context.claims.read(self._claim_id)
-        if found.is_error():
-            return build_claim_refusal(found.error, is_claimed=True)
-        return found.ok
+        """Return the claim stored by the platform, None if there is none."""
+        result = self._context.claims.read(self._claim_id)
+        if result.is_error():
+            return build_claim_refusal(result.error, is_claimed=True)
+        return result.ok
 
     def acquire(
         self, reservation: Reservation, attempt: int, held_claim: Held | None
     ) -> Held | ClaimChanged | Refusal:
-        """Make the claim for ``place``, or move the one held there."""
+        """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
-            written = self._context.claims.make(self._claim_id, record)
+            result = self._context.claims.make(self._claim_id, record)
         else:
-            written = self._context.claims.move(held_claim, record)
-        if written.is_ok():
-            self._record_claim(written.ok, "made" if held_claim is None else "moved")
-            self._context.retention.remember(written.ok)
-            return written.ok
-        match written.error:
+            result = self._context.claims.move(held_claim, record)
+        if result.is_ok():
+            self._record_claim(result.ok, "made" if held_claim is None else "moved")
+            self._context.retention.remember(result.ok)
+            return result.ok
+        match result.error:
             case ClaimMoved():
                 return ClaimChanged()
             case ClaimUnreachable() as error:
                 return build_claim_refusal(error)
 
     def _build_record(
-        self, reservation: Reservation, attempt: int, held: Held | None
+        self, reservation: Reservation, attempt: int, held_claim: Held | None
     ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
@@ -140,23 +140,27 @@
             agent=reservation.server,
             address=reservation.address,
             incarnation=reservation.incarnation,
-            fence=1 if held is None else held.record.fence + 1,
-            created_at=time.time() if held is None else held.record.created_at,
+            fence=1 if held_claim is None else held_claim.record.fence + 1,
+            created_at=time.time()
+            if held_claim is None
+            else held_claim.record.created_at,
         )
 
-    def record_final_outcome(self, held: Held, outcome: Outcome, reason: str) -> None:
-        """Record that nothing can change any more; a failure to write is harmless.
+    def record_final_outcome(
+        self, held_claim: Held, outcome: Outcome, reason: str
+    ) -> None:
+        """Record the final outcome; a failure to write it is harmless.
 
-        The next reader of the claim finds the same dead agent and says the same.
+        The next reader of the claim finds the same lost agent and reports the same.
         """
         record = msgspec.structs.replace(
-            held.record, nonce=new_nonce(), final=outcome, reason=reason
+            held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
         )
-        self._context.claims.move(held, record)
+        self._context.claims.move(held_claim, record)
 
-    def resolve(self, held: Held) -> ClaimResolution:
-        """Find out what became of the claim held by an earlier send."""
-        record = held.record
+    def resolve(self, held_claim: Held) -> ClaimResolution:
+        """Determine the state of the run under an earlier send's claim."""
+        record = held_claim.record
         if record.body_digest != self._request.body_digest:
             return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
         if record.final is not None:
@@ -169,48 +173,48 @@
             return ClaimRefused(EARLIER_SEND_RUNNING)
         visit = Visit(self._context.servers, record)
 
-        def end() -> None:
+        def close() -> None:
             self._context.inboxes.close(inbox)
             visit.end()
 
-        found = self._resolve_at_agent(held, inbox, end)
-        if not isinstance(found, EarlierRun):
-            end()
-        return found
+        resolution = self._resolve_at_agent(held_claim, inbox, close)
+        if not isinstance(resolution, EarlierRun):
+            close()
+        return resolution
 
     def _resolve_at_agent(
-        self, held: Held, inbox: AttemptInbox, end: Callable[[], None]
+        self, held_claim: Held, inbox: AttemptInbox, close: Callable[[], None]
     ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
             self._context.hub,
             self._context.recorder,
             trace_request_id=self._request.request_id,
-            server=held.record.agent,
-            claim_id=held.claim_id,
+            server=held_claim.record.agent,
+            claim_id=held_claim.claim_id,
             silence_timeout_s=self._context.settings.timings.silence_s,
         )
         step = self._query_agent(reader)
         match step:
             case AttemptNeverSeen(incarnation, _) if (
-                incarnation == held.record.incarnation
+                incarnation == held_claim.record.incarnation
             ):
-                return self._take_over(held, inbox)
+                return self._take_over(held_claim, inbox)
             case AttemptNeverSeen():
                 return self._finish_as_unknown(
-                    held, "the agent restarted after the claim"
+                    held_claim, "the agent restarted after the claim"
                 )
             case AttemptNotStarted():
-                return ClaimAvailable(held)
+                return ClaimAvailable(held_claim)
             case WaitTimedOut():
-                return self._finish_as_unknown(held, "the agent does not answer")
+                return self._finish_as_unknown(held_claim, "the agent does not answer")
             case _:
-                return EarlierRun(reader, step, end)
+                return EarlierRun(reader, step, close)
 
     def _query_agent(self, reader: AnswerReader) -> AnswerStep | WaitTimedOut:
-        # An agent that was just dialled may need a moment, and one message may be lost.
-        until = monotonic() + self._context.settings.timings.give_up_s
-        while monotonic() < until:
+        # A new connection to an agent takes time, and one message may be lost.
+        deadline = monotonic() + self._context.settings.timings.give_up_s
+        while monotonic() < deadline:
             reader.request_resume(reason="joined by a resend")
             step = reader.read_step(_QUERY_RETRY_INTERVAL_S)
             if not isinstance(step, WaitTimedOut):
@@ -218,8 +222,8 @@
         return WaitTimedOut()
 
     def _open_inbox(self, record: ClaimRecord) -> AttemptInbox | None:
-        # Another thread here may follow the same answer; the agent sends it to one
-        # reader at a time, so this one waits until that one has read it.
+        # Another thread of this entry may read the same answer. The agent sends it to
+        # one reader at a time, so this thread waits until the other one has read it.
         key = AttemptKey(record.request_id, record.attempt)
         inboxes = self._context.inboxes
         while monotonic() < self._request.deadline_at:
@@ -229,61 +233,65 @@
             time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _finish_as_unknown(self, held: Held, reason: str) -> ClaimResolution:
-        self.record_final_outcome(held, Outcome.UNKNOWN, reason)
+    def _finish_as_unknown(self, held_claim: Held, reason: str) -> ClaimResolution:
+        self.record_final_outcome(held_claim, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
-        """Make sure that the earlier dispatch can't start, then free the claim.
+    def _take_over(self, held_claim: Held, inbox: AttemptInbox) -> ClaimResolution:
+        """Keep the earlier dispatch from starting, then make the claim available.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
-        raised while it still names the same agent, then that agent promises to refuse
-        the lower one; in the other order a crash in between would leave a claim that
-        names an agent which never heard of the run.
+        raised while it still names the same agent, then a tombstone at that agent
+        refuses the lower fence. In the reverse order, a crash in between would leave a
+        claim that names an agent which never received the dispatch.
         """
         record = msgspec.structs.replace(
-            held.record,
+            held_claim.record,
             nonce=new_nonce(),
             entry=self._context.settings.name,
-            fence=held.record.fence + 1,
+            fence=held_claim.record.fence + 1,
         )
-        written = self._context.claims.move(held, record)
-        if written.is_error():
-            match written.error:
+        result = self._context.claims.move(held_claim, record)
+        if result.is_error():
+            match result.error:
                 case ClaimMoved():
                     return ClaimChanged()
                 case ClaimUnreachable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
-        raised = written.ok
-        self._record_claim(raised, "raised the fence of")
-        return self._write_tombstone(raised, inbox)
-
-    def _write_tombstone(self, held: Held, inbox: AttemptInbox) -> ClaimResolution:
-        record = held.record
-        order = TombstoneRequest(held.claim_id, record.fence, record.incarnation)
-        self._context.inboxes.subscribe_to_claim(held.claim_id, inbox)
+        updated_claim = result.ok
+        self._record_claim(updated_claim, "raised the fence of")
+        return self._write_tombstone(updated_claim, inbox)
+
+    def _write_tombstone(
+        self, held_claim: Held, inbox: AttemptInbox
+    ) -> ClaimResolution:
+        record = held_claim.record
+        request = TombstoneRequest(
+            held_claim.claim_id, record.fence, record.incarnation
+        )
+        self._context.inboxes.subscribe_to_claim(held_claim.claim_id, inbox)
         try:
-            answer = self._request_tombstone(order, inbox, record)
+            reply = self._request_tombstone(request, inbox, record)
         finally:
-            self._context.inboxes.unsubscribe_from_claim(held.claim_id)
-        match answer:
+            self._context.inboxes.unsubscribe_from_claim(held_claim.claim_id)
+        match reply:
             case TombstoneReply(accepted=True, ran=False):
-                return ClaimAvailable(held)
+                return ClaimAvailable(held_claim)
             case TombstoneReply(accepted=True):
-                # The earlier dispatch arrived in between: look at its run.
+                # The earlier dispatch arrived meanwhile, so its run has to be resolved.
                 return ClaimChanged()
             case TombstoneReply():
                 return self._finish_as_unknown(
-                    held, "the agent restarted after the claim"
+                    held_claim, "the agent restarted after the claim"
                 )
-        return self._finish_as_unknown(held, "the agent does not answer")
+        return self._finish_as_unknown(held_claim, "the agent does not answer")
 
     def _request_tombstone(
-        self, order: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
+        self, request: TombstoneRequest, inbox: AttemptInbox, record: ClaimRecord
     ) -> TombstoneReply | None:
-        until = monotonic() + self._context.settings.timings.give_up_s
-        while monotonic() < until:
-            self._context.hub.send(OutgoingLink(record.address, 0), order)
+        deadline = monotonic() + self._context.settings.timings.give_up_s
+        while monotonic() < deadline:
+            self._context.hub.send(OutgoingLink(record.address, 0), request)
             match inbox.get(_QUERY_RETRY_INTERVAL_S):
                 case TombstoneReply() as answer:
                     return answer
@@ -291,6 +299,6 @@
                     return None
         return None
 
-    def _record_claim(self, held: Held, detail: str) -> None:
-        event = Claimed(held.claim_id, held.record.fence, detail)
+    def _record_claim(self, held_claim: Held, detail: str) -> None:
+        event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -1,7 +1,7 @@
-"""Gives waiting requests to servers: the queue and the placement of each group.
+"""Request queue and placement of one server group.
 
-The decisions themselves are pure and live in ``decisions``; this module feeds them with
-what is known and carries out what they say, under one lock for each group.
+The decisions are pure functions and classes in ``decisions``; this module collects
+their inputs and applies their results, under one lock per group.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.manifest.schema import ServerGroup
 
-# Waiting requests that only some servers may take (retries, suspects) are tried apart
-# from the queue, so that they don't hold up the rest; they are rare, so few suffice.
+# Requests that only some servers may take (retries, crash suspects) wait outside the
+# queue, so that they don't block its head. They are rare, so few suffice.
 _MAX_CONSTRAINED = 32
 
 
 class GroupDispatcher:
-    """The queue of one server group; safe from any thread."""
+    """Queues and places the requests of one server group; thread-safe."""
 
     def __init__(
         self, group: ServerGroup, servers: ServerTable, *, data_centre: str
@@ -60,21 +60,24 @@
         self._tickets_by_request_id: dict[str, PlacementTicket] = {}
         self._blocked_head: PlacementTicket | None = None
         self._constrained: deque[PlacementTicket] = deque()
-        # Not seeded: entries that draw alike would all choose the same servers.
+        # Not seeded: entries with equal random numbers would choose the same servers.
         self._random = Random()
         self._lock = Lock()
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return len(self._tickets_by_request_id)
 
     def submit(
         self, request: SubmittedRequest, placement_request: PlacementRequest
     ) -> PlacementTicket | LimitRefusal:
-        """Queue the request, then place what can be placed."""
+        """Queue a request and place all requests that can be placed now.
+
+        Returns the request's ticket, or a refusal if the queue does not take it.
+        """
         now = monotonic()
-        waiting = QueuedRequest(
+        queued = QueuedRequest(
             request_id=request.request_id,
             organisation=request.organisation,
             priority=request.priority,
@@ -82,24 +85,24 @@
             deadline_at=self._compute_queue_deadline(request),
             queued_at=now,
         )
-        ticket = PlacementTicket(waiting, placement_request)
-        is_late = waiting.deadline_at <= now < request.first_byte_deadline_at
+        ticket = PlacementTicket(queued, placement_request)
+        is_predicted_late = queued.deadline_at <= now < request.first_byte_deadline_at
         with self._lock:
-            if is_late and self._try_place_on_idle(ticket, now):
+            if is_predicted_late and self._try_place_on_idle(ticket, now):
                 return ticket
-            refused = self._enqueue(ticket, now)
-            if refused is not None:
-                return refused
+            refusal = self._enqueue(ticket, now)
+            if refusal is not None:
+                return refusal
             self._tickets_by_request_id[request.request_id] = ticket
             self._place_waiting(now)
         return ticket
 
     def _compute_queue_deadline(self, request: SubmittedRequest) -> float:
-        # Placed just before its deadline, a request would be run in vain: its first
-        # byte takes as long as ever.
+        # A request placed just before its deadline would get its first byte too late,
+        # and the server's work on it would be wasted.
         with self._lock:
             return request.first_byte_deadline_at - self._first_byte_latency.bound_s(
-                request.size_bytes, monotonic()
+                request.prompt_size, monotonic()
             )
 
     def _enqueue(self, ticket: PlacementTicket, now: float) -> LimitRefusal | None:
@@ -119,12 +122,12 @@
                 return refused
 
     def withdraw(self, ticket: PlacementTicket) -> None:
-        """Forget a ticket whose caller left; a place already given is returned."""
+        """Remove the ticket of a caller that left; release its reservation, if any."""
         with self._lock:
             self._remove(ticket)
-        place = ticket.wait(0)
-        if isinstance(place, Reservation):
-            self.release(place)
+        result = ticket.wait(0)
+        if isinstance(result, Reservation):
+            self.release(result)
 
     def _remove(self, ticket: PlacementTicket) -> None:
         request_id = ticket.queued.request_id
@@ -136,58 +139,63 @@
         if ticket in self._constrained:
             self._constrained.remove(ticket)
 
-    def release(self, place: Reservation) -> None:
-        """Give the place back and let the next request have it."""
+    def release(self, reservation: Reservation) -> None:
+        """Release a reservation and place waiting requests."""
         self._servers.give_back(
-            place.address, place.incarnation, suspect=place.is_suspect
+            reservation.address, reservation.incarnation, suspect=reservation.is_suspect
         )
         self.place_waiting()
 
-    def record_success(self, place: Reservation, token_s: float) -> None:
-        """Count a whole answer that took ``token_s`` seconds a token."""
+    def record_success(self, reservation: Reservation, token_s: float) -> None:
+        """Count a complete answer that took ``token_s`` seconds per token."""
         with self._lock:
-            self._health.get(place.server).record_success(token_s, monotonic())
+            self._health.get(reservation.server).record_success(token_s, monotonic())
 
-    def record_first_byte_latency(self, seconds: float, size: float) -> None:
-        """Note the time from dispatch to first byte of a request of that size."""
+    def record_first_byte_latency(self, seconds: float, prompt_size: float) -> None:
+        """Record the time from dispatch to first byte of a prompt of this size."""
         with self._lock:
-            self._first_byte_latency.record(seconds, size, monotonic())
+            self._first_byte_latency.record(seconds, prompt_size, monotonic())
 
-    def record_failure(self, place: Reservation) -> None:
-        """Count an attempt that failed through its server.
+    def record_failure(self, reservation: Reservation) -> None:
+        """Count an attempt that failed because of its server.
 
-        Failure: a server that starts anew under its name takes all it ran with it.
-        Symptom: those losses, noticed late, would eject the new life for seconds.
+        Attempts of an earlier incarnation are not counted: a server that restarts under
+        its name loses everything it ran, and these losses, noticed late, would eject
+        the new incarnation for seconds.
         """
-        if not self._servers.is_living(place.address, place.incarnation):
+        if not self._servers.is_living(reservation.address, reservation.incarnation):
             return
         with self._lock:
-            self._health.get(place.server).record_failure(monotonic())
+            self._health.get(reservation.server).record_failure(monotonic())
 
     def get_backoff_left_s(
         self, excluded_servers: frozenset[str] = frozenset()
     ) -> float:
-        """Return how long every server but ``avoid`` still rests or leaves.
+        """Return the time until the first backoff of the eligible servers ends.
 
-        It is 0 if any of them may get work, or if none of them rests.
+        It is 0 if any server outside ``excluded_servers`` may get work, or if none of
+        them is backing off.
         """
         now = monotonic()
         with self._lock, self._servers.lock:
-            found = select_eligible(
-                self._build_candidates(self._list_heard_servers(), now),
+            selection = select_eligible(
+                self._build_candidates(self._get_heard_servers_by_name(), now),
                 PlacementRequest(excluded_servers=excluded_servers),
             )
-        if not isinstance(found, NoServerAvailable) or found.backoff_ends_at is None:
+        if (
+            not isinstance(selection, NoServerAvailable)
+            or selection.backoff_ends_at is None
+        ):
             return 0.0
-        return max(0.0, found.backoff_ends_at - now)
+        return max(0.0, selection.backoff_ends_at - now)
 
     def reset_server_health(self, server: str) -> None:
-        """Forget the failures of a server's earlier life."""
+        """Forget the failures of a server's earlier incarnation."""
         with self._lock:
             self._health.reset(server)
 
     def place_waiting(self) -> None:
-        """Place what can be placed; called whenever a place may have come free."""
+        """Place waiting requests; called whenever a server may have free capacity."""
         with self._lock:
             self._place_waiting(monotonic())
 
@@ -197,48 +205,51 @@
             ticket = self._constrained.popleft()
             if not self._try_place(ticket, now):
                 self._constrained.append(ticket)
-        while (waiting := self._pop_next(now)) is not None:
-            if not self._try_place(waiting, now):
-                self._blocked_head = waiting
-                self._fail_unplaceable(waiting, now)
+        while (next_ticket := self._pop_next(now)) is not None:
+            if not self._try_place(next_ticket, now):
+                self._blocked_head = next_ticket
+                self._fail_unplaceable(next_ticket, now)
                 return
 
     def _fail_unplaceable(self, blocked_ticket: PlacementTicket, now: float) -> None:
-        """End the waits behind ``held`` that end before the first rest does."""
-        hindrance = blocked_ticket.blocked_by
-        if hindrance is None or hindrance.backoff_ends_at is None:
+        """Fail the tickets that expire before the first backoff ends.
+
+        They wait behind ``blocked_ticket``, which no server can take before then.
+        """
+        blocked_by = blocked_ticket.blocked_by
+        if blocked_by is None or blocked_by.backoff_ends_at is None:
             return
-        waiting = self._tickets_by_request_id.values()
-        for ticket in [one for one in waiting if one not in self._constrained]:
-            ended = _find_placement_failure(ticket, hindrance, now)
-            if ended is not None:
+        tickets = self._tickets_by_request_id.values()
+        for ticket in [one for one in tickets if one not in self._constrained]:
+            failure = _find_placement_failure(ticket, blocked_by, now)
+            if failure is not None:
                 self._remove(ticket)
-                ticket.complete(ended)
+                ticket.complete(failure)
 
     def _pop_next(self, now: float) -> PlacementTicket | None:
         if self._blocked_head is not None:
-            held, self._blocked_head = self._blocked_head, None
-            return held
-        while (waiting := self._queue.pop(now)) is not None:
-            ticket = self._tickets_by_request_id.get(waiting.request_id)
+            head, self._blocked_head = self._blocked_head, None
+            return head
+        while (queued := self._queue.pop(now)) is not None:
+            ticket = self._tickets_by_request_id.get(queued.request_id)
             if ticket is not None:
                 return ticket
         return None
 
     def _expire(self, now: float) -> None:
         self._queue.take_expired(now)
-        late = [
+        expired = [
             ticket
             for ticket in self._tickets_by_request_id.values()
             if ticket.queued.deadline_at <= now
         ]
-        for ticket in late:
+        for ticket in expired:
             self._remove(ticket)
             ticket.complete(PlacementFailure("deadline", ticket.blocking_reason))
 
     def _try_place(self, ticket: PlacementTicket, now: float) -> bool:
         with self._servers.lock:
-            servers = self._list_heard_servers()
+            servers = self._get_heard_servers_by_name()
             decision = self._policy.place(
                 self._build_candidates(servers, now),
                 ticket.placement_request,
@@ -248,40 +259,42 @@
             match decision:
                 case NoServerAvailable():
                     ticket.blocked_by = decision
-                    place: Reservation | PlacementFailure | None = (
+                    result: Reservation | PlacementFailure | None = (
                         _find_placement_failure(ticket, decision, now)
                     )
                 case SelectedServer(server=name):
-                    place = _reserve(servers[name], decision, ticket, now)
-        if place is None:
+                    result = _reserve(servers[name], decision, ticket, now)
+        if result is None:
             return False
         del self._tickets_by_request_id[ticket.queued.request_id]
-        ticket.complete(place)
+        ticket.complete(result)
         return True
 
     def _try_place_on_idle(self, ticket: PlacementTicket, now: float) -> bool:
-        """Place a request whose first byte is predicted too late, if a server idles.
+        """Place a request with a late predicted first byte if a server is idle.
 
-        Load: a busy moment, and then idle servers. Harm prevented: the slow first bytes
-        of that moment still put the bound over callers' patience, so requests are
-        refused though nothing waits. A place where nothing runs is taken from nobody,
-        and what is seen there corrects the bound.
+        After a load peak, its slow first bytes keep the latency bound above callers'
+        deadlines, so requests would be refused although servers are idle and nothing
+        waits. An idle server's capacity is taken from no other request, and its
+        first-byte latency corrects the bound.
         """
         if len(self._queue) or self._blocked_head is not None:
             return False
         with self._servers.lock:
-            servers = self._list_heard_servers()
-            idle = [one for one in self._build_candidates(servers, now) if one.is_idle]
+            servers = self._get_heard_servers_by_name()
+            idle_candidates = [
+                one for one in self._build_candidates(servers, now) if one.is_idle
+            ]
             decision = self._policy.place(
-                idle, ticket.placement_request, now, self._random
+                idle_candidates, ticket.placement_request, now, self._random
             )
             if not isinstance(decision, SelectedServer):
                 return False
-            place = _reserve(servers[decision.server], decision, ticket, now)
-        ticket.complete(place)
+            reservation = _reserve(servers[decision.server], decision, ticket, now)
+        ticket.complete(reservation)
         return True
 
-    def _list_heard_servers(self) -> dict[str, Server]:
+    def _get_heard_servers_by_name(self) -> dict[str, Server]:
         return {
             server.name: server
             for server in self._servers.of_group(self._group.name)
@@ -293,7 +306,7 @@
     ) -> list[Candidate]:
         concurrency = self._group.concurrency
         notices = self._servers.notices
-        plain = [
+        candidates = [
             replace(
                 _build_candidate(server, concurrency, now),
                 backoff_until=notices.backoff_until(server.known_beat.incarnation)
@@ -301,7 +314,7 @@
             )
             for server in servers.values()
         ]
-        kept_from = {
+        excluding_state_by_name = {
             name: state
             for name, server in servers.items()
             if (state := self._find_excluding_state(server, now)) is not None
@@ -311,22 +324,22 @@
                 one.name,
                 one.estimated_in_flight,
                 one.capacity,
-                one.name not in kept_from,
+                one.name not in excluding_state_by_name,
             )
-            for one in plain
+            for one in candidates
         ]
         state_by_name = self._health.update_states(loads, now)
-        state_by_name.update(kept_from)
-        return [replace(one, state=state_by_name[one.name]) for one in plain]
+        state_by_name.update(excluding_state_by_name)
+        return [replace(one, state=state_by_name[one.name]) for one in candidates]
 
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
-        """Return why a server gets nothing, whatever became of what it got so far."""
-        life = server.known_beat.incarnation
-        if server.is_going or self._servers.notices.is_leaving(life):
+        """Return the state that excludes a server whatever its health, None if none."""
+        incarnation = server.known_beat.incarnation
+        if server.is_going or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
         if not server.in_service:
             return ServerState.DOWN
-        if self._servers.notices.is_backing_off(life, now):
+        if self._servers.notices.is_backing_off(incarnation, now):
             return ServerState.BACKING_OFF
         return None
 
@@ -334,28 +347,28 @@
 def _find_placement_failure(
     ticket: PlacementTicket, blocked_by: NoServerAvailable, now: float
 ) -> PlacementFailure | None:
-    """Return the end of a wait that can't bring a place, None if it can."""
-    over_at = blocked_by.backoff_ends_at
-    rest_s = 0.0 if over_at is None else max(0.0, over_at - now)
+    """Return why waiting can't lead to a placement, None if it can."""
+    backoff_ends_at = blocked_by.backoff_ends_at
+    backoff_left_s = 0.0 if backoff_ends_at is None else max(0.0, backoff_ends_at - now)
     if blocked_by.reason == ALL_SERVERS_TRIED.reason:
-        # No wait brings a server that was not tried.
-        return PlacementFailure("no-server", blocked_by.reason, rest_s)
-    if over_at is not None and over_at >= ticket.queued.deadline_at:
-        return PlacementFailure("servers-rest", blocked_by.reason, rest_s)
+        # Waiting does not add a server that was not tried.
+        return PlacementFailure("no-server", blocked_by.reason, backoff_left_s)
+    if backoff_ends_at is not None and backoff_ends_at >= ticket.queued.deadline_at:
+        return PlacementFailure("servers-rest", blocked_by.reason, backoff_left_s)
     return None
 
 
 def _reserve(
     server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
-    beat = server.known_beat
+    heartbeat = server.known_beat
     server.in_flight += 1
     server.suspects += ticket.placement_request.is_suspect
     return Reservation(
         server=server.name,
         address=server.instance.address,
-        incarnation=beat.incarnation,
-        token=beat.token,
+        incarnation=heartbeat.incarnation,
+        token=heartbeat.token,
         decision=decision,
         waited_s=now - ticket.queued.queued_at,
         work=ticket.queued.work,
