--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -163,8 +163,10 @@
         record = held_claim.record
         if record.body_digest != self._request.body_digest:
             return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
-        if record.final is not None:
-            return ClaimRefused(build_earlier_send_refusal(record.final, record.reason))
+        if record.final_outcome is not None:
+            return ClaimRefused(
+                build_earlier_send_refusal(record.final_outcome, record.reason)
+            )
         self._context.recorder.record(
             self._request.request_id, Joined(record.request_id)
         )
