--- a/src/kingcupwheel/claims/records.py
+++ b/src/kingcupwheel/claims/records.py
@@ -44,7 +44,7 @@
     record: ClaimRecord
 
 
-def claim_id_of(organisation: str, idempotency_key: str) -> str:
+def compute_claim_id(organisation: str, idempotency_key: str) -> str:
     """Return the digest that names the claim of an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -17,7 +17,7 @@
 from kingcupwheel.claims.exceptions import ClaimUnreachable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import Held
-from kingcupwheel.claims.records import claim_id_of
+from kingcupwheel.claims.records import compute_claim_id
 from kingcupwheel.claims.store import new_nonce
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
@@ -93,7 +93,9 @@
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
         self._context = context
         self._request = request
-        self._claim_id = claim_id_of(request.organisation.name, request.idempotency_key)
+        self._claim_id = compute_claim_id(
+            request.organisation.name, request.idempotency_key
+        )
 
     @property
     def claim_id(self) -> str:
