--- a/src/kingcupwheel/claims/records.py
+++ b/src/kingcupwheel/claims/records.py
@@ -50,6 +50,6 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def claim_key(claim_id: str) -> str:
+def build_claim_key(claim_id: str) -> str:
     """Return the platform's key of the claim."""
     return CLAIM_PREFIX + claim_id
--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -22,7 +22,7 @@
 
 from kingcupwheel.claims.records import CLAIM_PREFIX
 from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import claim_key
+from kingcupwheel.claims.records import build_claim_key
 
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
             due = self._next_due(now)
             if due is None:
                 break
-            self._client.delete(claim_key(due.claim_id), version=due.version)
+            self._client.delete(build_claim_key(due.claim_id), version=due.version)
             removed += 1
         return removed
 
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -20,7 +20,7 @@
 from kingcupwheel.claims.exceptions import ClaimUnreachable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import Held
-from kingcupwheel.claims.records import claim_key
+from kingcupwheel.claims.records import build_claim_key
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
@@ -51,18 +51,18 @@
 
     def make(self, claim_id: str, record: ClaimRecord) -> Result[Held, ClaimError]:
         """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
-        written = self._client.create(claim_key(claim_id), _encode(record))
+        written = self._client.create(build_claim_key(claim_id), _encode(record))
         return self._settle(claim_id, record, written)
 
     def move(self, held: Held, record: ClaimRecord) -> Result[Held, ClaimError]:
         """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
-        key = claim_key(held.claim_id)
+        key = build_claim_key(held.claim_id)
         written = self._client.update(key, _encode(record), version=held.version)
         return self._settle(held.claim_id, record, written)
 
     def read(self, claim_id: str) -> Result[Held | None, ClaimUnreachable]:
         """Return the claim, or None if there is none."""
-        found = self._client.read(claim_key(claim_id))
+        found = self._client.read(build_claim_key(claim_id))
         if found.is_error():
             return Error(_unreachable(found.error))
         if found.ok is None:
