--- a/src/kingcupwheel/claims/records.py
+++ b/src/kingcupwheel/claims/records.py
@@ -36,7 +36,7 @@
     reason: str = ""
 
 
-class Held(msgspec.Struct, frozen=True):
+class StoredClaim(msgspec.Struct, frozen=True):
     """A claim as read or written, at the platform's ``version`` of it."""
 
     claim_id: str
--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.claims.records import Held
+    from kingcupwheel.claims.records import StoredClaim
     from kingcupwheel.platform.client import PlatformClient
 
 logger = logging.getLogger("kingcupwheel.claims")
@@ -74,7 +74,7 @@
         self._stopping.set()
         self._thread.join()
 
-    def remember(self, held: Held) -> None:
+    def remember(self, held: StoredClaim) -> None:
         """Remove this claim when its time is over."""
         due = _Due(held.record.created_at, held.claim_id, held.version)
         with self._lock:
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -19,7 +19,7 @@
 from kingcupwheel.claims.exceptions import ClaimMoved
 from kingcupwheel.claims.exceptions import ClaimUnreachable
 from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import Held
+from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.claims.records import build_claim_key
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
@@ -49,18 +49,22 @@
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
 
-    def make(self, claim_id: str, record: ClaimRecord) -> Result[Held, ClaimError]:
+    def make(
+        self, claim_id: str, record: ClaimRecord
+    ) -> Result[StoredClaim, ClaimError]:
         """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
         written = self._client.create(build_claim_key(claim_id), _encode(record))
         return self._settle(claim_id, record, written)
 
-    def move(self, held: Held, record: ClaimRecord) -> Result[Held, ClaimError]:
+    def move(
+        self, held: StoredClaim, record: ClaimRecord
+    ) -> Result[StoredClaim, ClaimError]:
         """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
         key = build_claim_key(held.claim_id)
         written = self._client.update(key, _encode(record), version=held.version)
         return self._settle(held.claim_id, record, written)
 
-    def read(self, claim_id: str) -> Result[Held | None, ClaimUnreachable]:
+    def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnreachable]:
         """Return the claim, or None if there is none."""
         found = self._client.read(build_claim_key(claim_id))
         if found.is_error():
@@ -71,16 +75,16 @@
             record = _DECODER.decode(found.ok.value)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return Error(ClaimUnreachable(f"unreadable claim: {error}", _RETRY_AFTER_S))
-        return Ok(Held(claim_id, found.ok.version, record))
+        return Ok(StoredClaim(claim_id, found.ok.version, record))
 
     def _settle(
         self,
         claim_id: str,
         record: ClaimRecord,
         written: Result[int, PlatformError],
-    ) -> Result[Held, ClaimError]:
+    ) -> Result[StoredClaim, ClaimError]:
         if written.is_ok():
-            return Ok(Held(claim_id, written.ok, record))
+            return Ok(StoredClaim(claim_id, written.ok, record))
         match written.error:
             case Conflict() | Unavailable(sent=True):
                 return self._read_back(claim_id, record)
@@ -89,7 +93,7 @@
 
     def _read_back(
         self, claim_id: str, record: ClaimRecord
-    ) -> Result[Held, ClaimError]:
+    ) -> Result[StoredClaim, ClaimError]:
         found = self.read(claim_id)
         if found.is_error():
             return Error(found.error)
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -25,7 +25,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.claims.records import Held
+    from kingcupwheel.claims.records import StoredClaim
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.watching import CallerWatch
@@ -143,7 +143,7 @@
         )
 
     def dispatch(
-        self, reservation: Reservation, held_claim: Held | None
+        self, reservation: Reservation, held_claim: StoredClaim | None
     ) -> AnswerReader:
         """Send the request to the reserved server's agent, exactly once.
 
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -16,7 +16,7 @@
 from kingcupwheel.claims.exceptions import ClaimMoved
 from kingcupwheel.claims.exceptions import ClaimUnreachable
 from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import Held
+from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.claims.records import compute_claim_id
 from kingcupwheel.claims.store import new_nonce
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
@@ -71,7 +71,7 @@
 class ClaimAvailable(NamedTuple):
     """The request may run under the claim; no earlier dispatch can start now."""
 
-    held: Held
+    held: StoredClaim
 
 
 class ClaimRefused(NamedTuple):
@@ -102,7 +102,7 @@
         """Digest that identifies the claim."""
         return self._claim_id
 
-    def read(self) -> Held | Refusal | None:
+    def read(self) -> StoredClaim | Refusal | None:
         """Return the claim stored by the platform, None if there is none."""
         result = self._context.claims.read(self._claim_id)
         if result.is_error():
@@ -110,8 +110,8 @@
         return result.ok
 
     def acquire(
-        self, reservation: Reservation, attempt: int, held_claim: Held | None
-    ) -> Held | ClaimChanged | Refusal:
+        self, reservation: Reservation, attempt: int, held_claim: StoredClaim | None
+    ) -> StoredClaim | ClaimChanged | Refusal:
         """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
@@ -129,7 +129,7 @@
                 return build_claim_refusal(error)
 
     def _build_record(
-        self, reservation: Reservation, attempt: int, held_claim: Held | None
+        self, reservation: Reservation, attempt: int, held_claim: StoredClaim | None
     ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
@@ -149,7 +149,7 @@
         )
 
     def record_final_outcome(
-        self, held_claim: Held, outcome: Outcome, reason: str
+        self, held_claim: StoredClaim, outcome: Outcome, reason: str
     ) -> None:
         """Record the final outcome; a failure to write it is harmless.
 
@@ -160,7 +160,7 @@
         )
         self._context.claims.move(held_claim, record)
 
-    def resolve(self, held_claim: Held) -> ClaimResolution:
+    def resolve(self, held_claim: StoredClaim) -> ClaimResolution:
         """Determine the state of the run under an earlier send's claim."""
         record = held_claim.record
         if record.body_digest != self._request.body_digest:
@@ -187,7 +187,7 @@
         return resolution
 
     def _resolve_at_agent(
-        self, held_claim: Held, inbox: AttemptInbox, close: Callable[[], None]
+        self, held_claim: StoredClaim, inbox: AttemptInbox, close: Callable[[], None]
     ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
@@ -237,11 +237,15 @@
             time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _finish_as_unknown(self, held_claim: Held, reason: str) -> ClaimResolution:
+    def _finish_as_unknown(
+        self, held_claim: StoredClaim, reason: str
+    ) -> ClaimResolution:
         self.record_final_outcome(held_claim, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held_claim: Held, inbox: AttemptInbox) -> ClaimResolution:
+    def _take_over(
+        self, held_claim: StoredClaim, inbox: AttemptInbox
+    ) -> ClaimResolution:
         """Keep the earlier dispatch from starting, then make the claim available.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -267,7 +271,7 @@
         return self._write_tombstone(updated_claim, inbox)
 
     def _write_tombstone(
-        self, held_claim: Held, inbox: AttemptInbox
+        self, held_claim: StoredClaim, inbox: AttemptInbox
     ) -> ClaimResolution:
         record = held_claim.record
         request = TombstoneRequest(
@@ -303,6 +307,6 @@
                     return None
         return None
 
-    def _record_claim(self, held_claim: Held, detail: str) -> None:
+    def _record_claim(self, held_claim: StoredClaim, detail: str) -> None:
         event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.records import Held
+from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.entry.answer_assembler import AnswerEnded
 from kingcupwheel.entry.answer_assembler import HeadReceived
 from kingcupwheel.entry.answer_head_waiter import AnswerHeadWaiter
@@ -106,13 +106,13 @@
         self, admitted: AdmittedRequest, attempts: AttemptDispatcher
     ) -> Answer:
         claims = ClaimResolver(self._context, self._request)
-        held_claim: Held | None = None
+        held_claim: StoredClaim | None = None
         while True:
             reservation = attempts.reserve_server()
             if isinstance(reservation, Refusal):
                 return self._give_up(admitted, reservation)
             acquired = claims.acquire(reservation, attempts.count, held_claim)
-            if isinstance(acquired, Held):
+            if isinstance(acquired, StoredClaim):
                 held_claim = acquired
                 answer = self._run_claimed(
                     admitted, attempts, claims, reservation, held_claim
@@ -135,7 +135,7 @@
         attempts: AttemptDispatcher,
         claims: ClaimResolver,
         reservation: Reservation,
-        held_claim: Held,
+        held_claim: StoredClaim,
     ) -> Answer | None:
         reader = attempts.dispatch(reservation, held_claim)
         step = self._head_waiter.wait(reader)
