--- a/src/kingcupwheel/claims/records.py
+++ b/src/kingcupwheel/claims/records.py
@@ -9,7 +9,7 @@
 from kingcupwheel.messages.attempts import Outcome
 
 
-CLAIM_PREFIX = "claims/"
+CLAIM_KEY_PREFIX = "claims/"
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,4 +52,4 @@
 
 def build_claim_key(claim_id: str) -> str:
     """Return the platform's key of the claim."""
-    return CLAIM_PREFIX + claim_id
+    return CLAIM_KEY_PREFIX + claim_id
--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from kingcupwheel.claims.records import CLAIM_PREFIX
+from kingcupwheel.claims.records import CLAIM_KEY_PREFIX
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import build_claim_key
 
@@ -108,7 +108,7 @@
 
     def look_through(self, part: int, now: float) -> int:
         """Remove what is over in one of the parts; return how many claims."""
-        listed = self._client.keys(f"{CLAIM_PREFIX}{part:02x}")
+        listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{part:02x}")
         if listed.is_error():
             return 0
         removed = sum(self._remove_if_over(key, now) for key in listed.ok[:_LOOKED_AT])
