--- a/src/kingcupwheel/claims/exceptions.py
+++ b/src/kingcupwheel/claims/exceptions.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class ClaimUnreachable(NamedTuple):
+class ClaimUnavailable(NamedTuple):
     """The platform could not make, move or read the claim; nothing was dispatched."""
 
     detail: str
@@ -18,4 +18,4 @@
     claim_id: str
 
 
-ClaimError = ClaimUnreachable | ClaimMoved
+ClaimError = ClaimUnavailable | ClaimMoved
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -17,7 +17,7 @@
 from expression import Result
 
 from kingcupwheel.claims.exceptions import ClaimMoved
-from kingcupwheel.claims.exceptions import ClaimUnreachable
+from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.claims.records import build_claim_key
@@ -64,7 +64,7 @@
         written = self._client.update(key, _encode(record), version=held.version)
         return self._settle(held.claim_id, record, written)
 
-    def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnreachable]:
+    def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnavailable]:
         """Return the claim, or None if there is none."""
         found = self._client.read(build_claim_key(claim_id))
         if found.is_error():
@@ -74,7 +74,7 @@
         try:
             record = _DECODER.decode(found.ok.value)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            return Error(ClaimUnreachable(f"unreadable claim: {error}", _RETRY_AFTER_S))
+            return Error(ClaimUnavailable(f"unreadable claim: {error}", _RETRY_AFTER_S))
         return Ok(StoredClaim(claim_id, found.ok.version, record))
 
     def _settle(
@@ -101,7 +101,7 @@
             return Ok(found.ok)
         if found.ok is None:
             # A stale read, or the write is still on its way: it can't be told apart.
-            return Error(ClaimUnreachable("claim not confirmed", _RETRY_AFTER_S))
+            return Error(ClaimUnavailable("claim not confirmed", _RETRY_AFTER_S))
         return Error(ClaimMoved(claim_id))
 
 
@@ -109,13 +109,13 @@
     return msgspec.json.encode(record)
 
 
-def _unreachable(error: PlatformError) -> ClaimUnreachable:
+def _unreachable(error: PlatformError) -> ClaimUnavailable:
     match error:
         case Unavailable(detail, _):
-            return ClaimUnreachable(detail, _RETRY_AFTER_S)
+            return ClaimUnavailable(detail, _RETRY_AFTER_S)
         case RateLimited(retry_after_s):
-            return ClaimUnreachable("platform asks for fewer calls", retry_after_s)
+            return ClaimUnavailable("platform asks for fewer calls", retry_after_s)
         case Rejected(status, detail):
-            return ClaimUnreachable(f"platform says {status}: {detail}", _RETRY_AFTER_S)
+            return ClaimUnavailable(f"platform says {status}: {detail}", _RETRY_AFTER_S)
         case Conflict(_, version):
-            return ClaimUnreachable(f"claim at version {version}", _RETRY_AFTER_S)
+            return ClaimUnavailable(f"claim at version {version}", _RETRY_AFTER_S)
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from kingcupwheel.claims.exceptions import ClaimMoved
-from kingcupwheel.claims.exceptions import ClaimUnreachable
+from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.claims.records import compute_claim_id
@@ -125,7 +125,7 @@
         match result.error:
             case ClaimMoved():
                 return ClaimChanged()
-            case ClaimUnreachable() as error:
+            case ClaimUnavailable() as error:
                 return build_claim_refusal(error)
 
     def _build_record(
@@ -264,7 +264,7 @@
             match result.error:
                 case ClaimMoved():
                     return ClaimChanged()
-                case ClaimUnreachable() as error:
+                case ClaimUnavailable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
         updated_claim = result.ok
         self._record_claim(updated_claim, "raised the fence of")
--- a/src/kingcupwheel/entry/refusals.py
+++ b/src/kingcupwheel/entry/refusals.py
@@ -10,7 +10,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.claims.exceptions import ClaimUnreachable
+    from kingcupwheel.claims.exceptions import ClaimUnavailable
 
 
 class Refusal(NamedTuple):
@@ -91,7 +91,7 @@
 
 
 def build_claim_refusal(
-    error: ClaimUnreachable, *, is_claimed: bool = False
+    error: ClaimUnavailable, *, is_claimed: bool = False
 ) -> Refusal:
     """Return the refusal of a request whose claim can't be written or resolved.
 
