--- a/src/kingcupwheel/claims/exceptions.py
+++ b/src/kingcupwheel/claims/exceptions.py
@@ -12,10 +12,10 @@
     retry_after_s: float
 
 
-class ClaimMoved(NamedTuple):
+class ClaimConflict(NamedTuple):
     """Another entry changed the claim first; read it again."""
 
     claim_id: str
 
 
-ClaimError = ClaimUnavailable | ClaimMoved
+ClaimError = ClaimUnavailable | ClaimConflict
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -16,7 +16,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.claims.exceptions import ClaimMoved
+from kingcupwheel.claims.exceptions import ClaimConflict
 from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import StoredClaim
@@ -102,7 +102,7 @@
         if found.ok is None:
             # A stale read, or the write is still on its way: it can't be told apart.
             return Error(ClaimUnavailable("claim not confirmed", _RETRY_AFTER_S))
-        return Error(ClaimMoved(claim_id))
+        return Error(ClaimConflict(claim_id))
 
 
 def _encode(record: ClaimRecord) -> bytes:
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from kingcupwheel.claims.exceptions import ClaimMoved
+from kingcupwheel.claims.exceptions import ClaimConflict
 from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import StoredClaim
@@ -123,7 +123,7 @@
             self._context.retention.remember(result.ok)
             return result.ok
         match result.error:
-            case ClaimMoved():
+            case ClaimConflict():
                 return ClaimChanged()
             case ClaimUnavailable() as error:
                 return build_claim_refusal(error)
@@ -262,7 +262,7 @@
         result = self._context.claims.move(held_claim, record)
         if result.is_error():
             match result.error:
-                case ClaimMoved():
+                case ClaimConflict():
                     return ClaimChanged()
                 case ClaimUnavailable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
