--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -49,7 +49,7 @@
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
 
-    def make(
+    def create(
         self, claim_id: str, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
         """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -115,7 +115,7 @@
         """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
-            result = self._context.claims.make(self._claim_id, record)
+            result = self._context.claims.create(self._claim_id, record)
         else:
             result = self._context.claims.move(held_claim, record)
         if result.is_ok():
