--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -56,7 +56,7 @@
         written = self._client.create(build_claim_key(claim_id), _encode(record))
         return self._settle(claim_id, record, written)
 
-    def move(
+    def update(
         self, held: StoredClaim, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
         """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -117,7 +117,7 @@
         if held_claim is None:
             result = self._context.claims.create(self._claim_id, record)
         else:
-            result = self._context.claims.move(held_claim, record)
+            result = self._context.claims.update(held_claim, record)
         if result.is_ok():
             self._record_claim(result.ok, "made" if held_claim is None else "moved")
             self._context.retention.remember(result.ok)
@@ -158,7 +158,7 @@
         record = msgspec.structs.replace(
             held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
         )
-        self._context.claims.move(held_claim, record)
+        self._context.claims.update(held_claim, record)
 
     def resolve(self, held_claim: StoredClaim) -> ClaimResolution:
         """Determine the state of the run under an earlier send's claim."""
@@ -259,7 +259,7 @@
             entry=self._context.settings.name,
             fence=held_claim.record.fence + 1,
         )
-        result = self._context.claims.move(held_claim, record)
+        result = self._context.claims.update(held_claim, record)
         if result.is_error():
             match result.error:
                 case ClaimConflict():
