--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -38,7 +38,7 @@
 _RETRY_AFTER_S = 5.0
 
 
-def new_nonce() -> str:
+def generate_write_nonce() -> str:
     """Return a name for one write."""
     return secrets.token_hex(8)
 
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -18,7 +18,7 @@
 from kingcupwheel.claims.records import ClaimRecord
 from kingcupwheel.claims.records import StoredClaim
 from kingcupwheel.claims.records import compute_claim_id
-from kingcupwheel.claims.store import new_nonce
+from kingcupwheel.claims.store import generate_write_nonce
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
 from kingcupwheel.entry.answer_reader import AnswerReader
@@ -136,7 +136,7 @@
             organisation=request.organisation.name,
             request_id=request.request_id,
             attempt=attempt,
-            nonce=new_nonce(),
+            nonce=generate_write_nonce(),
             body_digest=request.body_digest,
             entry=self._context.settings.name,
             agent=reservation.server,
@@ -156,7 +156,10 @@
         The next reader of the claim finds the same lost agent and reports the same.
         """
         record = msgspec.structs.replace(
-            held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
+            held_claim.record,
+            nonce=generate_write_nonce(),
+            final=outcome,
+            reason=reason,
         )
         self._context.claims.update(held_claim, record)
 
@@ -255,7 +258,7 @@
         """
         record = msgspec.structs.replace(
             held_claim.record,
-            nonce=new_nonce(),
+            nonce=generate_write_nonce(),
             entry=self._context.settings.name,
             fence=held_claim.record.fence + 1,
         )
