--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -47,7 +47,7 @@
 
 
 class _Due(NamedTuple):
-    at: float
+    created_at: float
     claim_id: str
     version: int
 
@@ -102,7 +102,7 @@
 
     def _next_due(self, now: float) -> _Due | None:
         with self._lock:
-            if not self._due or self._due[0].at + self._retention_s() > now:
+            if not self._due or self._due[0].created_at + self._retention_s() > now:
                 return None
             return heapq.heappop(self._due)
 
