--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -74,7 +74,7 @@
         self._stopping.set()
         self._thread.join()
 
-    def remember(self, held: StoredClaim) -> None:
+    def schedule_removal(self, held: StoredClaim) -> None:
         """Remove this claim when its time is over."""
         due = _Due(held.record.created_at, held.claim_id, held.version)
         with self._lock:
