--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -85,11 +85,11 @@
         turn = random.randrange(_TURNS_A_LOOK)
         while not self._stopping.wait(_TURN_S):
             turn += 1
-            self.remove_due(time.time())
+            self.remove_expired(time.time())
             if turn % _TURNS_A_LOOK == 0:
                 self.look_through(random.randrange(_PARTS), time.time())
 
-    def remove_due(self, now: float) -> int:
+    def remove_expired(self, now: float) -> int:
         """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
         removed = 0
         while removed < _REMOVALS_A_MINUTE:
