--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -87,7 +87,7 @@
             turn += 1
             self.remove_expired(time.time())
             if turn % _TURNS_A_LOOK == 0:
-                self.look_through(random.randrange(_PARTS), time.time())
+                self.remove_expired_in_shard(random.randrange(_PARTS), time.time())
 
     def remove_expired(self, now: float) -> int:
         """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
@@ -106,7 +106,7 @@
                 return None
             return heapq.heappop(self._due)
 
-    def look_through(self, part: int, now: float) -> int:
+    def remove_expired_in_shard(self, part: int, now: float) -> int:
         """Remove what is over in one of the parts; return how many claims."""
         listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{part:02x}")
         if listed.is_error():
