--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -52,7 +52,7 @@
     version: int
 
 
-class ClaimRetention:
+class ExpiredClaimRemover:
     """Removes old claims in a thread of its own; ``retention_s`` is asked each time."""
 
     def __init__(
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from threading import Event
 
-    from kingcupwheel.claims.retention import ClaimRetention
+    from kingcupwheel.claims.retention import ExpiredClaimRemover
     from kingcupwheel.claims.store import ClaimStore
     from kingcupwheel.entry.attempt_inboxes import InboxRegistry
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
@@ -31,7 +31,7 @@
     dispatchers: DispatcherRegistry
     limiter: RequestLimiter
     claims: ClaimStore
-    retention: ClaimRetention
+    retention: ExpiredClaimRemover
     recorder: Recorder
     observer: Observer
     leaving: Event
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -6,7 +6,7 @@
 from threading import Event
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.retention import ClaimRetention
+from kingcupwheel.claims.retention import ExpiredClaimRemover
 from kingcupwheel.claims.store import ClaimStore
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
@@ -67,7 +67,7 @@
             metrics,
             traces_retention_s=lambda: self._kept().traces_h * _HOUR_S,
         )
-        self._retention = ClaimRetention(
+        self._retention = ExpiredClaimRemover(
             client, retention_s=lambda: self._kept().claims_h * _HOUR_S
         )
         self._hub = MessageHub(
