--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -36,12 +36,12 @@
     def adopt(self, in_force: InForce) -> None:
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
-        self._metrics.count(Count.MANIFESTS_ADOPTED)
+        self._metrics.increment(Count.MANIFESTS_ADOPTED)
         self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
-        self._metrics.count(Count.REFUSALS, by=refusal.reason)
+        self._metrics.increment(Count.REFUSALS, by=refusal.reason)
         self._observe(
             Observed(
                 organisation=request.organisation.name,
@@ -87,14 +87,14 @@
         )
 
     def _observe(self, observed: Observed) -> None:
-        self._metrics.count(Count.REQUESTS, by=observed.outcome.value)
+        self._metrics.increment(Count.REQUESTS, by=observed.outcome.value)
         if observed.caller_left:
-            self._metrics.count(Count.CALLERS_LEFT)
+            self._metrics.increment(Count.CALLERS_LEFT)
         judged = self._burn.observe(observed, now=time.time())
         for indicator, count in judged.items():
             if count.bad:
                 by = indicator.value
-                self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
+                self._metrics.increment(Count.GOAL_MISSES, by=by, number=count.bad)
 
 
 def burn_goals(in_force: InForce) -> BurnGoals:
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -52,7 +52,7 @@
         except OSError as error:
             logger.warning("No metrics: %s: %s.", settings.host, error)
 
-    def count(self, name: Count, *, by: str = "", number: int = 1) -> None:
+    def increment(self, name: Count, *, by: str = "", number: int = 1) -> None:
         """Add ``number`` to a counter; ``by`` is the part its description names."""
         if self._client is not None:
             self._client.incr(_name(name, by), number)
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -42,14 +42,14 @@
             case Placed(waited_s=waited_s):
                 self._metrics.duration(Duration.QUEUE_WAIT, waited_s)
             case Retried():
-                self._metrics.count(Count.RETRIES)
+                self._metrics.increment(Count.RETRIES)
             case Resumed():
-                self._metrics.count(Count.RESUMES)
+                self._metrics.increment(Count.RESUMES)
             case Joined():
-                self._metrics.count(Count.JOINS)
+                self._metrics.increment(Count.JOINS)
             case Claimed():
-                self._metrics.count(Count.CLAIMS)
+                self._metrics.increment(Count.CLAIMS)
             case ServerDied():
-                self._metrics.count(Count.ATTEMPTS_LOST)
+                self._metrics.increment(Count.ATTEMPTS_LOST)
             case Finished(outcome) if self._ended:
-                self._metrics.count(self._ended, by=outcome)
+                self._metrics.increment(self._ended, by=outcome)
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -80,7 +80,7 @@
         return found
 
     def _count(self, kind: str, found: Result[T, PlatformError]) -> None:
-        self._metrics.count(Count.PLATFORM_CALLS, by=kind)
+        self._metrics.increment(Count.PLATFORM_CALLS, by=kind)
         # A conflict is an answer; someone else was first.
         if found.is_error() and not isinstance(found.error, Conflict):
-            self._metrics.count(Count.PLATFORM_ERRORS, by=kind)
+            self._metrics.increment(Count.PLATFORM_ERRORS, by=kind)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -161,7 +161,7 @@
         if self._metrics is not None:
             self._metrics.level(Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes)
             if lost:
-                self._metrics.count(Count.TRACE_EVENTS_LOST, number=lost)
+                self._metrics.increment(Count.TRACE_EVENTS_LOST, number=lost)
 
     def _flush(self) -> None:
         self._collect()
