--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -37,7 +37,7 @@
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
         self._metrics.increment(Count.MANIFESTS_ADOPTED)
-        self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
+        self._metrics.set_gauge(Level.MANIFEST_VERSION, in_force.version)
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -57,7 +57,7 @@
         if self._client is not None:
             self._client.incr(_name(name, by), number)
 
-    def level(self, name: Level, value: float) -> None:
+    def set_gauge(self, name: Level, value: float) -> None:
         """Set a gauge."""
         if self._client is not None:
             self._client.gauge(name.value, value)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -159,7 +159,9 @@
     def _collect(self) -> None:
         lost = self._outbox.add(self._recorder.drain())
         if self._metrics is not None:
-            self._metrics.level(Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes)
+            self._metrics.set_gauge(
+                Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
+            )
             if lost:
                 self._metrics.increment(Count.TRACE_EVENTS_LOST, number=lost)
 
