--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -68,9 +68,9 @@
     ) -> None:
         """Count an answer; ``gaps_s`` are the times between chunks in seconds."""
         if first_byte_s is not None:
-            self._metrics.duration(Duration.FIRST_BYTE, first_byte_s)
+            self._metrics.record_duration(Duration.FIRST_BYTE, first_byte_s)
         if gaps_s:
-            self._metrics.duration(Duration.TOKEN_GAP, max(gaps_s))
+            self._metrics.record_duration(Duration.TOKEN_GAP, max(gaps_s))
         self._observe(
             Observed(
                 organisation=request.organisation.name,
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -62,7 +62,7 @@
         if self._client is not None:
             self._client.gauge(name.value, value)
 
-    def duration(self, name: Duration, seconds: float) -> None:
+    def record_duration(self, name: Duration, seconds: float) -> None:
         """Record a time, given in seconds."""
         if self._client is not None:
             self._client.timing(name.value, seconds * 1000)
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -40,7 +40,7 @@
         """Count ``event`` if it has a metric."""
         match event:
             case Placed(waited_s=waited_s):
-                self._metrics.duration(Duration.QUEUE_WAIT, waited_s)
+                self._metrics.record_duration(Duration.QUEUE_WAIT, waited_s)
             case Retried():
                 self._metrics.increment(Count.RETRIES)
             case Resumed():
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -75,7 +75,7 @@
     ) -> Result[T, PlatformError]:
         started = monotonic()
         found = call()
-        self._metrics.duration(Duration.PLATFORM_CALL, monotonic() - started)
+        self._metrics.record_duration(Duration.PLATFORM_CALL, monotonic() - started)
         self._count(kind, found)
         return found
 
