--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -31,7 +31,7 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.traces import TraceRequest
-from kingcupwheel.metrics.client import Metrics
+from kingcupwheel.metrics.client import MetricsClient
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
 from kingcupwheel.plugins.kernel import load_builtin
@@ -70,7 +70,7 @@
             raise NoServerError
         timings = settings.timings
         self._settings = settings
-        self._metrics = Metrics(settings.statsd, process=settings.name)
+        self._metrics = MetricsClient(settings.statsd, process=settings.name)
         self._recorder = Recorder(
             settings.name,
             limit=settings.agent.traces,
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -29,7 +29,7 @@
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.messages.membership import InstancesRequest
-from kingcupwheel.metrics.client import Metrics
+from kingcupwheel.metrics.client import MetricsClient
 from kingcupwheel.metrics.platform import MeteredPlatformClient
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import platform_clients
@@ -56,7 +56,7 @@
         load_builtin()
         self._settings = settings
         self._leaving = Event()
-        metrics = Metrics(settings.statsd, process=settings.name)
+        metrics = MetricsClient(settings.statsd, process=settings.name)
         client = MeteredPlatformClient(
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -21,7 +21,7 @@
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.messages.attempts import Outcome
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.client import MetricsClient
 
 _CALLER_LEFT = "caller-left"
 
@@ -29,7 +29,7 @@
 class Observer:
     """Counts final outcomes; called on request threads, never blocks."""
 
-    def __init__(self, burn: BurnCounter, metrics: Metrics) -> None:
+    def __init__(self, burn: BurnCounter, metrics: MetricsClient) -> None:
         self._burn = burn
         self._metrics = metrics
 
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.manifest.inforce import InForce
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
@@ -35,7 +35,7 @@
         self,
         settings: Settings,
         client: PlatformClient,
-        metrics: Metrics,
+        metrics: MetricsClient,
         *,
         traces_retention_s: Callable[[], float],
     ) -> None:
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -35,7 +35,7 @@
         self._sock.setblocking(False)
 
 
-class Metrics:
+class MetricsClient:
     """Sends the metrics of one process; safe from any thread.
 
     Nothing is sent if ``settings.host`` is empty or can't be looked up at the start;
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -20,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.client import MetricsClient
     from kingcupwheel.settings.schema import Role
     from kingcupwheel.trace.events import AnyEvent
 
@@ -32,7 +32,7 @@
     observer, an agent's ends of attempts here.
     """
 
-    def __init__(self, metrics: Metrics, role: Role) -> None:
+    def __init__(self, metrics: MetricsClient, role: Role) -> None:
         self._metrics = metrics
         self._ended = Count.RUNS if role.value == "agent" else None
 
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -16,7 +16,7 @@
 
     from expression import Result
 
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.client import MetricsClient
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
@@ -28,7 +28,7 @@
 class MeteredPlatformClient:
     """Passes calls on to another client; see ``PlatformClient`` for what they do."""
 
-    def __init__(self, client: PlatformClient, metrics: Metrics) -> None:
+    def __init__(self, client: PlatformClient, metrics: MetricsClient) -> None:
         self._client = client
         self._metrics = metrics
 
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.trace.recorder import Recorder
 
@@ -56,7 +56,7 @@
         *,
         period_s: float,
         retention_s: Callable[[], float],
-        metrics: Metrics | None = None,
+        metrics: MetricsClient | None = None,
     ) -> None:
         self._recorder = recorder
         self._client = client
