--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -32,7 +32,7 @@
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.metrics.client import MetricsClient
-from kingcupwheel.metrics.events import EventMetrics
+from kingcupwheel.metrics.events import TraceEventMetrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import platform_clients
@@ -74,7 +74,7 @@
         self._recorder = Recorder(
             settings.name,
             limit=settings.agent.traces,
-            listener=EventMetrics(self._metrics, settings.role),
+            listener=TraceEventMetrics(self._metrics, settings.role),
         )
         self._peers = Peers(hello_s=timings.gone_s, gone_s=timings.give_up_s)
         self._hub = MessageHub(
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.observing import Observer
 from kingcupwheel.manifest.schema import Goals
-from kingcupwheel.metrics.events import EventMetrics
+from kingcupwheel.metrics.events import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -42,7 +42,7 @@
         self.recorder = Recorder(
             settings.name,
             limit=settings.entry.traces,
-            listener=EventMetrics(metrics, settings.role),
+            listener=TraceEventMetrics(metrics, settings.role),
         )
         self.burn = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -25,7 +25,7 @@
     from kingcupwheel.trace.events import AnyEvent
 
 
-class EventMetrics:
+class TraceEventMetrics:
     """Counts events of one process; safe from any thread, never blocks.
 
     A recorder calls it for each event. An entry's final outcomes are counted by its
