--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -8,7 +8,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import route_name
 from kingcupwheel.burn.observed import Observed
-from kingcupwheel.metrics.names import Count
+from kingcupwheel.metrics.names import CounterName
 from kingcupwheel.metrics.names import Duration
 from kingcupwheel.metrics.names import Level
 
@@ -36,12 +36,12 @@
     def adopt(self, in_force: InForce) -> None:
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
-        self._metrics.increment(Count.MANIFESTS_ADOPTED)
+        self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
         self._metrics.set_gauge(Level.MANIFEST_VERSION, in_force.version)
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
-        self._metrics.increment(Count.REFUSALS, by=refusal.reason)
+        self._metrics.increment(CounterName.REFUSALS, by=refusal.reason)
         self._observe(
             Observed(
                 organisation=request.organisation.name,
@@ -87,14 +87,16 @@
         )
 
     def _observe(self, observed: Observed) -> None:
-        self._metrics.increment(Count.REQUESTS, by=observed.outcome.value)
+        self._metrics.increment(CounterName.REQUESTS, by=observed.outcome.value)
         if observed.caller_left:
-            self._metrics.increment(Count.CALLERS_LEFT)
+            self._metrics.increment(CounterName.CALLERS_LEFT)
         judged = self._burn.observe(observed, now=time.time())
         for indicator, count in judged.items():
             if count.bad:
                 by = indicator.value
-                self._metrics.increment(Count.GOAL_MISSES, by=by, number=count.bad)
+                self._metrics.increment(
+                    CounterName.GOAL_MISSES, by=by, number=count.bad
+                )
 
 
 def burn_goals(in_force: InForce) -> BurnGoals:
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -11,7 +11,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.names import Count
+    from kingcupwheel.metrics.names import CounterName
     from kingcupwheel.metrics.names import Duration
     from kingcupwheel.metrics.names import Level
     from kingcupwheel.settings.schema import StatsdSettings
@@ -52,7 +52,7 @@
         except OSError as error:
             logger.warning("No metrics: %s: %s.", settings.host, error)
 
-    def increment(self, name: Count, *, by: str = "", number: int = 1) -> None:
+    def increment(self, name: CounterName, *, by: str = "", number: int = 1) -> None:
         """Add ``number`` to a counter; ``by`` is the part its description names."""
         if self._client is not None:
             self._client.incr(_name(name, by), number)
@@ -74,7 +74,7 @@
             self._client = None
 
 
-def _name(name: Count, by: str) -> str:
+def _name(name: CounterName, by: str) -> str:
     return f"{name.value}.{_safe(by)}" if by else name.value
 
 
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import Count
+from kingcupwheel.metrics.names import CounterName
 from kingcupwheel.metrics.names import Duration
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Finished
@@ -34,7 +34,7 @@
 
     def __init__(self, metrics: MetricsClient, role: Role) -> None:
         self._metrics = metrics
-        self._ended = Count.RUNS if role.value == "agent" else None
+        self._ended = CounterName.RUNS if role.value == "agent" else None
 
     def __call__(self, event: AnyEvent) -> None:
         """Count ``event`` if it has a metric."""
@@ -42,14 +42,14 @@
             case Placed(waited_s=waited_s):
                 self._metrics.record_duration(Duration.QUEUE_WAIT, waited_s)
             case Retried():
-                self._metrics.increment(Count.RETRIES)
+                self._metrics.increment(CounterName.RETRIES)
             case Resumed():
-                self._metrics.increment(Count.RESUMES)
+                self._metrics.increment(CounterName.RESUMES)
             case Joined():
-                self._metrics.increment(Count.JOINS)
+                self._metrics.increment(CounterName.JOINS)
             case Claimed():
-                self._metrics.increment(Count.CLAIMS)
+                self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
-                self._metrics.increment(Count.ATTEMPTS_LOST)
+                self._metrics.increment(CounterName.ATTEMPTS_LOST)
             case Finished(outcome) if self._ended:
                 self._metrics.increment(self._ended, by=outcome)
--- a/src/kingcupwheel/metrics/names.py
+++ b/src/kingcupwheel/metrics/names.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 
-class Count(StrEnum):
+class CounterName(StrEnum):
     """Counters: how often something happened."""
 
     REQUESTS = "requests"
@@ -44,23 +44,23 @@
     PLATFORM_CALL = "platform.call"
 
 
-Metric = Count | Level | Duration
+Metric = CounterName | Level | Duration
 
 DESCRIPTION_BY_METRIC: dict[Metric, str] = {
-    Count.REQUESTS: "Requests with a final outcome, by outcome.",
-    Count.REFUSALS: "Requests refused, by limit.",
-    Count.RETRIES: "Further attempts.",
-    Count.RESUMES: "Attempts taken up again over a new link.",
-    Count.JOINS: "Resends joined to an earlier request.",
-    Count.CALLERS_LEFT: "Callers that left before the end.",
-    Count.GOAL_MISSES: "Events that missed a service-level goal, by indicator.",
-    Count.PLATFORM_CALLS: "Calls to the platform's service, by kind.",
-    Count.PLATFORM_ERRORS: "Calls to it that failed, by kind.",
-    Count.CLAIMS: "Claims made, found or moved.",
-    Count.MANIFESTS_ADOPTED: "Manifests that came into force.",
-    Count.RUNS: "Attempts that ended at an agent, by outcome.",
-    Count.ATTEMPTS_LOST: "Attempts that ran on a backend server when it died.",
-    Count.TRACE_EVENTS_LOST: "Trace events that found no room.",
+    CounterName.REQUESTS: "Requests with a final outcome, by outcome.",
+    CounterName.REFUSALS: "Requests refused, by limit.",
+    CounterName.RETRIES: "Further attempts.",
+    CounterName.RESUMES: "Attempts taken up again over a new link.",
+    CounterName.JOINS: "Resends joined to an earlier request.",
+    CounterName.CALLERS_LEFT: "Callers that left before the end.",
+    CounterName.GOAL_MISSES: "Events that missed a service-level goal, by indicator.",
+    CounterName.PLATFORM_CALLS: "Calls to the platform's service, by kind.",
+    CounterName.PLATFORM_ERRORS: "Calls to it that failed, by kind.",
+    CounterName.CLAIMS: "Claims made, found or moved.",
+    CounterName.MANIFESTS_ADOPTED: "Manifests that came into force.",
+    CounterName.RUNS: "Attempts that ended at an agent, by outcome.",
+    CounterName.ATTEMPTS_LOST: "Attempts that ran on a backend server when it died.",
+    CounterName.TRACE_EVENTS_LOST: "Trace events that found no room.",
     Level.MANIFEST_VERSION: "Manifest version in force.",
     Level.TRACE_BYTES_WAITING: "Bytes of trace events that wait for the platform.",
     Duration.FIRST_BYTE: "From arrival to the first byte of the answer.",
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from kingcupwheel.metrics.names import Count
+from kingcupwheel.metrics.names import CounterName
 from kingcupwheel.metrics.names import Duration
 from kingcupwheel.platform.errors import Conflict
 
@@ -80,7 +80,7 @@
         return found
 
     def _count(self, kind: str, found: Result[T, PlatformError]) -> None:
-        self._metrics.increment(Count.PLATFORM_CALLS, by=kind)
+        self._metrics.increment(CounterName.PLATFORM_CALLS, by=kind)
         # A conflict is an answer; someone else was first.
         if found.is_error() and not isinstance(found.error, Conflict):
-            self._metrics.increment(Count.PLATFORM_ERRORS, by=kind)
+            self._metrics.increment(CounterName.PLATFORM_ERRORS, by=kind)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -10,7 +10,7 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import Count
+from kingcupwheel.metrics.names import CounterName
 from kingcupwheel.metrics.names import Level
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
@@ -163,7 +163,7 @@
                 Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
             )
             if lost:
-                self._metrics.increment(Count.TRACE_EVENTS_LOST, number=lost)
+                self._metrics.increment(CounterName.TRACE_EVENTS_LOST, number=lost)
 
     def _flush(self) -> None:
         self._collect()
