--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -10,7 +10,7 @@
 from kingcupwheel.burn.observed import Observed
 from kingcupwheel.metrics.names import CounterName
 from kingcupwheel.metrics.names import Duration
-from kingcupwheel.metrics.names import Level
+from kingcupwheel.metrics.names import GaugeName
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
         self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
-        self._metrics.set_gauge(Level.MANIFEST_VERSION, in_force.version)
+        self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, in_force.version)
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.metrics.names import CounterName
     from kingcupwheel.metrics.names import Duration
-    from kingcupwheel.metrics.names import Level
+    from kingcupwheel.metrics.names import GaugeName
     from kingcupwheel.settings.schema import StatsdSettings
 
 logger = logging.getLogger("kingcupwheel.metrics")
@@ -57,7 +57,7 @@
         if self._client is not None:
             self._client.incr(_name(name, by), number)
 
-    def set_gauge(self, name: Level, value: float) -> None:
+    def set_gauge(self, name: GaugeName, value: float) -> None:
         """Set a gauge."""
         if self._client is not None:
             self._client.gauge(name.value, value)
--- a/src/kingcupwheel/metrics/names.py
+++ b/src/kingcupwheel/metrics/names.py
@@ -28,7 +28,7 @@
     TRACE_EVENTS_LOST = "trace.events_lost"
 
 
-class Level(StrEnum):
+class GaugeName(StrEnum):
     """Gauges: how much there is now."""
 
     MANIFEST_VERSION = "manifest_version"
@@ -44,7 +44,7 @@
     PLATFORM_CALL = "platform.call"
 
 
-Metric = CounterName | Level | Duration
+Metric = CounterName | GaugeName | Duration
 
 DESCRIPTION_BY_METRIC: dict[Metric, str] = {
     CounterName.REQUESTS: "Requests with a final outcome, by outcome.",
@@ -61,8 +61,8 @@
     CounterName.RUNS: "Attempts that ended at an agent, by outcome.",
     CounterName.ATTEMPTS_LOST: "Attempts that ran on a backend server when it died.",
     CounterName.TRACE_EVENTS_LOST: "Trace events that found no room.",
-    Level.MANIFEST_VERSION: "Manifest version in force.",
-    Level.TRACE_BYTES_WAITING: "Bytes of trace events that wait for the platform.",
+    GaugeName.MANIFEST_VERSION: "Manifest version in force.",
+    GaugeName.TRACE_BYTES_WAITING: "Bytes of trace events that wait for the platform.",
     Duration.FIRST_BYTE: "From arrival to the first byte of the answer.",
     Duration.QUEUE_WAIT: "Wait for a place.",
     Duration.TOKEN_GAP: "Longest gap between two chunks of one answer.",
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import Level
+from kingcupwheel.metrics.names import GaugeName
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
@@ -160,7 +160,7 @@
         lost = self._outbox.add(self._recorder.drain())
         if self._metrics is not None:
             self._metrics.set_gauge(
-                Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
+                GaugeName.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
             )
             if lost:
                 self._metrics.increment(CounterName.TRACE_EVENTS_LOST, number=lost)
