--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -9,8 +9,8 @@
 from kingcupwheel.burn.goals import route_name
 from kingcupwheel.burn.observed import Observed
 from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import Duration
 from kingcupwheel.metrics.names import GaugeName
+from kingcupwheel.metrics.names import TimerName
 
 
 if TYPE_CHECKING:
@@ -68,9 +68,9 @@
     ) -> None:
         """Count an answer; ``gaps_s`` are the times between chunks in seconds."""
         if first_byte_s is not None:
-            self._metrics.record_duration(Duration.FIRST_BYTE, first_byte_s)
+            self._metrics.record_duration(TimerName.FIRST_BYTE, first_byte_s)
         if gaps_s:
-            self._metrics.record_duration(Duration.TOKEN_GAP, max(gaps_s))
+            self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
         self._observe(
             Observed(
                 organisation=request.organisation.name,
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.metrics.names import CounterName
-    from kingcupwheel.metrics.names import Duration
     from kingcupwheel.metrics.names import GaugeName
+    from kingcupwheel.metrics.names import TimerName
     from kingcupwheel.settings.schema import StatsdSettings
 
 logger = logging.getLogger("kingcupwheel.metrics")
@@ -62,7 +62,7 @@
         if self._client is not None:
             self._client.gauge(name.value, value)
 
-    def record_duration(self, name: Duration, seconds: float) -> None:
+    def record_duration(self, name: TimerName, seconds: float) -> None:
         """Record a time, given in seconds."""
         if self._client is not None:
             self._client.timing(name.value, seconds * 1000)
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import Duration
+from kingcupwheel.metrics.names import TimerName
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Joined
@@ -40,7 +40,7 @@
         """Count ``event`` if it has a metric."""
         match event:
             case Placed(waited_s=waited_s):
-                self._metrics.record_duration(Duration.QUEUE_WAIT, waited_s)
+                self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
             case Retried():
                 self._metrics.increment(CounterName.RETRIES)
             case Resumed():
--- a/src/kingcupwheel/metrics/names.py
+++ b/src/kingcupwheel/metrics/names.py
@@ -35,7 +35,7 @@
     TRACE_BYTES_WAITING = "trace.bytes_waiting"
 
 
-class Duration(StrEnum):
+class TimerName(StrEnum):
     """Timers, sent in milliseconds."""
 
     FIRST_BYTE = "first_byte"
@@ -44,7 +44,7 @@
     PLATFORM_CALL = "platform.call"
 
 
-Metric = CounterName | GaugeName | Duration
+Metric = CounterName | GaugeName | TimerName
 
 DESCRIPTION_BY_METRIC: dict[Metric, str] = {
     CounterName.REQUESTS: "Requests with a final outcome, by outcome.",
@@ -63,8 +63,8 @@
     CounterName.TRACE_EVENTS_LOST: "Trace events that found no room.",
     GaugeName.MANIFEST_VERSION: "Manifest version in force.",
     GaugeName.TRACE_BYTES_WAITING: "Bytes of trace events that wait for the platform.",
-    Duration.FIRST_BYTE: "From arrival to the first byte of the answer.",
-    Duration.QUEUE_WAIT: "Wait for a place.",
-    Duration.TOKEN_GAP: "Longest gap between two chunks of one answer.",
-    Duration.PLATFORM_CALL: "One call to the platform's service, watches left out.",
+    TimerName.FIRST_BYTE: "From arrival to the first byte of the answer.",
+    TimerName.QUEUE_WAIT: "Wait for a place.",
+    TimerName.TOKEN_GAP: "Longest gap between two chunks of one answer.",
+    TimerName.PLATFORM_CALL: "One call to the platform's service, watches left out.",
 }
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import Duration
+from kingcupwheel.metrics.names import TimerName
 from kingcupwheel.platform.errors import Conflict
 
 
@@ -75,7 +75,7 @@
     ) -> Result[T, PlatformError]:
         started = monotonic()
         found = call()
-        self._metrics.record_duration(Duration.PLATFORM_CALL, monotonic() - started)
+        self._metrics.record_duration(TimerName.PLATFORM_CALL, monotonic() - started)
         self._count(kind, found)
         return found
 
