--- a/src/kingcupwheel/metrics/names.py
+++ b/src/kingcupwheel/metrics/names.py
@@ -44,9 +44,9 @@
     PLATFORM_CALL = "platform.call"
 
 
-Metric = CounterName | GaugeName | TimerName
+MetricName = CounterName | GaugeName | TimerName
 
-DESCRIPTION_BY_METRIC: dict[Metric, str] = {
+DESCRIPTION_BY_METRIC: dict[MetricName, str] = {
     CounterName.REQUESTS: "Requests with a final outcome, by outcome.",
     CounterName.REFUSALS: "Requests refused, by limit.",
     CounterName.RETRIES: "Further attempts.",
