--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -34,7 +34,7 @@
 from kingcupwheel.metrics.client import MetricsClient
 from kingcupwheel.metrics.events import TraceEventMetrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from kingcupwheel.plugins.kernel import platform_clients
 from kingcupwheel.plugins.kernel import server_adapters
 from kingcupwheel.settings.schema import Role
@@ -63,7 +63,7 @@
     """One agent; ``stop`` is a planned stop, ``close`` cuts off what runs."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         if settings.role is not Role.AGENT:
             raise NotAnAgentError(settings.role.value)
         if settings.server is None:
--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -27,7 +27,7 @@
 from kingcupwheel.manifest.status import rollout
 from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
 from kingcupwheel.manifest.store import ManifestStore
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from kingcupwheel.plugins.kernel import placement_policies
 
 
@@ -156,7 +156,7 @@
 
 
 def _load(file: Path, *, as_json: bool) -> Manifest:
-    load_builtin()
+    load_builtin_plugins()
     try:
         text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/kingcupwheel/console/platform.py
+++ b/src/kingcupwheel/console/platform.py
@@ -6,7 +6,7 @@
 
 import click
 
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from kingcupwheel.plugins.kernel import platform_clients
 from kingcupwheel.settings.schema import PlatformSettings
 from kingcupwheel.utils.urls import is_http_url
@@ -24,5 +24,5 @@
     if not is_http_url(url):
         message = f"{url!r} is no http:// or https:// address."
         raise click.BadParameter(message, param_hint="--platform")
-    load_builtin()
+    load_builtin_plugins()
     return platform_clients.get(client)(PlatformSettings(url=url, client=client))
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -31,7 +31,7 @@
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import MetricsClient
 from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from kingcupwheel.plugins.kernel import platform_clients
 
 
@@ -53,7 +53,7 @@
     """One entry; ``start`` returns once callers are served."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         self._settings = settings
         self._leaving = Event()
         metrics = MetricsClient(settings.statsd, process=settings.name)
--- a/src/kingcupwheel/plugins/kernel.py
+++ b/src/kingcupwheel/plugins/kernel.py
@@ -44,7 +44,7 @@
 )
 
 
-def load_builtin() -> None:
+def load_builtin_plugins() -> None:
     """Import every built-in plug-in module, which registers it."""
     for module in BUILTIN_MODULES:
         import_module(module)
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.manifest.checks import NAME_FORM
 from kingcupwheel.manifest.checks import NAME_RULE
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from kingcupwheel.plugins.kernel import platform_clients
 from kingcupwheel.plugins.kernel import server_adapters
 from kingcupwheel.settings.schema import Role
@@ -31,7 +31,7 @@
 def settings_problems(settings: Settings) -> Iterator[Problem]:
     """Yield all that is wrong with the values."""
     if settings.forwarding is None and settings.rank is None:
-        load_builtin()
+        load_builtin_plugins()
     for field in ("name", "data_centre"):
         if not NAME_FORM.fullmatch(getattr(settings, field)):
             yield Problem(field, f"{NAME_RULE}, not {getattr(settings, field)!r}")
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from kingcupwheel.plugins.kernel import load_builtin
+from kingcupwheel.plugins.kernel import load_builtin_plugins
 from tools.entry_model import Entry
 from tools.entry_model import Report
 from tools.split_model import Split
@@ -160,7 +160,7 @@
         seed: int,
         allowance_by_organisation: dict[str, Allowance],
     ) -> None:
-        load_builtin()
+        load_builtin_plugins()
         self.setup = setup
         self.random = Random(seed)
         self.servers = list(servers)
