--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -41,7 +41,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.object_store import ObjectStore
-from kingcupwheel.plugins.kernel import load_placements
+from kingcupwheel.plugins.kernel import load_placement_policies
 from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
 from kingcupwheel.telemetry.metrics import MetricsApp
@@ -77,7 +77,7 @@
 
     def __init__(self, settings: Settings) -> None:
         assert settings.forwarding is not None, "checked by the caller"
-        load_placements()
+        load_placement_policies()
         self._settings = settings
         self._forwarding: ForwardingSettings = settings.forwarding
         self._leaving = Event()
--- a/src/kingcupwheel/plugins/kernel.py
+++ b/src/kingcupwheel/plugins/kernel.py
@@ -50,7 +50,7 @@
         import_module(module)
 
 
-def load_placements() -> None:
+def load_placement_policies() -> None:
     """Import only the placement policies, for processes that need no other plug-in."""
     for module in PLACEMENT_MODULES:
         import_module(module)
