--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -168,7 +168,7 @@
             if self._watch_once():
                 backoff.reset()
             else:
-                self._stopping.wait(backoff.next_s())
+                self._stopping.wait(backoff.next_delay_s())
 
     def _watch_once(self) -> bool:
         """Return whether to watch again at once."""
--- a/src/kingcupwheel/utils/backoff.py
+++ b/src/kingcupwheel/utils/backoff.py
@@ -22,7 +22,7 @@
         self._random = random
         self._step_s = least_s
 
-    def next_s(self) -> float:
+    def next_delay_s(self) -> float:
         """Return the next pause."""
         pause_s = self._step_s * self._random.uniform(0.5, 1.0)
         self._step_s = min(self._most_s, self._step_s * 2)
