--- a/src/kingcupwheel/agent/adapters/requests.py
+++ b/src/kingcupwheel/agent/adapters/requests.py
@@ -7,7 +7,7 @@
 
 from urllib3 import HTTPHeaderDict
 
-from kingcupwheel.utils.http_headers import HOP_BY_HOP
+from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
 
 
@@ -19,8 +19,8 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 # Headers that belong to one connection or to the call between agent and server.
-_REQUEST_HEADERS_DROPPED = HOP_BY_HOP | OF_ONE_REQUEST | {"x-request-id"}
-_ANSWER_HEADERS_DROPPED = HOP_BY_HOP | {
+_REQUEST_HEADERS_DROPPED = HOP_BY_HOP_HEADERS | OF_ONE_REQUEST | {"x-request-id"}
+_ANSWER_HEADERS_DROPPED = HOP_BY_HOP_HEADERS | {
     "content-length",
     "date",
     "server",
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -10,7 +10,7 @@
 from kingcupwheel.forwarding.http_metadata import CallerMetadata
 from kingcupwheel.forwarding.http_metadata import ReportedLoad
 from kingcupwheel.forwarding.http_metadata import ServerNotice
-from kingcupwheel.utils.http_headers import HOP_BY_HOP
+from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
 from kingcupwheel.utils.numbers import whole_number
 
@@ -50,8 +50,8 @@
         "x-expect-version",
     }
 )
-_REMOVED_FROM_REQUESTS = _CONTROLLED_HEADERS | HOP_BY_HOP | OF_ONE_REQUEST
-_REMOVED_FROM_RESPONSES = HOP_BY_HOP | {"content-length", "date", "server"}
+_REMOVED_FROM_REQUESTS = _CONTROLLED_HEADERS | HOP_BY_HOP_HEADERS | OF_ONE_REQUEST
+_REMOVED_FROM_RESPONSES = HOP_BY_HOP_HEADERS | {"content-length", "date", "server"}
 _MS_PER_S = 1000.0
 _MAX_PRIORITY = 9
 
--- a/src/kingcupwheel/utils/http_headers.py
+++ b/src/kingcupwheel/utils/http_headers.py
@@ -4,7 +4,7 @@
 
 
 # Those of one connection: RFC 9110, 7.6.1, with the older ones still seen.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
