--- a/src/kingcupwheel/agent/adapters/requests.py
+++ b/src/kingcupwheel/agent/adapters/requests.py
@@ -8,7 +8,7 @@
 from urllib3 import HTTPHeaderDict
 
 from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
-from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
+from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
 
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 # Headers that belong to one connection or to the call between agent and server.
-_REQUEST_HEADERS_DROPPED = HOP_BY_HOP_HEADERS | OF_ONE_REQUEST | {"x-request-id"}
+_REQUEST_HEADERS_DROPPED = HOP_BY_HOP_HEADERS | PER_REQUEST_HEADERS | {"x-request-id"}
 _ANSWER_HEADERS_DROPPED = HOP_BY_HOP_HEADERS | {
     "content-length",
     "date",
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -28,7 +28,7 @@
 from kingcupwheel.manifest.routing import RouteFound
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
-from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
+from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 # which callers of one application share.
 _PREFIX_CHARACTERS = 256
 # Headers that belong to one connection, or to the entry alone, and are not passed on.
-_NOT_PASSED_ON = HOP_BY_HOP_HEADERS | OF_ONE_REQUEST | {"authorization"}
+_NOT_PASSED_ON = HOP_BY_HOP_HEADERS | PER_REQUEST_HEADERS | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -11,7 +11,7 @@
 from kingcupwheel.forwarding.http_metadata import ReportedLoad
 from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
-from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
+from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
 from kingcupwheel.utils.numbers import whole_number
 
 
@@ -50,7 +50,7 @@
         "x-expect-version",
     }
 )
-_REMOVED_FROM_REQUESTS = _CONTROLLED_HEADERS | HOP_BY_HOP_HEADERS | OF_ONE_REQUEST
+_REMOVED_FROM_REQUESTS = _CONTROLLED_HEADERS | HOP_BY_HOP_HEADERS | PER_REQUEST_HEADERS
 _REMOVED_FROM_RESPONSES = HOP_BY_HOP_HEADERS | {"content-length", "date", "server"}
 _MS_PER_S = 1000.0
 _MAX_PRIORITY = 9
--- a/src/kingcupwheel/utils/http_headers.py
+++ b/src/kingcupwheel/utils/http_headers.py
@@ -17,4 +17,4 @@
     }
 )
 # Those of one request message, which whoever sends it on writes anew.
-OF_ONE_REQUEST = frozenset({"content-length", "expect", "host"})
+PER_REQUEST_HEADERS = frozenset({"content-length", "expect", "host"})
