--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -12,7 +12,7 @@
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.telemetry.json_logs import lines_of
-from kingcupwheel.utils.numbers import whole_number
+from kingcupwheel.utils.numbers import parse_non_negative_int
 
 
 if TYPE_CHECKING:
@@ -83,7 +83,10 @@
         last_id = self._forwarder.last_event_id
         new_events: list[StreamEvent] = []
         for event in events:
-            number, last_number = whole_number(event.id), whole_number(last_id)
+            number, last_number = (
+                parse_non_negative_int(event.id),
+                parse_non_negative_int(last_id),
+            )
             if number is None or last_number is None:
                 new_events.append(event)
                 continue
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -12,7 +12,7 @@
 from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
 from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
-from kingcupwheel.utils.numbers import whole_number
+from kingcupwheel.utils.numbers import parse_non_negative_int
 
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
     """Return the parsed headers of a request; names are in lower case."""
     key = headers.get("authorization", "")
     prompt_tokens, answer_tokens = _parse_token_usage(headers.get(_TOKEN_USAGE, ""))
-    hint = whole_number(headers.get(_LENGTH_HINT, ""))
+    hint = parse_non_negative_int(headers.get(_LENGTH_HINT, ""))
     if hint is not None:
         answer_tokens = min(answer_tokens, hint) if answer_tokens else hint
     return CallerMetadata(
@@ -115,7 +115,7 @@
         is_rejection=is_not_run,
         is_other_instance=status == 421,
         faulty_server=headers.get(_AT_SERVER, ""),
-        length=whole_number(length),
+        length=parse_non_negative_int(length),
         is_framed=length != "" or "transfer-encoding" in headers,
         closes_connection="close" in headers.get("connection", "").lower(),
         idle_timeout_s=_parse_keep_alive_s(headers.get("keep-alive", "")),
@@ -159,21 +159,21 @@
 
 def _parse_token_usage(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
-    numbers = (whole_number(first), whole_number(second))
+    numbers = (parse_non_negative_int(first), parse_non_negative_int(second))
     return (numbers[0] or 0, numbers[1] or 0) if None not in numbers else (0, 0)
 
 
 def _parse_keep_alive_s(text: str) -> float | None:
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
-        seconds = whole_number(value)
+        seconds = parse_non_negative_int(value)
         if name.lower() == "timeout" and seconds is not None:
             return float(seconds)
     return None
 
 
 def _parse_server_load(text: str) -> ReportedLoad | None:
-    numbers = [whole_number(part.strip()) for part in text.split(",", 3)]
+    numbers = [parse_non_negative_int(part.strip()) for part in text.split(",", 3)]
     if len(numbers) != 3 or None in numbers:
         return None
     return ReportedLoad(*(number or 0 for number in numbers))
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -16,7 +16,7 @@
 from kingcupwheel.forwarding.backends import Backend
 from kingcupwheel.platform.decoding import StartTimeMs
 from kingcupwheel.platform.decoding import decode_json
-from kingcupwheel.utils.numbers import whole_number
+from kingcupwheel.utils.numbers import parse_non_negative_int
 
 
 if TYPE_CHECKING:
@@ -80,4 +80,4 @@
         IPv4Address(host)
     except AddressValueError:
         return False
-    return 0 < (whole_number(port) or 0) <= _MAX_PORT
+    return 0 < (parse_non_negative_int(port) or 0) <= _MAX_PORT
--- a/src/kingcupwheel/utils/numbers.py
+++ b/src/kingcupwheel/utils/numbers.py
@@ -7,7 +7,7 @@
 _MOST_DIGITS = 18
 
 
-def whole_number(text: str) -> int | None:
+def parse_non_negative_int(text: str) -> int | None:
     """Return the decimal number that ``text`` is, or None if it is none."""
     if text.isascii() and text.isdecimal() and len(text) <= _MOST_DIGITS:
         return int(text)
