--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -22,7 +22,7 @@
 from kingcupwheel.settings.loader import load_settings
 from kingcupwheel.telemetry.json_logs import JsonLogOutput
 from kingcupwheel.telemetry.json_logs import lines_of
-from kingcupwheel.utils.logs import configure_logs
+from kingcupwheel.utils.logs import configure_text_logs
 
 
 if TYPE_CHECKING:
@@ -143,7 +143,7 @@
 def _configure_logs(settings: Settings) -> JsonLogOutput | None:
     """Log in the way of the deployment; structured lines on the users' platform."""
     if settings.forwarding is None and settings.rank is None:
-        configure_logs(settings.name, settings.log_level.value)
+        configure_text_logs(settings.name, settings.log_level.value)
         return None
     return JsonLogOutput(settings.name, settings.log_level.value)
 
--- a/src/kingcupwheel/utils/logs.py
+++ b/src/kingcupwheel/utils/logs.py
@@ -38,7 +38,7 @@
         return super().format(record)
 
 
-def configure_logs(process: str, level: str) -> None:
+def configure_text_logs(process: str, level: str) -> None:
     """Send log lines of ``level`` and above to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(PrefixFormatter(process))
