--- a/src/kingcupwheel/utils/problems.py
+++ b/src/kingcupwheel/utils/problems.py
@@ -15,7 +15,7 @@
         return f"{self.path}: {self.detail}" if self.path else self.detail
 
 
-def join_path(path: str, field: str) -> str:
+def join_field_path(path: str, field: str) -> str:
     """Return the path of ``field`` within ``path``."""
     return f"{path}.{field}" if path else field
 
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import join_path
+from kingcupwheel.utils.problems import join_field_path
 
 
 if TYPE_CHECKING:
@@ -47,4 +47,4 @@
 
     def _problem(self, field: str, rule: str) -> Problem:
         value = getattr(self._record, field)
-        return Problem(join_path(self._path, field), f"{rule}, not {value}")
+        return Problem(join_field_path(self._path, field), f"{rule}, not {value}")
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -17,7 +17,7 @@
 
 from kingcupwheel.utils.problems import Problem
 from kingcupwheel.utils.problems import Problems
-from kingcupwheel.utils.problems import join_path
+from kingcupwheel.utils.problems import join_field_path
 
 
 if TYPE_CHECKING:
@@ -59,9 +59,9 @@
     kinds_by_field = get_type_hints(kind)
     for name in data:
         if name not in kinds_by_field:
-            yield Problem(join_path(path, str(name)), "unknown field")
+            yield Problem(join_field_path(path, str(name)), "unknown field")
     for field in msgspec.structs.fields(kind):
-        where = join_path(path, field.name)
+        where = join_field_path(path, field.name)
         if field.name in data:
             yield from _problems(data[field.name], kinds_by_field[field.name], where)
         elif field.required:
