--- a/src/kingcupwheel/console/problems.py
+++ b/src/kingcupwheel/console/problems.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from kingcupwheel.utils.problems import Problems
+    from kingcupwheel.utils.problems import ValidationProblems
 
 
 class _Line(TypedDict):
@@ -25,7 +25,7 @@
     problems: list[_Line]
 
 
-def report_problems(file: Path, problems: Problems, *, as_json: bool) -> None:
+def report_problems(file: Path, problems: ValidationProblems, *, as_json: bool) -> None:
     """Print one line for each problem on stderr, or JSON on stdout."""
     if as_json:
         lines = [_Line(path=each.path, detail=each.detail) for each in problems]
--- a/src/kingcupwheel/manifest/loading.py
+++ b/src/kingcupwheel/manifest/loading.py
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from kingcupwheel.utils.problems import Problems
+    from kingcupwheel.utils.problems import ValidationProblems
 
 
 def load_manifest(
     text: str, *, placements: Collection[str] = ()
-) -> Result[Manifest, Problems]:
+) -> Result[Manifest, ValidationProblems]:
     """Return the manifest in ``text`` (YAML or JSON), or all that is wrong with it.
 
     ``placements`` are the known placement policies; none are checked if it is empty.
@@ -39,13 +39,13 @@
 
 def check_manifest(
     manifest: Manifest, *, placements: Collection[str] = ()
-) -> Result[Manifest, Problems]:
+) -> Result[Manifest, ValidationProblems]:
     """Return ``manifest``, or every field whose value is out of place."""
     problems = tuple(manifest_problems(manifest, placements))
     return Error(problems) if problems else Ok(manifest)
 
 
-def _read(text: str) -> Result[Any, Problems]:
+def _read(text: str) -> Result[Any, ValidationProblems]:
     # JSON is read by a parser of its own, which is far faster than YAML's.
     if text.lstrip().startswith("{"):
         try:
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -12,7 +12,7 @@
 from kingcupwheel.settings.checks import settings_problems
 from kingcupwheel.settings.schema import Settings
 from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import Problems
+from kingcupwheel.utils.problems import ValidationProblems
 from kingcupwheel.utils.shapes import convert
 from kingcupwheel.utils.yaml import read_yaml
 
@@ -21,7 +21,7 @@
     from os import PathLike
 
 
-def load_settings(path: str | PathLike[str]) -> Result[Settings, Problems]:
+def load_settings(path: str | PathLike[str]) -> Result[Settings, ValidationProblems]:
     """Return the settings in the YAML file at ``path``, or all that is wrong."""
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -30,11 +30,11 @@
     return parse_settings(text)
 
 
-def parse_settings(text: str) -> Result[Settings, Problems]:
+def parse_settings(text: str) -> Result[Settings, ValidationProblems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
     return read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check)
 
 
-def _check(settings: Settings) -> Result[Settings, Problems]:
+def _check(settings: Settings) -> Result[Settings, ValidationProblems]:
     problems = tuple(settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
--- a/src/kingcupwheel/utils/problems.py
+++ b/src/kingcupwheel/utils/problems.py
@@ -20,4 +20,4 @@
     return f"{path}.{field}" if path else field
 
 
-Problems = tuple[Problem, ...]
+ValidationProblems = tuple[Problem, ...]
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -16,7 +16,7 @@
 from expression import Result
 
 from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import Problems
+from kingcupwheel.utils.problems import ValidationProblems
 from kingcupwheel.utils.problems import join_field_path
 
 
@@ -24,7 +24,7 @@
     from collections.abc import Iterator
 
 
-def convert(data: Any, kind: type[Any]) -> Result[Any, Problems]:
+def convert(data: Any, kind: type[Any]) -> Result[Any, ValidationProblems]:
     """Return plain ``data`` as a ``kind``, or every field that doesn't fit."""
     try:
         return Ok(msgspec.convert(data, kind))
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/yaml.py
@@ -13,7 +13,7 @@
 from expression import Result
 
 from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import Problems
+from kingcupwheel.utils.problems import ValidationProblems
 
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
             gc.enable()
 
 
-def read_yaml(text: str) -> Result[Any, Problems]:
+def read_yaml(text: str) -> Result[Any, ValidationProblems]:
     """Return the one document in ``text``, or where it is no YAML."""
     try:
         with _collector_paused():
