--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.manifest.schema import GroupKind
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.ranges import Ranges
 
 
@@ -43,11 +43,11 @@
 
 def manifest_problems(
     manifest: Manifest, placements: Collection[str]
-) -> Iterator[Problem]:
+) -> Iterator[ValidationProblem]:
     """Yield all that is wrong; ``placements`` as for ``load_manifest``."""
     for field in ("organisations", "groups", "routes"):
         if not getattr(manifest, field):
-            yield Problem(field, "must not be empty")
+            yield ValidationProblem(field, "must not be empty")
     yield from _organisations(manifest.organisations)
     yield from _groups(manifest.groups, placements)
     yield from _routes(manifest.routes, {group.name for group in manifest.groups})
@@ -55,18 +55,20 @@
     yield from Ranges(manifest.retention, "retention").positive("claims_h", "traces_h")
 
 
-def _names(path: str, names: Iterable[str]) -> Iterator[Problem]:
+def _names(path: str, names: Iterable[str]) -> Iterator[ValidationProblem]:
     first_by_name: dict[str, int] = {}
     for index, name in enumerate(names):
         where = f"{path}[{index}].name"
         if not NAME_FORM.fullmatch(name):
-            yield Problem(where, f"{NAME_RULE}, not {name!r}")
+            yield ValidationProblem(where, f"{NAME_RULE}, not {name!r}")
         first = first_by_name.setdefault(name, index)
         if first != index:
-            yield Problem(where, f"{name!r} is the name of {path}[{first}] already")
+            yield ValidationProblem(
+                where, f"{name!r} is the name of {path}[{first}] already"
+            )
 
 
-def _goals(goals: Goals | None, path: str) -> Iterator[Problem]:
+def _goals(goals: Goals | None, path: str) -> Iterator[ValidationProblem]:
     if goals is None:
         return
     ranges = Ranges(goals, path)
@@ -74,7 +76,9 @@
     yield from ranges.positive("first_token_s", "token_gap_ms")
 
 
-def _organisations(organisations: tuple[Organisation, ...]) -> Iterator[Problem]:
+def _organisations(
+    organisations: tuple[Organisation, ...],
+) -> Iterator[ValidationProblem]:
     yield from _names("organisations", (each.name for each in organisations))
     owner_by_digest: dict[str, str] = {}
     for index, organisation in enumerate(organisations):
@@ -91,24 +95,26 @@
 
 def _key_digests(
     digests: tuple[str, ...], path: str, owner_by_digest: dict[str, str]
-) -> Iterator[Problem]:
+) -> Iterator[ValidationProblem]:
     if not 1 <= len(digests) <= MAX_KEY_DIGESTS:
-        yield Problem(
+        yield ValidationProblem(
             f"{path}.key_digests",
             f"must hold 1 to {MAX_KEY_DIGESTS} digests, not {len(digests)}",
         )
     for index, digest in enumerate(digests):
         where = f"{path}.key_digests[{index}]"
         if not _DIGEST_FORM.fullmatch(digest):
-            yield Problem(where, "must be a SHA-256 digest of 64 digits 0-9a-f")
+            yield ValidationProblem(
+                where, "must be a SHA-256 digest of 64 digits 0-9a-f"
+            )
         owner = owner_by_digest.setdefault(digest, where)
         if owner != where:
-            yield Problem(where, f"the same digest as {owner}")
+            yield ValidationProblem(where, f"the same digest as {owner}")
 
 
 def _groups(
     groups: tuple[ServerGroup, ...], placements: Collection[str]
-) -> Iterator[Problem]:
+) -> Iterator[ValidationProblem]:
     yield from _names("groups", (group.name for group in groups))
     for index, group in enumerate(groups):
         path = f"groups[{index}]"
@@ -117,16 +123,16 @@
         if placements and group.placement not in placements:
             known = ", ".join(sorted(placements))
             detail = f"no placement policy {group.placement!r}; known: {known}"
-            yield Problem(f"{path}.placement", detail)
+            yield ValidationProblem(f"{path}.placement", detail)
         if group.experts is None:
             continue
         if group.kind is not GroupKind.ENGINE:
             detail = f"a group of kind {group.kind.value!r} has no experts"
-            yield Problem(f"{path}.experts", detail)
+            yield ValidationProblem(f"{path}.experts", detail)
         yield from _experts(group.experts, f"{path}.experts")
 
 
-def _experts(layout: ExpertLayout, path: str) -> Iterator[Problem]:
+def _experts(layout: ExpertLayout, path: str) -> Iterator[ValidationProblem]:
     ranges = Ranges(layout, path)
     yield from ranges.positive(
         "ranks", "experts", "layers", "expert_bytes", "rebalance_every_s"
@@ -140,13 +146,13 @@
             f"{layout.ranks} ranks of {layout.slots} slots don't hold"
             f" {layout.experts} experts; at least {least} slots are needed"
         )
-        yield Problem(f"{path}.slots", detail)
+        yield ValidationProblem(f"{path}.slots", detail)
     elif layout.slots > layout.experts:
         detail = f"{layout.slots} slots are more than the {layout.experts} experts"
-        yield Problem(f"{path}.slots", detail)
+        yield ValidationProblem(f"{path}.slots", detail)
 
 
-def _routes(routes: tuple[Route, ...], groups: set[str]) -> Iterator[Problem]:
+def _routes(routes: tuple[Route, ...], groups: set[str]) -> Iterator[ValidationProblem]:
     first_by_match: dict[tuple[str, str, str], int] = {}
     for index, route in enumerate(routes):
         path = f"routes[{index}]"
@@ -156,33 +162,39 @@
             first = first_by_match.setdefault(match, index)
             if first != index:
                 detail = f"routes[{first}] takes {method} {route.path} already"
-                yield Problem(f"{path}.path", detail)
+                yield ValidationProblem(f"{path}.path", detail)
 
 
-def _route(route: Route, path: str, groups: set[str]) -> Iterator[Problem]:
+def _route(route: Route, path: str, groups: set[str]) -> Iterator[ValidationProblem]:
     if route.group not in groups:
-        yield Problem(f"{path}.group", f"no group {route.group!r}")
+        yield ValidationProblem(f"{path}.group", f"no group {route.group!r}")
     if not _HOST_FORM.fullmatch(route.host):
-        yield Problem(f"{path}.host", "must be '*' or a host name in lower case")
+        yield ValidationProblem(
+            f"{path}.host", "must be '*' or a host name in lower case"
+        )
     yield from _path(route.path, f"{path}.path")
     if not route.methods:
-        yield Problem(f"{path}.methods", "must not be empty")
+        yield ValidationProblem(f"{path}.methods", "must not be empty")
     for index, method in enumerate(route.methods):
         if not _METHOD_FORM.fullmatch(method):
             detail = f"must be a method in capitals, not {method!r}"
-            yield Problem(f"{path}.methods[{index}]", detail)
+            yield ValidationProblem(f"{path}.methods[{index}]", detail)
         if method in route.methods[:index]:
-            yield Problem(f"{path}.methods[{index}]", f"{method} stands twice")
+            yield ValidationProblem(
+                f"{path}.methods[{index}]", f"{method} stands twice"
+            )
     yield from Ranges(route, path).positive("deadline_s")
     yield from _goals(route.goals, f"{path}.goals")
 
 
-def _path(value: str, where: str) -> Iterator[Problem]:
+def _path(value: str, where: str) -> Iterator[ValidationProblem]:
     if not value.startswith("/"):
-        yield Problem(where, "must start with '/'")
+        yield ValidationProblem(where, "must start with '/'")
     if "*" in value[:-1]:
-        yield Problem(where, "may hold '*' at its end only")
+        yield ValidationProblem(where, "may hold '*' at its end only")
     if any(mark in value for mark in "?# "):
-        yield Problem(where, "must hold no '?', '#' or space")
+        yield ValidationProblem(where, "must hold no '?', '#' or space")
     if value.startswith(RESERVED_PREFIX):
-        yield Problem(where, f"{RESERVED_PREFIX} is answered by the entry itself")
+        yield ValidationProblem(
+            where, f"{RESERVED_PREFIX} is answered by the entry itself"
+        )
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -13,7 +13,7 @@
 from kingcupwheel.plugins.kernel import platform_clients
 from kingcupwheel.plugins.kernel import server_adapters
 from kingcupwheel.settings.schema import Role
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.ranges import Ranges
 from kingcupwheel.utils.urls import is_http_url
 
@@ -28,13 +28,15 @@
 _HIGHEST_PORT = 65_535
 
 
-def settings_problems(settings: Settings) -> Iterator[Problem]:
+def settings_problems(settings: Settings) -> Iterator[ValidationProblem]:
     """Yield all that is wrong with the values."""
     if settings.forwarding is None and settings.rank is None:
         load_builtin_plugins()
     for field in ("name", "data_centre"):
         if not NAME_FORM.fullmatch(getattr(settings, field)):
-            yield Problem(field, f"{NAME_RULE}, not {getattr(settings, field)!r}")
+            yield ValidationProblem(
+                field, f"{NAME_RULE}, not {getattr(settings, field)!r}"
+            )
     yield from _address(settings.listen, "listen")
     for field in ("http", "operator_http"):
         if getattr(settings, field):
@@ -56,7 +58,7 @@
             yield from _agent(settings)
 
 
-def _statsd(settings: Settings) -> Iterator[Problem]:
+def _statsd(settings: Settings) -> Iterator[ValidationProblem]:
     if settings.statsd.host:
         ranges = Ranges(settings.statsd, "statsd")
         yield from ranges.between("port", 1, _HIGHEST_PORT)
@@ -66,50 +68,60 @@
     return tuple(field.name for field in msgspec.structs.fields(record))
 
 
-def _address(text: str, path: str) -> Iterator[Problem]:
+def _address(text: str, path: str) -> Iterator[ValidationProblem]:
     host, _, port = text.rpartition(":")
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
-        yield Problem(path, f"must be IP:port with an IP number, not {text!r}")
+        yield ValidationProblem(
+            path, f"must be IP:port with an IP number, not {text!r}"
+        )
         return
     if not port.isdecimal() or int(port) > _HIGHEST_PORT:
-        yield Problem(path, f"has no port from 0 to {_HIGHEST_PORT}: {text!r}")
+        yield ValidationProblem(
+            path, f"has no port from 0 to {_HIGHEST_PORT}: {text!r}"
+        )
 
 
-def _url(text: str, path: str) -> Iterator[Problem]:
+def _url(text: str, path: str) -> Iterator[ValidationProblem]:
     if not is_http_url(text):
-        yield Problem(path, f"must be an http:// or https:// address, not {text!r}")
+        yield ValidationProblem(
+            path, f"must be an http:// or https:// address, not {text!r}"
+        )
 
 
-def _platform(settings: Settings) -> Iterator[Problem]:
+def _platform(settings: Settings) -> Iterator[ValidationProblem]:
     platform = settings.platform
     yield from _url(platform.url, "platform.url")
     yield from Ranges(platform, "platform").positive("timeout_s", "connections")
     yield from _plugin("platform.client", platform.client, platform_clients.names)
 
 
-def _plugin(path: str, name: str, known: tuple[str, ...]) -> Iterator[Problem]:
+def _plugin(
+    path: str, name: str, known: tuple[str, ...]
+) -> Iterator[ValidationProblem]:
     if known and name not in known:
-        yield Problem(path, f"no plug-in {name!r}; known: {', '.join(known)}")
+        yield ValidationProblem(path, f"no plug-in {name!r}; known: {', '.join(known)}")
 
 
-def _timings(timings: Timings) -> Iterator[Problem]:
+def _timings(timings: Timings) -> Iterator[ValidationProblem]:
     yield from Ranges(timings, "timings").positive(*_fields(timings))
     # A shorter time later in the chain would replace a link, or give up an attempt,
     # between two heartbeats of a process that is well.
     chain = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
     for shorter, longer in zip(chain, chain[1:], strict=False):
         if getattr(timings, longer) <= getattr(timings, shorter):
-            yield Problem(f"timings.{longer}", f"must be longer than {shorter}")
+            yield ValidationProblem(
+                f"timings.{longer}", f"must be longer than {shorter}"
+            )
 
 
-def _forwarding(settings: Settings) -> Iterator[Problem]:
+def _forwarding(settings: Settings) -> Iterator[ValidationProblem]:
     forwarding = settings.forwarding
     if forwarding is None:
         return
     if settings.role is not Role.ENTRY:
-        yield Problem("forwarding", "is for entries only")
+        yield ValidationProblem("forwarding", "is for entries only")
     for field in ("ready", "addresses", "metrics"):
         if getattr(forwarding, field):
             yield from _address(getattr(forwarding, field), f"forwarding.{field}")
@@ -120,41 +132,41 @@
     yield from ranges.not_negative("retry_share", "retry_floor")
 
 
-def _rank(settings: Settings) -> Iterator[Problem]:
+def _rank(settings: Settings) -> Iterator[ValidationProblem]:
     rank = settings.rank
     if rank is None:
         return
     if settings.role is not Role.AGENT:
-        yield Problem("rank", "is for agents only")
+        yield ValidationProblem("rank", "is for agents only")
     yield from _address(rank.server, "rank.server")
     if not rank.service:
-        yield Problem("rank.service", "missing; an agent needs it")
+        yield ValidationProblem("rank.service", "missing; an agent needs it")
 
 
-def _entry(settings: Settings) -> Iterator[Problem]:
+def _entry(settings: Settings) -> Iterator[ValidationProblem]:
     if not settings.http:
-        yield Problem("http", "missing; an entry needs it")
+        yield ValidationProblem("http", "missing; an entry needs it")
     if settings.server is not None:
-        yield Problem("server", "is for agents only")
+        yield ValidationProblem("server", "is for agents only")
     if settings.group:
-        yield Problem("group", "is for agents only")
+        yield ValidationProblem("group", "is for agents only")
 
 
-def _agent(settings: Settings) -> Iterator[Problem]:
+def _agent(settings: Settings) -> Iterator[ValidationProblem]:
     for field in ("http", "operator_http"):
         if getattr(settings, field):
-            yield Problem(field, "is for entries only")
+            yield ValidationProblem(field, "is for entries only")
     if settings.rank is not None:
         return
     if not settings.group:
-        yield Problem("group", "missing; an agent needs it")
+        yield ValidationProblem("group", "missing; an agent needs it")
     if settings.server is None:
-        yield Problem("server", "missing; an agent needs it")
+        yield ValidationProblem("server", "missing; an agent needs it")
     else:
         yield from _server(settings.server)
 
 
-def _server(server: ServerSettings) -> Iterator[Problem]:
+def _server(server: ServerSettings) -> Iterator[ValidationProblem]:
     yield from _url(server.url, "server.url")
     yield from Ranges(server, "server").positive("connect_s", "silence_s")
     yield from Ranges(server, "server").not_negative("rank")
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.settings.checks import settings_problems
 from kingcupwheel.settings.schema import Settings
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import ValidationProblems
 from kingcupwheel.utils.shapes import convert
 from kingcupwheel.utils.yaml import read_yaml
@@ -26,7 +26,7 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Error((Problem("", f"cannot read {path}: {error}"),))
+        return Error((ValidationProblem("", f"cannot read {path}: {error}"),))
     return parse_settings(text)
 
 
--- a/src/kingcupwheel/utils/problems.py
+++ b/src/kingcupwheel/utils/problems.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Problem(NamedTuple):
+class ValidationProblem(NamedTuple):
     """One thing to mend; ``path`` names the field, such as ``routes[2].group``."""
 
     path: str
@@ -20,4 +20,4 @@
     return f"{path}.{field}" if path else field
 
 
-ValidationProblems = tuple[Problem, ...]
+ValidationProblems = tuple[ValidationProblem, ...]
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -5,7 +5,7 @@
 from math import isfinite
 from typing import TYPE_CHECKING
 
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import join_field_path
 
 
@@ -20,31 +20,35 @@
         self._record = record
         self._path = path
 
-    def positive(self, *fields: str) -> Iterator[Problem]:
+    def positive(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not a finite number over 0."""
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value > 0):
                 yield self._problem(field, "must be more than 0")
 
-    def not_negative(self, *fields: str) -> Iterator[Problem]:
+    def not_negative(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not a finite number from 0."""
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value >= 0):
                 yield self._problem(field, "must be 0 or more")
 
-    def share(self, *fields: str) -> Iterator[Problem]:
+    def share(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not strictly between 0 and 1."""
         for field in fields:
             if not 0 < getattr(self._record, field) < 1:
                 yield self._problem(field, "must be between 0 and 1, both excluded")
 
-    def between(self, field: str, low: float, high: float) -> Iterator[Problem]:
+    def between(
+        self, field: str, low: float, high: float
+    ) -> Iterator[ValidationProblem]:
         """Yield a problem if the field is not from ``low`` to ``high``."""
         if not low <= getattr(self._record, field) <= high:
             yield self._problem(field, f"must be from {low} to {high}")
 
-    def _problem(self, field: str, rule: str) -> Problem:
+    def _problem(self, field: str, rule: str) -> ValidationProblem:
         value = getattr(self._record, field)
-        return Problem(join_field_path(self._path, field), f"{rule}, not {value}")
+        return ValidationProblem(
+            join_field_path(self._path, field), f"{rule}, not {value}"
+        )
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -15,7 +15,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import ValidationProblems
 from kingcupwheel.utils.problems import join_field_path
 
@@ -30,10 +30,10 @@
         return Ok(msgspec.convert(data, kind))
     except msgspec.ValidationError as error:
         problems = tuple(_problems(data, kind, ""))
-        return Error(problems or (Problem("", str(error)),))
+        return Error(problems or (ValidationProblem("", str(error)),))
 
 
-def _problems(data: Any, kind: Any, path: str) -> Iterator[Problem]:
+def _problems(data: Any, kind: Any, path: str) -> Iterator[ValidationProblem]:
     try:
         msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
@@ -42,7 +42,7 @@
 
 def _inner_problems(
     data: Any, kind: Any, path: str, error: msgspec.ValidationError
-) -> Iterator[Problem]:
+) -> Iterator[ValidationProblem]:
     if _is_record(kind) and isinstance(data, dict):
         yield from _record_problems(data, kind, path)
     elif get_origin(kind) is tuple and isinstance(data, list):
@@ -50,22 +50,22 @@
         for index, item in enumerate(data):
             yield from _problems(item, item_kind, f"{path}[{index}]")
     else:
-        yield Problem(path, _in_words_of_yaml(str(error)))
+        yield ValidationProblem(path, _in_words_of_yaml(str(error)))
 
 
 def _record_problems(
     data: dict[Any, Any], kind: type[msgspec.Struct], path: str
-) -> Iterator[Problem]:
+) -> Iterator[ValidationProblem]:
     kinds_by_field = get_type_hints(kind)
     for name in data:
         if name not in kinds_by_field:
-            yield Problem(join_field_path(path, str(name)), "unknown field")
+            yield ValidationProblem(join_field_path(path, str(name)), "unknown field")
     for field in msgspec.structs.fields(kind):
         where = join_field_path(path, field.name)
         if field.name in data:
             yield from _problems(data[field.name], kinds_by_field[field.name], where)
         elif field.required:
-            yield Problem(where, "missing")
+            yield ValidationProblem(where, "missing")
 
 
 def _in_words_of_yaml(message: str) -> str:
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/yaml.py
@@ -12,7 +12,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.utils.problems import Problem
+from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import ValidationProblems
 
 
@@ -68,6 +68,6 @@
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
         where = f"line {mark.line + 1}" if mark else ""
-        return Error((Problem(where, f"not valid YAML: {error.problem}"),))
+        return Error((ValidationProblem(where, f"not valid YAML: {error.problem}"),))
     except (yaml.YAMLError, ValueError) as error:
-        return Error((Problem("", f"not valid YAML: {error}"),))
+        return Error((ValidationProblem("", f"not valid YAML: {error}"),))
