--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -52,7 +52,9 @@
     yield from _groups(manifest.groups, placements)
     yield from _routes(manifest.routes, {group.name for group in manifest.groups})
     yield from _goals(manifest.goals, "goals")
-    yield from Ranges(manifest.retention, "retention").positive("claims_h", "traces_h")
+    yield from Ranges(manifest.retention, "retention").check_positive(
+        "claims_h", "traces_h"
+    )
 
 
 def _names(path: str, names: Iterable[str]) -> Iterator[ValidationProblem]:
@@ -73,7 +75,7 @@
         return
     ranges = Ranges(goals, path)
     yield from ranges.share("availability", "within")
-    yield from ranges.positive("first_token_s", "token_gap_ms")
+    yield from ranges.check_positive("first_token_s", "token_gap_ms")
 
 
 def _organisations(
@@ -84,7 +86,7 @@
     for index, organisation in enumerate(organisations):
         path = f"organisations[{index}]"
         yield from _key_digests(organisation.key_digests, path, owner_by_digest)
-        yield from Ranges(organisation.allowance, f"{path}.allowance").positive(
+        yield from Ranges(organisation.allowance, f"{path}.allowance").check_positive(
             "work_per_s", "burst", "concurrency"
         )
         yield from Ranges(organisation, path).between(
@@ -118,7 +120,7 @@
     yield from _names("groups", (group.name for group in groups))
     for index, group in enumerate(groups):
         path = f"groups[{index}]"
-        yield from Ranges(group, path).positive("concurrency")
+        yield from Ranges(group, path).check_positive("concurrency")
         yield from Ranges(group, path).not_negative("queue")
         if placements and group.placement not in placements:
             known = ", ".join(sorted(placements))
@@ -134,7 +136,7 @@
 
 def _experts(layout: ExpertLayout, path: str) -> Iterator[ValidationProblem]:
     ranges = Ranges(layout, path)
-    yield from ranges.positive(
+    yield from ranges.check_positive(
         "ranks", "experts", "layers", "expert_bytes", "rebalance_every_s"
     )
     yield from ranges.not_negative("slots", "skew_weight", "move_cost")
@@ -183,7 +185,7 @@
             yield ValidationProblem(
                 f"{path}.methods[{index}]", f"{method} stands twice"
             )
-    yield from Ranges(route, path).positive("deadline_s")
+    yield from Ranges(route, path).check_positive("deadline_s")
     yield from _goals(route.goals, f"{path}.goals")
 
 
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -47,7 +47,7 @@
     yield from _statsd(settings)
     for field in ("entry", "agent"):
         limits = getattr(settings, field)
-        yield from Ranges(limits, field).positive(*_fields(limits))
+        yield from Ranges(limits, field).check_positive(*_fields(limits))
     yield from _timings(settings.timings)
     yield from _forwarding(settings)
     yield from _rank(settings)
@@ -93,7 +93,7 @@
 def _platform(settings: Settings) -> Iterator[ValidationProblem]:
     platform = settings.platform
     yield from _url(platform.url, "platform.url")
-    yield from Ranges(platform, "platform").positive("timeout_s", "connections")
+    yield from Ranges(platform, "platform").check_positive("timeout_s", "connections")
     yield from _plugin("platform.client", platform.client, platform_clients.names)
 
 
@@ -105,7 +105,7 @@
 
 
 def _timings(timings: Timings) -> Iterator[ValidationProblem]:
-    yield from Ranges(timings, "timings").positive(*_fields(timings))
+    yield from Ranges(timings, "timings").check_positive(*_fields(timings))
     # A shorter time later in the chain would replace a link, or give up an attempt,
     # between two heartbeats of a process that is well.
     chain = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
@@ -126,7 +126,7 @@
         if getattr(forwarding, field):
             yield from _address(getattr(forwarding, field), f"forwarding.{field}")
     ranges = Ranges(forwarding, "forwarding")
-    yield from ranges.positive(
+    yield from ranges.check_positive(
         "address_keep_s", "revoke_ms", "grace_s", "retry_window_s"
     )
     yield from ranges.not_negative("retry_share", "retry_floor")
@@ -168,7 +168,7 @@
 
 def _server(server: ServerSettings) -> Iterator[ValidationProblem]:
     yield from _url(server.url, "server.url")
-    yield from Ranges(server, "server").positive("connect_s", "silence_s")
+    yield from Ranges(server, "server").check_positive("connect_s", "silence_s")
     yield from Ranges(server, "server").not_negative("rank")
     if server_adapters.names:
         yield from _plugin("server.adapter", server.adapter, server_adapters.names)
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -20,7 +20,7 @@
         self._record = record
         self._path = path
 
-    def positive(self, *fields: str) -> Iterator[ValidationProblem]:
+    def check_positive(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not a finite number over 0."""
         for field in fields:
             value = getattr(self._record, field)
