--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -121,7 +121,7 @@
     for index, group in enumerate(groups):
         path = f"groups[{index}]"
         yield from Ranges(group, path).check_positive("concurrency")
-        yield from Ranges(group, path).not_negative("queue")
+        yield from Ranges(group, path).check_non_negative("queue")
         if placements and group.placement not in placements:
             known = ", ".join(sorted(placements))
             detail = f"no placement policy {group.placement!r}; known: {known}"
@@ -139,7 +139,7 @@
     yield from ranges.check_positive(
         "ranks", "experts", "layers", "expert_bytes", "rebalance_every_s"
     )
-    yield from ranges.not_negative("slots", "skew_weight", "move_cost")
+    yield from ranges.check_non_negative("slots", "skew_weight", "move_cost")
     if layout.slots <= 0 or layout.ranks <= 0:
         return
     if layout.ranks * layout.slots < layout.experts:
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -129,7 +129,7 @@
     yield from ranges.check_positive(
         "address_keep_s", "revoke_ms", "grace_s", "retry_window_s"
     )
-    yield from ranges.not_negative("retry_share", "retry_floor")
+    yield from ranges.check_non_negative("retry_share", "retry_floor")
 
 
 def _rank(settings: Settings) -> Iterator[ValidationProblem]:
@@ -169,6 +169,6 @@
 def _server(server: ServerSettings) -> Iterator[ValidationProblem]:
     yield from _url(server.url, "server.url")
     yield from Ranges(server, "server").check_positive("connect_s", "silence_s")
-    yield from Ranges(server, "server").not_negative("rank")
+    yield from Ranges(server, "server").check_non_negative("rank")
     if server_adapters.names:
         yield from _plugin("server.adapter", server.adapter, server_adapters.names)
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -27,7 +27,7 @@
             if not (isfinite(value) and value > 0):
                 yield self._problem(field, "must be more than 0")
 
-    def not_negative(self, *fields: str) -> Iterator[ValidationProblem]:
+    def check_non_negative(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not a finite number from 0."""
         for field in fields:
             value = getattr(self._record, field)
