--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -74,7 +74,7 @@
     if goals is None:
         return
     ranges = Ranges(goals, path)
-    yield from ranges.share("availability", "within")
+    yield from ranges.check_open_unit_interval("availability", "within")
     yield from ranges.check_positive("first_token_s", "token_gap_ms")
 
 
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -34,7 +34,7 @@
             if not (isfinite(value) and value >= 0):
                 yield self._problem(field, "must be 0 or more")
 
-    def share(self, *fields: str) -> Iterator[ValidationProblem]:
+    def check_open_unit_interval(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not strictly between 0 and 1."""
         for field in fields:
             if not 0 < getattr(self._record, field) < 1:
