--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -89,7 +89,7 @@
         yield from Ranges(organisation.allowance, f"{path}.allowance").check_positive(
             "work_per_s", "burst", "concurrency"
         )
-        yield from Ranges(organisation, path).between(
+        yield from Ranges(organisation, path).check_between(
             "priority", LOWEST_PRIORITY, HIGHEST_PRIORITY
         )
         yield from _goals(organisation.goals, f"{path}.goals")
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -61,7 +61,7 @@
 def _statsd(settings: Settings) -> Iterator[ValidationProblem]:
     if settings.statsd.host:
         ranges = Ranges(settings.statsd, "statsd")
-        yield from ranges.between("port", 1, _HIGHEST_PORT)
+        yield from ranges.check_between("port", 1, _HIGHEST_PORT)
 
 
 def _fields(record: msgspec.Struct) -> tuple[str, ...]:
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -40,7 +40,7 @@
             if not 0 < getattr(self._record, field) < 1:
                 yield self._problem(field, "must be between 0 and 1, both excluded")
 
-    def between(
+    def check_between(
         self, field: str, low: float, high: float
     ) -> Iterator[ValidationProblem]:
         """Yield a problem if the field is not from ``low`` to ``high``."""
