--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.ranges import Ranges
+from kingcupwheel.utils.ranges import RangeChecker
 
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     yield from _groups(manifest.groups, placements)
     yield from _routes(manifest.routes, {group.name for group in manifest.groups})
     yield from _goals(manifest.goals, "goals")
-    yield from Ranges(manifest.retention, "retention").check_positive(
+    yield from RangeChecker(manifest.retention, "retention").check_positive(
         "claims_h", "traces_h"
     )
 
@@ -73,7 +73,7 @@
 def _goals(goals: Goals | None, path: str) -> Iterator[ValidationProblem]:
     if goals is None:
         return
-    ranges = Ranges(goals, path)
+    ranges = RangeChecker(goals, path)
     yield from ranges.check_open_unit_interval("availability", "within")
     yield from ranges.check_positive("first_token_s", "token_gap_ms")
 
@@ -86,10 +86,10 @@
     for index, organisation in enumerate(organisations):
         path = f"organisations[{index}]"
         yield from _key_digests(organisation.key_digests, path, owner_by_digest)
-        yield from Ranges(organisation.allowance, f"{path}.allowance").check_positive(
-            "work_per_s", "burst", "concurrency"
-        )
-        yield from Ranges(organisation, path).check_between(
+        yield from RangeChecker(
+            organisation.allowance, f"{path}.allowance"
+        ).check_positive("work_per_s", "burst", "concurrency")
+        yield from RangeChecker(organisation, path).check_between(
             "priority", LOWEST_PRIORITY, HIGHEST_PRIORITY
         )
         yield from _goals(organisation.goals, f"{path}.goals")
@@ -120,8 +120,8 @@
     yield from _names("groups", (group.name for group in groups))
     for index, group in enumerate(groups):
         path = f"groups[{index}]"
-        yield from Ranges(group, path).check_positive("concurrency")
-        yield from Ranges(group, path).check_non_negative("queue")
+        yield from RangeChecker(group, path).check_positive("concurrency")
+        yield from RangeChecker(group, path).check_non_negative("queue")
         if placements and group.placement not in placements:
             known = ", ".join(sorted(placements))
             detail = f"no placement policy {group.placement!r}; known: {known}"
@@ -135,7 +135,7 @@
 
 
 def _experts(layout: ExpertLayout, path: str) -> Iterator[ValidationProblem]:
-    ranges = Ranges(layout, path)
+    ranges = RangeChecker(layout, path)
     yield from ranges.check_positive(
         "ranks", "experts", "layers", "expert_bytes", "rebalance_every_s"
     )
@@ -185,7 +185,7 @@
             yield ValidationProblem(
                 f"{path}.methods[{index}]", f"{method} stands twice"
             )
-    yield from Ranges(route, path).check_positive("deadline_s")
+    yield from RangeChecker(route, path).check_positive("deadline_s")
     yield from _goals(route.goals, f"{path}.goals")
 
 
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -14,7 +14,7 @@
 from kingcupwheel.plugins.kernel import server_adapters
 from kingcupwheel.settings.schema import Role
 from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.ranges import Ranges
+from kingcupwheel.utils.ranges import RangeChecker
 from kingcupwheel.utils.urls import is_http_url
 
 
@@ -47,7 +47,7 @@
     yield from _statsd(settings)
     for field in ("entry", "agent"):
         limits = getattr(settings, field)
-        yield from Ranges(limits, field).check_positive(*_fields(limits))
+        yield from RangeChecker(limits, field).check_positive(*_fields(limits))
     yield from _timings(settings.timings)
     yield from _forwarding(settings)
     yield from _rank(settings)
@@ -60,7 +60,7 @@
 
 def _statsd(settings: Settings) -> Iterator[ValidationProblem]:
     if settings.statsd.host:
-        ranges = Ranges(settings.statsd, "statsd")
+        ranges = RangeChecker(settings.statsd, "statsd")
         yield from ranges.check_between("port", 1, _HIGHEST_PORT)
 
 
@@ -93,7 +93,9 @@
 def _platform(settings: Settings) -> Iterator[ValidationProblem]:
     platform = settings.platform
     yield from _url(platform.url, "platform.url")
-    yield from Ranges(platform, "platform").check_positive("timeout_s", "connections")
+    yield from RangeChecker(platform, "platform").check_positive(
+        "timeout_s", "connections"
+    )
     yield from _plugin("platform.client", platform.client, platform_clients.names)
 
 
@@ -105,7 +107,7 @@
 
 
 def _timings(timings: Timings) -> Iterator[ValidationProblem]:
-    yield from Ranges(timings, "timings").check_positive(*_fields(timings))
+    yield from RangeChecker(timings, "timings").check_positive(*_fields(timings))
     # A shorter time later in the chain would replace a link, or give up an attempt,
     # between two heartbeats of a process that is well.
     chain = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
@@ -125,7 +127,7 @@
     for field in ("ready", "addresses", "metrics"):
         if getattr(forwarding, field):
             yield from _address(getattr(forwarding, field), f"forwarding.{field}")
-    ranges = Ranges(forwarding, "forwarding")
+    ranges = RangeChecker(forwarding, "forwarding")
     yield from ranges.check_positive(
         "address_keep_s", "revoke_ms", "grace_s", "retry_window_s"
     )
@@ -168,7 +170,7 @@
 
 def _server(server: ServerSettings) -> Iterator[ValidationProblem]:
     yield from _url(server.url, "server.url")
-    yield from Ranges(server, "server").check_positive("connect_s", "silence_s")
-    yield from Ranges(server, "server").check_non_negative("rank")
+    yield from RangeChecker(server, "server").check_positive("connect_s", "silence_s")
+    yield from RangeChecker(server, "server").check_non_negative("rank")
     if server_adapters.names:
         yield from _plugin("server.adapter", server.adapter, server_adapters.names)
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -13,7 +13,7 @@
     from collections.abc import Iterator
 
 
-class Ranges:
+class RangeChecker:
     """Checks fields of one record under ``path``."""
 
     def __init__(self, record: object, path: str) -> None:
