--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -157,7 +157,7 @@
         live = _decode(found)
         if found is not None and found.complete:
             return Part(process, Source.LIVE, live)
-        since = parsed.started_ms / 1000
+        since = parsed.arrived_at_ms / 1000
         stored = self._reader.read(process, request_id, since=since)
         events = _union(live, stored.events)
         source = Source.BATCHES if stored.events else Source.NOWHERE
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -164,4 +164,4 @@
 
 def _started_ms(request_id: str) -> int:
     parsed = parse_request_id(request_id)
-    return parsed.started_ms if parsed else 0
+    return parsed.arrived_at_ms if parsed else 0
--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -17,11 +17,11 @@
     """
 
     entry: str
-    started_ms: int
+    arrived_at_ms: int
     serial: str
 
     def __str__(self) -> str:
-        return _SEPARATOR.join((self.entry, f"{self.started_ms:x}", self.serial))
+        return _SEPARATOR.join((self.entry, f"{self.arrived_at_ms:x}", self.serial))
 
 
 def new_request_id(entry: str, *, now: float) -> RequestId:
