--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -18,10 +18,12 @@
 
     entry: str
     arrived_at_ms: int
-    serial: str
+    random_suffix: str
 
     def __str__(self) -> str:
-        return _SEPARATOR.join((self.entry, f"{self.arrived_at_ms:x}", self.serial))
+        return _SEPARATOR.join(
+            (self.entry, f"{self.arrived_at_ms:x}", self.random_suffix)
+        )
 
 
 def new_request_id(entry: str, *, now: float) -> RequestId:
