--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -21,7 +21,7 @@
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
-from kingcupwheel.utils.request_ids import new_request_id
+from kingcupwheel.utils.request_ids import generate_request_id
 
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
         self._start_response = start_response
         self.received_at = monotonic()
         name = context.settings.name
-        self.request_id = str(new_request_id(name, now=time.time()))
+        self.request_id = str(generate_request_id(name, now=time.time()))
         self.headers = extract_headers(environ)
 
     @property
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
-from kingcupwheel.utils.request_ids import new_request_id
+from kingcupwheel.utils.request_ids import generate_request_id
 
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         body = self._environ["wsgi.input"].read(body_limit + 1)
         if len(body) > body_limit:
             self.close_after_answer()
-        own_id = str(new_request_id(entry, now=self._received_at))
+        own_id = str(generate_request_id(entry, now=self._received_at))
         return ReceivedRequest(
             id=read_attempt_id(headers) or own_id,
             method=str(self._environ["REQUEST_METHOD"]),
--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -26,7 +26,7 @@
         )
 
 
-def new_request_id(entry: str, *, now: float) -> RequestId:
+def generate_request_id(entry: str, *, now: float) -> RequestId:
     """Return a fresh id for a request that reached ``entry`` at ``now`` (Unix s)."""
     return RequestId(entry, int(now * 1000), secrets.token_hex(_SERIAL_BYTES))
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -28,7 +28,7 @@
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import Received
 from kingcupwheel.trace.events import Started
-from kingcupwheel.utils.request_ids import new_request_id
+from kingcupwheel.utils.request_ids import generate_request_id
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
     for number in range(count):
-        wanted = str(new_request_id(PROCESS, now=1_800_000_000 + number / 9))
+        wanted = str(generate_request_id(PROCESS, now=1_800_000_000 + number / 9))
         server = f"agent-curitiba-north-{random.randrange(1000):04d}"
         agent = _agent_events(server, random)
         for event in _entry_events(server, random) if process == "entry" else agent:
