--- a/src/kingcupwheel/manifest/loading.py
+++ b/src/kingcupwheel/manifest/loading.py
@@ -12,7 +12,7 @@
 
 from kingcupwheel.manifest.checks import manifest_problems
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.shapes import convert
+from kingcupwheel.utils.shapes import convert_to_type
 from kingcupwheel.utils.yaml import read_yaml
 
 
@@ -32,7 +32,7 @@
     """
     return (
         _read(text)
-        .bind(lambda data: convert(data, Manifest))
+        .bind(lambda data: convert_to_type(data, Manifest))
         .bind(lambda manifest: check_manifest(manifest, placements=placements))
     )
 
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -13,7 +13,7 @@
 from kingcupwheel.settings.schema import Settings
 from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import ValidationProblems
-from kingcupwheel.utils.shapes import convert
+from kingcupwheel.utils.shapes import convert_to_type
 from kingcupwheel.utils.yaml import read_yaml
 
 
@@ -32,7 +32,9 @@
 
 def parse_settings(text: str) -> Result[Settings, ValidationProblems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
-    return read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check)
+    return (
+        read_yaml(text).bind(lambda data: convert_to_type(data, Settings)).bind(_check)
+    )
 
 
 def _check(settings: Settings) -> Result[Settings, ValidationProblems]:
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -24,7 +24,7 @@
     from collections.abc import Iterator
 
 
-def convert(data: Any, kind: type[Any]) -> Result[Any, ValidationProblems]:
+def convert_to_type(data: Any, kind: type[Any]) -> Result[Any, ValidationProblems]:
     """Return plain ``data`` as a ``kind``, or every field that doesn't fit."""
     try:
         return Ok(msgspec.convert(data, kind))
