--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -8,7 +8,7 @@
 import yaml
 
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from kingcupwheel.manifest.status import Rollout
 
 
-class ManifestShown(Record, frozen=True):
+class ManifestShown(StrictStruct, frozen=True):
     """The manifest in force with its version and the submission it came by."""
 
     version: int
--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -18,7 +18,7 @@
 
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 _NONCE_BYTES = 8
 
 
-class LeaseRecord(Record, frozen=True):
+class LeaseRecord(StrictStruct, frozen=True):
     """The lease's value.
 
     ``fence`` is 0 until the first renewal, then the version at which the lease was
--- a/src/kingcupwheel/manifest/schema.py
+++ b/src/kingcupwheel/manifest/schema.py
@@ -8,7 +8,7 @@
 
 from enum import StrEnum
 
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 # Records that a process holds by the ten thousand are kept from the garbage collector
@@ -23,7 +23,7 @@
     SERVICE = "service"
 
 
-class Allowance(Record, frozen=True, gc=False):
+class Allowance(StrictStruct, frozen=True, gc=False):
     """What an organisation may use over all entries together.
 
     ``work_per_s`` is a rate in tokens per second with ``burst`` tokens saved up at
@@ -35,7 +35,7 @@
     concurrency: int = 200
 
 
-class Goals(Record, frozen=True, gc=False):
+class Goals(StrictStruct, frozen=True, gc=False):
     """Service-level goals.
 
     ``availability`` is the share of requests with a true result, ``within`` the share
@@ -48,7 +48,7 @@
     token_gap_ms: float = 32.0
 
 
-class Organisation(Record, frozen=True, gc=False):
+class Organisation(StrictStruct, frozen=True, gc=False):
     """A customer: its name, the digests of its keys and what it may use.
 
     ``key_digests`` are SHA-256 digests of bearer keys in hexadecimal. ``priority`` runs
@@ -62,7 +62,7 @@
     goals: Goals | None = None
 
 
-class ExpertLayout(Record, frozen=True):
+class ExpertLayout(StrictStruct, frozen=True):
     """The shape of an expert-parallel group.
 
     ``ranks`` step in lock-step; each has ``slots`` places for experts in each of
@@ -80,7 +80,7 @@
     rebalance_every_s: float = 10.0
 
 
-class ServerGroup(Record, frozen=True):
+class ServerGroup(StrictStruct, frozen=True):
     """Backend servers that serve the same model or application.
 
     Its servers are found through the platform's list. ``concurrency`` is each server's
@@ -98,7 +98,7 @@
     experts: ExpertLayout | None = None
 
 
-class Route(Record, frozen=True):
+class Route(StrictStruct, frozen=True):
     """Maps a host and path to a server group.
 
     ``host`` is a name or ``*``; ``path`` is exact, or a prefix when it ends in ``*``.
@@ -115,14 +115,14 @@
     goals: Goals | None = None
 
 
-class Retention(Record, frozen=True):
+class Retention(StrictStruct, frozen=True):
     """How long the platform keeps claims and traces, in hours."""
 
     claims_h: float = 24.0
     traces_h: float = 72.0
 
 
-class Manifest(Record, frozen=True):
+class Manifest(StrictStruct, frozen=True):
     """Everything an operator decides, submitted whole."""
 
     organisations: tuple[Organisation, ...]
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -28,7 +28,7 @@
 from kingcupwheel.manifest.schema import Route
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.platform.client import MAX_VALUE_BYTES
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
 _KEPT_SUBMISSIONS = 16
 
 
-class Index(Record, frozen=True):
+class Index(StrictStruct, frozen=True):
     """What a manifest version consists of.
 
     ``submission`` names the submission, ``earlier`` those before it, latest first.
@@ -84,7 +84,7 @@
         return tuple(shard_key(each) for each in self.digests)
 
 
-class Core(Record, frozen=True):
+class Core(StrictStruct, frozen=True):
     """A manifest without its organisations."""
 
     groups: tuple[ServerGroup, ...]
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/status.py
@@ -8,7 +8,7 @@
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 _BATCH = 400
 
 
-class Process(Record, frozen=True):
+class Process(StrictStruct, frozen=True):
     """A listed process; ``version`` is None if it did not answer."""
 
     name: str
@@ -32,7 +32,7 @@
     leaving: bool
 
 
-class Rollout(Record, frozen=True):
+class Rollout(StrictStruct, frozen=True):
     """How far version ``version`` has come.
 
     ``behind`` answered with an earlier version, ``silent`` did not answer in time.
--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -7,7 +7,7 @@
 
 from enum import StrEnum
 
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 class Role(StrEnum):
@@ -26,7 +26,7 @@
     ERROR = "error"
 
 
-class PlatformSettings(Record, frozen=True):
+class PlatformSettings(StrictStruct, frozen=True):
     """How to reach the platform's service.
 
     ``client`` names a platform client plug-in; ``timeout_s`` bounds one call.
@@ -38,7 +38,7 @@
     connections: int = 8
 
 
-class StatsdSettings(Record, frozen=True):
+class StatsdSettings(StrictStruct, frozen=True):
     """Where metrics go (UDP); nothing is sent when ``host`` is empty."""
 
     host: str = ""
@@ -46,7 +46,7 @@
     prefix: str = "kingcupwheel"
 
 
-class EntryLimits(Record, frozen=True):
+class EntryLimits(StrictStruct, frozen=True):
     """Bounds of an entry.
 
     Over ``threads`` requests at once further ones are refused; of connections that wait
@@ -61,7 +61,7 @@
     traces: int = 20_000
 
 
-class AgentLimits(Record, frozen=True):
+class AgentLimits(StrictStruct, frozen=True):
     """Bounds of an agent.
 
     ``answers_bytes`` bounds the buffered answers not yet acknowledged; over it the
@@ -74,7 +74,7 @@
     traces: int = 20_000
 
 
-class Timings(Record, frozen=True):
+class Timings(StrictStruct, frozen=True):
     """Times that bound how long a failure goes unnoticed.
 
     ``heartbeat_s`` is the period on used links; a link silent for ``silence_s`` is
@@ -97,7 +97,7 @@
     trace_batch_s: float = 30.0
 
 
-class ServerSettings(Record, frozen=True):
+class ServerSettings(StrictStruct, frozen=True):
     """The backend server beside an agent; ``adapter`` and ``rank_api`` name plug-ins.
 
     In an expert-parallel group the server is the group's ``rank`` (from 0);
@@ -114,7 +114,7 @@
     rank_timeout_s: float = 1.0
 
 
-class ForwardingSettings(Record, frozen=True):
+class ForwardingSettings(StrictStruct, frozen=True):
     """The way straight to backend servers, on a platform with a store of objects.
 
     ``ready`` and ``addresses`` are ``IP:port`` where the platform asks whether the
@@ -139,7 +139,7 @@
     steady_ms: float = 3000.0
 
 
-class RankSettings(Record, frozen=True):
+class RankSettings(StrictStruct, frozen=True):
     """The rank of a lock-stepped group beside an agent, on the same platform.
 
     ``server`` is the ``IP:port`` of the backend server, ``service`` its service;
@@ -151,7 +151,7 @@
     metrics: str = ""
 
 
-class Settings(Record, frozen=True):
+class Settings(StrictStruct, frozen=True):
     """One process's settings file.
 
     ``listen`` is ``IP:port`` of the socket for the system's own processes; ``http`` is
--- a/src/kingcupwheel/utils/structs.py
+++ b/src/kingcupwheel/utils/structs.py
@@ -5,5 +5,7 @@
 import msgspec
 
 
-class Record(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class StrictStruct(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
+):
     """An immutable record that refuses unknown fields when decoded."""
