--- a/src/kingcupwheel/manifest/loading.py
+++ b/src/kingcupwheel/manifest/loading.py
@@ -13,7 +13,7 @@
 from kingcupwheel.manifest.checks import manifest_problems
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.utils.shapes import convert_to_type
-from kingcupwheel.utils.yaml import read_yaml
+from kingcupwheel.utils.yaml import parse_yaml
 
 
 if TYPE_CHECKING:
@@ -51,5 +51,5 @@
         try:
             return Ok(msgspec.json.decode(text))
         except msgspec.DecodeError:
-            return read_yaml(text)
-    return read_yaml(text)
+            return parse_yaml(text)
+    return parse_yaml(text)
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -14,7 +14,7 @@
 from kingcupwheel.utils.problems import ValidationProblem
 from kingcupwheel.utils.problems import ValidationProblems
 from kingcupwheel.utils.shapes import convert_to_type
-from kingcupwheel.utils.yaml import read_yaml
+from kingcupwheel.utils.yaml import parse_yaml
 
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 def parse_settings(text: str) -> Result[Settings, ValidationProblems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
     return (
-        read_yaml(text).bind(lambda data: convert_to_type(data, Settings)).bind(_check)
+        parse_yaml(text).bind(lambda data: convert_to_type(data, Settings)).bind(_check)
     )
 
 
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/yaml.py
@@ -60,7 +60,7 @@
             gc.enable()
 
 
-def read_yaml(text: str) -> Result[Any, ValidationProblems]:
+def parse_yaml(text: str) -> Result[Any, ValidationProblems]:
     """Return the one document in ``text``, or where it is no YAML."""
     try:
         with _collector_paused():
