--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -33,7 +33,7 @@
 
 
 # Names the settings file if the command line does not.
-SETTINGS_VARIABLE = "KINGCUPWHEEL_SETTINGS"
+SETTINGS_ENV_VARIABLE = "KINGCUPWHEEL_SETTINGS"
 # How often a daemon looks whether it is to stop or to reload, in seconds.
 _LOOK_AGAIN_S = 0.1
 # Bytes of the pipe that are read together, one for each signal.
@@ -45,7 +45,7 @@
     "--settings",
     "path",
     required=True,
-    envvar=SETTINGS_VARIABLE,
+    envvar=SETTINGS_ENV_VARIABLE,
     type=click.Path(),
     help="Settings file (YAML).",
 )
