--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -74,7 +74,7 @@
             signal.signal(number, self._note)
         signal.signal(signal.SIGHUP, self._note_reload)
 
-    def wait(self, reload: Callable[[], None]) -> float:
+    def wait_for_stop(self, reload: Callable[[], None]) -> float:
         """Return when a stop was asked for (monotonic), once one was.
 
         Calls ``reload`` for each reload.
@@ -131,7 +131,7 @@
     except KingcupwheelError as error:
         click.echo(f"kingcupwheel: {error}", err=True)
         sys.exit(ExitCode.FAILED)
-    asked_at = told.wait(lambda: _reload(path, role, daemon))
+    asked_at = told.wait_for_stop(lambda: _reload(path, role, daemon))
     daemon.stop(asked_at)
     if line_log is not None:
         line_log.stop()
