--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import open_platform
+from kingcupwheel.console.platform import create_platform_client
 from kingcupwheel.console.printing import ManifestShown
 from kingcupwheel.console.printing import manifest_text
 from kingcupwheel.console.printing import rollout_text
@@ -95,7 +95,7 @@
     whether it was accepted.
     """
     manifest = _load(file, as_json=as_json)
-    store = ManifestStore(open_platform(url), patience_s=timeout_s)
+    store = ManifestStore(create_platform_client(url), patience_s=timeout_s)
     submission = secrets.token_hex(_SUBMISSION_BYTES)
     result = store.submit(manifest, submission=submission, expected=expect)
     if result.is_error():
@@ -120,7 +120,7 @@
 
     Exit code 0: printed; 5: the platform failed; 6: there is no manifest yet.
     """
-    version, assembly = _fetch(ManifestStore(open_platform(url)))
+    version, assembly = _fetch(ManifestStore(create_platform_client(url)))
     shown = ManifestShown(
         version=version,
         submission=assembly.index_object.submission,
@@ -142,7 +142,7 @@
     Exit code 0: all that are listed; 5: the platform failed; 6: there is no manifest
     yet; 7: some are behind or did not answer, and are named.
     """
-    client = open_platform(url)
+    client = create_platform_client(url)
     version = _version(ManifestStore(client))
     listed = client.instances()
     if listed.is_error():
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -15,7 +15,7 @@
 from kingcupwheel.burn.printing import report_text
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import open_platform
+from kingcupwheel.console.platform import create_platform_client
 from kingcupwheel.link.query_client import QueryClient
 
 
@@ -51,7 +51,7 @@
     Exit code 0: every entry answered; 7: some did not, and are named.
     """
     gathered = gather(
-        open_platform(url),
+        create_platform_client(url),
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         now=time.time(),
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -16,7 +16,7 @@
 
 from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import open_platform
+from kingcupwheel.console.platform import create_platform_client
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimView
@@ -68,7 +68,7 @@
         _tell_from_logs(request_id, logs, as_json=as_json)
     if url is None:
         raise click.UsageError("either --platform or --logs is needed.")
-    client = open_platform(url)
+    client = create_platform_client(url)
     wanted = _wanted(client, request_id, idempotency_key, organisation)
     if wanted.is_error():
         _fail(wanted.error)
--- a/src/kingcupwheel/console/platform.py
+++ b/src/kingcupwheel/console/platform.py
@@ -16,7 +16,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 
-def open_platform(url: str, *, client: str = "http") -> PlatformClient:
+def create_platform_client(url: str, *, client: str = "http") -> PlatformClient:
     """Return a client of the platform's service at ``url``.
 
     Raises click.BadParameter if that is no address.
