--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -13,7 +13,7 @@
 
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import create_platform_client
-from kingcupwheel.console.printing import ManifestShown
+from kingcupwheel.console.printing import VersionedManifest
 from kingcupwheel.console.printing import manifest_text
 from kingcupwheel.console.printing import rollout_text
 from kingcupwheel.console.problems import report_problems
@@ -121,7 +121,7 @@
     Exit code 0: printed; 5: the platform failed; 6: there is no manifest yet.
     """
     version, assembly = _fetch(ManifestStore(create_platform_client(url)))
-    shown = ManifestShown(
+    shown = VersionedManifest(
         version=version,
         submission=assembly.index_object.submission,
         manifest=assembly.manifest,
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -18,7 +18,7 @@
     from kingcupwheel.manifest.status import Rollout
 
 
-class ManifestShown(StrictStruct, frozen=True):
+class VersionedManifest(StrictStruct, frozen=True):
     """The manifest in force with its version and the submission it came by."""
 
     version: int
@@ -26,7 +26,7 @@
     manifest: Manifest
 
 
-def manifest_text(shown: ManifestShown) -> str:
+def manifest_text(shown: VersionedManifest) -> str:
     """Return the manifest as YAML with its version in a comment above."""
     # Plain lists: YAML writes tuples with a tag of its own.
     data = msgspec.json.decode(msgspec.json.encode(shown.manifest))
