--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -14,7 +14,7 @@
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform import create_platform_client
 from kingcupwheel.console.printing import VersionedManifest
-from kingcupwheel.console.printing import manifest_text
+from kingcupwheel.console.printing import format_manifest
 from kingcupwheel.console.printing import rollout_text
 from kingcupwheel.console.problems import report_problems
 from kingcupwheel.manifest.exceptions import LostRace
@@ -129,7 +129,7 @@
     if as_json:
         _print_json(shown)
     else:
-        click.echo(manifest_text(shown), nl=False)
+        click.echo(format_manifest(shown), nl=False)
 
 
 @command.command("status")
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -26,7 +26,7 @@
     manifest: Manifest
 
 
-def manifest_text(shown: VersionedManifest) -> str:
+def format_manifest(shown: VersionedManifest) -> str:
     """Return the manifest as YAML with its version in a comment above."""
     # Plain lists: YAML writes tuples with a tag of its own.
     data = msgspec.json.decode(msgspec.json.encode(shown.manifest))
