--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -15,7 +15,7 @@
 from kingcupwheel.console.platform import create_platform_client
 from kingcupwheel.console.printing import VersionedManifest
 from kingcupwheel.console.printing import format_manifest
-from kingcupwheel.console.printing import rollout_text
+from kingcupwheel.console.printing import format_rollout
 from kingcupwheel.console.problems import report_problems
 from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
@@ -151,7 +151,7 @@
     if as_json:
         _print_json(found)
     else:
-        click.echo(rollout_text(found), nl=False)
+        click.echo(format_rollout(found), nl=False)
     sys.exit(ExitCode.OK if found.complete else ExitCode.INCOMPLETE)
 
 
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -34,7 +34,7 @@
     return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
 
 
-def rollout_text(rollout: Rollout) -> str:
+def format_rollout(rollout: Rollout) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
     processes = len(rollout.there) + len(rollout.behind) + len(rollout.silent)
     lines = [
