--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -16,7 +16,7 @@
 from kingcupwheel.console.printing import VersionedManifest
 from kingcupwheel.console.printing import format_manifest
 from kingcupwheel.console.printing import format_rollout
-from kingcupwheel.console.problems import report_problems
+from kingcupwheel.console.problems import print_problems
 from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import TooLarge
@@ -63,7 +63,7 @@
     """
     manifest = _load(file, as_json=as_json)
     if as_json:
-        report_problems(file, (), as_json=True)
+        print_problems(file, (), as_json=True)
         return
     click.echo(
         f"{file}: good manifest of {len(manifest.organisations)} organisations,"
@@ -163,7 +163,7 @@
         _fail(f"cannot read {file}: {error}", ExitCode.INVALID)
     loaded = load_manifest(text, placements=placement_policies.names)
     if loaded.is_error():
-        report_problems(file, loaded.error, as_json=as_json)
+        print_problems(file, loaded.error, as_json=as_json)
         sys.exit(ExitCode.INVALID)
     return loaded.ok
 
--- a/src/kingcupwheel/console/commands/settings.py
+++ b/src/kingcupwheel/console/commands/settings.py
@@ -8,7 +8,7 @@
 import click
 
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.problems import report_problems
+from kingcupwheel.console.problems import print_problems
 from kingcupwheel.settings.loader import load_settings
 
 
@@ -27,10 +27,10 @@
     """
     loaded = load_settings(file)
     if loaded.is_error():
-        report_problems(file, loaded.error, as_json=as_json)
+        print_problems(file, loaded.error, as_json=as_json)
         sys.exit(ExitCode.INVALID)
     if as_json:
-        report_problems(file, (), as_json=True)
+        print_problems(file, (), as_json=True)
     else:
         settings = loaded.ok
         click.echo(f"{file}: good settings of {settings.role.value} {settings.name}.")
--- a/src/kingcupwheel/console/problems.py
+++ b/src/kingcupwheel/console/problems.py
@@ -25,7 +25,7 @@
     problems: list[_Line]
 
 
-def report_problems(file: Path, problems: ValidationProblems, *, as_json: bool) -> None:
+def print_problems(file: Path, problems: ValidationProblems, *, as_json: bool) -> None:
     """Print one line for each problem on stderr, or JSON on stdout."""
     if as_json:
         lines = [_Line(path=each.path, detail=each.detail) for each in problems]
