--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -35,18 +35,18 @@
 
 # Removals a minute of one entry: with 370 entries 37 a second, well within what the
 # platform takes beside the claims that are being made.
-_REMOVALS_A_MINUTE = 6
-_TURN_S = 60.0
+_MAX_REMOVALS_PER_ROUND = 6
+_ROUND_INTERVAL_S = 60.0
 # Claims remembered: a day of one entry's claims at three a minute; what is beyond is
 # found by looking through.
-_REMEMBERED = 5_000
+_MAX_SCHEDULED_REMOVALS = 5_000
 # Every so many turns one part of all claims is looked through, at most so many of it.
-_TURNS_A_LOOK = 60
-_LOOKED_AT = 50
-_PARTS = 256
+_ROUNDS_PER_SCAN = 60
+_MAX_SCANNED_CLAIMS = 50
+_SHARD_COUNT = 256
 
 
-class _Due(NamedTuple):
+class _ScheduledRemoval(NamedTuple):
     created_at: float
     claim_id: str
     version: int
@@ -60,7 +60,7 @@
     ) -> None:
         self._client = client
         self._retention_s = retention_s
-        self._due: list[_Due] = []
+        self._due: list[_ScheduledRemoval] = []
         self._lock = Lock()
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="claim-retention", daemon=True)
@@ -76,23 +76,25 @@
 
     def schedule_removal(self, held: StoredClaim) -> None:
         """Remove this claim when its time is over."""
-        due = _Due(held.record.created_at, held.claim_id, held.version)
+        due = _ScheduledRemoval(held.record.created_at, held.claim_id, held.version)
         with self._lock:
-            if len(self._due) < _REMEMBERED:
+            if len(self._due) < _MAX_SCHEDULED_REMOVALS:
                 heapq.heappush(self._due, due)
 
     def _run(self) -> None:
-        turn = random.randrange(_TURNS_A_LOOK)
-        while not self._stopping.wait(_TURN_S):
+        turn = random.randrange(_ROUNDS_PER_SCAN)
+        while not self._stopping.wait(_ROUND_INTERVAL_S):
             turn += 1
             self.remove_expired(time.time())
-            if turn % _TURNS_A_LOOK == 0:
-                self.remove_expired_in_shard(random.randrange(_PARTS), time.time())
+            if turn % _ROUNDS_PER_SCAN == 0:
+                self.remove_expired_in_shard(
+                    random.randrange(_SHARD_COUNT), time.time()
+                )
 
     def remove_expired(self, now: float) -> int:
         """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
         removed = 0
-        while removed < _REMOVALS_A_MINUTE:
+        while removed < _MAX_REMOVALS_PER_ROUND:
             due = self._next_due(now)
             if due is None:
                 break
@@ -100,7 +102,7 @@
             removed += 1
         return removed
 
-    def _next_due(self, now: float) -> _Due | None:
+    def _next_due(self, now: float) -> _ScheduledRemoval | None:
         with self._lock:
             if not self._due or self._due[0].created_at + self._retention_s() > now:
                 return None
@@ -111,7 +113,9 @@
         listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{part:02x}")
         if listed.is_error():
             return 0
-        removed = sum(self._remove_if_over(key, now) for key in listed.ok[:_LOOKED_AT])
+        removed = sum(
+            self._remove_if_over(key, now) for key in listed.ok[:_MAX_SCANNED_CLAIMS]
+        )
         if removed:
             logger.info("Removed %d old claims.", removed)
         return removed
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/store.py
@@ -54,21 +54,23 @@
     ) -> Result[StoredClaim, ClaimError]:
         """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
         written = self._client.create(build_claim_key(claim_id), _encode(record))
-        return self._settle(claim_id, record, written)
+        return self._confirm_write(claim_id, record, written)
 
     def update(
-        self, held: StoredClaim, record: ClaimRecord
+        self, stored_claim: StoredClaim, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
         """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
-        key = build_claim_key(held.claim_id)
-        written = self._client.update(key, _encode(record), version=held.version)
-        return self._settle(held.claim_id, record, written)
+        key = build_claim_key(stored_claim.claim_id)
+        written = self._client.update(
+            key, _encode(record), version=stored_claim.version
+        )
+        return self._confirm_write(stored_claim.claim_id, record, written)
 
     def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnavailable]:
         """Return the claim, or None if there is none."""
         found = self._client.read(build_claim_key(claim_id))
         if found.is_error():
-            return Error(_unreachable(found.error))
+            return Error(_to_claim_unavailable(found.error))
         if found.ok is None:
             return Ok(None)
         try:
@@ -77,19 +79,19 @@
             return Error(ClaimUnavailable(f"unreadable claim: {error}", _RETRY_AFTER_S))
         return Ok(StoredClaim(claim_id, found.ok.version, record))
 
-    def _settle(
+    def _confirm_write(
         self,
         claim_id: str,
         record: ClaimRecord,
-        written: Result[int, PlatformError],
+        write_result: Result[int, PlatformError],
     ) -> Result[StoredClaim, ClaimError]:
-        if written.is_ok():
-            return Ok(StoredClaim(claim_id, written.ok, record))
-        match written.error:
+        if write_result.is_ok():
+            return Ok(StoredClaim(claim_id, write_result.ok, record))
+        match write_result.error:
             case Conflict() | Unavailable(sent=True):
                 return self._read_back(claim_id, record)
             case error:
-                return Error(_unreachable(error))
+                return Error(_to_claim_unavailable(error))
 
     def _read_back(
         self, claim_id: str, record: ClaimRecord
@@ -109,7 +111,7 @@
     return msgspec.json.encode(record)
 
 
-def _unreachable(error: PlatformError) -> ClaimUnavailable:
+def _to_claim_unavailable(error: PlatformError) -> ClaimUnavailable:
     match error:
         case Unavailable(detail, _):
             return ClaimUnavailable(detail, _RETRY_AFTER_S)
--- a/src/kingcupwheel/console/commands/agent.py
+++ b/src/kingcupwheel/console/commands/agent.py
@@ -20,10 +20,10 @@
 @settings_option
 def command(path: str) -> None:
     """Serve a backend server until SIGTERM, then finish and deliver what runs."""
-    run_daemon(path, Role.AGENT, _make)
+    run_daemon(path, Role.AGENT, _create_daemon)
 
 
-def _make(settings: Settings) -> Daemon:
+def _create_daemon(settings: Settings) -> Daemon:
     # Each way loads only what it uses: a process that starts anew in the middle of a
     # day serves a quarter of a second earlier.
     if settings.rank is not None:
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -62,11 +62,11 @@
     report = gathered.ok
     if html:
         html.write_text(report_page(report), encoding="utf-8")
-    _print(report, as_json=as_json)
+    _print_report(report, as_json=as_json)
     sys.exit(ExitCode.OK if report.complete else ExitCode.INCOMPLETE)
 
 
-def _print(report: BurnReport, *, as_json: bool) -> None:
+def _print_report(report: BurnReport, *, as_json: bool) -> None:
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(report), indent=2)
         click.echo(encoded.decode())
--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemons.py
@@ -35,9 +35,9 @@
 # Names the settings file if the command line does not.
 SETTINGS_ENV_VARIABLE = "KINGCUPWHEEL_SETTINGS"
 # How often a daemon looks whether it is to stop or to reload, in seconds.
-_LOOK_AGAIN_S = 0.1
+_SIGNAL_POLL_INTERVAL_S = 0.1
 # Bytes of the pipe that are read together, one for each signal.
-_SIGNALS_AT_ONCE = 512
+_MAX_PIPE_READ_BYTES = 512
 
 log = lines_of("process")
 
@@ -51,7 +51,7 @@
 )
 
 
-class _Signals:
+class _SignalReceiver:
     """Notes that a planned stop or a reload was asked for.
 
     A second signal to stop changes nothing.
@@ -64,36 +64,36 @@
     """
 
     def __init__(self) -> None:
-        self._asked_at: float | None = None
-        self._reload = False
-        self._came, wakes = os.pipe()
-        os.set_blocking(self._came, False)
+        self._stop_requested_at: float | None = None
+        self._is_reload_requested = False
+        self._wakeup_fd, wakes = os.pipe()
+        os.set_blocking(self._wakeup_fd, False)
         os.set_blocking(wakes, False)
         signal.set_wakeup_fd(wakes, warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._note)
-        signal.signal(signal.SIGHUP, self._note_reload)
+            signal.signal(number, self._record_stop_request)
+        signal.signal(signal.SIGHUP, self._record_reload_request)
 
     def wait_for_stop(self, reload: Callable[[], None]) -> float:
         """Return when a stop was asked for (monotonic), once one was.
 
         Calls ``reload`` for each reload.
         """
-        while self._asked_at is None:
-            select.select([self._came], [], [], _LOOK_AGAIN_S)
+        while self._stop_requested_at is None:
+            select.select([self._wakeup_fd], [], [], _SIGNAL_POLL_INTERVAL_S)
             with contextlib.suppress(BlockingIOError):
-                os.read(self._came, _SIGNALS_AT_ONCE)
-            if self._reload:
-                self._reload = False
+                os.read(self._wakeup_fd, _MAX_PIPE_READ_BYTES)
+            if self._is_reload_requested:
+                self._is_reload_requested = False
                 reload()
-        return self._asked_at
+        return self._stop_requested_at
 
-    def _note(self, *_: object) -> None:
-        if self._asked_at is None:
-            self._asked_at = monotonic()
+    def _record_stop_request(self, *_: object) -> None:
+        if self._stop_requested_at is None:
+            self._stop_requested_at = monotonic()
 
-    def _note_reload(self, *_: object) -> None:
-        self._reload = True
+    def _record_reload_request(self, *_: object) -> None:
+        self._is_reload_requested = True
 
 
 class Daemon(Protocol):
@@ -113,25 +113,27 @@
         """Take over what may change while the process runs."""
 
 
-def run_daemon(path: str, role: Role, make: Callable[[Settings], Daemon]) -> NoReturn:
+def run_daemon(
+    path: str, role: Role, create_daemon: Callable[[Settings], Daemon]
+) -> NoReturn:
     """Run the daemon that the settings file describes; SIGTERM stops it gracefully.
 
     A second signal changes nothing: cutting off a request in progress is never right.
     """
-    settings = _settings(path, role)
+    settings = _load_settings_or_exit(path, role)
     line_log = _configure_logs(settings)
-    daemon = _made(make, settings)
+    daemon = _create_preloaded(create_daemon, settings)
     if line_log is not None:
         line_log.start()
     # A crash in a library's machine code leaves nothing else to find its cause by.
     faulthandler.enable()
-    told = _Signals()
+    told = _SignalReceiver()
     try:
         daemon.start()
     except KingcupwheelError as error:
         click.echo(f"kingcupwheel: {error}", err=True)
         sys.exit(ExitCode.FAILED)
-    asked_at = told.wait_for_stop(lambda: _reload(path, role, daemon))
+    asked_at = told.wait_for_stop(lambda: _reload_settings(path, role, daemon))
     daemon.stop(asked_at)
     if line_log is not None:
         line_log.stop()
@@ -148,7 +150,9 @@
     return JsonLogOutput(settings.name, settings.log_level.value)
 
 
-def _made(make: Callable[[Settings], Daemon], settings: Settings) -> Daemon:
+def _create_preloaded(
+    create_daemon: Callable[[Settings], Daemon], settings: Settings
+) -> Daemon:
     """Make the daemon, and load what it uses, before any thread starts.
 
     Failure: a module is read from its file while a second thread runs. Symptom: on one
@@ -158,13 +162,13 @@
     """
     import_module("encodings.idna")
     try:
-        return make(settings)
+        return create_daemon(settings)
     except KingcupwheelError as error:
         click.echo(f"kingcupwheel: {error}", err=True)
         sys.exit(ExitCode.FAILED)
 
 
-def _reload(path: str, role: Role, daemon: Daemon) -> None:
+def _reload_settings(path: str, role: Role, daemon: Daemon) -> None:
     """Read the settings again; bad ones are reported and change nothing."""
     loaded = load_settings(path)
     if loaded.is_error():
@@ -178,7 +182,7 @@
     daemon.reload(loaded.ok)
 
 
-def _settings(path: str, role: Role) -> Settings:
+def _load_settings_or_exit(path: str, role: Role) -> Settings:
     loaded = load_settings(path)
     if loaded.is_error():
         for problem in loaded.error:
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -26,12 +26,12 @@
     manifest: Manifest
 
 
-def format_manifest(shown: VersionedManifest) -> str:
+def format_manifest(versioned_manifest: VersionedManifest) -> str:
     """Return the manifest as YAML with its version in a comment above."""
     # Plain lists: YAML writes tuples with a tag of its own.
-    data = msgspec.json.decode(msgspec.json.encode(shown.manifest))
+    data = msgspec.json.decode(msgspec.json.encode(versioned_manifest.manifest))
     body = yaml.safe_dump(data, sort_keys=False)
-    return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
+    return f"# Version {versioned_manifest.version}, submission {versioned_manifest.submission}.\n{body}"
 
 
 def format_rollout(rollout: Rollout) -> str:
@@ -41,12 +41,12 @@
         f"Version {rollout.version} is in force on {len(rollout.there)}"
         f" of {processes} listed processes."
     ]
-    lines.extend(_lines(rollout.behind))
-    lines.extend(_lines(rollout.silent))
+    lines.extend(_format_processes(rollout.behind))
+    lines.extend(_format_processes(rollout.silent))
     return "\n".join(lines) + "\n"
 
 
-def _lines(processes: tuple[Process, ...]) -> Iterator[str]:
+def _format_processes(processes: tuple[Process, ...]) -> Iterator[str]:
     for process in processes:
         leaving = ", leaving" if process.leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
--- a/src/kingcupwheel/console/problems.py
+++ b/src/kingcupwheel/console/problems.py
@@ -15,21 +15,21 @@
     from kingcupwheel.utils.problems import ValidationProblems
 
 
-class _Line(TypedDict):
+class _ProblemEntry(TypedDict):
     path: str
     detail: str
 
 
-class _Report(TypedDict):
+class _ProblemReport(TypedDict):
     valid: bool
-    problems: list[_Line]
+    problems: list[_ProblemEntry]
 
 
 def print_problems(file: Path, problems: ValidationProblems, *, as_json: bool) -> None:
     """Print one line for each problem on stderr, or JSON on stdout."""
     if as_json:
-        lines = [_Line(path=each.path, detail=each.detail) for each in problems]
-        report = _Report(valid=not problems, problems=lines)
+        lines = [_ProblemEntry(path=each.path, detail=each.detail) for each in problems]
+        report = _ProblemReport(valid=not problems, problems=lines)
         click.echo(msgspec.json.encode(report).decode())
         return
     for problem in problems:
--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -162,7 +162,7 @@
 
     def _follow_platform(self) -> None:
         backoff = Backoff(
-            least_s=_LEAST_PAUSE_S, most_s=_MOST_PAUSE_S, random=self._random
+            min_s=_LEAST_PAUSE_S, max_s=_MOST_PAUSE_S, random=self._random
         )
         while not self._stopping.is_set():
             if self._watch_once():
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -18,12 +18,12 @@
 
 logger = logging.getLogger("kingcupwheel.metrics")
 
-_UNSAFE = re.compile(r"[^A-Za-z0-9_-]")
+_UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
 # Names come from settings and code, but a part may hold a word from outside.
-_LONGEST_PART = 60
+_MAX_PART_LENGTH = 60
 
 
-class _NonBlockingClient(statsd.StatsClient):  # type: ignore[misc]
+class _NonBlockingStatsdClient(statsd.StatsClient):  # type: ignore[misc]
     """The library's client on a socket that never waits.
 
     A full send buffer would otherwise hold up a request for its metric; the library
@@ -46,16 +46,18 @@
         self._client: Any = None
         if not settings.host:
             return
-        prefix = f"{settings.prefix}.{_safe(process)}"
+        prefix = f"{settings.prefix}.{_sanitize(process)}"
         try:
-            self._client = _NonBlockingClient(settings.host, settings.port, prefix)
+            self._client = _NonBlockingStatsdClient(
+                settings.host, settings.port, prefix
+            )
         except OSError as error:
             logger.warning("No metrics: %s: %s.", settings.host, error)
 
     def increment(self, name: CounterName, *, by: str = "", number: int = 1) -> None:
         """Add ``number`` to a counter; ``by`` is the part its description names."""
         if self._client is not None:
-            self._client.incr(_name(name, by), number)
+            self._client.incr(_build_metric_name(name, by), number)
 
     def set_gauge(self, name: GaugeName, value: float) -> None:
         """Set a gauge."""
@@ -74,9 +76,9 @@
             self._client = None
 
 
-def _name(name: CounterName, by: str) -> str:
-    return f"{name.value}.{_safe(by)}" if by else name.value
+def _build_metric_name(name: CounterName, label: str) -> str:
+    return f"{name.value}.{_sanitize(label)}" if label else name.value
 
 
-def _safe(part: str) -> str:
-    return _UNSAFE.sub("_", part[:_LONGEST_PART])
+def _sanitize(part: str) -> str:
+    return _UNSAFE_CHARACTERS.sub("_", part[:_MAX_PART_LENGTH])
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -34,53 +34,53 @@
 
     def read(self, key: str) -> Result[VersionedValue | None, PlatformError]:
         """Return the object, or None if it does not exist."""
-        return self._metered("read", lambda: self._client.read(key))
+        return self._measure_call("read", lambda: self._client.read(key))
 
     def create(self, key: str, value: bytes) -> Result[int, PlatformError]:
         """Create the object if absent."""
-        return self._metered("create", lambda: self._client.create(key, value))
+        return self._measure_call("create", lambda: self._client.create(key, value))
 
     def update(
         self, key: str, value: bytes, *, version: int
     ) -> Result[int, PlatformError]:
         """Replace the object if it is at ``version``."""
-        return self._metered(
+        return self._measure_call(
             "update", lambda: self._client.update(key, value, version=version)
         )
 
     def delete(self, key: str, *, version: int) -> Result[None, PlatformError]:
         """Remove the object if it is at ``version``."""
-        return self._metered(
+        return self._measure_call(
             "delete", lambda: self._client.delete(key, version=version)
         )
 
     def keys(self, prefix: str) -> Result[tuple[str, ...], PlatformError]:
         """Return the keys that start with ``prefix``, sorted."""
-        return self._metered("keys", lambda: self._client.keys(prefix))
+        return self._measure_call("keys", lambda: self._client.keys(prefix))
 
     def watch(
         self, key: str, *, after: int, timeout_s: float
     ) -> Result[VersionedValue | None, PlatformError]:
         """Wait for the object to pass version ``after``; its time is not a metric."""
         found = self._client.watch(key, after=after, timeout_s=timeout_s)
-        self._count("watch", found)
+        self._count_call("watch", found)
         return found
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
         """Return the platform's lagging list of live and leaving instances."""
-        return self._metered("instances", self._client.instances)
+        return self._measure_call("instances", self._client.instances)
 
-    def _metered(
-        self, kind: str, call: Callable[[], Result[T, PlatformError]]
+    def _measure_call(
+        self, operation: str, call: Callable[[], Result[T, PlatformError]]
     ) -> Result[T, PlatformError]:
         started = monotonic()
         found = call()
         self._metrics.record_duration(TimerName.PLATFORM_CALL, monotonic() - started)
-        self._count(kind, found)
+        self._count_call(operation, found)
         return found
 
-    def _count(self, kind: str, found: Result[T, PlatformError]) -> None:
-        self._metrics.increment(CounterName.PLATFORM_CALLS, by=kind)
+    def _count_call(self, operation: str, result: Result[T, PlatformError]) -> None:
+        self._metrics.increment(CounterName.PLATFORM_CALLS, by=operation)
         # A conflict is an answer; someone else was first.
-        if found.is_error() and not isinstance(found.error, Conflict):
-            self._metrics.increment(CounterName.PLATFORM_ERRORS, by=kind)
+        if result.is_error() and not isinstance(result.error, Conflict):
+            self._metrics.increment(CounterName.PLATFORM_ERRORS, by=operation)
--- a/src/kingcupwheel/utils/backoff.py
+++ b/src/kingcupwheel/utils/backoff.py
@@ -16,18 +16,18 @@
     back, and equal pauses would bring them back together again and again.
     """
 
-    def __init__(self, *, least_s: float, most_s: float, random: Random) -> None:
-        self._least_s = least_s
-        self._most_s = most_s
+    def __init__(self, *, min_s: float, max_s: float, random: Random) -> None:
+        self._min_s = min_s
+        self._max_s = max_s
         self._random = random
-        self._step_s = least_s
+        self._base_delay_s = min_s
 
     def next_delay_s(self) -> float:
         """Return the next pause."""
-        pause_s = self._step_s * self._random.uniform(0.5, 1.0)
-        self._step_s = min(self._most_s, self._step_s * 2)
+        pause_s = self._base_delay_s * self._random.uniform(0.5, 1.0)
+        self._base_delay_s = min(self._max_s, self._base_delay_s * 2)
         return pause_s
 
     def reset(self) -> None:
         """Start anew after a success."""
-        self._step_s = self._least_s
+        self._base_delay_s = self._min_s
--- a/src/kingcupwheel/utils/numbers.py
+++ b/src/kingcupwheel/utils/numbers.py
@@ -4,11 +4,11 @@
 
 
 # More digits than any count of bytes, tokens, events or seconds has.
-_MOST_DIGITS = 18
+_MAX_DIGITS = 18
 
 
 def parse_non_negative_int(text: str) -> int | None:
     """Return the decimal number that ``text`` is, or None if it is none."""
-    if text.isascii() and text.isdecimal() and len(text) <= _MOST_DIGITS:
+    if text.isascii() and text.isdecimal() and len(text) <= _MAX_DIGITS:
         return int(text)
     return None
--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -7,7 +7,7 @@
 
 
 _SEPARATOR = "."
-_SERIAL_BYTES = 5
+_RANDOM_SUFFIX_BYTES = 5
 
 
 class RequestId(NamedTuple):
@@ -28,7 +28,7 @@
 
 def generate_request_id(entry: str, *, now: float) -> RequestId:
     """Return a fresh id for a request that reached ``entry`` at ``now`` (Unix s)."""
-    return RequestId(entry, int(now * 1000), secrets.token_hex(_SERIAL_BYTES))
+    return RequestId(entry, int(now * 1000), secrets.token_hex(_RANDOM_SUFFIX_BYTES))
 
 
 def parse_request_id(text: str) -> RequestId | None:
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -29,58 +29,64 @@
     try:
         return Ok(msgspec.convert(data, kind))
     except msgspec.ValidationError as error:
-        problems = tuple(_problems(data, kind, ""))
+        problems = tuple(_find_problems(data, kind, ""))
         return Error(problems or (ValidationProblem("", str(error)),))
 
 
-def _problems(data: Any, kind: Any, path: str) -> Iterator[ValidationProblem]:
+def _find_problems(
+    data: Any, expected_type: Any, path: str
+) -> Iterator[ValidationProblem]:
     try:
-        msgspec.convert(data, kind)
+        msgspec.convert(data, expected_type)
     except msgspec.ValidationError as error:
-        yield from _inner_problems(data, _without_none(kind), path, error)
+        yield from _find_nested_problems(
+            data, _unwrap_optional(expected_type), path, error
+        )
 
 
-def _inner_problems(
-    data: Any, kind: Any, path: str, error: msgspec.ValidationError
+def _find_nested_problems(
+    data: Any, expected_type: Any, path: str, error: msgspec.ValidationError
 ) -> Iterator[ValidationProblem]:
-    if _is_record(kind) and isinstance(data, dict):
-        yield from _record_problems(data, kind, path)
-    elif get_origin(kind) is tuple and isinstance(data, list):
-        item_kind = get_args(kind)[0]
+    if _is_struct(expected_type) and isinstance(data, dict):
+        yield from _find_struct_problems(data, expected_type, path)
+    elif get_origin(expected_type) is tuple and isinstance(data, list):
+        item_kind = get_args(expected_type)[0]
         for index, item in enumerate(data):
-            yield from _problems(item, item_kind, f"{path}[{index}]")
+            yield from _find_problems(item, item_kind, f"{path}[{index}]")
     else:
-        yield ValidationProblem(path, _in_words_of_yaml(str(error)))
+        yield ValidationProblem(path, _to_yaml_terms(str(error)))
 
 
-def _record_problems(
-    data: dict[Any, Any], kind: type[msgspec.Struct], path: str
+def _find_struct_problems(
+    data: dict[Any, Any], struct_type: type[msgspec.Struct], path: str
 ) -> Iterator[ValidationProblem]:
-    kinds_by_field = get_type_hints(kind)
+    kinds_by_field = get_type_hints(struct_type)
     for name in data:
         if name not in kinds_by_field:
             yield ValidationProblem(join_field_path(path, str(name)), "unknown field")
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(struct_type):
         where = join_field_path(path, field.name)
         if field.name in data:
-            yield from _problems(data[field.name], kinds_by_field[field.name], where)
+            yield from _find_problems(
+                data[field.name], kinds_by_field[field.name], where
+            )
         elif field.required:
             yield ValidationProblem(where, "missing")
 
 
-def _in_words_of_yaml(message: str) -> str:
+def _to_yaml_terms(message: str) -> str:
     plain = message.replace("`", "")
     for theirs, ours in (("object", "mapping"), ("array", "list"), ("null", "nothing")):
         plain = plain.replace(theirs, ours)
     return plain[:1].lower() + plain[1:]
 
 
-def _is_record(kind: Any) -> bool:
-    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+def _is_struct(expected_type: Any) -> bool:
+    return isinstance(expected_type, type) and issubclass(expected_type, msgspec.Struct)
 
 
-def _without_none(kind: Any) -> Any:
-    if get_origin(kind) not in (Union, UnionType):
-        return kind
-    others = [arm for arm in get_args(kind) if arm is not type(None)]
-    return others[0] if len(others) == 1 else kind
+def _unwrap_optional(expected_type: Any) -> Any:
+    if get_origin(expected_type) not in (Union, UnionType):
+        return expected_type
+    others = [arm for arm in get_args(expected_type) if arm is not type(None)]
+    return others[0] if len(others) == 1 else expected_type
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/yaml.py
@@ -24,7 +24,7 @@
 _SafeLoader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
-class _StrictLoader(_SafeLoader):  # type: ignore[misc]  # base chosen at run time
+class _UniqueKeyLoader(_SafeLoader):  # type: ignore[misc]  # base chosen at run time
     """Refuses a key that stands twice; YAML's usual loaders keep the last silently."""
 
     def construct_mapping(
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def _collector_paused() -> Iterator[None]:
+def _paused_garbage_collector() -> Iterator[None]:
     """Keep the garbage collector from walking a large tree again while it grows.
 
     A tree of plain data holds no cycles, so nothing is left uncollected. Parsing a
@@ -63,8 +63,8 @@
 def parse_yaml(text: str) -> Result[Any, ValidationProblems]:
     """Return the one document in ``text``, or where it is no YAML."""
     try:
-        with _collector_paused():
-            return Ok(yaml.load(text, Loader=_StrictLoader))
+        with _paused_garbage_collector():
+            return Ok(yaml.load(text, Loader=_UniqueKeyLoader))
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
         where = f"line {mark.line + 1}" if mark else ""
