--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/retention.py
@@ -60,7 +60,7 @@
     ) -> None:
         self._client = client
         self._retention_s = retention_s
-        self._due: list[_ScheduledRemoval] = []
+        self._removals: list[_ScheduledRemoval] = []
         self._lock = Lock()
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="claim-retention", daemon=True)
@@ -74,12 +74,14 @@
         self._stopping.set()
         self._thread.join()
 
-    def schedule_removal(self, held: StoredClaim) -> None:
+    def schedule_removal(self, stored_claim: StoredClaim) -> None:
         """Remove this claim when its time is over."""
-        due = _ScheduledRemoval(held.record.created_at, held.claim_id, held.version)
+        due = _ScheduledRemoval(
+            stored_claim.record.created_at, stored_claim.claim_id, stored_claim.version
+        )
         with self._lock:
-            if len(self._due) < _MAX_SCHEDULED_REMOVALS:
-                heapq.heappush(self._due, due)
+            if len(self._removals) < _MAX_SCHEDULED_REMOVALS:
+                heapq.heappush(self._removals, due)
 
     def _run(self) -> None:
         turn = random.randrange(_ROUNDS_PER_SCAN)
@@ -95,32 +97,35 @@
         """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
         removed = 0
         while removed < _MAX_REMOVALS_PER_ROUND:
-            due = self._next_due(now)
+            due = self._pop_expired(now)
             if due is None:
                 break
             self._client.delete(build_claim_key(due.claim_id), version=due.version)
             removed += 1
         return removed
 
-    def _next_due(self, now: float) -> _ScheduledRemoval | None:
+    def _pop_expired(self, now: float) -> _ScheduledRemoval | None:
         with self._lock:
-            if not self._due or self._due[0].created_at + self._retention_s() > now:
+            if (
+                not self._removals
+                or self._removals[0].created_at + self._retention_s() > now
+            ):
                 return None
-            return heapq.heappop(self._due)
+            return heapq.heappop(self._removals)
 
-    def remove_expired_in_shard(self, part: int, now: float) -> int:
+    def remove_expired_in_shard(self, shard: int, now: float) -> int:
         """Remove what is over in one of the parts; return how many claims."""
-        listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{part:02x}")
+        listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{shard:02x}")
         if listed.is_error():
             return 0
         removed = sum(
-            self._remove_if_over(key, now) for key in listed.ok[:_MAX_SCANNED_CLAIMS]
+            self._remove_if_expired(key, now) for key in listed.ok[:_MAX_SCANNED_CLAIMS]
         )
         if removed:
             logger.info("Removed %d old claims.", removed)
         return removed
 
-    def _remove_if_over(self, key: str, now: float) -> bool:
+    def _remove_if_expired(self, key: str, now: float) -> bool:
         found = self._client.read(key)
         if found.is_error() or found.ok is None:
             return False
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -41,7 +41,7 @@
 
     def refused(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
-        self._metrics.increment(CounterName.REFUSALS, by=refusal.reason)
+        self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._observe(
             Observed(
                 organisation=request.organisation.name,
@@ -87,7 +87,7 @@
         )
 
     def _observe(self, observed: Observed) -> None:
-        self._metrics.increment(CounterName.REQUESTS, by=observed.outcome.value)
+        self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
             self._metrics.increment(CounterName.CALLERS_LEFT)
         judged = self._burn.observe(observed, now=time.time())
@@ -95,7 +95,7 @@
             if count.bad:
                 by = indicator.value
                 self._metrics.increment(
-                    CounterName.GOAL_MISSES, by=by, number=count.bad
+                    CounterName.GOAL_MISSES, label=by, amount=count.bad
                 )
 
 
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/client.py
@@ -54,20 +54,20 @@
         except OSError as error:
             logger.warning("No metrics: %s: %s.", settings.host, error)
 
-    def increment(self, name: CounterName, *, by: str = "", number: int = 1) -> None:
+    def increment(self, name: CounterName, *, label: str = "", amount: int = 1) -> None:
         """Add ``number`` to a counter; ``by`` is the part its description names."""
         if self._client is not None:
-            self._client.incr(_build_metric_name(name, by), number)
+            self._client.incr(_build_metric_name(name, label), amount)
 
     def set_gauge(self, name: GaugeName, value: float) -> None:
         """Set a gauge."""
         if self._client is not None:
             self._client.gauge(name.value, value)
 
-    def record_duration(self, name: TimerName, seconds: float) -> None:
+    def record_duration(self, name: TimerName, duration_s: float) -> None:
         """Record a time, given in seconds."""
         if self._client is not None:
-            self._client.timing(name.value, seconds * 1000)
+            self._client.timing(name.value, duration_s * 1000)
 
     def close(self) -> None:
         """Close the socket."""
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -34,7 +34,7 @@
 
     def __init__(self, metrics: MetricsClient, role: Role) -> None:
         self._metrics = metrics
-        self._ended = CounterName.RUNS if role.value == "agent" else None
+        self._finished_counter = CounterName.RUNS if role.value == "agent" else None
 
     def __call__(self, event: AnyEvent) -> None:
         """Count ``event`` if it has a metric."""
@@ -51,5 +51,5 @@
                 self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
                 self._metrics.increment(CounterName.ATTEMPTS_LOST)
-            case Finished(outcome) if self._ended:
-                self._metrics.increment(self._ended, by=outcome)
+            case Finished(outcome) if self._finished_counter:
+                self._metrics.increment(self._finished_counter, label=outcome)
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/platform.py
@@ -80,7 +80,7 @@
         return found
 
     def _count_call(self, operation: str, result: Result[T, PlatformError]) -> None:
-        self._metrics.increment(CounterName.PLATFORM_CALLS, by=operation)
+        self._metrics.increment(CounterName.PLATFORM_CALLS, label=operation)
         # A conflict is an answer; someone else was first.
         if result.is_error() and not isinstance(result.error, Conflict):
-            self._metrics.increment(CounterName.PLATFORM_ERRORS, by=operation)
+            self._metrics.increment(CounterName.PLATFORM_ERRORS, label=operation)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -163,7 +163,7 @@
                 GaugeName.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
             )
             if lost:
-                self._metrics.increment(CounterName.TRACE_EVENTS_LOST, number=lost)
+                self._metrics.increment(CounterName.TRACE_EVENTS_LOST, amount=lost)
 
     def _flush(self) -> None:
         self._collect()
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/ranges.py
@@ -25,29 +25,31 @@
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value > 0):
-                yield self._problem(field, "must be more than 0")
+                yield self._build_problem(field, "must be more than 0")
 
     def check_non_negative(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not a finite number from 0."""
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value >= 0):
-                yield self._problem(field, "must be 0 or more")
+                yield self._build_problem(field, "must be 0 or more")
 
     def check_open_unit_interval(self, *fields: str) -> Iterator[ValidationProblem]:
         """Yield a problem for each field that is not strictly between 0 and 1."""
         for field in fields:
             if not 0 < getattr(self._record, field) < 1:
-                yield self._problem(field, "must be between 0 and 1, both excluded")
+                yield self._build_problem(
+                    field, "must be between 0 and 1, both excluded"
+                )
 
     def check_between(
         self, field: str, low: float, high: float
     ) -> Iterator[ValidationProblem]:
         """Yield a problem if the field is not from ``low`` to ``high``."""
         if not low <= getattr(self._record, field) <= high:
-            yield self._problem(field, f"must be from {low} to {high}")
+            yield self._build_problem(field, f"must be from {low} to {high}")
 
-    def _problem(self, field: str, rule: str) -> ValidationProblem:
+    def _build_problem(self, field: str, rule: str) -> ValidationProblem:
         value = getattr(self._record, field)
         return ValidationProblem(
             join_field_path(self._path, field), f"{rule}, not {value}"
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/shapes.py
@@ -24,12 +24,14 @@
     from collections.abc import Iterator
 
 
-def convert_to_type(data: Any, kind: type[Any]) -> Result[Any, ValidationProblems]:
+def convert_to_type(
+    data: Any, expected_type: type[Any]
+) -> Result[Any, ValidationProblems]:
     """Return plain ``data`` as a ``kind``, or every field that doesn't fit."""
     try:
-        return Ok(msgspec.convert(data, kind))
+        return Ok(msgspec.convert(data, expected_type))
     except msgspec.ValidationError as error:
-        problems = tuple(_find_problems(data, kind, ""))
+        problems = tuple(_find_problems(data, expected_type, ""))
         return Error(problems or (ValidationProblem("", str(error)),))
 
 
