--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -19,7 +19,7 @@
 from kingcupwheel.agent.adapters.requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.requests import request_of
 from kingcupwheel.agent.adapters.requests import run_id
-from kingcupwheel.plugins.kernel import server_adapters
+from kingcupwheel.plugins.registries import server_adapters
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/agent/maps.py
+++ b/src/kingcupwheel/agent/maps.py
@@ -9,7 +9,7 @@
 from kingcupwheel.expertmaps.service import MapService
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
-from kingcupwheel.plugins.kernel import rank_apis
+from kingcupwheel.plugins.registries import rank_apis
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/claim_store.py
@@ -16,11 +16,11 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import StoredClaim
+from kingcupwheel.claims.claim_records import build_claim_key
 from kingcupwheel.claims.exceptions import ClaimConflict
 from kingcupwheel.claims.exceptions import ClaimUnavailable
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import StoredClaim
-from kingcupwheel.claims.records import build_claim_key
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/expired_claim_removal.py
@@ -20,15 +20,15 @@
 
 import msgspec
 
-from kingcupwheel.claims.records import CLAIM_KEY_PREFIX
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import build_claim_key
+from kingcupwheel.claims.claim_records import CLAIM_KEY_PREFIX
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import build_claim_key
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.claims.records import StoredClaim
+    from kingcupwheel.claims.claim_records import StoredClaim
     from kingcupwheel.platform.client import PlatformClient
 
 logger = logging.getLogger("kingcupwheel.claims")
--- a/src/kingcupwheel/console/commands/entry.py
+++ b/src/kingcupwheel/console/commands/entry.py
@@ -6,13 +6,13 @@
 
 import click
 
-from kingcupwheel.console.daemons import run_daemon
-from kingcupwheel.console.daemons import settings_option
+from kingcupwheel.console.daemon_runner import run_daemon
+from kingcupwheel.console.daemon_runner import settings_option
 from kingcupwheel.settings.schema import Role
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.console.daemons import Daemon
+    from kingcupwheel.console.daemon_runner import Daemon
     from kingcupwheel.settings.schema import Settings
 
 
--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import create_platform_client
-from kingcupwheel.console.printing import VersionedManifest
-from kingcupwheel.console.printing import format_manifest
-from kingcupwheel.console.printing import format_rollout
-from kingcupwheel.console.problems import print_problems
+from kingcupwheel.console.manifest_formatting import VersionedManifest
+from kingcupwheel.console.manifest_formatting import format_manifest
+from kingcupwheel.console.manifest_formatting import format_rollout
+from kingcupwheel.console.platform_access import create_platform_client
+from kingcupwheel.console.problem_reports import print_problems
 from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import TooLarge
@@ -27,8 +27,8 @@
 from kingcupwheel.manifest.status import rollout
 from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
 from kingcupwheel.manifest.store import ManifestStore
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import placement_policies
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -13,9 +13,9 @@
 from kingcupwheel.burn.gathering import gather
 from kingcupwheel.burn.page import report_page
 from kingcupwheel.burn.printing import report_text
-from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import create_platform_client
+from kingcupwheel.console.platform_access import create_platform_client
+from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
 
 
--- a/src/kingcupwheel/console/commands/settings.py
+++ b/src/kingcupwheel/console/commands/settings.py
@@ -8,7 +8,7 @@
 import click
 
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.problems import print_problems
+from kingcupwheel.console.problem_reports import print_problems
 from kingcupwheel.settings.loader import load_settings
 
 
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -14,9 +14,9 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import create_platform_client
+from kingcupwheel.console.platform_access import create_platform_client
+from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimView
--- a/src/kingcupwheel/console/daemons.py
+++ b/src/kingcupwheel/console/daemon_runner.py
@@ -22,7 +22,7 @@
 from kingcupwheel.settings.loader import load_settings
 from kingcupwheel.telemetry.json_logs import JsonLogOutput
 from kingcupwheel.telemetry.json_logs import lines_of
-from kingcupwheel.utils.logs import configure_text_logs
+from kingcupwheel.utils.text_logs import configure_text_logs
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/manifest_formatting.py
@@ -26,12 +26,12 @@
     manifest: Manifest
 
 
-def format_manifest(versioned_manifest: VersionedManifest) -> str:
+def format_manifest(versioned: VersionedManifest) -> str:
     """Return the manifest as YAML with its version in a comment above."""
     # Plain lists: YAML writes tuples with a tag of its own.
-    data = msgspec.json.decode(msgspec.json.encode(versioned_manifest.manifest))
+    data = msgspec.json.decode(msgspec.json.encode(versioned.manifest))
     body = yaml.safe_dump(data, sort_keys=False)
-    return f"# Version {versioned_manifest.version}, submission {versioned_manifest.submission}.\n{body}"
+    return f"# Version {versioned.version}, submission {versioned.submission}.\n{body}"
 
 
 def format_rollout(rollout: Rollout) -> str:
--- a/src/kingcupwheel/console/platform.py
+++ b/src/kingcupwheel/console/platform_access.py
@@ -6,8 +6,8 @@
 
 import click
 
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
 from kingcupwheel.settings.schema import PlatformSettings
 from kingcupwheel.utils.urls import is_http_url
 
--- a/src/kingcupwheel/console/problems.py
+++ b/src/kingcupwheel/console/problem_reports.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from kingcupwheel.utils.problems import ValidationProblems
+    from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 class _ProblemEntry(TypedDict):
--- a/src/kingcupwheel/decisions/placement.py
+++ b/src/kingcupwheel/decisions/placement.py
@@ -21,7 +21,7 @@
 from kingcupwheel.decisions.hashing import stable_hash
 from kingcupwheel.decisions.load_reports import correct_load_reports
 from kingcupwheel.decisions.server_health import ServerState
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import placement_policies
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -25,7 +25,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.claims.records import StoredClaim
+    from kingcupwheel.claims.claim_records import StoredClaim
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.watching import CallerWatch
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import StoredClaim
+from kingcupwheel.claims.claim_records import compute_claim_id
+from kingcupwheel.claims.claim_store import generate_write_nonce
 from kingcupwheel.claims.exceptions import ClaimConflict
 from kingcupwheel.claims.exceptions import ClaimUnavailable
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import StoredClaim
-from kingcupwheel.claims.records import compute_claim_id
-from kingcupwheel.claims.store import generate_write_nonce
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
 from kingcupwheel.entry.answer_reader import AnswerReader
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from threading import Event
 
-    from kingcupwheel.claims.retention import ExpiredClaimRemover
-    from kingcupwheel.claims.store import ClaimStore
+    from kingcupwheel.claims.claim_store import ClaimStore
+    from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
     from kingcupwheel.entry.attempt_inboxes import InboxRegistry
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.observing import Observer
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -6,8 +6,8 @@
 from threading import Event
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.retention import ExpiredClaimRemover
-from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.claims.claim_store import ClaimStore
+from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.attempt_inboxes import InboxRegistry
@@ -29,10 +29,10 @@
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.messages.membership import InstancesRequest
-from kingcupwheel.metrics.client import MetricsClient
-from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.metrics.metered_platform_client import MeteredPlatformClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -30,7 +30,7 @@
 from kingcupwheel.entry.placement_tickets import PlacementFailure
 from kingcupwheel.entry.placement_tickets import PlacementTicket
 from kingcupwheel.entry.placement_tickets import Reservation
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import placement_policies
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -8,9 +8,9 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import route_name
 from kingcupwheel.burn.observed import Observed
-from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import GaugeName
-from kingcupwheel.metrics.names import TimerName
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
+from kingcupwheel.metrics.metric_names import TimerName
 
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.messages.attempts import Outcome
-    from kingcupwheel.metrics.client import MetricsClient
+    from kingcupwheel.metrics.statsd_client import MetricsClient
 
 _CALLER_LEFT = "caller-left"
 
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.observing import Observer
 from kingcupwheel.manifest.schema import Goals
-from kingcupwheel.metrics.events import TraceEventMetrics
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.manifest.inforce import InForce
-    from kingcupwheel.metrics.client import MetricsClient
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.records import StoredClaim
+from kingcupwheel.claims.claim_records import StoredClaim
 from kingcupwheel.entry.answer_assembler import AnswerEnded
 from kingcupwheel.entry.answer_assembler import HeadReceived
 from kingcupwheel.entry.answer_head_waiter import AnswerHeadWaiter
--- a/src/kingcupwheel/entry/visiting.py
+++ b/src/kingcupwheel/entry/visiting.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.claims.records import ClaimRecord
+    from kingcupwheel.claims.claim_records import ClaimRecord
     from kingcupwheel.entry.servers import ServerTable
 
 
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -27,7 +27,7 @@
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Supersede
-from kingcupwheel.plugins.kernel import rank_apis
+from kingcupwheel.plugins.registries import rank_apis
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -41,7 +41,7 @@
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.messages.membership import ManifestRequest
 from kingcupwheel.platform.object_store import ObjectStore
-from kingcupwheel.plugins.kernel import load_placement_policies
+from kingcupwheel.plugins.registries import load_placement_policies
 from kingcupwheel.telemetry.json_logs import lines_of
 from kingcupwheel.telemetry.metrics import EntryMetrics
 from kingcupwheel.telemetry.metrics import MetricsApp
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -12,7 +12,7 @@
 from kingcupwheel.forwarding.exceptions import AnswerLostError
 from kingcupwheel.forwarding.outcomes import AttemptOutcome
 from kingcupwheel.telemetry.json_logs import lines_of
-from kingcupwheel.utils.numbers import parse_non_negative_int
+from kingcupwheel.utils.integer_parsing import parse_non_negative_int
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.manifest.schema import GroupKind
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.ranges import RangeChecker
+from kingcupwheel.utils.range_checks import RangeChecker
+from kingcupwheel.utils.validation_problems import ValidationProblem
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/manifest/loading.py
+++ b/src/kingcupwheel/manifest/loading.py
@@ -12,14 +12,14 @@
 
 from kingcupwheel.manifest.checks import manifest_problems
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.shapes import convert_to_type
-from kingcupwheel.utils.yaml import parse_yaml
+from kingcupwheel.utils.strict_yaml import parse_yaml
+from kingcupwheel.utils.struct_validation import convert_to_type
 
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from kingcupwheel.utils.problems import ValidationProblems
+    from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 def load_manifest(
--- a/src/kingcupwheel/messages/codec.py
+++ b/src/kingcupwheel/messages/codec.py
@@ -47,7 +47,7 @@
 from kingcupwheel.messages.traces import BurnRequest
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
-from kingcupwheel.plugins.kernel import codecs
+from kingcupwheel.plugins.registries import codecs
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/metrics/platform.py
+++ b/src/kingcupwheel/metrics/metered_platform_client.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import TimerName
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.platform.errors import Conflict
 
 
@@ -16,7 +16,7 @@
 
     from expression import Result
 
-    from kingcupwheel.metrics.client import MetricsClient
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import Instance
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/statsd_client.py
@@ -11,9 +11,9 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.names import CounterName
-    from kingcupwheel.metrics.names import GaugeName
-    from kingcupwheel.metrics.names import TimerName
+    from kingcupwheel.metrics.metric_names import CounterName
+    from kingcupwheel.metrics.metric_names import GaugeName
+    from kingcupwheel.metrics.metric_names import TimerName
     from kingcupwheel.settings.schema import StatsdSettings
 
 logger = logging.getLogger("kingcupwheel.metrics")
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -8,8 +8,8 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import TimerName
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Joined
@@ -20,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.client import MetricsClient
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.settings.schema import Role
     from kingcupwheel.trace.events import AnyEvent
 
--- a/src/kingcupwheel/platform/headers.py
+++ b/src/kingcupwheel/platform/headers.py
@@ -12,7 +12,7 @@
 from kingcupwheel.forwarding.http_metadata import ServerNotice
 from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
 from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
-from kingcupwheel.utils.numbers import parse_non_negative_int
+from kingcupwheel.utils.integer_parsing import parse_non_negative_int
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/platform/http.py
+++ b/src/kingcupwheel/platform/http.py
@@ -30,7 +30,7 @@
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.plugins.registries import platform_clients
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -16,7 +16,7 @@
 from kingcupwheel.forwarding.backends import Backend
 from kingcupwheel.platform.decoding import StartTimeMs
 from kingcupwheel.platform.decoding import decode_json
-from kingcupwheel.utils.numbers import parse_non_negative_int
+from kingcupwheel.utils.integer_parsing import parse_non_negative_int
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -9,13 +9,13 @@
 
 from kingcupwheel.manifest.checks import NAME_FORM
 from kingcupwheel.manifest.checks import NAME_RULE
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import platform_clients
-from kingcupwheel.plugins.kernel import server_adapters
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
+from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.ranges import RangeChecker
+from kingcupwheel.utils.range_checks import RangeChecker
 from kingcupwheel.utils.urls import is_http_url
+from kingcupwheel.utils.validation_problems import ValidationProblem
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -11,10 +11,10 @@
 
 from kingcupwheel.settings.checks import settings_problems
 from kingcupwheel.settings.schema import Settings
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.problems import ValidationProblems
-from kingcupwheel.utils.shapes import convert_to_type
-from kingcupwheel.utils.yaml import parse_yaml
+from kingcupwheel.utils.strict_yaml import parse_yaml
+from kingcupwheel.utils.struct_validation import convert_to_type
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -10,8 +10,8 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import GaugeName
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.metrics.client import MetricsClient
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.trace.recorder import Recorder
 
--- a/src/kingcupwheel/utils/ranges.py
+++ b/src/kingcupwheel/utils/range_checks.py
@@ -5,8 +5,8 @@
 from math import isfinite
 from typing import TYPE_CHECKING
 
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.problems import join_field_path
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import join_field_path
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/strict_yaml.py
@@ -12,8 +12,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.problems import ValidationProblems
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/utils/shapes.py
+++ b/src/kingcupwheel/utils/struct_validation.py
@@ -15,9 +15,9 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.utils.problems import ValidationProblem
-from kingcupwheel.utils.problems import ValidationProblems
-from kingcupwheel.utils.problems import join_field_path
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import ValidationProblems
+from kingcupwheel.utils.validation_problems import join_field_path
 
 
 if TYPE_CHECKING:
--- a/tests/burn/test_observer.py
+++ b/tests/burn/test_observer.py
@@ -10,7 +10,7 @@
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.messages.attempts import Outcome
-from kingcupwheel.metrics.client import MetricsClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
 from kingcupwheel.settings.schema import StatsdSettings
 from tests.burn.builders import caller_request
 from tests.burn.builders import counter
--- a/tests/claims/builders.py
+++ b/tests/claims/builders.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.store import generate_write_nonce
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_store import generate_write_nonce
 
 
 def record(fence: int = 1, *, created_at: float = 1.0) -> ClaimRecord:
--- a/tests/claims/test_retention.py
+++ b/tests/claims/test_retention.py
@@ -2,9 +2,9 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.records import compute_claim_id
-from kingcupwheel.claims.retention import ExpiredClaimRemover
-from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.claims.claim_records import compute_claim_id
+from kingcupwheel.claims.claim_store import ClaimStore
+from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
 from kingcupwheel.platform.http import HttpPlatformClient
 from kingcupwheel.settings.schema import PlatformSettings
 from tests.claims.builders import record
--- a/tests/claims/test_store.py
+++ b/tests/claims/test_store.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
+from kingcupwheel.claims.claim_records import compute_claim_id
+from kingcupwheel.claims.claim_store import ClaimStore
 from kingcupwheel.claims.exceptions import ClaimConflict
 from kingcupwheel.claims.exceptions import ClaimUnavailable
-from kingcupwheel.claims.records import compute_claim_id
-from kingcupwheel.claims.store import ClaimStore
 from kingcupwheel.platform.http import HttpPlatformClient
 from kingcupwheel.settings.schema import PlatformSettings
 from tests.claims.builders import record
--- a/tests/console/test_daemons.py
+++ b/tests/console/test_daemon_runner.py
@@ -12,7 +12,7 @@
 # Prints the time at which a stop begins, on the clock that all processes share.
 PROGRAM = """
 import time
-from kingcupwheel.console.daemons import _SignalReceiver
+from kingcupwheel.console.daemon_runner import _SignalReceiver
 
 signals = _SignalReceiver()
 print("ready", flush=True)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -14,8 +14,8 @@
 from kingcupwheel.decisions.candidates import PlacementRequest
 from kingcupwheel.decisions.candidates import SelectedServer
 from kingcupwheel.decisions.server_health import ServerState
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import placement_policies
 from tests.decisions.builders import build_candidates
 
 
--- a/tests/entry/test_notices.py
+++ b/tests/entry/test_notices.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.placement_tickets import SubmittedRequest
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.manifest.schema import ServerGroup
-from kingcupwheel.plugins.kernel import load_placement_policies
+from kingcupwheel.plugins.registries import load_placement_policies
 from kingcupwheel.settings.schema import Timings
 from tests.entry.builders import agent_heartbeat
 from tests.entry.builders import agent_instance
--- a/tests/forwarding/test_serverbook.py
+++ b/tests/forwarding/test_serverbook.py
@@ -14,7 +14,7 @@
 from kingcupwheel.forwarding.server_registry import ServerRegistry
 from kingcupwheel.forwarding.server_registry import places_at_pace
 from kingcupwheel.messages.membership import ReportedServerLoad
-from kingcupwheel.plugins.kernel import load_placement_policies
+from kingcupwheel.plugins.registries import load_placement_policies
 from kingcupwheel.settings.schema import Timings
 
 
--- a/tests/metrics/test_client.py
+++ b/tests/metrics/test_statsd_client.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from kingcupwheel.metrics.client import MetricsClient
-from kingcupwheel.metrics.names import CounterName
-from kingcupwheel.metrics.names import GaugeName
-from kingcupwheel.metrics.names import TimerName
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
+from kingcupwheel.metrics.metric_names import TimerName
+from kingcupwheel.metrics.statsd_client import MetricsClient
 from kingcupwheel.settings.schema import StatsdSettings
 
 
--- a/tests/settings/test_examples.py
+++ b/tests/settings/test_examples.py
@@ -6,8 +6,8 @@
 
 from kingcupwheel.manifest.loading import load_manifest
 from kingcupwheel.manifest.schema import GroupKind
-from kingcupwheel.plugins.kernel import load_builtin_plugins
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import placement_policies
 from kingcupwheel.settings.loader import load_settings
 from kingcupwheel.settings.schema import Role
 
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -21,7 +21,7 @@
 from kingcupwheel.decisions.retry_budget import RetryBudget
 from kingcupwheel.decisions.server_health import ServerState
 from kingcupwheel.decisions.work_predictor import WorkPredictor
-from kingcupwheel.plugins.kernel import placement_policies
+from kingcupwheel.plugins.registries import placement_policies
 
 
 if TYPE_CHECKING:
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from kingcupwheel.plugins.kernel import load_builtin_plugins
+from kingcupwheel.plugins.registries import load_builtin_plugins
 from tools.entry_model import Entry
 from tools.entry_model import Report
 from tools.split_model import Split
