--- a/src/kingcupwheel/claims/claim_records.py
+++ b/src/kingcupwheel/claims/claim_records.py
@@ -32,7 +32,7 @@
     incarnation: str
     fence: int
     created_at: float
-    final_outcome: Outcome | None = None
+    final_outcome: Outcome | None = msgspec.field(default=None, name="final")
     reason: str = ""
 
 
