--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -28,8 +28,8 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
+    from kingcupwheel.entry.caller_pages import CallerPages
     from kingcupwheel.entry.caller_requests import CallerRequest
-    from kingcupwheel.entry.callers import CallerPages
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.manifest.inforce import InForce
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.attempt_inboxes import InboxRegistry
-from kingcupwheel.entry.callers import CallerPages
+from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.gateway import SPARE_THREADS
