--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -18,8 +18,8 @@
 from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
 from kingcupwheel.entry.membership import Membership
-from kingcupwheel.entry.operators import OPERATOR_THREADS
-from kingcupwheel.entry.operators import OperatorPages
+from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
+from kingcupwheel.entry.operator_pages import OperatorPages
 from kingcupwheel.entry.peers import PeerFetcher
 from kingcupwheel.entry.recording import Recording
 from kingcupwheel.entry.request_limiter import RequestLimiter
