--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -14,9 +14,9 @@
 from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-from kingcupwheel.entry.gateway import SPARE_THREADS
-from kingcupwheel.entry.gateway import HttpServer
 from kingcupwheel.entry.handling import Handler
+from kingcupwheel.entry.http_server import SPARE_THREADS
+from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
 from kingcupwheel.entry.operator_pages import OperatorPages
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -15,8 +15,8 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.exceptions import AnswerCutError
-from kingcupwheel.entry.gateway import CLOSE_KEY
-from kingcupwheel.entry.gateway import SOCKET_KEY
+from kingcupwheel.entry.http_server import CLOSE_KEY
+from kingcupwheel.entry.http_server import SOCKET_KEY
 from kingcupwheel.entry.parsing import HttpRequest
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.trace.events import Finished
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -11,10 +11,10 @@
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.gateway import CLOSE_KEY
-from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.http_exchange import extract_headers
 from kingcupwheel.entry.http_exchange import format_status_line
+from kingcupwheel.entry.http_server import CLOSE_KEY
+from kingcupwheel.entry.http_server import SOCKET_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
--- a/src/kingcupwheel/forwarding/graceful_shutdown.py
+++ b/src/kingcupwheel/forwarding/graceful_shutdown.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
-    from kingcupwheel.entry.gateway import HttpServer
+    from kingcupwheel.entry.http_server import HttpServer
     from kingcupwheel.forwarding.application import ForwardApplication
 
 log = lines_of("requests")
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -12,7 +12,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.gateway import HttpServer
+from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import BranchAggregator
