--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -14,10 +14,10 @@
 from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-from kingcupwheel.entry.handling import Handler
 from kingcupwheel.entry.http_server import SPARE_THREADS
 from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.entry.membership import Membership
+from kingcupwheel.entry.message_handler import Handler
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
 from kingcupwheel.entry.operator_pages import OperatorPages
 from kingcupwheel.entry.peers import PeerFetcher
