--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -13,7 +13,7 @@
     from kingcupwheel.claims.store import ClaimStore
     from kingcupwheel.entry.attempt_inboxes import InboxRegistry
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-    from kingcupwheel.entry.observing import Observer
+    from kingcupwheel.entry.outcome_counter import Observer
     from kingcupwheel.entry.request_limiter import RequestLimiter
     from kingcupwheel.entry.servers import ServerTable
     from kingcupwheel.link.hub import MessageHub
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.entry.observing import Observer
+from kingcupwheel.entry.outcome_counter import Observer
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.trace.events import ManifestChanged
--- a/tests/burn/test_observer.py
+++ b/tests/burn/test_observer.py
@@ -5,7 +5,7 @@
 
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.tallies import Count
-from kingcupwheel.entry.observing import Observer
+from kingcupwheel.entry.outcome_counter import Observer
 from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import ENTRY_BUSY
