--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -11,13 +11,13 @@
 
 from kingcupwheel.entry.http_exchange import DISCARD_CHUNK_BYTES
 from kingcupwheel.entry.http_exchange import HttpExchange
-from kingcupwheel.entry.parsing import check_sizes
-from kingcupwheel.entry.parsing import organisation_of
-from kingcupwheel.entry.parsing import parse
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
+from kingcupwheel.entry.request_parser import check_sizes
+from kingcupwheel.entry.request_parser import organisation_of
+from kingcupwheel.entry.request_parser import parse
 from kingcupwheel.entry.request_runner import RequestRunner
 from kingcupwheel.entry.watching import SocketWatch
 from kingcupwheel.trace.events import Received
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -17,8 +17,8 @@
 from kingcupwheel.entry.exceptions import AnswerCutError
 from kingcupwheel.entry.http_server import CLOSE_KEY
 from kingcupwheel.entry.http_server import SOCKET_KEY
-from kingcupwheel.entry.parsing import HttpRequest
 from kingcupwheel.entry.refusals import build_refusal_body
+from kingcupwheel.entry.request_parser import HttpRequest
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
 from kingcupwheel.utils.request_ids import new_request_id
