--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -45,8 +45,8 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
     from kingcupwheel.entry.context import EntryContext
+    from kingcupwheel.entry.manifest_fetcher import PeerFetcher
     from kingcupwheel.entry.membership import Membership
-    from kingcupwheel.entry.peers import PeerFetcher
     from kingcupwheel.entry.servers import Finding
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.keeper import ManifestKeeper
