--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -14,6 +14,7 @@
 from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
+from kingcupwheel.entry.entry_telemetry import Recording
 from kingcupwheel.entry.http_server import SPARE_THREADS
 from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.entry.manifest_fetcher import PeerFetcher
@@ -21,7 +22,6 @@
 from kingcupwheel.entry.message_handler import Handler
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
 from kingcupwheel.entry.operator_pages import OperatorPages
-from kingcupwheel.entry.recording import Recording
 from kingcupwheel.entry.request_limiter import RequestLimiter
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.link.hub import MessageHub
