--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -15,7 +15,7 @@
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.outcome_counter import Observer
     from kingcupwheel.entry.request_limiter import RequestLimiter
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
     from kingcupwheel.trace.recorder import Recorder
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -23,7 +23,7 @@
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
 from kingcupwheel.entry.operator_pages import OperatorPages
 from kingcupwheel.entry.request_limiter import RequestLimiter
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
--- a/src/kingcupwheel/entry/dispatcher_registry.py
+++ b/src/kingcupwheel/entry/dispatcher_registry.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.manifest.schema import ServerGroup
 
 
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -35,8 +35,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.placement_tickets import SubmittedRequest
-    from kingcupwheel.entry.servers import Server
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import Server
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.manifest.schema import ServerGroup
 
 # Requests that only some servers may take (retries, crash suspects) wait outside the
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.manifest.schema import Allowance
     from kingcupwheel.manifest.schema import Organisation
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -12,9 +12,9 @@
 from kingcupwheel.entry.attempt_inboxes import AgentGone
 from kingcupwheel.entry.attempt_inboxes import AttemptKey
 from kingcupwheel.entry.attempt_inboxes import LinkReplaced
-from kingcupwheel.entry.servers import Gone
-from kingcupwheel.entry.servers import Restarted
-from kingcupwheel.entry.servers import Silent
+from kingcupwheel.entry.server_table import Gone
+from kingcupwheel.entry.server_table import Restarted
+from kingcupwheel.entry.server_table import Silent
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import AttemptAccepted
@@ -47,7 +47,7 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.manifest_fetcher import PeerFetcher
     from kingcupwheel.entry.membership import Membership
-    from kingcupwheel.entry.servers import Finding
+    from kingcupwheel.entry.server_table import Finding
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.keeper import ManifestKeeper
     from kingcupwheel.messages.base import Message
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -16,7 +16,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.servers import Server
+    from kingcupwheel.entry.server_table import Server
     from kingcupwheel.manifest.keeper import ManifestKeeper
 
 OPERATOR_THREADS = 4
--- a/src/kingcupwheel/entry/visiting.py
+++ b/src/kingcupwheel/entry/visiting.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.records import ClaimRecord
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
 
 
 class Visit:
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -10,7 +10,7 @@
 from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
 from kingcupwheel.entry.http_server import HttpServer
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.forwarding.admission import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerClient
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -25,7 +25,7 @@
 
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.http_metadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
--- a/tests/entry/test_answer_head_waiter.py
+++ b/tests/entry/test_answer_head_waiter.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.attempt_inboxes import AttemptInbox
 from kingcupwheel.entry.attempt_inboxes import AttemptKey
 from kingcupwheel.entry.attempt_inboxes import WaitTimedOut
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.settings.schema import Timings
 from tests.burn.builders import caller_request
--- a/tests/entry/test_group_dispatcher.py
+++ b/tests/entry/test_group_dispatcher.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.placement_tickets import PlacementTicket
 from kingcupwheel.entry.placement_tickets import Reservation
 from kingcupwheel.entry.placement_tickets import SubmittedRequest
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.settings.schema import Timings
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -5,7 +5,7 @@
 from typing import cast
 
 from kingcupwheel.entry.membership import Membership
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.manifest.schema import Allowance
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.messages.membership import PeerHeartbeat
--- a/tests/entry/test_servers.py
+++ b/tests/entry/test_servers.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from kingcupwheel.entry.servers import Gone
-from kingcupwheel.entry.servers import Restarted
-from kingcupwheel.entry.servers import ServerTable
-from kingcupwheel.entry.servers import Silent
+from kingcupwheel.entry.server_table import Gone
+from kingcupwheel.entry.server_table import Restarted
+from kingcupwheel.entry.server_table import ServerTable
+from kingcupwheel.entry.server_table import Silent
 from kingcupwheel.settings.schema import Timings
 from tests.entry.builders import ADDRESS
 from tests.entry.builders import agent_heartbeat
--- a/tests/forwarding/test_serverbook.py
+++ b/tests/forwarding/test_serverbook.py
@@ -9,7 +9,7 @@
 from kingcupwheel.entry.placement_tickets import PlacementTicket
 from kingcupwheel.entry.placement_tickets import Reservation
 from kingcupwheel.entry.placement_tickets import SubmittedRequest
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.forwarding.backends import Backend
 from kingcupwheel.forwarding.server_registry import ServerRegistry
 from kingcupwheel.forwarding.server_registry import places_at_pace
