--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -19,6 +19,7 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
+from kingcupwheel.entry.agent_reference import Visit
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
 from kingcupwheel.entry.answer_reader import AnswerReader
@@ -31,7 +32,6 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_claim_refusal
 from kingcupwheel.entry.refusals import build_earlier_send_refusal
-from kingcupwheel.entry.visiting import Visit
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import TombstoneReply
