--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -21,9 +21,9 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_assembler import AnswerStep
     from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 # Time for the agent to report the outcome of a cancelled attempt. It replies at once; a
 # caller that is to get its final answer does not wait longer for a silent agent.
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -28,9 +28,9 @@
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
     from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.watching import CallerWatch
 
 # An unstreamed answer up to this size is read to its end before its head is sent, so
 # that the head has the outcome. A larger one is sent while it is read, to bound the
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from kingcupwheel.entry.caller_connection import SocketWatch
 from kingcupwheel.entry.http_exchange import DISCARD_CHUNK_BYTES
 from kingcupwheel.entry.http_exchange import HttpExchange
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
@@ -19,7 +20,6 @@
 from kingcupwheel.entry.request_parser import organisation_of
 from kingcupwheel.entry.request_parser import parse
 from kingcupwheel.entry.request_runner import RequestRunner
-from kingcupwheel.entry.watching import SocketWatch
 from kingcupwheel.trace.events import Received
 
 
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -26,9 +26,9 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.records import Held
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 # Interval at which a waiting thread checks whether its caller is still connected.
 CALLER_POLL_INTERVAL_S = 0.5
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -37,10 +37,10 @@
     from kingcupwheel.entry.answer_head_waiter import HeadWaitResult
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.watching import CallerWatch
 
 
 _EARLIER_SEND_NOTE = (
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -16,10 +16,10 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.attempt_dispatcher import AttemptDispatcher
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.watching import CallerWatch
 
 # Agent refusals after which a request is still placed again. A refusal costs one
 # message and no run. Three cover a restart, a full server and a stale heartbeat in a
--- a/tests/entry/test_answer_head_waiter.py
+++ b/tests/entry/test_answer_head_waiter.py
@@ -22,9 +22,9 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 TIMINGS = Timings()
 
--- a/tests/entry/test_answering.py
+++ b/tests/entry/test_answering.py
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_assembler import AnswerStep
     from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_connection import CallerWatch
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 EVENT_STREAM_HEAD = HeadReceived(200, (("Content-Type", "text/event-stream"),))
 COMPLETE_END = AnswerEnded(Outcome.RAN, "")
