--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.answer_assembler import BodyChunk
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
@@ -131,7 +131,7 @@
 
     def _raise_if_truncated(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
-            raise AnswerCutError(ended.detail)
+            raise AnswerTruncatedError(ended.detail)
 
     def _encode_outcome_event(self, ended: AnswerEnded) -> bytes:
         payload = {
--- a/src/kingcupwheel/entry/exceptions.py
+++ b/src/kingcupwheel/entry/exceptions.py
@@ -9,7 +9,7 @@
     """Base class of this layer's errors."""
 
 
-class AnswerCutError(EntryError):
+class AnswerTruncatedError(EntryError):
     """The rest of a streamed answer can't be had; the connection must be cut.
 
     Ending the body as usual would make a truncated answer look whole.
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -14,7 +14,7 @@
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.entry.http_server import CLOSE_KEY
 from kingcupwheel.entry.http_server import SOCKET_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
@@ -150,7 +150,7 @@
     def _stream_body(self, stream: Iterator[bytes]) -> Iterator[bytes]:
         try:
             yield from stream
-        except AnswerCutError as error:
+        except AnswerTruncatedError as error:
             logger.warning("Answer truncated: %s. [%s]", error, self.request_id)
             raise
 
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -8,7 +8,7 @@
 
 from cheroot import wsgi
 
-from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.entry.exceptions import CannotServeError
 
 
@@ -47,7 +47,7 @@
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
         """Log what the server noticed; a cut answer has been logged already."""
-        if traceback and AnswerCutError.__name__ not in msg:
+        if traceback and AnswerTruncatedError.__name__ not in msg:
             logger.warning("HTTP server: %s", msg.strip(), exc_info=True)
 
 
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.entry.answers import BufferedAnswer
-from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.forwarding.events import EventSplitter
 from kingcupwheel.forwarding.exceptions import AnswerLostError
@@ -149,4 +149,4 @@
                 self._splitter = EventSplitter()
                 return
         self._log_finished("cut", reason)
-        raise AnswerCutError(reason)
+        raise AnswerTruncatedError(reason)
