--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -7,7 +7,7 @@
 from typing import NoReturn
 from typing import Protocol
 
-from kingcupwheel.entry.exceptions import CallerGoneError
+from kingcupwheel.entry.exceptions import CallerDisconnectedError
 
 
 class CallerWatch(Protocol):
@@ -43,4 +43,4 @@
 
     def raise_gone(self) -> NoReturn:
         """Raise CallerGoneError."""
-        raise CallerGoneError("the caller closed its connection")
+        raise CallerDisconnectedError("the caller closed its connection")
--- a/src/kingcupwheel/entry/exceptions.py
+++ b/src/kingcupwheel/entry/exceptions.py
@@ -16,7 +16,7 @@
     """
 
 
-class CallerGoneError(EntryError):
+class CallerDisconnectedError(EntryError):
     """The caller closed its connection while its request waited."""
 
 
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -19,7 +19,7 @@
 from kingcupwheel.entry.claim_resolver import ClaimRefused
 from kingcupwheel.entry.claim_resolver import ClaimResolver
 from kingcupwheel.entry.claim_resolver import EarlierRun
-from kingcupwheel.entry.exceptions import CallerGoneError
+from kingcupwheel.entry.exceptions import CallerDisconnectedError
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
@@ -74,7 +74,7 @@
         )
         try:
             return self._run_admitted(admitted)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._record(CallerLeft(0))
             return self._give_up(admitted, CALLER_LEFT)
 
