--- a/src/kingcupwheel/entry/exceptions.py
+++ b/src/kingcupwheel/entry/exceptions.py
@@ -20,7 +20,7 @@
     """The caller closed its connection while its request waited."""
 
 
-class CannotServeError(EntryError):
+class HttpBindError(EntryError):
     """The address for callers can't be bound."""
 
     def __init__(self, address: str, reason: str) -> None:
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -9,7 +9,7 @@
 from cheroot import wsgi
 
 from kingcupwheel.entry.exceptions import AnswerTruncatedError
-from kingcupwheel.entry.exceptions import CannotServeError
+from kingcupwheel.entry.exceptions import HttpBindError
 
 
 logger = logging.getLogger("kingcupwheel.entry")
@@ -99,7 +99,7 @@
         try:
             self._server.prepare()
         except OSError as error:
-            raise CannotServeError(self._listen, str(error)) from error
+            raise HttpBindError(self._listen, str(error)) from error
 
     def start(self) -> None:
         """Serve in a thread."""
