--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -35,7 +35,7 @@
 
 logger = logging.getLogger("kingcupwheel.entry")
 
-OWN_PREFIX = "/kingcupwheel/"
+PAGES_PREFIX = "/kingcupwheel/"
 # How long a refused caller is still listened to, in longest bodies.
 _DISCARDED_BODIES = 2
 
@@ -121,7 +121,7 @@
             # Little, because anybody may send it and hold a thread meanwhile.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
             return exchange.refuse(found.error)
-        if exchange.path.startswith(OWN_PREFIX):
+        if exchange.path.startswith(PAGES_PREFIX):
             page = self._pages.answer(exchange.method, exchange.path, found.ok)
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
         body = exchange.read_body(limits.body_bytes)
