--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -61,7 +61,7 @@
         """Requests not yet answered to their end."""
         return self._in_progress
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuse every request from now on; those in progress go on."""
         self._closed = True
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -183,7 +183,7 @@
         self._handler.say_leaving()
         logger.info("Leaving; %d in progress.", self._application.in_progress)
         self._wait_for_callers()
-        self._application.refuse_new()
+        self._application.stop_accepting()
         while self._application.in_progress:
             Event().wait(_DRAIN_CHECK_S)
         self._http.stop()
