--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -57,7 +57,7 @@
         self._lock = Lock()
 
     @property
-    def in_progress(self) -> int:
+    def in_progress_count(self) -> int:
         """Requests not yet answered to their end."""
         return self._in_progress
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -141,7 +141,7 @@
         if not self._settings.operator_http:
             return None
         pages = OperatorPages(
-            self._context, self._keeper, lambda: self._application.in_progress
+            self._context, self._keeper, lambda: self._application.in_progress_count
         )
         return HttpServer(
             pages,
@@ -181,10 +181,10 @@
         """
         self._leaving.set()
         self._handler.say_leaving()
-        logger.info("Leaving; %d in progress.", self._application.in_progress)
+        logger.info("Leaving; %d in progress.", self._application.in_progress_count)
         self._wait_for_callers()
         self._application.stop_accepting()
-        while self._application.in_progress:
+        while self._application.in_progress_count:
             Event().wait(_DRAIN_CHECK_S)
         self._http.stop()
         if self._operator_http is not None:
