--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -26,7 +26,7 @@
 _REQUESTS_PATH = "/kingcupwheel/v1/requests/"
 
 
-class Page(NamedTuple):
+class JsonPage(NamedTuple):
     """A status and a body to be sent as JSON."""
 
     status: int
@@ -60,7 +60,7 @@
         self._membership = membership
         self._keep_s = keep_s
 
-    def answer(self, method: str, path: str, organisation: Organisation) -> Page:
+    def answer(self, method: str, path: str, organisation: Organisation) -> JsonPage:
         """Return the page at ``path``, which begins with the entry's own prefix."""
         if method != "GET":
             return _error(405, "bad-method", "These pages are only read.")
@@ -70,18 +70,18 @@
             return self._request(path[len(_REQUESTS_PATH) :], organisation)
         return _error(404, "no-page", "There is no such page.")
 
-    def _entries(self, organisation: Organisation) -> Page:
+    def _entries(self, organisation: Organisation) -> JsonPage:
         addresses = self._membership.entries_for(organisation, monotonic())
         entries = [f"http://{address}" for address in addresses]
-        return Page(200, EntriesBody(entries=entries, keep_s=self._keep_s))
+        return JsonPage(200, EntriesBody(entries=entries, keep_s=self._keep_s))
 
-    def _request(self, request_id: str, organisation: Organisation) -> Page:
+    def _request(self, request_id: str, organisation: Organisation) -> JsonPage:
         # A caller learns nothing of other organisations' requests, not even whether an
         # id exists.
         events = self._recorder.events(request_id)
         if not _belongs(events, organisation):
             return _error(404, "no-request", "This entry knows no such request.")
-        return Page(200, _body(request_id, events))
+        return JsonPage(200, _body(request_id, events))
 
 
 def _belongs(events: tuple[TraceEvent, ...], organisation: Organisation) -> bool:
@@ -116,5 +116,5 @@
     return sentence(one, entry=one.process, arrived=events[0].at)
 
 
-def _error(status: int, reason: str, message: str) -> Page:
-    return Page(status, {"error": {"reason": reason, "message": message}})
+def _error(status: int, reason: str, message: str) -> JsonPage:
+    return JsonPage(status, {"error": {"reason": reason, "message": message}})
