--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -122,7 +122,7 @@
             exchange.discard_body(DISCARD_CHUNK_BYTES)
             return exchange.refuse(found.error)
         if exchange.path.startswith(PAGES_PREFIX):
-            page = self._pages.answer(exchange.method, exchange.path, found.ok)
+            page = self._pages.get_page(exchange.method, exchange.path, found.ok)
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
         body = exchange.read_body(limits.body_bytes)
         if body is None:
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -60,7 +60,7 @@
         self._membership = membership
         self._keep_s = keep_s
 
-    def answer(self, method: str, path: str, organisation: Organisation) -> JsonPage:
+    def get_page(self, method: str, path: str, organisation: Organisation) -> JsonPage:
         """Return the page at ``path``, which begins with the entry's own prefix."""
         if method != "GET":
             return _error(405, "bad-method", "These pages are only read.")
