--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -16,7 +16,7 @@
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.entry.http_server import CLOSE_KEY
-from kingcupwheel.entry.http_server import SOCKET_KEY
+from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.entry.request_parser import HttpRequest
 from kingcupwheel.trace.events import Finished
@@ -71,7 +71,7 @@
     @property
     def socket(self) -> Any:
         """Socket of the caller's connection, None outside the HTTP server."""
-        return self._environ.get(SOCKET_KEY)
+        return self._environ.get(SOCKET_ENVIRON_KEY)
 
     def close_connection_after(self) -> None:
         """Close the connection after this response."""
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -14,7 +14,7 @@
 
 logger = logging.getLogger("kingcupwheel.entry")
 
-SOCKET_KEY = "kingcupwheel.socket"
+SOCKET_ENVIRON_KEY = "kingcupwheel.socket"
 CLOSE_KEY = "kingcupwheel.close"
 # Threads kept beyond those that answer requests, so that refusals, status questions and
 # discovery are still answered at once when every other thread waits.
@@ -34,7 +34,7 @@
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
         """Return the environment with the keys of this module."""
         environ: dict[str, Any] = super().get_environ()  # type: ignore[no-untyped-call]
-        environ[SOCKET_KEY] = self.req.conn.socket
+        environ[SOCKET_ENVIRON_KEY] = self.req.conn.socket
         environ[CLOSE_KEY] = self._close
         return environ
 
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -14,7 +14,7 @@
 from kingcupwheel.entry.http_exchange import extract_headers
 from kingcupwheel.entry.http_exchange import format_status_line
 from kingcupwheel.entry.http_server import CLOSE_KEY
-from kingcupwheel.entry.http_server import SOCKET_KEY
+from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
@@ -42,7 +42,7 @@
     @property
     def socket(self) -> Any:
         """The caller's socket, None outside the HTTP server."""
-        return self._environ.get(SOCKET_KEY)
+        return self._environ.get(SOCKET_ENVIRON_KEY)
 
     def close_after_answer(self) -> None:
         """Close the connection after this answer."""
