--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -15,7 +15,7 @@
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.exceptions import AnswerTruncatedError
-from kingcupwheel.entry.http_server import CLOSE_KEY
+from kingcupwheel.entry.http_server import CLOSE_ENVIRON_KEY
 from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.entry.request_parser import HttpRequest
@@ -75,7 +75,7 @@
 
     def close_connection_after(self) -> None:
         """Close the connection after this response."""
-        close = self._environ.get(CLOSE_KEY)
+        close = self._environ.get(CLOSE_ENVIRON_KEY)
         if close is not None:
             close()
 
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -15,7 +15,7 @@
 logger = logging.getLogger("kingcupwheel.entry")
 
 SOCKET_ENVIRON_KEY = "kingcupwheel.socket"
-CLOSE_KEY = "kingcupwheel.close"
+CLOSE_ENVIRON_KEY = "kingcupwheel.close"
 # Threads kept beyond those that answer requests, so that refusals, status questions and
 # discovery are still answered at once when every other thread waits.
 SPARE_THREADS = 16
@@ -35,7 +35,7 @@
         """Return the environment with the keys of this module."""
         environ: dict[str, Any] = super().get_environ()  # type: ignore[no-untyped-call]
         environ[SOCKET_ENVIRON_KEY] = self.req.conn.socket
-        environ[CLOSE_KEY] = self._close
+        environ[CLOSE_ENVIRON_KEY] = self._close
         return environ
 
     def _close(self) -> None:
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.answers import StreamedAnswer
 from kingcupwheel.entry.http_exchange import extract_headers
 from kingcupwheel.entry.http_exchange import format_status_line
-from kingcupwheel.entry.http_server import CLOSE_KEY
+from kingcupwheel.entry.http_server import CLOSE_ENVIRON_KEY
 from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
@@ -46,7 +46,7 @@
 
     def close_after_answer(self) -> None:
         """Close the connection after this answer."""
-        close = self._environ.get(CLOSE_KEY)
+        close = self._environ.get(CLOSE_ENVIRON_KEY)
         if close is not None:
             close()
 
