--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -180,7 +180,7 @@
         Nothing bounds the wait for requests in progress; their own progress does.
         """
         self._leaving.set()
-        self._handler.say_leaving()
+        self._handler.announce_leaving()
         logger.info("Leaving; %d in progress.", self._application.in_progress_count)
         self._wait_for_callers()
         self._application.stop_accepting()
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -247,6 +247,6 @@
             context.limiter.recent_crashes,
         )
 
-    def say_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell agents and peers at once that this entry leaves."""
         self._beat_at = 0.0
