--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -19,7 +19,7 @@
 from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.entry.manifest_fetcher import PeerFetcher
 from kingcupwheel.entry.membership import Membership
-from kingcupwheel.entry.message_handler import Handler
+from kingcupwheel.entry.message_handler import MessageHandler
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
 from kingcupwheel.entry.operator_pages import OperatorPages
 from kingcupwheel.entry.request_limiter import RequestLimiter
@@ -110,7 +110,7 @@
             send=self._hub.send,
             find_organisation=self._organisation_named,
         )
-        self._handler = Handler(
+        self._handler = MessageHandler(
             self._context,
             self._membership,
             self._keeper,
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -55,7 +55,7 @@
 logger = logging.getLogger("kingcupwheel.entry")
 
 
-class Handler:
+class MessageHandler:
     """Routes messages and sends heartbeats."""
 
     def __init__(
