--- a/src/kingcupwheel/entry/allowance_balancer.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -231,7 +231,7 @@
     def _send_heartbeat(
         self, member: str, shares: tuple[ShareReport, ...], now: float
     ) -> None:
-        address = self._membership.address_of(member)
+        address = self._membership.find_address(member)
         if not address:
             return
         with self._lock:
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -85,7 +85,7 @@
         """All instances known."""
         return self._instances
 
-    def address_of(self, name: str) -> str:
+    def find_address(self, name: str) -> str:
         """Return the address of the instance called ``name``, empty if unknown."""
         return self._address_by_name.get(name, "")
 
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -158,7 +158,7 @@
         if isinstance(link, OutgoingLink):
             address = link.address
         else:
-            address = self._membership.address_of(beat.name)
+            address = self._membership.find_address(beat.name)
         self._keeper.heard(beat.manifest_version, beat.manifest_digest, address)
         # An entry that started in an outage is on nobody's list, so nobody sends it
         # heartbeats; without an answer it would never hear of the manifest.
