--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -99,12 +99,12 @@
     def _read(self) -> None:
         found = self._client.instances()
         if found.is_ok():
-            self.adopt(found.ok)
+            self.set_instances(found.ok)
         elif not self._instances:
             logger.warning("No list of instances yet; asking the seeds.")
             self._ask_seeds()
 
-    def adopt(self, instances: tuple[Instance, ...]) -> None:
+    def set_instances(self, instances: tuple[Instance, ...]) -> None:
         """Use this list from now on.
 
         Subsets are worked out only for a list that has changed: at the target that
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -171,7 +171,7 @@
     def _on_instances(self, infos: tuple[InstanceInfo, ...]) -> None:
         if not self._membership.instances:
             instances = tuple(Instance(*msgspec.structs.astuple(one)) for one in infos)
-            self._membership.adopt(instances)
+            self._membership.set_instances(instances)
 
     def _instances(self) -> InstancesReply:
         infos = tuple(InstanceInfo(*one) for one in self._membership.instances)
