--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -173,7 +173,7 @@
         nearest_last = _ring_after(entries, self._settings.name)
         return frozenset(one.name for one in nearest_last[-_PEERS:])
 
-    def heard(self, beat: PeerHeartbeat, now: float) -> None:
+    def record_heartbeat(self, beat: PeerHeartbeat, now: float) -> None:
         """Take in a peer's heartbeat."""
         self._peer_heard_at[beat.name] = now
         if beat.leaving:
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -152,7 +152,7 @@
         self._context.dispatchers.place_waiting(beat.group)
 
     def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
-        self._membership.heard(beat, monotonic())
+        self._membership.record_heartbeat(beat, monotonic())
         if beat.crashed:
             self._context.limiter.record_crashes(beat.crashed)
         if isinstance(link, OutgoingLink):
