--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -71,7 +71,7 @@
         return _error(404, "no-page", "There is no such page.")
 
     def _entries(self, organisation: Organisation) -> JsonPage:
-        addresses = self._membership.entries_for(organisation, monotonic())
+        addresses = self._membership.list_caller_addresses(organisation, monotonic())
         entries = [f"http://{address}" for address in addresses]
         return JsonPage(200, EntriesBody(entries=entries, keep_s=self._keep_s))
 
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -181,7 +181,9 @@
         else:
             self._leaving_peers.discard(beat.name)
 
-    def entries_for(self, organisation: Organisation, now: float) -> tuple[str, ...]:
+    def list_caller_addresses(
+        self, organisation: Organisation, now: float
+    ) -> tuple[str, ...]:
         """Return the ``IP:port`` of the entries for an organisation's callers.
 
         A leaving entry drops out at once, whether the list says so or its heartbeat;
