--- a/src/kingcupwheel/entry/allowance_balancer.py
+++ b/src/kingcupwheel/entry/allowance_balancer.py
@@ -83,7 +83,7 @@
         burst would be refused.
         """
         now = monotonic()
-        members = self._membership.members_for(organisation, now)
+        members = self._membership.list_members(organisation, now)
         with self._lock:
             share = self._get_share(organisation.name, len(members))
             self._used_at_by_organisation[organisation.name] = now
@@ -119,7 +119,7 @@
         """Compute all shares anew and report them to peers; about every heartbeat."""
         reports_by_peer: dict[str, list[ShareReport]] = {}
         for organisation, demand in self._limiter.list_demands(now):
-            members = self._membership.members_for(organisation, now)
+            members = self._membership.list_members(organisation, now)
             if self._is_idle(organisation.name, demand, now):
                 self._remove_organisation(organisation)
                 continue
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -190,7 +190,7 @@
         this one too, though it keeps its share for callers that have not yet heard.
         """
         http_by_name = {one.name: one.http for one in self._instances}
-        members = self.members_for(organisation, now)
+        members = self.list_members(organisation, now)
         if self._leaving.is_set():
             members = tuple(name for name in members if name != self._settings.name)
         return tuple(http_by_name[name] for name in members)
@@ -203,7 +203,7 @@
         heard_at = self._peer_heard_at.get(one.name)
         return heard_at is None or now - heard_at < self._settings.timings.gone_s
 
-    def members_for(self, organisation: Organisation, now: float) -> tuple[str, ...]:
+    def list_members(self, organisation: Organisation, now: float) -> tuple[str, ...]:
         """Return the names of the entries that share an organisation's allowance.
 
         Worked out anew only when the live entries change: ranking 370 entries for each
