--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -68,6 +68,6 @@
 
     def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
         """Take up a new manifest, and note it in the requests under way."""
-        self.observer.adopt(in_force)
+        self.observer.set_goals(in_force)
         for request_id in request_ids:
             self.recorder.record(request_id, ManifestChanged(in_force.version))
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -33,7 +33,7 @@
         self._burn = burn
         self._metrics = metrics
 
-    def adopt(self, in_force: InForce) -> None:
+    def set_goals(self, in_force: InForce) -> None:
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
