--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -39,7 +39,7 @@
         self._metrics.count(Count.MANIFESTS_ADOPTED)
         self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
 
-    def refused(self, request: CallerRequest, refusal: Refusal) -> None:
+    def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
         self._metrics.count(Count.REFUSALS, by=refusal.reason)
         self._observe(
