--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -13,7 +13,7 @@
     from kingcupwheel.claims.store import ClaimStore
     from kingcupwheel.entry.attempt_inboxes import InboxRegistry
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-    from kingcupwheel.entry.outcome_counter import Observer
+    from kingcupwheel.entry.outcome_counter import OutcomeCounter
     from kingcupwheel.entry.request_limiter import RequestLimiter
     from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
@@ -33,5 +33,5 @@
     claims: ClaimStore
     retention: ClaimRetention
     recorder: Recorder
-    observer: Observer
+    observer: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.entry.outcome_counter import Observer
+from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.trace.events import ManifestChanged
@@ -47,7 +47,7 @@
         self.burn = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
         )
-        self.observer = Observer(self.burn, metrics)
+        self.observer = OutcomeCounter(self.burn, metrics)
         self._metrics = metrics
         self._shipper = BatchShipper(
             self.recorder,
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -26,7 +26,7 @@
 _CALLER_LEFT = "caller-left"
 
 
-class Observer:
+class OutcomeCounter:
     """Counts final outcomes; called on request threads, never blocks."""
 
     def __init__(self, burn: BurnCounter, metrics: Metrics) -> None:
