--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -35,7 +35,7 @@
 
     def set_goals(self, in_force: InForce) -> None:
         """Hold requests to the goals of this manifest from now on."""
-        self._burn.adopt(burn_goals(in_force))
+        self._burn.adopt(build_burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
         self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
 
@@ -97,7 +97,7 @@
                 self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
 
 
-def burn_goals(in_force: InForce) -> BurnGoals:
+def build_burn_goals(in_force: InForce) -> BurnGoals:
     """Return the goals that the manifest in force sets."""
     routes = in_force.assembly.core.routes
     organisations = in_force.organisations_by_name.values()
