--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -61,7 +61,7 @@
 class Prompt(NamedTuple):
     """What of a model request's body the entry looks at."""
 
-    streamed: bool
+    is_streamed: bool
     max_tokens: int | None
     prefix: str
 
@@ -129,7 +129,7 @@
             fingerprint=compute_fingerprint(organisation.name, http.path, digest),
             prefix_key=_prefix_key(organisation.name, prompt.prefix),
             idempotency_key=http.headers.get(_KEY_HEADER, ""),
-            is_streamed=prompt.streamed,
+            is_streamed=prompt.is_streamed,
             max_tokens=prompt.max_tokens,
             received_at=now,
             deadline_s=route.deadline_s if deadline is None else deadline,
