--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -58,7 +58,7 @@
     body: bytes
 
 
-class Prompt(NamedTuple):
+class PromptInfo(NamedTuple):
     """What of a model request's body the entry looks at."""
 
     is_streamed: bool
@@ -66,7 +66,7 @@
     prefix: str
 
 
-_NO_PROMPT = Prompt(False, None, "")
+_NO_PROMPT = PromptInfo(False, None, "")
 
 
 def organisation_of(
@@ -176,7 +176,7 @@
     return seconds
 
 
-def _prompt(body: bytes) -> Prompt | Refusal:
+def _prompt(body: bytes) -> PromptInfo | Refusal:
     if not body:
         return _NO_PROMPT
     try:
@@ -187,7 +187,7 @@
         return build_bad_request_refusal("The body is no JSON object.")
     max_tokens = decoded.get("max_tokens")
     limit = max_tokens if isinstance(max_tokens, int) and max_tokens > 0 else None
-    return Prompt(decoded.get("stream") is True, limit, _prefix_of(decoded))
+    return PromptInfo(decoded.get("stream") is True, limit, _prefix_of(decoded))
 
 
 def _prefix_of(decoded: dict[str, Any]) -> str:
