--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -16,8 +16,8 @@
 from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
+from kingcupwheel.entry.request_parser import authenticate_organisation
 from kingcupwheel.entry.request_parser import check_sizes
-from kingcupwheel.entry.request_parser import organisation_of
 from kingcupwheel.entry.request_parser import parse
 from kingcupwheel.entry.request_runner import RequestRunner
 from kingcupwheel.trace.events import Received
@@ -116,7 +116,7 @@
         if refusal is not None:
             exchange.discard_body(_DISCARDED_BODIES * limits.body_bytes)
             return exchange.refuse(refusal)
-        found = organisation_of(exchange.headers, in_force)
+        found = authenticate_organisation(exchange.headers, in_force)
         if found.is_error():
             # Little, because anybody may send it and hold a thread meanwhile.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -69,7 +69,7 @@
 _NO_PROMPT = PromptInfo(False, None, "")
 
 
-def organisation_of(
+def authenticate_organisation(
     headers: Mapping[str, str], in_force: InForce
 ) -> Result[Organisation, Refusal]:
     """Return the organisation that the bearer key belongs to."""
