--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -18,7 +18,7 @@
 from kingcupwheel.entry.refusals import NO_MANIFEST
 from kingcupwheel.entry.request_parser import authenticate_organisation
 from kingcupwheel.entry.request_parser import check_sizes
-from kingcupwheel.entry.request_parser import parse
+from kingcupwheel.entry.request_parser import parse_request
 from kingcupwheel.entry.request_runner import RequestRunner
 from kingcupwheel.trace.events import Received
 
@@ -128,7 +128,7 @@
         if body is None:
             exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
-        parsed = parse(
+        parsed = parse_request(
             exchange.build_http_request(body),
             found.ok,
             in_force,
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -94,7 +94,7 @@
     return BODY_TOO_LARGE if int(length) > body_bytes else None
 
 
-def parse(
+def parse_request(
     http: HttpRequest,
     organisation: Organisation,
     in_force: InForce,
