--- a/src/kingcupwheel/entry/manifest_fetcher.py
+++ b/src/kingcupwheel/entry/manifest_fetcher.py
@@ -32,7 +32,7 @@
         self._found: SimpleQueue[ManifestObject] = SimpleQueue()
         self._lock = Lock()
 
-    def found(self, message: ManifestObject) -> None:
+    def put_object(self, message: ManifestObject) -> None:
         """Take a peer's answer; called on the hub's thread."""
         self._found.put(message)
 
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -118,7 +118,7 @@
             case ManifestRequest(key):
                 send(link, self._keeper.object_for(key))
             case ManifestObject():
-                self._fetcher.found(message)
+                self._fetcher.put_object(message)
             case InstancesReply(instances):
                 self._on_instances(instances)
             case ShareHeartbeat():
