--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -17,7 +17,7 @@
 from kingcupwheel.entry.entry_telemetry import Recording
 from kingcupwheel.entry.http_server import SPARE_THREADS
 from kingcupwheel.entry.http_server import HttpServer
-from kingcupwheel.entry.manifest_fetcher import PeerFetcher
+from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
 from kingcupwheel.entry.membership import Membership
 from kingcupwheel.entry.message_handler import MessageHandler
 from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
@@ -88,7 +88,7 @@
             observer=self._recording.observer,
             leaving=self._leaving,
         )
-        fetcher = PeerFetcher(self._hub)
+        fetcher = ManifestFetcher(self._hub)
         self._keeper = ManifestKeeper(
             client,
             fetch_from_peer=fetcher.fetch,
--- a/src/kingcupwheel/entry/manifest_fetcher.py
+++ b/src/kingcupwheel/entry/manifest_fetcher.py
@@ -24,7 +24,7 @@
 _PEER_TIMEOUT_S = 1.5
 
 
-class PeerFetcher:
+class ManifestFetcher:
     """Asks a peer for an object of the manifest; one question at a time."""
 
     def __init__(self, hub: MessageHub) -> None:
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -45,7 +45,7 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.manifest_fetcher import PeerFetcher
+    from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.entry.server_table import Finding
     from kingcupwheel.link.links import Link
@@ -63,7 +63,7 @@
         context: EntryContext,
         membership: Membership,
         keeper: ManifestKeeper,
-        fetcher: PeerFetcher,
+        fetcher: ManifestFetcher,
         burn: BurnCounter,
         sharing: AllowanceBalancer,
     ) -> None:
