--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -115,7 +115,7 @@
             self._membership,
             self._keeper,
             fetcher,
-            self._recording.burn,
+            self._recording.burn_counter,
             self._sharing,
         )
         self._application = self._make_application()
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -44,10 +44,10 @@
             limit=settings.entry.traces,
             listener=EventMetrics(metrics, settings.role),
         )
-        self.burn = BurnCounter(
+        self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
         )
-        self.observer = OutcomeCounter(self.burn, metrics)
+        self.observer = OutcomeCounter(self.burn_counter, metrics)
         self._metrics = metrics
         self._shipper = BatchShipper(
             self.recorder,
