--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -47,7 +47,7 @@
         self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
         )
-        self.observer = OutcomeCounter(self.burn_counter, metrics)
+        self.outcome_counter = OutcomeCounter(self.burn_counter, metrics)
         self._metrics = metrics
         self._shipper = BatchShipper(
             self.recorder,
@@ -68,6 +68,6 @@
 
     def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
         """Take up a new manifest, and note it in the requests under way."""
-        self.observer.set_goals(in_force)
+        self.outcome_counter.set_goals(in_force)
         for request_id in request_ids:
             self.recorder.record(request_id, ManifestChanged(in_force.version))
