--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -208,7 +208,7 @@
         self._handler.on_tick(now)
 
     def _on_manifest(self, in_force: InForce) -> None:
-        self._recording.adopt(in_force, self._context.inboxes.request_ids)
+        self._recording.set_manifest(in_force, self._context.inboxes.request_ids)
 
     def _organisation_named(self, name: str) -> Organisation | None:
         in_force = self._keeper.current
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -66,7 +66,7 @@
         self._shipper.stop()
         self._metrics.close()
 
-    def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
+    def set_manifest(self, in_force: InForce, request_ids: Iterable[str]) -> None:
         """Take up a new manifest, and note it in the requests under way."""
         self.outcome_counter.set_goals(in_force)
         for request_id in request_ids:
