--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -14,7 +14,7 @@
 from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-from kingcupwheel.entry.entry_telemetry import Recording
+from kingcupwheel.entry.entry_telemetry import EntryTelemetry
 from kingcupwheel.entry.http_server import SPARE_THREADS
 from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
@@ -61,7 +61,7 @@
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
         )
-        self._recording = Recording(
+        self._recording = EntryTelemetry(
             settings,
             client,
             metrics,
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -25,7 +25,7 @@
     from kingcupwheel.settings.schema import Settings
 
 
-class Recording:
+class EntryTelemetry:
     """The recording parts of one entry, started and stopped together.
 
     ``traces_retention_s`` is asked each time for how long the platform keeps traces.
