--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -194,7 +194,7 @@
             self._token_count,
             is_complete=is_complete,
         )
-        self._context.observer.count_answer(
+        self._context.outcome_counter.count_answer(
             request,
             server=self._reader.server,
             outcome=ended.outcome,
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -33,5 +33,5 @@
     claims: ClaimStore
     retention: ClaimRetention
     recorder: Recorder
-    observer: OutcomeCounter
+    outcome_counter: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -85,7 +85,7 @@
             claims=ClaimStore(client),
             retention=self._retention,
             recorder=self._recording.recorder,
-            observer=self._recording.outcome_counter,
+            outcome_counter=self._recording.outcome_counter,
             leaving=self._leaving,
         )
         fetcher = ManifestFetcher(self._hub)
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -249,7 +249,7 @@
         self._record(event)
         outcome = refusal.outcome.value
         self._record(Finished(outcome, refusal.status, 0, refusal.reason))
-        self._context.observer.count_refusal(self._request, refusal)
+        self._context.outcome_counter.count_refusal(self._request, refusal)
         return RefusedAnswer(refusal)
 
     def _record(
