--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -12,8 +12,8 @@
 from kingcupwheel.entry.attempt_inboxes import AgentGone
 from kingcupwheel.entry.attempt_inboxes import AttemptKey
 from kingcupwheel.entry.attempt_inboxes import LinkReplaced
+from kingcupwheel.entry.server_table import AgentRestarted
 from kingcupwheel.entry.server_table import Gone
-from kingcupwheel.entry.server_table import Restarted
 from kingcupwheel.entry.server_table import Silent
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
@@ -208,7 +208,7 @@
                 logger.warning("Agent at %s is gone.", address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(AgentGone("the server's instance does not answer"))
-            case Restarted(address, incarnation):
+            case AgentRestarted(address, incarnation):
                 self._on_restarted(address, incarnation)
 
     def _on_restarted(self, address: str, incarnation: str) -> None:
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -15,7 +15,7 @@
     from kingcupwheel.settings.schema import Timings
 
 
-class Restarted(NamedTuple):
+class AgentRestarted(NamedTuple):
     """The agent at ``address`` lives anew; earlier lives are over."""
 
     address: str
@@ -34,7 +34,7 @@
     address: str
 
 
-Finding = Restarted | Silent | Gone
+Finding = AgentRestarted | Silent | Gone
 
 
 class Server:
@@ -160,7 +160,9 @@
             if server is not None:
                 server.in_flight = max(0, server.in_flight - 1)
 
-    def heard(self, address: str, beat: AgentHeartbeat, now: float) -> Restarted | None:
+    def heard(
+        self, address: str, beat: AgentHeartbeat, now: float
+    ) -> AgentRestarted | None:
         """Take in a heartbeat; tell if it is from a new life of the agent."""
         with self._lock:
             server = self._by_address.get(address)
@@ -175,7 +177,7 @@
             if before is None or restarted:
                 server.first_heard_at = now
             self._alive(server, now)
-        return Restarted(address, beat.incarnation) if restarted else None
+        return AgentRestarted(address, beat.incarnation) if restarted else None
 
     def is_living(self, address: str, incarnation: str) -> bool:
         """Return whether this life of the server there is not known to be over."""
