--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -14,7 +14,7 @@
 from kingcupwheel.entry.attempt_inboxes import LinkReplaced
 from kingcupwheel.entry.server_table import AgentRestarted
 from kingcupwheel.entry.server_table import Gone
-from kingcupwheel.entry.server_table import Silent
+from kingcupwheel.entry.server_table import LinkSilent
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import AttemptAccepted
@@ -199,7 +199,7 @@
     def _on_finding(self, finding: Finding) -> None:
         inboxes = self._context.inboxes
         match finding:
-            case Silent(address):
+            case LinkSilent(address):
                 logger.warning("Link to %s is silent; opening a new one.", address)
                 self._context.hub.reconnect(address)
                 for inbox in inboxes.list_by_address(address):
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -22,7 +22,7 @@
     incarnation: str
 
 
-class Silent(NamedTuple):
+class LinkSilent(NamedTuple):
     """Nothing was heard for a while: the link has to be replaced."""
 
     address: str
@@ -34,7 +34,7 @@
     address: str
 
 
-Finding = AgentRestarted | Silent | Gone
+Finding = AgentRestarted | LinkSilent | Gone
 
 
 class Server:
@@ -241,7 +241,7 @@
         since_replaced_s = now - server.replaced_at
         if min(silent_s, since_replaced_s) > self._timings.silence_s:
             server.replaced_at = now
-            return Silent(server.instance.address)
+            return LinkSilent(server.instance.address)
         return None
 
     def of_group(self, group: str) -> tuple[Server, ...]:
