--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -13,7 +13,7 @@
 from kingcupwheel.entry.attempt_inboxes import AttemptKey
 from kingcupwheel.entry.attempt_inboxes import LinkReplaced
 from kingcupwheel.entry.server_table import AgentRestarted
-from kingcupwheel.entry.server_table import Gone
+from kingcupwheel.entry.server_table import AgentTimedOut
 from kingcupwheel.entry.server_table import LinkSilent
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.link.links import OutgoingLink
@@ -204,7 +204,7 @@
                 self._context.hub.reconnect(address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(LinkReplaced())
-            case Gone(address):
+            case AgentTimedOut(address):
                 logger.warning("Agent at %s is gone.", address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(AgentGone("the server's instance does not answer"))
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -28,13 +28,13 @@
     address: str
 
 
-class Gone(NamedTuple):
+class AgentTimedOut(NamedTuple):
     """Nothing was heard for so long that its attempts are given up."""
 
     address: str
 
 
-Finding = AgentRestarted | LinkSilent | Gone
+Finding = AgentRestarted | LinkSilent | AgentTimedOut
 
 
 class Server:
@@ -237,7 +237,7 @@
         silent_s = now - server.heard_at
         if silent_s > self._timings.give_up_s and not server.gone:
             server.gone = True
-            return Gone(server.instance.address)
+            return AgentTimedOut(server.instance.address)
         since_replaced_s = now - server.replaced_at
         if min(silent_s, since_replaced_s) > self._timings.silence_s:
             server.replaced_at = now
