--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -47,7 +47,7 @@
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
     from kingcupwheel.entry.membership import Membership
-    from kingcupwheel.entry.server_table import Finding
+    from kingcupwheel.entry.server_table import LivenessEvent
     from kingcupwheel.link.links import Link
     from kingcupwheel.manifest.keeper import ManifestKeeper
     from kingcupwheel.messages.base import Message
@@ -196,7 +196,7 @@
             self._sharing.update_shares(now)
             self._send_beats()
 
-    def _on_finding(self, finding: Finding) -> None:
+    def _on_finding(self, finding: LivenessEvent) -> None:
         inboxes = self._context.inboxes
         match finding:
             case LinkSilent(address):
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -34,7 +34,7 @@
     address: str
 
 
-Finding = AgentRestarted | LinkSilent | AgentTimedOut
+LivenessEvent = AgentRestarted | LinkSilent | AgentTimedOut
 
 
 class Server:
@@ -210,7 +210,7 @@
         server.heard_at = now
         server.gone = False
 
-    def check(self, now: float) -> tuple[Finding, ...]:
+    def check(self, now: float) -> tuple[LivenessEvent, ...]:
         """Return the links that went silent; called about every heartbeat.
 
         When this process itself was paused, everybody seems silent at once. The time
@@ -233,7 +233,7 @@
             server.heard_at += now - last
             server.replaced_at += now - last
 
-    def _judge(self, server: Server, now: float) -> Finding | None:
+    def _judge(self, server: Server, now: float) -> LivenessEvent | None:
         silent_s = now - server.heard_at
         if silent_s > self._timings.give_up_s and not server.gone:
             server.gone = True
