--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -298,7 +298,7 @@
         return {
             server.name: server
             for server in self._servers.of_group(self._group.name)
-            if server.beat is not None
+            if server.last_heartbeat is not None
         }
 
     def _build_candidates(
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -159,10 +159,10 @@
         if (
             now - agent_at > _AGENT_REPORT_MAX_AGE_S
             or server is None
-            or server.beat is None
+            or server.last_heartbeat is None
         ):
             return False
-        load = server.beat.load
+        load = server.last_heartbeat.load
         return load.running + load.queued >= load.capacity
 
     def mark_resting(self, place: Reservation, for_s: float, request_id: str) -> None:
