--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -309,7 +309,7 @@
         candidates = [
             replace(
                 _build_candidate(server, concurrency, now),
-                backoff_until=notices.backoff_until(server.known_beat.incarnation)
+                backoff_until=notices.backoff_until(server.known_heartbeat.incarnation)
                 or 0.0,
             )
             for server in servers.values()
@@ -334,7 +334,7 @@
 
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
         """Return the state that excludes a server whatever its health, None if none."""
-        incarnation = server.known_beat.incarnation
+        incarnation = server.known_heartbeat.incarnation
         if server.is_going or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
         if not server.in_service:
@@ -361,7 +361,7 @@
 def _reserve(
     server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
-    heartbeat = server.known_beat
+    heartbeat = server.known_heartbeat
     server.in_flight += 1
     server.suspects += ticket.placement_request.is_suspect
     return Reservation(
@@ -377,7 +377,7 @@
 
 
 def _build_candidate(server: Server, concurrency: int, now: float) -> Candidate:
-    load = server.known_beat.load
+    load = server.known_heartbeat.load
     return Candidate(
         name=server.name,
         data_centre=server.instance.data_centre,
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -80,7 +80,7 @@
         )
 
     @property
-    def known_beat(self) -> AgentHeartbeat:
+    def known_heartbeat(self) -> AgentHeartbeat:
         """The latest heartbeat of a server that was heard."""
         assert self.last_heartbeat is not None, (
             "only servers that were heard are placed on"
