--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -90,7 +90,7 @@
             return False
         server = self._context.servers.by_address(reader.inbox.address)
         gone_s = self._context.settings.timings.gone_s
-        return server is not None and monotonic() - server.heard_at > gone_s
+        return server is not None and monotonic() - server.last_heard_at > gone_s
 
     def _handle_never_seen(
         self, reader: AnswerReader, step: AttemptNeverSeen
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -387,7 +387,7 @@
         work=load.work,
         work_per_s=load.rate,
         own_in_flight=server.own_in_flight,
-        report_age_s=now - server.heard_at,
+        report_age_s=now - server.last_heard_at,
         uptime_s=now - server.first_heard_at,
         own_in_flight_at_report=server.in_flight_at_beat,
         running_suspects=server.suspects,
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -117,5 +117,5 @@
         group=server.instance.group,
         in_service=server.in_service,
         in_flight=server.in_flight,
-        heard_s_ago=round(now - server.heard_at, 2),
+        heard_s_ago=round(now - server.last_heard_at, 2),
     )
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -43,7 +43,7 @@
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
         self.last_heartbeat: AgentHeartbeat | None = None
-        self.heard_at = 0.0
+        self.last_heard_at = 0.0
         self.first_heard_at = 0.0
         self.replaced_at = 0.0
         self.in_flight = 0
@@ -144,7 +144,7 @@
         known = self._by_address.get(address)
         if known is None:
             server = Server(instance)
-            server.heard_at = now
+            server.last_heard_at = now
             server.replaced_at = now
             self._by_address[address] = server
             return
@@ -211,7 +211,7 @@
                 self._alive(server, now)
 
     def _alive(self, server: Server, now: float) -> None:
-        server.heard_at = now
+        server.last_heard_at = now
         server.gone = False
 
     def check(self, now: float) -> tuple[LivenessEvent, ...]:
@@ -234,11 +234,11 @@
         if last is None or now - last <= self._timings.silence_s / 2:
             return
         for server in self._by_address.values():
-            server.heard_at += now - last
+            server.last_heard_at += now - last
             server.replaced_at += now - last
 
     def _judge(self, server: Server, now: float) -> LivenessEvent | None:
-        silent_s = now - server.heard_at
+        silent_s = now - server.last_heard_at
         if silent_s > self._timings.give_up_s and not server.gone:
             server.gone = True
             return AgentTimedOut(server.instance.address)
