--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -45,7 +45,7 @@
         self.last_heartbeat: AgentHeartbeat | None = None
         self.last_heard_at = 0.0
         self.first_heard_at = 0.0
-        self.replaced_at = 0.0
+        self.link_replaced_at = 0.0
         self.in_flight = 0
         # Those of ``in_flight`` that a life that is over was given.
         self.former_in_flight = 0
@@ -145,7 +145,7 @@
         if known is None:
             server = Server(instance)
             server.last_heard_at = now
-            server.replaced_at = now
+            server.link_replaced_at = now
             self._by_address[address] = server
             return
         known.instance = instance
@@ -235,16 +235,16 @@
             return
         for server in self._by_address.values():
             server.last_heard_at += now - last
-            server.replaced_at += now - last
+            server.link_replaced_at += now - last
 
     def _judge(self, server: Server, now: float) -> LivenessEvent | None:
         silent_s = now - server.last_heard_at
         if silent_s > self._timings.give_up_s and not server.gone:
             server.gone = True
             return AgentTimedOut(server.instance.address)
-        since_replaced_s = now - server.replaced_at
+        since_replaced_s = now - server.link_replaced_at
         if min(silent_s, since_replaced_s) > self._timings.silence_s:
-            server.replaced_at = now
+            server.link_replaced_at = now
             return LinkSilent(server.instance.address)
         return None
 
