--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -48,7 +48,7 @@
         self.link_replaced_at = 0.0
         self.in_flight = 0
         # Those of ``in_flight`` that a life that is over was given.
-        self.former_in_flight = 0
+        self.ended_incarnation_in_flight = 0
         self.in_flight_at_beat = 0
         self.suspects = 0
         self.listed = True
@@ -66,7 +66,7 @@
         Failure: a server starts anew while its last life's attempts are not yet given
         up here. Symptom: it looks full, and gets nothing while it idles.
         """
-        return max(0, self.in_flight - self.former_in_flight)
+        return max(0, self.in_flight - self.ended_incarnation_in_flight)
 
     @property
     def leaving(self) -> bool:
@@ -176,7 +176,7 @@
             server.last_heartbeat = beat
             restarted = before is not None and before.incarnation != beat.incarnation
             if restarted:
-                server.former_in_flight = server.in_flight
+                server.ended_incarnation_in_flight = server.in_flight
             server.in_flight_at_beat = server.own_in_flight
             if before is None or restarted:
                 server.first_heard_at = now
@@ -201,7 +201,9 @@
             server.suspects = max(0, server.suspects - suspect)
             beat = server.last_heartbeat
             if beat is not None and beat.incarnation != incarnation:
-                server.former_in_flight = max(0, server.former_in_flight - 1)
+                server.ended_incarnation_in_flight = max(
+                    0, server.ended_incarnation_in_flight - 1
+                )
 
     def alive(self, address: str, now: float) -> None:
         """Note any other sign of life from the agent."""
