--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -389,6 +389,6 @@
         own_in_flight=server.own_in_flight,
         report_age_s=now - server.last_heard_at,
         uptime_s=now - server.first_heard_at,
-        own_in_flight_at_report=server.in_flight_at_beat,
+        own_in_flight_at_report=server.in_flight_at_heartbeat,
         running_suspects=server.suspects,
     )
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -49,7 +49,7 @@
         self.in_flight = 0
         # Those of ``in_flight`` that a life that is over was given.
         self.ended_incarnation_in_flight = 0
-        self.in_flight_at_beat = 0
+        self.in_flight_at_heartbeat = 0
         self.suspects = 0
         self.listed = True
         self.gone = False
@@ -177,7 +177,7 @@
             restarted = before is not None and before.incarnation != beat.incarnation
             if restarted:
                 server.ended_incarnation_in_flight = server.in_flight
-            server.in_flight_at_beat = server.own_in_flight
+            server.in_flight_at_heartbeat = server.own_in_flight
             if before is None or restarted:
                 server.first_heard_at = now
             self._alive(server, now)
