--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -363,7 +363,7 @@
 ) -> Reservation:
     heartbeat = server.known_heartbeat
     server.in_flight += 1
-    server.suspects += ticket.placement_request.is_suspect
+    server.suspect_count += ticket.placement_request.is_suspect
     return Reservation(
         server=server.name,
         address=server.instance.address,
@@ -390,5 +390,5 @@
         report_age_s=now - server.last_heard_at,
         uptime_s=now - server.first_heard_at,
         own_in_flight_at_report=server.in_flight_at_heartbeat,
-        running_suspects=server.suspects,
+        running_suspects=server.suspect_count,
     )
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -50,7 +50,7 @@
         # Those of ``in_flight`` that a life that is over was given.
         self.ended_incarnation_in_flight = 0
         self.in_flight_at_heartbeat = 0
-        self.suspects = 0
+        self.suspect_count = 0
         self.listed = True
         self.gone = False
 
@@ -198,7 +198,7 @@
             if server is None:
                 return
             server.in_flight = max(0, server.in_flight - 1)
-            server.suspects = max(0, server.suspects - suspect)
+            server.suspect_count = max(0, server.suspect_count - suspect)
             beat = server.last_heartbeat
             if beat is not None and beat.incarnation != incarnation:
                 server.ended_incarnation_in_flight = max(
