--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -51,7 +51,7 @@
         self.ended_incarnation_in_flight = 0
         self.in_flight_at_heartbeat = 0
         self.suspect_count = 0
-        self.listed = True
+        self.is_listed = True
         self.gone = False
 
     @property
@@ -90,13 +90,13 @@
     @property
     def is_going(self) -> bool:
         """Whether it is to get nothing ever again."""
-        return self.leaving or not self.listed
+        return self.leaving or not self.is_listed
 
     @property
     def in_service(self) -> bool:
         """Whether new work may go there."""
         up = self.last_heartbeat is not None and self.last_heartbeat.server_up
-        return up and self.listed and not self.leaving and not self.gone
+        return up and self.is_listed and not self.leaving and not self.gone
 
 
 class ServerTable:
@@ -130,7 +130,7 @@
             for address, instance in wanted.items():
                 self._adopt(address, instance, now)
             for address, server in self._by_address.items():
-                server.listed = address in wanted
+                server.is_listed = address in wanted
             dropped = [
                 address
                 for address, server in self._by_address.items()
