--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -52,7 +52,7 @@
         self.in_flight_at_heartbeat = 0
         self.suspect_count = 0
         self.is_listed = True
-        self.gone = False
+        self.is_timed_out = False
 
     @property
     def name(self) -> str:
@@ -96,7 +96,7 @@
     def in_service(self) -> bool:
         """Whether new work may go there."""
         up = self.last_heartbeat is not None and self.last_heartbeat.server_up
-        return up and self.is_listed and not self.leaving and not self.gone
+        return up and self.is_listed and not self.leaving and not self.is_timed_out
 
 
 class ServerTable:
@@ -214,7 +214,7 @@
 
     def _alive(self, server: Server, now: float) -> None:
         server.last_heard_at = now
-        server.gone = False
+        server.is_timed_out = False
 
     def check(self, now: float) -> tuple[LivenessEvent, ...]:
         """Return the links that went silent; called about every heartbeat.
@@ -241,8 +241,8 @@
 
     def _judge(self, server: Server, now: float) -> LivenessEvent | None:
         silent_s = now - server.last_heard_at
-        if silent_s > self._timings.give_up_s and not server.gone:
-            server.gone = True
+        if silent_s > self._timings.give_up_s and not server.is_timed_out:
+            server.is_timed_out = True
             return AgentTimedOut(server.instance.address)
         since_replaced_s = now - server.link_replaced_at
         if min(silent_s, since_replaced_s) > self._timings.silence_s:
