--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -386,7 +386,7 @@
         queued=load.queued,
         work=load.work,
         work_per_s=load.rate,
-        own_in_flight=server.own_in_flight,
+        own_in_flight=server.current_in_flight,
         report_age_s=now - server.last_heard_at,
         uptime_s=now - server.first_heard_at,
         own_in_flight_at_report=server.in_flight_at_heartbeat,
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -60,7 +60,7 @@
         return self.instance.name
 
     @property
-    def own_in_flight(self) -> int:
+    def current_in_flight(self) -> int:
         """How many attempts of this entry its present life has.
 
         Failure: a server starts anew while its last life's attempts are not yet given
@@ -177,7 +177,7 @@
             restarted = before is not None and before.incarnation != beat.incarnation
             if restarted:
                 server.ended_incarnation_in_flight = server.in_flight
-            server.in_flight_at_heartbeat = server.own_in_flight
+            server.in_flight_at_heartbeat = server.current_in_flight
             if before is None or restarted:
                 server.first_heard_at = now
             self._alive(server, now)
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -326,7 +326,7 @@
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
                 server = self._servers.by_address(address)
                 if server is not None:
-                    load = _load(min(server.own_in_flight, backend.places), 0)
+                    load = _load(min(server.current_in_flight, backend.places), 0)
                     self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
