--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -69,7 +69,7 @@
         return max(0, self.in_flight - self.ended_incarnation_in_flight)
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether the platform or the agent itself says that it leaves.
 
         Either is enough: the platform's list lags, and an agent that is paused while
@@ -90,13 +90,13 @@
     @property
     def is_going(self) -> bool:
         """Whether it is to get nothing ever again."""
-        return self.leaving or not self.is_listed
+        return self.is_leaving or not self.is_listed
 
     @property
     def in_service(self) -> bool:
         """Whether new work may go there."""
         up = self.last_heartbeat is not None and self.last_heartbeat.server_up
-        return up and self.is_listed and not self.leaving and not self.is_timed_out
+        return up and self.is_listed and not self.is_leaving and not self.is_timed_out
 
 
 class ServerTable:
