--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -335,7 +335,7 @@
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
         """Return the state that excludes a server whatever its health, None if none."""
         incarnation = server.known_heartbeat.incarnation
-        if server.is_going or self._servers.notices.is_leaving(incarnation):
+        if server.is_draining or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
         if not server.in_service:
             return ServerState.DOWN
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -88,7 +88,7 @@
         return self.last_heartbeat
 
     @property
-    def is_going(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether it is to get nothing ever again."""
         return self.is_leaving or not self.is_listed
 
