--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -337,7 +337,7 @@
         incarnation = server.known_heartbeat.incarnation
         if server.is_draining or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
-        if not server.in_service:
+        if not server.is_in_service:
             return ServerState.DOWN
         if self._servers.notices.is_backing_off(incarnation, now):
             return ServerState.BACKING_OFF
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -115,7 +115,7 @@
     return ServerRow(
         server=server.name,
         group=server.instance.group,
-        in_service=server.in_service,
+        in_service=server.is_in_service,
         in_flight=server.in_flight,
         heard_s_ago=round(now - server.last_heard_at, 2),
     )
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -93,7 +93,7 @@
         return self.is_leaving or not self.is_listed
 
     @property
-    def in_service(self) -> bool:
+    def is_in_service(self) -> bool:
         """Whether new work may go there."""
         up = self.last_heartbeat is not None and self.last_heartbeat.server_up
         return up and self.is_listed and not self.is_leaving and not self.is_timed_out
