--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -116,7 +116,7 @@
                 self._address_by_name = {one.name: one.address for one in instances}
                 self._chosen = self._choose()
                 self._expect(self._find_senders())
-            for address in self._servers.keep(self._chosen, monotonic()):
+            for address in self._servers.set_instances(self._chosen, monotonic()):
                 self._hub.disconnect(address)
 
     def _expect(self, senders: frozenset[str]) -> None:
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -119,7 +119,9 @@
         """What servers said of themselves; read and changed under ``lock`` only."""
         return self._notices
 
-    def keep(self, instances: tuple[Instance, ...], now: float) -> tuple[str, ...]:
+    def set_instances(
+        self, instances: tuple[Instance, ...], now: float
+    ) -> tuple[str, ...]:
         """Use just ``instances`` from now on; return addresses no longer used.
 
         A server with attempts under way stays known, so that nobody is cut off, and
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -98,7 +98,7 @@
             by_address = self._claims.owners_by_address(self._listed, before, now)
             self._backends_by_address = by_address
             self._groups_by_service = _groups_by_service(by_address.values())
-        self._servers.keep(tuple(map(_instance, by_address.values())), now)
+        self._servers.set_instances(tuple(map(_instance, by_address.values())), now)
         for address, backend in by_address.items():
             known = before.get(address)
             if known is None or known.incarnation != backend.incarnation:
