--- a/src/kingcupwheel/entry/agent_reference.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -32,7 +32,7 @@
             leaving=False,
         )
 
-        servers.visit(self._instance, monotonic())
+        servers.add_reference(self._instance, monotonic())
 
     def end(self) -> None:
         """Let the agent be forgotten, unless it is used otherwise."""
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -152,7 +152,7 @@
             return
         known.instance = instance
 
-    def visit(self, instance: Instance, now: float) -> None:
+    def add_reference(self, instance: Instance, now: float) -> None:
         """Know the agent at least until ``end_visit``, without placing work there."""
         with self._lock:
             if instance.address not in self._by_address:
