--- a/src/kingcupwheel/entry/agent_reference.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -36,4 +36,4 @@
 
     def end(self) -> None:
         """Let the agent be forgotten, unless it is used otherwise."""
-        self._servers.end_visit(self._instance.address)
+        self._servers.remove_reference(self._instance.address)
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -159,7 +159,7 @@
                 self._adopt(instance.address, instance, now)
             self._by_address[instance.address].in_flight += 1
 
-    def end_visit(self, address: str) -> None:
+    def remove_reference(self, address: str) -> None:
         """End one ``visit``."""
         with self._lock:
             server = self._by_address.get(address)
