--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -143,7 +143,7 @@
                 logger.warning("Message %s not expected.", type(message).__name__)
 
     def _on_beat(self, address: str, beat: AgentHeartbeat) -> None:
-        restarted = self._context.servers.heard(address, beat, monotonic())
+        restarted = self._context.servers.record_heartbeat(address, beat, monotonic())
         if restarted is not None:
             self._on_finding(restarted)
         if beat.crashed:
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -166,7 +166,7 @@
             if server is not None:
                 server.in_flight = max(0, server.in_flight - 1)
 
-    def heard(
+    def record_heartbeat(
         self, address: str, beat: AgentHeartbeat, now: float
     ) -> AgentRestarted | None:
         """Take in a heartbeat; tell if it is from a new life of the agent."""
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -107,7 +107,9 @@
             self._dispatchers.place_waiting(service)
 
     def _register_incarnation(self, backend: Backend, now: float) -> None:
-        self._servers.heard(backend.address, _heartbeat(backend, _load(0, 0)), now)
+        self._servers.record_heartbeat(
+            backend.address, _heartbeat(backend, _load(0, 0)), now
+        )
         self._update_load(backend, _load(0, 0), now)
         if backend.warmup_left_s <= 0.0:
             # Placement ramps up load on a new server while its caches are cold; the
@@ -341,7 +343,7 @@
         load = msgspec.structs.replace(
             reported, capacity=places_at_pace(backend.places, reported.pace)
         )
-        self._servers.heard(
+        self._servers.record_heartbeat(
             backend.address, _heartbeat(backend, load, is_up=is_up), now
         )
 
