--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -163,7 +163,9 @@
         its name loses everything it ran, and these losses, noticed late, would eject
         the new incarnation for seconds.
         """
-        if not self._servers.is_living(reservation.address, reservation.incarnation):
+        if not self._servers.is_current_incarnation(
+            reservation.address, reservation.incarnation
+        ):
             return
         with self._lock:
             self._health.get(reservation.server).record_failure(monotonic())
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -185,7 +185,7 @@
             self._alive(server, now)
         return AgentRestarted(address, beat.incarnation) if restarted else None
 
-    def is_living(self, address: str, incarnation: str) -> bool:
+    def is_current_incarnation(self, address: str, incarnation: str) -> bool:
         """Return whether this life of the server there is not known to be over."""
         with self._lock:
             server = self._by_address.get(address)
