--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -141,7 +141,7 @@
 
     def release(self, reservation: Reservation) -> None:
         """Release a reservation and place waiting requests."""
-        self._servers.give_back(
+        self._servers.release_attempt(
             reservation.address, reservation.incarnation, suspect=reservation.is_suspect
         )
         self.place_waiting()
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -193,7 +193,7 @@
                 return True
             return server.last_heartbeat.incarnation == incarnation
 
-    def give_back(self, address: str, incarnation: str, *, suspect: bool) -> None:
+    def release_attempt(self, address: str, incarnation: str, *, suspect: bool) -> None:
         """End one attempt that was placed on this life of the server."""
         with self._lock:
             server = self._by_address.get(address)
