--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -89,13 +89,13 @@
                 | AttemptUnknown(),
                 OutgoingLink(address),
             ):
-                self._context.servers.alive(address, monotonic())
+                self._context.servers.record_activity(address, monotonic())
                 key = AttemptKey(message.request_id, message.attempt)
                 self._context.inboxes.deliver(key, message)
             case RunningAttempts(attempts), OutgoingLink(address):
                 self._on_running(address, message, attempts)
             case TombstoneReply(claim_id), OutgoingLink(address):
-                self._context.servers.alive(address, monotonic())
+                self._context.servers.record_activity(address, monotonic())
                 self._context.inboxes.deliver_to_claim(claim_id, message)
             case _:
                 self._on_peer_message(link, message)
@@ -106,7 +106,7 @@
         message: RunningAttempts,
         attempts: tuple[tuple[str, int], ...],
     ) -> None:
-        self._context.servers.alive(address, monotonic())
+        self._context.servers.record_activity(address, monotonic())
         for request_id, attempt in attempts:
             self._context.inboxes.deliver(AttemptKey(request_id, attempt), message)
 
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -207,7 +207,7 @@
                     0, server.ended_incarnation_in_flight - 1
                 )
 
-    def alive(self, address: str, now: float) -> None:
+    def record_activity(self, address: str, now: float) -> None:
         """Note any other sign of life from the agent."""
         with self._lock:
             server = self._by_address.get(address)
