--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -189,7 +189,7 @@
 
     def on_tick(self, now: float) -> None:
         """Look for silent links; send heartbeats when it is time."""
-        for finding in self._context.servers.check(now):
+        for finding in self._context.servers.check_liveness(now):
             self._on_finding(finding)
         if now - self._beat_at >= self._context.settings.timings.heartbeat_s:
             self._beat_at = now
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -218,7 +218,7 @@
         server.last_heard_at = now
         server.is_timed_out = False
 
-    def check(self, now: float) -> tuple[LivenessEvent, ...]:
+    def check_liveness(self, now: float) -> tuple[LivenessEvent, ...]:
         """Return the links that went silent; called about every heartbeat.
 
         When this process itself was paused, everybody seems silent at once. The time
