--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -299,7 +299,7 @@
     def _get_heard_servers_by_name(self) -> dict[str, Server]:
         return {
             server.name: server
-            for server in self._servers.of_group(self._group.name)
+            for server in self._servers.list_by_group(self._group.name)
             if server.last_heartbeat is not None
         }
 
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -252,7 +252,7 @@
             return LinkSilent(server.instance.address)
         return None
 
-    def of_group(self, group: str) -> tuple[Server, ...]:
+    def list_by_group(self, group: str) -> tuple[Server, ...]:
         """Return the group's servers; read them under ``lock`` only."""
         return tuple(s for s in self._servers() if s.instance.group == group)
 
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -77,7 +77,7 @@
     def in_flight_requests(self, service: str) -> int:
         """Return the number of this entry's requests at the servers of a service."""
         with self._servers.lock:
-            return sum(one.in_flight for one in self._servers.of_group(service))
+            return sum(one.in_flight for one in self._servers.list_by_group(service))
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the server group in whose queue a service's requests wait."""
