--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -100,7 +100,7 @@
 
     def _status(self) -> StatusBody:
         now = monotonic()
-        servers = self._context.servers.all
+        servers = self._context.servers.servers
         return StatusBody(
             name=self._context.settings.name,
             manifest_version=self._keeper.version,
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -257,7 +257,7 @@
         return tuple(s for s in self._servers() if s.instance.group == group)
 
     @property
-    def all(self) -> tuple[Server, ...]:
+    def servers(self) -> tuple[Server, ...]:
         """Every server known."""
         with self._lock:
             return self._servers()
