--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -262,7 +262,7 @@
         with self._lock:
             return self._servers()
 
-    def by_name(self, name: str) -> Server | None:
+    def find_by_name(self, name: str) -> Server | None:
         """Return the server with that instance name."""
         with self._lock:
             return next((s for s in self._servers() if s.name == name), None)
