--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -88,7 +88,7 @@
         """
         if not self._request.route.repeatable:
             return False
-        server = self._context.servers.by_address(reader.inbox.address)
+        server = self._context.servers.find_by_address(reader.inbox.address)
         gone_s = self._context.settings.timings.gone_s
         return server is not None and monotonic() - server.last_heard_at > gone_s
 
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -218,7 +218,7 @@
         for inbox in self._context.inboxes.list_by_address(address):
             if inbox.incarnation != incarnation:
                 inbox.put(AgentGone("the agent restarted while it ran"))
-        server = self._context.servers.by_address(address)
+        server = self._context.servers.find_by_address(address)
         if server is not None:
             self._context.dispatchers.reset_server_health(
                 server.instance.group, server.name
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -267,7 +267,7 @@
         with self._lock:
             return next((s for s in self._servers() if s.name == name), None)
 
-    def by_address(self, address: str) -> Server | None:
+    def find_by_address(self, address: str) -> Server | None:
         """Return the server at that address."""
         return self._by_address.get(address)
 
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -115,7 +115,7 @@
             # Placement ramps up load on a new server while its caches are cold; the
             # platform reports that this one is warm.
             with self._servers.lock:
-                server = self._servers.by_address(backend.address)
+                server = self._servers.find_by_address(backend.address)
                 if server is not None:
                     server.first_heard_at = now - _WARM_UPTIME_S
         self._dispatchers.reset_server_health(backend.service, backend.instance)
@@ -157,7 +157,7 @@
         is no sign of a failure.
         """
         agent_at = self._agent_reported_at.get(place.address, float("-inf"))
-        server = self._servers.by_address(place.address)
+        server = self._servers.find_by_address(place.address)
         if (
             now - agent_at > _AGENT_REPORT_MAX_AGE_S
             or server is None
@@ -326,7 +326,7 @@
         for address, backend in tuple(self._backends_by_address.items()):
             agent_at = self._agent_reported_at.get(address, float("-inf"))
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
-                server = self._servers.by_address(address)
+                server = self._servers.find_by_address(address)
                 if server is not None:
                     load = _load(min(server.current_in_flight, backend.places), 0)
                     self._update_load(backend, load, now)
