--- a/src/kingcupwheel/entry/agent_reference.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -34,6 +34,6 @@
 
         servers.add_reference(self._instance, monotonic())
 
-    def end(self) -> None:
+    def release(self) -> None:
         """Let the agent be forgotten, unless it is used otherwise."""
         self._servers.remove_reference(self._instance.address)
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -175,7 +175,7 @@
 
         def close() -> None:
             self._context.inboxes.close(inbox)
-            visit.end()
+            visit.release()
 
         resolution = self._resolve_at_agent(held_claim, inbox, close)
         if not isinstance(resolution, EarlierRun):
