--- a/src/kingcupwheel/entry/agent_reference.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -13,7 +13,7 @@
     from kingcupwheel.entry.server_table import ServerTable
 
 
-class Visit:
+class AgentReference:
     """Keeps the agent that a claim names known until ``end``, once.
 
     An answer read from an agent that is not known would wait for ever if that agent
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -19,7 +19,7 @@
 from kingcupwheel.claims.records import Held
 from kingcupwheel.claims.records import claim_id_of
 from kingcupwheel.claims.store import new_nonce
-from kingcupwheel.entry.agent_reference import Visit
+from kingcupwheel.entry.agent_reference import AgentReference
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
 from kingcupwheel.entry.answer_reader import AnswerReader
@@ -171,7 +171,7 @@
         inbox = self._open_inbox(record)
         if inbox is None:
             return ClaimRefused(EARLIER_SEND_RUNNING)
-        visit = Visit(self._context.servers, record)
+        visit = AgentReference(self._context.servers, record)
 
         def close() -> None:
             self._context.inboxes.close(inbox)
