--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -123,7 +123,7 @@
         """
         request = self._request
         is_late = monotonic() >= request.deadline_at
-        is_caller_gone = self._watch.gone()
+        is_caller_gone = self._watch.is_closed()
         if request.route.repeatable or not is_running:
             if is_late or is_caller_gone:
                 reader.cancel()
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -151,7 +151,7 @@
                     return step
                 case AnswerEnded():
                     return step
-            if self._watch.gone():
+            if self._watch.is_closed():
                 self._handle_caller_left()
                 return None
 
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -115,7 +115,7 @@
             result = ticket.wait(CALLER_POLL_INTERVAL_S)
             if result is not None:
                 return result
-            if self._watch.gone():
+            if self._watch.is_closed():
                 dispatcher.withdraw(ticket)
                 self._watch.raise_gone()
             dispatcher.place_waiting()
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -13,7 +13,7 @@
 class CallerWatch(Protocol):
     """Looks at the caller's connection."""
 
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Return True once the caller has closed its connection."""
 
     def raise_gone(self) -> NoReturn:
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -71,7 +71,7 @@
         self._agent_refusal_count += 1
         if (
             self._is_past_deadline
-            or self._watch.gone()
+            or self._watch.is_closed()
             or self._agent_refusal_count > MAX_AGENT_REFUSALS
         ):
             message = f"The last server asked did not take it: {reason.value}."
