--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -117,7 +117,7 @@
                 return result
             if self._watch.is_closed():
                 dispatcher.withdraw(ticket)
-                self._watch.raise_gone()
+                self._watch.raise_disconnected()
             dispatcher.place_waiting()
 
     def _record_reservation(self, reservation: Reservation) -> None:
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -16,7 +16,7 @@
     def is_closed(self) -> bool:
         """Return True once the caller has closed its connection."""
 
-    def raise_gone(self) -> NoReturn:
+    def raise_disconnected(self) -> NoReturn:
         """Raise CallerGoneError."""
 
 
