--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -26,7 +26,7 @@
     def __init__(self, connection: socket.socket | None) -> None:
         self._connection = connection
 
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Return True once the peer has closed or reset the connection.
 
         Bytes that wait to be read are a further request, not an end.
