--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -41,6 +41,6 @@
         except (OSError, ValueError):
             return True
 
-    def raise_gone(self) -> NoReturn:
+    def raise_disconnected(self) -> NoReturn:
         """Raise CallerGoneError."""
         raise CallerDisconnectedError("the caller closed its connection")
