--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_assembler import AnswerStep
     from kingcupwheel.entry.answer_reader import AnswerReader
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
 
@@ -41,7 +41,7 @@
     """Waits for the head of one request's answer; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerWatch
+        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
     ) -> None:
         self._context = context
         self._request = request
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -28,7 +28,7 @@
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
     from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
 
@@ -56,7 +56,7 @@
         context: EntryContext,
         admitted: AdmittedRequest,
         reader: AnswerReader,
-        watch: CallerWatch,
+        watch: CallerConnection,
         reservation: Reservation | None,
         on_end: Callable[[], None],
     ) -> None:
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.records import Held
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
 
@@ -50,7 +50,7 @@
     """Starts the attempts of one request; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
+        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerConnection
     ) -> None:
         self._context = context
         self._admitted = admitted
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -10,7 +10,7 @@
 from kingcupwheel.entry.exceptions import CallerDisconnectedError
 
 
-class CallerWatch(Protocol):
+class CallerConnection(Protocol):
     """Looks at the caller's connection."""
 
     def is_closed(self) -> bool:
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -37,7 +37,7 @@
     from kingcupwheel.entry.answer_head_waiter import HeadWaitResult
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
@@ -52,7 +52,7 @@
     """Runs one request up to its answer or final refusal; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerWatch
+        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
     ) -> None:
         self._context = context
         self._request = request
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.attempt_dispatcher import AttemptDispatcher
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
@@ -33,7 +33,7 @@
     """Counts one request's failed attempts and limits its retries; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerWatch
+        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
     ) -> None:
         self._context = context
         self._request = request
--- a/tests/entry/test_answer_head_waiter.py
+++ b/tests/entry/test_answer_head_waiter.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_reader import AnswerReader
-    from kingcupwheel.entry.caller_connection import CallerWatch
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
 
