--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from kingcupwheel.entry.caller_connection import SocketWatch
+from kingcupwheel.entry.caller_connection import CallerSocket
 from kingcupwheel.entry.http_exchange import DISCARD_CHUNK_BYTES
 from kingcupwheel.entry.http_exchange import HttpExchange
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
@@ -138,7 +138,7 @@
         if parsed.is_error():
             return exchange.refuse(parsed.error)
         self._record_received(parsed.ok)
-        watch = SocketWatch(exchange.socket)
+        watch = CallerSocket(exchange.socket)
         return exchange.send_answer(
             RequestRunner(self._context, parsed.ok, watch).run()
         )
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -20,7 +20,7 @@
         """Raise CallerGoneError."""
 
 
-class SocketWatch:
+class CallerSocket:
     """Watches a caller's socket without reading from it."""
 
     def __init__(self, connection: socket.socket | None) -> None:
