--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -41,11 +41,14 @@
     """Waits for the head of one request's answer; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
+        self,
+        context: EntryContext,
+        request: CallerRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._request = request
-        self._watch = watch
+        self._connection = connection
 
     def wait(
         self, reader: AnswerReader, first_step: AnswerStep | None = None
@@ -123,7 +126,7 @@
         """
         request = self._request
         is_late = monotonic() >= request.deadline_at
-        is_caller_gone = self._watch.is_closed()
+        is_caller_gone = self._connection.is_closed()
         if request.route.repeatable or not is_running:
             if is_late or is_caller_gone:
                 reader.cancel()
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -56,14 +56,14 @@
         context: EntryContext,
         admitted: AdmittedRequest,
         reader: AnswerReader,
-        watch: CallerConnection,
+        connection: CallerConnection,
         reservation: Reservation | None,
         on_end: Callable[[], None],
     ) -> None:
         self._context = context
         self._admitted = admitted
         self._reader = reader
-        self._watch = watch
+        self._connection = connection
         self._reservation = reservation
         self._on_end = on_end
         self._status = 0
@@ -151,7 +151,7 @@
                     return step
                 case AnswerEnded():
                     return step
-            if self._watch.is_closed():
+            if self._connection.is_closed():
                 self._handle_caller_left()
                 return None
 
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -37,7 +37,7 @@
 
 PAGES_PREFIX = "/kingcupwheel/"
 # How long a refused caller is still listened to, in longest bodies.
-_DISCARDED_BODIES = 2
+_MAX_DISCARDED_BODIES = 2
 
 
 class Application:
@@ -46,14 +46,14 @@
     def __init__(
         self,
         context: EntryContext,
-        in_force: Callable[[], InForce | None],
-        pages: CallerPages,
+        get_in_force: Callable[[], InForce | None],
+        caller_pages: CallerPages,
     ) -> None:
         self._context = context
-        self._in_force = in_force
-        self._pages = pages
+        self._get_in_force = get_in_force
+        self._caller_pages = caller_pages
         self._in_progress = 0
-        self._closed = False
+        self._is_closed = False
         self._lock = Lock()
 
     @property
@@ -63,7 +63,7 @@
 
     def stop_accepting(self) -> None:
         """Refuse every request from now on; those in progress go on."""
-        self._closed = True
+        self._is_closed = True
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -72,7 +72,7 @@
         exchange = HttpExchange(self._context, environ, start_response)
         if self._context.leaving.is_set():
             exchange.close_connection_after()
-        if not self._enter():
+        if not self._try_begin_request():
             # The server would read whatever body comes before the next request; here
             # it is not even listened to, because few threads are left.
             exchange.close_connection_after()
@@ -80,41 +80,41 @@
         try:
             body = self._answer(exchange)
         except BaseException:
-            self._leave()
+            self._end_request()
             raise
-        return self._until_sent(body)
+        return self._yield_in_progress(body)
 
-    def _enter(self) -> bool:
+    def _try_begin_request(self) -> bool:
         with self._lock:
             if self._in_progress >= self._context.settings.entry.threads:
                 return False
             self._in_progress += 1
         return True
 
-    def _leave(self) -> None:
+    def _end_request(self) -> None:
         with self._lock:
             self._in_progress -= 1
 
-    def _until_sent(self, body: Iterable[bytes]) -> Iterator[bytes]:
+    def _yield_in_progress(self, body: Iterable[bytes]) -> Iterator[bytes]:
         """Yield ``body``; the request counts as in progress until it is sent."""
         try:
             yield from body
         finally:
-            self._leave()
+            self._end_request()
 
     def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
         limits = self._context.settings.entry
-        in_force = self._in_force()
-        if self._closed or in_force is None:
+        in_force = self._get_in_force()
+        if self._is_closed or in_force is None:
             exchange.discard_body(limits.body_bytes)
-            return exchange.refuse(ENTRY_LEAVING if self._closed else NO_MANIFEST)
+            return exchange.refuse(ENTRY_LEAVING if self._is_closed else NO_MANIFEST)
         refusal = check_sizes(
             exchange.headers,
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
         )
         if refusal is not None:
-            exchange.discard_body(_DISCARDED_BODIES * limits.body_bytes)
+            exchange.discard_body(_MAX_DISCARDED_BODIES * limits.body_bytes)
             return exchange.refuse(refusal)
         found = authenticate_organisation(exchange.headers, in_force)
         if found.is_error():
@@ -122,7 +122,7 @@
             exchange.discard_body(DISCARD_CHUNK_BYTES)
             return exchange.refuse(found.error)
         if exchange.path.startswith(PAGES_PREFIX):
-            page = self._pages.get_page(exchange.method, exchange.path, found.ok)
+            page = self._caller_pages.get_page(exchange.method, exchange.path, found.ok)
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
         body = exchange.read_body(limits.body_bytes)
         if body is None:
@@ -133,7 +133,7 @@
             found.ok,
             in_force,
             request_id=exchange.request_id,
-            now=exchange.received_at,
+            received_at=exchange.received_at,
         )
         if parsed.is_error():
             return exchange.refuse(parsed.error)
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -50,11 +50,14 @@
     """Starts the attempts of one request; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerConnection
+        self,
+        context: EntryContext,
+        admitted: AdmittedRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._watch = watch
+        self._connection = connection
         self._count = 0
         self._excluded_servers: frozenset[str] = frozenset()
 
@@ -115,9 +118,9 @@
             result = ticket.wait(CALLER_POLL_INTERVAL_S)
             if result is not None:
                 return result
-            if self._watch.is_closed():
+            if self._connection.is_closed():
                 dispatcher.withdraw(ticket)
-                self._watch.raise_disconnected()
+                self._connection.raise_disconnected()
             dispatcher.place_waiting()
 
     def _record_reservation(self, reservation: Reservation) -> None:
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -54,50 +54,54 @@
     """Answers an organisation's questions about itself."""
 
     def __init__(
-        self, recorder: Recorder, membership: Membership, *, keep_s: float
+        self, recorder: Recorder, membership: Membership, *, address_ttl_s: float
     ) -> None:
         self._recorder = recorder
         self._membership = membership
-        self._keep_s = keep_s
+        self._address_ttl_s = address_ttl_s
 
     def get_page(self, method: str, path: str, organisation: Organisation) -> JsonPage:
         """Return the page at ``path``, which begins with the entry's own prefix."""
         if method != "GET":
-            return _error(405, "bad-method", "These pages are only read.")
+            return _build_error_page(405, "bad-method", "These pages are only read.")
         if path == _ENTRIES_PATH:
-            return self._entries(organisation)
+            return self._build_entries_page(organisation)
         if path.startswith(_REQUESTS_PATH):
-            return self._request(path[len(_REQUESTS_PATH) :], organisation)
-        return _error(404, "no-page", "There is no such page.")
+            return self._build_request_page(path[len(_REQUESTS_PATH) :], organisation)
+        return _build_error_page(404, "no-page", "There is no such page.")
 
-    def _entries(self, organisation: Organisation) -> JsonPage:
+    def _build_entries_page(self, organisation: Organisation) -> JsonPage:
         addresses = self._membership.list_caller_addresses(organisation, monotonic())
         entries = [f"http://{address}" for address in addresses]
-        return JsonPage(200, EntriesBody(entries=entries, keep_s=self._keep_s))
+        return JsonPage(200, EntriesBody(entries=entries, keep_s=self._address_ttl_s))
 
-    def _request(self, request_id: str, organisation: Organisation) -> JsonPage:
+    def _build_request_page(
+        self, request_id: str, organisation: Organisation
+    ) -> JsonPage:
         # A caller learns nothing of other organisations' requests, not even whether an
         # id exists.
         events = self._recorder.events(request_id)
-        if not _belongs(events, organisation):
-            return _error(404, "no-request", "This entry knows no such request.")
-        return JsonPage(200, _body(request_id, events))
+        if not _is_sent_by(events, organisation):
+            return _build_error_page(
+                404, "no-request", "This entry knows no such request."
+            )
+        return JsonPage(200, _build_request_body(request_id, events))
 
 
-def _belongs(events: tuple[TraceEvent, ...], organisation: Organisation) -> bool:
+def _is_sent_by(events: tuple[TraceEvent, ...], organisation: Organisation) -> bool:
     return any(
         isinstance(one.event, Received) and one.event.organisation == organisation.name
         for one in events
     )
 
 
-def _body(request_id: str, events: tuple[TraceEvent, ...]) -> RequestBody:
+def _build_request_body(request_id: str, events: tuple[TraceEvent, ...]) -> RequestBody:
     body = RequestBody(
         request_id=request_id,
         outcome=None,
         status=None,
         reason="in progress",
-        story=[_told(one, events) for one in events if _is_for_callers(one)],
+        story=[_describe(one, events) for one in events if _is_visible_to_callers(one)],
     )
     for one in events:
         if isinstance(one.event, Finished):
@@ -107,14 +111,14 @@
     return body
 
 
-def _is_for_callers(one: TraceEvent) -> bool:
+def _is_visible_to_callers(one: TraceEvent) -> bool:
     # Where a request was placed, and the load of servers, are the operators' business.
     return not isinstance(one.event, Placed | Dispatched | Admitted)
 
 
-def _told(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
+def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
     return sentence(one, entry=one.process, arrived=events[0].at)
 
 
-def _error(status: int, reason: str, message: str) -> JsonPage:
+def _build_error_page(status: int, reason: str, message: str) -> JsonPage:
     return JsonPage(status, {"error": {"reason": reason, "message": message}})
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -61,20 +61,20 @@
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
         )
-        self._recording = EntryTelemetry(
+        self._telemetry = EntryTelemetry(
             settings,
             client,
             metrics,
-            traces_retention_s=lambda: self._kept().traces_h * _HOUR_S,
+            traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
         )
         self._retention = ClaimRetention(
-            client, retention_s=lambda: self._kept().claims_h * _HOUR_S
+            client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
         )
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = RequestLimiter(lambda one: self._sharing.get_initial_share(one))
+        limits = RequestLimiter(lambda one: self._balancer.get_initial_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
@@ -84,8 +84,8 @@
             limiter=limits,
             claims=ClaimStore(client),
             retention=self._retention,
-            recorder=self._recording.recorder,
-            outcome_counter=self._recording.outcome_counter,
+            recorder=self._telemetry.recorder,
+            outcome_counter=self._telemetry.outcome_counter,
             leaving=self._leaving,
         )
         fetcher = ManifestFetcher(self._hub)
@@ -101,43 +101,43 @@
             servers,
             self._hub,
             leaving=self._leaving,
-            ask_seeds=self._ask_seeds,
+            request_from_seeds=self._request_instances_from_seeds,
         )
-        self._sharing = AllowanceBalancer(
+        self._balancer = AllowanceBalancer(
             settings.name,
             limits,
             self._membership,
             send=self._hub.send,
-            find_organisation=self._organisation_named,
+            find_organisation=self._find_organisation,
         )
         self._handler = MessageHandler(
             self._context,
             self._membership,
             self._keeper,
             fetcher,
-            self._recording.burn_counter,
-            self._sharing,
+            self._telemetry.burn_counter,
+            self._balancer,
         )
-        self._application = self._make_application()
-        self._http = HttpServer(
+        self._application = self._build_application()
+        self._http_server = HttpServer(
             self._application,
             listen=settings.http,
             threads=settings.entry.threads + SPARE_THREADS,
             connections=settings.entry.connections,
             name=settings.name,
         )
-        self._operator_http = self._operator_server()
+        self._operator_http_server = self._build_operator_server()
 
-    def _make_application(self) -> Application:
+    def _build_application(self) -> Application:
         # Callers keep an answer for less than a leaving entry goes on accepting.
         pages = CallerPages(
-            self._recording.recorder,
+            self._telemetry.recorder,
             self._membership,
-            keep_s=self._settings.timings.leave_s / 2,
+            address_ttl_s=self._settings.timings.leave_s / 2,
         )
         return Application(self._context, lambda: self._keeper.current, pages)
 
-    def _operator_server(self) -> HttpServer | None:
+    def _build_operator_server(self) -> HttpServer | None:
         if not self._settings.operator_http:
             return None
         pages = OperatorPages(
@@ -154,20 +154,20 @@
     @property
     def port(self) -> int:
         """The port for callers."""
-        return self._http.port
+        return self._http_server.port
 
     def start(self) -> None:
         """Bind, then start every part."""
-        self._http.bind()
-        if self._operator_http is not None:
-            self._operator_http.bind()
-            self._operator_http.start()
+        self._http_server.bind()
+        if self._operator_http_server is not None:
+            self._operator_http_server.bind()
+            self._operator_http_server.start()
         self._hub.start()
         self._keeper.start()
         self._membership.start()
-        self._recording.start()
+        self._telemetry.start()
         self._retention.start()
-        self._http.start()
+        self._http_server.start()
         logger.info("Serving callers on port %d.", self.port)
 
     def reload(self, settings: Settings) -> None:
@@ -182,21 +182,21 @@
         self._leaving.set()
         self._handler.announce_leaving()
         logger.info("Leaving; %d in progress.", self._application.in_progress_count)
-        self._wait_for_callers()
+        self._wait_for_address_refresh()
         self._application.stop_accepting()
         while self._application.in_progress_count:
             Event().wait(_DRAIN_CHECK_S)
-        self._http.stop()
-        if self._operator_http is not None:
-            self._operator_http.stop()
+        self._http_server.stop()
+        if self._operator_http_server is not None:
+            self._operator_http_server.stop()
         self._membership.stop()
         self._keeper.stop()
         self._retention.stop()
-        self._recording.stop()
+        self._telemetry.stop()
         self._hub.stop()
         logger.info("Stopped.")
 
-    def _wait_for_callers(self) -> None:
+    def _wait_for_address_refresh(self) -> None:
         # Callers keep addresses for a while; until they have asked again, a refusal
         # here would cost them a retry for nothing.
         Event().wait(self._settings.timings.leave_s)
@@ -208,17 +208,17 @@
         self._handler.on_tick(now)
 
     def _on_manifest(self, in_force: InForce) -> None:
-        self._recording.set_manifest(in_force, self._context.inboxes.request_ids)
+        self._telemetry.set_manifest(in_force, self._context.inboxes.request_ids)
 
-    def _organisation_named(self, name: str) -> Organisation | None:
+    def _find_organisation(self, name: str) -> Organisation | None:
         in_force = self._keeper.current
         return None if in_force is None else in_force.organisations_by_name.get(name)
 
-    def _kept(self) -> Retention:
+    def _get_retention(self) -> Retention:
         in_force = self._keeper.current
         return Retention() if in_force is None else in_force.retention
 
-    def _ask_seeds(self) -> None:
+    def _request_instances_from_seeds(self) -> None:
         for address in self._settings.seeds:
             self._hub.send(
                 OutgoingLink(address, 0), InstancesRequest(self._settings.name)
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -142,7 +142,9 @@
     def release(self, reservation: Reservation) -> None:
         """Release a reservation and place waiting requests."""
         self._servers.release_attempt(
-            reservation.address, reservation.incarnation, suspect=reservation.is_suspect
+            reservation.address,
+            reservation.incarnation,
+            is_suspect=reservation.is_suspect,
         )
         self.place_waiting()
 
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -28,21 +28,21 @@
 _MAX_HEAD_BYTES = 262_144
 
 
-class _Gateway(wsgi.Gateway_10):
+class _CallerGateway(wsgi.Gateway_10):
     """Lets the application look at the caller's socket and end the connection."""
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
         """Return the environment with the keys of this module."""
         environ: dict[str, Any] = super().get_environ()  # type: ignore[no-untyped-call]
         environ[SOCKET_ENVIRON_KEY] = self.req.conn.socket
-        environ[CLOSE_ENVIRON_KEY] = self._close
+        environ[CLOSE_ENVIRON_KEY] = self._close_connection_after
         return environ
 
-    def _close(self) -> None:
+    def _close_connection_after(self) -> None:
         self.req.close_connection = True
 
 
-class _Server(wsgi.Server):
+class _LoggingServer(wsgi.Server):
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
@@ -66,7 +66,7 @@
         host, _, port = listen.rpartition(":")
         self._listen = listen
         self._threads = threads
-        self._server = _Server(
+        self._server = _LoggingServer(
             (host, int(port)),
             application,
             numthreads=threads,
@@ -75,7 +75,7 @@
             timeout=_SOCKET_TIMEOUT_S,
             shutdown_timeout=_SOCKET_TIMEOUT_S,
         )
-        self._server.gateway = _Gateway
+        self._server.gateway = _CallerGateway
         self._server.keep_alive_conn_limit = connections
         self._server.max_request_header_size = _MAX_HEAD_BYTES
         self._thread = Thread(target=self._serve, name=f"http-{name}", daemon=True)
--- a/src/kingcupwheel/entry/manifest_fetcher.py
+++ b/src/kingcupwheel/entry/manifest_fetcher.py
@@ -29,24 +29,26 @@
 
     def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
-        self._found: SimpleQueue[ManifestObject] = SimpleQueue()
+        self._objects: SimpleQueue[ManifestObject] = SimpleQueue()
         self._lock = Lock()
 
     def put_object(self, message: ManifestObject) -> None:
         """Take a peer's answer; called on the hub's thread."""
-        self._found.put(message)
+        self._objects.put(message)
 
     def fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         """Return the peer's answer, or why there is none."""
         with self._lock:
             self._hub.send(OutgoingLink(address, 0), ManifestRequest(key))
-            return self._wait(address, key)
+            return self._wait_for_object(address, key)
 
-    def _wait(self, address: str, key: str) -> Result[ManifestObject | None, str]:
+    def _wait_for_object(
+        self, address: str, key: str
+    ) -> Result[ManifestObject | None, str]:
         until = monotonic() + _PEER_TIMEOUT_S
         while True:
             try:
-                answer = self._found.get(timeout=max(0.0, until - monotonic()))
+                answer = self._objects.get(timeout=max(0.0, until - monotonic()))
             except Empty:
                 return Error(f"{address} did not answer in {_PEER_TIMEOUT_S} s")
             if answer.key == key:
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -29,10 +29,10 @@
 
 # Peers an entry exchanges heartbeats with: with four of each, news passes through 370
 # entries in about five rounds, at four messages a second.
-_PEERS = 4
+_PEER_COUNT = 4
 # How long a list of live entries is used: less than a heartbeat, so that a leaving
 # entry drops out of what callers are told at once.
-_LIVE_FOR_S = 0.2
+_LIVE_ENTRIES_TTL_S = 0.2
 
 
 class Membership:
@@ -50,22 +50,22 @@
         hub: MessageHub,
         *,
         leaving: Event,
-        ask_seeds: Callable[[], None],
+        request_from_seeds: Callable[[], None],
     ) -> None:
         self._settings = settings
         self._client = client
         self._servers = servers
         self._hub = hub
         self._leaving = leaving
-        self._ask_seeds = ask_seeds
+        self._request_from_seeds = request_from_seeds
         self._instances: tuple[Instance, ...] = ()
         self._address_by_name: dict[str, str] = {}
-        self._chosen: tuple[Instance, ...] = ()
-        self._peer_heard_at: dict[str, float] = {}
+        self._selected_agents: tuple[Instance, ...] = ()
+        self._heard_at_by_peer: dict[str, float] = {}
         self._leaving_peers: set[str] = set()
         self._senders: frozenset[str] = frozenset()
-        self._live: tuple[subset_selection.Instance, ...] = ()
-        self._live_at = float("-inf")
+        self._live_entries: tuple[subset_selection.Instance, ...] = ()
+        self._live_entries_at = float("-inf")
         self._members_by_organisation: dict[tuple[str, Allowance], tuple[str, ...]] = {}
         self._lock = Lock()
         self._stopping = Event()
@@ -92,17 +92,17 @@
     def _run(self) -> None:
         period_s = self._settings.timings.instances_s
         while not self._stopping.is_set():
-            self._read()
+            self._refresh()
             # Spread, so that a fleet started together does not read together.
             self._stopping.wait(period_s * random.uniform(0.8, 1.2))
 
-    def _read(self) -> None:
+    def _refresh(self) -> None:
         found = self._client.instances()
         if found.is_ok():
             self.set_instances(found.ok)
         elif not self._instances:
             logger.warning("No list of instances yet; asking the seeds.")
-            self._ask_seeds()
+            self._request_from_seeds()
 
     def set_instances(self, instances: tuple[Instance, ...]) -> None:
         """Use this list from now on.
@@ -114,12 +114,14 @@
             if instances != self._instances:
                 self._instances = instances
                 self._address_by_name = {one.name: one.address for one in instances}
-                self._chosen = self._choose()
-                self._expect(self._find_senders())
-            for address in self._servers.set_instances(self._chosen, monotonic()):
+                self._selected_agents = self._select_agents()
+                self._set_senders(self._find_senders())
+            for address in self._servers.set_instances(
+                self._selected_agents, monotonic()
+            ):
                 self._hub.disconnect(address)
 
-    def _expect(self, senders: frozenset[str]) -> None:
+    def _set_senders(self, senders: frozenset[str]) -> None:
         """Judge by their heartbeats only entries that send this one any.
 
         Failure: an entry joins, and the ring makes others send their heartbeats
@@ -127,30 +129,32 @@
         told. Those that begin to send have not been silent before.
         """
         for name in senders ^ self._senders:
-            self._peer_heard_at.pop(name, None)
+            self._heard_at_by_peer.pop(name, None)
             self._leaving_peers.discard(name)
         self._senders = senders
 
-    def _choose(self) -> tuple[Instance, ...]:
+    def _select_agents(self) -> tuple[Instance, ...]:
         """Return the agents to keep links to: a subset of each group's."""
         agents = [one for one in self._instances if one.role == "agent"]
         chosen: list[Instance] = []
         for group in sorted({one.group for one in agents}):
-            chosen.extend(self._subset([one for one in agents if one.group == group]))
+            chosen.extend(
+                self._select_subset([one for one in agents if one.group == group])
+            )
         return tuple(chosen)
 
-    def _subset(self, agents: list[Instance]) -> list[Instance]:
+    def _select_subset(self, agents: list[Instance]) -> list[Instance]:
         size = self._settings.entry.subset
         names = subset_selection.select_subset(
             self._settings.name,
-            self._entries_with_self(),
+            self._list_entries_with_self(),
             [subset_selection.Instance(one.name, one.data_centre) for one in agents],
             size,
         )
         wanted = set(names)
         return [one for one in agents if one.name in wanted]
 
-    def _entries_with_self(self) -> list[subset_selection.Instance]:
+    def _list_entries_with_self(self) -> list[subset_selection.Instance]:
         entries = [one for one in self._instances if _is_entry(one)]
         by_name = {one.name: one.data_centre for one in entries}
         by_name[self._settings.name] = self._settings.data_centre
@@ -165,21 +169,21 @@
         The next ones in a ring of names, so that the links form a connected whole.
         """
         entries = sorted(one for one in self._instances if _is_entry(one))
-        return _ring_after(entries, self._settings.name)[:_PEERS]
+        return _list_ring_successors(entries, self._settings.name)[:_PEER_COUNT]
 
     def _find_senders(self) -> frozenset[str]:
         """Return the entries that have this one among their peers."""
         entries = sorted(one for one in self._instances if _is_entry(one))
-        nearest_last = _ring_after(entries, self._settings.name)
-        return frozenset(one.name for one in nearest_last[-_PEERS:])
+        nearest_last = _list_ring_successors(entries, self._settings.name)
+        return frozenset(one.name for one in nearest_last[-_PEER_COUNT:])
 
-    def record_heartbeat(self, beat: PeerHeartbeat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: PeerHeartbeat, now: float) -> None:
         """Take in a peer's heartbeat."""
-        self._peer_heard_at[beat.name] = now
-        if beat.leaving:
-            self._leaving_peers.add(beat.name)
+        self._heard_at_by_peer[heartbeat.name] = now
+        if heartbeat.leaving:
+            self._leaving_peers.add(heartbeat.name)
         else:
-            self._leaving_peers.discard(beat.name)
+            self._leaving_peers.discard(heartbeat.name)
 
     def list_caller_addresses(
         self, organisation: Organisation, now: float
@@ -200,7 +204,7 @@
             return False
         if one.name not in self._senders:
             return True
-        heard_at = self._peer_heard_at.get(one.name)
+        heard_at = self._heard_at_by_peer.get(one.name)
         return heard_at is None or now - heard_at < self._settings.timings.gone_s
 
     def list_members(self, organisation: Organisation, now: float) -> tuple[str, ...]:
@@ -209,7 +213,7 @@
         Worked out anew only when the live entries change: ranking 370 entries for each
         of some hundred organisations every second would use up the budget for control.
         """
-        live = self._live_entries(now)
+        live = self._list_live_entries(now)
         key = (organisation.name, organisation.allowance)
         members = self._members_by_organisation.get(key)
         if members is None:
@@ -222,17 +226,17 @@
             self._members_by_organisation[key] = members
         return members
 
-    def _live_entries(self, now: float) -> tuple[subset_selection.Instance, ...]:
-        if now - self._live_at < _LIVE_FOR_S:
-            return self._live
+    def _list_live_entries(self, now: float) -> tuple[subset_selection.Instance, ...]:
+        if now - self._live_entries_at < _LIVE_ENTRIES_TTL_S:
+            return self._live_entries
         live = tuple(
             subset_selection.Instance(one.name, one.data_centre)
             for one in self._instances
             if self._is_live(one, now)
         )
-        self._live_at = now
-        if live != self._live:
-            self._live = live
+        self._live_entries_at = now
+        if live != self._live_entries:
+            self._live_entries = live
             self._members_by_organisation = {}
         return live
 
@@ -241,7 +245,7 @@
     return one.role == "entry"
 
 
-def _ring_after(entries: list[Instance], name: str) -> tuple[Instance, ...]:
+def _list_ring_successors(entries: list[Instance], name: str) -> tuple[Instance, ...]:
     """Return the other entries in the order of names, from ``name`` on and around."""
     after = [one for one in entries if one.name > name]
     before = [one for one in entries if one.name < name]
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -63,23 +63,23 @@
         context: EntryContext,
         membership: Membership,
         keeper: ManifestKeeper,
-        fetcher: ManifestFetcher,
-        burn: BurnCounter,
-        sharing: AllowanceBalancer,
+        manifest_fetcher: ManifestFetcher,
+        burn_counter: BurnCounter,
+        balancer: AllowanceBalancer,
     ) -> None:
         self._context = context
         self._membership = membership
         self._keeper = keeper
-        self._fetcher = fetcher
-        self._burn = burn
-        self._sharing = sharing
-        self._beat_at = 0.0
+        self._manifest_fetcher = manifest_fetcher
+        self._burn_counter = burn_counter
+        self._balancer = balancer
+        self._last_heartbeat_at = 0.0
 
     def on_message(self, link: Link, message: Message) -> None:
         """Take one message."""
         match message, link:
             case AgentHeartbeat(), OutgoingLink(address):
-                self._on_beat(address, message)
+                self._on_agent_heartbeat(address, message)
             case (
                 AttemptAccepted()
                 | ResponseHead()
@@ -93,14 +93,14 @@
                 key = AttemptKey(message.request_id, message.attempt)
                 self._context.inboxes.deliver(key, message)
             case RunningAttempts(attempts), OutgoingLink(address):
-                self._on_running(address, message, attempts)
+                self._on_running_attempts(address, message, attempts)
             case TombstoneReply(claim_id), OutgoingLink(address):
                 self._context.servers.record_activity(address, monotonic())
                 self._context.inboxes.deliver_to_claim(claim_id, message)
             case _:
                 self._on_peer_message(link, message)
 
-    def _on_running(
+    def _on_running_attempts(
         self,
         address: str,
         message: RunningAttempts,
@@ -114,70 +114,74 @@
         send = self._context.hub.send
         match message:
             case PeerHeartbeat():
-                self._on_peer_beat(link, message)
+                self._on_peer_heartbeat(link, message)
             case ManifestRequest(key):
                 send(link, self._keeper.object_for(key))
             case ManifestObject():
-                self._fetcher.put_object(message)
+                self._manifest_fetcher.put_object(message)
             case InstancesReply(instances):
                 self._on_instances(instances)
             case ShareHeartbeat():
-                self._sharing.handle_heartbeat(message, monotonic())
+                self._balancer.handle_heartbeat(message, monotonic())
             case Hello():
                 pass
             case _:
-                self._on_question(link, message)
+                self._on_request(link, message)
 
-    def _on_question(self, link: Link, message: Message) -> None:
+    def _on_request(self, link: Link, message: Message) -> None:
         send = self._context.hub.send
         match message:
             case TraceRequest(request_id):
                 send(link, self._context.recorder.found(request_id))
             case BurnRequest():
-                send(link, self._burn.found(now=time.time()))
+                send(link, self._burn_counter.found(now=time.time()))
             case StatusRequest():
-                send(link, self._status())
+                send(link, self._build_status_reply())
             case InstancesRequest():
-                send(link, self._instances())
+                send(link, self._build_instances_reply())
             case _:
                 logger.warning("Message %s not expected.", type(message).__name__)
 
-    def _on_beat(self, address: str, beat: AgentHeartbeat) -> None:
-        restarted = self._context.servers.record_heartbeat(address, beat, monotonic())
+    def _on_agent_heartbeat(self, address: str, heartbeat: AgentHeartbeat) -> None:
+        restarted = self._context.servers.record_heartbeat(
+            address, heartbeat, monotonic()
+        )
         if restarted is not None:
-            self._on_finding(restarted)
-        if beat.crashed:
-            self._context.limiter.record_crashes(beat.crashed)
-        self._keeper.heard(beat.manifest_version, "", address)
-        self._context.dispatchers.place_waiting(beat.group)
-
-    def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
-        self._membership.record_heartbeat(beat, monotonic())
-        if beat.crashed:
-            self._context.limiter.record_crashes(beat.crashed)
+            self._on_liveness_event(restarted)
+        if heartbeat.crashed:
+            self._context.limiter.record_crashes(heartbeat.crashed)
+        self._keeper.heard(heartbeat.manifest_version, "", address)
+        self._context.dispatchers.place_waiting(heartbeat.group)
+
+    def _on_peer_heartbeat(self, link: Link, heartbeat: PeerHeartbeat) -> None:
+        self._membership.record_heartbeat(heartbeat, monotonic())
+        if heartbeat.crashed:
+            self._context.limiter.record_crashes(heartbeat.crashed)
         if isinstance(link, OutgoingLink):
             address = link.address
         else:
-            address = self._membership.find_address(beat.name)
-        self._keeper.heard(beat.manifest_version, beat.manifest_digest, address)
+            address = self._membership.find_address(heartbeat.name)
+        self._keeper.heard(
+            heartbeat.manifest_version, heartbeat.manifest_digest, address
+        )
         # An entry that started in an outage is on nobody's list, so nobody sends it
         # heartbeats; without an answer it would never hear of the manifest.
         if (
             isinstance(link, IncomingLink)
-            and beat.manifest_version < self._keeper.version
+            and heartbeat.manifest_version < self._keeper.version
         ):
-            self._context.hub.send(link, self._peer_beat())
+            self._context.hub.send(link, self._build_peer_heartbeat())
 
     def _on_instances(self, infos: tuple[InstanceInfo, ...]) -> None:
         if not self._membership.instances:
             instances = tuple(Instance(*msgspec.structs.astuple(one)) for one in infos)
             self._membership.set_instances(instances)
 
-    def _instances(self) -> InstancesReply:
+    def _build_instances_reply(self) -> InstancesReply:
         infos = tuple(InstanceInfo(*one) for one in self._membership.instances)
         return InstancesReply(infos)
 
-    def _status(self) -> StatusReply:
+    def _build_status_reply(self) -> StatusReply:
         settings = self._context.settings
         return StatusReply(
             settings.name,
@@ -190,15 +194,15 @@
     def on_tick(self, now: float) -> None:
         """Look for silent links; send heartbeats when it is time."""
         for finding in self._context.servers.check_liveness(now):
-            self._on_finding(finding)
-        if now - self._beat_at >= self._context.settings.timings.heartbeat_s:
-            self._beat_at = now
-            self._sharing.update_shares(now)
-            self._send_beats()
+            self._on_liveness_event(finding)
+        if now - self._last_heartbeat_at >= self._context.settings.timings.heartbeat_s:
+            self._last_heartbeat_at = now
+            self._balancer.update_shares(now)
+            self._send_heartbeats()
 
-    def _on_finding(self, finding: LivenessEvent) -> None:
+    def _on_liveness_event(self, event: LivenessEvent) -> None:
         inboxes = self._context.inboxes
-        match finding:
+        match event:
             case LinkSilent(address):
                 logger.warning("Link to %s is silent; opening a new one.", address)
                 self._context.hub.reconnect(address)
@@ -224,7 +228,7 @@
                 server.instance.group, server.name
             )
 
-    def _send_beats(self) -> None:
+    def _send_heartbeats(self) -> None:
         context = self._context
         version, digest = self._keeper.version, self._keeper.digest
         leaving = context.leaving.is_set()
@@ -232,11 +236,11 @@
         hello = Hello(name, data_centre, version, digest, leaving)
         for address in context.servers.addresses:
             context.hub.send(OutgoingLink(address, 0), hello)
-        beat = self._peer_beat()
+        beat = self._build_peer_heartbeat()
         for peer in self._membership.peers:
             context.hub.send(OutgoingLink(peer.address, 0), beat)
 
-    def _peer_beat(self) -> PeerHeartbeat:
+    def _build_peer_heartbeat(self) -> PeerHeartbeat:
         context = self._context
         return PeerHeartbeat(
             context.settings.name,
@@ -249,4 +253,4 @@
 
     def announce_leaving(self) -> None:
         """Tell agents and peers at once that this entry leaves."""
-        self._beat_at = 0.0
+        self._last_heartbeat_at = 0.0
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -20,9 +20,9 @@
     from kingcupwheel.manifest.keeper import ManifestKeeper
 
 OPERATOR_THREADS = 4
-_HEALTH = "/health"
-_STATUS = "/status"
-_TRACES = "/trace/"
+_HEALTH_PATH = "/health"
+_STATUS_PATH = "/status"
+_TRACE_PATH_PREFIX = "/trace/"
 
 
 class ServerRow(TypedDict):
@@ -58,17 +58,17 @@
         self,
         context: EntryContext,
         keeper: ManifestKeeper,
-        in_progress: Callable[[], int],
+        count_in_progress: Callable[[], int],
     ) -> None:
         self._context = context
         self._keeper = keeper
-        self._in_progress = in_progress
+        self._count_in_progress = count_in_progress
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         """Answer one question with JSON."""
-        page = self._page(str(environ.get("PATH_INFO", "")))
+        page = self._build_page(str(environ.get("PATH_INFO", "")))
         body = msgspec.json.encode(page.body)
         headers = [
             ("Content-Type", "application/json"),
@@ -77,18 +77,18 @@
         start_response(page.status, headers)
         return (body,)
 
-    def _page(self, path: str) -> _Page:
-        if path == _HEALTH:
-            return self._health()
-        if path == _STATUS:
-            return _Page("200 OK", self._status())
-        if path.startswith(_TRACES):
-            events = self._context.recorder.events(path[len(_TRACES) :])
+    def _build_page(self, path: str) -> _Page:
+        if path == _HEALTH_PATH:
+            return self._build_health_page()
+        if path == _STATUS_PATH:
+            return _Page("200 OK", self._build_status_body())
+        if path.startswith(_TRACE_PATH_PREFIX):
+            events = self._context.recorder.events(path[len(_TRACE_PATH_PREFIX) :])
             if events:
                 return _Page("200 OK", events)
         return _Page("404 Not Found", {"error": "no such page or request"})
 
-    def _health(self) -> _Page:
+    def _build_health_page(self) -> _Page:
         """Tell whether callers should be sent here."""
         why = ""
         if self._context.leaving.is_set():
@@ -98,20 +98,20 @@
         status = "503 Service Unavailable" if why else "200 OK"
         return _Page(status, {"healthy": not why, "why": why})
 
-    def _status(self) -> StatusBody:
+    def _build_status_body(self) -> StatusBody:
         now = monotonic()
         servers = self._context.servers.servers
         return StatusBody(
             name=self._context.settings.name,
             manifest_version=self._keeper.version,
             leaving=self._context.leaving.is_set(),
-            in_progress=self._in_progress(),
+            in_progress=self._count_in_progress(),
             waiting_by_group=self._context.dispatchers.waiting_count_by_group,
-            servers=[_row(server, now) for server in servers],
+            servers=[_build_server_row(server, now) for server in servers],
         )
 
 
-def _row(server: Server, now: float) -> ServerRow:
+def _build_server_row(server: Server, now: float) -> ServerRow:
     return ServerRow(
         server=server.name,
         group=server.instance.group,
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -29,20 +29,20 @@
 class OutcomeCounter:
     """Counts final outcomes; called on request threads, never blocks."""
 
-    def __init__(self, burn: BurnCounter, metrics: Metrics) -> None:
-        self._burn = burn
+    def __init__(self, burn_counter: BurnCounter, metrics: Metrics) -> None:
+        self._burn_counter = burn_counter
         self._metrics = metrics
 
     def set_goals(self, in_force: InForce) -> None:
         """Hold requests to the goals of this manifest from now on."""
-        self._burn.adopt(build_burn_goals(in_force))
+        self._burn_counter.adopt(build_burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
         self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that got no answer of a backend server."""
         self._metrics.count(Count.REFUSALS, by=refusal.reason)
-        self._observe(
+        self._count(
             Observed(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
@@ -71,7 +71,7 @@
             self._metrics.duration(Duration.FIRST_BYTE, first_byte_s)
         if gaps_s:
             self._metrics.duration(Duration.TOKEN_GAP, max(gaps_s))
-        self._observe(
+        self._count(
             Observed(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
@@ -86,11 +86,11 @@
             )
         )
 
-    def _observe(self, observed: Observed) -> None:
+    def _count(self, observed: Observed) -> None:
         self._metrics.count(Count.REQUESTS, by=observed.outcome.value)
         if observed.caller_left:
             self._metrics.count(Count.CALLERS_LEFT)
-        judged = self._burn.observe(observed, now=time.time())
+        judged = self._burn_counter.observe(observed, now=time.time())
         for indicator, count in judged.items():
             if count.bad:
                 by = indicator.value
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -37,14 +37,14 @@
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.manifest.schema import Organisation
 
-_BEARER = "bearer "
-_KEY_HEADER = "idempotency-key"
-_MAX_IDEMPOTENCY_KEY = 255
+_BEARER_PREFIX = "bearer "
+_IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+_MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
 # Characters of a prompt that name its prefix: the length of a system prompt's start,
 # which callers of one application share.
-_PREFIX_CHARACTERS = 256
+_MAX_PREFIX_CHARACTERS = 256
 # Headers that belong to one connection, or to the entry alone, and are not passed on.
-_NOT_PASSED_ON = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
+_UNFORWARDED_HEADERS = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
@@ -74,9 +74,9 @@
 ) -> Result[Organisation, Refusal]:
     """Return the organisation that the bearer key belongs to."""
     authorization = headers.get("authorization", "")
-    if not authorization.lower().startswith(_BEARER):
+    if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
-    key = authorization[len(_BEARER) :].strip()
+    key = authorization[len(_BEARER_PREFIX) :].strip()
     organisation = in_force.organisation_of_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
@@ -95,43 +95,53 @@
 
 
 def parse_request(
-    http: HttpRequest,
+    http_request: HttpRequest,
     organisation: Organisation,
     in_force: InForce,
     *,
     request_id: str,
-    now: float,
+    received_at: float,
 ) -> Result[CallerRequest, Refusal]:
     """Return the request, checked against the manifest in force; ``now`` monotonic."""
-    found = _route(http, in_force)
+    found = _find_route(http_request, in_force)
     if isinstance(found, Refusal):
         return Error(found)
     route, group = found
-    deadline = _deadline(http.headers.get("kingcupwheel-deadline", ""))
+    deadline = _parse_deadline(http_request.headers.get("kingcupwheel-deadline", ""))
     if isinstance(deadline, Refusal):
         return Error(deadline)
-    prompt = _prompt(http.body) if group.kind is GroupKind.ENGINE else _NO_PROMPT
+    prompt = (
+        _parse_prompt(http_request.body)
+        if group.kind is GroupKind.ENGINE
+        else _NO_PROMPT
+    )
     if isinstance(prompt, Refusal):
         return Error(prompt)
-    path = f"{http.path}?{http.query}" if http.query else http.path
-    digest = hashlib.sha256(http.body).hexdigest()
+    path = (
+        f"{http_request.path}?{http_request.query}"
+        if http_request.query
+        else http_request.path
+    )
+    digest = hashlib.sha256(http_request.body).hexdigest()
     return Ok(
         CallerRequest(
             request_id=request_id,
             organisation=organisation,
             route=route,
             group=group,
-            method=http.method,
+            method=http_request.method,
             path=path,
-            headers=_passed_on(http.headers),
-            body=http.body,
+            headers=_select_forwarded_headers(http_request.headers),
+            body=http_request.body,
             body_digest=digest,
-            fingerprint=compute_fingerprint(organisation.name, http.path, digest),
-            prefix_key=_prefix_key(organisation.name, prompt.prefix),
-            idempotency_key=http.headers.get(_KEY_HEADER, ""),
+            fingerprint=compute_fingerprint(
+                organisation.name, http_request.path, digest
+            ),
+            prefix_key=_compute_prefix_key(organisation.name, prompt.prefix),
+            idempotency_key=http_request.headers.get(_IDEMPOTENCY_KEY_HEADER, ""),
             is_streamed=prompt.is_streamed,
             max_tokens=prompt.max_tokens,
-            received_at=now,
+            received_at=received_at,
             deadline_s=route.deadline_s if deadline is None else deadline,
             has_own_deadline=deadline is not None,
             manifest_version=in_force.version,
@@ -139,28 +149,30 @@
     )
 
 
-def _route(http: HttpRequest, in_force: InForce) -> RouteFound | Refusal:
-    match in_force.route_for(http.host, http.path, http.method):
+def _find_route(http_request: HttpRequest, in_force: InForce) -> RouteFound | Refusal:
+    match in_force.route_for(http_request.host, http_request.path, http_request.method):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
         case RouteFound() as found:
-            return _key_problem(http, found) or found
+            return _check_idempotency_key(http_request, found) or found
 
 
-def _key_problem(http: HttpRequest, found: RouteFound) -> Refusal | None:
-    key = http.headers.get(_KEY_HEADER, "")
+def _check_idempotency_key(
+    http_request: HttpRequest, found: RouteFound
+) -> Refusal | None:
+    key = http_request.headers.get(_IDEMPOTENCY_KEY_HEADER, "")
     if not key and not found.route.repeatable:
         return IDEMPOTENCY_KEY_MISSING
-    if len(key) > _MAX_IDEMPOTENCY_KEY:
+    if len(key) > _MAX_IDEMPOTENCY_KEY_CHARACTERS:
         return build_bad_request_refusal(
             "Idempotency-Key is longer than 255 characters."
         )
     return None
 
 
-def _deadline(text: str) -> float | None | Refusal:
+def _parse_deadline(text: str) -> float | None | Refusal:
     if not text:
         return None
     try:
@@ -176,7 +188,7 @@
     return seconds
 
 
-def _prompt(body: bytes) -> PromptInfo | Refusal:
+def _parse_prompt(body: bytes) -> PromptInfo | Refusal:
     if not body:
         return _NO_PROMPT
     try:
@@ -187,25 +199,29 @@
         return build_bad_request_refusal("The body is no JSON object.")
     max_tokens = decoded.get("max_tokens")
     limit = max_tokens if isinstance(max_tokens, int) and max_tokens > 0 else None
-    return PromptInfo(decoded.get("stream") is True, limit, _prefix_of(decoded))
+    return PromptInfo(decoded.get("stream") is True, limit, _extract_prefix(decoded))
 
 
-def _prefix_of(decoded: dict[str, Any]) -> str:
+def _extract_prefix(decoded: dict[str, Any]) -> str:
     prompt = decoded.get("prompt")
     if not isinstance(prompt, str):
         messages = decoded.get("messages")
         first = messages[0] if isinstance(messages, list) and messages else ""
         prompt = str(first.get("content", "")) if isinstance(first, dict) else ""
-    return prompt[:_PREFIX_CHARACTERS]
+    return prompt[:_MAX_PREFIX_CHARACTERS]
 
 
-def _prefix_key(organisation: str, prefix: str) -> str:
+def _compute_prefix_key(organisation: str, prefix: str) -> str:
     if not prefix:
         return ""
     return hashlib.sha256(f"{organisation}\0{prefix}".encode()).hexdigest()[:16]
 
 
-def _passed_on(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+def _select_forwarded_headers(
+    headers: Mapping[str, str],
+) -> tuple[tuple[str, str], ...]:
     return tuple(
-        (name, value) for name, value in headers.items() if name not in _NOT_PASSED_ON
+        (name, value)
+        for name, value in headers.items()
+        if name not in _UNFORWARDED_HEADERS
     )
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -52,13 +52,16 @@
     """Runs one request up to its answer or final refusal; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
+        self,
+        context: EntryContext,
+        request: CallerRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._request = request
-        self._watch = watch
-        self._head_waiter = AnswerHeadWaiter(context, request, watch)
-        self._retries = RetryController(context, request, watch)
+        self._connection = connection
+        self._head_waiter = AnswerHeadWaiter(context, request, connection)
+        self._retries = RetryController(context, request, connection)
 
     def run(self) -> Answer:
         """Return the answer or the final refusal."""
@@ -79,7 +82,7 @@
             return self._give_up(admitted, CALLER_LEFT)
 
     def _run_admitted(self, admitted: AdmittedRequest) -> Answer:
-        attempts = AttemptDispatcher(self._context, admitted, self._watch)
+        attempts = AttemptDispatcher(self._context, admitted, self._connection)
         if self._request.route.repeatable:
             return self._run_repeatable(admitted, attempts)
         return self._run_once(admitted, attempts)
@@ -180,7 +183,12 @@
         step = self._wait_for_head(resolution)
         if isinstance(step, HeadReceived):
             relay = AnswerRelay(
-                self._context, admitted, reader, self._watch, None, resolution.close
+                self._context,
+                admitted,
+                reader,
+                self._connection,
+                None,
+                resolution.close,
             )
             return relay.relay(step)
         resolution.close()
@@ -215,7 +223,7 @@
             self._end_attempt(attempts, reservation, reader)
 
         return AnswerRelay(
-            self._context, admitted, reader, self._watch, reservation, on_end
+            self._context, admitted, reader, self._connection, reservation, on_end
         )
 
     def _end_attempt(
--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -33,11 +33,14 @@
     """Counts one request's failed attempts and limits its retries; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerConnection
+        self,
+        context: EntryContext,
+        request: CallerRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._request = request
-        self._watch = watch
+        self._connection = connection
         self._run_count = 0
         self._agent_refusal_count = 0
 
@@ -71,7 +74,7 @@
         self._agent_refusal_count += 1
         if (
             self._is_past_deadline
-            or self._watch.is_closed()
+            or self._connection.is_closed()
             or self._agent_refusal_count > MAX_AGENT_REFUSALS
         ):
             message = f"The last server asked did not take it: {reason.value}."
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -130,7 +130,7 @@
         wanted = {instance.address: instance for instance in instances}
         with self._lock:
             for address, instance in wanted.items():
-                self._adopt(address, instance, now)
+                self._add_or_update(address, instance, now)
             for address, server in self._by_address.items():
                 server.is_listed = address in wanted
             dropped = [
@@ -142,7 +142,7 @@
                 del self._by_address[address]
         return tuple(dropped)
 
-    def _adopt(self, address: str, instance: Instance, now: float) -> None:
+    def _add_or_update(self, address: str, instance: Instance, now: float) -> None:
         known = self._by_address.get(address)
         if known is None:
             server = Server(instance)
@@ -156,7 +156,7 @@
         """Know the agent at least until ``end_visit``, without placing work there."""
         with self._lock:
             if instance.address not in self._by_address:
-                self._adopt(instance.address, instance, now)
+                self._add_or_update(instance.address, instance, now)
             self._by_address[instance.address].in_flight += 1
 
     def remove_reference(self, address: str) -> None:
@@ -167,7 +167,7 @@
                 server.in_flight = max(0, server.in_flight - 1)
 
     def record_heartbeat(
-        self, address: str, beat: AgentHeartbeat, now: float
+        self, address: str, heartbeat: AgentHeartbeat, now: float
     ) -> AgentRestarted | None:
         """Take in a heartbeat; tell if it is from a new life of the agent."""
         with self._lock:
@@ -175,15 +175,17 @@
             if server is None:
                 return None
             before = server.last_heartbeat
-            server.last_heartbeat = beat
-            restarted = before is not None and before.incarnation != beat.incarnation
+            server.last_heartbeat = heartbeat
+            restarted = (
+                before is not None and before.incarnation != heartbeat.incarnation
+            )
             if restarted:
                 server.ended_incarnation_in_flight = server.in_flight
             server.in_flight_at_heartbeat = server.current_in_flight
             if before is None or restarted:
                 server.first_heard_at = now
-            self._alive(server, now)
-        return AgentRestarted(address, beat.incarnation) if restarted else None
+            self._record_activity(server, now)
+        return AgentRestarted(address, heartbeat.incarnation) if restarted else None
 
     def is_current_incarnation(self, address: str, incarnation: str) -> bool:
         """Return whether this life of the server there is not known to be over."""
@@ -193,14 +195,16 @@
                 return True
             return server.last_heartbeat.incarnation == incarnation
 
-    def release_attempt(self, address: str, incarnation: str, *, suspect: bool) -> None:
+    def release_attempt(
+        self, address: str, incarnation: str, *, is_suspect: bool
+    ) -> None:
         """End one attempt that was placed on this life of the server."""
         with self._lock:
             server = self._by_address.get(address)
             if server is None:
                 return
             server.in_flight = max(0, server.in_flight - 1)
-            server.suspect_count = max(0, server.suspect_count - suspect)
+            server.suspect_count = max(0, server.suspect_count - is_suspect)
             beat = server.last_heartbeat
             if beat is not None and beat.incarnation != incarnation:
                 server.ended_incarnation_in_flight = max(
@@ -212,9 +216,9 @@
         with self._lock:
             server = self._by_address.get(address)
             if server is not None:
-                self._alive(server, now)
+                self._record_activity(server, now)
 
-    def _alive(self, server: Server, now: float) -> None:
+    def _record_activity(self, server: Server, now: float) -> None:
         server.last_heard_at = now
         server.is_timed_out = False
 
@@ -226,14 +230,16 @@
         up answers that are alive over there.
         """
         with self._lock:
-            self._forgive_own_pause(now)
-            findings = [self._judge(server, now) for server in self._servers()]
+            self._compensate_own_pause(now)
+            findings = [
+                self._check_server(server, now) for server in self._list_servers()
+            ]
         return tuple(finding for finding in findings if finding is not None)
 
-    def _servers(self) -> tuple[Server, ...]:
+    def _list_servers(self) -> tuple[Server, ...]:
         return tuple(self._by_address.values())
 
-    def _forgive_own_pause(self, now: float) -> None:
+    def _compensate_own_pause(self, now: float) -> None:
         last, self._checked_at = self._checked_at, now
         if last is None or now - last <= self._timings.silence_s / 2:
             return
@@ -241,7 +247,7 @@
             server.last_heard_at += now - last
             server.link_replaced_at += now - last
 
-    def _judge(self, server: Server, now: float) -> LivenessEvent | None:
+    def _check_server(self, server: Server, now: float) -> LivenessEvent | None:
         silent_s = now - server.last_heard_at
         if silent_s > self._timings.give_up_s and not server.is_timed_out:
             server.is_timed_out = True
@@ -254,18 +260,18 @@
 
     def list_by_group(self, group: str) -> tuple[Server, ...]:
         """Return the group's servers; read them under ``lock`` only."""
-        return tuple(s for s in self._servers() if s.instance.group == group)
+        return tuple(s for s in self._list_servers() if s.instance.group == group)
 
     @property
     def servers(self) -> tuple[Server, ...]:
         """Every server known."""
         with self._lock:
-            return self._servers()
+            return self._list_servers()
 
     def find_by_name(self, name: str) -> Server | None:
         """Return the server with that instance name."""
         with self._lock:
-            return next((s for s in self._servers() if s.name == name), None)
+            return next((s for s in self._list_servers() if s.name == name), None)
 
     def find_by_address(self, address: str) -> Server | None:
         """Return the server at that address."""
