--- a/src/kingcupwheel/entry/answers.py
+++ b/src/kingcupwheel/entry/answers.py
@@ -25,8 +25,8 @@
 class StreamedAnswer(NamedTuple):
     """An answer that is sent while it is read.
 
-    ``body`` raises ``AnswerCutError`` if the rest is lost, so that the connection is
-    closed without the regular end of a body.
+    ``body`` raises ``AnswerTruncatedError`` if the rest is lost, so that the connection
+    is closed without the regular end of a body.
     """
 
     status: int
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -138,9 +138,9 @@
         if parsed.is_error():
             return exchange.refuse(parsed.error)
         self._record_received(parsed.ok)
-        watch = CallerSocket(exchange.socket)
+        connection = CallerSocket(exchange.socket)
         return exchange.send_answer(
-            RequestRunner(self._context, parsed.ok, watch).run()
+            RequestRunner(self._context, parsed.ok, connection).run()
         )
 
     def _record_received(self, request: CallerRequest) -> None:
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -75,7 +75,7 @@
     def reserve_server(self) -> Reservation | Refusal:
         """Wait for a server with free capacity.
 
-        Raises CallerGoneError if the caller disconnects meanwhile.
+        Raises CallerDisconnectedError if the caller disconnects meanwhile.
         """
         request = self._admitted.request
         placement_request = PlacementRequest(
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -17,7 +17,7 @@
         """Return True once the caller has closed its connection."""
 
     def raise_disconnected(self) -> NoReturn:
-        """Raise CallerGoneError."""
+        """Raise CallerDisconnectedError."""
 
 
 class CallerSocket:
@@ -42,5 +42,5 @@
             return True
 
     def raise_disconnected(self) -> NoReturn:
-        """Raise CallerGoneError."""
+        """Raise CallerDisconnectedError."""
         raise CallerDisconnectedError("the caller closed its connection")
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -171,11 +171,11 @@
         inbox = self._open_inbox(record)
         if inbox is None:
             return ClaimRefused(EARLIER_SEND_RUNNING)
-        visit = AgentReference(self._context.servers, record)
+        reference = AgentReference(self._context.servers, record)
 
         def close() -> None:
             self._context.inboxes.close(inbox)
-            visit.release()
+            reference.release()
 
         resolution = self._resolve_at_agent(held_claim, inbox, close)
         if not isinstance(resolution, EarlierRun):
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -74,14 +74,14 @@
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = RequestLimiter(lambda one: self._balancer.get_initial_share(one))
+        limiter = RequestLimiter(lambda one: self._balancer.get_initial_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
             servers=servers,
             inboxes=InboxRegistry(),
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
-            limiter=limits,
+            limiter=limiter,
             claims=ClaimStore(client),
             retention=self._retention,
             recorder=self._telemetry.recorder,
@@ -105,7 +105,7 @@
         )
         self._balancer = AllowanceBalancer(
             settings.name,
-            limits,
+            limiter,
             self._membership,
             send=self._hub.send,
             find_organisation=self._find_organisation,
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -95,7 +95,7 @@
         return not pool.qsize and bool(pool.idle >= self._threads)
 
     def bind(self) -> None:
-        """Bind the address; raises CannotServeError."""
+        """Bind the address; raises HttpBindError."""
         try:
             self._server.prepare()
         except OSError as error:
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -236,9 +236,9 @@
         hello = Hello(name, data_centre, version, digest, leaving)
         for address in context.servers.addresses:
             context.hub.send(OutgoingLink(address, 0), hello)
-        beat = self._build_peer_heartbeat()
+        heartbeat = self._build_peer_heartbeat()
         for peer in self._membership.peers:
-            context.hub.send(OutgoingLink(peer.address, 0), beat)
+            context.hub.send(OutgoingLink(peer.address, 0), heartbeat)
 
     def _build_peer_heartbeat(self) -> PeerHeartbeat:
         context = self._context
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -205,8 +205,8 @@
                 return
             server.in_flight = max(0, server.in_flight - 1)
             server.suspect_count = max(0, server.suspect_count - is_suspect)
-            beat = server.last_heartbeat
-            if beat is not None and beat.incarnation != incarnation:
+            heartbeat = server.last_heartbeat
+            if heartbeat is not None and heartbeat.incarnation != incarnation:
                 server.ended_incarnation_in_flight = max(
                     0, server.ended_incarnation_in_flight - 1
                 )
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -41,7 +41,7 @@
         self._longest_gap_s = 0.0
 
     def body(self) -> Iterator[bytes]:
-        """Yield complete events; raises AnswerCutError if the rest is lost."""
+        """Yield complete events; raises AnswerTruncatedError if the rest is lost."""
         is_place_held = True
         try:
             while True:
@@ -131,7 +131,7 @@
         self._log_finished("whole")
 
     def _resume_elsewhere(self, reason: str) -> None:
-        """Resume the stream at another server; raises AnswerCutError if none can."""
+        """Resume at another server; raises AnswerTruncatedError if none can."""
         self._forwarder.end_answer(self._placed.place, self._placed.answer)
         refusal = self._forwarder.handle_failed_attempt(
             self._placed.place, AttemptOutcome.LOST, reason
