--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -131,7 +131,7 @@
             group=group,
             method=http_request.method,
             path=path,
-            headers=_select_forwarded_headers(http_request.headers),
+            headers=_build_forwarded_headers(http_request.headers),
             body=http_request.body,
             body_digest=digest,
             fingerprint=compute_fingerprint(
@@ -217,7 +217,7 @@
     return hashlib.sha256(f"{organisation}\0{prefix}".encode()).hexdigest()[:16]
 
 
-def _select_forwarded_headers(
+def _build_forwarded_headers(
     headers: Mapping[str, str],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
