--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -140,7 +140,9 @@
             case InstancesRequest():
                 send(link, self._build_instances_reply())
             case _:
-                logger.warning("Message %s not expected.", type(message).__name__)
+                logger.warning(
+                    "Message %s not expected.", type(message).__struct_config__.tag
+                )
 
     def _on_agent_heartbeat(self, address: str, heartbeat: AgentHeartbeat) -> None:
         restarted = self._context.servers.record_heartbeat(
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -284,7 +284,9 @@
             case ManifestObject():
                 self._membership.on_configuration(message)
             case _:
-                log.warning("message-unexpected", message=type(message).__name__)
+                log.warning(
+                    "message-unexpected", message=type(message).__struct_config__.tag
+                )
 
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -157,7 +157,9 @@
                 with self._lock:
                     self._hello_at_by_entry[link] = monotonic()
             case _:
-                log.warning("message-unexpected", message=type(message).__name__)
+                log.warning(
+                    "message-unexpected", message=type(message).__struct_config__.tag
+                )
 
     def _on_tick(self, now: float) -> None:
         self._branch_aggregator.on_tick(now)
