--- a/src/kingcupwheel/entry/__init__.py
+++ b/src/kingcupwheel/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The entry daemon: from a caller's request to its answer."""
+"""The entry daemon: admits callers' requests and relays their answers."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/entry/agent_reference.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -1,4 +1,4 @@
-"""Knows agents that this entry does not otherwise use, for as long as it asks them."""
+"""References to agents outside this entry's subset, held while they are queried."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class AgentReference:
-    """Keeps the agent that a claim names known until ``end``, once.
+    """Keeps a claim's agent in the server table until ``release``; call it once.
 
-    An answer read from an agent that is not known would wait for ever if that agent
-    died: nobody looks for its silence.
+    The liveness of agents outside the table is not checked: a reader of an answer would
+    wait forever if such an agent died.
     """
 
     def __init__(self, servers: ServerTable, record: ClaimRecord) -> None:
@@ -35,5 +35,5 @@
         servers.add_reference(self._instance, monotonic())
 
     def release(self) -> None:
-        """Let the agent be forgotten, unless it is used otherwise."""
+        """Remove the reference; the agent may be removed from the table."""
         self._servers.remove_reference(self._instance.address)
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers talk to."""
+"""The WSGI application for callers."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 logger = logging.getLogger("kingcupwheel.entry")
 
 PAGES_PREFIX = "/kingcupwheel/"
-# How long a refused caller is still listened to, in longest bodies.
+# Limit for discarding the body of a refused request, in multiples of ``body_bytes``.
 _MAX_DISCARDED_BODIES = 2
 
 
 class Application:
-    """Answers callers; ``in_force`` returns the manifest to use for a new request."""
+    """Answers callers; ``get_in_force`` returns the manifest for new requests."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
 
     @property
     def in_progress_count(self) -> int:
-        """Requests not yet answered to their end."""
+        """Number of requests whose answers are not yet sent completely."""
         return self._in_progress
 
     def stop_accepting(self) -> None:
-        """Refuse every request from now on; those in progress go on."""
+        """Refuse all new requests; those in progress continue."""
         self._is_closed = True
 
     def __call__(
@@ -73,8 +73,8 @@
         if self._context.leaving.is_set():
             exchange.close_connection_after()
         if not self._try_begin_request():
-            # The server would read whatever body comes before the next request; here
-            # it is not even listened to, because few threads are left.
+            # On a kept connection the server would read the rest of the body before
+            # the next request. It is closed instead, because few threads are left.
             exchange.close_connection_after()
             return exchange.refuse(ENTRY_BUSY)
         try:
@@ -96,7 +96,7 @@
             self._in_progress -= 1
 
     def _yield_in_progress(self, body: Iterable[bytes]) -> Iterator[bytes]:
-        """Yield ``body``; the request counts as in progress until it is sent."""
+        """Yield ``body``; the request is in progress until it is sent."""
         try:
             yield from body
         finally:
@@ -118,7 +118,7 @@
             return exchange.refuse(refusal)
         found = authenticate_organisation(exchange.headers, in_force)
         if found.is_error():
-            # Little, because anybody may send it and hold a thread meanwhile.
+            # One chunk only: unauthenticated callers must not hold a thread for long.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
             return exchange.refuse(found.error)
         if exchange.path.startswith(PAGES_PREFIX):
--- a/src/kingcupwheel/entry/caller_connection.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -1,4 +1,4 @@
-"""Tells whether a caller is still connected while its request waits."""
+"""Detects that a caller has disconnected while its request is waiting."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class CallerConnection(Protocol):
-    """Looks at the caller's connection."""
+    """The connection of a caller."""
 
     def is_closed(self) -> bool:
-        """Return True once the caller has closed its connection."""
+        """Return whether the caller has closed its connection."""
 
     def raise_disconnected(self) -> NoReturn:
         """Raise CallerDisconnectedError."""
 
 
 class CallerSocket:
-    """Watches a caller's socket without reading from it."""
+    """Checks a caller's socket without reading from it."""
 
     def __init__(self, connection: socket.socket | None) -> None:
         self._connection = connection
 
     def is_closed(self) -> bool:
-        """Return True once the peer has closed or reset the connection.
+        """Return whether the caller has closed or reset the connection.
 
-        Bytes that wait to be read are a further request, not an end.
+        Unread bytes belong to its next request and don't mean that it is closed.
         """
         if self._connection is None:
             return False
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -1,4 +1,4 @@
-"""Pages of the entry's own for callers: discovery and what became of a request."""
+"""JSON pages for callers: discovery of entries and status of requests."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 
 class JsonPage(NamedTuple):
-    """A status and a body to be sent as JSON."""
+    """An HTTP status and a body to be sent as JSON."""
 
     status: int
     body: Any
 
 
 class EntriesBody(TypedDict):
-    """Which addresses to use, and for how many seconds to keep them."""
+    """Addresses of entries; ``keep_s`` is for how many seconds to use them."""
 
     entries: list[str]
     keep_s: float
 
 
 class RequestBody(TypedDict):
-    """What became of a request; ``outcome`` is None while it is in progress."""
+    """Status of a request; ``outcome`` is None while it is in progress."""
 
     request_id: str
     outcome: str | None
@@ -51,7 +51,7 @@
 
 
 class CallerPages:
-    """Answers an organisation's questions about itself."""
+    """Builds the pages for an organisation's callers."""
 
     def __init__(
         self, recorder: Recorder, membership: Membership, *, address_ttl_s: float
@@ -61,7 +61,7 @@
         self._address_ttl_s = address_ttl_s
 
     def get_page(self, method: str, path: str, organisation: Organisation) -> JsonPage:
-        """Return the page at ``path``, which begins with the entry's own prefix."""
+        """Return the page at ``path``, which starts with ``PAGES_PREFIX``."""
         if method != "GET":
             return _build_error_page(405, "bad-method", "These pages are only read.")
         if path == _ENTRIES_PATH:
@@ -78,8 +78,7 @@
     def _build_request_page(
         self, request_id: str, organisation: Organisation
     ) -> JsonPage:
-        # A caller learns nothing of other organisations' requests, not even whether an
-        # id exists.
+        # The page does not disclose whether an id of another organisation exists.
         events = self._recorder.events(request_id)
         if not _is_sent_by(events, organisation):
             return _build_error_page(
@@ -112,7 +111,7 @@
 
 
 def _is_visible_to_callers(one: TraceEvent) -> bool:
-    # Where a request was placed, and the load of servers, are the operators' business.
+    # Placement and the load of servers are shown to operators only.
     return not isinstance(one.event, Placed | Dispatched | Admitted)
 
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: puts the parts together, starts them and stops them gracefully."""
+"""The entry daemon: wires, starts and gracefully stops its components."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 
 logger = logging.getLogger("kingcupwheel.entry")
 
-# How often a stopping entry looks whether the requests in progress have ended.
+# Interval at which a stopping entry checks for requests in progress.
 _DRAIN_CHECK_S = 0.1
 _HOUR_S = 3600.0
 
 
 class EntryDaemon:
-    """One entry; ``start`` returns once callers are served."""
+    """One entry process; ``start`` returns once it accepts callers."""
 
     def __init__(self, settings: Settings) -> None:
         load_builtin()
@@ -129,7 +129,7 @@
         self._operator_http_server = self._build_operator_server()
 
     def _build_application(self) -> Application:
-        # Callers keep an answer for less than a leaving entry goes on accepting.
+        # Callers refresh addresses before a leaving entry stops accepting requests.
         pages = CallerPages(
             self._telemetry.recorder,
             self._membership,
@@ -153,11 +153,11 @@
 
     @property
     def port(self) -> int:
-        """The port for callers."""
+        """Port of the HTTP server for callers."""
         return self._http_server.port
 
     def start(self) -> None:
-        """Bind, then start every part."""
+        """Bind the addresses, then start all components."""
         self._http_server.bind()
         if self._operator_http_server is not None:
             self._operator_http_server.bind()
@@ -168,20 +168,23 @@
         self._telemetry.start()
         self._retention.start()
         self._http_server.start()
-        logger.info("Serving callers on port %d.", self.port)
+        logger.info("Accepting callers on port %d.", self.port)
 
     def reload(self, settings: Settings) -> None:
-        """Log that the settings were read again; the log level is set already."""
-        logger.info("Settings read again; log level %s.", settings.log_level.value)
+        """Log the reload; the log level has already been applied."""
+        logger.info("Settings reloaded; log level is %s.", settings.log_level.value)
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Stop gracefully: refuse new work after a while, finish what is in progress.
+        """Stop gracefully: accept requests for ``leave_s``, then finish the rest.
 
-        Nothing bounds the wait for requests in progress; their own progress does.
+        The wait has no timeout of its own: it is bounded by the requests' progress.
         """
         self._leaving.set()
         self._handler.announce_leaving()
-        logger.info("Leaving; %d in progress.", self._application.in_progress_count)
+        logger.info(
+            "Shutting down; %d requests in progress.",
+            self._application.in_progress_count,
+        )
         self._wait_for_address_refresh()
         self._application.stop_accepting()
         while self._application.in_progress_count:
@@ -197,8 +200,8 @@
         logger.info("Stopped.")
 
     def _wait_for_address_refresh(self) -> None:
-        # Callers keep addresses for a while; until they have asked again, a refusal
-        # here would cost them a retry for nothing.
+        # Callers cache addresses. Until they refresh them, a refusal here would cost
+        # them a needless retry.
         Event().wait(self._settings.timings.leave_s)
 
     def _on_message(self, link: Link, message: Message) -> None:
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of its requests: stories, counts against goals, metrics."""
+"""Telemetry of an entry: traces, service level counts and metrics."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class EntryTelemetry:
-    """The recording parts of one entry, started and stopped together.
+    """Recorder, counters and trace shipper of one entry.
 
-    ``traces_retention_s`` is asked each time for how long the platform keeps traces.
+    ``traces_retention_s`` returns for how many seconds the platform keeps traces.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
         )
 
     def start(self) -> None:
-        """Begin to write batches."""
+        """Start shipping batches of traces."""
         self._shipper.start()
 
     def stop(self) -> None:
-        """Write what is left and close."""
+        """Ship the remaining traces and close the metrics client."""
         self._shipper.stop()
         self._metrics.close()
 
     def set_manifest(self, in_force: InForce, request_ids: Iterable[str]) -> None:
-        """Take up a new manifest, and note it in the requests under way."""
+        """Apply a new manifest and record the change in traces of ``request_ids``."""
         self.outcome_counter.set_goals(in_force)
         for request_id in request_ids:
             self.recorder.record(request_id, ManifestChanged(in_force.version))
--- a/src/kingcupwheel/entry/exceptions.py
+++ b/src/kingcupwheel/entry/exceptions.py
@@ -6,22 +6,22 @@
 
 
 class EntryError(KingcupwheelError):
-    """Base class of this layer's errors."""
+    """Base class of the entry layer's errors."""
 
 
 class AnswerTruncatedError(EntryError):
-    """The rest of a streamed answer can't be had; the connection must be cut.
+    """The rest of a streamed answer is lost; the connection must be closed.
 
-    Ending the body as usual would make a truncated answer look whole.
+    A regular end of the body would make the truncated answer look complete.
     """
 
 
 class CallerDisconnectedError(EntryError):
-    """The caller closed its connection while its request waited."""
+    """The caller closed its connection while its request was waiting."""
 
 
 class HttpBindError(EntryError):
-    """The address for callers can't be bound."""
+    """The listen address of an HTTP server can't be bound."""
 
     def __init__(self, address: str, reason: str) -> None:
-        super().__init__(f"cannot serve on {address}: {reason}")
+        super().__init__(f"cannot bind HTTP address {address}: {reason}")
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers: cheroot, with a look at the caller's socket."""
+"""The HTTP server: cheroot, with access to the caller's socket."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 SOCKET_ENVIRON_KEY = "kingcupwheel.socket"
 CLOSE_ENVIRON_KEY = "kingcupwheel.close"
-# Threads kept beyond those that answer requests, so that refusals, status questions and
-# discovery are still answered at once when every other thread waits.
+# Threads in addition to those for requests, so that refusals, status and discovery are
+# still answered at once when all other threads wait.
 SPARE_THREADS = 16
-# How long a caller may take to send the next bytes of its request, or to read the next
-# of its answer, before the thread is freed.
+# Timeout for a caller to send the next bytes of its request, or to read the next bytes
+# of its answer; the thread is freed afterwards.
 _SOCKET_TIMEOUT_S = 30
-# Connections that wait to be accepted: a burst of callers that come back together.
+# Connections waiting to be accepted; allows for a burst of reconnecting callers.
 _BACKLOG = 256
-# Hard bound on a request's head; the limit that callers are told of is lower.
+# Hard limit on a request's head; the limit reported to callers is lower.
 _MAX_HEAD_BYTES = 262_144
 
 
 class _CallerGateway(wsgi.Gateway_10):
-    """Lets the application look at the caller's socket and end the connection."""
+    """Lets the application inspect the caller's socket and close the connection."""
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
-        """Return the environment with the keys of this module."""
+        """Return the WSGI environ with this module's keys."""
         environ: dict[str, Any] = super().get_environ()  # type: ignore[no-untyped-call]
         environ[SOCKET_ENVIRON_KEY] = self.req.conn.socket
         environ[CLOSE_ENVIRON_KEY] = self._close_connection_after
@@ -46,13 +46,13 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Log what the server noticed; a cut answer has been logged already."""
+        """Log an error; a truncated answer has been logged already."""
         if traceback and AnswerTruncatedError.__name__ not in msg:
-            logger.warning("HTTP server: %s", msg.strip(), exc_info=True)
+            logger.warning("HTTP server error: %s", msg.strip(), exc_info=True)
 
 
 class HttpServer:
-    """Serves a WSGI application on ``listen`` (``IP:port``) with so many threads."""
+    """Serves a WSGI application on ``listen`` (``IP:port``)."""
 
     def __init__(
         self,
@@ -82,20 +82,20 @@
 
     @property
     def port(self) -> int:
-        """The port listened on."""
+        """Port of the listening socket."""
         return int(self._server.bind_addr[1])
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read or answered, and none waits for a thread.
+        """Whether no request is in progress and none waits for a thread.
 
-        A caller that has connected and sends nothing keeps a thread from being idle.
+        A thread is not idle while its caller is connected and sends nothing.
         """
         pool = self._server.requests
         return not pool.qsize and bool(pool.idle >= self._threads)
 
     def bind(self) -> None:
-        """Bind the address; raises HttpBindError."""
+        """Bind the listen address; raises HttpBindError."""
         try:
             self._server.prepare()
         except OSError as error:
@@ -109,6 +109,6 @@
         self._server.serve()
 
     def stop(self) -> None:
-        """Close the listening socket and wait for the threads."""
+        """Close the listening socket and join the threads."""
         self._server.stop()
         self._thread.join(_SOCKET_TIMEOUT_S)
--- a/src/kingcupwheel/entry/manifest_fetcher.py
+++ b/src/kingcupwheel/entry/manifest_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches objects of the manifest from peers."""
+"""Fetches manifest objects from peers."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.membership import ManifestObject
 
-# How long one peer is given for one object of at most a megabyte.
+# Timeout for one object of at most a megabyte.
 _PEER_TIMEOUT_S = 1.5
 
 
 class ManifestFetcher:
-    """Asks a peer for an object of the manifest; one question at a time."""
+    """Requests manifest objects from peers, one at a time."""
 
     def __init__(self, hub: MessageHub) -> None:
         self._hub = hub
@@ -33,11 +33,11 @@
         self._lock = Lock()
 
     def put_object(self, message: ManifestObject) -> None:
-        """Take a peer's answer; called on the hub's thread."""
+        """Add a peer's reply; called on the hub's thread."""
         self._objects.put(message)
 
     def fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
-        """Return the peer's answer, or why there is none."""
+        """Return the peer's reply, or an error after a timeout."""
         with self._lock:
             self._hub.send(OutgoingLink(address, 0), ManifestRequest(key))
             return self._wait_for_object(address, key)
@@ -50,6 +50,6 @@
             try:
                 answer = self._objects.get(timeout=max(0.0, until - monotonic()))
             except Empty:
-                return Error(f"{address} did not answer in {_PEER_TIMEOUT_S} s")
+                return Error(f"peer {address} did not reply within {_PEER_TIMEOUT_S} s")
             if answer.key == key:
                 return Ok(answer)
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -1,4 +1,4 @@
-"""Which entries and agents there are, and which of them this entry deals with."""
+"""Membership of entries and agents, and the subset that this entry uses."""
 
 from __future__ import annotations
 
@@ -27,19 +27,20 @@
 
 logger = logging.getLogger("kingcupwheel.entry")
 
-# Peers an entry exchanges heartbeats with: with four of each, news passes through 370
-# entries in about five rounds, at four messages a second.
+# Number of peers that an entry sends heartbeats to, and of those that send to it. With
+# four of each, news reaches 370 entries in about five rounds, at four messages a
+# second.
 _PEER_COUNT = 4
-# How long a list of live entries is used: less than a heartbeat, so that a leaving
-# entry drops out of what callers are told at once.
+# Time to live of the list of live entries. It is shorter than a heartbeat, so that a
+# leaving entry is removed from callers' addresses at once.
 _LIVE_ENTRIES_TTL_S = 0.2
 
 
 class Membership:
-    """The latest list of instances, and what this entry makes of it.
+    """The latest list of instances, and the peers and agents selected from it.
 
-    The list lags and can be missing for long. It only ever adds candidates and marks
-    leaving ones: whether an agent or entry is alive is known from its own heartbeats.
+    The platform's list lags and may be unavailable for long. It is used only to add
+    candidates and to mark leaving ones; liveness is known from heartbeats.
     """
 
     def __init__(
@@ -72,28 +73,28 @@
         self._thread = Thread(target=self._run, name="membership", daemon=True)
 
     def start(self) -> None:
-        """Read the list now and then in a thread."""
+        """Start the thread that polls the list."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread and wait for it."""
         self._stopping.set()
         self._thread.join()
 
     @property
     def instances(self) -> tuple[Instance, ...]:
-        """All instances known."""
+        """All known instances."""
         return self._instances
 
     def find_address(self, name: str) -> str:
-        """Return the address of the instance called ``name``, empty if unknown."""
+        """Return the address of the instance ``name``, empty if unknown."""
         return self._address_by_name.get(name, "")
 
     def _run(self) -> None:
         period_s = self._settings.timings.instances_s
         while not self._stopping.is_set():
             self._refresh()
-            # Spread, so that a fleet started together does not read together.
+            # Jitter, so that entries started together do not poll at the same time.
             self._stopping.wait(period_s * random.uniform(0.8, 1.2))
 
     def _refresh(self) -> None:
@@ -101,14 +102,14 @@
         if found.is_ok():
             self.set_instances(found.ok)
         elif not self._instances:
-            logger.warning("No list of instances yet; asking the seeds.")
+            logger.warning("List of instances is unavailable; querying the seeds.")
             self._request_from_seeds()
 
     def set_instances(self, instances: tuple[Instance, ...]) -> None:
-        """Use this list from now on.
+        """Replace the list of instances.
 
-        Subsets are worked out only for a list that has changed: at the target that
-        takes some 30 ms, and the list is asked for every other second.
+        Subsets are computed only if the list has changed: at the target size this takes
+        some 30 ms, and the list is polled every 2 seconds.
         """
         with self._lock:
             if instances != self._instances:
@@ -122,11 +123,12 @@
                 self._hub.disconnect(address)
 
     def _set_senders(self, senders: frozenset[str]) -> None:
-        """Judge by their heartbeats only entries that send this one any.
+        """Set the entries whose liveness is judged by their heartbeats.
 
-        Failure: an entry joins, and the ring makes others send their heartbeats
-        elsewhere. Symptom: they seem gone from here and drop out of what callers are
-        told. Those that begin to send have not been silent before.
+        When an entry joins, others may send their heartbeats to other peers of the
+        ring. Without this they would look dead here and be removed from callers'
+        addresses. Entries that start sending are not silent before their first
+        heartbeat.
         """
         for name in senders ^ self._senders:
             self._heard_at_by_peer.pop(name, None)
@@ -134,7 +136,7 @@
         self._senders = senders
 
     def _select_agents(self) -> tuple[Instance, ...]:
-        """Return the agents to keep links to: a subset of each group's."""
+        """Return the agents to keep links to: a subset of each group."""
         agents = [one for one in self._instances if one.role == "agent"]
         chosen: list[Instance] = []
         for group in sorted({one.group for one in agents}):
@@ -164,21 +166,21 @@
 
     @property
     def peers(self) -> tuple[Instance, ...]:
-        """The entries that this one sends heartbeats to.
+        """Entries that this one sends heartbeats to.
 
-        The next ones in a ring of names, so that the links form a connected whole.
+        They are its successors in the ring of sorted names, which connects all entries.
         """
         entries = sorted(one for one in self._instances if _is_entry(one))
         return _list_ring_successors(entries, self._settings.name)[:_PEER_COUNT]
 
     def _find_senders(self) -> frozenset[str]:
-        """Return the entries that have this one among their peers."""
+        """Return the names of the entries that send heartbeats to this one."""
         entries = sorted(one for one in self._instances if _is_entry(one))
         nearest_last = _list_ring_successors(entries, self._settings.name)
         return frozenset(one.name for one in nearest_last[-_PEER_COUNT:])
 
     def record_heartbeat(self, heartbeat: PeerHeartbeat, now: float) -> None:
-        """Take in a peer's heartbeat."""
+        """Record a peer's heartbeat."""
         self._heard_at_by_peer[heartbeat.name] = now
         if heartbeat.leaving:
             self._leaving_peers.add(heartbeat.name)
@@ -190,8 +192,9 @@
     ) -> tuple[str, ...]:
         """Return the ``IP:port`` of the entries for an organisation's callers.
 
-        A leaving entry drops out at once, whether the list says so or its heartbeat;
-        this one too, though it keeps its share for callers that have not yet heard.
+        An entry is omitted as soon as the list or its heartbeat says that it is
+        leaving. This entry omits itself as well, but stays a member: it keeps its share
+        for callers that have not refreshed their addresses.
         """
         http_by_name = {one.name: one.http for one in self._instances}
         members = self.list_members(organisation, now)
@@ -210,8 +213,9 @@
     def list_members(self, organisation: Organisation, now: float) -> tuple[str, ...]:
         """Return the names of the entries that share an organisation's allowance.
 
-        Worked out anew only when the live entries change: ranking 370 entries for each
-        of some hundred organisations every second would use up the budget for control.
+        The result is cached until the live entries change: ranking 370 entries for each
+        of some hundred organisations every second would use up the CPU budget of the
+        control plane.
         """
         live = self._list_live_entries(now)
         key = (organisation.name, organisation.allowance)
@@ -246,7 +250,7 @@
 
 
 def _list_ring_successors(entries: list[Instance], name: str) -> tuple[Instance, ...]:
-    """Return the other entries in the order of names, from ``name`` on and around."""
+    """Return the other entries in ring order of names, starting after ``name``."""
     after = [one for one in entries if one.name > name]
     before = [one for one in entries if one.name < name]
     return (*after, *before)
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -1,4 +1,4 @@
-"""Takes the messages that reach an entry; runs on the hub's thread, never blocks."""
+"""Dispatches an entry's incoming messages; runs on the hub's thread, never blocks."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class MessageHandler:
-    """Routes messages and sends heartbeats."""
+    """Handles incoming messages and sends heartbeats."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self._last_heartbeat_at = 0.0
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take one message."""
+        """Handle one message."""
         match message, link:
             case AgentHeartbeat(), OutgoingLink(address):
                 self._on_agent_heartbeat(address, message)
@@ -166,8 +166,9 @@
         self._keeper.heard(
             heartbeat.manifest_version, heartbeat.manifest_digest, address
         )
-        # An entry that started in an outage is on nobody's list, so nobody sends it
-        # heartbeats; without an answer it would never hear of the manifest.
+        # An entry that started during a platform outage is on no entry's list of
+        # instances and gets no heartbeats. Without a reply it would never learn of the
+        # manifest.
         if (
             isinstance(link, IncomingLink)
             and heartbeat.manifest_version < self._keeper.version
@@ -194,7 +195,7 @@
         )
 
     def on_tick(self, now: float) -> None:
-        """Look for silent links; send heartbeats when it is time."""
+        """Check the liveness of agents; send heartbeats when they are due."""
         for finding in self._context.servers.check_liveness(now):
             self._on_liveness_event(finding)
         if now - self._last_heartbeat_at >= self._context.settings.timings.heartbeat_s:
@@ -206,20 +207,20 @@
         inboxes = self._context.inboxes
         match event:
             case LinkSilent(address):
-                logger.warning("Link to %s is silent; opening a new one.", address)
+                logger.warning("Link to %s timed out; reconnecting.", address)
                 self._context.hub.reconnect(address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(LinkReplaced())
             case AgentTimedOut(address):
-                logger.warning("Agent at %s is gone.", address)
+                logger.warning("Agent at %s timed out; ending its attempts.", address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(AgentGone("the server's instance does not answer"))
             case AgentRestarted(address, incarnation):
                 self._on_restarted(address, incarnation)
 
     def _on_restarted(self, address: str, incarnation: str) -> None:
-        # Only attempts of earlier lives are lost: the first heartbeat of a new life may
-        # come after a dispatch to it.
+        # Only attempts of earlier incarnations are lost. A dispatch to the new one may
+        # precede its first heartbeat.
         logger.warning("Agent at %s restarted.", address)
         for inbox in self._context.inboxes.list_by_address(address):
             if inbox.incarnation != incarnation:
@@ -254,5 +255,5 @@
         )
 
     def announce_leaving(self) -> None:
-        """Tell agents and peers at once that this entry leaves."""
+        """Announce to agents and peers on the next tick that this entry is leaving."""
         self._last_heartbeat_at = 0.0
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -1,4 +1,4 @@
-"""Pages for operators, on an address of their own that callers are not given."""
+"""JSON pages for operators, on an address that is not published to callers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ServerRow(TypedDict):
-    """One backend server as this entry sees it."""
+    """State of one backend server as known to this entry."""
 
     server: str
     group: str
@@ -36,7 +36,7 @@
 
 
 class StatusBody(TypedDict):
-    """How the entry is; ``manifest_version`` is 0 before the first one."""
+    """State of the entry; ``manifest_version`` is 0 before the first manifest."""
 
     name: str
     manifest_version: int
@@ -52,7 +52,7 @@
 
 
 class OperatorPages:
-    """A WSGI application: ``/health``, ``/status`` and ``/trace/ID``, read only."""
+    """Read-only WSGI application: ``/health``, ``/status`` and ``/trace/ID``."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question with JSON."""
+        """Answer one request with JSON."""
         page = self._build_page(str(environ.get("PATH_INFO", "")))
         body = msgspec.json.encode(page.body)
         headers = [
@@ -89,7 +89,7 @@
         return _Page("404 Not Found", {"error": "no such page or request"})
 
     def _build_health_page(self) -> _Page:
-        """Tell whether callers should be sent here."""
+        """Return the health page: 503 if callers should not use this entry."""
         why = ""
         if self._context.leaving.is_set():
             why = "leaving"
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -1,4 +1,4 @@
-"""Where finished requests are counted: service levels and metrics."""
+"""Counts outcomes of requests for service level goals and metrics."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
         self._metrics = metrics
 
     def set_goals(self, in_force: InForce) -> None:
-        """Hold requests to the goals of this manifest from now on."""
+        """Apply the goals of this manifest to later requests."""
         self._burn_counter.adopt(build_burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
         self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
-        """Count a request that got no answer of a backend server."""
+        """Count a request that the entry refused."""
         self._metrics.count(Count.REFUSALS, by=refusal.reason)
         self._count(
             Observed(
@@ -66,7 +66,7 @@
         gaps_s: Sequence[float],
         caller_left: bool,
     ) -> None:
-        """Count an answer; ``gaps_s`` are the times between chunks in seconds."""
+        """Count an answer; ``gaps_s`` are the seconds between its chunks."""
         if first_byte_s is not None:
             self._metrics.duration(Duration.FIRST_BYTE, first_byte_s)
         if gaps_s:
@@ -98,7 +98,7 @@
 
 
 def build_burn_goals(in_force: InForce) -> BurnGoals:
-    """Return the goals that the manifest in force sets."""
+    """Return the goals set in the manifest in force."""
     routes = in_force.assembly.core.routes
     organisations = in_force.organisations_by_name.values()
     return BurnGoals(
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -1,4 +1,4 @@
-"""Turns an HTTP request into a ``CallerRequest``, or says what is wrong with it."""
+"""Parses an HTTP request into a ``CallerRequest`` or a refusal."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 _BEARER_PREFIX = "bearer "
 _IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 _MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
-# Characters of a prompt that name its prefix: the length of a system prompt's start,
+# Leading characters of a prompt that make up its prefix: the start of a system prompt,
 # which callers of one application share.
 _MAX_PREFIX_CHARACTERS = 256
-# Headers that belong to one connection, or to the entry alone, and are not passed on.
+# Headers that apply to one connection or to the entry only.
 _UNFORWARDED_HEADERS = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
-    """What the HTTP layer read; ``headers`` have lower-case names."""
+    """An HTTP request; the names in ``headers`` are lower-case."""
 
     method: str
     host: str
@@ -59,7 +59,7 @@
 
 
 class PromptInfo(NamedTuple):
-    """What of a model request's body the entry looks at."""
+    """Fields of a model request's body that the entry uses."""
 
     is_streamed: bool
     max_tokens: int | None
@@ -72,7 +72,7 @@
 def authenticate_organisation(
     headers: Mapping[str, str], in_force: InForce
 ) -> Result[Organisation, Refusal]:
-    """Return the organisation that the bearer key belongs to."""
+    """Return the organisation of the API key, or a refusal."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
@@ -84,7 +84,7 @@
 def check_sizes(
     headers: Mapping[str, str], *, header_bytes: int, body_bytes: int
 ) -> Refusal | None:
-    """Return a refusal of what is too large, before any of the body is read."""
+    """Return a refusal if headers or body are too large; called before it is read."""
     size = sum(len(name) + len(value) for name, value in headers.items())
     if size > header_bytes:
         return HEADERS_TOO_LARGE
@@ -102,7 +102,10 @@
     request_id: str,
     received_at: float,
 ) -> Result[CallerRequest, Refusal]:
-    """Return the request, checked against the manifest in force; ``now`` monotonic."""
+    """Return the request, checked against the manifest in force, or a refusal.
+
+    ``received_at`` is in seconds of the monotonic clock.
+    """
     found = _find_route(http_request, in_force)
     if isinstance(found, Refusal):
         return Error(found)
