--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -103,34 +103,36 @@
             self._end_request()
 
     def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
-        limits = self._context.settings.entry
+        settings = self._context.settings.entry
         in_force = self._get_in_force()
         if self._is_closed or in_force is None:
-            exchange.discard_body(limits.body_bytes)
+            exchange.discard_body(settings.body_bytes)
             return exchange.refuse(ENTRY_LEAVING if self._is_closed else NO_MANIFEST)
         refusal = check_sizes(
             exchange.headers,
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
+            header_bytes=settings.header_bytes,
+            body_bytes=settings.body_bytes,
         )
         if refusal is not None:
-            exchange.discard_body(_MAX_DISCARDED_BODIES * limits.body_bytes)
+            exchange.discard_body(_MAX_DISCARDED_BODIES * settings.body_bytes)
             return exchange.refuse(refusal)
-        found = authenticate_organisation(exchange.headers, in_force)
-        if found.is_error():
+        authenticated = authenticate_organisation(exchange.headers, in_force)
+        if authenticated.is_error():
             # One chunk only: unauthenticated callers must not hold a thread for long.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
-            return exchange.refuse(found.error)
+            return exchange.refuse(authenticated.error)
         if exchange.path.startswith(PAGES_PREFIX):
-            page = self._caller_pages.get_page(exchange.method, exchange.path, found.ok)
+            page = self._caller_pages.get_page(
+                exchange.method, exchange.path, authenticated.ok
+            )
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
-        body = exchange.read_body(limits.body_bytes)
+        body = exchange.read_body(settings.body_bytes)
         if body is None:
             exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
         parsed = parse_request(
             exchange.build_http_request(body),
-            found.ok,
+            authenticated.ok,
             in_force,
             request_id=exchange.request_id,
             received_at=exchange.received_at,
--- a/src/kingcupwheel/entry/manifest_fetcher.py
+++ b/src/kingcupwheel/entry/manifest_fetcher.py
@@ -45,11 +45,11 @@
     def _wait_for_object(
         self, address: str, key: str
     ) -> Result[ManifestObject | None, str]:
-        until = monotonic() + _PEER_TIMEOUT_S
+        deadline = monotonic() + _PEER_TIMEOUT_S
         while True:
             try:
-                answer = self._objects.get(timeout=max(0.0, until - monotonic()))
+                reply = self._objects.get(timeout=max(0.0, deadline - monotonic()))
             except Empty:
                 return Error(f"peer {address} did not reply within {_PEER_TIMEOUT_S} s")
-            if answer.key == key:
-                return Ok(answer)
+            if reply.key == key:
+                return Ok(reply)
--- a/src/kingcupwheel/entry/membership.py
+++ b/src/kingcupwheel/entry/membership.py
@@ -98,9 +98,9 @@
             self._stopping.wait(period_s * random.uniform(0.8, 1.2))
 
     def _refresh(self) -> None:
-        found = self._client.instances()
-        if found.is_ok():
-            self.set_instances(found.ok)
+        result = self._client.instances()
+        if result.is_ok():
+            self.set_instances(result.ok)
         elif not self._instances:
             logger.warning("List of instances is unavailable; querying the seeds.")
             self._request_from_seeds()
@@ -138,23 +138,23 @@
     def _select_agents(self) -> tuple[Instance, ...]:
         """Return the agents to keep links to: a subset of each group."""
         agents = [one for one in self._instances if one.role == "agent"]
-        chosen: list[Instance] = []
+        selected: list[Instance] = []
         for group in sorted({one.group for one in agents}):
-            chosen.extend(
+            selected.extend(
                 self._select_subset([one for one in agents if one.group == group])
             )
-        return tuple(chosen)
+        return tuple(selected)
 
     def _select_subset(self, agents: list[Instance]) -> list[Instance]:
-        size = self._settings.entry.subset
+        subset_size = self._settings.entry.subset
         names = subset_selection.select_subset(
             self._settings.name,
             self._list_entries_with_self(),
             [subset_selection.Instance(one.name, one.data_centre) for one in agents],
-            size,
+            subset_size,
         )
-        wanted = set(names)
-        return [one for one in agents if one.name in wanted]
+        selected_names = set(names)
+        return [one for one in agents if one.name in selected_names]
 
     def _list_entries_with_self(self) -> list[subset_selection.Instance]:
         entries = [one for one in self._instances if _is_entry(one)]
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -145,11 +145,11 @@
                 )
 
     def _on_agent_heartbeat(self, address: str, heartbeat: AgentHeartbeat) -> None:
-        restarted = self._context.servers.record_heartbeat(
+        restart_event = self._context.servers.record_heartbeat(
             address, heartbeat, monotonic()
         )
-        if restarted is not None:
-            self._on_liveness_event(restarted)
+        if restart_event is not None:
+            self._on_liveness_event(restart_event)
         if heartbeat.crashed:
             self._context.limiter.record_crashes(heartbeat.crashed)
         self._keeper.heard(heartbeat.manifest_version, "", address)
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -90,13 +90,13 @@
 
     def _build_health_page(self) -> _Page:
         """Return the health page: 503 if callers should not use this entry."""
-        why = ""
+        reason = ""
         if self._context.leaving.is_set():
-            why = "leaving"
+            reason = "leaving"
         elif self._keeper.current is None:
-            why = "no manifest in force"
-        status = "503 Service Unavailable" if why else "200 OK"
-        return _Page(status, {"healthy": not why, "why": why})
+            reason = "no manifest in force"
+        status = "503 Service Unavailable" if reason else "200 OK"
+        return _Page(status, {"healthy": not reason, "why": reason})
 
     def _build_status_body(self) -> StatusBody:
         now = monotonic()
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -90,8 +90,8 @@
         self._metrics.count(Count.REQUESTS, by=observed.outcome.value)
         if observed.caller_left:
             self._metrics.count(Count.CALLERS_LEFT)
-        judged = self._burn_counter.observe(observed, now=time.time())
-        for indicator, count in judged.items():
+        count_by_indicator = self._burn_counter.observe(observed, now=time.time())
+        for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
                 self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -106,10 +106,10 @@
 
     ``received_at`` is in seconds of the monotonic clock.
     """
-    found = _find_route(http_request, in_force)
-    if isinstance(found, Refusal):
-        return Error(found)
-    route, group = found
+    route_match = _find_route(http_request, in_force)
+    if isinstance(route_match, Refusal):
+        return Error(route_match)
+    route, group = route_match
     deadline = _parse_deadline(http_request.headers.get("kingcupwheel-deadline", ""))
     if isinstance(deadline, Refusal):
         return Error(deadline)
@@ -163,10 +163,10 @@
 
 
 def _check_idempotency_key(
-    http_request: HttpRequest, found: RouteFound
+    http_request: HttpRequest, route_match: RouteFound
 ) -> Refusal | None:
     key = http_request.headers.get(_IDEMPOTENCY_KEY_HEADER, "")
-    if not key and not found.route.repeatable:
+    if not key and not route_match.route.repeatable:
         return IDEMPOTENCY_KEY_MISSING
     if len(key) > _MAX_IDEMPOTENCY_KEY_CHARACTERS:
         return build_bad_request_refusal(
--- a/src/kingcupwheel/entry/server_table.py
+++ b/src/kingcupwheel/entry/server_table.py
@@ -93,8 +93,13 @@
     @property
     def is_in_service(self) -> bool:
         """Whether new requests may be placed on it."""
-        up = self.last_heartbeat is not None and self.last_heartbeat.server_up
-        return up and self.is_listed and not self.is_leaving and not self.is_timed_out
+        is_server_up = self.last_heartbeat is not None and self.last_heartbeat.server_up
+        return (
+            is_server_up
+            and self.is_listed
+            and not self.is_leaving
+            and not self.is_timed_out
+        )
 
 
 class ServerTable:
@@ -126,20 +131,20 @@
         gets no new requests. It stays in the table until its attempts have ended, so
         that no answer is interrupted.
         """
-        wanted = {instance.address: instance for instance in instances}
+        instance_by_address = {instance.address: instance for instance in instances}
         with self._lock:
-            for address, instance in wanted.items():
+            for address, instance in instance_by_address.items():
                 self._add_or_update(address, instance, now)
             for address, server in self._by_address.items():
-                server.is_listed = address in wanted
-            dropped = [
+                server.is_listed = address in instance_by_address
+            removed = [
                 address
                 for address, server in self._by_address.items()
-                if address not in wanted and server.in_flight == 0
+                if address not in instance_by_address and server.in_flight == 0
             ]
-            for address in dropped:
+            for address in removed:
                 del self._by_address[address]
-        return tuple(dropped)
+        return tuple(removed)
 
     def _add_or_update(self, address: str, instance: Instance, now: float) -> None:
         known = self._by_address.get(address)
@@ -173,18 +178,18 @@
             server = self._by_address.get(address)
             if server is None:
                 return None
-            before = server.last_heartbeat
+            previous = server.last_heartbeat
             server.last_heartbeat = heartbeat
-            restarted = (
-                before is not None and before.incarnation != heartbeat.incarnation
+            has_restarted = (
+                previous is not None and previous.incarnation != heartbeat.incarnation
             )
-            if restarted:
+            if has_restarted:
                 server.ended_incarnation_in_flight = server.in_flight
             server.in_flight_at_heartbeat = server.current_in_flight
-            if before is None or restarted:
+            if previous is None or has_restarted:
                 server.first_heard_at = now
             self._record_activity(server, now)
-        return AgentRestarted(address, heartbeat.incarnation) if restarted else None
+        return AgentRestarted(address, heartbeat.incarnation) if has_restarted else None
 
     def is_current_incarnation(self, address: str, incarnation: str) -> bool:
         """Return whether the incarnation is the current one; True if unknown."""
@@ -239,12 +244,15 @@
         return tuple(self._by_address.values())
 
     def _compensate_own_pause(self, now: float) -> None:
-        last, self._checked_at = self._checked_at, now
-        if last is None or now - last <= self._timings.silence_s / 2:
+        last_checked_at, self._checked_at = self._checked_at, now
+        if (
+            last_checked_at is None
+            or now - last_checked_at <= self._timings.silence_s / 2
+        ):
             return
         for server in self._by_address.values():
-            server.last_heard_at += now - last
-            server.link_replaced_at += now - last
+            server.last_heard_at += now - last_checked_at
+            server.link_replaced_at += now - last_checked_at
 
     def _check_server(self, server: Server, now: float) -> LivenessEvent | None:
         silent_s = now - server.last_heard_at
