--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -17,14 +17,14 @@
 from kingcupwheel.manifest.assembly import FetchedObjects
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.hints import AskPeer
-from kingcupwheel.manifest.hints import Hint
-from kingcupwheel.manifest.hints import Hints
-from kingcupwheel.manifest.hints import ReadPlatform
 from kingcupwheel.manifest.holder import Holder
 from kingcupwheel.manifest.patience import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
+from kingcupwheel.manifest.version_hints import AskPeer
+from kingcupwheel.manifest.version_hints import Hint
+from kingcupwheel.manifest.version_hints import Hints
+from kingcupwheel.manifest.version_hints import ReadPlatform
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
 
--- a/tests/manifest/test_hints.py
+++ b/tests/manifest/test_version_hints.py
@@ -1,8 +1,8 @@
 from __future__ import annotations
 
-from kingcupwheel.manifest.hints import AskPeer
-from kingcupwheel.manifest.hints import Hints
-from kingcupwheel.manifest.hints import ReadPlatform
+from kingcupwheel.manifest.version_hints import AskPeer
+from kingcupwheel.manifest.version_hints import Hints
+from kingcupwheel.manifest.version_hints import ReadPlatform
 
 
 def test_peers_that_hold_the_later_version_come_first() -> None:
