--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -16,8 +16,8 @@
 
 from kingcupwheel.manifest.assembly import FetchedObjects
 from kingcupwheel.manifest.assembly import assemble
+from kingcupwheel.manifest.current_manifest import Holder
 from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.holder import Holder
 from kingcupwheel.manifest.patience import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
@@ -31,8 +31,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.manifest.assembly import ObjectSource
+    from kingcupwheel.manifest.current_manifest import ChangeListener
     from kingcupwheel.manifest.exceptions import FetchError
-    from kingcupwheel.manifest.holder import ChangeListener
     from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
--- a/tests/manifest/test_holder.py
+++ b/tests/manifest/test_current_manifest.py
@@ -8,7 +8,7 @@
 
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
-from kingcupwheel.manifest.holder import Holder
+from kingcupwheel.manifest.current_manifest import Holder
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import cut
 from kingcupwheel.manifest.shards import encode_index
