--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.messages.base import Message
     from kingcupwheel.messages.membership import ManifestObject
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -31,7 +31,7 @@
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.callers import CallerPages
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
 
 logger = logging.getLogger("kingcupwheel.entry")
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
     from kingcupwheel.settings.schema import Settings
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -19,7 +19,7 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.metrics.client import Metrics
 
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.manifest.schema import Organisation
 
 _BEARER = "bearer "
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.metrics.client import Metrics
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.manifest.inforce import InForce
+from kingcupwheel.manifest.compiled_manifest import InForce
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import shard_key
 from kingcupwheel.messages.membership import ManifestObject
--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/keeper.py
@@ -31,9 +31,9 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.manifest.assembly import ObjectSource
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.manifest.current_manifest import ChangeListener
     from kingcupwheel.manifest.exceptions import FetchError
-    from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
 
--- a/tests/manifest/test_inforce.py
+++ b/tests/manifest/test_compiled_manifest.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from kingcupwheel.manifest.assembly import assemble
-from kingcupwheel.manifest.inforce import InForce
+from kingcupwheel.manifest.compiled_manifest import InForce
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.manifest.shards import cut
--- a/tests/manifest/test_keeper.py
+++ b/tests/manifest/test_keeper.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import InForce
     from kingcupwheel.manifest.store import ManifestStore
     from kingcupwheel.messages.membership import ManifestObject
     from kingcupwheel.platform.client import PlatformClient
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -23,7 +23,7 @@
 
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
-from kingcupwheel.manifest.inforce import InForce
+from kingcupwheel.manifest.compiled_manifest import InForce
 from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.loading import load_manifest
 from kingcupwheel.manifest.schema import Allowance
