--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -18,8 +18,8 @@
 from expression import Result
 
 from kingcupwheel.link.links import IncomingLink
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import ManifestKeeper
 from kingcupwheel.messages.membership import ManifestRequest
 
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -26,8 +26,8 @@
 from kingcupwheel.entry.servers import ServerTable
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import ManifestKeeper
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -49,7 +49,7 @@
     from kingcupwheel.entry.peers import PeerFetcher
     from kingcupwheel.entry.servers import Finding
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.keeper import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestKeeper
     from kingcupwheel.messages.base import Message
 
 logger = logging.getLogger("kingcupwheel.entry")
--- a/src/kingcupwheel/entry/operators.py
+++ b/src/kingcupwheel/entry/operators.py
@@ -17,7 +17,7 @@
 
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.servers import Server
-    from kingcupwheel.manifest.keeper import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestKeeper
 
 OPERATOR_THREADS = 4
 _HEALTH = "/health"
--- a/tests/manifest/test_keeper.py
+++ b/tests/manifest/test_synchronizer.py
@@ -11,8 +11,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.shards import INDEX_KEY
+from kingcupwheel.manifest.synchronizer import ManifestKeeper
 from tests.manifest.builders import build_manifest
 from tests.manifest.builders import key_of
 
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.manifest.keeper import DEFAULT_SPREAD_S
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import DEFAULT_SPREAD_S
 from tools.capacity_model import Model
 
 
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -24,7 +24,6 @@
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.compiled_manifest import InForce
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.loading import load_manifest
 from kingcupwheel.manifest.schema import Allowance
 from kingcupwheel.manifest.schema import Manifest
@@ -34,6 +33,7 @@
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.manifest.store import read_object
+from kingcupwheel.manifest.synchronizer import ManifestKeeper
 from kingcupwheel.platform.http import HttpPlatformClient
 from kingcupwheel.settings.schema import PlatformSettings
 
