--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -21,7 +21,7 @@
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import TooLarge
 from kingcupwheel.manifest.exceptions import Unsettled
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.patience import describe
 from kingcupwheel.manifest.status import ask_status
 from kingcupwheel.manifest.status import rollout
--- a/tests/manifest/test_commands.py
+++ b/tests/manifest/test_commands.py
@@ -12,7 +12,7 @@
 from kingcupwheel.console.application import main
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.link.hub import MessageHub
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from tests.manifest.builders import as_data
--- a/tests/manifest/test_loading.py
+++ b/tests/manifest/test_loader.py
@@ -7,7 +7,7 @@
 import yaml
 from expression import Ok
 
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from tests.manifest.builders import as_data
 from tests.manifest.builders import build_manifest
 
--- a/tests/settings/test_examples.py
+++ b/tests/settings/test_examples.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import placement_policies
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -24,7 +24,7 @@
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.compiled_manifest import InForce
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.schema import Allowance
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
