--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -22,7 +22,7 @@
 from kingcupwheel.manifest.exceptions import TooLarge
 from kingcupwheel.manifest.exceptions import Unsettled
 from kingcupwheel.manifest.loader import load_manifest
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.status import ask_status
 from kingcupwheel.manifest.status import rollout
 from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -15,8 +15,8 @@
 from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import MissingObject
 from kingcupwheel.manifest.exceptions import PlatformFailed
-from kingcupwheel.manifest.patience import Patience
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.platform_retries import Patience
+from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import cut
 from kingcupwheel.manifest.shards import expiring_keys
--- a/src/kingcupwheel/manifest/submitting.py
+++ b/src/kingcupwheel/manifest/submitting.py
@@ -13,8 +13,8 @@
 from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import Unsettled
-from kingcupwheel.manifest.patience import Patience
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.platform_retries import Patience
+from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import Index
 from kingcupwheel.manifest.shards import decode_index
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -18,7 +18,7 @@
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.current_manifest import Holder
 from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
 from kingcupwheel.manifest.version_hints import AskPeer
