--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -23,8 +23,8 @@
 from kingcupwheel.manifest.exceptions import Unsettled
 from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.platform_retries import describe
-from kingcupwheel.manifest.status import ask_status
-from kingcupwheel.manifest.status import rollout
+from kingcupwheel.manifest.rollout_status import ask_status
+from kingcupwheel.manifest.rollout_status import rollout
 from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.plugins.kernel import load_builtin
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from kingcupwheel.manifest.status import Process
-    from kingcupwheel.manifest.status import Rollout
+    from kingcupwheel.manifest.rollout_status import Process
+    from kingcupwheel.manifest.rollout_status import Rollout
 
 
 class ManifestShown(Record, frozen=True):
