--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -20,7 +20,7 @@
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import cut
 from kingcupwheel.manifest.shards import expiring_keys
-from kingcupwheel.manifest.submitting import Submitter
+from kingcupwheel.manifest.submission_writer import Submitter
 
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.manifest.schema import Manifest
     from kingcupwheel.manifest.shards import Sharded
-    from kingcupwheel.manifest.submitting import Base
+    from kingcupwheel.manifest.submission_writer import Base
     from kingcupwheel.platform.client import PlatformClient
 
 # How long a submission goes on trying. Operators wait at a terminal or a pipeline does;
