--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -12,12 +12,12 @@
     there is none.
     """
 
-    expected: int
+    expected_version: int
     found: int
 
     def __str__(self) -> str:
         return (
-            f"not accepted: made for version {self.expected}, but version"
+            f"not accepted: made for version {self.expected_version}, but version"
             f" {self.found} is in force"
         )
 
