--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -13,12 +13,12 @@
     """
 
     expected_version: int
-    found: int
+    found_version: int
 
     def __str__(self) -> str:
         return (
             f"not accepted: made for version {self.expected_version}, but version"
-            f" {self.found} is in force"
+            f" {self.found_version} is in force"
         )
 
 
