--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -17,10 +17,10 @@
 from kingcupwheel.console.printing import manifest_text
 from kingcupwheel.console.printing import rollout_text
 from kingcupwheel.console.problems import report_problems
-from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import TooLarge
 from kingcupwheel.manifest.exceptions import Unsettled
+from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.rollout_status import ask_status
@@ -188,7 +188,7 @@
 
 def _refuse(error: SubmitError) -> NoReturn:
     match error:
-        case LostRace():
+        case VersionConflict():
             _fail(str(error), ExitCode.CONFLICT)
         case PlatformFailed():
             _fail(f"not accepted: {error}", ExitCode.UNAVAILABLE)
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class LostRace(NamedTuple):
+class VersionConflict(NamedTuple):
     """Another manifest was accepted first.
 
     ``expected`` is the version the operator saw, ``found`` the one in force now, 0 if
@@ -74,5 +74,5 @@
         return f"{self.key}: not found"
 
 
-SubmitError = LostRace | PlatformFailed | Unsettled | TooLarge
+SubmitError = VersionConflict | PlatformFailed | Unsettled | TooLarge
 FetchError = PlatformFailed | BadObject | MissingObject
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -12,9 +12,9 @@
 
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
-from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import MissingObject
 from kingcupwheel.manifest.exceptions import PlatformFailed
+from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
@@ -73,7 +73,7 @@
         if base.is_error():
             return Error(base.error)
         if expected is not None and expected != base.ok.version:
-            return Error(LostRace(expected, base.ok.version))
+            return Error(VersionConflict(expected, base.ok.version))
         sharded = cut(manifest, submission=submission, previous=base.ok.previous)
         if sharded.is_error():
             return Error(sharded.error)
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -10,9 +10,9 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import LostRace
 from kingcupwheel.manifest.exceptions import PlatformFailed
 from kingcupwheel.manifest.exceptions import Unsettled
+from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
@@ -179,4 +179,4 @@
         return Ok(Won(found.version, superseded=False))
     if current.is_ok() and index.submission in current.ok.earlier:
         return Ok(Won(found.version, superseded=True))
-    return Error(LostRace(expected, found.version))
+    return Error(VersionConflict(expected, found.version))
