--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -17,7 +17,7 @@
 from kingcupwheel.console.printing import manifest_text
 from kingcupwheel.console.printing import rollout_text
 from kingcupwheel.console.problems import report_problems
-from kingcupwheel.manifest.exceptions import PlatformFailed
+from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import TooLarge
 from kingcupwheel.manifest.exceptions import Unsettled
 from kingcupwheel.manifest.exceptions import VersionConflict
@@ -190,7 +190,7 @@
     match error:
         case VersionConflict():
             _fail(str(error), ExitCode.CONFLICT)
-        case PlatformFailed():
+        case PlatformFailure():
             _fail(f"not accepted: {error}", ExitCode.UNAVAILABLE)
         case TooLarge():
             _fail(f"not accepted: {error}", ExitCode.INVALID)
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -22,7 +22,7 @@
         )
 
 
-class PlatformFailed(NamedTuple):
+class PlatformFailure(NamedTuple):
     """The platform could not be used; nothing was accepted."""
 
     detail: str
@@ -74,5 +74,5 @@
         return f"{self.key}: not found"
 
 
-SubmitError = VersionConflict | PlatformFailed | Unsettled | TooLarge
-FetchError = PlatformFailed | BadObject | MissingObject
+SubmitError = VersionConflict | PlatformFailure | Unsettled | TooLarge
+FetchError = PlatformFailure | BadObject | MissingObject
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -13,7 +13,7 @@
 from kingcupwheel.manifest.assembly import Assembly
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.exceptions import MissingObject
-from kingcupwheel.manifest.exceptions import PlatformFailed
+from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
@@ -83,7 +83,7 @@
         """Return the manifest in force and its version, or None if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
-            return Error(PlatformFailed(describe(found.error)))
+            return Error(PlatformFailure(describe(found.error)))
         if found.ok is None:
             return Ok(None)
         version = found.ok.version
@@ -95,7 +95,7 @@
         """Return the version in force, 0 if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
-            return Error(PlatformFailed(describe(found.error)))
+            return Error(PlatformFailure(describe(found.error)))
         return Ok(0 if found.ok is None else found.ok.version)
 
 
@@ -103,7 +103,7 @@
     """Return the value of an object that has to exist."""
     found = client.read(key)
     if found.is_error():
-        return Error(PlatformFailed(describe(found.error)))
+        return Error(PlatformFailure(describe(found.error)))
     return Error(MissingObject(key)) if found.ok is None else Ok(found.ok.value)
 
 
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -10,7 +10,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import PlatformFailed
+from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import Unsettled
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import Patience
@@ -63,7 +63,7 @@
         """Return what there is to build on."""
         found = self._patience.insist(partial(self._client.read, INDEX_KEY))
         if found.is_error():
-            return Error(PlatformFailed(describe(found.error)))
+            return Error(PlatformFailure(describe(found.error)))
         if found.ok is None:
             return Ok(Base(0, None))
         # An index that can't be decoded is replaced; it names nothing to keep.
@@ -79,7 +79,7 @@
         for key in new:
             error = self._write_shard(key, shards_by_key[key])
             if error is not None:
-                return Error(PlatformFailed(describe(error)))
+                return Error(PlatformFailure(describe(error)))
         return Ok(len(new))
 
     def _write_shard(self, key: str, value: bytes) -> PlatformError | None:
@@ -134,11 +134,11 @@
                 case Unavailable(_, sent):
                     doubt = doubt or (describe(result.error) if sent else "")
                 case Rejected():
-                    return Error(PlatformFailed(describe(result.error)))
+                    return Error(PlatformFailure(describe(result.error)))
             if not self._patience.pause(result.error):
                 if doubt:
                     return Error(Unsettled(index.submission, doubt))
-                return Error(PlatformFailed(describe(result.error)))
+                return Error(PlatformFailure(describe(result.error)))
 
     def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
         """Return the versions of those objects that exist and could be read."""
