--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -37,11 +37,13 @@
     The manifest may be in force; ``submission`` is its id.
     """
 
-    submission: str
+    submission_id: str
     detail: str
 
     def __str__(self) -> str:
-        return f"may be accepted or not (submission {self.submission}): {self.detail}"
+        return (
+            f"may be accepted or not (submission {self.submission_id}): {self.detail}"
+        )
 
 
 class TooLarge(NamedTuple):
