--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -19,7 +19,7 @@
 from kingcupwheel.console.problems import report_problems
 from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import TooLarge
-from kingcupwheel.manifest.exceptions import Unsettled
+from kingcupwheel.manifest.exceptions import UnknownOutcome
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.platform_retries import describe
@@ -194,7 +194,7 @@
             _fail(f"not accepted: {error}", ExitCode.UNAVAILABLE)
         case TooLarge():
             _fail(f"not accepted: {error}", ExitCode.INVALID)
-        case Unsettled():
+        case UnknownOutcome():
             _fail(str(error), ExitCode.INCOMPLETE)
 
 
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -31,7 +31,7 @@
         return f"the platform failed: {self.detail}"
 
 
-class Unsettled(NamedTuple):
+class UnknownOutcome(NamedTuple):
     """The confirmation was lost and could not be read back in time.
 
     The manifest may be in force; ``submission`` is its id.
@@ -76,5 +76,5 @@
         return f"{self.key}: not found"
 
 
-SubmitError = VersionConflict | PlatformFailure | Unsettled | TooLarge
+SubmitError = VersionConflict | PlatformFailure | UnknownOutcome | TooLarge
 FetchError = PlatformFailure | BadObject | MissingObject
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -11,7 +11,7 @@
 from expression import Result
 
 from kingcupwheel.manifest.exceptions import PlatformFailure
-from kingcupwheel.manifest.exceptions import Unsettled
+from kingcupwheel.manifest.exceptions import UnknownOutcome
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
@@ -137,7 +137,7 @@
                     return Error(PlatformFailure(describe(result.error)))
             if not self._patience.pause(result.error):
                 if doubt:
-                    return Error(Unsettled(index.submission, doubt))
+                    return Error(UnknownOutcome(index.submission, doubt))
                 return Error(PlatformFailure(describe(result.error)))
 
     def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
