--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -49,12 +49,12 @@
 class TooLarge(NamedTuple):
     """An object of the manifest is over the platform's limit; sizes in bytes."""
 
-    what: str
+    key: str
     size: int
     limit: int
 
     def __str__(self) -> str:
-        return f"{self.what}: {self.size} bytes are over the limit of {self.limit}"
+        return f"{self.key}: {self.size} bytes are over the limit of {self.limit}"
 
 
 class BadObject(NamedTuple):
