--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -50,11 +50,11 @@
     """An object of the manifest is over the platform's limit; sizes in bytes."""
 
     key: str
-    size: int
+    size_bytes: int
     limit: int
 
     def __str__(self) -> str:
-        return f"{self.key}: {self.size} bytes are over the limit of {self.limit}"
+        return f"{self.key}: {self.size_bytes} bytes are over the limit of {self.limit}"
 
 
 class BadObject(NamedTuple):
