--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -51,10 +51,10 @@
 
     key: str
     size_bytes: int
-    limit: int
+    limit_bytes: int
 
     def __str__(self) -> str:
-        return f"{self.key}: {self.size_bytes} bytes are over the limit of {self.limit}"
+        return f"{self.key}: {self.size_bytes} bytes are over the limit of {self.limit_bytes}"
 
 
 class BadObject(NamedTuple):
