--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -17,8 +17,8 @@
 from kingcupwheel.console.printing import manifest_text
 from kingcupwheel.console.printing import rollout_text
 from kingcupwheel.console.problems import report_problems
+from kingcupwheel.manifest.exceptions import ObjectTooLarge
 from kingcupwheel.manifest.exceptions import PlatformFailure
-from kingcupwheel.manifest.exceptions import TooLarge
 from kingcupwheel.manifest.exceptions import UnknownOutcome
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.loader import load_manifest
@@ -192,7 +192,7 @@
             _fail(str(error), ExitCode.CONFLICT)
         case PlatformFailure():
             _fail(f"not accepted: {error}", ExitCode.UNAVAILABLE)
-        case TooLarge():
+        case ObjectTooLarge():
             _fail(f"not accepted: {error}", ExitCode.INVALID)
         case UnknownOutcome():
             _fail(str(error), ExitCode.INCOMPLETE)
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -46,7 +46,7 @@
         )
 
 
-class TooLarge(NamedTuple):
+class ObjectTooLarge(NamedTuple):
     """An object of the manifest is over the platform's limit; sizes in bytes."""
 
     key: str
@@ -76,5 +76,5 @@
         return f"{self.key}: not found"
 
 
-SubmitError = VersionConflict | PlatformFailure | UnknownOutcome | TooLarge
+SubmitError = VersionConflict | PlatformFailure | UnknownOutcome | ObjectTooLarge
 FetchError = PlatformFailure | BadObject | MissingObject
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -20,7 +20,7 @@
 from expression import Result
 
 from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.exceptions import TooLarge
+from kingcupwheel.manifest.exceptions import ObjectTooLarge
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
@@ -107,7 +107,7 @@
 
 def cut(
     manifest: Manifest, *, submission: str, previous: Index | None
-) -> Result[Sharded, TooLarge]:
+) -> Result[Sharded, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
     core = Core(
         groups=manifest.groups,
@@ -233,14 +233,14 @@
     return (replaced, *before)[:_KEPT_SUBMISSIONS]
 
 
-def _checked(sharded: Sharded) -> Result[Sharded, TooLarge]:
+def _checked(sharded: Sharded) -> Result[Sharded, ObjectTooLarge]:
     values_by_key = {
         INDEX_KEY: encode_index(sharded.index_object),
         **sharded.shards_by_key,
     }
     for key, value in values_by_key.items():
         if len(value) > MAX_VALUE_BYTES:
-            return Error(TooLarge(key, len(value), MAX_VALUE_BYTES))
+            return Error(ObjectTooLarge(key, len(value), MAX_VALUE_BYTES))
     return Ok(sharded)
 
 
