--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -10,8 +10,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import BadObject
 from kingcupwheel.manifest.exceptions import FetchError
+from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.shards import Core
 from kingcupwheel.manifest.shards import Index
 from kingcupwheel.manifest.shards import decode_bucket
@@ -125,7 +125,7 @@
     value = source(shard_key(index.core))
     if value.is_error():
         return Error(value.error)
-    decoded: Result[Core, BadObject] = decode_core(index.core, value.ok)
+    decoded: Result[Core, InvalidObject] = decode_core(index.core, value.ok)
     return Ok((value.ok, decoded.ok)) if decoded.is_ok() else Error(decoded.error)
 
 
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -57,7 +57,7 @@
         return f"{self.key}: {self.size_bytes} bytes are over the limit of {self.limit_bytes}"
 
 
-class BadObject(NamedTuple):
+class InvalidObject(NamedTuple):
     """A stored object is not what its key or its index says."""
 
     key: str
@@ -77,4 +77,4 @@
 
 
 SubmitError = VersionConflict | PlatformFailure | UnknownOutcome | ObjectTooLarge
-FetchError = PlatformFailure | BadObject | MissingObject
+FetchError = PlatformFailure | InvalidObject | MissingObject
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -19,7 +19,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import BadObject
+from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.exceptions import ObjectTooLarge
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
@@ -155,22 +155,22 @@
     return msgspec.json.encode(index)
 
 
-def decode_index(value: bytes) -> Result[Index, BadObject]:
+def decode_index(value: bytes) -> Result[Index, InvalidObject]:
     """Return the index in an object's value."""
     try:
         return Ok(msgspec.json.decode(value, type=Index))
     except msgspec.DecodeError as error:
-        return Error(BadObject(INDEX_KEY, str(error)))
+        return Error(InvalidObject(INDEX_KEY, str(error)))
 
 
-def decode_core(digest: str, value: bytes) -> Result[Core, BadObject]:
+def decode_core(digest: str, value: bytes) -> Result[Core, InvalidObject]:
     """Return the core shard in ``value`` if it has that digest."""
     return _unpack(digest, value, Core)
 
 
 def decode_bucket(
     digest: str, value: bytes
-) -> Result[tuple[Organisation, ...], BadObject]:
+) -> Result[tuple[Organisation, ...], InvalidObject]:
     """Return the organisations in ``value`` if it has that digest."""
     return _unpack(digest, value, tuple[Organisation, ...])
 
@@ -252,15 +252,17 @@
     return zlib.compress(msgspec.json.encode(content), _COMPRESSION_LEVEL)
 
 
-def _unpack(digest: str, value: bytes, kind: Any) -> Result[Any, BadObject]:
+def _unpack(digest: str, value: bytes, kind: Any) -> Result[Any, InvalidObject]:
     key = shard_key(digest)
     if _digest(value) != digest:
-        return Error(BadObject(key, "its value has another digest"))
+        return Error(InvalidObject(key, "its value has another digest"))
     try:
         unpacker = zlib.decompressobj()
         content = unpacker.decompress(value, _MAX_UNPACKED_BYTES)
         if unpacker.unconsumed_tail:
-            return Error(BadObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes"))
+            return Error(
+                InvalidObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes")
+            )
         return Ok(msgspec.json.decode(content, type=kind))
     except (zlib.error, msgspec.DecodeError) as error:
-        return Error(BadObject(key, str(error)))
+        return Error(InvalidObject(key, str(error)))
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -29,7 +29,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.exceptions import BadObject
+    from kingcupwheel.manifest.exceptions import InvalidObject
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
@@ -174,7 +174,7 @@
 def _who_won(
     index: Index, found: VersionedValue, expected: int
 ) -> Result[Won, SubmitError]:
-    current: Result[Index, BadObject] = decode_index(found.value)
+    current: Result[Index, InvalidObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission == index.submission:
         return Ok(Won(found.version, superseded=False))
     if current.is_ok() and index.submission in current.ok.earlier:
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -17,7 +17,7 @@
 from kingcupwheel.manifest.assembly import FetchedObjects
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.current_manifest import Holder
-from kingcupwheel.manifest.exceptions import BadObject
+from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
@@ -236,7 +236,7 @@
         )
         if assembly.is_error():
             logger.warning("Version %d not adopted: %s.", version, assembly.error)
-            if isinstance(assembly.error, BadObject):
+            if isinstance(assembly.error, InvalidObject):
                 self._fetched.forget()
             return False
         self._fetched.forget()
