--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -123,7 +123,7 @@
     version, assembly = _fetch(ManifestStore(open_platform(url)))
     shown = ManifestShown(
         version=version,
-        submission=assembly.index_object.submission,
+        submission=assembly.index_object.submission_id,
         manifest=assembly.manifest,
     )
     if as_json:
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -67,7 +67,7 @@
     the last submissions replaced, latest first. Shards are named by SHA-256 digest.
     """
 
-    submission: str
+    submission_id: str
     core: str
     organisations: tuple[str, ...]
     earlier: tuple[str, ...] = ()
@@ -119,7 +119,7 @@
     values = _pack_buckets(manifest.organisations, previous)
     digests = tuple(_digest(value) for value in values)
     index = Index(
-        submission=submission,
+        submission_id=submission,
         core=_digest(core_value),
         organisations=digests,
         earlier=_earlier(previous),
@@ -219,7 +219,7 @@
 def _earlier(previous: Index | None) -> tuple[str, ...]:
     if previous is None:
         return ()
-    return (previous.submission, *previous.earlier)[:_EARLIER_SUBMISSIONS]
+    return (previous.submission_id, *previous.earlier)[:_EARLIER_SUBMISSIONS]
 
 
 def _retired(previous: Index | None, used: set[str]) -> tuple[tuple[str, ...], ...]:
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -123,7 +123,7 @@
     return Ok(
         Accepted(
             version=won.ok.version,
-            submission=sharded.index_object.submission,
+            submission=sharded.index_object.submission_id,
             shards_written=written.ok,
             shards_reused=len(sharded.shards_by_key) - written.ok,
             superseded=won.ok.superseded,
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -137,7 +137,7 @@
                     return Error(PlatformFailure(describe(result.error)))
             if not self._patience.pause(result.error):
                 if doubt:
-                    return Error(UnknownOutcome(index.submission, doubt))
+                    return Error(UnknownOutcome(index.submission_id, doubt))
                 return Error(PlatformFailure(describe(result.error)))
 
     def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
@@ -175,8 +175,8 @@
     index: Index, found: VersionedValue, expected: int
 ) -> Result[Won, SubmitError]:
     current: Result[Index, InvalidObject] = decode_index(found.value)
-    if current.is_ok() and current.ok.submission == index.submission:
+    if current.is_ok() and current.ok.submission_id == index.submission_id:
         return Ok(Won(found.version, superseded=False))
-    if current.is_ok() and index.submission in current.ok.earlier:
+    if current.is_ok() and index.submission_id in current.ok.earlier:
         return Ok(Won(found.version, superseded=True))
     return Error(VersionConflict(expected, found.version))
