--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -120,12 +120,12 @@
 def _core(
     index: Index, source: ObjectSource, reuse: Assembly | None
 ) -> Result[tuple[bytes, Core], FetchError]:
-    if reuse is not None and reuse.index_object.core == index.core:
+    if reuse is not None and reuse.index_object.core_digest == index.core_digest:
         return Ok((reuse.core_value, reuse.core))
-    value = source(shard_key(index.core))
+    value = source(shard_key(index.core_digest))
     if value.is_error():
         return Error(value.error)
-    decoded: Result[Core, InvalidObject] = decode_core(index.core, value.ok)
+    decoded: Result[Core, InvalidObject] = decode_core(index.core_digest, value.ok)
     return Ok((value.ok, decoded.ok)) if decoded.is_ok() else Error(decoded.error)
 
 
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -103,7 +103,7 @@
 def _values_by_key(assembly: Assembly) -> dict[str, bytes]:
     values_by_key = {
         INDEX_KEY: assembly.index_value,
-        shard_key(assembly.index_object.core): assembly.core_value,
+        shard_key(assembly.index_object.core_digest): assembly.core_value,
     }
     for digest, bucket in assembly.buckets_by_digest.items():
         values_by_key[shard_key(digest)] = bucket.value
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -68,7 +68,7 @@
     """
 
     submission_id: str
-    core: str
+    core_digest: str
     organisations: tuple[str, ...]
     earlier: tuple[str, ...] = ()
     retired: tuple[tuple[str, ...], ...] = ()
@@ -76,7 +76,7 @@
     @property
     def digests(self) -> tuple[str, ...]:
         """The digests of all shards, the core's first."""
-        return (self.core, *self.organisations)
+        return (self.core_digest, *self.organisations)
 
     @property
     def shard_keys(self) -> tuple[str, ...]:
@@ -120,7 +120,7 @@
     digests = tuple(_digest(value) for value in values)
     index = Index(
         submission_id=submission,
-        core=_digest(core_value),
+        core_digest=_digest(core_value),
         organisations=digests,
         earlier=_earlier(previous),
         retired=_retired(previous, {_digest(core_value), *digests}),
