--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -110,7 +110,7 @@
     core = _core(index.ok, source, reuse)
     if core.is_error():
         return Error(core.error)
-    wanted = index.ok.organisations if with_organisations else ()
+    wanted = index.ok.bucket_digests if with_organisations else ()
     buckets = _buckets(wanted, source, reuse)
     if buckets.is_error():
         return Error(buckets.error)
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -69,14 +69,14 @@
 
     submission_id: str
     core_digest: str
-    organisations: tuple[str, ...]
+    bucket_digests: tuple[str, ...]
     earlier: tuple[str, ...] = ()
     retired: tuple[tuple[str, ...], ...] = ()
 
     @property
     def digests(self) -> tuple[str, ...]:
         """The digests of all shards, the core's first."""
-        return (self.core_digest, *self.organisations)
+        return (self.core_digest, *self.bucket_digests)
 
     @property
     def shard_keys(self) -> tuple[str, ...]:
@@ -121,7 +121,7 @@
     index = Index(
         submission_id=submission,
         core_digest=_digest(core_value),
-        organisations=digests,
+        bucket_digests=digests,
         earlier=_earlier(previous),
         retired=_retired(previous, {_digest(core_value), *digests}),
     )
@@ -183,7 +183,7 @@
     It starts at the previous one and changes only if a bucket is too large or all are
     small: another number rewrites every bucket.
     """
-    buckets = 1 if previous is None else _power_of_two(len(previous.organisations))
+    buckets = 1 if previous is None else _power_of_two(len(previous.bucket_digests))
     while True:
         values = _pack_into(buckets, organisations)
         largest = max(len(value) for value in values)
