--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -70,7 +70,7 @@
     submission_id: str
     core_digest: str
     bucket_digests: tuple[str, ...]
-    earlier: tuple[str, ...] = ()
+    earlier_submission_ids: tuple[str, ...] = ()
     retired: tuple[tuple[str, ...], ...] = ()
 
     @property
@@ -122,7 +122,7 @@
         submission_id=submission,
         core_digest=_digest(core_value),
         bucket_digests=digests,
-        earlier=_earlier(previous),
+        earlier_submission_ids=_earlier(previous),
         retired=_retired(previous, {_digest(core_value), *digests}),
     )
     shards_by_key = {
@@ -219,7 +219,9 @@
 def _earlier(previous: Index | None) -> tuple[str, ...]:
     if previous is None:
         return ()
-    return (previous.submission_id, *previous.earlier)[:_EARLIER_SUBMISSIONS]
+    return (previous.submission_id, *previous.earlier_submission_ids)[
+        :_EARLIER_SUBMISSIONS
+    ]
 
 
 def _retired(previous: Index | None, used: set[str]) -> tuple[tuple[str, ...], ...]:
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -177,6 +177,6 @@
     current: Result[Index, InvalidObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission_id == index.submission_id:
         return Ok(Won(found.version, superseded=False))
-    if current.is_ok() and index.submission_id in current.ok.earlier:
+    if current.is_ok() and index.submission_id in current.ok.earlier_submission_ids:
         return Ok(Won(found.version, superseded=True))
     return Error(VersionConflict(expected, found.version))
