--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -71,7 +71,7 @@
     core_digest: str
     bucket_digests: tuple[str, ...]
     earlier_submission_ids: tuple[str, ...] = ()
-    retired: tuple[tuple[str, ...], ...] = ()
+    retired_digests: tuple[tuple[str, ...], ...] = ()
 
     @property
     def digests(self) -> tuple[str, ...]:
@@ -123,7 +123,7 @@
         core_digest=_digest(core_value),
         bucket_digests=digests,
         earlier_submission_ids=_earlier(previous),
-        retired=_retired(previous, {_digest(core_value), *digests}),
+        retired_digests=_retired(previous, {_digest(core_value), *digests}),
     )
     shards_by_key = {
         shard_key(_digest(value)): value for value in (core_value, *values)
@@ -133,9 +133,9 @@
 
 def expiring_keys(previous: Index | None) -> tuple[str, ...]:
     """Return the retired shards that an index which follows ``previous`` forgets."""
-    if previous is None or len(previous.retired) < _KEPT_SUBMISSIONS:
+    if previous is None or len(previous.retired_digests) < _KEPT_SUBMISSIONS:
         return ()
-    return tuple(shard_key(digest) for digest in previous.retired[-1])
+    return tuple(shard_key(digest) for digest in previous.retired_digests[-1])
 
 
 def join(core: Core, buckets: Iterable[tuple[Organisation, ...]]) -> Manifest:
@@ -230,7 +230,7 @@
     replaced = tuple(sorted(set(previous.digests) - used))
     before = [
         tuple(digest for digest in digests if digest not in used)
-        for digests in previous.retired
+        for digests in previous.retired_digests
     ]
     return (replaced, *before)[:_KEPT_SUBMISSIONS]
 
