--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -74,14 +74,14 @@
     retired_digests: tuple[tuple[str, ...], ...] = ()
 
     @property
-    def digests(self) -> tuple[str, ...]:
+    def shard_digests(self) -> tuple[str, ...]:
         """The digests of all shards, the core's first."""
         return (self.core_digest, *self.bucket_digests)
 
     @property
     def shard_keys(self) -> tuple[str, ...]:
         """The keys of all shards, the core's first."""
-        return tuple(shard_key(each) for each in self.digests)
+        return tuple(shard_key(each) for each in self.shard_digests)
 
 
 class Core(Record, frozen=True):
@@ -227,7 +227,7 @@
 def _retired(previous: Index | None, used: set[str]) -> tuple[tuple[str, ...], ...]:
     if previous is None:
         return ()
-    replaced = tuple(sorted(set(previous.digests) - used))
+    replaced = tuple(sorted(set(previous.shard_digests) - used))
     before = [
         tuple(digest for digest in digests if digest not in used)
         for digests in previous.retired_digests
