--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -13,7 +13,7 @@
 from kingcupwheel.manifest.exceptions import FetchError
 from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.shards import Core
-from kingcupwheel.manifest.shards import Index
+from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_bucket
 from kingcupwheel.manifest.shards import decode_core
 from kingcupwheel.manifest.shards import decode_index
@@ -45,7 +45,7 @@
     """
 
     index_value: bytes
-    index_object: Index
+    index_object: ManifestIndex
     core_value: bytes
     core: Core
     buckets_by_digest: Mapping[str, Bucket]
@@ -118,7 +118,7 @@
 
 
 def _core(
-    index: Index, source: ObjectSource, reuse: Assembly | None
+    index: ManifestIndex, source: ObjectSource, reuse: Assembly | None
 ) -> Result[tuple[bytes, Core], FetchError]:
     if reuse is not None and reuse.index_object.core_digest == index.core_digest:
         return Ok((reuse.core_value, reuse.core))
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -58,7 +58,7 @@
 _KEPT_SUBMISSIONS = 16
 
 
-class Index(Record, frozen=True):
+class ManifestIndex(Record, frozen=True):
     """What a manifest version consists of.
 
     ``submission`` names the submission, ``earlier`` those before it, latest first.
@@ -96,7 +96,7 @@
 class Sharded(NamedTuple):
     """A manifest cut into objects; values are as stored, by key."""
 
-    index_object: Index
+    index_object: ManifestIndex
     shards_by_key: Mapping[str, bytes]
 
 
@@ -106,7 +106,7 @@
 
 
 def cut(
-    manifest: Manifest, *, submission: str, previous: Index | None
+    manifest: Manifest, *, submission: str, previous: ManifestIndex | None
 ) -> Result[Sharded, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
     core = Core(
@@ -118,7 +118,7 @@
     core_value = _pack(core)
     values = _pack_buckets(manifest.organisations, previous)
     digests = tuple(_digest(value) for value in values)
-    index = Index(
+    index = ManifestIndex(
         submission_id=submission,
         core_digest=_digest(core_value),
         bucket_digests=digests,
@@ -131,7 +131,7 @@
     return _checked(Sharded(index, shards_by_key))
 
 
-def expiring_keys(previous: Index | None) -> tuple[str, ...]:
+def expiring_keys(previous: ManifestIndex | None) -> tuple[str, ...]:
     """Return the retired shards that an index which follows ``previous`` forgets."""
     if previous is None or len(previous.retired_digests) < _KEPT_SUBMISSIONS:
         return ()
@@ -150,15 +150,15 @@
     )
 
 
-def encode_index(index: Index) -> bytes:
+def encode_index(index: ManifestIndex) -> bytes:
     """Return the index object's value, which is JSON."""
     return msgspec.json.encode(index)
 
 
-def decode_index(value: bytes) -> Result[Index, InvalidObject]:
+def decode_index(value: bytes) -> Result[ManifestIndex, InvalidObject]:
     """Return the index in an object's value."""
     try:
-        return Ok(msgspec.json.decode(value, type=Index))
+        return Ok(msgspec.json.decode(value, type=ManifestIndex))
     except msgspec.DecodeError as error:
         return Error(InvalidObject(INDEX_KEY, str(error)))
 
@@ -176,7 +176,7 @@
 
 
 def _pack_buckets(
-    organisations: tuple[Organisation, ...], previous: Index | None
+    organisations: tuple[Organisation, ...], previous: ManifestIndex | None
 ) -> list[bytes]:
     """Return the packed buckets; their number is a power of two.
 
@@ -216,7 +216,7 @@
     return tuple(sorted(organisations, key=lambda each: each.name))
 
 
-def _earlier(previous: Index | None) -> tuple[str, ...]:
+def _earlier(previous: ManifestIndex | None) -> tuple[str, ...]:
     if previous is None:
         return ()
     return (previous.submission_id, *previous.earlier_submission_ids)[
@@ -224,7 +224,9 @@
     ]
 
 
-def _retired(previous: Index | None, used: set[str]) -> tuple[tuple[str, ...], ...]:
+def _retired(
+    previous: ManifestIndex | None, used: set[str]
+) -> tuple[tuple[str, ...], ...]:
     if previous is None:
         return ()
     replaced = tuple(sorted(set(previous.shard_digests) - used))
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -16,7 +16,7 @@
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
-from kingcupwheel.manifest.shards import Index
+from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_index
 from kingcupwheel.manifest.shards import encode_index
 from kingcupwheel.platform.errors import Conflict
@@ -42,7 +42,7 @@
     """The index that a submission builds on; version 0 if there is none."""
 
     version: int
-    previous: Index | None
+    previous: ManifestIndex | None
 
 
 class Won(NamedTuple):
@@ -71,7 +71,7 @@
         return Ok(Base(found.ok.version, index.ok if index.is_ok() else None))
 
     def write_shards(
-        self, shards_by_key: Mapping[str, bytes], previous: Index | None
+        self, shards_by_key: Mapping[str, bytes], previous: ManifestIndex | None
     ) -> Result[int, SubmitError]:
         """Write what ``previous`` does not name; return how many shards that were."""
         there = set() if previous is None else set(previous.shard_keys)
@@ -112,7 +112,7 @@
                 return None
         return error
 
-    def write_index(self, index: Index, base: Base) -> Result[Won, SubmitError]:
+    def write_index(self, index: ManifestIndex, base: Base) -> Result[Won, SubmitError]:
         """Make ``index`` the one in force by one conditional update.
 
         Failure: the update takes effect and its confirmation is lost. Symptom: the
@@ -162,7 +162,9 @@
             return self._client.create(INDEX_KEY, value)
         return self._client.update(INDEX_KEY, value, version=version)
 
-    def _settle(self, index: Index, expected: int) -> Result[Won, SubmitError] | None:
+    def _settle(
+        self, index: ManifestIndex, expected: int
+    ) -> Result[Won, SubmitError] | None:
         """Return who won, or None if that can't be read now."""
         found = self._client.read(INDEX_KEY)
         if found.is_error() or found.ok is None or found.ok.version <= expected:
@@ -172,9 +174,9 @@
 
 
 def _who_won(
-    index: Index, found: VersionedValue, expected: int
+    index: ManifestIndex, found: VersionedValue, expected: int
 ) -> Result[Won, SubmitError]:
-    current: Result[Index, InvalidObject] = decode_index(found.value)
+    current: Result[ManifestIndex, InvalidObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission_id == index.submission_id:
         return Ok(Won(found.version, superseded=False))
     if current.is_ok() and index.submission_id in current.ok.earlier_submission_ids:
