--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -12,7 +12,7 @@
 
 from kingcupwheel.manifest.exceptions import FetchError
 from kingcupwheel.manifest.exceptions import InvalidObject
-from kingcupwheel.manifest.shards import Core
+from kingcupwheel.manifest.shards import ManifestCore
 from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_bucket
 from kingcupwheel.manifest.shards import decode_core
@@ -47,7 +47,7 @@
     index_value: bytes
     index_object: ManifestIndex
     core_value: bytes
-    core: Core
+    core: ManifestCore
     buckets_by_digest: Mapping[str, Bucket]
 
     @property
@@ -119,13 +119,15 @@
 
 def _core(
     index: ManifestIndex, source: ObjectSource, reuse: Assembly | None
-) -> Result[tuple[bytes, Core], FetchError]:
+) -> Result[tuple[bytes, ManifestCore], FetchError]:
     if reuse is not None and reuse.index_object.core_digest == index.core_digest:
         return Ok((reuse.core_value, reuse.core))
     value = source(shard_key(index.core_digest))
     if value.is_error():
         return Error(value.error)
-    decoded: Result[Core, InvalidObject] = decode_core(index.core_digest, value.ok)
+    decoded: Result[ManifestCore, InvalidObject] = decode_core(
+        index.core_digest, value.ok
+    )
     return Ok((value.ok, decoded.ok)) if decoded.is_ok() else Error(decoded.error)
 
 
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -84,7 +84,7 @@
         return tuple(shard_key(each) for each in self.shard_digests)
 
 
-class Core(Record, frozen=True):
+class ManifestCore(Record, frozen=True):
     """A manifest without its organisations."""
 
     groups: tuple[ServerGroup, ...]
@@ -109,7 +109,7 @@
     manifest: Manifest, *, submission: str, previous: ManifestIndex | None
 ) -> Result[Sharded, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
-    core = Core(
+    core = ManifestCore(
         groups=manifest.groups,
         routes=manifest.routes,
         goals=manifest.goals,
@@ -138,7 +138,7 @@
     return tuple(shard_key(digest) for digest in previous.retired_digests[-1])
 
 
-def join(core: Core, buckets: Iterable[tuple[Organisation, ...]]) -> Manifest:
+def join(core: ManifestCore, buckets: Iterable[tuple[Organisation, ...]]) -> Manifest:
     """Return the manifest that was cut; its organisations come sorted by name."""
     organisations = [each for bucket in buckets for each in bucket]
     return Manifest(
@@ -163,9 +163,9 @@
         return Error(InvalidObject(INDEX_KEY, str(error)))
 
 
-def decode_core(digest: str, value: bytes) -> Result[Core, InvalidObject]:
+def decode_core(digest: str, value: bytes) -> Result[ManifestCore, InvalidObject]:
     """Return the core shard in ``value`` if it has that digest."""
-    return _unpack(digest, value, Core)
+    return _unpack(digest, value, ManifestCore)
 
 
 def decode_bucket(
