--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -93,7 +93,7 @@
     retention: Retention
 
 
-class Sharded(NamedTuple):
+class ShardedManifest(NamedTuple):
     """A manifest cut into objects; values are as stored, by key."""
 
     index_object: ManifestIndex
@@ -107,7 +107,7 @@
 
 def cut(
     manifest: Manifest, *, submission: str, previous: ManifestIndex | None
-) -> Result[Sharded, ObjectTooLarge]:
+) -> Result[ShardedManifest, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
     core = ManifestCore(
         groups=manifest.groups,
@@ -128,7 +128,7 @@
     shards_by_key = {
         shard_key(_digest(value)): value for value in (core_value, *values)
     }
-    return _checked(Sharded(index, shards_by_key))
+    return _checked(ShardedManifest(index, shards_by_key))
 
 
 def expiring_keys(previous: ManifestIndex | None) -> tuple[str, ...]:
@@ -237,7 +237,7 @@
     return (replaced, *before)[:_KEPT_SUBMISSIONS]
 
 
-def _checked(sharded: Sharded) -> Result[Sharded, ObjectTooLarge]:
+def _checked(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
     values_by_key = {
         INDEX_KEY: encode_index(sharded.index_object),
         **sharded.shards_by_key,
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -27,7 +27,7 @@
     from kingcupwheel.manifest.exceptions import FetchError
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.manifest.schema import Manifest
-    from kingcupwheel.manifest.shards import Sharded
+    from kingcupwheel.manifest.shards import ShardedManifest
     from kingcupwheel.manifest.submission_writer import Base
     from kingcupwheel.platform.client import PlatformClient
 
@@ -108,7 +108,7 @@
 
 
 def _submit(
-    submitter: Submitter, sharded: Sharded, base: Base
+    submitter: Submitter, sharded: ShardedManifest, base: Base
 ) -> Result[Accepted, SubmitError]:
     written = submitter.write_shards(sharded.shards_by_key, base.previous)
     if written.is_error():
