--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -105,7 +105,7 @@
     return SHARD_PREFIX + digest
 
 
-def cut(
+def shard_manifest(
     manifest: Manifest, *, submission: str, previous: ManifestIndex | None
 ) -> Result[ShardedManifest, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -18,8 +18,8 @@
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
-from kingcupwheel.manifest.shards import cut
 from kingcupwheel.manifest.shards import expiring_keys
+from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.manifest.submission_writer import Submitter
 
 
@@ -74,7 +74,9 @@
             return Error(base.error)
         if expected is not None and expected != base.ok.version:
             return Error(VersionConflict(expected, base.ok.version))
-        sharded = cut(manifest, submission=submission, previous=base.ok.previous)
+        sharded = shard_manifest(
+            manifest, submission=submission, previous=base.ok.previous
+        )
         if sharded.is_error():
             return Error(sharded.error)
         return _submit(submitter, sharded.ok, base.ok)
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -16,8 +16,8 @@
 from kingcupwheel.manifest.schema import Organisation
 from kingcupwheel.manifest.schema import Route
 from kingcupwheel.manifest.schema import ServerGroup
-from kingcupwheel.manifest.shards import cut
 from kingcupwheel.manifest.shards import encode_index
+from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.events import Admitted
@@ -148,6 +148,6 @@
         groups=(ServerGroup(name="parts-model"),),
         routes=(Route(path="/v1/completions", group="parts-model"),),
     )
-    sharded = cut(manifest, submission="0" * 32, previous=None).ok
+    sharded = shard_manifest(manifest, submission="0" * 32, previous=None).ok
     shards = [len(value) for value in sharded.shards_by_key.values()]
     return len(encode_index(sharded.index_object)), shards
