--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -131,7 +131,7 @@
     return _checked(ShardedManifest(index, shards_by_key))
 
 
-def expiring_keys(previous: ManifestIndex | None) -> tuple[str, ...]:
+def list_expiring_shard_keys(previous: ManifestIndex | None) -> tuple[str, ...]:
     """Return the retired shards that an index which follows ``previous`` forgets."""
     if previous is None or len(previous.retired_digests) < _KEPT_SUBMISSIONS:
         return ()
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -18,7 +18,7 @@
 from kingcupwheel.manifest.platform_retries import Patience
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
-from kingcupwheel.manifest.shards import expiring_keys
+from kingcupwheel.manifest.shards import list_expiring_shard_keys
 from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.manifest.submission_writer import Submitter
 
@@ -117,7 +117,7 @@
         return Error(written.error)
     # Versions are read before the update: that it succeeds proves that no submission
     # came between, so whoever uses one of these shards again raises its version later.
-    expiring = submitter.versions_of(expiring_keys(base.previous))
+    expiring = submitter.versions_of(list_expiring_shard_keys(base.previous))
     won = submitter.write_index(sharded.index_object, base)
     if won.is_error():
         return Error(won.error)
