--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -17,7 +17,7 @@
 from kingcupwheel.manifest.shards import decode_bucket
 from kingcupwheel.manifest.shards import decode_core
 from kingcupwheel.manifest.shards import decode_index
-from kingcupwheel.manifest.shards import join
+from kingcupwheel.manifest.shards import join_shards
 from kingcupwheel.manifest.shards import shard_key
 
 
@@ -54,7 +54,7 @@
     def manifest(self) -> Manifest:
         """The whole manifest, organisations sorted by name."""
         buckets = self.buckets_by_digest.values()
-        return join(self.core, (bucket.organisations for bucket in buckets))
+        return join_shards(self.core, (bucket.organisations for bucket in buckets))
 
 
 class FetchedObjects:
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -138,7 +138,9 @@
     return tuple(shard_key(digest) for digest in previous.retired_digests[-1])
 
 
-def join(core: ManifestCore, buckets: Iterable[tuple[Organisation, ...]]) -> Manifest:
+def join_shards(
+    core: ManifestCore, buckets: Iterable[tuple[Organisation, ...]]
+) -> Manifest:
     """Return the manifest that was cut; its organisations come sorted by name."""
     organisations = [each for bucket in buckets for each in bucket]
     return Manifest(
