--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -31,7 +31,7 @@
 ObjectSource = Callable[[str], Result[bytes, FetchError]]
 
 
-class Bucket(NamedTuple):
+class OrganisationBucket(NamedTuple):
     """A decoded shard of organisations with its stored value."""
 
     value: bytes
@@ -48,7 +48,7 @@
     index_object: ManifestIndex
     core_value: bytes
     core: ManifestCore
-    buckets_by_digest: Mapping[str, Bucket]
+    buckets_by_digest: Mapping[str, OrganisationBucket]
 
     @property
     def manifest(self) -> Manifest:
@@ -133,9 +133,9 @@
 
 def _buckets(
     digests: tuple[str, ...], source: ObjectSource, reuse: Assembly | None
-) -> Result[dict[str, Bucket], FetchError]:
+) -> Result[dict[str, OrganisationBucket], FetchError]:
     held = {} if reuse is None else reuse.buckets_by_digest
-    buckets_by_digest: dict[str, Bucket] = {}
+    buckets_by_digest: dict[str, OrganisationBucket] = {}
     for digest in digests:
         known = held.get(digest)
         if known is not None:
@@ -147,5 +147,5 @@
         decoded = decode_bucket(digest, value.ok)
         if decoded.is_error():
             return Error(decoded.error)
-        buckets_by_digest[digest] = Bucket(value.ok, decoded.ok)
+        buckets_by_digest[digest] = OrganisationBucket(value.ok, decoded.ok)
     return Ok(buckets_by_digest)
