--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -32,7 +32,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.manifest.assembly import Assembly
+    from kingcupwheel.manifest.assembly import AssembledManifest
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.manifest.schema import Manifest
 
@@ -168,7 +168,7 @@
     return loaded.ok
 
 
-def _fetch(store: ManifestStore) -> tuple[int, Assembly]:
+def _fetch(store: ManifestStore) -> tuple[int, AssembledManifest]:
     fetched = store.fetch()
     if fetched.is_error():
         _fail(str(fetched.error), ExitCode.UNAVAILABLE)
--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -38,7 +38,7 @@
     organisations: tuple[Organisation, ...]
 
 
-class Assembly(NamedTuple):
+class AssembledManifest(NamedTuple):
     """A manifest with the objects it came from.
 
     ``buckets_by_digest`` is empty where organisations are not wanted.
@@ -96,9 +96,9 @@
     index_value: bytes,
     source: ObjectSource,
     *,
-    reuse: Assembly | None = None,
+    reuse: AssembledManifest | None = None,
     with_organisations: bool = True,
-) -> Result[Assembly, FetchError]:
+) -> Result[AssembledManifest, FetchError]:
     """Return the manifest that ``index_value`` names.
 
     Shards that ``reuse`` holds are not read again; every other is read from ``source``
@@ -114,11 +114,11 @@
     buckets = _buckets(wanted, source, reuse)
     if buckets.is_error():
         return Error(buckets.error)
-    return Ok(Assembly(index_value, index.ok, *core.ok, buckets.ok))
+    return Ok(AssembledManifest(index_value, index.ok, *core.ok, buckets.ok))
 
 
 def _core(
-    index: ManifestIndex, source: ObjectSource, reuse: Assembly | None
+    index: ManifestIndex, source: ObjectSource, reuse: AssembledManifest | None
 ) -> Result[tuple[bytes, ManifestCore], FetchError]:
     if reuse is not None and reuse.index_object.core_digest == index.core_digest:
         return Ok((reuse.core_value, reuse.core))
@@ -132,7 +132,7 @@
 
 
 def _buckets(
-    digests: tuple[str, ...], source: ObjectSource, reuse: Assembly | None
+    digests: tuple[str, ...], source: ObjectSource, reuse: AssembledManifest | None
 ) -> Result[dict[str, OrganisationBucket], FetchError]:
     held = {} if reuse is None else reuse.buckets_by_digest
     buckets_by_digest: dict[str, OrganisationBucket] = {}
--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.assembly import Assembly
+    from kingcupwheel.manifest.assembly import AssembledManifest
     from kingcupwheel.manifest.routing import RouteMatch
     from kingcupwheel.manifest.schema import Goals
     from kingcupwheel.manifest.schema import Organisation
@@ -33,7 +33,7 @@
     different digests would mean that the platform has lost and reused a version.
     """
 
-    def __init__(self, version: int, assembly: Assembly) -> None:
+    def __init__(self, version: int, assembly: AssembledManifest) -> None:
         self._version = version
         digest = sha256(assembly.index_value).hexdigest()
         self._digest = digest[:_TOLD_DIGITS]
@@ -60,7 +60,7 @@
         return self._digest
 
     @property
-    def assembly(self) -> Assembly:
+    def assembly(self) -> AssembledManifest:
         """The objects it was made of."""
         return self._assembly
 
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.assembly import Assembly
+    from kingcupwheel.manifest.assembly import AssembledManifest
 
 ChangeListener = Callable[[InForce], None]
 
@@ -57,7 +57,7 @@
         """Call ``listener`` with each version held from now on, in order."""
         self._listeners.append(listener)
 
-    def adopt(self, version: int, assembly: Assembly) -> bool:
+    def adopt(self, version: int, assembly: AssembledManifest) -> bool:
         """Hold ``assembly`` if it is later than what is held.
 
         Failure: a read of the platform answers an older version after a newer one was
@@ -100,7 +100,7 @@
                 logger.exception("A listener failed.")
 
 
-def _values_by_key(assembly: Assembly) -> dict[str, bytes]:
+def _values_by_key(assembly: AssembledManifest) -> dict[str, bytes]:
     values_by_key = {
         INDEX_KEY: assembly.index_value,
         shard_key(assembly.index_object.core_digest): assembly.core_value,
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -10,7 +10,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.assembly import Assembly
+from kingcupwheel.manifest.assembly import AssembledManifest
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.exceptions import MissingObject
 from kingcupwheel.manifest.exceptions import PlatformFailure
@@ -81,7 +81,7 @@
             return Error(sharded.error)
         return _submit(submitter, sharded.ok, base.ok)
 
-    def fetch(self) -> Result[tuple[int, Assembly] | None, FetchError]:
+    def fetch(self) -> Result[tuple[int, AssembledManifest] | None, FetchError]:
         """Return the manifest in force and its version, or None if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -21,7 +21,7 @@
 from expression import Result
 from tests.standins.platform import PlatformStandIn
 
-from kingcupwheel.manifest.assembly import Assembly
+from kingcupwheel.manifest.assembly import AssembledManifest
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.compiled_manifest import InForce
 from kingcupwheel.manifest.loader import load_manifest
@@ -170,10 +170,10 @@
     def bytes(self) -> int:
         return sum(len(value) for value in self.value_by_key.values())
 
-    def assemble(self, reuse: Assembly | None = None) -> Assembly:
+    def assemble(self, reuse: AssembledManifest | None = None) -> AssembledManifest:
         return assemble(self(INDEX_KEY).ok, self, reuse=reuse).ok
 
-    def compile_again(self, reuse: Assembly | None = None) -> InForce:
+    def compile_again(self, reuse: AssembledManifest | None = None) -> InForce:
         def kept(key: str) -> Result[bytes, FetchError]:
             return Ok(self.value_by_key[key])
 
@@ -248,7 +248,7 @@
     client: HttpPlatformClient,
     platform: PlatformStandIn,
     changed: Manifest,
-    before: Assembly,
+    before: AssembledManifest,
 ) -> ChangeCost:
     writes = platform.state.calls["write"]
     _submit(client, changed, "second")
