--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -70,7 +70,7 @@
         self._index_value = b""
         self._values_by_key: dict[str, bytes] = {}
 
-    def over(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
+    def wrap(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
         """Return ``source`` with what was fetched before for this index."""
         if index_value != self._index_value:
             self.forget()
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -230,7 +230,7 @@
         current = self._holder.current
         assembly = assemble(
             index_value,
-            self._fetched.over(source, index_value),
+            self._fetched.wrap(source, index_value),
             reuse=None if current is None else current.assembly,
             with_organisations=self._with_organisations,
         )
