--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -73,7 +73,7 @@
     def wrap(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
         """Return ``source`` with what was fetched before for this index."""
         if index_value != self._index_value:
-            self.forget()
+            self.clear()
             self._index_value = index_value
 
         def read(key: str) -> Result[bytes, FetchError]:
@@ -87,7 +87,7 @@
 
         return read
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop what was fetched."""
         self._values_by_key.clear()
 
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -237,9 +237,9 @@
         if assembly.is_error():
             logger.warning("Version %d not adopted: %s.", version, assembly.error)
             if isinstance(assembly.error, InvalidObject):
-                self._fetched.forget()
+                self._fetched.clear()
             return False
-        self._fetched.forget()
+        self._fetched.clear()
         self._holder.adopt(version, assembly.ok)
         return True
 
