--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -57,7 +57,7 @@
         return join_shards(self.core, (bucket.organisations for bucket in buckets))
 
 
-class FetchedObjects:
+class FetchedObjectCache:
     """Remembers objects between tries to put one manifest together.
 
     Failure: one read of many is refused by the platform's rate limit. Symptom: each try
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -14,7 +14,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.assembly import FetchedObjects
+from kingcupwheel.manifest.assembly import FetchedObjectCache
 from kingcupwheel.manifest.assembly import assemble
 from kingcupwheel.manifest.current_manifest import Holder
 from kingcupwheel.manifest.exceptions import InvalidObject
@@ -91,7 +91,7 @@
         self._random = random or Random()
         self._holder = Holder()
         self._holder.subscribe(on_change)
-        self._fetched = FetchedObjects()
+        self._fetched = FetchedObjectCache()
         self._hinted = Condition()
         self._hints = Hints()
         self._stopping = Event()
