--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -92,7 +92,7 @@
         self._values_by_key.clear()
 
 
-def assemble(
+def assemble_manifest(
     index_value: bytes,
     source: ObjectSource,
     *,
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -11,7 +11,7 @@
 from expression import Result
 
 from kingcupwheel.manifest.assembly import AssembledManifest
-from kingcupwheel.manifest.assembly import assemble
+from kingcupwheel.manifest.assembly import assemble_manifest
 from kingcupwheel.manifest.exceptions import MissingObject
 from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import VersionConflict
@@ -89,9 +89,9 @@
         if found.ok is None:
             return Ok(None)
         version = found.ok.version
-        return assemble(found.ok.value, partial(read_object, self._client)).map(
-            lambda assembly: (version, assembly)
-        )
+        return assemble_manifest(
+            found.ok.value, partial(read_object, self._client)
+        ).map(lambda assembly: (version, assembly))
 
     def version(self) -> Result[int, FetchError]:
         """Return the version in force, 0 if there is none."""
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -15,7 +15,7 @@
 from expression import Result
 
 from kingcupwheel.manifest.assembly import FetchedObjectCache
-from kingcupwheel.manifest.assembly import assemble
+from kingcupwheel.manifest.assembly import assemble_manifest
 from kingcupwheel.manifest.current_manifest import Holder
 from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.platform_retries import describe
@@ -228,7 +228,7 @@
 
     def _adopt(self, version: int, index_value: bytes, source: ObjectSource) -> bool:
         current = self._holder.current
-        assembly = assemble(
+        assembly = assemble_manifest(
             index_value,
             self._fetched.wrap(source, index_value),
             reuse=None if current is None else current.assembly,
