--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -26,7 +26,7 @@
     from kingcupwheel.manifest.schema import Route
     from kingcupwheel.manifest.schema import ServerGroup
 
-NAME_FORM = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 NAME_RULE = "must be 1 to 64 letters, digits, '.', '_' or '-', not starting with a sign"
 # Paths that entries answer themselves.
 RESERVED_PREFIX = "/kingcupwheel/"
@@ -59,7 +59,7 @@
     first_by_name: dict[str, int] = {}
     for index, name in enumerate(names):
         where = f"{path}[{index}].name"
-        if not NAME_FORM.fullmatch(name):
+        if not NAME_PATTERN.fullmatch(name):
             yield Problem(where, f"{NAME_RULE}, not {name!r}")
         first = first_by_name.setdefault(name, index)
         if first != index:
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from kingcupwheel.manifest.checks import NAME_FORM
+from kingcupwheel.manifest.checks import NAME_PATTERN
 from kingcupwheel.manifest.checks import NAME_RULE
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import platform_clients
@@ -33,7 +33,7 @@
     if settings.forwarding is None and settings.rank is None:
         load_builtin()
     for field in ("name", "data_centre"):
-        if not NAME_FORM.fullmatch(getattr(settings, field)):
+        if not NAME_PATTERN.fullmatch(getattr(settings, field)):
             yield Problem(field, f"{NAME_RULE}, not {getattr(settings, field)!r}")
     yield from _address(settings.listen, "listen")
     for field in ("http", "operator_http"):
