--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -41,7 +41,7 @@
 _METHOD_FORM = re.compile(r"[A-Z]{1,16}")
 
 
-def manifest_problems(
+def find_manifest_problems(
     manifest: Manifest, placements: Collection[str]
 ) -> Iterator[Problem]:
     """Yield all that is wrong; ``placements`` as for ``load_manifest``."""
--- a/src/kingcupwheel/manifest/loader.py
+++ b/src/kingcupwheel/manifest/loader.py
@@ -10,7 +10,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.checks import manifest_problems
+from kingcupwheel.manifest.checks import find_manifest_problems
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.utils.shapes import convert
 from kingcupwheel.utils.yaml import read_yaml
@@ -41,7 +41,7 @@
     manifest: Manifest, *, placements: Collection[str] = ()
 ) -> Result[Manifest, Problems]:
     """Return ``manifest``, or every field whose value is out of place."""
-    problems = tuple(manifest_problems(manifest, placements))
+    problems = tuple(find_manifest_problems(manifest, placements))
     return Error(problems) if problems else Ok(manifest)
 
 
