--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -21,9 +21,9 @@
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
-from kingcupwheel.manifest.version_hints import AskPeer
 from kingcupwheel.manifest.version_hints import Hint
 from kingcupwheel.manifest.version_hints import Hints
+from kingcupwheel.manifest.version_hints import PeerHint
 from kingcupwheel.manifest.version_hints import ReadPlatform
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
@@ -194,7 +194,7 @@
     def _follow_peers(self) -> None:
         while not self._stopping.is_set():
             match self._next_hint():
-                case AskPeer(address, _):
+                case PeerHint(address, _):
                     self._adopt_from_peer(address)
                 case ReadPlatform():
                     self._read_platform()
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -16,7 +16,7 @@
 _READ_EVERY_S = 1.0
 
 
-class AskPeer(NamedTuple):
+class PeerHint(NamedTuple):
     """Copy ``version`` or a later one from the peer at ``address``."""
 
     address: str
@@ -29,7 +29,7 @@
     version: int
 
 
-Hint = AskPeer | ReadPlatform
+Hint = PeerHint | ReadPlatform
 
 
 class Hints:
@@ -68,7 +68,7 @@
         self._forget(in_force)
         if self._version_by_peer:
             address = max(self._version_by_peer, key=self._version_by_peer.__getitem__)
-            return AskPeer(address, self._version_by_peer.pop(address))
+            return PeerHint(address, self._version_by_peer.pop(address))
         if self._behind_since is None or now - self._behind_since < _PATIENCE_S:
             return None
         if now - self._read_at < _READ_EVERY_S:
