--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -24,7 +24,7 @@
 from kingcupwheel.manifest.version_hints import Hint
 from kingcupwheel.manifest.version_hints import Hints
 from kingcupwheel.manifest.version_hints import PeerHint
-from kingcupwheel.manifest.version_hints import ReadPlatform
+from kingcupwheel.manifest.version_hints import PlatformHint
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
 
@@ -196,7 +196,7 @@
             match self._next_hint():
                 case PeerHint(address, _):
                     self._adopt_from_peer(address)
-                case ReadPlatform():
+                case PlatformHint():
                     self._read_platform()
 
     def _next_hint(self) -> Hint | None:
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -23,13 +23,13 @@
     version: int
 
 
-class ReadPlatform(NamedTuple):
+class PlatformHint(NamedTuple):
     """Read the index from the platform; it is at ``version`` or a later one."""
 
     version: int
 
 
-Hint = PeerHint | ReadPlatform
+Hint = PeerHint | PlatformHint
 
 
 class Hints:
@@ -74,7 +74,7 @@
         if now - self._read_at < _READ_EVERY_S:
             return None
         self._read_at = now
-        return ReadPlatform(self._named)
+        return PlatformHint(self._named)
 
     def _forget(self, in_force: int) -> None:
         self._version_by_peer = {
