--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -21,10 +21,10 @@
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
-from kingcupwheel.manifest.version_hints import Hint
 from kingcupwheel.manifest.version_hints import Hints
 from kingcupwheel.manifest.version_hints import PeerHint
 from kingcupwheel.manifest.version_hints import PlatformHint
+from kingcupwheel.manifest.version_hints import VersionHint
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
 
@@ -199,7 +199,7 @@
                 case PlatformHint():
                     self._read_platform()
 
-    def _next_hint(self) -> Hint | None:
+    def _next_hint(self) -> VersionHint | None:
         """Wait for a hint for a while; None if there is none or when stopping."""
         with self._hinted:
             hint = self._hints.take(self.version, now=monotonic())
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -29,7 +29,7 @@
     version: int
 
 
-Hint = PeerHint | PlatformHint
+VersionHint = PeerHint | PlatformHint
 
 
 class Hints:
@@ -60,7 +60,7 @@
             if peer in self._version_by_peer or not full:
                 self._version_by_peer[peer] = version
 
-    def take(self, in_force: int, *, now: float) -> Hint | None:
+    def take(self, in_force: int, *, now: float) -> VersionHint | None:
         """Return where to look next, if anywhere; peers with later versions first.
 
         A failed look needs no undoing: the next heartbeat brings the hint again.
