--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -204,7 +204,7 @@
         with self._hinted:
             hint = self._hints.take(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
-                self._hinted.wait(_LOOK_EVERY_S if self._hints.behind else None)
+                self._hinted.wait(_LOOK_EVERY_S if self._hints.is_behind else None)
             return hint
 
     def _adopt_from_peer(self, address: str) -> None:
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -46,7 +46,7 @@
         self._read_at = float("-inf")
 
     @property
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether a version was named that was not in force at the last look."""
         return self._behind_since is not None
 
