--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -157,7 +157,7 @@
         if version > 0:
             with self._hinted:
                 peer = address if digest else None
-                self._hints.note(version, peer=peer, now=monotonic())
+                self._hints.record(version, peer=peer, now=monotonic())
                 self._hinted.notify_all()
 
     def _follow_platform(self) -> None:
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -50,7 +50,7 @@
         """Whether a version was named that was not in force at the last look."""
         return self._behind_since is not None
 
-    def note(self, version: int, *, peer: str | None, now: float) -> None:
+    def record(self, version: int, *, peer: str | None, now: float) -> None:
         """Note a later version; ``peer`` is an address that can be copied from."""
         self._named = max(self._named, version)
         if self._behind_since is None:
