--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -202,7 +202,7 @@
     def _next_hint(self) -> VersionHint | None:
         """Wait for a hint for a while; None if there is none or when stopping."""
         with self._hinted:
-            hint = self._hints.take(self.version, now=monotonic())
+            hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
                 self._hinted.wait(_LOOK_EVERY_S if self._hints.is_behind else None)
             return hint
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -60,7 +60,7 @@
             if peer in self._version_by_peer or not full:
                 self._version_by_peer[peer] = version
 
-    def take(self, in_force: int, *, now: float) -> VersionHint | None:
+    def pop_next(self, in_force: int, *, now: float) -> VersionHint | None:
         """Return where to look next, if anywhere; peers with later versions first.
 
         A failed look needs no undoing: the next heartbeat brings the hint again.
