--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -21,10 +21,10 @@
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
-from kingcupwheel.manifest.version_hints import Hints
 from kingcupwheel.manifest.version_hints import PeerHint
 from kingcupwheel.manifest.version_hints import PlatformHint
 from kingcupwheel.manifest.version_hints import VersionHint
+from kingcupwheel.manifest.version_hints import VersionHints
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
 
@@ -93,7 +93,7 @@
         self._holder.subscribe(on_change)
         self._fetched = FetchedObjectCache()
         self._hinted = Condition()
-        self._hints = Hints()
+        self._hints = VersionHints()
         self._stopping = Event()
         targets = [self._follow_peers]
         if watches_platform:
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -32,7 +32,7 @@
 VersionHint = PeerHint | PlatformHint
 
 
-class Hints:
+class VersionHints:
     """Decides where to look; ``now`` is monotonic, in seconds.
 
     Made for a change heard of from tens of processes a second: each peer is asked once
