--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.messages.base import Message
     from kingcupwheel.messages.membership import ManifestObject
@@ -111,7 +111,7 @@
             if answer.key == key:
                 return Ok(answer)
 
-    def _on_change(self, in_force: InForce) -> None:
+    def _on_change(self, in_force: CompiledManifest) -> None:
         group = in_force.groups_by_name.get(self._group)
         if group is not None and group != self._told:
             self._told = group
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -31,7 +31,7 @@
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.callers import CallerPages
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
 
 logger = logging.getLogger("kingcupwheel.entry")
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         context: EntryContext,
-        in_force: Callable[[], InForce | None],
+        in_force: Callable[[], CompiledManifest | None],
         pages: CallerPages,
     ) -> None:
         self._context = context
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
     from kingcupwheel.settings.schema import Settings
@@ -207,7 +207,7 @@
     def _on_tick(self, now: float) -> None:
         self._handler.on_tick(now)
 
-    def _on_manifest(self, in_force: InForce) -> None:
+    def _on_manifest(self, in_force: CompiledManifest) -> None:
         self._recording.adopt(in_force, self._context.inboxes.request_ids)
 
     def _organisation_named(self, name: str) -> Organisation | None:
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/observing.py
@@ -19,7 +19,7 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.metrics.client import Metrics
 
@@ -33,7 +33,7 @@
         self._burn = burn
         self._metrics = metrics
 
-    def adopt(self, in_force: InForce) -> None:
+    def adopt(self, in_force: CompiledManifest) -> None:
         """Hold requests to the goals of this manifest from now on."""
         self._burn.adopt(burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
@@ -97,7 +97,7 @@
                 self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
 
 
-def burn_goals(in_force: InForce) -> BurnGoals:
+def burn_goals(in_force: CompiledManifest) -> BurnGoals:
     """Return the goals that the manifest in force sets."""
     routes = in_force.assembly.core.routes
     organisations = in_force.organisations_by_name.values()
--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import Organisation
 
 _BEARER = "bearer "
@@ -70,7 +70,7 @@
 
 
 def organisation_of(
-    headers: Mapping[str, str], in_force: InForce
+    headers: Mapping[str, str], in_force: CompiledManifest
 ) -> Result[Organisation, Refusal]:
     """Return the organisation that the bearer key belongs to."""
     authorization = headers.get("authorization", "")
@@ -97,7 +97,7 @@
 def parse(
     http: HttpRequest,
     organisation: Organisation,
-    in_force: InForce,
+    in_force: CompiledManifest,
     *,
     request_id: str,
     now: float,
@@ -139,7 +139,7 @@
     )
 
 
-def _route(http: HttpRequest, in_force: InForce) -> RouteFound | Refusal:
+def _route(http: HttpRequest, in_force: CompiledManifest) -> RouteFound | Refusal:
     match in_force.route_for(http.host, http.path, http.method):
         case NoRoute():
             return NO_ROUTE
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/recording.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.metrics.client import Metrics
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
@@ -66,7 +66,7 @@
         self._shipper.stop()
         self._metrics.close()
 
-    def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
+    def adopt(self, in_force: CompiledManifest, request_ids: Iterable[str]) -> None:
         """Take up a new manifest, and note it in the requests under way."""
         self.observer.adopt(in_force)
         for request_id in request_ids:
--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -26,7 +26,7 @@
 _PREFIX_DIGITS = 16
 
 
-class InForce:
+class CompiledManifest:
     """One version of the manifest; immutable, so that any thread may read it.
 
     ``digest`` begins the SHA-256 digest of the index object: equal versions with
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.manifest.compiled_manifest import InForce
+from kingcupwheel.manifest.compiled_manifest import CompiledManifest
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import shard_key
 from kingcupwheel.messages.membership import ManifestObject
@@ -20,7 +20,7 @@
 
     from kingcupwheel.manifest.assembly import AssembledManifest
 
-ChangeListener = Callable[[InForce], None]
+ChangeListener = Callable[[CompiledManifest], None]
 
 logger = logging.getLogger("kingcupwheel.manifest")
 
@@ -28,7 +28,7 @@
 class _Held(NamedTuple):
     """A version with its objects' values, swapped as one."""
 
-    in_force: InForce
+    in_force: CompiledManifest
     values_by_key: Mapping[str, bytes]
 
 
@@ -42,7 +42,7 @@
         self._listeners: list[ChangeListener] = []
 
     @property
-    def current(self) -> InForce | None:
+    def current(self) -> CompiledManifest | None:
         """The version held, None before the first one."""
         held = self._held
         return None if held is None else held.in_force
@@ -67,7 +67,7 @@
         """
         if version <= self.version:
             return False
-        in_force = InForce(version, assembly)
+        in_force = CompiledManifest(version, assembly)
         held = _Held(in_force, _values_by_key(assembly))
         with self._swapping:
             if version <= self.version:
@@ -92,7 +92,7 @@
         value = held.values_by_key.get(key)
         return ManifestObject(key=key, version=held.in_force.version, value=value)
 
-    def _tell(self, in_force: InForce) -> None:
+    def _tell(self, in_force: CompiledManifest) -> None:
         for listener in tuple(self._listeners):
             try:
                 listener(in_force)
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.manifest.assembly import ObjectSource
-    from kingcupwheel.manifest.compiled_manifest import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.current_manifest import ChangeListener
     from kingcupwheel.manifest.exceptions import FetchError
     from kingcupwheel.platform.client import PlatformClient
@@ -103,7 +103,7 @@
         )
 
     @property
-    def current(self) -> InForce | None:
+    def current(self) -> CompiledManifest | None:
         """The manifest in force here, None until the first one is adopted."""
         return self._holder.current
 
@@ -253,7 +253,9 @@
         return self._from_platform(key)
 
 
-def _warn_of_twin(current: InForce, version: int, digest: str, address: str) -> None:
+def _warn_of_twin(
+    current: CompiledManifest, version: int, digest: str, address: str
+) -> None:
     """Log a peer that holds the same version with other content."""
     if version == current.version and digest not in ("", current.digest):
         logger.error("Peer %s has another version %d.", address, version)
