--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -77,7 +77,7 @@
     if not authorization.lower().startswith(_BEARER):
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER) :].strip()
-    organisation = in_force.organisation_of_key(key)
+    organisation = in_force.find_organisation_by_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -84,7 +84,7 @@
         """How long the platform keeps claims and traces."""
         return self._assembly.core.retention
 
-    def organisation_of_key(self, key: str) -> Organisation | None:
+    def find_organisation_by_key(self, key: str) -> Organisation | None:
         """Return the organisation that the bearer key belongs to.
 
         The comparison takes the same time whatever digits are right, so that timing
