--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -140,7 +140,7 @@
 
 
 def _route(http: HttpRequest, in_force: CompiledManifest) -> RouteFound | Refusal:
-    match in_force.route_for(http.host, http.path, http.method):
+    match in_force.find_route(http.host, http.path, http.method):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -102,7 +102,7 @@
                     found = organisation
         return found
 
-    def route_for(self, host: str, path: str, method: str) -> RouteMatch:
+    def find_route(self, host: str, path: str, method: str) -> RouteMatch:
         """Return the route of a request, or why there is none."""
         return self._routes.find(host, path, method)
 
