--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -79,7 +79,7 @@
         logger.info("Version %d is in force.", version)
         return True
 
-    def wait(self, version: int, timeout_s: float) -> bool:
+    def wait_for_version(self, version: int, timeout_s: float) -> bool:
         """Return whether ``version`` or a later one is held within the time."""
         with self._changed:
             return self._changed.wait_for(lambda: self.version >= version, timeout_s)
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -138,7 +138,7 @@
 
     def wait(self, version: int, timeout_s: float) -> bool:
         """Return whether ``version`` or a later one is in force within the time."""
-        return self._holder.wait(version, timeout_s)
+        return self._holder.wait_for_version(version, timeout_s)
 
     def object_for(self, key: str) -> ManifestObject:
         """Return the answer to a peer that wants this object; never blocks."""
