--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -84,7 +84,7 @@
         with self._changed:
             return self._changed.wait_for(lambda: self.version >= version, timeout_s)
 
-    def object_for(self, key: str) -> ManifestObject:
+    def get_object(self, key: str) -> ManifestObject:
         """Return an object of the version held; ``value`` is None if it has none."""
         held = self._held
         if held is None:
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -142,7 +142,7 @@
 
     def object_for(self, key: str) -> ManifestObject:
         """Return the answer to a peer that wants this object; never blocks."""
-        return self._holder.object_for(key)
+        return self._holder.get_object(key)
 
     def heard(self, version: int, digest: str, address: str) -> None:
         """Note that the process at ``address`` names this version; never blocks.
