--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -32,7 +32,7 @@
     values_by_key: Mapping[str, bytes]
 
 
-class Holder:
+class CurrentManifest:
     """Safe from any thread; readers take no lock."""
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -16,7 +16,7 @@
 
 from kingcupwheel.manifest.assembly import FetchedObjectCache
 from kingcupwheel.manifest.assembly import assemble_manifest
-from kingcupwheel.manifest.current_manifest import Holder
+from kingcupwheel.manifest.current_manifest import CurrentManifest
 from kingcupwheel.manifest.exceptions import InvalidObject
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
@@ -89,7 +89,7 @@
         self._watch_s = watch_s
         self._spread_s = spread_s
         self._random = random or Random()
-        self._holder = Holder()
+        self._holder = CurrentManifest()
         self._holder.subscribe(on_change)
         self._fetched = FetchedObjectCache()
         self._hinted = Condition()
