--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -136,7 +136,7 @@
         """
         self._holder.subscribe(listener)
 
-    def wait(self, version: int, timeout_s: float) -> bool:
+    def wait_for_version(self, version: int, timeout_s: float) -> bool:
         """Return whether ``version`` or a later one is in force within the time."""
         return self._holder.wait_for_version(version, timeout_s)
 
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -283,7 +283,7 @@
     )
     begun = perf_counter()
     keeper.start()
-    if not keeper.wait(1, _WAIT_S):
+    if not keeper.wait_for_version(1, _WAIT_S):
         raise TimeoutError("the keeper adopted nothing")
     spent_s = perf_counter() - begun
     keeper.stop()
