--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -89,7 +89,7 @@
 
     def object_for(self, key: str) -> ManifestObject:
         """Return what to answer an entry that asks for an object."""
-        return self._keeper.object_for(key)
+        return self._keeper.get_object(key)
 
     def found(self, message: ManifestObject) -> None:
         """Take an entry's answer; called on the hub's thread."""
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -116,7 +116,7 @@
             case PeerHeartbeat():
                 self._on_peer_beat(link, message)
             case ManifestRequest(key):
-                send(link, self._keeper.object_for(key))
+                send(link, self._keeper.get_object(key))
             case ManifestObject():
                 self._fetcher.found(message)
             case InstancesReply(instances):
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -140,7 +140,7 @@
         """Return whether ``version`` or a later one is in force within the time."""
         return self._holder.wait_for_version(version, timeout_s)
 
-    def object_for(self, key: str) -> ManifestObject:
+    def get_object(self, key: str) -> ManifestObject:
         """Return the answer to a peer that wants this object; never blocks."""
         return self._holder.get_object(key)
 
