--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -85,7 +85,7 @@
     def heard(self, link: Link, version: int, digest: str) -> None:
         """Note the version that an entry names on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
-            self._keeper.heard(version, digest, link.identity.hex())
+            self._keeper.record_peer_version(version, digest, link.identity.hex())
 
     def object_for(self, key: str) -> ManifestObject:
         """Return what to answer an entry that asks for an object."""
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -148,7 +148,7 @@
             self._on_finding(restarted)
         if beat.crashed:
             self._context.limiter.record_crashes(beat.crashed)
-        self._keeper.heard(beat.manifest_version, "", address)
+        self._keeper.record_peer_version(beat.manifest_version, "", address)
         self._context.dispatchers.place_waiting(beat.group)
 
     def _on_peer_beat(self, link: Link, beat: PeerHeartbeat) -> None:
@@ -159,7 +159,9 @@
             address = link.address
         else:
             address = self._membership.address_of(beat.name)
-        self._keeper.heard(beat.manifest_version, beat.manifest_digest, address)
+        self._keeper.record_peer_version(
+            beat.manifest_version, beat.manifest_digest, address
+        )
         # An entry that started in an outage is on nobody's list, so nobody sends it
         # heartbeats; without an answer it would never hear of the manifest.
         if (
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -144,7 +144,7 @@
         """Return the answer to a peer that wants this object; never blocks."""
         return self._holder.get_object(key)
 
-    def heard(self, version: int, digest: str, address: str) -> None:
+    def record_peer_version(self, version: int, digest: str, address: str) -> None:
         """Note that the process at ``address`` names this version; never blocks.
 
         ``digest`` is empty if that process holds no manifest itself (an agent): it is
