--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest.py
@@ -19,7 +19,7 @@
 
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.manifest.synchronizer import ManifestKeeper
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import ManifestRequest
 
 
@@ -54,7 +54,7 @@
         self._told: ServerGroup | None = None
         self._found: SimpleQueue[ManifestObject] = SimpleQueue()
         self._asking = Lock()
-        self._keeper = ManifestKeeper(
+        self._keeper = ManifestSynchronizer(
             client,
             fetch_from_peer=self._fetch,
             on_change=self._on_change,
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -27,7 +27,7 @@
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.manifest.synchronizer import ManifestKeeper
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
@@ -89,7 +89,7 @@
             leaving=self._leaving,
         )
         fetcher = PeerFetcher(self._hub)
-        self._keeper = ManifestKeeper(
+        self._keeper = ManifestSynchronizer(
             client,
             fetch_from_peer=fetcher.fetch,
             on_change=self._on_manifest,
--- a/src/kingcupwheel/entry/handling.py
+++ b/src/kingcupwheel/entry/handling.py
@@ -49,7 +49,7 @@
     from kingcupwheel.entry.peers import PeerFetcher
     from kingcupwheel.entry.servers import Finding
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.synchronizer import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
     from kingcupwheel.messages.base import Message
 
 logger = logging.getLogger("kingcupwheel.entry")
@@ -62,7 +62,7 @@
         self,
         context: EntryContext,
         membership: Membership,
-        keeper: ManifestKeeper,
+        keeper: ManifestSynchronizer,
         fetcher: PeerFetcher,
         burn: BurnCounter,
         sharing: AllowanceBalancer,
--- a/src/kingcupwheel/entry/operators.py
+++ b/src/kingcupwheel/entry/operators.py
@@ -17,7 +17,7 @@
 
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.servers import Server
-    from kingcupwheel.manifest.synchronizer import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 
 OPERATOR_THREADS = 4
 _HEALTH = "/health"
@@ -57,7 +57,7 @@
     def __init__(
         self,
         context: EntryContext,
-        keeper: ManifestKeeper,
+        keeper: ManifestSynchronizer,
         in_progress: Callable[[], int],
     ) -> None:
         self._context = context
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -56,7 +56,7 @@
 _LOOK_EVERY_S = 0.5
 
 
-class ManifestKeeper:
+class ManifestSynchronizer:
     """Holds the manifest in force; adopts later versions only.
 
     Two ways lead to a new version: a watch on the platform, and ``heard``, which is
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -33,7 +33,7 @@
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.manifest.store import read_object
-from kingcupwheel.manifest.synchronizer import ManifestKeeper
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.platform.http import HttpPlatformClient
 from kingcupwheel.settings.schema import PlatformSettings
 
@@ -275,7 +275,7 @@
 
 
 def _start_keeper(client: HttpPlatformClient) -> float:
-    keeper = ManifestKeeper(
+    keeper = ManifestSynchronizer(
         client,
         fetch_from_peer=lambda _address, _key: Ok(None),
         on_change=lambda _: None,
