--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -38,7 +38,7 @@
     from kingcupwheel.platform.client import VersionedValue
 
 # Asks the peer at an address for an object; the error says why there was no answer.
-FetchFromPeer = Callable[[str, str], Result[ManifestObject | None, str]]
+PeerObjectFetcher = Callable[[str, str], Result[ManifestObject | None, str]]
 
 logger = logging.getLogger("kingcupwheel.manifest")
 
@@ -75,7 +75,7 @@
         self,
         client: PlatformClient,
         *,
-        fetch_from_peer: FetchFromPeer,
+        fetch_from_peer: PeerObjectFetcher,
         on_change: ChangeListener,
         with_organisations: bool = True,
         watches_platform: bool = True,
