--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -45,7 +45,7 @@
 # Processes that saw the same change spread their reads of shards over this time: 370
 # entries and 1,000 agents at once would use up the platform's 2,000 reads a second.
 # It leaves most of the 7 seconds in which a change has to be in force everywhere.
-DEFAULT_SPREAD_S = 2.0
+DEFAULT_MAX_READ_DELAY_S = 2.0
 # Pauses after a failed watch. The longest bounds how long after an outage a change is
 # noticed; 1,370 processes at 2 to 4 s make about 460 calls a second meanwhile.
 _LEAST_PAUSE_S = 0.2
@@ -80,7 +80,7 @@
         with_organisations: bool = True,
         watches_platform: bool = True,
         watch_s: float = 20.0,
-        spread_s: float = DEFAULT_SPREAD_S,
+        spread_s: float = DEFAULT_MAX_READ_DELAY_S,
         random: Random | None = None,
     ) -> None:
         self._client = client
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.manifest.schema import Retention
-from kingcupwheel.manifest.synchronizer import DEFAULT_SPREAD_S
+from kingcupwheel.manifest.synchronizer import DEFAULT_MAX_READ_DELAY_S
 from tools.capacity_model import Model
 
 
@@ -79,7 +79,7 @@
     return PlatformLoad(
         reads=reads,
         # Each process reads a shard, within the spread, and watches again.
-        change_reads=reads + 2 * target.processes / DEFAULT_SPREAD_S,
+        change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
         lease_writes=target.groups / renew_s,
         trace_bytes=target.requests * a_request,
