--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -30,7 +30,7 @@
     def __init__(self, seconds: float) -> None:
         self._deadline = monotonic() + seconds
 
-    def insist(
+    def call_with_retries(
         self, call: Callable[[], Result[T, PlatformError]]
     ) -> Result[T, PlatformError]:
         """Repeat an idempotent call until it is answered or time runs out."""
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -61,7 +61,7 @@
 
     def read_base(self) -> Result[Base, SubmitError]:
         """Return what there is to build on."""
-        found = self._patience.insist(partial(self._client.read, INDEX_KEY))
+        found = self._patience.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
             return Error(PlatformFailure(describe(found.error)))
         if found.ok is None:
@@ -94,7 +94,9 @@
         """
         error: PlatformError | None = None
         for _ in range(_SHARD_TRIES):
-            result = self._patience.insist(partial(self._client.create, key, value))
+            result = self._patience.call_with_retries(
+                partial(self._client.create, key, value)
+            )
             if result.is_ok():
                 return None
             error = result.error
@@ -102,7 +104,7 @@
                 return error
             found = error.version
             again = partial(self._client.update, key, value, version=found)
-            result = self._patience.insist(again)
+            result = self._patience.call_with_retries(again)
             if result.is_ok():
                 return None
             error = result.error
