--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -38,10 +38,10 @@
             result = call()
             if result.is_ok() or isinstance(result.error, Conflict | Rejected):
                 return result
-            if not self.pause(result.error):
+            if not self.wait_before_retry(result.error):
                 return result
 
-    def pause(self, error: PlatformError) -> bool:
+    def wait_before_retry(self, error: PlatformError) -> bool:
         """Wait as ``error`` asks; False at once if time would run out."""
         wait_s = error.retry_after_s if isinstance(error, RateLimited) else _RETRY_S
         if monotonic() + wait_s >= self._deadline:
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -137,7 +137,7 @@
                     doubt = doubt or (describe(result.error) if sent else "")
                 case Rejected():
                     return Error(PlatformFailure(describe(result.error)))
-            if not self._patience.pause(result.error):
+            if not self._patience.wait_before_retry(result.error):
                 if doubt:
                     return Error(UnknownOutcome(index.submission_id, doubt))
                 return Error(PlatformFailure(describe(result.error)))
