--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -24,7 +24,7 @@
 _RETRY_S = 0.25
 
 
-class Patience:
+class PlatformRetrier:
     """The ``seconds`` from now on in which calls are repeated."""
 
     def __init__(self, seconds: float) -> None:
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -15,7 +15,7 @@
 from kingcupwheel.manifest.exceptions import MissingObject
 from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import VersionConflict
-from kingcupwheel.manifest.platform_retries import Patience
+from kingcupwheel.manifest.platform_retries import PlatformRetrier
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import list_expiring_shard_keys
@@ -68,7 +68,7 @@
         saw, by default the one in force now. Shards go first and the index last, by one
         conditional update, so that nobody ever reads half of a manifest.
         """
-        submitter = Submitter(self._client, Patience(self._patience_s))
+        submitter = Submitter(self._client, PlatformRetrier(self._patience_s))
         base = submitter.read_base()
         if base.is_error():
             return Error(base.error)
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -13,7 +13,7 @@
 from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import UnknownOutcome
 from kingcupwheel.manifest.exceptions import VersionConflict
-from kingcupwheel.manifest.platform_retries import Patience
+from kingcupwheel.manifest.platform_retries import PlatformRetrier
 from kingcupwheel.manifest.platform_retries import describe
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import ManifestIndex
@@ -55,7 +55,7 @@
 class Submitter:
     """Carries out the steps of one submission; belongs to one thread."""
 
-    def __init__(self, client: PlatformClient, patience: Patience) -> None:
+    def __init__(self, client: PlatformClient, patience: PlatformRetrier) -> None:
         self._client = client
         self._patience = patience
 
