--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -50,7 +50,7 @@
         return True
 
 
-def describe(error: PlatformError) -> str:
+def describe_platform_error(error: PlatformError) -> str:
     """Return ``error`` in a few words for an operator."""
     match error:
         case Unavailable(detail, _):
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -16,7 +16,7 @@
 from kingcupwheel.manifest.exceptions import PlatformFailure
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import PlatformRetrier
-from kingcupwheel.manifest.platform_retries import describe
+from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import list_expiring_shard_keys
 from kingcupwheel.manifest.shards import shard_manifest
@@ -85,7 +85,7 @@
         """Return the manifest in force and its version, or None if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
-            return Error(PlatformFailure(describe(found.error)))
+            return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
             return Ok(None)
         version = found.ok.version
@@ -97,7 +97,7 @@
         """Return the version in force, 0 if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
-            return Error(PlatformFailure(describe(found.error)))
+            return Error(PlatformFailure(describe_platform_error(found.error)))
         return Ok(0 if found.ok is None else found.ok.version)
 
 
@@ -105,7 +105,7 @@
     """Return the value of an object that has to exist."""
     found = client.read(key)
     if found.is_error():
-        return Error(PlatformFailure(describe(found.error)))
+        return Error(PlatformFailure(describe_platform_error(found.error)))
     return Error(MissingObject(key)) if found.ok is None else Ok(found.ok.value)
 
 
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -14,7 +14,7 @@
 from kingcupwheel.manifest.exceptions import UnknownOutcome
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.platform_retries import PlatformRetrier
-from kingcupwheel.manifest.platform_retries import describe
+from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_index
@@ -63,7 +63,7 @@
         """Return what there is to build on."""
         found = self._patience.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
-            return Error(PlatformFailure(describe(found.error)))
+            return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
             return Ok(Base(0, None))
         # An index that can't be decoded is replaced; it names nothing to keep.
@@ -79,7 +79,7 @@
         for key in new:
             error = self._write_shard(key, shards_by_key[key])
             if error is not None:
-                return Error(PlatformFailure(describe(error)))
+                return Error(PlatformFailure(describe_platform_error(error)))
         return Ok(len(new))
 
     def _write_shard(self, key: str, value: bytes) -> PlatformError | None:
@@ -134,13 +134,15 @@
                         return settled
                     doubt = "the platform did not answer when read back"
                 case Unavailable(_, sent):
-                    doubt = doubt or (describe(result.error) if sent else "")
+                    doubt = doubt or (
+                        describe_platform_error(result.error) if sent else ""
+                    )
                 case Rejected():
-                    return Error(PlatformFailure(describe(result.error)))
+                    return Error(PlatformFailure(describe_platform_error(result.error)))
             if not self._patience.wait_before_retry(result.error):
                 if doubt:
                     return Error(UnknownOutcome(index.submission_id, doubt))
-                return Error(PlatformFailure(describe(result.error)))
+                return Error(PlatformFailure(describe_platform_error(result.error)))
 
     def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
         """Return the versions of those objects that exist and could be read."""
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -18,7 +18,7 @@
 from kingcupwheel.manifest.assembly import assemble_manifest
 from kingcupwheel.manifest.current_manifest import CurrentManifest
 from kingcupwheel.manifest.exceptions import InvalidObject
-from kingcupwheel.manifest.platform_retries import describe
+from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
 from kingcupwheel.manifest.version_hints import PeerHint
@@ -177,7 +177,7 @@
             INDEX_KEY, after=self.version, timeout_s=self._watch_s
         )
         if found.is_error():
-            logger.warning("Watch failed: %s.", describe(found.error))
+            logger.warning("Watch failed: %s.", describe_platform_error(found.error))
             return False
         if found.ok is None:
             return monotonic() - begun >= _LEAST_WATCH_S
