--- a/src/kingcupwheel/entry/parsing.py
+++ b/src/kingcupwheel/entry/parsing.py
@@ -23,9 +23,9 @@
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
+from kingcupwheel.manifest.routing import MatchedRoute
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
-from kingcupwheel.manifest.routing import RouteFound
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
@@ -139,17 +139,17 @@
     )
 
 
-def _route(http: HttpRequest, in_force: CompiledManifest) -> RouteFound | Refusal:
+def _route(http: HttpRequest, in_force: CompiledManifest) -> MatchedRoute | Refusal:
     match in_force.find_route(http.host, http.path, http.method):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
-        case RouteFound() as found:
+        case MatchedRoute() as found:
             return _key_problem(http, found) or found
 
 
-def _key_problem(http: HttpRequest, found: RouteFound) -> Refusal | None:
+def _key_problem(http: HttpRequest, found: MatchedRoute) -> Refusal | None:
     key = http.headers.get(_KEY_HEADER, "")
     if not key and not found.route.repeatable:
         return IDEMPOTENCY_KEY_MISSING
--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -16,7 +16,7 @@
 _PREFIX_MARK = "*"
 
 
-class RouteFound(NamedTuple):
+class MatchedRoute(NamedTuple):
     """The request belongs to ``group`` under the rules of ``route``."""
 
     route: Route
@@ -33,7 +33,7 @@
     allowed: tuple[str, ...]
 
 
-RouteMatch = RouteFound | NoRoute | MethodNotAllowed
+RouteMatch = MatchedRoute | NoRoute | MethodNotAllowed
 
 _RoutesByMethod = dict[str, Route]
 
@@ -98,7 +98,7 @@
         route = by_method.get(method)
         if route is None:
             return MethodNotAllowed(tuple(sorted(by_method)))
-        return RouteFound(route, self._groups_by_name[route.group])
+        return MatchedRoute(route, self._groups_by_name[route.group])
 
 
 def _host_name(host: str) -> str:
