--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -30,7 +30,7 @@
 class MethodNotAllowed(NamedTuple):
     """The path has a route, for the methods ``allowed`` only."""
 
-    allowed: tuple[str, ...]
+    allowed_methods: tuple[str, ...]
 
 
 RouteMatch = MatchedRoute | NoRoute | MethodNotAllowed
