--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -52,7 +52,7 @@
         for method in route.methods:
             by_method[method] = route
 
-    def sort(self) -> None:
+    def sort_prefixes(self) -> None:
         longest_first = sorted(self._by_prefix.items(), key=lambda each: -len(each[0]))
         self._by_prefix = dict(longest_first)
 
@@ -82,7 +82,7 @@
         for route in routes:
             self._by_host.setdefault(route.host, _HostRoutes()).add(route)
         for host_routes in self._by_host.values():
-            host_routes.sort()
+            host_routes.sort_prefixes()
 
     def find(self, host: str, path: str, method: str) -> RouteMatch:
         """Return the match; ``host`` may have a port and ``path`` a query."""
