--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -48,7 +48,7 @@
 
 def _lines(processes: tuple[Process, ...]) -> Iterator[str]:
     for process in processes:
-        leaving = ", leaving" if process.leaving else ""
+        leaving = ", leaving" if process.is_leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
         where = f"{process.role} {process.name} in {process.data_centre}"
         yield f"  {where}: {state}{leaving}"
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -29,7 +29,7 @@
     role: str
     data_centre: str
     version: int | None
-    leaving: bool
+    is_leaving: bool
 
 
 class Rollout(Record, frozen=True):
@@ -85,7 +85,7 @@
             role=instance.role,
             data_centre=instance.data_centre,
             version=None if found is None else found.manifest_version,
-            leaving=instance.leaving or (found is not None and found.leaving),
+            is_leaving=instance.leaving or (found is not None and found.leaving),
         )
         if found is None:
             silent.append(process)
