--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from kingcupwheel.manifest.rollout_status import Process
+    from kingcupwheel.manifest.rollout_status import ProcessStatus
     from kingcupwheel.manifest.rollout_status import Rollout
 
 
@@ -46,7 +46,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _lines(processes: tuple[Process, ...]) -> Iterator[str]:
+def _lines(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
     for process in processes:
         leaving = ", leaving" if process.is_leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -22,7 +22,7 @@
 _BATCH = 400
 
 
-class Process(Record, frozen=True):
+class ProcessStatus(Record, frozen=True):
     """A listed process; ``version`` is None if it did not answer."""
 
     name: str
@@ -39,9 +39,9 @@
     """
 
     version: int
-    there: tuple[Process, ...]
-    behind: tuple[Process, ...]
-    silent: tuple[Process, ...]
+    there: tuple[ProcessStatus, ...]
+    behind: tuple[ProcessStatus, ...]
+    silent: tuple[ProcessStatus, ...]
 
     @property
     def complete(self) -> bool:
@@ -75,12 +75,12 @@
     found_by_name: Mapping[str, StatusReply],
 ) -> Rollout:
     """Sort the listed processes by whether they are on ``version``."""
-    there: list[Process] = []
-    behind: list[Process] = []
-    silent: list[Process] = []
+    there: list[ProcessStatus] = []
+    behind: list[ProcessStatus] = []
+    silent: list[ProcessStatus] = []
     for instance in sorted(instances, key=lambda each: each.name):
         found = found_by_name.get(instance.name)
-        process = Process(
+        process = ProcessStatus(
             name=instance.name,
             role=instance.role,
             data_centre=instance.data_centre,
