--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -36,9 +36,9 @@
 
 def rollout_text(rollout: Rollout) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
-    processes = len(rollout.there) + len(rollout.behind) + len(rollout.silent)
+    processes = len(rollout.up_to_date) + len(rollout.behind) + len(rollout.silent)
     lines = [
-        f"Version {rollout.version} is in force on {len(rollout.there)}"
+        f"Version {rollout.version} is in force on {len(rollout.up_to_date)}"
         f" of {processes} listed processes."
     ]
     lines.extend(_lines(rollout.behind))
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -39,7 +39,7 @@
     """
 
     version: int
-    there: tuple[ProcessStatus, ...]
+    up_to_date: tuple[ProcessStatus, ...]
     behind: tuple[ProcessStatus, ...]
     silent: tuple[ProcessStatus, ...]
 
@@ -95,7 +95,7 @@
             there.append(process)
     return Rollout(
         version=version,
-        there=tuple(there),
+        up_to_date=tuple(there),
         behind=tuple(behind),
         silent=tuple(silent),
     )
