--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -36,13 +36,15 @@
 
 def rollout_text(rollout: Rollout) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
-    processes = len(rollout.up_to_date) + len(rollout.behind) + len(rollout.silent)
+    processes = (
+        len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
+    )
     lines = [
         f"Version {rollout.version} is in force on {len(rollout.up_to_date)}"
         f" of {processes} listed processes."
     ]
     lines.extend(_lines(rollout.behind))
-    lines.extend(_lines(rollout.silent))
+    lines.extend(_lines(rollout.unresponsive))
     return "\n".join(lines) + "\n"
 
 
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -41,12 +41,12 @@
     version: int
     up_to_date: tuple[ProcessStatus, ...]
     behind: tuple[ProcessStatus, ...]
-    silent: tuple[ProcessStatus, ...]
+    unresponsive: tuple[ProcessStatus, ...]
 
     @property
     def complete(self) -> bool:
         """Whether every listed process is on the version."""
-        return not self.behind and not self.silent
+        return not self.behind and not self.unresponsive
 
 
 def ask_status(
@@ -97,7 +97,7 @@
         version=version,
         up_to_date=tuple(there),
         behind=tuple(behind),
-        silent=tuple(silent),
+        unresponsive=tuple(silent),
     )
 
 
