--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -155,7 +155,7 @@
         _print_json(found)
     else:
         click.echo(rollout_text(found), nl=False)
-    sys.exit(ExitCode.OK if found.complete else ExitCode.INCOMPLETE)
+    sys.exit(ExitCode.OK if found.is_complete else ExitCode.INCOMPLETE)
 
 
 def _load(file: Path, *, as_json: bool) -> Manifest:
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -44,7 +44,7 @@
     unresponsive: tuple[ProcessStatus, ...]
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every listed process is on the version."""
         return not self.behind and not self.unresponsive
 
