--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterator
 
     from kingcupwheel.manifest.rollout_status import ProcessStatus
-    from kingcupwheel.manifest.rollout_status import Rollout
+    from kingcupwheel.manifest.rollout_status import RolloutStatus
 
 
 class ManifestShown(Record, frozen=True):
@@ -34,7 +34,7 @@
     return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
 
 
-def rollout_text(rollout: Rollout) -> str:
+def rollout_text(rollout: RolloutStatus) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
     processes = (
         len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -32,7 +32,7 @@
     is_leaving: bool
 
 
-class Rollout(Record, frozen=True):
+class RolloutStatus(Record, frozen=True):
     """How far version ``version`` has come.
 
     ``behind`` answered with an earlier version, ``silent`` did not answer in time.
@@ -73,7 +73,7 @@
     version: int,
     instances: Iterable[Instance],
     found_by_name: Mapping[str, StatusReply],
-) -> Rollout:
+) -> RolloutStatus:
     """Sort the listed processes by whether they are on ``version``."""
     there: list[ProcessStatus] = []
     behind: list[ProcessStatus] = []
@@ -93,7 +93,7 @@
             behind.append(process)
         else:
             there.append(process)
-    return Rollout(
+    return RolloutStatus(
         version=version,
         up_to_date=tuple(there),
         behind=tuple(behind),
