--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -49,7 +49,7 @@
         return not self.behind and not self.unresponsive
 
 
-def ask_status(
+def query_statuses(
     instances: Iterable[Instance], timeout_s: float
 ) -> dict[str, StatusReply]:
     """Return the answers of live processes by instance name.
