--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -23,8 +23,8 @@
 from kingcupwheel.manifest.exceptions import VersionConflict
 from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.platform_retries import describe_platform_error
+from kingcupwheel.manifest.rollout_status import build_rollout_status
 from kingcupwheel.manifest.rollout_status import query_statuses
-from kingcupwheel.manifest.rollout_status import rollout
 from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.plugins.kernel import load_builtin
@@ -150,7 +150,9 @@
             f"the list can't be read: {describe_platform_error(listed.error)}",
             ExitCode.UNAVAILABLE,
         )
-    found = rollout(version, listed.ok, query_statuses(listed.ok, timeout_s))
+    found = build_rollout_status(
+        version, listed.ok, query_statuses(listed.ok, timeout_s)
+    )
     if as_json:
         _print_json(found)
     else:
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -69,7 +69,7 @@
     return found
 
 
-def rollout(
+def build_rollout_status(
     version: int,
     instances: Iterable[Instance],
     found_by_name: Mapping[str, StatusReply],
