--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -36,7 +36,7 @@
 DEFAULT_PATIENCE_S = 20.0
 
 
-class Accepted(NamedTuple):
+class AcceptedSubmission(NamedTuple):
     """A manifest that is in force from ``version`` on, until a later one.
 
     ``shards_written`` and ``shards_reused`` count its shards; ``superseded`` tells that
@@ -61,7 +61,7 @@
 
     def submit(
         self, manifest: Manifest, *, submission: str, expected: int | None = None
-    ) -> Result[Accepted, SubmitError]:
+    ) -> Result[AcceptedSubmission, SubmitError]:
         """Put a checked ``manifest`` in force, whole or not at all.
 
         ``submission`` is a fresh unique id. ``expected`` is the version the operator
@@ -111,7 +111,7 @@
 
 def _submit(
     submitter: Submitter, sharded: ShardedManifest, base: Base
-) -> Result[Accepted, SubmitError]:
+) -> Result[AcceptedSubmission, SubmitError]:
     written = submitter.write_shards(sharded.shards_by_key, base.previous)
     if written.is_error():
         return Error(written.error)
@@ -123,7 +123,7 @@
         return Error(won.error)
     submitter.remove(expiring)
     return Ok(
-        Accepted(
+        AcceptedSubmission(
             version=won.ok.version,
             submission=sharded.index_object.submission_id,
             shards_written=written.ok,
