--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -183,7 +183,7 @@
 
 
 def _version(store: ManifestStore) -> int:
-    version = store.version()
+    version = store.read_version()
     if version.is_error():
         _fail(str(version.error), ExitCode.UNAVAILABLE)
     if version.ok == 0:
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -93,7 +93,7 @@
             found.ok.value, partial(read_object, self._client)
         ).map(lambda assembly: (version, assembly))
 
-    def version(self) -> Result[int, FetchError]:
+    def read_version(self) -> Result[int, FetchError]:
         """Return the version in force, 0 if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
