--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -25,7 +25,7 @@
 from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.rollout_status import build_rollout_status
 from kingcupwheel.manifest.rollout_status import query_statuses
-from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
+from kingcupwheel.manifest.store import DEFAULT_RETRY_TIMEOUT_S
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.plugins.kernel import load_builtin
 from kingcupwheel.plugins.kernel import placement_policies
@@ -80,7 +80,7 @@
 @click.option(
     "--timeout",
     "timeout_s",
-    default=DEFAULT_PATIENCE_S,
+    default=DEFAULT_RETRY_TIMEOUT_S,
     show_default=True,
     help="Seconds to go on trying.",
 )
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -33,7 +33,7 @@
 
 # How long a submission goes on trying. Operators wait at a terminal or a pipeline does;
 # past this the platform is in an outage and they are better told so.
-DEFAULT_PATIENCE_S = 20.0
+DEFAULT_RETRY_TIMEOUT_S = 20.0
 
 
 class AcceptedSubmission(NamedTuple):
@@ -54,7 +54,7 @@
     """Manifests in the platform's service; ``patience_s`` bounds a submission."""
 
     def __init__(
-        self, client: PlatformClient, *, patience_s: float = DEFAULT_PATIENCE_S
+        self, client: PlatformClient, *, patience_s: float = DEFAULT_RETRY_TIMEOUT_S
     ) -> None:
         self._client = client
         self._patience_s = patience_s
