--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -117,7 +117,7 @@
         return Error(written.error)
     # Versions are read before the update: that it succeeds proves that no submission
     # came between, so whoever uses one of these shards again raises its version later.
-    expiring = submitter.versions_of(list_expiring_shard_keys(base.previous))
+    expiring = submitter.read_versions(list_expiring_shard_keys(base.previous))
     won = submitter.write_index(sharded.index_object, base)
     if won.is_error():
         return Error(won.error)
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -144,7 +144,7 @@
                     return Error(UnknownOutcome(index.submission_id, doubt))
                 return Error(PlatformFailure(describe_platform_error(result.error)))
 
-    def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
+    def read_versions(self, keys: Iterable[str]) -> dict[str, int]:
         """Return the versions of those objects that exist and could be read."""
         version_by_key: dict[str, int] = {}
         for key in keys:
