--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -121,7 +121,7 @@
     won = submitter.write_index(sharded.index_object, base)
     if won.is_error():
         return Error(won.error)
-    submitter.remove(expiring)
+    submitter.delete_unchanged(expiring)
     return Ok(
         AcceptedSubmission(
             version=won.ok.version,
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -153,7 +153,7 @@
                 version_by_key[key] = found.ok.version
         return version_by_key
 
-    def remove(self, version_by_key: Mapping[str, int]) -> None:
+    def delete_unchanged(self, version_by_key: Mapping[str, int]) -> None:
         """Remove the objects that are still at these versions; failures are left.
 
         What can't be removed stays as garbage, which costs nothing but its room.
