--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -20,7 +20,7 @@
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.shards import list_expiring_shard_keys
 from kingcupwheel.manifest.shards import shard_manifest
-from kingcupwheel.manifest.submission_writer import Submitter
+from kingcupwheel.manifest.submission_writer import SubmissionWriter
 
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         saw, by default the one in force now. Shards go first and the index last, by one
         conditional update, so that nobody ever reads half of a manifest.
         """
-        submitter = Submitter(self._client, PlatformRetrier(self._patience_s))
+        submitter = SubmissionWriter(self._client, PlatformRetrier(self._patience_s))
         base = submitter.read_base()
         if base.is_error():
             return Error(base.error)
@@ -110,7 +110,7 @@
 
 
 def _submit(
-    submitter: Submitter, sharded: ShardedManifest, base: Base
+    submitter: SubmissionWriter, sharded: ShardedManifest, base: Base
 ) -> Result[AcceptedSubmission, SubmitError]:
     written = submitter.write_shards(sharded.shards_by_key, base.previous)
     if written.is_error():
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -52,7 +52,7 @@
     superseded: bool
 
 
-class Submitter:
+class SubmissionWriter:
     """Carries out the steps of one submission; belongs to one thread."""
 
     def __init__(self, client: PlatformClient, patience: PlatformRetrier) -> None:
