--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -75,7 +75,7 @@
         if expected is not None and expected != base.ok.version:
             return Error(VersionConflict(expected, base.ok.version))
         sharded = shard_manifest(
-            manifest, submission=submission, previous=base.ok.previous
+            manifest, submission=submission, previous=base.ok.previous_index
         )
         if sharded.is_error():
             return Error(sharded.error)
@@ -112,12 +112,12 @@
 def _submit(
     submitter: SubmissionWriter, sharded: ShardedManifest, base: Base
 ) -> Result[AcceptedSubmission, SubmitError]:
-    written = submitter.write_shards(sharded.shards_by_key, base.previous)
+    written = submitter.write_shards(sharded.shards_by_key, base.previous_index)
     if written.is_error():
         return Error(written.error)
     # Versions are read before the update: that it succeeds proves that no submission
     # came between, so whoever uses one of these shards again raises its version later.
-    expiring = submitter.read_versions(list_expiring_shard_keys(base.previous))
+    expiring = submitter.read_versions(list_expiring_shard_keys(base.previous_index))
     won = submitter.write_index(sharded.index_object, base)
     if won.is_error():
         return Error(won.error)
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -42,7 +42,7 @@
     """The index that a submission builds on; version 0 if there is none."""
 
     version: int
-    previous: ManifestIndex | None
+    previous_index: ManifestIndex | None
 
 
 class Won(NamedTuple):
