--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -28,7 +28,7 @@
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.manifest.schema import Manifest
     from kingcupwheel.manifest.shards import ShardedManifest
-    from kingcupwheel.manifest.submission_writer import Base
+    from kingcupwheel.manifest.submission_writer import BaseIndex
     from kingcupwheel.platform.client import PlatformClient
 
 # How long a submission goes on trying. Operators wait at a terminal or a pipeline does;
@@ -110,7 +110,7 @@
 
 
 def _submit(
-    submitter: SubmissionWriter, sharded: ShardedManifest, base: Base
+    submitter: SubmissionWriter, sharded: ShardedManifest, base: BaseIndex
 ) -> Result[AcceptedSubmission, SubmitError]:
     written = submitter.write_shards(sharded.shards_by_key, base.previous_index)
     if written.is_error():
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -38,7 +38,7 @@
 _SHARD_TRIES = 5
 
 
-class Base(NamedTuple):
+class BaseIndex(NamedTuple):
     """The index that a submission builds on; version 0 if there is none."""
 
     version: int
@@ -59,16 +59,16 @@
         self._client = client
         self._patience = patience
 
-    def read_base(self) -> Result[Base, SubmitError]:
+    def read_base(self) -> Result[BaseIndex, SubmitError]:
         """Return what there is to build on."""
         found = self._patience.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
             return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
-            return Ok(Base(0, None))
+            return Ok(BaseIndex(0, None))
         # An index that can't be decoded is replaced; it names nothing to keep.
         index = decode_index(found.ok.value)
-        return Ok(Base(found.ok.version, index.ok if index.is_ok() else None))
+        return Ok(BaseIndex(found.ok.version, index.ok if index.is_ok() else None))
 
     def write_shards(
         self, shards_by_key: Mapping[str, bytes], previous: ManifestIndex | None
@@ -114,7 +114,9 @@
                 return None
         return error
 
-    def write_index(self, index: ManifestIndex, base: Base) -> Result[Won, SubmitError]:
+    def write_index(
+        self, index: ManifestIndex, base: BaseIndex
+    ) -> Result[Won, SubmitError]:
         """Make ``index`` the one in force by one conditional update.
 
         Failure: the update takes effect and its confirmation is lost. Symptom: the
