--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -45,7 +45,7 @@
     previous_index: ManifestIndex | None
 
 
-class Won(NamedTuple):
+class AcceptedIndex(NamedTuple):
     """The index is in force from ``version`` on, or was until a later one."""
 
     version: int
@@ -116,7 +116,7 @@
 
     def write_index(
         self, index: ManifestIndex, base: BaseIndex
-    ) -> Result[Won, SubmitError]:
+    ) -> Result[AcceptedIndex, SubmitError]:
         """Make ``index`` the one in force by one conditional update.
 
         Failure: the update takes effect and its confirmation is lost. Symptom: the
@@ -128,7 +128,7 @@
         while True:
             result = self._put_index(encode_index(index), base.version)
             if result.is_ok():
-                return Ok(Won(result.ok, superseded=False))
+                return Ok(AcceptedIndex(result.ok, superseded=False))
             match result.error:
                 case Conflict():
                     settled = self._settle(index, base.version)
@@ -170,7 +170,7 @@
 
     def _settle(
         self, index: ManifestIndex, expected: int
-    ) -> Result[Won, SubmitError] | None:
+    ) -> Result[AcceptedIndex, SubmitError] | None:
         """Return who won, or None if that can't be read now."""
         found = self._client.read(INDEX_KEY)
         if found.is_error() or found.ok is None or found.ok.version <= expected:
@@ -181,10 +181,10 @@
 
 def _who_won(
     index: ManifestIndex, found: VersionedValue, expected: int
-) -> Result[Won, SubmitError]:
+) -> Result[AcceptedIndex, SubmitError]:
     current: Result[ManifestIndex, InvalidObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission_id == index.submission_id:
-        return Ok(Won(found.version, superseded=False))
+        return Ok(AcceptedIndex(found.version, superseded=False))
     if current.is_ok() and index.submission_id in current.ok.earlier_submission_ids:
-        return Ok(Won(found.version, superseded=True))
+        return Ok(AcceptedIndex(found.version, superseded=True))
     return Error(VersionConflict(expected, found.version))
