--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -28,7 +28,7 @@
 _HIGHEST_PORT = 65_535
 
 
-def settings_problems(settings: Settings) -> Iterator[Problem]:
+def find_settings_problems(settings: Settings) -> Iterator[Problem]:
     """Yield all that is wrong with the values."""
     if settings.forwarding is None and settings.rank is None:
         load_builtin()
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -9,7 +9,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.settings.checks import settings_problems
+from kingcupwheel.settings.checks import find_settings_problems
 from kingcupwheel.settings.schema import Settings
 from kingcupwheel.utils.problems import Problem
 from kingcupwheel.utils.problems import Problems
@@ -36,5 +36,5 @@
 
 
 def _check(settings: Settings) -> Result[Settings, Problems]:
-    problems = tuple(settings_problems(settings))
+    problems = tuple(find_settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
