--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -95,9 +95,9 @@
     whether it was accepted.
     """
     manifest = _load(file, as_json=as_json)
-    store = ManifestStore(open_platform(url), patience_s=timeout_s)
+    store = ManifestStore(open_platform(url), retry_timeout_s=timeout_s)
     submission = secrets.token_hex(_SUBMISSION_BYTES)
-    result = store.submit(manifest, submission=submission, expected=expect)
+    result = store.submit(manifest, submission_id=submission, expected_version=expect)
     if result.is_error():
         _refuse(result.error)
     accepted = result.ok
--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -96,7 +96,7 @@
     index_value: bytes,
     source: ObjectSource,
     *,
-    reuse: AssembledManifest | None = None,
+    previous: AssembledManifest | None = None,
     with_organisations: bool = True,
 ) -> Result[AssembledManifest, FetchError]:
     """Return the manifest that ``index_value`` names.
@@ -107,21 +107,21 @@
     index = decode_index(index_value)
     if index.is_error():
         return Error(index.error)
-    core = _core(index.ok, source, reuse)
+    core = _load_core(index.ok, source, previous)
     if core.is_error():
         return Error(core.error)
     wanted = index.ok.bucket_digests if with_organisations else ()
-    buckets = _buckets(wanted, source, reuse)
+    buckets = _load_buckets(wanted, source, previous)
     if buckets.is_error():
         return Error(buckets.error)
     return Ok(AssembledManifest(index_value, index.ok, *core.ok, buckets.ok))
 
 
-def _core(
-    index: ManifestIndex, source: ObjectSource, reuse: AssembledManifest | None
+def _load_core(
+    index: ManifestIndex, source: ObjectSource, previous: AssembledManifest | None
 ) -> Result[tuple[bytes, ManifestCore], FetchError]:
-    if reuse is not None and reuse.index_object.core_digest == index.core_digest:
-        return Ok((reuse.core_value, reuse.core))
+    if previous is not None and previous.index_object.core_digest == index.core_digest:
+        return Ok((previous.core_value, previous.core))
     value = source(shard_key(index.core_digest))
     if value.is_error():
         return Error(value.error)
@@ -131,10 +131,10 @@
     return Ok((value.ok, decoded.ok)) if decoded.is_ok() else Error(decoded.error)
 
 
-def _buckets(
-    digests: tuple[str, ...], source: ObjectSource, reuse: AssembledManifest | None
+def _load_buckets(
+    digests: tuple[str, ...], source: ObjectSource, previous: AssembledManifest | None
 ) -> Result[dict[str, OrganisationBucket], FetchError]:
-    held = {} if reuse is None else reuse.buckets_by_digest
+    held = {} if previous is None else previous.buckets_by_digest
     buckets_by_digest: dict[str, OrganisationBucket] = {}
     for digest in digests:
         known = held.get(digest)
--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -36,9 +36,9 @@
 # organisation's record to a few kilobytes, so that shards stay near their target size.
 MAX_KEY_DIGESTS = 64
 
-_DIGEST_FORM = re.compile(r"[0-9a-f]{64}")
-_HOST_FORM = re.compile(r"\*|[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
-_METHOD_FORM = re.compile(r"[A-Z]{1,16}")
+_DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}")
+_HOST_PATTERN = re.compile(r"\*|[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?")
+_METHOD_PATTERN = re.compile(r"[A-Z]{1,16}")
 
 
 def find_manifest_problems(
@@ -48,14 +48,14 @@
     for field in ("organisations", "groups", "routes"):
         if not getattr(manifest, field):
             yield Problem(field, "must not be empty")
-    yield from _organisations(manifest.organisations)
-    yield from _groups(manifest.groups, placements)
-    yield from _routes(manifest.routes, {group.name for group in manifest.groups})
-    yield from _goals(manifest.goals, "goals")
+    yield from _check_organisations(manifest.organisations)
+    yield from _check_groups(manifest.groups, placements)
+    yield from _check_routes(manifest.routes, {group.name for group in manifest.groups})
+    yield from _check_goals(manifest.goals, "goals")
     yield from Ranges(manifest.retention, "retention").positive("claims_h", "traces_h")
 
 
-def _names(path: str, names: Iterable[str]) -> Iterator[Problem]:
+def _check_names(path: str, names: Iterable[str]) -> Iterator[Problem]:
     first_by_name: dict[str, int] = {}
     for index, name in enumerate(names):
         where = f"{path}[{index}].name"
@@ -66,7 +66,7 @@
             yield Problem(where, f"{name!r} is the name of {path}[{first}] already")
 
 
-def _goals(goals: Goals | None, path: str) -> Iterator[Problem]:
+def _check_goals(goals: Goals | None, path: str) -> Iterator[Problem]:
     if goals is None:
         return
     ranges = Ranges(goals, path)
@@ -74,22 +74,22 @@
     yield from ranges.positive("first_token_s", "token_gap_ms")
 
 
-def _organisations(organisations: tuple[Organisation, ...]) -> Iterator[Problem]:
-    yield from _names("organisations", (each.name for each in organisations))
+def _check_organisations(organisations: tuple[Organisation, ...]) -> Iterator[Problem]:
+    yield from _check_names("organisations", (each.name for each in organisations))
     owner_by_digest: dict[str, str] = {}
     for index, organisation in enumerate(organisations):
         path = f"organisations[{index}]"
-        yield from _key_digests(organisation.key_digests, path, owner_by_digest)
+        yield from _check_key_digests(organisation.key_digests, path, owner_by_digest)
         yield from Ranges(organisation.allowance, f"{path}.allowance").positive(
             "work_per_s", "burst", "concurrency"
         )
         yield from Ranges(organisation, path).between(
             "priority", LOWEST_PRIORITY, HIGHEST_PRIORITY
         )
-        yield from _goals(organisation.goals, f"{path}.goals")
+        yield from _check_goals(organisation.goals, f"{path}.goals")
 
 
-def _key_digests(
+def _check_key_digests(
     digests: tuple[str, ...], path: str, owner_by_digest: dict[str, str]
 ) -> Iterator[Problem]:
     if not 1 <= len(digests) <= MAX_KEY_DIGESTS:
@@ -99,17 +99,17 @@
         )
     for index, digest in enumerate(digests):
         where = f"{path}.key_digests[{index}]"
-        if not _DIGEST_FORM.fullmatch(digest):
+        if not _DIGEST_PATTERN.fullmatch(digest):
             yield Problem(where, "must be a SHA-256 digest of 64 digits 0-9a-f")
         owner = owner_by_digest.setdefault(digest, where)
         if owner != where:
             yield Problem(where, f"the same digest as {owner}")
 
 
-def _groups(
+def _check_groups(
     groups: tuple[ServerGroup, ...], placements: Collection[str]
 ) -> Iterator[Problem]:
-    yield from _names("groups", (group.name for group in groups))
+    yield from _check_names("groups", (group.name for group in groups))
     for index, group in enumerate(groups):
         path = f"groups[{index}]"
         yield from Ranges(group, path).positive("concurrency")
@@ -123,10 +123,10 @@
         if group.kind is not GroupKind.ENGINE:
             detail = f"a group of kind {group.kind.value!r} has no experts"
             yield Problem(f"{path}.experts", detail)
-        yield from _experts(group.experts, f"{path}.experts")
+        yield from _check_expert_layout(group.experts, f"{path}.experts")
 
 
-def _experts(layout: ExpertLayout, path: str) -> Iterator[Problem]:
+def _check_expert_layout(layout: ExpertLayout, path: str) -> Iterator[Problem]:
     ranges = Ranges(layout, path)
     yield from ranges.positive(
         "ranks", "experts", "layers", "expert_bytes", "rebalance_every_s"
@@ -146,11 +146,13 @@
         yield Problem(f"{path}.slots", detail)
 
 
-def _routes(routes: tuple[Route, ...], groups: set[str]) -> Iterator[Problem]:
+def _check_routes(
+    routes: tuple[Route, ...], group_names: set[str]
+) -> Iterator[Problem]:
     first_by_match: dict[tuple[str, str, str], int] = {}
     for index, route in enumerate(routes):
         path = f"routes[{index}]"
-        yield from _route(route, path, groups)
+        yield from _check_route(route, path, group_names)
         for method in dict.fromkeys(route.methods):
             match = (route.host, route.path, method)
             first = first_by_match.setdefault(match, index)
@@ -159,30 +161,30 @@
                 yield Problem(f"{path}.path", detail)
 
 
-def _route(route: Route, path: str, groups: set[str]) -> Iterator[Problem]:
-    if route.group not in groups:
+def _check_route(route: Route, path: str, group_names: set[str]) -> Iterator[Problem]:
+    if route.group not in group_names:
         yield Problem(f"{path}.group", f"no group {route.group!r}")
-    if not _HOST_FORM.fullmatch(route.host):
+    if not _HOST_PATTERN.fullmatch(route.host):
         yield Problem(f"{path}.host", "must be '*' or a host name in lower case")
-    yield from _path(route.path, f"{path}.path")
+    yield from _check_route_path(route.path, f"{path}.path")
     if not route.methods:
         yield Problem(f"{path}.methods", "must not be empty")
     for index, method in enumerate(route.methods):
-        if not _METHOD_FORM.fullmatch(method):
+        if not _METHOD_PATTERN.fullmatch(method):
             detail = f"must be a method in capitals, not {method!r}"
             yield Problem(f"{path}.methods[{index}]", detail)
         if method in route.methods[:index]:
             yield Problem(f"{path}.methods[{index}]", f"{method} stands twice")
     yield from Ranges(route, path).positive("deadline_s")
-    yield from _goals(route.goals, f"{path}.goals")
+    yield from _check_goals(route.goals, f"{path}.goals")
 
 
-def _path(value: str, where: str) -> Iterator[Problem]:
+def _check_route_path(value: str, field_path: str) -> Iterator[Problem]:
     if not value.startswith("/"):
-        yield Problem(where, "must start with '/'")
+        yield Problem(field_path, "must start with '/'")
     if "*" in value[:-1]:
-        yield Problem(where, "may hold '*' at its end only")
+        yield Problem(field_path, "may hold '*' at its end only")
     if any(mark in value for mark in "?# "):
-        yield Problem(where, "must hold no '?', '#' or space")
+        yield Problem(field_path, "must hold no '?', '#' or space")
     if value.startswith(RESERVED_PREFIX):
-        yield Problem(where, f"{RESERVED_PREFIX} is answered by the entry itself")
+        yield Problem(field_path, f"{RESERVED_PREFIX} is answered by the entry itself")
--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -21,9 +21,9 @@
 
 # Hexadecimal digits of the index's digest that heartbeats name: enough to tell two
 # indexes apart, and a quarter of the bytes on every link every second.
-_TOLD_DIGITS = 16
+_HEARTBEAT_DIGEST_DIGITS = 16
 # Hexadecimal digits of a key's digest that find the candidates; the rest is compared.
-_PREFIX_DIGITS = 16
+_KEY_PREFIX_DIGITS = 16
 
 
 class CompiledManifest:
@@ -36,18 +36,18 @@
     def __init__(self, version: int, assembly: AssembledManifest) -> None:
         self._version = version
         digest = sha256(assembly.index_value).hexdigest()
-        self._digest = digest[:_TOLD_DIGITS]
+        self._digest = digest[:_HEARTBEAT_DIGEST_DIGITS]
         self._assembly = assembly
         self._groups_by_name = {group.name: group for group in assembly.core.groups}
         self._routes = RouteTable(assembly.core.routes, self._groups_by_name)
         self._organisations_by_name: dict[str, Organisation] = {}
         # One candidate for each prefix but for rare collisions: 43,000 tuples of one
         # would double what the garbage collector walks through.
-        self._candidate_by_prefix: dict[str, Organisation] = {}
-        self._further_by_prefix: dict[str, list[Organisation]] = {}
+        self._organisation_by_prefix: dict[str, Organisation] = {}
+        self._collisions_by_prefix: dict[str, list[Organisation]] = {}
         for bucket in assembly.buckets_by_digest.values():
             for organisation in bucket.organisations:
-                self._add(organisation)
+                self._add_organisation(organisation)
 
     @property
     def version(self) -> int:
@@ -91,12 +91,12 @@
         tells nothing of the digests held here.
         """
         digest = sha256(key.encode(errors="surrogatepass")).hexdigest()
-        prefix = digest[:_PREFIX_DIGITS]
-        first = self._candidate_by_prefix.get(prefix)
+        prefix = digest[:_KEY_PREFIX_DIGITS]
+        first = self._organisation_by_prefix.get(prefix)
         if first is None:
             return None
         found = None
-        for organisation in (first, *self._further_by_prefix.get(prefix, ())):
+        for organisation in (first, *self._collisions_by_prefix.get(prefix, ())):
             for held in organisation.key_digests:
                 if compare_digest(held, digest):
                     found = organisation
@@ -106,10 +106,10 @@
         """Return the route of a request, or why there is none."""
         return self._routes.find(host, path, method)
 
-    def _add(self, organisation: Organisation) -> None:
+    def _add_organisation(self, organisation: Organisation) -> None:
         self._organisations_by_name[organisation.name] = organisation
         for digest in organisation.key_digests:
-            prefix = digest[:_PREFIX_DIGITS]
-            first = self._candidate_by_prefix.setdefault(prefix, organisation)
+            prefix = digest[:_KEY_PREFIX_DIGITS]
+            first = self._organisation_by_prefix.setdefault(prefix, organisation)
             if first is not organisation:
-                self._further_by_prefix.setdefault(prefix, []).append(organisation)
+                self._collisions_by_prefix.setdefault(prefix, []).append(organisation)
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -25,7 +25,7 @@
 logger = logging.getLogger("kingcupwheel.manifest")
 
 
-class _Held(NamedTuple):
+class _Snapshot(NamedTuple):
     """A version with its objects' values, swapped as one."""
 
     in_force: CompiledManifest
@@ -36,7 +36,7 @@
     """Safe from any thread; readers take no lock."""
 
     def __init__(self) -> None:
-        self._held: _Held | None = None
+        self._held: _Snapshot | None = None
         self._swapping = Lock()
         self._changed = Condition()
         self._listeners: list[ChangeListener] = []
@@ -68,7 +68,7 @@
         if version <= self.version:
             return False
         in_force = CompiledManifest(version, assembly)
-        held = _Held(in_force, _values_by_key(assembly))
+        held = _Snapshot(in_force, _values_by_key(assembly))
         with self._swapping:
             if version <= self.version:
                 return False
--- a/src/kingcupwheel/manifest/loader.py
+++ b/src/kingcupwheel/manifest/loader.py
@@ -31,7 +31,7 @@
     Cross references are looked at once every field has the right type.
     """
     return (
-        _read(text)
+        _parse(text)
         .bind(lambda data: convert(data, Manifest))
         .bind(lambda manifest: check_manifest(manifest, placements=placements))
     )
@@ -45,7 +45,7 @@
     return Error(problems) if problems else Ok(manifest)
 
 
-def _read(text: str) -> Result[Any, Problems]:
+def _parse(text: str) -> Result[Any, Problems]:
     # JSON is read by a parser of its own, which is far faster than YAML's.
     if text.lstrip().startswith("{"):
         try:
--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -21,7 +21,7 @@
 
 T = TypeVar("T")
 
-_RETRY_S = 0.25
+_RETRY_DELAY_S = 0.25
 
 
 class PlatformRetrier:
@@ -43,7 +43,9 @@
 
     def wait_before_retry(self, error: PlatformError) -> bool:
         """Wait as ``error`` asks; False at once if time would run out."""
-        wait_s = error.retry_after_s if isinstance(error, RateLimited) else _RETRY_S
+        wait_s = (
+            error.retry_after_s if isinstance(error, RateLimited) else _RETRY_DELAY_S
+        )
         if monotonic() + wait_s >= self._deadline:
             return False
         sleep(wait_s)
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -19,7 +19,7 @@
     from kingcupwheel.platform.client import Instance
 
 # Processes asked at once; each takes a socket, of which a process may open about 1,000.
-_BATCH = 400
+_BATCH_SIZE = 400
 
 
 class ProcessStatus(Record, frozen=True):
@@ -59,7 +59,7 @@
     """
     asker = QueryClient(timeout_s=timeout_s)
     found: dict[str, StatusReply] = {}
-    for batch in _batches(instances):
+    for batch in _split_into_batches(instances):
         address_by_process = {
             instance.name: instance.address
             for instance in batch
@@ -72,14 +72,14 @@
 def build_rollout_status(
     version: int,
     instances: Iterable[Instance],
-    found_by_name: Mapping[str, StatusReply],
+    reply_by_name: Mapping[str, StatusReply],
 ) -> RolloutStatus:
     """Sort the listed processes by whether they are on ``version``."""
     there: list[ProcessStatus] = []
     behind: list[ProcessStatus] = []
     silent: list[ProcessStatus] = []
     for instance in sorted(instances, key=lambda each: each.name):
-        found = found_by_name.get(instance.name)
+        found = reply_by_name.get(instance.name)
         process = ProcessStatus(
             name=instance.name,
             role=instance.role,
@@ -101,7 +101,7 @@
     )
 
 
-def _batches(instances: Iterable[Instance]) -> Iterator[list[Instance]]:
+def _split_into_batches(instances: Iterable[Instance]) -> Iterator[list[Instance]]:
     remaining = iter(instances)
-    while batch := list(islice(remaining, _BATCH)):
+    while batch := list(islice(remaining, _BATCH_SIZE)):
         yield batch
--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -13,7 +13,7 @@
     from collections.abc import Mapping
 
 _ANY_HOST = "*"
-_PREFIX_MARK = "*"
+_PREFIX_WILDCARD = "*"
 
 
 class MatchedRoute(NamedTuple):
@@ -46,9 +46,9 @@
         self._by_prefix: dict[str, _RoutesByMethod] = {}
 
     def add(self, route: Route) -> None:
-        is_prefix = route.path.endswith(_PREFIX_MARK)
+        is_prefix = route.path.endswith(_PREFIX_WILDCARD)
         by_path = self._by_prefix if is_prefix else self._exact_by_path
-        by_method = by_path.setdefault(route.path.removesuffix(_PREFIX_MARK), {})
+        by_method = by_path.setdefault(route.path.removesuffix(_PREFIX_WILDCARD), {})
         for method in route.methods:
             by_method[method] = route
 
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -45,17 +45,17 @@
 _MAX_BUCKET_BYTES = 160_000
 # Buckets are halved in number when the largest is below this. The gap to the limit
 # keeps their number, and with it every shard, while organisations come and go.
-_MIN_BUCKET_BYTES = _MAX_BUCKET_BYTES // 8
+_BUCKET_MERGE_BYTES = _MAX_BUCKET_BYTES // 8
 _MAX_BUCKETS = 4096
 # A shard may unpack to no more than this: a damaged one must not use up the memory.
 _MAX_UNPACKED_BYTES = 16_000_000
 _COMPRESSION_LEVEL = 6
 # Submissions that an index remembers of those before it, so that a submitter whose
 # confirmation was lost learns that it won even if others have won since.
-_EARLIER_SUBMISSIONS = 32
+_MAX_EARLIER_SUBMISSIONS = 32
 # Submissions for which replaced shards are kept. A process that read an index just
 # before it was replaced still finds its shards; at 720 changes a day that is 30 min.
-_KEPT_SUBMISSIONS = 16
+_RETIRED_SHARDS_KEPT_SUBMISSIONS = 16
 
 
 class ManifestIndex(Record, frozen=True):
@@ -106,7 +106,7 @@
 
 
 def shard_manifest(
-    manifest: Manifest, *, submission: str, previous: ManifestIndex | None
+    manifest: Manifest, *, submission_id: str, previous_index: ManifestIndex | None
 ) -> Result[ShardedManifest, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
     core = ManifestCore(
@@ -116,26 +116,31 @@
         retention=manifest.retention,
     )
     core_value = _pack(core)
-    values = _pack_buckets(manifest.organisations, previous)
-    digests = tuple(_digest(value) for value in values)
+    values = _pack_buckets(manifest.organisations, previous_index)
+    digests = tuple(_compute_digest(value) for value in values)
     index = ManifestIndex(
-        submission_id=submission,
-        core_digest=_digest(core_value),
+        submission_id=submission_id,
+        core_digest=_compute_digest(core_value),
         bucket_digests=digests,
-        earlier_submission_ids=_earlier(previous),
-        retired_digests=_retired(previous, {_digest(core_value), *digests}),
+        earlier_submission_ids=_list_earlier_submission_ids(previous_index),
+        retired_digests=_list_retired_digests(
+            previous_index, {_compute_digest(core_value), *digests}
+        ),
     )
     shards_by_key = {
-        shard_key(_digest(value)): value for value in (core_value, *values)
+        shard_key(_compute_digest(value)): value for value in (core_value, *values)
     }
-    return _checked(ShardedManifest(index, shards_by_key))
+    return _check_sizes(ShardedManifest(index, shards_by_key))
 
 
-def list_expiring_shard_keys(previous: ManifestIndex | None) -> tuple[str, ...]:
+def list_expiring_shard_keys(previous_index: ManifestIndex | None) -> tuple[str, ...]:
     """Return the retired shards that an index which follows ``previous`` forgets."""
-    if previous is None or len(previous.retired_digests) < _KEPT_SUBMISSIONS:
+    if (
+        previous_index is None
+        or len(previous_index.retired_digests) < _RETIRED_SHARDS_KEPT_SUBMISSIONS
+    ):
         return ()
-    return tuple(shard_key(digest) for digest in previous.retired_digests[-1])
+    return tuple(shard_key(digest) for digest in previous_index.retired_digests[-1])
 
 
 def join_shards(
@@ -144,7 +149,7 @@
     """Return the manifest that was cut; its organisations come sorted by name."""
     organisations = [each for bucket in buckets for each in bucket]
     return Manifest(
-        organisations=_sorted(organisations),
+        organisations=_sort_by_name(organisations),
         groups=core.groups,
         routes=core.routes,
         goals=core.goals,
@@ -178,68 +183,78 @@
 
 
 def _pack_buckets(
-    organisations: tuple[Organisation, ...], previous: ManifestIndex | None
+    organisations: tuple[Organisation, ...], previous_index: ManifestIndex | None
 ) -> list[bytes]:
     """Return the packed buckets; their number is a power of two.
 
     It starts at the previous one and changes only if a bucket is too large or all are
     small: another number rewrites every bucket.
     """
-    buckets = 1 if previous is None else _power_of_two(len(previous.bucket_digests))
+    buckets = (
+        1
+        if previous_index is None
+        else _floor_power_of_two(len(previous_index.bucket_digests))
+    )
     while True:
-        values = _pack_into(buckets, organisations)
+        values = _pack_into_buckets(buckets, organisations)
         largest = max(len(value) for value in values)
         if largest > _MAX_BUCKET_BYTES and buckets < _MAX_BUCKETS:
             buckets *= 2
-        elif largest < _MIN_BUCKET_BYTES and buckets > 1:
+        elif largest < _BUCKET_MERGE_BYTES and buckets > 1:
             buckets //= 2
         else:
             return values
 
 
-def _pack_into(buckets: int, organisations: tuple[Organisation, ...]) -> list[bytes]:
-    organisations_by_bucket: list[list[Organisation]] = [[] for _ in range(buckets)]
+def _pack_into_buckets(
+    bucket_count: int, organisations: tuple[Organisation, ...]
+) -> list[bytes]:
+    organisations_by_bucket: list[list[Organisation]] = [
+        [] for _ in range(bucket_count)
+    ]
     for organisation in organisations:
-        bucket = _bucket(organisation.name, buckets)
+        bucket = _bucket_index(organisation.name, bucket_count)
         organisations_by_bucket[bucket].append(organisation)
-    return [_pack(_sorted(each)) for each in organisations_by_bucket]
+    return [_pack(_sort_by_name(each)) for each in organisations_by_bucket]
 
 
-def _power_of_two(number: int) -> int:
+def _floor_power_of_two(number: int) -> int:
     """Return the largest power of two up to ``number``, at least 1."""
     return 1 << max(0, number.bit_length() - 1)
 
 
-def _bucket(name: str, buckets: int) -> int:
-    return int.from_bytes(sha256(name.encode()).digest()[:4], "big") % buckets
+def _bucket_index(name: str, bucket_count: int) -> int:
+    return int.from_bytes(sha256(name.encode()).digest()[:4], "big") % bucket_count
 
 
-def _sorted(organisations: list[Organisation]) -> tuple[Organisation, ...]:
+def _sort_by_name(organisations: list[Organisation]) -> tuple[Organisation, ...]:
     return tuple(sorted(organisations, key=lambda each: each.name))
 
 
-def _earlier(previous: ManifestIndex | None) -> tuple[str, ...]:
-    if previous is None:
+def _list_earlier_submission_ids(
+    previous_index: ManifestIndex | None,
+) -> tuple[str, ...]:
+    if previous_index is None:
         return ()
-    return (previous.submission_id, *previous.earlier_submission_ids)[
-        :_EARLIER_SUBMISSIONS
+    return (previous_index.submission_id, *previous_index.earlier_submission_ids)[
+        :_MAX_EARLIER_SUBMISSIONS
     ]
 
 
-def _retired(
-    previous: ManifestIndex | None, used: set[str]
+def _list_retired_digests(
+    previous_index: ManifestIndex | None, used_digests: set[str]
 ) -> tuple[tuple[str, ...], ...]:
-    if previous is None:
+    if previous_index is None:
         return ()
-    replaced = tuple(sorted(set(previous.shard_digests) - used))
+    replaced = tuple(sorted(set(previous_index.shard_digests) - used_digests))
     before = [
-        tuple(digest for digest in digests if digest not in used)
-        for digests in previous.retired_digests
+        tuple(digest for digest in digests if digest not in used_digests)
+        for digests in previous_index.retired_digests
     ]
-    return (replaced, *before)[:_KEPT_SUBMISSIONS]
+    return (replaced, *before)[:_RETIRED_SHARDS_KEPT_SUBMISSIONS]
 
 
-def _checked(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
+def _check_sizes(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
     values_by_key = {
         INDEX_KEY: encode_index(sharded.index_object),
         **sharded.shards_by_key,
@@ -250,7 +265,7 @@
     return Ok(sharded)
 
 
-def _digest(value: bytes) -> str:
+def _compute_digest(value: bytes) -> str:
     return sha256(value).hexdigest()
 
 
@@ -258,9 +273,9 @@
     return zlib.compress(msgspec.json.encode(content), _COMPRESSION_LEVEL)
 
 
-def _unpack(digest: str, value: bytes, kind: Any) -> Result[Any, InvalidObject]:
+def _unpack(digest: str, value: bytes, content_type: Any) -> Result[Any, InvalidObject]:
     key = shard_key(digest)
-    if _digest(value) != digest:
+    if _compute_digest(value) != digest:
         return Error(InvalidObject(key, "its value has another digest"))
     try:
         unpacker = zlib.decompressobj()
@@ -269,6 +284,6 @@
             return Error(
                 InvalidObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes")
             )
-        return Ok(msgspec.json.decode(content, type=kind))
+        return Ok(msgspec.json.decode(content, type=content_type))
     except (zlib.error, msgspec.DecodeError) as error:
         return Error(InvalidObject(key, str(error)))
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -54,13 +54,20 @@
     """Manifests in the platform's service; ``patience_s`` bounds a submission."""
 
     def __init__(
-        self, client: PlatformClient, *, patience_s: float = DEFAULT_RETRY_TIMEOUT_S
+        self,
+        client: PlatformClient,
+        *,
+        retry_timeout_s: float = DEFAULT_RETRY_TIMEOUT_S,
     ) -> None:
         self._client = client
-        self._patience_s = patience_s
+        self._retry_timeout_s = retry_timeout_s
 
     def submit(
-        self, manifest: Manifest, *, submission: str, expected: int | None = None
+        self,
+        manifest: Manifest,
+        *,
+        submission_id: str,
+        expected_version: int | None = None,
     ) -> Result[AcceptedSubmission, SubmitError]:
         """Put a checked ``manifest`` in force, whole or not at all.
 
@@ -68,14 +75,16 @@
         saw, by default the one in force now. Shards go first and the index last, by one
         conditional update, so that nobody ever reads half of a manifest.
         """
-        submitter = SubmissionWriter(self._client, PlatformRetrier(self._patience_s))
+        submitter = SubmissionWriter(
+            self._client, PlatformRetrier(self._retry_timeout_s)
+        )
         base = submitter.read_base()
         if base.is_error():
             return Error(base.error)
-        if expected is not None and expected != base.ok.version:
-            return Error(VersionConflict(expected, base.ok.version))
+        if expected_version is not None and expected_version != base.ok.version:
+            return Error(VersionConflict(expected_version, base.ok.version))
         sharded = shard_manifest(
-            manifest, submission=submission, previous=base.ok.previous_index
+            manifest, submission_id=submission_id, previous_index=base.ok.previous_index
         )
         if sharded.is_error():
             return Error(sharded.error)
@@ -110,18 +119,18 @@
 
 
 def _submit(
-    submitter: SubmissionWriter, sharded: ShardedManifest, base: BaseIndex
+    writer: SubmissionWriter, sharded: ShardedManifest, base: BaseIndex
 ) -> Result[AcceptedSubmission, SubmitError]:
-    written = submitter.write_shards(sharded.shards_by_key, base.previous_index)
+    written = writer.write_shards(sharded.shards_by_key, base.previous_index)
     if written.is_error():
         return Error(written.error)
     # Versions are read before the update: that it succeeds proves that no submission
     # came between, so whoever uses one of these shards again raises its version later.
-    expiring = submitter.read_versions(list_expiring_shard_keys(base.previous_index))
-    won = submitter.write_index(sharded.index_object, base)
+    expiring = writer.read_versions(list_expiring_shard_keys(base.previous_index))
+    won = writer.write_index(sharded.index_object, base)
     if won.is_error():
         return Error(won.error)
-    submitter.delete_unchanged(expiring)
+    writer.delete_unchanged(expiring)
     return Ok(
         AcceptedSubmission(
             version=won.ok.version,
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -35,7 +35,7 @@
     from kingcupwheel.platform.client import VersionedValue
 
 # Tries to write one shard that another submitter is writing or removing meanwhile.
-_SHARD_TRIES = 5
+_MAX_SHARD_TRIES = 5
 
 
 class BaseIndex(NamedTuple):
@@ -93,7 +93,7 @@
         confirmation was lost, or another since.
         """
         error: PlatformError | None = None
-        for _ in range(_SHARD_TRIES):
+        for _ in range(_MAX_SHARD_TRIES):
             result = self._patience.call_with_retries(
                 partial(self._client.create, key, value)
             )
@@ -176,15 +176,15 @@
         if found.is_error() or found.ok is None or found.ok.version <= expected:
             # No answer, or a stale one: the update conflicted, so there is a later one.
             return None
-        return _who_won(index, found.ok, expected)
+        return _check_acceptance(index, found.ok, expected)
 
 
-def _who_won(
-    index: ManifestIndex, found: VersionedValue, expected: int
+def _check_acceptance(
+    index: ManifestIndex, found: VersionedValue, expected_version: int
 ) -> Result[AcceptedIndex, SubmitError]:
     current: Result[ManifestIndex, InvalidObject] = decode_index(found.value)
     if current.is_ok() and current.ok.submission_id == index.submission_id:
         return Ok(AcceptedIndex(found.version, superseded=False))
     if current.is_ok() and index.submission_id in current.ok.earlier_submission_ids:
         return Ok(AcceptedIndex(found.version, superseded=True))
-    return Error(VersionConflict(expected, found.version))
+    return Error(VersionConflict(expected_version, found.version))
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -48,12 +48,12 @@
 DEFAULT_MAX_READ_DELAY_S = 2.0
 # Pauses after a failed watch. The longest bounds how long after an outage a change is
 # noticed; 1,370 processes at 2 to 4 s make about 460 calls a second meanwhile.
-_LEAST_PAUSE_S = 0.2
-_MOST_PAUSE_S = 4.0
+_MIN_WATCH_BACKOFF_S = 0.2
+_MAX_WATCH_BACKOFF_S = 4.0
 # A watch that ends without news sooner than this has not waited; the next one does.
-_LEAST_WATCH_S = 0.2
+_MIN_WATCH_S = 0.2
 # How often a process that is behind looks whether there is a new hint.
-_LOOK_EVERY_S = 0.5
+_HINT_POLL_INTERVAL_S = 0.5
 
 
 class ManifestSynchronizer:
@@ -152,7 +152,7 @@
         """
         current = self._holder.current
         if current is not None and version <= current.version:
-            _warn_of_twin(current, version, digest, address)
+            _log_version_mismatch(current, version, digest, address)
             return
         if version > 0:
             with self._hinted:
@@ -162,7 +162,9 @@
 
     def _follow_platform(self) -> None:
         backoff = Backoff(
-            least_s=_LEAST_PAUSE_S, most_s=_MOST_PAUSE_S, random=self._random
+            least_s=_MIN_WATCH_BACKOFF_S,
+            most_s=_MAX_WATCH_BACKOFF_S,
+            random=self._random,
         )
         while not self._stopping.is_set():
             if self._watch_once():
@@ -180,7 +182,7 @@
             logger.warning("Watch failed: %s.", describe_platform_error(found.error))
             return False
         if found.ok is None:
-            return monotonic() - begun >= _LEAST_WATCH_S
+            return monotonic() - begun >= _MIN_WATCH_S
         return self._adopt_from_platform(found.ok)
 
     def _adopt_from_platform(self, found: VersionedValue) -> bool:
@@ -204,7 +206,9 @@
         with self._hinted:
             hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
-                self._hinted.wait(_LOOK_EVERY_S if self._hints.is_behind else None)
+                self._hinted.wait(
+                    _HINT_POLL_INTERVAL_S if self._hints.is_behind else None
+                )
             return hint
 
     def _adopt_from_peer(self, address: str) -> None:
@@ -231,7 +235,7 @@
         assembly = assemble_manifest(
             index_value,
             self._fetched.wrap(source, index_value),
-            reuse=None if current is None else current.assembly,
+            previous=None if current is None else current.assembly,
             with_organisations=self._with_organisations,
         )
         if assembly.is_error():
@@ -253,7 +257,7 @@
         return self._from_platform(key)
 
 
-def _warn_of_twin(
+def _log_version_mismatch(
     current: CompiledManifest, version: int, digest: str, address: str
 ) -> None:
     """Log a peer that holds the same version with other content."""
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -10,10 +10,10 @@
 # How long this process is behind before it reads the platform on the word of a process
 # that holds no manifest to copy. Ordinary changes arrive by the watch well within it;
 # a watch that has gone silent is noticed in time for the 7 seconds of a change.
-_PATIENCE_S = 2.5
+_PLATFORM_READ_DELAY_S = 2.5
 # The least time between such reads: heartbeats name the version many times a second,
 # and in an outage the reads would add to what the platform has to refuse.
-_READ_EVERY_S = 1.0
+_PLATFORM_READ_INTERVAL_S = 1.0
 
 
 class PeerHint(NamedTuple):
@@ -69,9 +69,12 @@
         if self._version_by_peer:
             address = max(self._version_by_peer, key=self._version_by_peer.__getitem__)
             return PeerHint(address, self._version_by_peer.pop(address))
-        if self._behind_since is None or now - self._behind_since < _PATIENCE_S:
+        if (
+            self._behind_since is None
+            or now - self._behind_since < _PLATFORM_READ_DELAY_S
+        ):
             return None
-        if now - self._read_at < _READ_EVERY_S:
+        if now - self._read_at < _PLATFORM_READ_INTERVAL_S:
             return None
         self._read_at = now
         return PlatformHint(self._named)
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -25,7 +25,7 @@
     from kingcupwheel.settings.schema import Settings
     from kingcupwheel.settings.schema import Timings
 
-_HIGHEST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
 def find_settings_problems(settings: Settings) -> Iterator[Problem]:
@@ -35,67 +35,71 @@
     for field in ("name", "data_centre"):
         if not NAME_PATTERN.fullmatch(getattr(settings, field)):
             yield Problem(field, f"{NAME_RULE}, not {getattr(settings, field)!r}")
-    yield from _address(settings.listen, "listen")
+    yield from _check_address(settings.listen, "listen")
     for field in ("http", "operator_http"):
         if getattr(settings, field):
-            yield from _address(getattr(settings, field), field)
+            yield from _check_address(getattr(settings, field), field)
     for index, seed in enumerate(settings.seeds):
-        yield from _address(seed, f"seeds[{index}]")
-    yield from _platform(settings)
-    yield from _statsd(settings)
+        yield from _check_address(seed, f"seeds[{index}]")
+    yield from _check_platform(settings)
+    yield from _check_statsd(settings)
     for field in ("entry", "agent"):
         limits = getattr(settings, field)
-        yield from Ranges(limits, field).positive(*_fields(limits))
-    yield from _timings(settings.timings)
-    yield from _forwarding(settings)
-    yield from _rank(settings)
+        yield from Ranges(limits, field).positive(*_list_field_names(limits))
+    yield from _check_timings(settings.timings)
+    yield from _check_forwarding(settings)
+    yield from _check_rank(settings)
     match settings.role:
         case Role.ENTRY:
-            yield from _entry(settings)
+            yield from _check_entry(settings)
         case Role.AGENT:
-            yield from _agent(settings)
+            yield from _check_agent(settings)
 
 
-def _statsd(settings: Settings) -> Iterator[Problem]:
+def _check_statsd(settings: Settings) -> Iterator[Problem]:
     if settings.statsd.host:
         ranges = Ranges(settings.statsd, "statsd")
-        yield from ranges.between("port", 1, _HIGHEST_PORT)
+        yield from ranges.between("port", 1, _MAX_PORT)
 
 
-def _fields(record: msgspec.Struct) -> tuple[str, ...]:
+def _list_field_names(record: msgspec.Struct) -> tuple[str, ...]:
     return tuple(field.name for field in msgspec.structs.fields(record))
 
 
-def _address(text: str, path: str) -> Iterator[Problem]:
+def _check_address(text: str, path: str) -> Iterator[Problem]:
     host, _, port = text.rpartition(":")
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
         yield Problem(path, f"must be IP:port with an IP number, not {text!r}")
         return
-    if not port.isdecimal() or int(port) > _HIGHEST_PORT:
-        yield Problem(path, f"has no port from 0 to {_HIGHEST_PORT}: {text!r}")
+    if not port.isdecimal() or int(port) > _MAX_PORT:
+        yield Problem(path, f"has no port from 0 to {_MAX_PORT}: {text!r}")
 
 
-def _url(text: str, path: str) -> Iterator[Problem]:
+def _check_url(text: str, path: str) -> Iterator[Problem]:
     if not is_http_url(text):
         yield Problem(path, f"must be an http:// or https:// address, not {text!r}")
 
 
-def _platform(settings: Settings) -> Iterator[Problem]:
+def _check_platform(settings: Settings) -> Iterator[Problem]:
     platform = settings.platform
-    yield from _url(platform.url, "platform.url")
+    yield from _check_url(platform.url, "platform.url")
     yield from Ranges(platform, "platform").positive("timeout_s", "connections")
-    yield from _plugin("platform.client", platform.client, platform_clients.names)
+    yield from _check_plugin_name(
+        "platform.client", platform.client, platform_clients.names
+    )
 
 
-def _plugin(path: str, name: str, known: tuple[str, ...]) -> Iterator[Problem]:
+def _check_plugin_name(
+    path: str, name: str, known: tuple[str, ...]
+) -> Iterator[Problem]:
     if known and name not in known:
         yield Problem(path, f"no plug-in {name!r}; known: {', '.join(known)}")
 
 
-def _timings(timings: Timings) -> Iterator[Problem]:
-    yield from Ranges(timings, "timings").positive(*_fields(timings))
+def _check_timings(timings: Timings) -> Iterator[Problem]:
+    yield from Ranges(timings, "timings").positive(*_list_field_names(timings))
     # A shorter time later in the chain would replace a link, or give up an attempt,
     # between two heartbeats of a process that is well.
     chain = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
@@ -104,7 +108,7 @@
             yield Problem(f"timings.{longer}", f"must be longer than {shorter}")
 
 
-def _forwarding(settings: Settings) -> Iterator[Problem]:
+def _check_forwarding(settings: Settings) -> Iterator[Problem]:
     forwarding = settings.forwarding
     if forwarding is None:
         return
@@ -112,7 +116,7 @@
         yield Problem("forwarding", "is for entries only")
     for field in ("ready", "addresses", "metrics"):
         if getattr(forwarding, field):
-            yield from _address(getattr(forwarding, field), f"forwarding.{field}")
+            yield from _check_address(getattr(forwarding, field), f"forwarding.{field}")
     ranges = Ranges(forwarding, "forwarding")
     yield from ranges.positive(
         "address_keep_s", "revoke_ms", "grace_s", "retry_window_s"
@@ -120,18 +124,18 @@
     yield from ranges.not_negative("retry_share", "retry_floor")
 
 
-def _rank(settings: Settings) -> Iterator[Problem]:
+def _check_rank(settings: Settings) -> Iterator[Problem]:
     rank = settings.rank
     if rank is None:
         return
     if settings.role is not Role.AGENT:
         yield Problem("rank", "is for agents only")
-    yield from _address(rank.server, "rank.server")
+    yield from _check_address(rank.server, "rank.server")
     if not rank.service:
         yield Problem("rank.service", "missing; an agent needs it")
 
 
-def _entry(settings: Settings) -> Iterator[Problem]:
+def _check_entry(settings: Settings) -> Iterator[Problem]:
     if not settings.http:
         yield Problem("http", "missing; an entry needs it")
     if settings.server is not None:
@@ -140,7 +144,7 @@
         yield Problem("group", "is for agents only")
 
 
-def _agent(settings: Settings) -> Iterator[Problem]:
+def _check_agent(settings: Settings) -> Iterator[Problem]:
     for field in ("http", "operator_http"):
         if getattr(settings, field):
             yield Problem(field, "is for entries only")
@@ -151,12 +155,14 @@
     if settings.server is None:
         yield Problem("server", "missing; an agent needs it")
     else:
-        yield from _server(settings.server)
+        yield from _check_server(settings.server)
 
 
-def _server(server: ServerSettings) -> Iterator[Problem]:
-    yield from _url(server.url, "server.url")
+def _check_server(server: ServerSettings) -> Iterator[Problem]:
+    yield from _check_url(server.url, "server.url")
     yield from Ranges(server, "server").positive("connect_s", "silence_s")
     yield from Ranges(server, "server").not_negative("rank")
     if server_adapters.names:
-        yield from _plugin("server.adapter", server.adapter, server_adapters.names)
+        yield from _check_plugin_name(
+            "server.adapter", server.adapter, server_adapters.names
+        )
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -32,9 +32,11 @@
 
 def parse_settings(text: str) -> Result[Settings, Problems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
-    return read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check)
+    return (
+        read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check_settings)
+    )
 
 
-def _check(settings: Settings) -> Result[Settings, Problems]:
+def _check_settings(settings: Settings) -> Result[Settings, Problems]:
     problems = tuple(find_settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -148,6 +148,6 @@
         groups=(ServerGroup(name="parts-model"),),
         routes=(Route(path="/v1/completions", group="parts-model"),),
     )
-    sharded = shard_manifest(manifest, submission="0" * 32, previous=None).ok
+    sharded = shard_manifest(manifest, submission_id="0" * 32, previous_index=None).ok
     shards = [len(value) for value in sharded.shards_by_key.values()]
     return len(encode_index(sharded.index_object)), shards
