--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -28,7 +28,7 @@
 class _Snapshot(NamedTuple):
     """A version with its objects' values, swapped as one."""
 
-    in_force: CompiledManifest
+    manifest: CompiledManifest
     values_by_key: Mapping[str, bytes]
 
 
@@ -45,13 +45,13 @@
     def current(self) -> CompiledManifest | None:
         """The version held, None before the first one."""
         held = self._held
-        return None if held is None else held.in_force
+        return None if held is None else held.manifest
 
     @property
     def version(self) -> int:
         """Its number, 0 before the first one."""
         held = self._held
-        return 0 if held is None else held.in_force.version
+        return 0 if held is None else held.manifest.version
 
     def subscribe(self, listener: ChangeListener) -> None:
         """Call ``listener`` with each version held from now on, in order."""
@@ -90,7 +90,7 @@
         if held is None:
             return ManifestObject(key=key, version=0, value=None)
         value = held.values_by_key.get(key)
-        return ManifestObject(key=key, version=held.in_force.version, value=value)
+        return ManifestObject(key=key, version=held.manifest.version, value=value)
 
     def _tell(self, in_force: CompiledManifest) -> None:
         for listener in tuple(self._listeners):
