--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -36,21 +36,21 @@
     """Safe from any thread; readers take no lock."""
 
     def __init__(self) -> None:
-        self._held: _Snapshot | None = None
-        self._swapping = Lock()
+        self._snapshot: _Snapshot | None = None
+        self._swap_lock = Lock()
         self._changed = Condition()
         self._listeners: list[ChangeListener] = []
 
     @property
     def current(self) -> CompiledManifest | None:
         """The version held, None before the first one."""
-        held = self._held
+        held = self._snapshot
         return None if held is None else held.manifest
 
     @property
     def version(self) -> int:
         """Its number, 0 before the first one."""
-        held = self._held
+        held = self._snapshot
         return 0 if held is None else held.manifest.version
 
     def subscribe(self, listener: ChangeListener) -> None:
@@ -69,13 +69,13 @@
             return False
         in_force = CompiledManifest(version, assembly)
         held = _Snapshot(in_force, _values_by_key(assembly))
-        with self._swapping:
+        with self._swap_lock:
             if version <= self.version:
                 return False
-            self._held = held
+            self._snapshot = held
             with self._changed:
                 self._changed.notify_all()
-            self._tell(in_force)
+            self._notify_listeners(in_force)
         logger.info("Version %d is in force.", version)
         return True
 
@@ -86,16 +86,16 @@
 
     def get_object(self, key: str) -> ManifestObject:
         """Return an object of the version held; ``value`` is None if it has none."""
-        held = self._held
+        held = self._snapshot
         if held is None:
             return ManifestObject(key=key, version=0, value=None)
         value = held.values_by_key.get(key)
         return ManifestObject(key=key, version=held.manifest.version, value=value)
 
-    def _tell(self, in_force: CompiledManifest) -> None:
+    def _notify_listeners(self, manifest: CompiledManifest) -> None:
         for listener in tuple(self._listeners):
             try:
-                listener(in_force)
+                listener(manifest)
             except Exception:
                 logger.exception("A listener failed.")
 
--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -27,8 +27,8 @@
 class PlatformRetrier:
     """The ``seconds`` from now on in which calls are repeated."""
 
-    def __init__(self, seconds: float) -> None:
-        self._deadline = monotonic() + seconds
+    def __init__(self, timeout_s: float) -> None:
+        self._deadline = monotonic() + timeout_s
 
     def call_with_retries(
         self, call: Callable[[], Result[T, PlatformError]]
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -55,13 +55,13 @@
 class SubmissionWriter:
     """Carries out the steps of one submission; belongs to one thread."""
 
-    def __init__(self, client: PlatformClient, patience: PlatformRetrier) -> None:
+    def __init__(self, client: PlatformClient, retrier: PlatformRetrier) -> None:
         self._client = client
-        self._patience = patience
+        self._retrier = retrier
 
     def read_base(self) -> Result[BaseIndex, SubmitError]:
         """Return what there is to build on."""
-        found = self._patience.call_with_retries(partial(self._client.read, INDEX_KEY))
+        found = self._retrier.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
             return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
@@ -71,10 +71,10 @@
         return Ok(BaseIndex(found.ok.version, index.ok if index.is_ok() else None))
 
     def write_shards(
-        self, shards_by_key: Mapping[str, bytes], previous: ManifestIndex | None
+        self, shards_by_key: Mapping[str, bytes], previous_index: ManifestIndex | None
     ) -> Result[int, SubmitError]:
         """Write what ``previous`` does not name; return how many shards that were."""
-        there = set() if previous is None else set(previous.shard_keys)
+        there = set() if previous_index is None else set(previous_index.shard_keys)
         new = [key for key in shards_by_key if key not in there]
         for key in new:
             error = self._write_shard(key, shards_by_key[key])
@@ -94,7 +94,7 @@
         """
         error: PlatformError | None = None
         for _ in range(_MAX_SHARD_TRIES):
-            result = self._patience.call_with_retries(
+            result = self._retrier.call_with_retries(
                 partial(self._client.create, key, value)
             )
             if result.is_ok():
@@ -104,7 +104,7 @@
                 return error
             found = error.version
             again = partial(self._client.update, key, value, version=found)
-            result = self._patience.call_with_retries(again)
+            result = self._retrier.call_with_retries(again)
             if result.is_ok():
                 return None
             error = result.error
@@ -131,7 +131,7 @@
                 return Ok(AcceptedIndex(result.ok, superseded=False))
             match result.error:
                 case Conflict():
-                    settled = self._settle(index, base.version)
+                    settled = self._resolve_conflict(index, base.version)
                     if settled is not None:
                         return settled
                     doubt = "the platform did not answer when read back"
@@ -141,7 +141,7 @@
                     )
                 case Rejected():
                     return Error(PlatformFailure(describe_platform_error(result.error)))
-            if not self._patience.wait_before_retry(result.error):
+            if not self._retrier.wait_before_retry(result.error):
                 if doubt:
                     return Error(UnknownOutcome(index.submission_id, doubt))
                 return Error(PlatformFailure(describe_platform_error(result.error)))
@@ -163,20 +163,20 @@
         for key, version in version_by_key.items():
             self._client.delete(key, version=version)
 
-    def _put_index(self, value: bytes, version: int) -> Result[int, PlatformError]:
-        if version == 0:
+    def _put_index(self, value: bytes, base_version: int) -> Result[int, PlatformError]:
+        if base_version == 0:
             return self._client.create(INDEX_KEY, value)
-        return self._client.update(INDEX_KEY, value, version=version)
+        return self._client.update(INDEX_KEY, value, version=base_version)
 
-    def _settle(
-        self, index: ManifestIndex, expected: int
+    def _resolve_conflict(
+        self, index: ManifestIndex, expected_version: int
     ) -> Result[AcceptedIndex, SubmitError] | None:
         """Return who won, or None if that can't be read now."""
         found = self._client.read(INDEX_KEY)
-        if found.is_error() or found.ok is None or found.ok.version <= expected:
+        if found.is_error() or found.ok is None or found.ok.version <= expected_version:
             # No answer, or a stale one: the update conflicted, so there is a later one.
             return None
-        return _check_acceptance(index, found.ok, expected)
+        return _check_acceptance(index, found.ok, expected_version)
 
 
 def _check_acceptance(
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -80,19 +80,19 @@
         with_organisations: bool = True,
         watches_platform: bool = True,
         watch_s: float = 20.0,
-        spread_s: float = DEFAULT_MAX_READ_DELAY_S,
+        max_read_delay_s: float = DEFAULT_MAX_READ_DELAY_S,
         random: Random | None = None,
     ) -> None:
         self._client = client
         self._fetch_from_peer = fetch_from_peer
         self._with_organisations = with_organisations
         self._watch_s = watch_s
-        self._spread_s = spread_s
+        self._max_read_delay_s = max_read_delay_s
         self._random = random or Random()
-        self._holder = CurrentManifest()
-        self._holder.subscribe(on_change)
-        self._fetched = FetchedObjectCache()
-        self._hinted = Condition()
+        self._current_manifest = CurrentManifest()
+        self._current_manifest.subscribe(on_change)
+        self._object_cache = FetchedObjectCache()
+        self._hint_added = Condition()
         self._hints = VersionHints()
         self._stopping = Event()
         targets = [self._follow_peers]
@@ -105,17 +105,17 @@
     @property
     def current(self) -> CompiledManifest | None:
         """The manifest in force here, None until the first one is adopted."""
-        return self._holder.current
+        return self._current_manifest.current
 
     @property
     def version(self) -> int:
         """Its version, 0 before the first one; what messages name."""
-        return self._holder.version
+        return self._current_manifest.version
 
     @property
     def digest(self) -> str:
         """Its digest, empty before the first one; what messages name."""
-        current = self._holder.current
+        current = self._current_manifest.current
         return "" if current is None else current.digest
 
     def start(self) -> None:
@@ -126,23 +126,23 @@
     def stop(self) -> None:
         """Stop following; a watch that is under way is left to run out."""
         self._stopping.set()
-        with self._hinted:
-            self._hinted.notify_all()
+        with self._hint_added:
+            self._hint_added.notify_all()
 
     def subscribe(self, listener: ChangeListener) -> None:
         """Call ``listener`` with each manifest adopted from now on.
 
         Calls come one at a time, in the order of versions, on a keeper's thread.
         """
-        self._holder.subscribe(listener)
+        self._current_manifest.subscribe(listener)
 
     def wait_for_version(self, version: int, timeout_s: float) -> bool:
         """Return whether ``version`` or a later one is in force within the time."""
-        return self._holder.wait_for_version(version, timeout_s)
+        return self._current_manifest.wait_for_version(version, timeout_s)
 
     def get_object(self, key: str) -> ManifestObject:
         """Return the answer to a peer that wants this object; never blocks."""
-        return self._holder.get_object(key)
+        return self._current_manifest.get_object(key)
 
     def record_peer_version(self, version: int, digest: str, address: str) -> None:
         """Note that the process at ``address`` names this version; never blocks.
@@ -150,15 +150,15 @@
         ``digest`` is empty if that process holds no manifest itself (an agent): it is
         not asked for objects, and its word leads to the platform.
         """
-        current = self._holder.current
+        current = self._current_manifest.current
         if current is not None and version <= current.version:
             _log_version_mismatch(current, version, digest, address)
             return
         if version > 0:
-            with self._hinted:
+            with self._hint_added:
                 peer = address if digest else None
                 self._hints.record(version, peer=peer, now=monotonic())
-                self._hinted.notify_all()
+                self._hint_added.notify_all()
 
     def _follow_platform(self) -> None:
         backoff = Backoff(
@@ -183,30 +183,30 @@
             return False
         if found.ok is None:
             return monotonic() - begun >= _MIN_WATCH_S
-        return self._adopt_from_platform(found.ok)
+        return self._adopt_from_watch(found.ok)
 
-    def _adopt_from_platform(self, found: VersionedValue) -> bool:
+    def _adopt_from_watch(self, found: VersionedValue) -> bool:
         if found.version <= self.version:
             logger.warning("The platform answered old version %d.", found.version)
             return False
         if self.version > 0:
-            self._stopping.wait(self._random.uniform(0.0, self._spread_s))
-        return self._adopt(found.version, found.value, self._from_platform)
+            self._stopping.wait(self._random.uniform(0.0, self._max_read_delay_s))
+        return self._adopt(found.version, found.value, self._read_from_platform)
 
     def _follow_peers(self) -> None:
         while not self._stopping.is_set():
-            match self._next_hint():
+            match self._wait_for_hint():
                 case PeerHint(address, _):
                     self._adopt_from_peer(address)
                 case PlatformHint():
-                    self._read_platform()
+                    self._adopt_from_platform_read()
 
-    def _next_hint(self) -> VersionHint | None:
+    def _wait_for_hint(self) -> VersionHint | None:
         """Wait for a hint for a while; None if there is none or when stopping."""
-        with self._hinted:
+        with self._hint_added:
             hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
-                self._hinted.wait(
+                self._hint_added.wait(
                     _HINT_POLL_INTERVAL_S if self._hints.is_behind else None
                 )
             return hint
@@ -221,40 +221,40 @@
             return
 
         def from_peer(key: str) -> Result[bytes, FetchError]:
-            return self._from_peer(address, key)
+            return self._read_from_peer(address, key)
 
         self._adopt(index.version, index.value, from_peer)
 
-    def _read_platform(self) -> None:
+    def _adopt_from_platform_read(self) -> None:
         found = self._client.read(INDEX_KEY)
         if found.is_ok() and found.ok is not None and found.ok.version > self.version:
-            self._adopt(found.ok.version, found.ok.value, self._from_platform)
+            self._adopt(found.ok.version, found.ok.value, self._read_from_platform)
 
     def _adopt(self, version: int, index_value: bytes, source: ObjectSource) -> bool:
-        current = self._holder.current
+        current = self._current_manifest.current
         assembly = assemble_manifest(
             index_value,
-            self._fetched.wrap(source, index_value),
+            self._object_cache.wrap(source, index_value),
             previous=None if current is None else current.assembly,
             with_organisations=self._with_organisations,
         )
         if assembly.is_error():
             logger.warning("Version %d not adopted: %s.", version, assembly.error)
             if isinstance(assembly.error, InvalidObject):
-                self._fetched.clear()
+                self._object_cache.clear()
             return False
-        self._fetched.clear()
-        self._holder.adopt(version, assembly.ok)
+        self._object_cache.clear()
+        self._current_manifest.adopt(version, assembly.ok)
         return True
 
-    def _from_platform(self, key: str) -> Result[bytes, FetchError]:
+    def _read_from_platform(self, key: str) -> Result[bytes, FetchError]:
         return read_object(self._client, key)
 
-    def _from_peer(self, address: str, key: str) -> Result[bytes, FetchError]:
+    def _read_from_peer(self, address: str, key: str) -> Result[bytes, FetchError]:
         found = self._fetch_from_peer(address, key)
         if found.is_ok() and found.ok is not None and found.ok.value is not None:
             return Ok(found.ok.value)
-        return self._from_platform(key)
+        return self._read_from_platform(key)
 
 
 def _log_version_mismatch(
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -42,8 +42,8 @@
     def __init__(self) -> None:
         self._version_by_peer: dict[str, int] = {}
         self._behind_since: float | None = None
-        self._named = 0
-        self._read_at = float("-inf")
+        self._latest_version = 0
+        self._platform_read_at = float("-inf")
 
     @property
     def is_behind(self) -> bool:
@@ -52,7 +52,7 @@
 
     def record(self, version: int, *, peer: str | None, now: float) -> None:
         """Note a later version; ``peer`` is an address that can be copied from."""
-        self._named = max(self._named, version)
+        self._latest_version = max(self._latest_version, version)
         if self._behind_since is None:
             self._behind_since = now
         if peer is not None:
@@ -60,12 +60,12 @@
             if peer in self._version_by_peer or not full:
                 self._version_by_peer[peer] = version
 
-    def pop_next(self, in_force: int, *, now: float) -> VersionHint | None:
+    def pop_next(self, current_version: int, *, now: float) -> VersionHint | None:
         """Return where to look next, if anywhere; peers with later versions first.
 
         A failed look needs no undoing: the next heartbeat brings the hint again.
         """
-        self._forget(in_force)
+        self._discard_outdated(current_version)
         if self._version_by_peer:
             address = max(self._version_by_peer, key=self._version_by_peer.__getitem__)
             return PeerHint(address, self._version_by_peer.pop(address))
@@ -74,16 +74,16 @@
             or now - self._behind_since < _PLATFORM_READ_DELAY_S
         ):
             return None
-        if now - self._read_at < _PLATFORM_READ_INTERVAL_S:
+        if now - self._platform_read_at < _PLATFORM_READ_INTERVAL_S:
             return None
-        self._read_at = now
-        return PlatformHint(self._named)
+        self._platform_read_at = now
+        return PlatformHint(self._latest_version)
 
-    def _forget(self, in_force: int) -> None:
+    def _discard_outdated(self, current_version: int) -> None:
         self._version_by_peer = {
             peer: version
             for peer, version in self._version_by_peer.items()
-            if version > in_force
+            if version > current_version
         }
-        if self._named <= in_force:
+        if self._latest_version <= current_version:
             self._behind_since = None
