--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -5,6 +5,8 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
@@ -29,7 +31,7 @@
     role: str
     data_centre: str
     version: int | None
-    is_leaving: bool
+    is_leaving: bool = msgspec.field(name="leaving")
 
 
 class RolloutStatus(Record, frozen=True):
@@ -39,9 +41,9 @@
     """
 
     version: int
-    up_to_date: tuple[ProcessStatus, ...]
+    up_to_date: tuple[ProcessStatus, ...] = msgspec.field(name="there")
     behind: tuple[ProcessStatus, ...]
-    unresponsive: tuple[ProcessStatus, ...]
+    unresponsive: tuple[ProcessStatus, ...] = msgspec.field(name="silent")
 
     @property
     def is_complete(self) -> bool:
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -67,11 +67,13 @@
     the last submissions replaced, latest first. Shards are named by SHA-256 digest.
     """
 
-    submission_id: str
-    core_digest: str
-    bucket_digests: tuple[str, ...]
-    earlier_submission_ids: tuple[str, ...] = ()
-    retired_digests: tuple[tuple[str, ...], ...] = ()
+    submission_id: str = msgspec.field(name="submission")
+    core_digest: str = msgspec.field(name="core")
+    bucket_digests: tuple[str, ...] = msgspec.field(name="organisations")
+    earlier_submission_ids: tuple[str, ...] = msgspec.field(default=(), name="earlier")
+    retired_digests: tuple[tuple[str, ...], ...] = msgspec.field(
+        default=(), name="retired"
+    )
 
     @property
     def shard_digests(self) -> tuple[str, ...]:
