--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -51,7 +51,7 @@
     """Base of all orders."""
 
 
-class Stage(Order, frozen=True):
+class Stage(Order, frozen=True, tag="Stage"):
     """Load the weights that a new map needs on this rank.
 
     The map is that of ``base``, which the rank has committed, with ``cells`` replaced:
@@ -63,20 +63,20 @@
     cells: tuple[Cell, ...]
 
 
-class Prepare(Order, frozen=True):
+class Prepare(Order, frozen=True, tag="Prepare"):
     """Run no step from ``step`` on until this version is committed or aborted."""
 
     version: MapVersion
     step: int
 
 
-class Supersede(Order, frozen=True):
+class Supersede(Order, frozen=True, tag="Supersede"):
     """End lower versions not committed, run no step, say what is committed."""
 
     version: MapVersion
 
 
-class Commit(Order, frozen=True):
+class Commit(Order, frozen=True, tag="Commit"):
     """Make the prepared version final.
 
     ``schedule`` is given after ``Supersede`` and takes the place of the rank's own; a
@@ -90,20 +90,20 @@
     life: str = ""
 
 
-class Abort(Order, frozen=True):
+class Abort(Order, frozen=True, tag="Abort"):
     """Give the version up; also when its ``Prepare`` has not arrived yet."""
 
     version: MapVersion
 
 
-class ReadState(Order, frozen=True):
+class ReadState(Order, frozen=True, tag="ReadState"):
     """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
 
     round: int
     whole: bool = False
 
 
-class ReadLoads(Order, frozen=True):
+class ReadLoads(Order, frozen=True, tag="ReadLoads"):
     """Ask how much work each expert had since the last asking."""
 
     round: int
@@ -125,20 +125,20 @@
     """Base of all replies."""
 
 
-class Staged(Reply, frozen=True):
+class Staged(Reply, frozen=True, tag="Staged"):
     """The weights of ``version`` are loaded; ``step`` is the next to run."""
 
     version: MapVersion
     step: int
 
 
-class Prepared(Reply, frozen=True):
+class Prepared(Reply, frozen=True, tag="Prepared"):
     """The rank will not run the step until told."""
 
     version: MapVersion
 
 
-class Held(Reply, frozen=True):
+class Held(Reply, frozen=True, tag="Held"):
     """Answers ``Supersede``; ``schedule`` is None for a rank that has restarted.
 
     ``life`` names the rank's life, from one start to the next.
@@ -149,19 +149,19 @@
     life: str = ""
 
 
-class Committed(Reply, frozen=True):
+class Committed(Reply, frozen=True, tag="Committed"):
     """The version is final on this rank."""
 
     version: MapVersion
 
 
-class Aborted(Reply, frozen=True):
+class Aborted(Reply, frozen=True, tag="Aborted"):
     """The version will never be prepared or committed on this rank."""
 
     version: MapVersion
 
 
-class StateRead(Reply, frozen=True):
+class StateRead(Reply, frozen=True, tag="StateRead"):
     """Answers ``ReadState``; ``schedule`` only if it was asked for."""
 
     round: int
@@ -169,7 +169,7 @@
     schedule: Schedule | None = None
 
 
-class LoadsRead(Reply, frozen=True):
+class LoadsRead(Reply, frozen=True, tag="LoadsRead"):
     """Answers ``ReadLoads``.
 
     ``counts`` are, for each layer, the tokens that passed each expert in this rank's
@@ -198,7 +198,7 @@
     ENGINE = "engine"
 
 
-class Refused(Reply, frozen=True):
+class Refused(Reply, frozen=True, tag="Refused"):
     """The order that named ``version`` changed nothing."""
 
     version: MapVersion
