--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -14,11 +14,11 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.conclusions import Pace
-from kingcupwheel.expertmaps.conclusions import is_settled
-from kingcupwheel.expertmaps.conclusions import put
-from kingcupwheel.expertmaps.conclusions import restate
-from kingcupwheel.expertmaps.conclusions import staging_turns
+from kingcupwheel.expertmaps.coordinator_decisions import Pace
+from kingcupwheel.expertmaps.coordinator_decisions import is_settled
+from kingcupwheel.expertmaps.coordinator_decisions import put
+from kingcupwheel.expertmaps.coordinator_decisions import restate
+from kingcupwheel.expertmaps.coordinator_decisions import staging_turns
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.phases import Aborting
 from kingcupwheel.expertmaps.phases import Committing
--- a/tests/expertmaps/naive.py
+++ b/tests/expertmaps/naive.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from kingcupwheel.expertmaps.conclusions import put
 from kingcupwheel.expertmaps.coordinator import Coordinator
+from kingcupwheel.expertmaps.coordinator_decisions import put
 from kingcupwheel.expertmaps.phases import Aborting
 from kingcupwheel.expertmaps.phases import Committing
 from kingcupwheel.expertmaps.protocol import NamedMap
