--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.edits import Change
-from kingcupwheel.expertmaps.edits import LayerEditor
+from kingcupwheel.expertmaps.layer_editor import Change
+from kingcupwheel.expertmaps.layer_editor import LayerEditor
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import map_skew
 
--- a/tests/expertmaps/test_planner.py
+++ b/tests/expertmaps/test_planner.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.expertmaps.edits import LayerEditor
 from kingcupwheel.expertmaps.exceptions import InvalidMapError
+from kingcupwheel.expertmaps.layer_editor import LayerEditor
 from kingcupwheel.expertmaps.loads import DecayedLoad
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import even_map
