--- a/src/kingcupwheel/expertmaps/rank_worker.py
+++ b/src/kingcupwheel/expertmaps/rank_worker.py
@@ -7,7 +7,7 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.expertmaps.guard import RankGuard
+from kingcupwheel.expertmaps.fence_guard import RankGuard
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import decode_order
