--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -15,7 +15,7 @@
 
 from kingcupwheel.expertmaps.coordinator import DEFAULT_TIMINGS
 from kingcupwheel.expertmaps.coordinator import CoordinatorTimings
-from kingcupwheel.expertmaps.leader import Leader
+from kingcupwheel.expertmaps.coordinator_driver import Leader
 from kingcupwheel.expertmaps.lease import Lease
 from kingcupwheel.expertmaps.lease import fence_of
 from kingcupwheel.expertmaps.lease import lease_key
