--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -19,7 +19,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
     from kingcupwheel.expertmaps.maps import LayerPlacement
 
 # How many periods a move is expected to pay off for. Longer moves more for the same
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -8,14 +8,14 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.loads import DecayedLoad
+from kingcupwheel.expertmaps.load_estimate import DecayedLoad
 from kingcupwheel.expertmaps.planner import PlanWeights
 from kingcupwheel.expertmaps.planner import plan
 from kingcupwheel.expertmaps.protocol import ReadLoads
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import MapLoad
+    from kingcupwheel.expertmaps.load_estimate import MapLoad
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.planner import Plan
     from kingcupwheel.expertmaps.protocol import LoadsRead
--- a/tests/expertmaps/test_planner.py
+++ b/tests/expertmaps/test_planner.py
@@ -6,7 +6,7 @@
 
 from kingcupwheel.expertmaps.exceptions import InvalidMapError
 from kingcupwheel.expertmaps.layer_editor import LayerEditor
-from kingcupwheel.expertmaps.loads import DecayedLoad
+from kingcupwheel.expertmaps.load_estimate import DecayedLoad
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import even_map
 from kingcupwheel.expertmaps.maps import map_skew
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -13,7 +13,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
 
 # Plain hysteresis starts to move above the first skew and goes on to the second.
 _HIGH_SKEW = 1.25
--- a/tools/map_popularity.py
+++ b/tools/map_popularity.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from kingcupwheel.expertmaps.loads import MapLoad
+    from kingcupwheel.expertmaps.load_estimate import MapLoad
 
 # Spread of the experts' log popularity at the start.
 _SPREAD = 0.8
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -18,8 +18,8 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
-    from kingcupwheel.expertmaps.loads import MapLoad
+    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import MapLoad
 
 # The paper's exploration parameter; it has to exceed one half.
 _ALPHA = 0.52
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -12,7 +12,7 @@
 
 import click
 
-from kingcupwheel.expertmaps.loads import DecayedLoad
+from kingcupwheel.expertmaps.load_estimate import DecayedLoad
 from kingcupwheel.expertmaps.maps import even_map
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
