--- a/tests/expertmaps/model.py
+++ b/tests/expertmaps/model.py
@@ -21,8 +21,8 @@
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import version_of
-from kingcupwheel.expertmaps.rank import RankState
-from kingcupwheel.expertmaps.rank import apply_order
+from kingcupwheel.expertmaps.rank_state import RankState
+from kingcupwheel.expertmaps.rank_state import apply_order
 from tests.expertmaps.builders import first_map
 from tests.expertmaps.builders import rotated
 from tests.expertmaps.builders import schedule
--- a/tests/expertmaps/test_takeover.py
+++ b/tests/expertmaps/test_takeover.py
@@ -11,7 +11,7 @@
 from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
-from kingcupwheel.expertmaps.rank import apply_order
+from kingcupwheel.expertmaps.rank_state import apply_order
 from tests.expertmaps.model import FIRST
 from tests.expertmaps.model import GroupModel
 from tests.expertmaps.model import OrderSent
--- a/tests/standins/ranks.py
+++ b/tests/standins/ranks.py
@@ -26,8 +26,8 @@
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import version_of
-from kingcupwheel.expertmaps.rank import RankState
-from kingcupwheel.expertmaps.rank import apply_order
+from kingcupwheel.expertmaps.rank_state import RankState
+from kingcupwheel.expertmaps.rank_state import apply_order
 
 
 # Tokens that a step sends through an expert of ordinary popularity.
