--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -19,7 +19,7 @@
 from kingcupwheel.expertmaps.lease import Lease
 from kingcupwheel.expertmaps.lease import fence_of
 from kingcupwheel.expertmaps.lease import lease_key
-from kingcupwheel.expertmaps.rank_worker import RankWorker
+from kingcupwheel.expertmaps.order_forwarder import RankWorker
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
