--- a/tests/expertmaps/test_exhaustive.py
+++ b/tests/expertmaps/test_exhaustive.py
@@ -9,7 +9,7 @@
 from kingcupwheel.expertmaps.protocol import Commit
 from kingcupwheel.expertmaps.protocol import Prepare
 from tests.expertmaps.model import GroupModel
-from tests.expertmaps.naive import NaiveCoordinator
+from tests.expertmaps.naive_coordinator import NaiveCoordinator
 
 
 if TYPE_CHECKING:
--- a/tests/expertmaps/test_takeover.py
+++ b/tests/expertmaps/test_takeover.py
@@ -15,7 +15,7 @@
 from tests.expertmaps.model import FIRST
 from tests.expertmaps.model import GroupModel
 from tests.expertmaps.model import OrderSent
-from tests.expertmaps.naive import NaiveCoordinator
+from tests.expertmaps.naive_coordinator import NaiveCoordinator
 
 
 def exchange(
