--- a/tests/expertmaps/test_exhaustive.py
+++ b/tests/expertmaps/test_exhaustive.py
@@ -8,7 +8,7 @@
 from kingcupwheel.expertmaps.phases import Preparing
 from kingcupwheel.expertmaps.protocol import Commit
 from kingcupwheel.expertmaps.protocol import Prepare
-from tests.expertmaps.model import GroupModel
+from tests.expertmaps.group_model import GroupModel
 from tests.expertmaps.naive_coordinator import NaiveCoordinator
 
 
--- a/tests/expertmaps/test_explored.py
+++ b/tests/expertmaps/test_explored.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import rule
 
 from kingcupwheel.expertmaps.phases import Ready
-from tests.expertmaps.model import GroupModel
-from tests.expertmaps.model import OrderSent
+from tests.expertmaps.group_model import GroupModel
+from tests.expertmaps.group_model import OrderSent
 
 
 RANKS = 3
--- a/tests/expertmaps/test_takeover.py
+++ b/tests/expertmaps/test_takeover.py
@@ -12,9 +12,9 @@
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.rank_state import apply_order
-from tests.expertmaps.model import FIRST
-from tests.expertmaps.model import GroupModel
-from tests.expertmaps.model import OrderSent
+from tests.expertmaps.group_model import FIRST
+from tests.expertmaps.group_model import GroupModel
+from tests.expertmaps.group_model import OrderSent
 from tests.expertmaps.naive_coordinator import NaiveCoordinator
 
 
