--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -48,7 +48,7 @@
 
     layer: int
     rank: int
-    held: tuple[int, ...]
+    experts: tuple[int, ...]
 
 
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True):
