--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -43,7 +43,7 @@
 NO_VERSION = MapVersion(0, 0)
 
 
-class Cell(NamedTuple):
+class RankPlacement(NamedTuple):
     """The experts that one rank holds of one layer."""
 
     layer: int
@@ -75,10 +75,10 @@
                 message = f"layer {number}: experts missing or unknown"
                 raise InvalidMapError(message)
 
-    def cells_to(self, target: ExpertMap) -> tuple[Cell, ...]:
+    def cells_to(self, target: ExpertMap) -> tuple[RankPlacement, ...]:
         """Return what differs in ``target``."""
         return tuple(
-            Cell(layer, rank, after)
+            RankPlacement(layer, rank, after)
             for layer, (old, new) in enumerate(
                 zip(self.layers, target.layers, strict=True)
             )
@@ -86,7 +86,7 @@
             if before != after
         )
 
-    def with_cells(self, cells: tuple[Cell, ...]) -> ExpertMap:
+    def with_cells(self, cells: tuple[RankPlacement, ...]) -> ExpertMap:
         """Return this map with ``cells`` replaced."""
         layers = [list(layer) for layer in self.layers]
         for layer, rank, held in cells:
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -18,9 +18,9 @@
 
 from kingcupwheel.expertmaps.exceptions import BadOrder
 from kingcupwheel.expertmaps.maps import NO_VERSION
-from kingcupwheel.expertmaps.maps import Cell
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import MapVersion
+from kingcupwheel.expertmaps.maps import RankPlacement
 
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
 
     version: MapVersion
     base: MapVersion
-    cells: tuple[Cell, ...]
+    cells: tuple[RankPlacement, ...]
 
 
 class Prepare(Order, frozen=True, tag="Prepare"):
