--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -54,7 +54,7 @@
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True):
     """Placement of ``experts`` experts a layer on ranks of ``slots`` slots."""
 
-    experts: int
+    expert_count: int
     slots: int
     layers: tuple[LayerPlacement, ...]
 
@@ -71,7 +71,7 @@
                     message = f"layer {number}: rank {rank} holds {held}"
                     raise InvalidMapError(message)
             placed = {expert for held in layer for expert in held}
-            if placed != set(range(self.experts)):
+            if placed != set(range(self.expert_count)):
                 message = f"layer {number}: experts missing or unknown"
                 raise InvalidMapError(message)
 
@@ -91,7 +91,7 @@
         layers = [list(layer) for layer in self.layers]
         for layer, rank, held in cells:
             layers[layer][rank] = held
-        return ExpertMap(self.experts, self.slots, tuple(map(tuple, layers)))
+        return ExpertMap(self.expert_count, self.slots, tuple(map(tuple, layers)))
 
     def moves_to(self, target: ExpertMap) -> int:
         """Return how many expert weights ranks must load to change to ``target``."""
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -82,7 +82,7 @@
     uneven = sorted(range(len(editors)), key=lambda number: -editors[number].slowest)
     for number in uneven[:_LAYERS]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
-    wanted = ExpertMap(current.experts, current.slots, tuple(layers))
+    wanted = ExpertMap(current.expert_count, current.slots, tuple(layers))
     moves = current.moves_to(wanted)
     if not moves:
         return None
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -108,7 +108,7 @@
     """Return each expert's load over all ranks that hold it."""
     layers = []
     for number, layer in enumerate(current.layers):
-        load = [0.0] * current.experts
+        load = [0.0] * current.expert_count
         for rank, reply in reply_by_rank.items():
             for expert, count in zip(layer[rank], reply.counts[number], strict=True):
                 load[expert] += count
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -27,7 +27,7 @@
     layers = tuple(
         _place(_replicas(layer, current), layer, current) for layer in estimate.load
     )
-    result = ExpertMap(current.experts, current.slots, layers)
+    result = ExpertMap(current.expert_count, current.slots, layers)
     result.check()
     return result
 
