--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -55,7 +55,7 @@
     """Placement of ``experts`` experts a layer on ranks of ``slots`` slots."""
 
     expert_count: int
-    slots: int
+    slots_per_rank: int
     layers: tuple[LayerPlacement, ...]
 
     @property
@@ -67,7 +67,7 @@
         """Raise InvalidMapError if a rank is overfull or an expert has no place."""
         for number, layer in enumerate(self.layers):
             for rank, held in enumerate(layer):
-                if len(held) > self.slots or len(set(held)) != len(held):
+                if len(held) > self.slots_per_rank or len(set(held)) != len(held):
                     message = f"layer {number}: rank {rank} holds {held}"
                     raise InvalidMapError(message)
             placed = {expert for held in layer for expert in held}
@@ -91,7 +91,9 @@
         layers = [list(layer) for layer in self.layers]
         for layer, rank, held in cells:
             layers[layer][rank] = held
-        return ExpertMap(self.expert_count, self.slots, tuple(map(tuple, layers)))
+        return ExpertMap(
+            self.expert_count, self.slots_per_rank, tuple(map(tuple, layers))
+        )
 
     def moves_to(self, target: ExpertMap) -> int:
         """Return how many expert weights ranks must load to change to ``target``."""
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -75,14 +75,16 @@
     even = sum(sum(layer) for layer in load) / current.ranks
     gain = weights.skew_weight * weights.payback_periods / even
     editors = [
-        LayerEditor(layer, layer_load, slots=current.slots, scatter=estimate.scatter)
+        LayerEditor(
+            layer, layer_load, slots=current.slots_per_rank, scatter=estimate.scatter
+        )
         for layer, layer_load in zip(current.layers, load, strict=True)
     ]
     layers = list(current.layers)
     uneven = sorted(range(len(editors)), key=lambda number: -editors[number].slowest)
     for number in uneven[:_LAYERS]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
-    wanted = ExpertMap(current.expert_count, current.slots, tuple(layers))
+    wanted = ExpertMap(current.expert_count, current.slots_per_rank, tuple(layers))
     moves = current.moves_to(wanted)
     if not moves:
         return None
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -27,7 +27,7 @@
     layers = tuple(
         _place(_replicas(layer, current), layer, current) for layer in estimate.load
     )
-    result = ExpertMap(current.expert_count, current.slots, layers)
+    result = ExpertMap(current.expert_count, current.slots_per_rank, layers)
     result.check()
     return result
 
@@ -35,7 +35,7 @@
 def _replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
     """Return replica counts: spare places go to the highest load a replica."""
     counts = [1] * len(load)
-    for _ in range(shape.ranks * shape.slots - len(load)):
+    for _ in range(shape.ranks * shape.slots_per_rank - len(load)):
         open_experts = (e for e in range(len(load)) if counts[e] < shape.ranks)
         counts[max(open_experts, key=lambda e: load[e] / counts[e])] += 1
     return counts
@@ -54,7 +54,7 @@
         free = [
             rank
             for rank in range(shape.ranks)
-            if len(held[rank]) < shape.slots and expert not in held[rank]
+            if len(held[rank]) < shape.slots_per_rank and expert not in held[rank]
         ]
         if free:
             rank = min(free, key=loads.__getitem__)
