--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -88,7 +88,7 @@
     """
     turns = []
     due = now
-    for rank in range(wanted.ranks):
+    for rank in range(wanted.rank_count):
         turns.append(due)
         loads = sum(
             len(set(new[rank]) - set(old[rank]))
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -59,7 +59,7 @@
     layers: tuple[LayerPlacement, ...]
 
     @property
-    def ranks(self) -> int:
+    def rank_count(self) -> int:
         """The number of ranks."""
         return len(self.layers[0])
 
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -72,7 +72,7 @@
         return None
     places = sum(len(held) for layer in current.layers for held in layer)
     cost = weights.move_cost * weights.hysteresis / places
-    even = sum(sum(layer) for layer in load) / current.ranks
+    even = sum(sum(layer) for layer in load) / current.rank_count
     gain = weights.skew_weight * weights.payback_periods / even
     editors = [
         LayerEditor(
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -35,15 +35,15 @@
 def _replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
     """Return replica counts: spare places go to the highest load a replica."""
     counts = [1] * len(load)
-    for _ in range(shape.ranks * shape.slots_per_rank - len(load)):
-        open_experts = (e for e in range(len(load)) if counts[e] < shape.ranks)
+    for _ in range(shape.rank_count * shape.slots_per_rank - len(load)):
+        open_experts = (e for e in range(len(load)) if counts[e] < shape.rank_count)
         counts[max(open_experts, key=lambda e: load[e] / counts[e])] += 1
     return counts
 
 
 def _place(counts: list[int], load: LayerLoad, shape: ExpertMap) -> LayerPlacement:
-    held: list[list[int]] = [[] for _ in range(shape.ranks)]
-    loads = [0.0] * shape.ranks
+    held: list[list[int]] = [[] for _ in range(shape.rank_count)]
+    loads = [0.0] * shape.rank_count
     shares = [
         (load[expert] / count, expert)
         for expert, count in enumerate(counts)
@@ -53,7 +53,7 @@
     for share, expert in sorted(shares, reverse=True):
         free = [
             rank
-            for rank in range(shape.ranks)
+            for rank in range(shape.rank_count)
             if len(held[rank]) < shape.slots_per_rank and expert not in held[rank]
         ]
         if free:
