--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -63,7 +63,7 @@
         """The number of ranks."""
         return len(self.layers[0])
 
-    def check(self) -> None:
+    def validate(self) -> None:
         """Raise InvalidMapError if a rank is overfull or an expert has no place."""
         for number, layer in enumerate(self.layers):
             for rank, held in enumerate(layer):
@@ -115,7 +115,7 @@
         tuple(range(rank, layout.experts, layout.ranks)) for rank in range(layout.ranks)
     )
     result = ExpertMap(layout.experts, slots_per_rank(layout), (layer,) * layout.layers)
-    result.check()
+    result.validate()
     return result
 
 
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -28,7 +28,7 @@
         _place(_replicas(layer, current), layer, current) for layer in estimate.load
     )
     result = ExpertMap(current.expert_count, current.slots_per_rank, layers)
-    result.check()
+    result.validate()
     return result
 
 
