--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -177,7 +177,7 @@
             now=now,
             seconds_per_expert=self._expert_bytes / self._timings.store_bytes_per_s,
         )
-        cells = base.map.cells_to(expert_map)
+        cells = base.map.diff_placements(expert_map)
         order = Stage(self._version, base.origin, cells)
         staging = Staging(
             self._version, expert_map, order, due, frozenset(), self._pace.step
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -75,7 +75,7 @@
                 message = f"layer {number}: experts missing or unknown"
                 raise InvalidMapError(message)
 
-    def cells_to(self, target: ExpertMap) -> tuple[RankPlacement, ...]:
+    def diff_placements(self, target: ExpertMap) -> tuple[RankPlacement, ...]:
         """Return what differs in ``target``."""
         return tuple(
             RankPlacement(layer, rank, after)
