--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -86,7 +86,7 @@
             if before != after
         )
 
-    def with_cells(self, cells: tuple[RankPlacement, ...]) -> ExpertMap:
+    def with_placements(self, cells: tuple[RankPlacement, ...]) -> ExpertMap:
         """Return this map with ``cells`` replaced."""
         layers = [list(layer) for layer in self.layers]
         for layer, rank, held in cells:
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -109,7 +109,9 @@
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
     if state.schedule.after.origin != order.base:
         return _refuse(state, order.version, RefusalReason.OTHER_BASE)
-    staged = NamedMap(order.version, state.schedule.after.map.with_cells(order.cells))
+    staged = NamedMap(
+        order.version, state.schedule.after.map.with_placements(order.cells)
+    )
     return state._replace(staged=staged), Staged(order.version, state.step)
 
 
