--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -95,7 +95,7 @@
             self.expert_count, self.slots_per_rank, tuple(map(tuple, layers))
         )
 
-    def moves_to(self, target: ExpertMap) -> int:
+    def count_moves_to(self, target: ExpertMap) -> int:
         """Return how many expert weights ranks must load to change to ``target``."""
         return sum(
             len(set(after) - set(before))
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -85,7 +85,7 @@
     for number in uneven[:_LAYERS]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
     wanted = ExpertMap(current.expert_count, current.slots_per_rank, tuple(layers))
-    moves = current.moves_to(wanted)
+    moves = current.count_moves_to(wanted)
     if not moves:
         return None
     return Plan(wanted, moves, map_skew(current, load), map_skew(wanted, load))
