--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -104,7 +104,7 @@
         )
 
 
-def slots_per_rank(layout: ExpertLayout) -> int:
+def get_slots_per_rank(layout: ExpertLayout) -> int:
     """Return the slots of a rank: as set, or just enough for one replica of each."""
     return layout.slots or -(-layout.experts // layout.ranks)
 
@@ -114,7 +114,9 @@
     layer = tuple(
         tuple(range(rank, layout.experts, layout.ranks)) for rank in range(layout.ranks)
     )
-    result = ExpertMap(layout.experts, slots_per_rank(layout), (layer,) * layout.layers)
+    result = ExpertMap(
+        layout.experts, get_slots_per_rank(layout), (layer,) * layout.layers
+    )
     result.validate()
     return result
 
