--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.expertmaps.coordinator import Coordinator
-from kingcupwheel.expertmaps.maps import even_map
+from kingcupwheel.expertmaps.maps import build_even_map
 from kingcupwheel.expertmaps.phases import LeaseLost
 from kingcupwheel.expertmaps.phases import LeaseTaken
 from kingcupwheel.expertmaps.phases import Proposed
@@ -65,7 +65,7 @@
         self._rebalancer = Rebalancer(layout)
         self._coordinator = Coordinator(
             ranks=layout.ranks,
-            initial=even_map(layout),
+            initial=build_even_map(layout),
             expert_bytes=layout.expert_bytes,
             timings=timings,
         )
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -109,7 +109,7 @@
     return layout.slots or -(-layout.experts // layout.ranks)
 
 
-def even_map(layout: ExpertLayout) -> ExpertMap:
+def build_even_map(layout: ExpertLayout) -> ExpertMap:
     """Return the map of a group that has not run yet: experts dealt out in turn."""
     layer = tuple(
         tuple(range(rank, layout.experts, layout.ranks)) for rank in range(layout.ranks)
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -13,7 +13,7 @@
 import click
 
 from kingcupwheel.expertmaps.load_estimate import DecayedLoad
-from kingcupwheel.expertmaps.maps import even_map
+from kingcupwheel.expertmaps.maps import build_even_map
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
 from kingcupwheel.expertmaps.planner import plan
@@ -110,7 +110,7 @@
         ranks=SHAPE.ranks, experts=SHAPE.experts, layers=SHAPE.layers, slots=SHAPE.slots
     )
     for seed in SEEDS:
-        current = even_map(layout)
+        current = build_even_map(layout)
         planner = make()
         estimate = DecayedLoad()
         for counted in popularity(scenario, SHAPE, seed=seed):
