--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -121,7 +121,7 @@
     return result
 
 
-def replica_counts(layer: LayerPlacement, experts: int) -> list[int]:
+def count_replicas(layer: LayerPlacement, experts: int) -> list[int]:
     """Return the number of replicas of each expert of a layer."""
     counts = [0] * experts
     for held in layer:
@@ -132,7 +132,7 @@
 
 def rank_loads(layer: LayerPlacement, load: LayerLoad) -> list[float]:
     """Return each rank's load, replicas sharing their expert's load evenly."""
-    counts = replica_counts(layer, len(load))
+    counts = count_replicas(layer, len(load))
     return [sum(load[expert] / counts[expert] for expert in held) for held in layer]
 
 
