--- a/src/kingcupwheel/expertmaps/exceptions.py
+++ b/src/kingcupwheel/expertmaps/exceptions.py
@@ -11,7 +11,7 @@
     """A map that no group could run: an expert is missing or a rank overfull."""
 
 
-class BadOrder(NamedTuple):
+class DecodeFailure(NamedTuple):
     """Bytes that are no order or reply of this version; ``detail`` says why."""
 
     detail: str
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -16,7 +16,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.expertmaps.exceptions import BadOrder
+from kingcupwheel.expertmaps.exceptions import DecodeFailure
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import MapVersion
@@ -229,18 +229,18 @@
     return _ENCODER.encode(item)
 
 
-def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, BadOrder]:
+def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, DecodeFailure]:
     try:
         return Ok(decode(data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Error(BadOrder(str(error)))
+        return Error(DecodeFailure(str(error)))
 
 
-def decode_order(data: bytes) -> Result[AnyOrder, BadOrder]:
+def decode_order(data: bytes) -> Result[AnyOrder, DecodeFailure]:
     """Return the order in ``data``."""
     return _decode(_ORDERS.decode, data)
 
 
-def decode_reply(data: bytes) -> Result[AnyReply, BadOrder]:
+def decode_reply(data: bytes) -> Result[AnyReply, DecodeFailure]:
     """Return the reply in ``data``."""
     return _decode(_REPLIES.decode, data)
