--- a/src/kingcupwheel/expertmaps/exceptions.py
+++ b/src/kingcupwheel/expertmaps/exceptions.py
@@ -21,4 +21,4 @@
     """The rank did not answer; an order that was ``sent`` may yet take effect."""
 
     detail: str
-    sent: bool
+    was_sent: bool
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -95,17 +95,17 @@
         try:
             response = self._pool.request(method, self._url + path, body=body)
         except urllib3.exceptions.NewConnectionError as error:
-            return Error(RankUnreachable(str(error), sent=False))
+            return Error(RankUnreachable(str(error), was_sent=False))
         except urllib3.exceptions.HTTPError as error:
-            return Error(RankUnreachable(str(error), sent=True))
+            return Error(RankUnreachable(str(error), was_sent=True))
         return _reply(response)
 
 
 def _reply(response: urllib3.BaseHTTPResponse) -> Result[AnyReply, RankUnreachable]:
     if response.status != 200 or len(response.data) > _ANSWER_BYTES:
         detail = f"status {response.status}, {len(response.data)} bytes"
-        return Error(RankUnreachable(detail, sent=True))
+        return Error(RankUnreachable(detail, was_sent=True))
     try:
         return Ok(_REPLIES.decode(response.data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Error(RankUnreachable(str(error), sent=True))
+        return Error(RankUnreachable(str(error), was_sent=True))
