--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -178,7 +178,7 @@
             seconds_per_expert=self._expert_bytes / self._timings.store_bytes_per_s,
         )
         cells = base.map.diff_placements(expert_map)
-        order = Stage(self._version, base.origin, cells)
+        order = Stage(self._version, base.origin_version, cells)
         staging = Staging(
             self._version, expert_map, order, due, frozenset(), self._pace.step
         )
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -30,7 +30,7 @@
 class NamedMap(msgspec.Struct, frozen=True, array_like=True):
     """A map and the version it was first staged under, which identifies it."""
 
-    origin: MapVersion
+    origin_version: MapVersion
     map: ExpertMap
 
 
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -105,9 +105,9 @@
 def _stage(state: RankState, order: Stage) -> Applied:
     if state.schedule is None:
         return _refuse(state, order.version, RefusalReason.RESTARTED)
-    if state.staged is not None and order.version < state.staged.origin:
+    if state.staged is not None and order.version < state.staged.origin_version:
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
-    if state.schedule.after.origin != order.base:
+    if state.schedule.after.origin_version != order.base:
         return _refuse(state, order.version, RefusalReason.OTHER_BASE)
     staged = NamedMap(
         order.version, state.schedule.after.map.with_placements(order.cells)
@@ -123,7 +123,7 @@
         return _refuse(state, version, RefusalReason.RESTARTED)
     if version <= state.highest:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
-    if state.staged is None or state.staged.origin != version:
+    if state.staged is None or state.staged.origin_version != version:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
     if order.step < state.step:
         return _refuse(state, version, RefusalReason.STEP_PASSED)
@@ -161,7 +161,7 @@
 def _own_schedule(state: RankState, version: MapVersion) -> Schedule | None:
     if state.schedule is None or state.hold is None:
         return None
-    if state.staged is None or state.staged.origin != version:
+    if state.staged is None or state.staged.origin_version != version:
         return None
     return Schedule(version, state.schedule.after, state.staged, state.hold.step)
 
