--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -41,7 +41,6 @@
 from kingcupwheel.expertmaps.protocol import Aborted
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
-from kingcupwheel.expertmaps.protocol import NamedMap
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
@@ -49,6 +48,7 @@
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StateRead
+from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
 if TYPE_CHECKING:
@@ -278,7 +278,7 @@
         acked = phase.acked | {rank}
         if len(acked) < self._ranks or self._schedule is None:
             return replace(phase, acked=acked)
-        after = NamedMap(phase.version, phase.map)
+        after = VersionedMap(phase.version, phase.map)
         schedule = Schedule(phase.version, self._schedule.after, after, phase.step)
         return Committing(phase.version, schedule, None, frozenset())
 
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 from typing import TypeVar
 
-from kingcupwheel.expertmaps.protocol import NamedMap
 from kingcupwheel.expertmaps.protocol import Schedule
+from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     """
     known = [schedule for schedule in found if schedule is not None]
     if not known:
-        first = NamedMap(version, initial)
+        first = VersionedMap(version, initial)
         return Schedule(version, first, first, 0)
     highest = max(known, key=lambda schedule: schedule.version)
     return Schedule(version, highest.before, highest.after, highest.from_step)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
 
-class NamedMap(msgspec.Struct, frozen=True, array_like=True):
+class VersionedMap(msgspec.Struct, frozen=True, array_like=True):
     """A map and the version it was first staged under, which identifies it."""
 
     origin_version: MapVersion
@@ -38,11 +38,11 @@
     """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
 
     version: MapVersion
-    before: NamedMap
-    after: NamedMap
+    before: VersionedMap
+    after: VersionedMap
     from_step: int
 
-    def map_at(self, step: int) -> NamedMap:
+    def map_at(self, step: int) -> VersionedMap:
         """Return the map in force in ``step``."""
         return self.before if step < self.from_step else self.after
 
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -16,7 +16,6 @@
 from kingcupwheel.expertmaps.protocol import Commit
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
-from kingcupwheel.expertmaps.protocol import NamedMap
 from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RankOrder
@@ -30,6 +29,7 @@
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
 class Hold(NamedTuple):
@@ -48,7 +48,7 @@
 
     step: int = 0
     schedule: Schedule | None = None
-    staged: NamedMap | None = None
+    staged: VersionedMap | None = None
     hold: Hold | None = None
     highest: MapVersion = NO_VERSION
     life: str = ""
@@ -62,7 +62,7 @@
         return self.hold is None or self.step < self.hold.step
 
     @property
-    def map_in_force(self) -> NamedMap | None:
+    def map_in_force(self) -> VersionedMap | None:
         """The map that the next step would use."""
         return self.schedule.map_at(self.step) if self.schedule else None
 
@@ -109,7 +109,7 @@
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
     if state.schedule.after.origin_version != order.base:
         return _refuse(state, order.version, RefusalReason.OTHER_BASE)
-    staged = NamedMap(
+    staged = VersionedMap(
         order.version, state.schedule.after.map.with_placements(order.cells)
     )
     return state._replace(staged=staged), Staged(order.version, state.step)
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -19,7 +19,7 @@
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.planner import Plan
     from kingcupwheel.expertmaps.protocol import LoadsRead
-    from kingcupwheel.expertmaps.protocol import NamedMap
+    from kingcupwheel.expertmaps.protocol import VersionedMap
     from kingcupwheel.manifest.schema import ExpertLayout
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
@@ -67,7 +67,7 @@
         self._reply_by_rank.clear()
         return ReadLoads(self._round)
 
-    def take(self, rank: int, reply: LoadsRead, current: NamedMap) -> None:
+    def take(self, rank: int, reply: LoadsRead, current: VersionedMap) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
         if reply.round != self._round or reply.origin != current.origin_version:
             return
