--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -38,13 +38,13 @@
     """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
 
     version: MapVersion
-    before: VersionedMap
+    old_map: VersionedMap
     after: VersionedMap
     from_step: int
 
     def map_at(self, step: int) -> VersionedMap:
         """Return the map in force in ``step``."""
-        return self.before if step < self.from_step else self.after
+        return self.old_map if step < self.from_step else self.after
 
 
 class Order(msgspec.Struct, frozen=True, tag=True, array_like=True):
