--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -170,7 +170,7 @@
         if not isinstance(self._phase, Ready) or self._schedule is None:
             return []
         self._version = self._version.next()
-        base = self._schedule.after
+        base = self._schedule.new_map
         due = staging_turns(
             base.map,
             expert_map,
@@ -279,7 +279,7 @@
         if len(acked) < self._ranks or self._schedule is None:
             return replace(phase, acked=acked)
         after = VersionedMap(phase.version, phase.map)
-        schedule = Schedule(phase.version, self._schedule.after, after, phase.step)
+        schedule = Schedule(phase.version, self._schedule.new_map, after, phase.step)
         return Committing(phase.version, schedule, None, frozenset())
 
     def _committed(self, phase: Committing, rank: int) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -74,7 +74,7 @@
         first = VersionedMap(version, initial)
         return Schedule(version, first, first, 0)
     highest = max(known, key=lambda schedule: schedule.version)
-    return Schedule(version, highest.old_map, highest.after, highest.from_step)
+    return Schedule(version, highest.old_map, highest.new_map, highest.from_step)
 
 
 def staging_turns(
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -179,7 +179,7 @@
     def _take_loads(self, rank: int, loads: LoadsRead) -> None:
         schedule = self._coordinator.schedule
         if schedule is not None:
-            self._rebalancer.take(rank, loads, schedule.after)
+            self._rebalancer.take(rank, loads, schedule.new_map)
 
     def _step(self, event: Event) -> None:
         before = self.phase
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -39,12 +39,12 @@
 
     version: MapVersion
     old_map: VersionedMap
-    after: VersionedMap
+    new_map: VersionedMap
     from_step: int
 
     def map_at(self, step: int) -> VersionedMap:
         """Return the map in force in ``step``."""
-        return self.old_map if step < self.from_step else self.after
+        return self.old_map if step < self.from_step else self.new_map
 
 
 class Order(msgspec.Struct, frozen=True, tag=True, array_like=True):
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -107,10 +107,10 @@
         return _refuse(state, order.version, RefusalReason.RESTARTED)
     if state.staged is not None and order.version < state.staged.origin_version:
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
-    if state.schedule.after.origin_version != order.base:
+    if state.schedule.new_map.origin_version != order.base:
         return _refuse(state, order.version, RefusalReason.OTHER_BASE)
     staged = VersionedMap(
-        order.version, state.schedule.after.map.with_placements(order.cells)
+        order.version, state.schedule.new_map.map.with_placements(order.cells)
     )
     return state._replace(staged=staged), Staged(order.version, state.step)
 
@@ -163,7 +163,7 @@
         return None
     if state.staged is None or state.staged.origin_version != version:
         return None
-    return Schedule(version, state.schedule.after, state.staged, state.hold.step)
+    return Schedule(version, state.schedule.new_map, state.staged, state.hold.step)
 
 
 def _abort(state: RankState, order: Abort) -> Applied:
