--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -41,10 +41,10 @@
 from kingcupwheel.expertmaps.protocol import Aborted
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
+from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Schedule
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StateRead
@@ -97,7 +97,7 @@
         self._version = NO_VERSION
         self._phase: Phase = Standby()
         self._round = 0
-        self._schedule: Schedule | None = None
+        self._schedule: MapSchedule | None = None
         self._since = 0.0
         self._sent = 0.0
         self._pace = Pace()
@@ -113,7 +113,7 @@
         return self._version.fence
 
     @property
-    def schedule(self) -> Schedule | None:
+    def schedule(self) -> MapSchedule | None:
         """What all ranks have committed, as far as is known."""
         return self._schedule
 
@@ -279,7 +279,7 @@
         if len(acked) < self._ranks or self._schedule is None:
             return replace(phase, acked=acked)
         after = VersionedMap(phase.version, phase.map)
-        schedule = Schedule(phase.version, self._schedule.new_map, after, phase.step)
+        schedule = MapSchedule(phase.version, self._schedule.new_map, after, phase.step)
         return Committing(phase.version, schedule, None, frozenset())
 
     def _committed(self, phase: Committing, rank: int) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 from typing import TypeVar
 
-from kingcupwheel.expertmaps.protocol import Schedule
+from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
@@ -60,8 +60,8 @@
 
 
 def restate(
-    version: MapVersion, found: Iterable[Schedule | None], initial: ExpertMap
-) -> Schedule:
+    version: MapVersion, found: Iterable[MapSchedule | None], initial: ExpertMap
+) -> MapSchedule:
     """Return what to commit as ``version``: the highest that any rank has committed.
 
     A version is committed only after all ranks prepared it. So a rank that has not
@@ -72,9 +72,9 @@
     known = [schedule for schedule in found if schedule is not None]
     if not known:
         first = VersionedMap(version, initial)
-        return Schedule(version, first, first, 0)
+        return MapSchedule(version, first, first, 0)
     highest = max(known, key=lambda schedule: schedule.version)
-    return Schedule(version, highest.old_map, highest.new_map, highest.from_step)
+    return MapSchedule(version, highest.old_map, highest.new_map, highest.from_step)
 
 
 def staging_turns(
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -21,9 +21,9 @@
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
     from kingcupwheel.expertmaps.protocol import Held
+    from kingcupwheel.expertmaps.protocol import MapSchedule
     from kingcupwheel.expertmaps.protocol import RankOrder
     from kingcupwheel.expertmaps.protocol import RankReply
-    from kingcupwheel.expertmaps.protocol import Schedule
     from kingcupwheel.expertmaps.protocol import StateRead
 
 
@@ -133,7 +133,7 @@
     """
 
     version: MapVersion
-    schedule: Schedule
+    schedule: MapSchedule
     lives: tuple[str, ...] | None
     acked: frozenset[int]
 
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -34,7 +34,7 @@
     map: ExpertMap
 
 
-class Schedule(msgspec.Struct, frozen=True, array_like=True):
+class MapSchedule(msgspec.Struct, frozen=True, array_like=True):
     """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
 
     version: MapVersion
@@ -86,7 +86,7 @@
     """
 
     version: MapVersion
-    schedule: Schedule | None
+    schedule: MapSchedule | None
     life: str = ""
 
 
@@ -145,7 +145,7 @@
     """
 
     version: MapVersion
-    schedule: Schedule | None
+    schedule: MapSchedule | None
     life: str = ""
 
 
@@ -166,7 +166,7 @@
 
     round: int
     status: RankStatus
-    schedule: Schedule | None = None
+    schedule: MapSchedule | None = None
 
 
 class LoadsRead(Reply, frozen=True, tag="LoadsRead"):
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -16,6 +16,7 @@
 from kingcupwheel.expertmaps.protocol import Commit
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
+from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RankOrder
@@ -24,7 +25,6 @@
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Schedule
 from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StateRead
@@ -47,7 +47,7 @@
     """
 
     step: int = 0
-    schedule: Schedule | None = None
+    schedule: MapSchedule | None = None
     staged: VersionedMap | None = None
     hold: Hold | None = None
     highest: MapVersion = NO_VERSION
@@ -158,12 +158,12 @@
     return state._replace(schedule=schedule, hold=None), Committed(version)
 
 
-def _own_schedule(state: RankState, version: MapVersion) -> Schedule | None:
+def _own_schedule(state: RankState, version: MapVersion) -> MapSchedule | None:
     if state.schedule is None or state.hold is None:
         return None
     if state.staged is None or state.staged.origin_version != version:
         return None
-    return Schedule(version, state.schedule.new_map, state.staged, state.hold.step)
+    return MapSchedule(version, state.schedule.new_map, state.staged, state.hold.step)
 
 
 def _abort(state: RankState, order: Abort) -> Applied:
