--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -60,7 +60,7 @@
 
     version: MapVersion
     base: MapVersion
-    cells: tuple[RankPlacement, ...]
+    placements: tuple[RankPlacement, ...]
 
 
 class Prepare(Order, frozen=True, tag="Prepare"):
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -110,7 +110,7 @@
     if state.schedule.new_map.origin_version != order.base:
         return _refuse(state, order.version, RefusalReason.OTHER_BASE)
     staged = VersionedMap(
-        order.version, state.schedule.new_map.map.with_placements(order.cells)
+        order.version, state.schedule.new_map.map.with_placements(order.placements)
     )
     return state._replace(staged=staged), Staged(order.version, state.step)
 
