--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -59,7 +59,7 @@
     """
 
     version: MapVersion
-    base: MapVersion
+    base_version: MapVersion
     placements: tuple[RankPlacement, ...]
 
 
