--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -45,8 +45,8 @@
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
+from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
@@ -178,7 +178,7 @@
             seconds_per_expert=self._expert_bytes / self._timings.store_bytes_per_s,
         )
         cells = base.map.diff_placements(expert_map)
-        order = Stage(self._version, base.origin_version, cells)
+        order = StageOrder(self._version, base.origin_version, cells)
         staging = Staging(
             self._version, expert_map, order, due, frozenset(), self._pace.step
         )
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -13,7 +13,7 @@
 from kingcupwheel.expertmaps.protocol import Commit
 from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import ReadState
-from kingcupwheel.expertmaps.protocol import Stage
+from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import Supersede
 
 
@@ -108,7 +108,7 @@
 
     version: MapVersion
     map: ExpertMap
-    order: Stage
+    order: StageOrder
     due: tuple[float, ...]
     acked: frozenset[int]
     step: int
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -51,7 +51,7 @@
     """Base of all orders."""
 
 
-class Stage(Order, frozen=True, tag="Stage"):
+class StageOrder(Order, frozen=True, tag="Stage"):
     """Load the weights that a new map needs on this rank.
 
     The map is that of ``base``, which the rank has committed, with ``cells`` replaced:
@@ -205,7 +205,7 @@
     reason: RefusalReason
 
 
-RankOrder = Stage | Prepare | Supersede | Commit | Abort | ReadState
+RankOrder = StageOrder | Prepare | Supersede | Commit | Abort | ReadState
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -25,7 +25,7 @@
 from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import ReadLoads
 from kingcupwheel.expertmaps.protocol import ReadState
-from kingcupwheel.expertmaps.protocol import Stage
+from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import Supersede
 from kingcupwheel.plugins.kernel import rank_apis
 
@@ -63,7 +63,7 @@
 def endpoint_of(order: AnyOrder) -> _Endpoint:
     """Return where ``order`` goes."""
     match order:
-        case Stage():
+        case StageOrder():
             return _Endpoint("POST", "/rank/stage")
         case Prepare() | Supersede():
             return _Endpoint("POST", "/rank/prepare")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -25,8 +25,8 @@
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Stage
 from kingcupwheel.expertmaps.protocol import Staged
+from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import Supersede
 from kingcupwheel.expertmaps.protocol import VersionedMap
@@ -83,7 +83,7 @@
 def apply_order(state: RankState, order: RankOrder) -> Applied:
     """Return the rank's state after ``order`` and its reply; orders are idempotent."""
     match order:
-        case Stage():
+        case StageOrder():
             return _stage(state, order)
         case Prepare():
             return _prepare(state, order)
@@ -102,7 +102,7 @@
     return state, Refused(version, reason)
 
 
-def _stage(state: RankState, order: Stage) -> Applied:
+def _stage(state: RankState, order: StageOrder) -> Applied:
     if state.schedule is None:
         return _refuse(state, order.version, RefusalReason.RESTARTED)
     if state.staged is not None and order.version < state.staged.origin_version:
