--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.expertmaps.protocol import Abort
 from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Prepare
+from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import Supersede
@@ -188,7 +188,7 @@
         case Staging(order=order, due=due):
             return order if now >= due[rank] else None
         case Preparing(version, _, step):
-            return Prepare(version, step)
+            return PrepareOrder(version, step)
         case Committing():
             return _commit(phase, rank)
         case Aborting(version):
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -63,7 +63,7 @@
     placements: tuple[RankPlacement, ...]
 
 
-class Prepare(Order, frozen=True, tag="Prepare"):
+class PrepareOrder(Order, frozen=True, tag="Prepare"):
     """Run no step from ``step`` on until this version is committed or aborted."""
 
     version: MapVersion
@@ -205,7 +205,7 @@
     reason: RefusalReason
 
 
-RankOrder = StageOrder | Prepare | Supersede | Commit | Abort | ReadState
+RankOrder = StageOrder | PrepareOrder | Supersede | Commit | Abort | ReadState
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -22,7 +22,7 @@
 from kingcupwheel.expertmaps.protocol import Abort
 from kingcupwheel.expertmaps.protocol import AnyReply
 from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Prepare
+from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadLoads
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
@@ -65,7 +65,7 @@
     match order:
         case StageOrder():
             return _Endpoint("POST", "/rank/stage")
-        case Prepare() | Supersede():
+        case PrepareOrder() | Supersede():
             return _Endpoint("POST", "/rank/prepare")
         case Commit():
             return _Endpoint("POST", "/rank/commit")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -17,8 +17,8 @@
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
-from kingcupwheel.expertmaps.protocol import Prepare
 from kingcupwheel.expertmaps.protocol import Prepared
+from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import RankOrder
 from kingcupwheel.expertmaps.protocol import RankReply
 from kingcupwheel.expertmaps.protocol import RankStatus
@@ -85,7 +85,7 @@
     match order:
         case StageOrder():
             return _stage(state, order)
-        case Prepare():
+        case PrepareOrder():
             return _prepare(state, order)
         case Supersede():
             return _supersede(state, order)
@@ -115,7 +115,7 @@
     return state._replace(staged=staged), Staged(order.version, state.step)
 
 
-def _prepare(state: RankState, order: Prepare) -> Applied:
+def _prepare(state: RankState, order: PrepareOrder) -> Applied:
     version = order.version
     if state.hold is not None and state.hold.version == version:
         return state, Prepared(version)
