--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -14,7 +14,7 @@
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 
 
 if TYPE_CHECKING:
@@ -184,7 +184,7 @@
         case Ready(number, _):
             return ReadState(number)
         case Holding(version, _):
-            return Supersede(version)
+            return SupersedeOrder(version)
         case Staging(order=order, due=due):
             return order if now >= due[rank] else None
         case Preparing(version, _, step):
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -70,7 +70,7 @@
     step: int
 
 
-class Supersede(Order, frozen=True, tag="Supersede"):
+class SupersedeOrder(Order, frozen=True, tag="Supersede"):
     """End lower versions not committed, run no step, say what is committed."""
 
     version: MapVersion
@@ -205,7 +205,7 @@
     reason: RefusalReason
 
 
-RankOrder = StageOrder | PrepareOrder | Supersede | Commit | Abort | ReadState
+RankOrder = StageOrder | PrepareOrder | SupersedeOrder | Commit | Abort | ReadState
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -26,7 +26,7 @@
 from kingcupwheel.expertmaps.protocol import ReadLoads
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.plugins.kernel import rank_apis
 
 
@@ -65,7 +65,7 @@
     match order:
         case StageOrder():
             return _Endpoint("POST", "/rank/stage")
-        case PrepareOrder() | Supersede():
+        case PrepareOrder() | SupersedeOrder():
             return _Endpoint("POST", "/rank/prepare")
         case Commit():
             return _Endpoint("POST", "/rank/commit")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -28,7 +28,7 @@
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRead
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
@@ -87,7 +87,7 @@
             return _stage(state, order)
         case PrepareOrder():
             return _prepare(state, order)
-        case Supersede():
+        case SupersedeOrder():
             return _supersede(state, order)
         case Commit():
             return _commit(state, order)
@@ -134,7 +134,7 @@
     return held, Prepared(version)
 
 
-def _supersede(state: RankState, order: Supersede) -> Applied:
+def _supersede(state: RankState, order: SupersedeOrder) -> Applied:
     version = order.version
     answer = Held(version, state.schedule, state.life)
     if state.hold is not None and state.hold.version == version:
