--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -87,7 +87,7 @@
 
     version: MapVersion
     schedule: MapSchedule | None
-    life: str = ""
+    incarnation: str = ""
 
 
 class Abort(Order, frozen=True, tag="Abort"):
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -150,7 +150,7 @@
         return state, Committed(version)
     if state.hold is None or state.hold.version != version:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
-    if order.schedule is not None and order.life != state.life:
+    if order.schedule is not None and order.incarnation != state.life:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
     schedule = order.schedule or _own_schedule(state, version)
     if schedule is None:
