--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.expertmaps.protocol import Abort
-from kingcupwheel.expertmaps.protocol import Commit
+from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
@@ -197,7 +197,7 @@
             return None
 
 
-def _commit(phase: Committing, rank: int) -> Commit:
+def _commit(phase: Committing, rank: int) -> CommitOrder:
     if phase.lives is None:
-        return Commit(phase.version, None)
-    return Commit(phase.version, phase.schedule, phase.lives[rank])
+        return CommitOrder(phase.version, None)
+    return CommitOrder(phase.version, phase.schedule, phase.lives[rank])
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -76,7 +76,7 @@
     version: MapVersion
 
 
-class Commit(Order, frozen=True, tag="Commit"):
+class CommitOrder(Order, frozen=True, tag="Commit"):
     """Make the prepared version final.
 
     ``schedule`` is given after ``Supersede`` and takes the place of the rank's own; a
@@ -205,7 +205,7 @@
     reason: RefusalReason
 
 
-RankOrder = StageOrder | PrepareOrder | SupersedeOrder | Commit | Abort | ReadState
+RankOrder = StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | Abort | ReadState
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -21,7 +21,7 @@
 from kingcupwheel.expertmaps.exceptions import RankUnreachable
 from kingcupwheel.expertmaps.protocol import Abort
 from kingcupwheel.expertmaps.protocol import AnyReply
-from kingcupwheel.expertmaps.protocol import Commit
+from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadLoads
 from kingcupwheel.expertmaps.protocol import ReadState
@@ -67,7 +67,7 @@
             return _Endpoint("POST", "/rank/stage")
         case PrepareOrder() | SupersedeOrder():
             return _Endpoint("POST", "/rank/prepare")
-        case Commit():
+        case CommitOrder():
             return _Endpoint("POST", "/rank/commit")
         case Abort():
             return _Endpoint("POST", "/rank/abort")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -13,7 +13,7 @@
 from kingcupwheel.expertmaps.maps import MapVersion
 from kingcupwheel.expertmaps.protocol import Abort
 from kingcupwheel.expertmaps.protocol import Aborted
-from kingcupwheel.expertmaps.protocol import Commit
+from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
@@ -89,7 +89,7 @@
             return _prepare(state, order)
         case SupersedeOrder():
             return _supersede(state, order)
-        case Commit():
+        case CommitOrder():
             return _commit(state, order)
         case Abort():
             return _abort(state, order)
@@ -144,7 +144,7 @@
     return state._replace(hold=Hold(version, 0), highest=version), answer
 
 
-def _commit(state: RankState, order: Commit) -> Applied:
+def _commit(state: RankState, order: CommitOrder) -> Applied:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return state, Committed(version)
