--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.protocol import Abort
+from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadState
@@ -192,7 +192,7 @@
         case Committing():
             return _commit(phase, rank)
         case Aborting(version):
-            return Abort(version)
+            return AbortOrder(version)
         case Standby():
             return None
 
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -90,7 +90,7 @@
     incarnation: str = ""
 
 
-class Abort(Order, frozen=True, tag="Abort"):
+class AbortOrder(Order, frozen=True, tag="Abort"):
     """Give the version up; also when its ``Prepare`` has not arrived yet."""
 
     version: MapVersion
@@ -205,7 +205,9 @@
     reason: RefusalReason
 
 
-RankOrder = StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | Abort | ReadState
+RankOrder = (
+    StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | ReadState
+)
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -19,7 +19,7 @@
 from expression import Result
 
 from kingcupwheel.expertmaps.exceptions import RankUnreachable
-from kingcupwheel.expertmaps.protocol import Abort
+from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import AnyReply
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
@@ -69,7 +69,7 @@
             return _Endpoint("POST", "/rank/prepare")
         case CommitOrder():
             return _Endpoint("POST", "/rank/commit")
-        case Abort():
+        case AbortOrder():
             return _Endpoint("POST", "/rank/abort")
         case ReadState(number, whole):
             return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -11,8 +11,8 @@
 
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.maps import MapVersion
-from kingcupwheel.expertmaps.protocol import Abort
 from kingcupwheel.expertmaps.protocol import Aborted
+from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
@@ -91,7 +91,7 @@
             return _supersede(state, order)
         case CommitOrder():
             return _commit(state, order)
-        case Abort():
+        case AbortOrder():
             return _abort(state, order)
         case ReadState(number, whole):
             schedule = state.schedule if whole else None
@@ -166,7 +166,7 @@
     return MapSchedule(version, state.schedule.new_map, state.staged, state.hold.step)
 
 
-def _abort(state: RankState, order: Abort) -> Applied:
+def _abort(state: RankState, order: AbortOrder) -> Applied:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return _refuse(state, version, RefusalReason.ALREADY_COMMITTED)
