--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -180,7 +180,7 @@
         return None
     match phase:
         case Surveying(number, _):
-            return ReadState(number, whole=True)
+            return ReadState(number, include_schedule=True)
         case Ready(number, _):
             return ReadState(number)
         case Holding(version, _):
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -100,7 +100,7 @@
     """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
 
     round: int
-    whole: bool = False
+    include_schedule: bool = False
 
 
 class ReadLoads(Order, frozen=True, tag="ReadLoads"):
