--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -21,7 +21,7 @@
 from kingcupwheel.expertmaps.phases import Ticked
 from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.protocol import LoadsRead
-from kingcupwheel.expertmaps.protocol import ReadState
+from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import decode_reply
 from kingcupwheel.expertmaps.protocol import encode
 from kingcupwheel.expertmaps.rebalancer import Rebalancer
@@ -41,7 +41,7 @@
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
 # A state machine's rounds start at 1, so answers to this one are for the leader alone.
-_PROBE = ReadState(0)
+_PROBE = StateRequest(0)
 # How often agents that have not said which rank they speak for are asked.
 _PROBE_S = 1.0
 
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -12,8 +12,8 @@
 from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
-from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
 
 
@@ -180,9 +180,9 @@
         return None
     match phase:
         case Surveying(number, _):
-            return ReadState(number, include_schedule=True)
+            return StateRequest(number, include_schedule=True)
         case Ready(number, _):
-            return ReadState(number)
+            return StateRequest(number)
         case Holding(version, _):
             return SupersedeOrder(version)
         case Staging(order=order, due=due):
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -96,7 +96,7 @@
     version: MapVersion
 
 
-class ReadState(Order, frozen=True, tag="ReadState"):
+class StateRequest(Order, frozen=True, tag="ReadState"):
     """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
 
     round: int
@@ -206,7 +206,7 @@
 
 
 RankOrder = (
-    StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | ReadState
+    StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
 )
 AnyOrder = RankOrder | ReadLoads
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
@@ -220,7 +220,7 @@
 def version_of(order: AnyOrder) -> MapVersion:
     """Return the version that ``order`` names; ``ReadState`` names none."""
     match order:
-        case ReadState() | ReadLoads():
+        case StateRequest() | ReadLoads():
             return NO_VERSION
         case _:
             return order.version
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -24,8 +24,8 @@
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import ReadLoads
-from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.plugins.kernel import rank_apis
 
@@ -71,7 +71,7 @@
             return _Endpoint("POST", "/rank/commit")
         case AbortOrder():
             return _Endpoint("POST", "/rank/abort")
-        case ReadState(number, whole):
+        case StateRequest(number, whole):
             return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
         case ReadLoads(number):
             return _Endpoint("GET", f"/rank/loads?round={number}")
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -22,12 +22,12 @@
 from kingcupwheel.expertmaps.protocol import RankOrder
 from kingcupwheel.expertmaps.protocol import RankReply
 from kingcupwheel.expertmaps.protocol import RankStatus
-from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRead
+from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
@@ -93,7 +93,7 @@
             return _commit(state, order)
         case AbortOrder():
             return _abort(state, order)
-        case ReadState(number, whole):
+        case StateRequest(number, whole):
             schedule = state.schedule if whole else None
             return state, StateRead(number, state.status, schedule)
 
