--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -103,7 +103,7 @@
     include_schedule: bool = False
 
 
-class ReadLoads(Order, frozen=True, tag="ReadLoads"):
+class ExpertLoadsRequest(Order, frozen=True, tag="ReadLoads"):
     """Ask how much work each expert had since the last asking."""
 
     round: int
@@ -208,7 +208,7 @@
 RankOrder = (
     StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
 )
-AnyOrder = RankOrder | ReadLoads
+AnyOrder = RankOrder | ExpertLoadsRequest
 RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
 
@@ -220,7 +220,7 @@
 def version_of(order: AnyOrder) -> MapVersion:
     """Return the version that ``order`` names; ``ReadState`` names none."""
     match order:
-        case StateRequest() | ReadLoads():
+        case StateRequest() | ExpertLoadsRequest():
             return NO_VERSION
         case _:
             return order.version
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -22,8 +22,8 @@
 from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import AnyReply
 from kingcupwheel.expertmaps.protocol import CommitOrder
+from kingcupwheel.expertmaps.protocol import ExpertLoadsRequest
 from kingcupwheel.expertmaps.protocol import PrepareOrder
-from kingcupwheel.expertmaps.protocol import ReadLoads
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
@@ -73,7 +73,7 @@
             return _Endpoint("POST", "/rank/abort")
         case StateRequest(number, whole):
             return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
-        case ReadLoads(number):
+        case ExpertLoadsRequest(number):
             return _Endpoint("GET", f"/rank/loads?round={number}")
 
 
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -11,7 +11,7 @@
 from kingcupwheel.expertmaps.load_estimate import DecayedLoad
 from kingcupwheel.expertmaps.planner import PlanWeights
 from kingcupwheel.expertmaps.planner import plan
-from kingcupwheel.expertmaps.protocol import ReadLoads
+from kingcupwheel.expertmaps.protocol import ExpertLoadsRequest
 
 
 if TYPE_CHECKING:
@@ -58,14 +58,14 @@
         self._questions.put(None)
         self._thread.join()
 
-    def tick(self, now: float) -> ReadLoads | None:
+    def tick(self, now: float) -> ExpertLoadsRequest | None:
         """Return what to ask all ranks when a period is over."""
         if now - self._asked < self._layout.rebalance_every_s:
             return None
         self._asked = now
         self._round += 1
         self._reply_by_rank.clear()
-        return ReadLoads(self._round)
+        return ExpertLoadsRequest(self._round)
 
     def take(self, rank: int, reply: LoadsRead, current: VersionedMap) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
