--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -241,7 +241,9 @@
     def _surveyed(self, phase: Surveying, rank: int, reply: StateRead) -> Phase:
         answers = put(phase.answers, rank, reply)
         known = [answer for answer in answers if answer is not None]
-        if not all(is_settled(answer, known[0].status.committed) for answer in known):
+        if not all(
+            is_settled(answer, known[0].status.committed_version) for answer in known
+        ):
             return self._hold()
         if len(known) < self._ranks:
             return replace(phase, answers=answers)
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -50,7 +50,7 @@
 def is_settled(answer: StateRead, version: MapVersion | None) -> bool:
     """Tell whether a rank has a map, the one of ``version``, and no version open."""
     status = answer.status
-    known = status.committed is not None and status.committed == version
+    known = status.committed_version is not None and status.committed_version == version
     return known and status.held is None
 
 
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -116,7 +116,7 @@
     """
 
     step: int
-    committed: MapVersion | None
+    committed_version: MapVersion | None
     from_step: int
     held: MapVersion | None
 
