--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -51,7 +51,7 @@
     """Tell whether a rank has a map, the one of ``version``, and no version open."""
     status = answer.status
     known = status.committed_version is not None and status.committed_version == version
-    return known and status.held is None
+    return known and status.held_version is None
 
 
 def put(answers: tuple[T | None, ...], rank: int, answer: T) -> tuple[T | None, ...]:
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -118,7 +118,7 @@
     step: int
     committed_version: MapVersion | None
     from_step: int
-    held: MapVersion | None
+    held_version: MapVersion | None
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True, array_like=True):
