--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -45,8 +45,8 @@
 from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StageReply
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
@@ -207,7 +207,7 @@
                 return self._polled(phase, rank, reply, now)
             case Holding(version) as phase, Held(of) if of == version:
                 return self._held(phase, rank, reply)
-            case Staging(version) as phase, Staged(of, step) if of == version:
+            case Staging(version) as phase, StageReply(of, step) if of == version:
                 return self._staged(phase, rank, step)
             case Preparing(version) as phase, Prepared(of) if of == version:
                 return self._prepared(phase, rank)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -125,7 +125,7 @@
     """Base of all replies."""
 
 
-class Staged(Reply, frozen=True, tag="Staged"):
+class StageReply(Reply, frozen=True, tag="Staged"):
     """The weights of ``version`` are loaded; ``step`` is the next to run."""
 
     version: MapVersion
@@ -209,7 +209,7 @@
     StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
 )
 AnyOrder = RankOrder | ExpertLoadsRequest
-RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
+RankReply = StageReply | Prepared | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -24,8 +24,8 @@
 from kingcupwheel.expertmaps.protocol import RankStatus
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Staged
 from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StageReply
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
@@ -112,7 +112,7 @@
     staged = VersionedMap(
         order.version, state.schedule.new_map.map.with_placements(order.placements)
     )
-    return state._replace(staged=staged), Staged(order.version, state.step)
+    return state._replace(staged=staged), StageReply(order.version, state.step)
 
 
 def _prepare(state: RankState, order: PrepareOrder) -> Applied:
