--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -42,7 +42,7 @@
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
-from kingcupwheel.expertmaps.protocol import Prepared
+from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import StageOrder
@@ -209,7 +209,7 @@
                 return self._held(phase, rank, reply)
             case Staging(version) as phase, StageReply(of, step) if of == version:
                 return self._staged(phase, rank, step)
-            case Preparing(version) as phase, Prepared(of) if of == version:
+            case Preparing(version) as phase, PrepareReply(of) if of == version:
                 return self._prepared(phase, rank)
             case Committing(version) as phase, Committed(of) if of == version:
                 return self._committed(phase, rank)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -132,7 +132,7 @@
     step: int
 
 
-class Prepared(Reply, frozen=True, tag="Prepared"):
+class PrepareReply(Reply, frozen=True, tag="Prepared"):
     """The rank will not run the step until told."""
 
     version: MapVersion
@@ -209,7 +209,7 @@
     StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
 )
 AnyOrder = RankOrder | ExpertLoadsRequest
-RankReply = StageReply | Prepared | Held | Committed | Aborted | StateRead | Refused
+RankReply = StageReply | PrepareReply | Held | Committed | Aborted | StateRead | Refused
 AnyReply = RankReply | LoadsRead
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -17,8 +17,8 @@
 from kingcupwheel.expertmaps.protocol import Committed
 from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
-from kingcupwheel.expertmaps.protocol import Prepared
 from kingcupwheel.expertmaps.protocol import PrepareOrder
+from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RankOrder
 from kingcupwheel.expertmaps.protocol import RankReply
 from kingcupwheel.expertmaps.protocol import RankStatus
@@ -118,7 +118,7 @@
 def _prepare(state: RankState, order: PrepareOrder) -> Applied:
     version = order.version
     if state.hold is not None and state.hold.version == version:
-        return state, Prepared(version)
+        return state, PrepareReply(version)
     if state.schedule is None:
         return _refuse(state, version, RefusalReason.RESTARTED)
     if version <= state.highest:
@@ -131,7 +131,7 @@
         # A schedule holds two maps; a third must wait until the first is over.
         return _refuse(state, version, RefusalReason.EARLIER_CHANGE)
     held = state._replace(hold=Hold(version, order.step), highest=version)
-    return held, Prepared(version)
+    return held, PrepareReply(version)
 
 
 def _supersede(state: RankState, order: SupersedeOrder) -> Applied:
