--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -265,7 +265,7 @@
         held = [answer for answer in answers if answer is not None]
         found = [answer.schedule for answer in held]
         schedule = restate(phase.version, found, self._initial)
-        lives = tuple(answer.life for answer in held)
+        lives = tuple(answer.incarnation for answer in held)
         return Committing(phase.version, schedule, lives, frozenset())
 
     def _staged(self, phase: Staging, rank: int, step: int) -> Phase:
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -146,7 +146,7 @@
 
     version: MapVersion
     schedule: MapSchedule | None
-    life: str = ""
+    incarnation: str = ""
 
 
 class Committed(Reply, frozen=True, tag="Committed"):
