--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -40,7 +40,6 @@
 from kingcupwheel.expertmaps.phases import order_of
 from kingcupwheel.expertmaps.protocol import Aborted
 from kingcupwheel.expertmaps.protocol import Committed
-from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RefusalReason
@@ -48,6 +47,7 @@
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StageReply
 from kingcupwheel.expertmaps.protocol import StateRead
+from kingcupwheel.expertmaps.protocol import SupersedeReply
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
@@ -205,7 +205,7 @@
                 return self._surveyed(phase, rank, reply)
             case Ready(number) as phase, StateRead(of) if of == number:
                 return self._polled(phase, rank, reply, now)
-            case Holding(version) as phase, Held(of) if of == version:
+            case Holding(version) as phase, SupersedeReply(of) if of == version:
                 return self._held(phase, rank, reply)
             case Staging(version) as phase, StageReply(of, step) if of == version:
                 return self._staged(phase, rank, step)
@@ -258,7 +258,7 @@
         self._pace = self._pace.seen(reply.status.step, now)
         return replace(phase, answers=put(phase.answers, rank, reply))
 
-    def _held(self, phase: Holding, rank: int, reply: Held) -> Phase:
+    def _held(self, phase: Holding, rank: int, reply: SupersedeReply) -> Phase:
         answers = put(phase.answers, rank, reply)
         if None in answers:
             return replace(phase, answers=answers)
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
-    from kingcupwheel.expertmaps.protocol import Held
     from kingcupwheel.expertmaps.protocol import MapSchedule
     from kingcupwheel.expertmaps.protocol import RankOrder
     from kingcupwheel.expertmaps.protocol import RankReply
     from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import SupersedeReply
 
 
 class LeaseTaken(NamedTuple):
@@ -87,7 +87,7 @@
     """Supersedes what a predecessor, or a change cut short, left open."""
 
     version: MapVersion
-    answers: tuple[Held | None, ...]
+    answers: tuple[SupersedeReply | None, ...]
 
 
 @dataclass(frozen=True)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -138,7 +138,7 @@
     version: MapVersion
 
 
-class Held(Reply, frozen=True, tag="Held"):
+class SupersedeReply(Reply, frozen=True, tag="Held"):
     """Answers ``Supersede``; ``schedule`` is None for a rank that has restarted.
 
     ``life`` names the rank's life, from one start to the next.
@@ -209,7 +209,15 @@
     StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
 )
 AnyOrder = RankOrder | ExpertLoadsRequest
-RankReply = StageReply | PrepareReply | Held | Committed | Aborted | StateRead | Refused
+RankReply = (
+    StageReply
+    | PrepareReply
+    | SupersedeReply
+    | Committed
+    | Aborted
+    | StateRead
+    | Refused
+)
 AnyReply = RankReply | LoadsRead
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -15,7 +15,6 @@
 from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import Committed
-from kingcupwheel.expertmaps.protocol import Held
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import PrepareReply
@@ -29,6 +28,7 @@
 from kingcupwheel.expertmaps.protocol import StateRead
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
+from kingcupwheel.expertmaps.protocol import SupersedeReply
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
@@ -136,7 +136,7 @@
 
 def _supersede(state: RankState, order: SupersedeOrder) -> Applied:
     version = order.version
-    answer = Held(version, state.schedule, state.life)
+    answer = SupersedeReply(version, state.schedule, state.life)
     if state.hold is not None and state.hold.version == version:
         return state, answer
     if version <= state.highest:
