--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -39,7 +39,7 @@
 from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.phases import order_of
 from kingcupwheel.expertmaps.protocol import Aborted
-from kingcupwheel.expertmaps.protocol import Committed
+from kingcupwheel.expertmaps.protocol import CommitReply
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RefusalReason
@@ -211,7 +211,7 @@
                 return self._staged(phase, rank, step)
             case Preparing(version) as phase, PrepareReply(of) if of == version:
                 return self._prepared(phase, rank)
-            case Committing(version) as phase, Committed(of) if of == version:
+            case Committing(version) as phase, CommitReply(of) if of == version:
                 return self._committed(phase, rank)
             case Aborting(version) as phase, Aborted(of) if of == version:
                 return self._aborted(phase, rank)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -149,7 +149,7 @@
     incarnation: str = ""
 
 
-class Committed(Reply, frozen=True, tag="Committed"):
+class CommitReply(Reply, frozen=True, tag="Committed"):
     """The version is final on this rank."""
 
     version: MapVersion
@@ -213,7 +213,7 @@
     StageReply
     | PrepareReply
     | SupersedeReply
-    | Committed
+    | CommitReply
     | Aborted
     | StateRead
     | Refused
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -14,7 +14,7 @@
 from kingcupwheel.expertmaps.protocol import Aborted
 from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import CommitOrder
-from kingcupwheel.expertmaps.protocol import Committed
+from kingcupwheel.expertmaps.protocol import CommitReply
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareOrder
 from kingcupwheel.expertmaps.protocol import PrepareReply
@@ -147,7 +147,7 @@
 def _commit(state: RankState, order: CommitOrder) -> Applied:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
-        return state, Committed(version)
+        return state, CommitReply(version)
     if state.hold is None or state.hold.version != version:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
     if order.schedule is not None and order.incarnation != state.life:
@@ -155,7 +155,7 @@
     schedule = order.schedule or _own_schedule(state, version)
     if schedule is None:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
-    return state._replace(schedule=schedule, hold=None), Committed(version)
+    return state._replace(schedule=schedule, hold=None), CommitReply(version)
 
 
 def _own_schedule(state: RankState, version: MapVersion) -> MapSchedule | None:
