--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -38,7 +38,7 @@
 from kingcupwheel.expertmaps.phases import Ticked
 from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.phases import order_of
-from kingcupwheel.expertmaps.protocol import Aborted
+from kingcupwheel.expertmaps.protocol import AbortReply
 from kingcupwheel.expertmaps.protocol import CommitReply
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareReply
@@ -213,7 +213,7 @@
                 return self._prepared(phase, rank)
             case Committing(version) as phase, CommitReply(of) if of == version:
                 return self._committed(phase, rank)
-            case Aborting(version) as phase, Aborted(of) if of == version:
+            case Aborting(version) as phase, AbortReply(of) if of == version:
                 return self._aborted(phase, rank)
         return None
 
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -155,7 +155,7 @@
     version: MapVersion
 
 
-class Aborted(Reply, frozen=True, tag="Aborted"):
+class AbortReply(Reply, frozen=True, tag="Aborted"):
     """The version will never be prepared or committed on this rank."""
 
     version: MapVersion
@@ -214,7 +214,7 @@
     | PrepareReply
     | SupersedeReply
     | CommitReply
-    | Aborted
+    | AbortReply
     | StateRead
     | Refused
 )
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -11,8 +11,8 @@
 
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.maps import MapVersion
-from kingcupwheel.expertmaps.protocol import Aborted
 from kingcupwheel.expertmaps.protocol import AbortOrder
+from kingcupwheel.expertmaps.protocol import AbortReply
 from kingcupwheel.expertmaps.protocol import CommitOrder
 from kingcupwheel.expertmaps.protocol import CommitReply
 from kingcupwheel.expertmaps.protocol import MapSchedule
@@ -175,4 +175,4 @@
     highest = max(state.highest, version)
     held = state.hold is not None and state.hold.version == version
     hold = None if held else state.hold
-    return state._replace(hold=hold, highest=highest), Aborted(version)
+    return state._replace(hold=hold, highest=highest), AbortReply(version)
