--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -46,7 +46,7 @@
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StageReply
-from kingcupwheel.expertmaps.protocol import StateRead
+from kingcupwheel.expertmaps.protocol import StateReply
 from kingcupwheel.expertmaps.protocol import SupersedeReply
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
@@ -201,9 +201,9 @@
         if isinstance(reply, Refused):
             return self._refused(reply)
         match self._phase, reply:
-            case Surveying(number) as phase, StateRead(of) if of == number:
+            case Surveying(number) as phase, StateReply(of) if of == number:
                 return self._surveyed(phase, rank, reply)
-            case Ready(number) as phase, StateRead(of) if of == number:
+            case Ready(number) as phase, StateReply(of) if of == number:
                 return self._polled(phase, rank, reply, now)
             case Holding(version) as phase, SupersedeReply(of) if of == version:
                 return self._held(phase, rank, reply)
@@ -238,7 +238,7 @@
             case _:
                 return None
 
-    def _surveyed(self, phase: Surveying, rank: int, reply: StateRead) -> Phase:
+    def _surveyed(self, phase: Surveying, rank: int, reply: StateReply) -> Phase:
         answers = put(phase.answers, rank, reply)
         known = [answer for answer in answers if answer is not None]
         if not all(
@@ -251,7 +251,7 @@
         return self._ready()
 
     def _polled(
-        self, phase: Ready, rank: int, reply: StateRead, now: float
+        self, phase: Ready, rank: int, reply: StateReply, now: float
     ) -> Phase | None:
         if self._schedule is None or not is_settled(reply, self._schedule.version):
             return self._hold()
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -16,7 +16,7 @@
 
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
-    from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import StateReply
 
 T = TypeVar("T")
 
@@ -47,7 +47,7 @@
         return math.ceil(self.per_s * lead_s)
 
 
-def is_settled(answer: StateRead, version: MapVersion | None) -> bool:
+def is_settled(answer: StateReply, version: MapVersion | None) -> bool:
     """Tell whether a rank has a map, the one of ``version``, and no version open."""
     status = answer.status
     known = status.committed_version is not None and status.committed_version == version
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -23,7 +23,7 @@
     from kingcupwheel.expertmaps.protocol import MapSchedule
     from kingcupwheel.expertmaps.protocol import RankOrder
     from kingcupwheel.expertmaps.protocol import RankReply
-    from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import StateReply
     from kingcupwheel.expertmaps.protocol import SupersedeReply
 
 
@@ -79,7 +79,7 @@
     """Just took the lease: reads every rank before it holds any of them."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
@@ -95,7 +95,7 @@
     """All ranks have committed the same; they are read now and then."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -161,7 +161,7 @@
     version: MapVersion
 
 
-class StateRead(Reply, frozen=True, tag="StateRead"):
+class StateReply(Reply, frozen=True, tag="StateRead"):
     """Answers ``ReadState``; ``schedule`` only if it was asked for."""
 
     round: int
@@ -215,7 +215,7 @@
     | SupersedeReply
     | CommitReply
     | AbortReply
-    | StateRead
+    | StateReply
     | Refused
 )
 AnyReply = RankReply | LoadsRead
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -25,7 +25,7 @@
 from kingcupwheel.expertmaps.protocol import Refused
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StageReply
-from kingcupwheel.expertmaps.protocol import StateRead
+from kingcupwheel.expertmaps.protocol import StateReply
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.expertmaps.protocol import SupersedeReply
@@ -95,7 +95,7 @@
             return _abort(state, order)
         case StateRequest(number, whole):
             schedule = state.schedule if whole else None
-            return state, StateRead(number, state.status, schedule)
+            return state, StateReply(number, state.status, schedule)
 
 
 def _refuse(state: RankState, version: MapVersion, reason: RefusalReason) -> Applied:
