--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -179,7 +179,7 @@
     """
 
     round: int
-    origin: MapVersion
+    origin_version: MapVersion
     counts: tuple[tuple[int, ...], ...]
 
 
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -69,7 +69,7 @@
 
     def take(self, rank: int, reply: LoadsRead, current: VersionedMap) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
-        if reply.round != self._round or reply.origin != current.origin_version:
+        if reply.round != self._round or reply.origin_version != current.origin_version:
             return
         if not _fits(reply, rank, current.map):
             logger.warning("Rank %d counts other slots than its map has.", rank)
