--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -20,7 +20,7 @@
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Ticked
 from kingcupwheel.expertmaps.phases import label
-from kingcupwheel.expertmaps.protocol import LoadsRead
+from kingcupwheel.expertmaps.protocol import ExpertLoadsReply
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import decode_reply
 from kingcupwheel.expertmaps.protocol import encode
@@ -132,7 +132,7 @@
             self._started = True
             self._step(LeaseTaken(self._fence, now))
         match decoded.ok:
-            case LoadsRead() as loads:
+            case ExpertLoadsReply() as loads:
                 self._take_loads(message.rank, loads)
             case reply:
                 self._step(Replied(message.rank, reply, now))
@@ -176,7 +176,7 @@
         for address in sorted(members - set(self._address_by_rank.values())):
             self._post(address, _PROBE)
 
-    def _take_loads(self, rank: int, loads: LoadsRead) -> None:
+    def _take_loads(self, rank: int, loads: ExpertLoadsReply) -> None:
         schedule = self._coordinator.schedule
         if schedule is not None:
             self._rebalancer.take(rank, loads, schedule.new_map)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -169,7 +169,7 @@
     schedule: MapSchedule | None = None
 
 
-class LoadsRead(Reply, frozen=True, tag="LoadsRead"):
+class ExpertLoadsReply(Reply, frozen=True, tag="LoadsRead"):
     """Answers ``ReadLoads``.
 
     ``counts`` are, for each layer, the tokens that passed each expert in this rank's
@@ -218,7 +218,7 @@
     | StateReply
     | Refused
 )
-AnyReply = RankReply | LoadsRead
+AnyReply = RankReply | ExpertLoadsReply
 
 _ENCODER = msgspec.msgpack.Encoder()
 _ORDERS: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -18,7 +18,7 @@
     from kingcupwheel.expertmaps.load_estimate import MapLoad
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.planner import Plan
-    from kingcupwheel.expertmaps.protocol import LoadsRead
+    from kingcupwheel.expertmaps.protocol import ExpertLoadsReply
     from kingcupwheel.expertmaps.protocol import VersionedMap
     from kingcupwheel.manifest.schema import ExpertLayout
 
@@ -44,7 +44,7 @@
         self._estimate = DecayedLoad()
         self._round = 0
         self._asked = 0.0
-        self._reply_by_rank: dict[int, LoadsRead] = {}
+        self._reply_by_rank: dict[int, ExpertLoadsReply] = {}
         self._questions: queue.Queue[_Question | None] = queue.Queue(1)
         self._plan: Plan | None = None
         self._thread = Thread(target=self._run, name="planner", daemon=True)
@@ -67,7 +67,7 @@
         self._reply_by_rank.clear()
         return ExpertLoadsRequest(self._round)
 
-    def take(self, rank: int, reply: LoadsRead, current: VersionedMap) -> None:
+    def take(self, rank: int, reply: ExpertLoadsReply, current: VersionedMap) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
         if reply.round != self._round or reply.origin_version != current.origin_version:
             return
@@ -99,12 +99,12 @@
                 logger.exception("Planning failed.")
 
 
-def _fits(reply: LoadsRead, rank: int, expert_map: ExpertMap) -> bool:
+def _fits(reply: ExpertLoadsReply, rank: int, expert_map: ExpertMap) -> bool:
     held = [len(layer[rank]) for layer in expert_map.layers]
     return [len(counts) for counts in reply.counts] == held
 
 
-def _summed(current: ExpertMap, reply_by_rank: dict[int, LoadsRead]) -> MapLoad:
+def _summed(current: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]) -> MapLoad:
     """Return each expert's load over all ranks that hold it."""
     layers = []
     for number, layer in enumerate(current.layers):
