--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -189,7 +189,7 @@
     STALE_FENCE = "stale-fence"
     STALE_VERSION = "stale-version"
     RESTARTED = "restarted"
-    OTHER_BASE = "other-base"
+    BASE_MISMATCH = "other-base"
     NOT_STAGED = "not-staged"
     STEP_PASSED = "step-passed"
     EARLIER_CHANGE = "earlier-change"
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -108,7 +108,7 @@
     if state.staged is not None and order.version < state.staged.origin_version:
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
     if state.schedule.new_map.origin_version != order.base_version:
-        return _refuse(state, order.version, RefusalReason.OTHER_BASE)
+        return _refuse(state, order.version, RefusalReason.BASE_MISMATCH)
     staged = VersionedMap(
         order.version, state.schedule.new_map.map.with_placements(order.placements)
     )
