--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -192,7 +192,7 @@
     BASE_MISMATCH = "other-base"
     NOT_STAGED = "not-staged"
     STEP_PASSED = "step-passed"
-    EARLIER_CHANGE = "earlier-change"
+    EARLIER_CHANGE_PENDING = "earlier-change"
     NOT_PREPARED = "not-prepared"
     ALREADY_COMMITTED = "already-committed"
     ENGINE = "engine"
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -129,7 +129,7 @@
         return _refuse(state, version, RefusalReason.STEP_PASSED)
     if state.step < state.schedule.from_step:
         # A schedule holds two maps; a third must wait until the first is over.
-        return _refuse(state, version, RefusalReason.EARLIER_CHANGE)
+        return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
     held = state._replace(hold=Hold(version, order.step), highest=version)
     return held, PrepareReply(version)
 
