--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -195,7 +195,7 @@
     EARLIER_CHANGE_PENDING = "earlier-change"
     NOT_PREPARED = "not-prepared"
     ALREADY_COMMITTED = "already-committed"
-    ENGINE = "engine"
+    ENGINE_REFUSED = "engine"
 
 
 class Refused(Reply, frozen=True, tag="Refused"):
