--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -43,7 +43,7 @@
 from kingcupwheel.expertmaps.protocol import MapSchedule
 from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RefusalReason
-from kingcupwheel.expertmaps.protocol import Refused
+from kingcupwheel.expertmaps.protocol import RefusalReply
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StageReply
 from kingcupwheel.expertmaps.protocol import StateReply
@@ -198,7 +198,7 @@
 
     def _reply(self, rank: int, reply: RankReply, now: float) -> Phase | None:
         """Return the phase that follows, or None if the reply changes nothing."""
-        if isinstance(reply, Refused):
+        if isinstance(reply, RefusalReply):
             return self._refused(reply)
         match self._phase, reply:
             case Surveying(number) as phase, StateReply(of) if of == number:
@@ -217,7 +217,7 @@
                 return self._aborted(phase, rank)
         return None
 
-    def _refused(self, reply: Refused) -> Phase | None:
+    def _refused(self, reply: RefusalReply) -> Phase | None:
         if reply.reason is RefusalReason.STALE_FENCE:
             return Standby()
         match self._phase:
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.expertmaps.fence_guard import RankGuard
 from kingcupwheel.expertmaps.protocol import RefusalReason
-from kingcupwheel.expertmaps.protocol import Refused
+from kingcupwheel.expertmaps.protocol import RefusalReply
 from kingcupwheel.expertmaps.protocol import decode_order
 from kingcupwheel.expertmaps.protocol import encode
 from kingcupwheel.expertmaps.protocol import version_of
@@ -98,7 +98,7 @@
         if not self._guard.admits(message.fence):
             logger.info("Refused order under old fence %d.", message.fence)
             version = version_of(decoded.ok)
-            refusal = Refused(version, RefusalReason.STALE_FENCE)
+            refusal = RefusalReply(version, RefusalReason.STALE_FENCE)
             self._answer(link, message, refusal)
             return
         self._pass_on(link, message, decoded.ok)
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -198,7 +198,7 @@
     ENGINE_REFUSED = "engine"
 
 
-class Refused(Reply, frozen=True, tag="Refused"):
+class RefusalReply(Reply, frozen=True, tag="Refused"):
     """The order that named ``version`` changed nothing."""
 
     version: MapVersion
@@ -216,7 +216,7 @@
     | CommitReply
     | AbortReply
     | StateReply
-    | Refused
+    | RefusalReply
 )
 AnyReply = RankReply | ExpertLoadsReply
 
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -22,7 +22,7 @@
 from kingcupwheel.expertmaps.protocol import RankReply
 from kingcupwheel.expertmaps.protocol import RankStatus
 from kingcupwheel.expertmaps.protocol import RefusalReason
-from kingcupwheel.expertmaps.protocol import Refused
+from kingcupwheel.expertmaps.protocol import RefusalReply
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StageReply
 from kingcupwheel.expertmaps.protocol import StateReply
@@ -99,7 +99,7 @@
 
 
 def _refuse(state: RankState, version: MapVersion, reason: RefusalReason) -> Applied:
-    return state, Refused(version, reason)
+    return state, RefusalReply(version, reason)
 
 
 def _stage(state: RankState, order: StageOrder) -> Applied:
