--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -54,7 +54,7 @@
 
     fence: int
     version: int
-    until: float
+    valid_until: float
 
 
 class _Attempt(NamedTuple):
@@ -114,7 +114,7 @@
         from when it saw that write, and the fence stops what slips through.
         """
         holding = self._holding
-        return holding if holding is not None and now < holding.until else None
+        return holding if holding is not None and now < holding.valid_until else None
 
     def renew(self) -> None:
         """Extend the lease if it is held."""
