--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -49,7 +49,7 @@
     fence: int
 
 
-class Holding(NamedTuple):
+class HeldLease(NamedTuple):
     """A lease held under ``fence``; ``until`` by the holder's monotonic clock."""
 
     fence: int
@@ -101,11 +101,11 @@
         self._holder = holder
         self._ttl_s = ttl_s
         self._clock = clock
-        self._holding: Holding | None = None
+        self._holding: HeldLease | None = None
         self._sighting: _Sighting | None = None
         self._attempts: list[_Attempt] = []
 
-    def holding(self, now: float) -> Holding | None:
+    def holding(self, now: float) -> HeldLease | None:
         """Return the lease if it is surely held at ``now``.
 
         Failure: the holder is paused for longer than the lease runs and goes on as if
@@ -196,7 +196,7 @@
 
     def _hold(self, attempt: _Attempt, version: int) -> None:
         until = attempt.started + self._ttl_s
-        self._holding = Holding(attempt.fence or version, version, until)
+        self._holding = HeldLease(attempt.fence or version, version, until)
 
 
 def _decode(found: VersionedValue) -> LeaseRecord:
