--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -105,7 +105,7 @@
         self._sighting: _Sighting | None = None
         self._attempts: list[_Attempt] = []
 
-    def holding(self, now: float) -> HeldLease | None:
+    def get_held_lease(self, now: float) -> HeldLease | None:
         """Return the lease if it is surely held at ``now``.
 
         Failure: the holder is paused for longer than the lease runs and goes on as if
@@ -118,7 +118,7 @@
 
     def renew(self) -> None:
         """Extend the lease if it is held."""
-        holding = self.holding(self._clock())
+        holding = self.get_held_lease(self._clock())
         if holding is None:
             self._holding = None
             return
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -140,12 +140,12 @@
             case MapReply(), OutgoingLink(address) if message.group == self._group:
                 now = monotonic()
                 # A holder that was paused finds answers waiting before its next tick.
-                if self._lease.holding(now) is not None:
+                if self._lease.get_held_lease(now) is not None:
                     self._leader.take(address, message, now)
 
     def on_tick(self, now: float) -> None:
         """Follow the lease, then do what is due."""
-        holding = self._lease.holding(now)
+        holding = self._lease.get_held_lease(now)
         if holding is None or self._stopping.is_set():
             if self._leader.leads:
                 self._leader.stop()
@@ -172,7 +172,7 @@
             try:
                 self._follow_lease(now)
                 due = now - members_read >= self._members_s
-                if self._lease.holding(now) is not None and due:
+                if self._lease.get_held_lease(now) is not None and due:
                     self._read_members()
                     members_read = now
             except Exception:
@@ -183,7 +183,7 @@
         if self._resigning.is_set():
             self._resigning.clear()
             self._lease.release()
-        elif self._lease.holding(now) is not None:
+        elif self._lease.get_held_lease(now) is not None:
             self._lease.renew()
         elif now - self._heard >= self._patience_s:
             self._lease.observe()
