--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -124,7 +124,7 @@
             return
         self._write(holding.version, fence=holding.fence)
 
-    def observe(self) -> int | None:
+    def try_acquire(self) -> int | None:
         """Read the lease and take it if it has lapsed; return its fence if readable."""
         result = self._platform.read(self._key)
         if result.is_error():
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -186,7 +186,7 @@
         elif self._lease.get_held_lease(now) is not None:
             self._lease.renew()
         elif now - self._heard >= self._patience_s:
-            self._lease.observe()
+            self._lease.try_acquire()
 
     @property
     def _patience_s(self) -> float:
