--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -73,7 +73,7 @@
     return f"leases/{group}"
 
 
-def fence_of(found: VersionedValue | None) -> int:
+def get_lease_fence(found: VersionedValue | None) -> int:
     """Return the fence of the lease as read from the platform, 0 without a lease."""
     if found is None:
         return 0
@@ -133,13 +133,13 @@
         now = self._clock()
         version = found.version if found is not None else 0
         if self._is_own(found):
-            return fence_of(found)
+            return get_lease_fence(found)
         if self._sighting is None or self._sighting.version != version:
             self._sighting = _Sighting(version, now)
         lapsed = now - self._sighting.since >= self._ttl_s * _CLOCK_SLACK
         if found is None or not _decode(found).holder or lapsed:
             self._write(version, fence=0)
-        return fence_of(found)
+        return get_lease_fence(found)
 
     def release(self) -> None:
         """Give the lease back, so that another process need not wait for it to lapse.
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -17,7 +17,7 @@
 from kingcupwheel.expertmaps.coordinator import CoordinatorTimings
 from kingcupwheel.expertmaps.coordinator_driver import Leader
 from kingcupwheel.expertmaps.lease import Lease
-from kingcupwheel.expertmaps.lease import fence_of
+from kingcupwheel.expertmaps.lease import get_lease_fence
 from kingcupwheel.expertmaps.lease import lease_key
 from kingcupwheel.expertmaps.order_forwarder import RankWorker
 from kingcupwheel.link.links import OutgoingLink
@@ -163,7 +163,7 @@
         result = self._platform.read(lease_key(self._group))
         if result.is_error():
             return None
-        return fence_of(result.ok)
+        return get_lease_fence(result.ok)
 
     def _keep_lease(self) -> None:
         members_read = 0.0
