--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -180,7 +180,7 @@
         cells = base.map.diff_placements(expert_map)
         order = StageOrder(self._version, base.origin_version, cells)
         staging = Staging(
-            self._version, expert_map, order, due, frozenset(), self._pace.step
+            self._version, expert_map, order, due, frozenset(), self._pace.last_step
         )
         return self._enter(staging, now)
 
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -30,7 +30,7 @@
 class Pace(NamedTuple):
     """How fast a group steps, from the last ``step`` heard of and when (``at``)."""
 
-    step: int = 0
+    last_step: int = 0
     at: float = 0.0
     per_s: float = _ASSUMED_STEPS_PER_S
 
@@ -38,8 +38,8 @@
         """Return the pace after a rank was at ``step`` at ``now``."""
         if now - self.at < _PACE_WINDOW_S:
             return self
-        if self.at and step > self.step:
-            return Pace(step, now, (step - self.step) / (now - self.at))
+        if self.at and step > self.last_step:
+            return Pace(step, now, (step - self.last_step) / (now - self.at))
         return Pace(step, now, self.per_s)
 
     def ahead(self, lead_s: float) -> int:
