--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -31,15 +31,15 @@
     """How fast a group steps, from the last ``step`` heard of and when (``at``)."""
 
     last_step: int = 0
-    at: float = 0.0
+    observed_at: float = 0.0
     per_s: float = _ASSUMED_STEPS_PER_S
 
     def seen(self, step: int, now: float) -> Pace:
         """Return the pace after a rank was at ``step`` at ``now``."""
-        if now - self.at < _PACE_WINDOW_S:
+        if now - self.observed_at < _PACE_WINDOW_S:
             return self
-        if self.at and step > self.last_step:
-            return Pace(step, now, (step - self.last_step) / (now - self.at))
+        if self.observed_at and step > self.last_step:
+            return Pace(step, now, (step - self.last_step) / (now - self.observed_at))
         return Pace(step, now, self.per_s)
 
     def ahead(self, lead_s: float) -> int:
