--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -32,7 +32,7 @@
 
     last_step: int = 0
     observed_at: float = 0.0
-    per_s: float = _ASSUMED_STEPS_PER_S
+    steps_per_s: float = _ASSUMED_STEPS_PER_S
 
     def seen(self, step: int, now: float) -> Pace:
         """Return the pace after a rank was at ``step`` at ``now``."""
@@ -40,11 +40,11 @@
             return self
         if self.observed_at and step > self.last_step:
             return Pace(step, now, (step - self.last_step) / (now - self.observed_at))
-        return Pace(step, now, self.per_s)
+        return Pace(step, now, self.steps_per_s)
 
     def ahead(self, lead_s: float) -> int:
         """Return how many steps a group runs in ``lead_s`` seconds."""
-        return math.ceil(self.per_s * lead_s)
+        return math.ceil(self.steps_per_s * lead_s)
 
 
 def is_settled(answer: StateReply, version: MapVersion | None) -> bool:
