--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -255,7 +255,7 @@
     ) -> Phase | None:
         if self._schedule is None or not is_settled(reply, self._schedule.version):
             return self._hold()
-        self._pace = self._pace.seen(reply.status.step, now)
+        self._pace = self._pace.with_observation(reply.status.step, now)
         return replace(phase, answers=put(phase.answers, rank, reply))
 
     def _held(self, phase: Holding, rank: int, reply: SupersedeReply) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -34,7 +34,7 @@
     observed_at: float = 0.0
     steps_per_s: float = _ASSUMED_STEPS_PER_S
 
-    def seen(self, step: int, now: float) -> Pace:
+    def with_observation(self, step: int, now: float) -> Pace:
         """Return the pace after a rank was at ``step`` at ``now``."""
         if now - self.observed_at < _PACE_WINDOW_S:
             return self
