--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -273,7 +273,7 @@
         highest = max(phase.step, step)
         if len(acked) < self._ranks:
             return replace(phase, acked=acked, step=highest)
-        step = highest + self._pace.ahead(self._timings.lead_s)
+        step = highest + self._pace.steps_in(self._timings.lead_s)
         return Preparing(phase.version, phase.map, step, frozenset())
 
     def _prepared(self, phase: Preparing, rank: int) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -42,7 +42,7 @@
             return Pace(step, now, (step - self.last_step) / (now - self.observed_at))
         return Pace(step, now, self.steps_per_s)
 
-    def ahead(self, lead_s: float) -> int:
+    def steps_in(self, lead_s: float) -> int:
         """Return how many steps a group runs in ``lead_s`` seconds."""
         return math.ceil(self.steps_per_s * lead_s)
 
