--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.coordinator_decisions import Pace
+from kingcupwheel.expertmaps.coordinator_decisions import StepRate
 from kingcupwheel.expertmaps.coordinator_decisions import is_settled
 from kingcupwheel.expertmaps.coordinator_decisions import put
 from kingcupwheel.expertmaps.coordinator_decisions import restate
@@ -100,7 +100,7 @@
         self._schedule: MapSchedule | None = None
         self._since = 0.0
         self._sent = 0.0
-        self._pace = Pace()
+        self._pace = StepRate()
 
     @property
     def phase(self) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -27,20 +27,22 @@
 _PACE_WINDOW_S = 0.5
 
 
-class Pace(NamedTuple):
+class StepRate(NamedTuple):
     """How fast a group steps, from the last ``step`` heard of and when (``at``)."""
 
     last_step: int = 0
     observed_at: float = 0.0
     steps_per_s: float = _ASSUMED_STEPS_PER_S
 
-    def with_observation(self, step: int, now: float) -> Pace:
+    def with_observation(self, step: int, now: float) -> StepRate:
         """Return the pace after a rank was at ``step`` at ``now``."""
         if now - self.observed_at < _PACE_WINDOW_S:
             return self
         if self.observed_at and step > self.last_step:
-            return Pace(step, now, (step - self.last_step) / (now - self.observed_at))
-        return Pace(step, now, self.steps_per_s)
+            return StepRate(
+                step, now, (step - self.last_step) / (now - self.observed_at)
+            )
+        return StepRate(step, now, self.steps_per_s)
 
     def steps_in(self, lead_s: float) -> int:
         """Return how many steps a group runs in ``lead_s`` seconds."""
