--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -16,9 +16,9 @@
 
 from kingcupwheel.expertmaps.coordinator_decisions import StepRate
 from kingcupwheel.expertmaps.coordinator_decisions import is_settled
-from kingcupwheel.expertmaps.coordinator_decisions import put
 from kingcupwheel.expertmaps.coordinator_decisions import restate
 from kingcupwheel.expertmaps.coordinator_decisions import staging_turns
+from kingcupwheel.expertmaps.coordinator_decisions import with_answer
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.phases import Aborting
 from kingcupwheel.expertmaps.phases import Committing
@@ -239,7 +239,7 @@
                 return None
 
     def _surveyed(self, phase: Surveying, rank: int, reply: StateReply) -> Phase:
-        answers = put(phase.answers, rank, reply)
+        answers = with_answer(phase.answers, rank, reply)
         known = [answer for answer in answers if answer is not None]
         if not all(
             is_settled(answer, known[0].status.committed_version) for answer in known
@@ -256,10 +256,10 @@
         if self._schedule is None or not is_settled(reply, self._schedule.version):
             return self._hold()
         self._pace = self._pace.with_observation(reply.status.step, now)
-        return replace(phase, answers=put(phase.answers, rank, reply))
+        return replace(phase, answers=with_answer(phase.answers, rank, reply))
 
     def _held(self, phase: Holding, rank: int, reply: SupersedeReply) -> Phase:
-        answers = put(phase.answers, rank, reply)
+        answers = with_answer(phase.answers, rank, reply)
         if None in answers:
             return replace(phase, answers=answers)
         held = [answer for answer in answers if answer is not None]
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -56,7 +56,9 @@
     return known and status.held_version is None
 
 
-def put(answers: tuple[T | None, ...], rank: int, answer: T) -> tuple[T | None, ...]:
+def with_answer(
+    answers: tuple[T | None, ...], rank: int, answer: T
+) -> tuple[T | None, ...]:
     """Return ``answers`` with that of ``rank`` in place."""
     return (*answers[:rank], answer, *answers[rank + 1 :])
 
