--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -15,8 +15,8 @@
 from typing import NamedTuple
 
 from kingcupwheel.expertmaps.coordinator_decisions import StepRate
+from kingcupwheel.expertmaps.coordinator_decisions import build_recovery_schedule
 from kingcupwheel.expertmaps.coordinator_decisions import is_settled
-from kingcupwheel.expertmaps.coordinator_decisions import restate
 from kingcupwheel.expertmaps.coordinator_decisions import staging_turns
 from kingcupwheel.expertmaps.coordinator_decisions import with_answer
 from kingcupwheel.expertmaps.maps import NO_VERSION
@@ -264,7 +264,7 @@
             return replace(phase, answers=answers)
         held = [answer for answer in answers if answer is not None]
         found = [answer.schedule for answer in held]
-        schedule = restate(phase.version, found, self._initial)
+        schedule = build_recovery_schedule(phase.version, found, self._initial)
         lives = tuple(answer.incarnation for answer in held)
         return Committing(phase.version, schedule, lives, frozenset())
 
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -63,7 +63,7 @@
     return (*answers[:rank], answer, *answers[rank + 1 :])
 
 
-def restate(
+def build_recovery_schedule(
     version: MapVersion, found: Iterable[MapSchedule | None], initial: ExpertMap
 ) -> MapSchedule:
     """Return what to commit as ``version``: the highest that any rank has committed.
