--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -17,7 +17,7 @@
 from kingcupwheel.expertmaps.coordinator_decisions import StepRate
 from kingcupwheel.expertmaps.coordinator_decisions import build_recovery_schedule
 from kingcupwheel.expertmaps.coordinator_decisions import is_settled
-from kingcupwheel.expertmaps.coordinator_decisions import staging_turns
+from kingcupwheel.expertmaps.coordinator_decisions import staging_start_times
 from kingcupwheel.expertmaps.coordinator_decisions import with_answer
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.phases import Aborting
@@ -171,7 +171,7 @@
             return []
         self._version = self._version.next()
         base = self._schedule.new_map
-        due = staging_turns(
+        due = staging_start_times(
             base.map,
             expert_map,
             now=now,
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -81,7 +81,7 @@
     return MapSchedule(version, highest.old_map, highest.new_map, highest.from_step)
 
 
-def staging_turns(
+def staging_start_times(
     current: ExpertMap, wanted: ExpertMap, *, now: float, seconds_per_expert: float
 ) -> tuple[float, ...]:
     """Return when each rank may start to load weights (monotonic seconds).
