--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -26,9 +26,9 @@
 from kingcupwheel.expertmaps.phases import Holding
 from kingcupwheel.expertmaps.phases import LeaseLost
 from kingcupwheel.expertmaps.phases import LeaseTaken
+from kingcupwheel.expertmaps.phases import MapProposed
 from kingcupwheel.expertmaps.phases import Phase
 from kingcupwheel.expertmaps.phases import Preparing
-from kingcupwheel.expertmaps.phases import Proposed
 from kingcupwheel.expertmaps.phases import Ready
 from kingcupwheel.expertmaps.phases import Replied
 from kingcupwheel.expertmaps.phases import Send
@@ -128,7 +128,7 @@
             case LeaseLost():
                 self._phase = Standby()
                 return []
-            case Proposed(expert_map, now):
+            case MapProposed(expert_map, now):
                 return self._propose(expert_map, now)
             case Ticked(now):
                 return self._tick(now)
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -13,7 +13,7 @@
 from kingcupwheel.expertmaps.maps import build_even_map
 from kingcupwheel.expertmaps.phases import LeaseLost
 from kingcupwheel.expertmaps.phases import LeaseTaken
-from kingcupwheel.expertmaps.phases import Proposed
+from kingcupwheel.expertmaps.phases import MapProposed
 from kingcupwheel.expertmaps.phases import Ready
 from kingcupwheel.expertmaps.phases import Replied
 from kingcupwheel.expertmaps.phases import Send
@@ -162,7 +162,7 @@
                 found.skew_before,
                 found.skew_after,
             )
-            self._step(Proposed(found.map, now))
+            self._step(MapProposed(found.map, now))
 
     def _learn(self, rank: int, address: str) -> None:
         """Note where a rank's agent is; a replaced one speaks from a new address."""
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -38,7 +38,7 @@
     """The lease is gone or may be."""
 
 
-class Proposed(NamedTuple):
+class MapProposed(NamedTuple):
     """The planner wants ``map`` in force."""
 
     map: ExpertMap
@@ -59,7 +59,7 @@
     now: float
 
 
-Event = LeaseTaken | LeaseLost | Proposed | Replied | Ticked
+Event = LeaseTaken | LeaseLost | MapProposed | Replied | Ticked
 
 
 class Send(NamedTuple):
