--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -30,7 +30,7 @@
 from kingcupwheel.expertmaps.phases import Phase
 from kingcupwheel.expertmaps.phases import Preparing
 from kingcupwheel.expertmaps.phases import Ready
-from kingcupwheel.expertmaps.phases import Replied
+from kingcupwheel.expertmaps.phases import ReplyReceived
 from kingcupwheel.expertmaps.phases import Send
 from kingcupwheel.expertmaps.phases import Staging
 from kingcupwheel.expertmaps.phases import Standby
@@ -132,7 +132,7 @@
                 return self._propose(expert_map, now)
             case Ticked(now):
                 return self._tick(now)
-            case Replied(rank, reply, now):
+            case ReplyReceived(rank, reply, now):
                 following = self._reply(rank, reply, now)
                 if following is None:
                     return []
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -15,7 +15,7 @@
 from kingcupwheel.expertmaps.phases import LeaseTaken
 from kingcupwheel.expertmaps.phases import MapProposed
 from kingcupwheel.expertmaps.phases import Ready
-from kingcupwheel.expertmaps.phases import Replied
+from kingcupwheel.expertmaps.phases import ReplyReceived
 from kingcupwheel.expertmaps.phases import Send
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Ticked
@@ -135,7 +135,7 @@
             case ExpertLoadsReply() as loads:
                 self._take_loads(message.rank, loads)
             case reply:
-                self._step(Replied(message.rank, reply, now))
+                self._step(ReplyReceived(message.rank, reply, now))
 
     def tick(self, now: float, members: frozenset[str]) -> None:
         """Repeat what is unanswered and plan when it is time.
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -45,7 +45,7 @@
     now: float
 
 
-class Replied(NamedTuple):
+class ReplyReceived(NamedTuple):
     """The agent of ``rank`` passed on its answer."""
 
     rank: int
@@ -59,7 +59,7 @@
     now: float
 
 
-Event = LeaseTaken | LeaseLost | MapProposed | Replied | Ticked
+Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Ticked
 
 
 class Send(NamedTuple):
