--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -35,7 +35,7 @@
 from kingcupwheel.expertmaps.phases import Staging
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Surveying
-from kingcupwheel.expertmaps.phases import Ticked
+from kingcupwheel.expertmaps.phases import Tick
 from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.phases import order_of
 from kingcupwheel.expertmaps.protocol import AbortReply
@@ -130,7 +130,7 @@
                 return []
             case MapProposed(expert_map, now):
                 return self._propose(expert_map, now)
-            case Ticked(now):
+            case Tick(now):
                 return self._tick(now)
             case ReplyReceived(rank, reply, now):
                 following = self._reply(rank, reply, now)
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -18,7 +18,7 @@
 from kingcupwheel.expertmaps.phases import ReplyReceived
 from kingcupwheel.expertmaps.phases import Send
 from kingcupwheel.expertmaps.phases import Standby
-from kingcupwheel.expertmaps.phases import Ticked
+from kingcupwheel.expertmaps.phases import Tick
 from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.protocol import ExpertLoadsReply
 from kingcupwheel.expertmaps.protocol import StateRequest
@@ -147,7 +147,7 @@
             self._probe(members)
         if not self._started:
             return
-        self._step(Ticked(now))
+        self._step(Tick(now))
         if not isinstance(self.phase, Ready):
             return
         question = self._rebalancer.tick(now)
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -53,13 +53,13 @@
     now: float
 
 
-class Ticked(NamedTuple):
+class Tick(NamedTuple):
     """Time has passed; ``now`` is monotonic, in seconds."""
 
     now: float
 
 
-Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Ticked
+Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Tick
 
 
 class Send(NamedTuple):
