--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -27,11 +27,11 @@
 from kingcupwheel.expertmaps.phases import LeaseLost
 from kingcupwheel.expertmaps.phases import LeaseTaken
 from kingcupwheel.expertmaps.phases import MapProposed
+from kingcupwheel.expertmaps.phases import OutgoingOrder
 from kingcupwheel.expertmaps.phases import Phase
 from kingcupwheel.expertmaps.phases import Preparing
 from kingcupwheel.expertmaps.phases import Ready
 from kingcupwheel.expertmaps.phases import ReplyReceived
-from kingcupwheel.expertmaps.phases import Send
 from kingcupwheel.expertmaps.phases import Staging
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Surveying
@@ -117,7 +117,7 @@
         """What all ranks have committed, as far as is known."""
         return self._schedule
 
-    def step(self, event: Event) -> list[Send]:
+    def step(self, event: Event) -> list[OutgoingOrder]:
         """Take ``event`` and return the orders to send."""
         match event:
             case LeaseTaken(fence, now):
@@ -138,7 +138,7 @@
                     return []
                 return self._enter(following, now)
 
-    def _enter(self, phase: Phase, now: float) -> list[Send]:
+    def _enter(self, phase: Phase, now: float) -> list[OutgoingOrder]:
         """Go to ``phase``; unless it only goes on, tell its ranks at once."""
         goes_on = label(phase) == label(self._phase)
         self._phase = phase
@@ -147,12 +147,14 @@
         self._since = now
         return self._orders(now)
 
-    def _orders(self, now: float) -> list[Send]:
+    def _orders(self, now: float) -> list[OutgoingOrder]:
         self._sent = now
         wanted = (order_of(self._phase, rank, now) for rank in range(self._ranks))
-        return [Send(rank, order) for rank, order in enumerate(wanted) if order]
+        return [
+            OutgoingOrder(rank, order) for rank, order in enumerate(wanted) if order
+        ]
 
-    def _tick(self, now: float) -> list[Send]:
+    def _tick(self, now: float) -> list[OutgoingOrder]:
         match self._phase:
             case Staging(version, due=due) if now - due[-1] > self._timings.stage_s:
                 return self._enter(Aborting(version, frozenset()), now)
@@ -166,7 +168,7 @@
             return self._orders(now)
         return []
 
-    def _propose(self, expert_map: ExpertMap, now: float) -> list[Send]:
+    def _propose(self, expert_map: ExpertMap, now: float) -> list[OutgoingOrder]:
         if not isinstance(self._phase, Ready) or self._schedule is None:
             return []
         self._version = self._version.next()
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -14,9 +14,9 @@
 from kingcupwheel.expertmaps.phases import LeaseLost
 from kingcupwheel.expertmaps.phases import LeaseTaken
 from kingcupwheel.expertmaps.phases import MapProposed
+from kingcupwheel.expertmaps.phases import OutgoingOrder
 from kingcupwheel.expertmaps.phases import Ready
 from kingcupwheel.expertmaps.phases import ReplyReceived
-from kingcupwheel.expertmaps.phases import Send
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Tick
 from kingcupwheel.expertmaps.phases import label
@@ -188,7 +188,7 @@
             logger.info("Phase %s %s.", *label(self.phase))
         self._send(sends)
 
-    def _send(self, sends: list[Send]) -> None:
+    def _send(self, sends: list[OutgoingOrder]) -> None:
         for send in sends:
             address = self._address_by_rank.get(send.rank)
             if address is not None:
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -62,7 +62,7 @@
 Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Tick
 
 
-class Send(NamedTuple):
+class OutgoingOrder(NamedTuple):
     """Send ``order`` to the agent of ``rank``."""
 
     rank: int
