--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -156,7 +156,9 @@
 
     def _tick(self, now: float) -> list[OutgoingOrder]:
         match self._phase:
-            case Staging(version, due=due) if now - due[-1] > self._timings.stage_s:
+            case Staging(version, start_times=due) if (
+                now - due[-1] > self._timings.stage_s
+            ):
                 return self._enter(Aborting(version, frozenset()), now)
             case Preparing(version) if now - self._since > self._timings.prepare_s:
                 return self._enter(Aborting(version, frozenset()), now)
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -109,7 +109,7 @@
     version: MapVersion
     map: ExpertMap
     order: StageOrder
-    due: tuple[float, ...]
+    start_times: tuple[float, ...]
     acked: frozenset[int]
     step: int
 
@@ -185,7 +185,7 @@
             return StateRequest(number)
         case Holding(version, _):
             return SupersedeOrder(version)
-        case Staging(order=order, due=due):
+        case Staging(order=order, start_times=due):
             return order if now >= due[rank] else None
         case Preparing(version, _, step):
             return PrepareOrder(version, step)
