--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -134,7 +134,7 @@
 
     version: MapVersion
     schedule: MapSchedule
-    lives: tuple[str, ...] | None
+    incarnations: tuple[str, ...] | None
     acked: frozenset[int]
 
 
@@ -198,6 +198,6 @@
 
 
 def _commit(phase: Committing, rank: int) -> CommitOrder:
-    if phase.lives is None:
+    if phase.incarnations is None:
         return CommitOrder(phase.version, None)
-    return CommitOrder(phase.version, phase.schedule, phase.lives[rank])
+    return CommitOrder(phase.version, phase.schedule, phase.incarnations[rank])
