--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -36,8 +36,8 @@
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Surveying
 from kingcupwheel.expertmaps.phases import Tick
-from kingcupwheel.expertmaps.phases import label
 from kingcupwheel.expertmaps.phases import order_of
+from kingcupwheel.expertmaps.phases import phase_key
 from kingcupwheel.expertmaps.protocol import AbortReply
 from kingcupwheel.expertmaps.protocol import CommitReply
 from kingcupwheel.expertmaps.protocol import MapSchedule
@@ -140,7 +140,7 @@
 
     def _enter(self, phase: Phase, now: float) -> list[OutgoingOrder]:
         """Go to ``phase``; unless it only goes on, tell its ranks at once."""
-        goes_on = label(phase) == label(self._phase)
+        goes_on = phase_key(phase) == phase_key(self._phase)
         self._phase = phase
         if goes_on:
             return []
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -19,7 +19,7 @@
 from kingcupwheel.expertmaps.phases import ReplyReceived
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Tick
-from kingcupwheel.expertmaps.phases import label
+from kingcupwheel.expertmaps.phases import phase_key
 from kingcupwheel.expertmaps.protocol import ExpertLoadsReply
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import decode_reply
@@ -184,8 +184,10 @@
     def _step(self, event: Event) -> None:
         before = self.phase
         sends = self._coordinator.step(event)
-        if label(self.phase) != label(before) and not isinstance(self.phase, Ready):
-            logger.info("Phase %s %s.", *label(self.phase))
+        if phase_key(self.phase) != phase_key(before) and not isinstance(
+            self.phase, Ready
+        ):
+            logger.info("Phase %s %s.", *phase_key(self.phase))
         self._send(sends)
 
     def _send(self, sends: list[OutgoingOrder]) -> None:
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -151,7 +151,7 @@
 )
 
 
-def label(phase: Phase) -> tuple[str, object]:
+def phase_key(phase: Phase) -> tuple[str, object]:
     """Return what stays the same while ``phase`` only collects answers."""
     name = type(phase).__name__
     match phase:
