--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -163,7 +163,7 @@
             return name, phase.version
 
 
-def answered(phase: Phase, rank: int) -> bool:
+def has_answered(phase: Phase, rank: int) -> bool:
     """Tell whether ``rank`` has answered what ``phase`` asks of it."""
     match phase:
         case Standby():
@@ -176,7 +176,7 @@
 
 def order_of(phase: Phase, rank: int, now: float) -> RankOrder | None:
     """Return what ``rank`` still has to be told in ``phase``, if anything."""
-    if answered(phase, rank):
+    if has_answered(phase, rank):
         return None
     match phase:
         case Surveying(number, _):
