--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -36,7 +36,7 @@
 from kingcupwheel.expertmaps.phases import Standby
 from kingcupwheel.expertmaps.phases import Surveying
 from kingcupwheel.expertmaps.phases import Tick
-from kingcupwheel.expertmaps.phases import order_of
+from kingcupwheel.expertmaps.phases import pending_order
 from kingcupwheel.expertmaps.phases import phase_key
 from kingcupwheel.expertmaps.protocol import AbortReply
 from kingcupwheel.expertmaps.protocol import CommitReply
@@ -149,7 +149,7 @@
 
     def _orders(self, now: float) -> list[OutgoingOrder]:
         self._sent = now
-        wanted = (order_of(self._phase, rank, now) for rank in range(self._ranks))
+        wanted = (pending_order(self._phase, rank, now) for rank in range(self._ranks))
         return [
             OutgoingOrder(rank, order) for rank, order in enumerate(wanted) if order
         ]
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -174,7 +174,7 @@
             return rank in phase.acked
 
 
-def order_of(phase: Phase, rank: int, now: float) -> RankOrder | None:
+def pending_order(phase: Phase, rank: int, now: float) -> RankOrder | None:
     """Return what ``rank`` still has to be told in ``phase``, if anything."""
     if has_answered(phase, rank):
         return None
