--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -64,7 +64,7 @@
     it was asked for, or not staged ``stage_s`` after the last turn, is aborted.
     """
 
-    repeat_s: float = 0.5
+    retry_interval_s: float = 0.5
     poll_s: float = 2.0
     lead_s: float = 1.0
     prepare_s: float = 2.0
@@ -166,7 +166,7 @@
                 self._phase = self._ready()
                 self._since = now
                 return self._orders(now)
-        if now - self._sent >= self._timings.repeat_s:
+        if now - self._sent >= self._timings.retry_interval_s:
             return self._orders(now)
         return []
 
