--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -65,7 +65,7 @@
     """
 
     retry_interval_s: float = 0.5
-    poll_s: float = 2.0
+    poll_interval_s: float = 2.0
     lead_s: float = 1.0
     prepare_s: float = 2.0
     stage_s: float = 30.0
@@ -162,7 +162,7 @@
                 return self._enter(Aborting(version, frozenset()), now)
             case Preparing(version) if now - self._since > self._timings.prepare_s:
                 return self._enter(Aborting(version, frozenset()), now)
-            case Ready() if now - self._since >= self._timings.poll_s:
+            case Ready() if now - self._since >= self._timings.poll_interval_s:
                 self._phase = self._ready()
                 self._since = now
                 return self._orders(now)
