--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -66,7 +66,7 @@
 
     retry_interval_s: float = 0.5
     poll_interval_s: float = 2.0
-    lead_s: float = 1.0
+    switch_lead_s: float = 1.0
     prepare_s: float = 2.0
     stage_s: float = 30.0
     store_bytes_per_s: float = 50_000_000.0
@@ -277,7 +277,7 @@
         highest = max(phase.step, step)
         if len(acked) < self._ranks:
             return replace(phase, acked=acked, step=highest)
-        step = highest + self._pace.steps_in(self._timings.lead_s)
+        step = highest + self._pace.steps_in(self._timings.switch_lead_s)
         return Preparing(phase.version, phase.map, step, frozenset())
 
     def _prepared(self, phase: Preparing, rank: int) -> Phase:
