--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -67,7 +67,7 @@
     retry_interval_s: float = 0.5
     poll_interval_s: float = 2.0
     switch_lead_s: float = 1.0
-    prepare_s: float = 2.0
+    prepare_timeout_s: float = 2.0
     stage_s: float = 30.0
     store_bytes_per_s: float = 50_000_000.0
 
@@ -160,7 +160,9 @@
                 now - due[-1] > self._timings.stage_s
             ):
                 return self._enter(Aborting(version, frozenset()), now)
-            case Preparing(version) if now - self._since > self._timings.prepare_s:
+            case Preparing(version) if (
+                now - self._since > self._timings.prepare_timeout_s
+            ):
                 return self._enter(Aborting(version, frozenset()), now)
             case Ready() if now - self._since >= self._timings.poll_interval_s:
                 self._phase = self._ready()
