--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -68,7 +68,7 @@
     poll_interval_s: float = 2.0
     switch_lead_s: float = 1.0
     prepare_timeout_s: float = 2.0
-    stage_s: float = 30.0
+    stage_timeout_s: float = 30.0
     store_bytes_per_s: float = 50_000_000.0
 
 
@@ -157,7 +157,7 @@
     def _tick(self, now: float) -> list[OutgoingOrder]:
         match self._phase:
             case Staging(version, start_times=due) if (
-                now - due[-1] > self._timings.stage_s
+                now - due[-1] > self._timings.stage_timeout_s
             ):
                 return self._enter(Aborting(version, frozenset()), now)
             case Preparing(version) if (
