--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -117,7 +117,7 @@
         """What all ranks have committed, as far as is known."""
         return self._schedule
 
-    def step(self, event: Event) -> list[OutgoingOrder]:
+    def handle_event(self, event: Event) -> list[OutgoingOrder]:
         """Take ``event`` and return the orders to send."""
         match event:
             case LeaseTaken(fence, now):
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -117,7 +117,7 @@
             logger.info("Leads group %s no longer.", self._group)
         self._fence = 0
         self._started = False
-        self._coordinator.step(LeaseLost())
+        self._coordinator.handle_event(LeaseLost())
 
     def take(self, address: str, message: MapReply, now: float) -> None:
         """Take an agent's answer."""
@@ -183,7 +183,7 @@
 
     def _step(self, event: Event) -> None:
         before = self.phase
-        sends = self._coordinator.step(event)
+        sends = self._coordinator.handle_event(event)
         if phase_key(self.phase) != phase_key(before) and not isinstance(
             self.phase, Ready
         ):
