--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -17,7 +17,7 @@
         self._fence: int | None = None
 
     @property
-    def fence(self) -> int | None:
+    def highest_fence(self) -> int | None:
         """The highest fence seen; None until ``learn`` was called."""
         return self._fence
 
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -62,7 +62,7 @@
     @property
     def fence(self) -> int | None:
         """The highest fence seen, None before any was learnt."""
-        return self._guard.fence
+        return self._guard.highest_fence
 
     def start(self) -> None:
         """Start the thread."""
@@ -104,7 +104,7 @@
         self._pass_on(link, message, decoded.ok)
 
     def _knows_fence(self) -> bool:
-        if self._guard.fence is None:
+        if self._guard.highest_fence is None:
             fence = self._learn_fence()
             if fence is None:
                 # Without it an order of a former coordinator could pass: silence makes
