--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -21,7 +21,7 @@
         """The highest fence seen; None until ``learn`` was called."""
         return self._fence
 
-    def learn(self, fence: int) -> None:
+    def raise_to(self, fence: int) -> None:
         """Take over the fence read from the lease object (0: no lease yet)."""
         self._fence = max(fence, self._fence or 0)
 
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -110,7 +110,7 @@
                 # Without it an order of a former coordinator could pass: silence makes
                 # the present one ask again.
                 return False
-            self._guard.learn(fence)
+            self._guard.raise_to(fence)
         return True
 
     def _pass_on(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
