--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -25,7 +25,7 @@
         """Take over the fence read from the lease object (0: no lease yet)."""
         self._fence = max(fence, self._fence or 0)
 
-    def admits(self, fence: int) -> bool:
+    def admit(self, fence: int) -> bool:
         """Tell whether an order under ``fence`` may pass; remembers a higher one."""
         if self._fence is None or fence < self._fence:
             return False
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -95,7 +95,7 @@
             return
         if not self._knows_fence():
             return
-        if not self._guard.admits(message.fence):
+        if not self._guard.admit(message.fence):
             logger.info("Refused order under old fence %d.", message.fence)
             version = version_of(decoded.ok)
             refusal = RefusalReply(version, RefusalReason.STALE_FENCE)
