--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class RankGuard:
+class FenceGuard:
     """Refuses orders of a coordinator whose lease has passed to another.
 
     Failure: a paused coordinator wakes and goes on with a change that its successor has
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -7,7 +7,7 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.expertmaps.fence_guard import RankGuard
+from kingcupwheel.expertmaps.fence_guard import FenceGuard
 from kingcupwheel.expertmaps.protocol import RefusalReason
 from kingcupwheel.expertmaps.protocol import RefusalReply
 from kingcupwheel.expertmaps.protocol import decode_order
@@ -55,7 +55,7 @@
         self._learn_fence = learn_fence
         self._agent = agent
         self._rank = rank
-        self._guard = RankGuard()
+        self._guard = FenceGuard()
         self._waiting: queue.Queue[tuple[Link, MapOrder] | None] = queue.Queue(_WAITING)
         self._thread = Thread(target=self._run, name="rank", daemon=True)
 
