--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -81,7 +81,7 @@
         return self._coordinator.phase
 
     @property
-    def leads(self) -> bool:
+    def is_coordinating(self) -> bool:
         """Whether a fence is in hand."""
         return self._fence > 0
 
@@ -113,7 +113,7 @@
 
     def stop(self) -> None:
         """Send no more orders."""
-        if self.leads:
+        if self.is_coordinating:
             logger.info("Leads group %s no longer.", self._group)
         self._fence = 0
         self._started = False
@@ -121,7 +121,7 @@
 
     def take(self, address: str, message: MapReply, now: float) -> None:
         """Take an agent's answer."""
-        if not self.leads or message.fence != self._fence:
+        if not self.is_coordinating or message.fence != self._fence:
             return
         decoded = decode_reply(message.reply)
         if decoded.is_error() or not 0 <= message.rank < self._ranks:
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -110,7 +110,7 @@
     @property
     def leads(self) -> bool:
         """Whether this agent coordinates its group."""
-        return self._leader.leads
+        return self._leader.is_coordinating
 
     @property
     def leader(self) -> Leader:
@@ -147,7 +147,7 @@
         """Follow the lease, then do what is due."""
         holding = self._lease.get_held_lease(now)
         if holding is None or self._stopping.is_set():
-            if self._leader.leads:
+            if self._leader.is_coordinating:
                 self._leader.stop()
                 self._led_fence = 0
             return
