--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -86,7 +86,7 @@
         return self._fence > 0
 
     @property
-    def knows_all_ranks(self) -> bool:
+    def has_all_addresses(self) -> bool:
         """Whether an agent has spoken for every rank."""
         return len(self._address_by_rank) == self._ranks
 
@@ -128,7 +128,7 @@
             logger.warning("Bad reply from %s.", message.agent)
             return
         self._learn(message.rank, address)
-        if not self._started and self.knows_all_ranks:
+        if not self._started and self.has_all_addresses:
             self._started = True
             self._step(LeaseTaken(self._fence, now))
         match decoded.ok:
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -198,7 +198,7 @@
     @property
     def _members_s(self) -> float:
         """How often the list is read; more often while a rank's agent is missing."""
-        settled = self._leader.knows_all_ranks
+        settled = self._leader.has_all_addresses
         return self._timings.members_s if settled else self._timings.renew_s
 
     def _read_members(self) -> None:
