--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -91,7 +91,7 @@
         return len(self._address_by_rank) == self._ranks
 
     @property
-    def deposed(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether a rank has told of a newer coordinator."""
         return self._started and isinstance(self.phase, Standby)
 
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -154,7 +154,7 @@
         if holding.fence != self._led_fence:
             self._led_fence = holding.fence
             self._leader.start(holding.fence)
-        if self._leader.deposed:
+        if self._leader.is_superseded:
             # A higher fence exists, so ranks refuse this one: take the lease anew.
             self._resigning.set()
         self._leader.tick(now, self._members)
