--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -95,7 +95,7 @@
         """Whether a rank has told of a newer coordinator."""
         return self._started and isinstance(self.phase, Standby)
 
-    def open(self) -> None:
+    def start_planner(self) -> None:
         """Start the planning thread."""
         self._rebalancer.start()
 
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -120,7 +120,7 @@
     def start(self) -> None:
         """Start the threads."""
         self._worker.start()
-        self._leader.open()
+        self._leader.start_planner()
         self._thread.start()
 
     def stop(self) -> None:
