--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -99,7 +99,7 @@
         """Start the planning thread."""
         self._rebalancer.start()
 
-    def close(self) -> None:
+    def stop_planner(self) -> None:
         """End the planning thread."""
         self._rebalancer.stop()
 
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -127,7 +127,7 @@
         """Give the lease back, so that another agent takes over at once, and end."""
         self._stopping.set()
         self._thread.join()
-        self._leader.close()
+        self._leader.stop_planner()
         self._worker.stop()
 
     def on_message(self, link: Link, message: Message) -> None:
