--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -103,7 +103,7 @@
         """End the planning thread."""
         self._rebalancer.stop()
 
-    def start(self, fence: int) -> None:
+    def start_coordinating(self, fence: int) -> None:
         """Lead under ``fence`` once the agents of all ranks are known."""
         logger.info("Leads group %s under fence %d.", self._group, fence)
         self._fence = fence
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -153,7 +153,7 @@
             return
         if holding.fence != self._led_fence:
             self._led_fence = holding.fence
-            self._leader.start(holding.fence)
+            self._leader.start_coordinating(holding.fence)
         if self._leader.is_superseded:
             # A higher fence exists, so ranks refuse this one: take the lease anew.
             self._resigning.set()
