--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -111,7 +111,7 @@
         self._started = False
         self._address_by_rank.clear()
 
-    def stop(self) -> None:
+    def stop_coordinating(self) -> None:
         """Send no more orders."""
         if self.is_coordinating:
             logger.info("Leads group %s no longer.", self._group)
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -148,7 +148,7 @@
         holding = self._lease.get_held_lease(now)
         if holding is None or self._stopping.is_set():
             if self._leader.is_coordinating:
-                self._leader.stop()
+                self._leader.stop_coordinating()
                 self._led_fence = 0
             return
         if holding.fence != self._led_fence:
