--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -119,7 +119,7 @@
         self._started = False
         self._coordinator.handle_event(LeaseLost())
 
-    def take(self, address: str, message: MapReply, now: float) -> None:
+    def handle_reply(self, address: str, message: MapReply, now: float) -> None:
         """Take an agent's answer."""
         if not self.is_coordinating or message.fence != self._fence:
             return
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -141,7 +141,7 @@
                 now = monotonic()
                 # A holder that was paused finds answers waiting before its next tick.
                 if self._lease.get_held_lease(now) is not None:
-                    self._leader.take(address, message, now)
+                    self._leader.handle_reply(address, message, now)
 
     def on_tick(self, now: float) -> None:
         """Follow the lease, then do what is due."""
