--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -46,7 +46,7 @@
 _PROBE_S = 1.0
 
 
-class Leader:
+class CoordinatorDriver:
     """Leads a group under one fence at a time; ``stop`` it when the lease is lost."""
 
     def __init__(
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -15,7 +15,7 @@
 
 from kingcupwheel.expertmaps.coordinator import DEFAULT_TIMINGS
 from kingcupwheel.expertmaps.coordinator import CoordinatorTimings
-from kingcupwheel.expertmaps.coordinator_driver import Leader
+from kingcupwheel.expertmaps.coordinator_driver import CoordinatorDriver
 from kingcupwheel.expertmaps.lease import Lease
 from kingcupwheel.expertmaps.lease import get_lease_fence
 from kingcupwheel.expertmaps.lease import lease_key
@@ -92,7 +92,7 @@
             agent=name,
             rank=rank,
         )
-        self._leader = Leader(
+        self._leader = CoordinatorDriver(
             hub=hub,
             group=group,
             name=name,
@@ -113,7 +113,7 @@
         return self._leader.is_coordinating
 
     @property
-    def leader(self) -> Leader:
+    def leader(self) -> CoordinatorDriver:
         """The coordinator's side."""
         return self._leader
 
