--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -11,7 +11,7 @@
 # Share of the estimate that a new reading takes. Readings of one period scatter with
 # the requests that were about; a quarter halves that scatter and still follows a change
 # within a few periods.
-NEW_SHARE = 0.25
+NEW_COUNTS_WEIGHT = 0.25
 
 # Load of each layer's experts.
 MapLoad = tuple[LayerLoad, ...]
@@ -32,7 +32,9 @@
         """Standard deviation of one period's counts, relative to an expert's load."""
         return math.sqrt(self.variance)
 
-    def after(self, counted: MapLoad, *, new_share: float = NEW_SHARE) -> DecayedLoad:
+    def after(
+        self, counted: MapLoad, *, new_share: float = NEW_COUNTS_WEIGHT
+    ) -> DecayedLoad:
         """Return the estimate after one more period's counts, in any unit.
 
         Layers are scaled to a sum of 1 first, so that a busy period weighs no more than
