--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -28,7 +28,7 @@
     variance: float = 0.0
 
     @property
-    def scatter(self) -> float:
+    def relative_std(self) -> float:
         """Standard deviation of one period's counts, relative to an expert's load."""
         return math.sqrt(self.variance)
 
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -76,7 +76,10 @@
     gain = weights.skew_weight * weights.payback_periods / even
     editors = [
         LayerEditor(
-            layer, layer_load, slots=current.slots_per_rank, scatter=estimate.scatter
+            layer,
+            layer_load,
+            slots=current.slots_per_rank,
+            scatter=estimate.relative_std,
         )
         for layer, layer_load in zip(current.layers, load, strict=True)
     ]
