--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -32,7 +32,7 @@
         """Standard deviation of one period's counts, relative to an expert's load."""
         return math.sqrt(self.variance)
 
-    def after(
+    def with_counts(
         self, counted: MapLoad, *, new_share: float = NEW_COUNTS_WEIGHT
     ) -> DecayedLoad:
         """Return the estimate after one more period's counts, in any unit.
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -79,7 +79,7 @@
             return
         counted = _summed(current.map, self._reply_by_rank)
         self._reply_by_rank.clear()
-        self._estimate = self._estimate.after(counted)
+        self._estimate = self._estimate.with_counts(counted)
         try:
             question = _Question(current.map, self._estimate, self._weights)
             self._questions.put_nowait(question)
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -115,7 +115,7 @@
         estimate = DecayedLoad()
         for counted in popularity(scenario, SHAPE, seed=seed):
             skews.append(map_skew(current, counted))
-            estimate = estimate.after(counted)
+            estimate = estimate.with_counts(counted)
             started = time.perf_counter()
             wanted = planner(current, estimate)
             plan_ms.append((time.perf_counter() - started) * 1000)
