--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -17,7 +17,7 @@
 MapLoad = tuple[LayerLoad, ...]
 
 
-class DecayedLoad(NamedTuple):
+class LoadEstimate(NamedTuple):
     """An estimate of each expert's share of its layer's load; None before a reading.
 
     ``variance`` is how far counts lie from the estimate: the mean square of an expert's
@@ -34,7 +34,7 @@
 
     def with_counts(
         self, counted: MapLoad, *, new_share: float = NEW_COUNTS_WEIGHT
-    ) -> DecayedLoad:
+    ) -> LoadEstimate:
         """Return the estimate after one more period's counts, in any unit.
 
         Layers are scaled to a sum of 1 first, so that a busy period weighs no more than
@@ -43,12 +43,12 @@
         old_load = self.load or tuple((1 / len(c),) * len(c) for c in counted)
         shares = tuple(map(_shares, counted, old_load))
         if self.load is None:
-            return DecayedLoad(shares)
+            return LoadEstimate(shares)
         pairs = list(zip(self.load, shares, strict=True))
         layers = tuple(_mixed(old, now, new_share) for old, now in pairs)
         deviation = sum(_deviation(old, now) for old, now in pairs) / len(pairs)
         variance = self.variance + new_share * (deviation - self.variance)
-        return DecayedLoad(layers, variance)
+        return LoadEstimate(layers, variance)
 
 
 def _shares(counted: LayerLoad, otherwise: LayerLoad) -> LayerLoad:
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -19,7 +19,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
     from kingcupwheel.expertmaps.maps import LayerPlacement
 
 # How many periods a move is expected to pay off for. Longer moves more for the same
@@ -64,7 +64,7 @@
 
 
 def plan(
-    current: ExpertMap, estimate: DecayedLoad, weights: PlanWeights
+    current: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
 ) -> Plan | None:
     """Return a better map than ``current`` for the load expected, or None to stay."""
     load = estimate.load
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 from kingcupwheel.expertmaps.planner import PlanWeights
 from kingcupwheel.expertmaps.planner import plan
 from kingcupwheel.expertmaps.protocol import ExpertLoadsRequest
@@ -27,7 +27,7 @@
 
 class _Question(NamedTuple):
     current: ExpertMap
-    estimate: DecayedLoad
+    estimate: LoadEstimate
     weights: PlanWeights
 
 
@@ -41,7 +41,7 @@
     def __init__(self, layout: ExpertLayout) -> None:
         self._layout = layout
         self._weights = PlanWeights(layout.skew_weight, layout.move_cost)
-        self._estimate = DecayedLoad()
+        self._estimate = LoadEstimate()
         self._round = 0
         self._asked = 0.0
         self._reply_by_rank: dict[int, ExpertLoadsReply] = {}
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -13,14 +13,14 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 
 # Plain hysteresis starts to move above the first skew and goes on to the second.
 _HIGH_SKEW = 1.25
 _LOW_SKEW = 1.10
 
 
-def longest_first(current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+def longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
     """Return the longest-processing-time-first map, whatever it takes to get there."""
     if estimate.load is None:
         return current
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         self._moving = False
 
-    def __call__(self, current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+    def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         skew = map_skew(current, estimate.load) if estimate.load else 1.0
         self._moving = skew > (_LOW_SKEW if self._moving else _HIGH_SKEW)
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -18,7 +18,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
     from kingcupwheel.expertmaps.load_estimate import MapLoad
 
 # The paper's exploration parameter; it has to exceed one half.
@@ -35,7 +35,7 @@
         self._loads: deque[MapLoad] = deque(maxlen=_WINDOW)
         self._periods = 0
 
-    def __call__(self, current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+    def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         self._periods += 1
         if estimate.load is not None:
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -12,7 +12,7 @@
 
 import click
 
-from kingcupwheel.expertmaps.load_estimate import DecayedLoad
+from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 from kingcupwheel.expertmaps.maps import build_even_map
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
@@ -32,7 +32,7 @@
 
     from kingcupwheel.expertmaps.maps import ExpertMap
 
-    Planner = Callable[[ExpertMap, DecayedLoad], ExpertMap]
+    Planner = Callable[[ExpertMap, LoadEstimate], ExpertMap]
 
 SHAPE = Shape(ranks=32, experts=128, layers=4, slots=5, periods=60)
 SEEDS = (11, 12)
@@ -70,7 +70,7 @@
         return weights.skew_weight * (self.mean_skew - 1) + weights.move_cost * moved
 
 
-def stay(current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+def stay(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
     """Never move."""
     del estimate
     return current
@@ -82,7 +82,7 @@
     def __init__(self, weights: PlanWeights) -> None:
         self._weights = weights
 
-    def __call__(self, current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+    def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         found = plan(current, estimate, self._weights)
         return found.map if found else current
@@ -112,7 +112,7 @@
     for seed in SEEDS:
         current = build_even_map(layout)
         planner = make()
-        estimate = DecayedLoad()
+        estimate = LoadEstimate()
         for counted in popularity(scenario, SHAPE, seed=seed):
             skews.append(map_skew(current, counted))
             estimate = estimate.with_counts(counted)
