--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -19,7 +19,7 @@
     """One rank loses and gains a replica; ``gained`` has its weights loaded."""
 
     rank: int
-    lost: int | None
+    removed: int | None
     gained: int | None
 
 
@@ -158,9 +158,9 @@
             self._squares[rank] += delta.squares
         self._total = sum(self._terms)
         for edit in change.edits:
-            if edit.lost is not None:
-                self._held[edit.rank].discard(edit.lost)
-                self._ranks_by_expert[edit.lost].discard(edit.rank)
+            if edit.removed is not None:
+                self._held[edit.rank].discard(edit.removed)
+                self._ranks_by_expert[edit.removed].discard(edit.rank)
             if edit.gained is not None:
                 self._held[edit.rank].add(edit.gained)
                 self._ranks_by_expert[edit.gained].add(edit.rank)
@@ -203,8 +203,8 @@
     def _deltas(self, change: Change) -> dict[int, Deltas]:
         after_by_expert: dict[int, set[int]] = {}
         for edit in change.edits:
-            if edit.lost is not None:
-                self._after(after_by_expert, edit.lost).discard(edit.rank)
+            if edit.removed is not None:
+                self._after(after_by_expert, edit.removed).discard(edit.rank)
             if edit.gained is not None:
                 self._after(after_by_expert, edit.gained).add(edit.rank)
         load: dict[int, float] = defaultdict(float)
