--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -20,7 +20,7 @@
 
     rank: int
     removed: int | None
-    gained: int | None
+    added: int | None
 
 
 class Change(NamedTuple):
@@ -31,7 +31,7 @@
     @property
     def moves(self) -> int:
         """The number of expert weights to load."""
-        return sum(edit.gained is not None for edit in self.edits)
+        return sum(edit.added is not None for edit in self.edits)
 
 
 # Without scatter the smooth maximum is within log(ranks) over this of the true one, in
@@ -161,9 +161,9 @@
             if edit.removed is not None:
                 self._held[edit.rank].discard(edit.removed)
                 self._ranks_by_expert[edit.removed].discard(edit.rank)
-            if edit.gained is not None:
-                self._held[edit.rank].add(edit.gained)
-                self._ranks_by_expert[edit.gained].add(edit.rank)
+            if edit.added is not None:
+                self._held[edit.rank].add(edit.added)
+                self._ranks_by_expert[edit.added].add(edit.rank)
 
     def _share(self, expert: int) -> float:
         return self._load[expert] / len(self._ranks_by_expert[expert])
@@ -205,8 +205,8 @@
         for edit in change.edits:
             if edit.removed is not None:
                 self._after(after_by_expert, edit.removed).discard(edit.rank)
-            if edit.gained is not None:
-                self._after(after_by_expert, edit.gained).add(edit.rank)
+            if edit.added is not None:
+                self._after(after_by_expert, edit.added).add(edit.rank)
         load: dict[int, float] = defaultdict(float)
         squares: dict[int, float] = defaultdict(float)
         for expert, after in after_by_expert.items():
