--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -15,7 +15,7 @@
     from kingcupwheel.expertmaps.maps import LayerPlacement
 
 
-class Edit(NamedTuple):
+class RankEdit(NamedTuple):
     """One rank loses and gains a replica; ``gained`` has its weights loaded."""
 
     rank: int
@@ -26,7 +26,7 @@
 class Change(NamedTuple):
     """Edits made together, and what they cost in weights loaded."""
 
-    edits: tuple[Edit, ...]
+    edits: tuple[RankEdit, ...]
 
     @property
     def moves(self) -> int:
@@ -118,9 +118,9 @@
         places = list(self._places(cool))
         for expert in sorted(self._held[hot] - self._held[cool]):
             for freed in places:
-                gained = Edit(cool, freed, expert)
+                gained = RankEdit(cool, freed, expert)
                 yield Change((gained,))
-                yield Change((Edit(hot, expert, None), gained))
+                yield Change((RankEdit(hot, expert, None), gained))
 
     def _swaps(self, hot: int, cool: int) -> Iterator[Change]:
         """Yield experts exchanged for lesser ones.
@@ -133,10 +133,10 @@
             for other in sorted(self._held[cool] - self._held[hot]):
                 if self._load[other] >= self._load[expert]:
                     continue
-                given = Edit(cool, other, expert)
-                yield Change((Edit(hot, expert, other), given))
+                given = RankEdit(cool, other, expert)
+                yield Change((RankEdit(hot, expert, other), given))
                 if spare != _FULL and spare != expert:
-                    yield Change((Edit(hot, spare, other), given))
+                    yield Change((RankEdit(hot, spare, other), given))
 
     def slowest_after(self, change: Change) -> float:
         """Return what ``slowest`` would be after ``change``."""
