--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -29,7 +29,7 @@
     edits: tuple[RankEdit, ...]
 
     @property
-    def moves(self) -> int:
+    def move_count(self) -> int:
         """The number of expert weights to load."""
         return sum(edit.added is not None for edit in self.edits)
 
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -110,7 +110,7 @@
         if change is None:
             break
         editor.make(change)
-        moves += change.moves
+        moves += change.move_count
         worth = gain * (before - editor.slowest) - cost * moves
         if worth > most:
             best = editor.placement
@@ -128,7 +128,7 @@
         most = 0.0
         for cool in cool_ranks:
             for change in editor.changes(hot, cool) if cool != hot else ():
-                relief = (slowest - editor.slowest_after(change)) / change.moves
+                relief = (slowest - editor.slowest_after(change)) / change.move_count
                 if relief > most:
                     best = change
                     most = relief
