--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -23,7 +23,7 @@
     added: int | None
 
 
-class Change(NamedTuple):
+class LayerChange(NamedTuple):
     """Edits made together, and what they cost in weights loaded."""
 
     edits: tuple[RankEdit, ...]
@@ -108,21 +108,21 @@
             range(len(self._terms)), key=self._terms.__getitem__, reverse=True
         )
 
-    def changes(self, hot: int, cool: int) -> Iterator[Change]:
+    def changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
         """Yield the changes that could take load from ``hot`` to ``cool``."""
         yield from self._shifts(hot, cool)
         yield from self._swaps(hot, cool)
 
-    def _shifts(self, hot: int, cool: int) -> Iterator[Change]:
+    def _shifts(self, hot: int, cool: int) -> Iterator[LayerChange]:
         """Yield replicas of an expert of ``hot`` added on ``cool``, or moved there."""
         places = list(self._places(cool))
         for expert in sorted(self._held[hot] - self._held[cool]):
             for freed in places:
                 gained = RankEdit(cool, freed, expert)
-                yield Change((gained,))
-                yield Change((RankEdit(hot, expert, None), gained))
+                yield LayerChange((gained,))
+                yield LayerChange((RankEdit(hot, expert, None), gained))
 
-    def _swaps(self, hot: int, cool: int) -> Iterator[Change]:
+    def _swaps(self, hot: int, cool: int) -> Iterator[LayerChange]:
         """Yield experts exchanged for lesser ones.
 
         Where ``hot`` has a place to spare it may also keep a replica of what it gives:
@@ -134,11 +134,11 @@
                 if self._load[other] >= self._load[expert]:
                     continue
                 given = RankEdit(cool, other, expert)
-                yield Change((RankEdit(hot, expert, other), given))
+                yield LayerChange((RankEdit(hot, expert, other), given))
                 if spare != _FULL and spare != expert:
-                    yield Change((RankEdit(hot, spare, other), given))
+                    yield LayerChange((RankEdit(hot, spare, other), given))
 
-    def slowest_after(self, change: Change) -> float:
+    def slowest_after(self, change: LayerChange) -> float:
         """Return what ``slowest`` would be after ``change``."""
         deltas = self._deltas(change)
         before = sum(self._terms[rank] for rank in deltas)
@@ -150,7 +150,7 @@
             others = sum(term for rank, term in terms if rank not in deltas)
         return self._bound(others + after)
 
-    def make(self, change: Change) -> None:
+    def make(self, change: LayerChange) -> None:
         """Carry ``change`` out."""
         for rank, delta in self._deltas(change).items():
             self._terms[rank] = self._term_after(rank, delta)
@@ -200,7 +200,7 @@
             if len(self._ranks_by_expert[expert]) > 1:
                 yield expert
 
-    def _deltas(self, change: Change) -> dict[int, Deltas]:
+    def _deltas(self, change: LayerChange) -> dict[int, Deltas]:
         after_by_expert: dict[int, set[int]] = {}
         for edit in change.edits:
             if edit.removed is not None:
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.layer_editor import Change
+from kingcupwheel.expertmaps.layer_editor import LayerChange
 from kingcupwheel.expertmaps.layer_editor import LayerEditor
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import map_skew
@@ -118,13 +118,13 @@
     return best
 
 
-def _best_change(editor: LayerEditor) -> Change | None:
+def _best_change(editor: LayerEditor) -> LayerChange | None:
     """Return the change that takes most off the slowest rank's load for each move."""
     order = editor.order()
     slowest = editor.slowest
     cool_ranks = order[-_COOL_RANKS:]
     for hot in order[:_HOT_RANKS]:
-        best: Change | None = None
+        best: LayerChange | None = None
         most = 0.0
         for cool in cool_ranks:
             for change in editor.changes(hot, cool) if cool != hot else ():
