--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -45,7 +45,7 @@
 _FULL = -1
 
 
-class Deltas(NamedTuple):
+class RankLoadDelta(NamedTuple):
     """What a change adds to a rank: load, and squares of its experts' loads."""
 
     load: float = 0.0
@@ -184,7 +184,7 @@
         # above the other terms keeps it the first to be relieved.
         return math.exp(min(above + deviation * deviation * squares / 2, 600.0))
 
-    def _term_after(self, rank: int, delta: Deltas) -> float:
+    def _term_after(self, rank: int, delta: RankLoadDelta) -> float:
         squares = max(0.0, self._squares[rank] + delta.squares)
         return self._term(self._loads[rank] + delta.load, squares)
 
@@ -200,7 +200,7 @@
             if len(self._ranks_by_expert[expert]) > 1:
                 yield expert
 
-    def _deltas(self, change: LayerChange) -> dict[int, Deltas]:
+    def _deltas(self, change: LayerChange) -> dict[int, RankLoadDelta]:
         after_by_expert: dict[int, set[int]] = {}
         for edit in change.edits:
             if edit.removed is not None:
@@ -218,7 +218,7 @@
             for rank in after:
                 load[rank] += share
                 squares[rank] += share * share
-        return {rank: Deltas(load[rank], squares[rank]) for rank in load}
+        return {rank: RankLoadDelta(load[rank], squares[rank]) for rank in load}
 
     def _after(self, after_by_expert: dict[int, set[int]], expert: int) -> set[int]:
         if expert not in after_by_expert:
