--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -93,7 +93,7 @@
         return tuple(tuple(sorted(experts)) for experts in self._held)
 
     @property
-    def loads(self) -> tuple[float, ...]:
+    def rank_loads(self) -> tuple[float, ...]:
         """The mean load of each rank."""
         return tuple(self._loads)
 
