--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -98,7 +98,7 @@
         return tuple(self._loads)
 
     @property
-    def slowest(self) -> float:
+    def max_load_bound(self) -> float:
         """Bound of the expected highest rank load."""
         return self._bound(self._total)
 
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -84,7 +84,9 @@
         for layer, layer_load in zip(current.layers, load, strict=True)
     ]
     layers = list(current.layers)
-    uneven = sorted(range(len(editors)), key=lambda number: -editors[number].slowest)
+    uneven = sorted(
+        range(len(editors)), key=lambda number: -editors[number].max_load_bound
+    )
     for number in uneven[:_LAYERS]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
     wanted = ExpertMap(current.expert_count, current.slots_per_rank, tuple(layers))
@@ -101,7 +103,7 @@
     one move. A single change often only shifts which rank is slowest, so a whole run is
     tried and cut where its worth was highest.
     """
-    before = editor.slowest
+    before = editor.max_load_bound
     best = editor.placement
     most = 0.0
     moves = 0
@@ -111,7 +113,7 @@
             break
         editor.make(change)
         moves += change.move_count
-        worth = gain * (before - editor.slowest) - cost * moves
+        worth = gain * (before - editor.max_load_bound) - cost * moves
         if worth > most:
             best = editor.placement
             most = worth
@@ -121,7 +123,7 @@
 def _best_change(editor: LayerEditor) -> LayerChange | None:
     """Return the change that takes most off the slowest rank's load for each move."""
     order = editor.order()
-    slowest = editor.slowest
+    slowest = editor.max_load_bound
     cool_ranks = order[-_COOL_RANKS:]
     for hot in order[:_HOT_RANKS]:
         best: LayerChange | None = None
