--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -102,7 +102,7 @@
         """Bound of the expected highest rank load."""
         return self._bound(self._total)
 
-    def order(self) -> list[int]:
+    def ranks_by_load(self) -> list[int]:
         """Return the ranks, most loaded first."""
         return sorted(
             range(len(self._terms)), key=self._terms.__getitem__, reverse=True
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -122,7 +122,7 @@
 
 def _best_change(editor: LayerEditor) -> LayerChange | None:
     """Return the change that takes most off the slowest rank's load for each move."""
-    order = editor.order()
+    order = editor.ranks_by_load()
     slowest = editor.max_load_bound
     cool_ranks = order[-_COOL_RANKS:]
     for hot in order[:_HOT_RANKS]:
