--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -108,7 +108,7 @@
             range(len(self._terms)), key=self._terms.__getitem__, reverse=True
         )
 
-    def changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
+    def candidate_changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
         """Yield the changes that could take load from ``hot`` to ``cool``."""
         yield from self._shifts(hot, cool)
         yield from self._swaps(hot, cool)
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -129,7 +129,7 @@
         best: LayerChange | None = None
         most = 0.0
         for cool in cool_ranks:
-            for change in editor.changes(hot, cool) if cool != hot else ():
+            for change in editor.candidate_changes(hot, cool) if cool != hot else ():
                 relief = (slowest - editor.slowest_after(change)) / change.move_count
                 if relief > most:
                     best = change
