--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -138,7 +138,7 @@
                 if spare != _FULL and spare != expert:
                     yield LayerChange((RankEdit(hot, spare, other), given))
 
-    def slowest_after(self, change: LayerChange) -> float:
+    def max_load_bound_after(self, change: LayerChange) -> float:
         """Return what ``slowest`` would be after ``change``."""
         deltas = self._deltas(change)
         before = sum(self._terms[rank] for rank in deltas)
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -130,7 +130,9 @@
         most = 0.0
         for cool in cool_ranks:
             for change in editor.candidate_changes(hot, cool) if cool != hot else ():
-                relief = (slowest - editor.slowest_after(change)) / change.move_count
+                relief = (
+                    slowest - editor.max_load_bound_after(change)
+                ) / change.move_count
                 if relief > most:
                     best = change
                     most = relief
