--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -150,7 +150,7 @@
             others = sum(term for rank, term in terms if rank not in deltas)
         return self._bound(others + after)
 
-    def make(self, change: LayerChange) -> None:
+    def apply(self, change: LayerChange) -> None:
         """Carry ``change`` out."""
         for rank, delta in self._deltas(change).items():
             self._terms[rank] = self._term_after(rank, delta)
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -111,7 +111,7 @@
         change = _best_change(editor)
         if change is None:
             break
-        editor.make(change)
+        editor.apply(change)
         moves += change.move_count
         worth = gain * (before - editor.max_load_bound) - cost * moves
         if worth > most:
