--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -158,7 +158,7 @@
         if found is not None:
             logger.info(
                 "Proposes %d moves, skew %.3f to %.3f.",
-                found.moves,
+                found.move_count,
                 found.skew_before,
                 found.skew_after,
             )
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -58,7 +58,7 @@
     """A map to propose, the moves it takes and the skew predicted without and with."""
 
     map: ExpertMap
-    moves: int
+    move_count: int
     skew_before: float
     skew_after: float
 
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -48,7 +48,7 @@
         ]
         places = sum(len(held) for layer in current.layers for held in layer)
         weights = self._weights
-        cost = weights.move_cost * found.moves / places
+        cost = weights.move_cost * found.move_count / places
         worth = (
             weights.skew_weight
             * weights.payback_periods
