--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -54,7 +54,7 @@
     hysteresis: float = _HYSTERESIS
 
 
-class Plan(NamedTuple):
+class MapPlan(NamedTuple):
     """A map to propose, the moves it takes and the skew predicted without and with."""
 
     map: ExpertMap
@@ -65,7 +65,7 @@
 
 def plan(
     current: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
-) -> Plan | None:
+) -> MapPlan | None:
     """Return a better map than ``current`` for the load expected, or None to stay."""
     load = estimate.load
     if load is None:
@@ -93,7 +93,7 @@
     moves = current.count_moves_to(wanted)
     if not moves:
         return None
-    return Plan(wanted, moves, map_skew(current, load), map_skew(wanted, load))
+    return MapPlan(wanted, moves, map_skew(current, load), map_skew(wanted, load))
 
 
 def _plan_layer(editor: LayerEditor, *, gain: float, cost: float) -> LayerPlacement:
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.load_estimate import MapLoad
     from kingcupwheel.expertmaps.maps import ExpertMap
-    from kingcupwheel.expertmaps.planner import Plan
+    from kingcupwheel.expertmaps.planner import MapPlan
     from kingcupwheel.expertmaps.protocol import ExpertLoadsReply
     from kingcupwheel.expertmaps.protocol import VersionedMap
     from kingcupwheel.manifest.schema import ExpertLayout
@@ -46,7 +46,7 @@
         self._asked = 0.0
         self._reply_by_rank: dict[int, ExpertLoadsReply] = {}
         self._questions: queue.Queue[_Question | None] = queue.Queue(1)
-        self._plan: Plan | None = None
+        self._plan: MapPlan | None = None
         self._thread = Thread(target=self._run, name="planner", daemon=True)
 
     def start(self) -> None:
@@ -86,7 +86,7 @@
         except queue.Full:
             logger.warning("Planner is behind.")
 
-    def offer(self) -> Plan | None:
+    def offer(self) -> MapPlan | None:
         """Return a plan once it is there, and forget it."""
         found, self._plan = self._plan, None
         return found
