--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -63,7 +63,7 @@
     skew_after: float
 
 
-def plan(
+def plan_map(
     current: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
 ) -> MapPlan | None:
     """Return a better map than ``current`` for the load expected, or None to stay."""
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 from kingcupwheel.expertmaps.protocol import ExpertLoadsRequest
 
 
@@ -94,7 +94,9 @@
     def _run(self) -> None:
         while (question := self._questions.get()) is not None:
             try:
-                self._plan = plan(question.current, question.estimate, question.weights)
+                self._plan = plan_map(
+                    question.current, question.estimate, question.weights
+                )
             except Exception:
                 logger.exception("Planning failed.")
 
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -9,7 +9,7 @@
 from kingcupwheel.expertmaps.maps import LayerPlacement
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 
 
 if TYPE_CHECKING:
@@ -75,5 +75,5 @@
         self._moving = skew > (_LOW_SKEW if self._moving else _HIGH_SKEW)
         if not self._moving:
             return current
-        found = plan(current, estimate, PlanWeights(1.0, 0.0))
+        found = plan_map(current, estimate, PlanWeights(1.0, 0.0))
         return found.map if found else current
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -14,7 +14,7 @@
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         self._periods += 1
         if estimate.load is not None:
             self._loads.append(estimate.load)
-        found = plan(current, estimate, self._weights)
+        found = plan_map(current, estimate, self._weights)
         if found is None:
             return current
         gains = [
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -16,7 +16,7 @@
 from kingcupwheel.expertmaps.maps import build_even_map
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 from kingcupwheel.manifest.schema import ExpertLayout
 from tools.map_baselines import PlainHysteresis
 from tools.map_baselines import longest_first
@@ -84,7 +84,7 @@
 
     def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
-        found = plan(current, estimate, self._weights)
+        found = plan_map(current, estimate, self._weights)
         return found.map if found else current
 
 
