--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -32,7 +32,7 @@
 from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
-class Hold(NamedTuple):
+class StepHold(NamedTuple):
     """A version neither committed nor aborted; no step from ``step`` on is run."""
 
     version: MapVersion
@@ -49,7 +49,7 @@
     step: int = 0
     schedule: MapSchedule | None = None
     staged: VersionedMap | None = None
-    hold: Hold | None = None
+    hold: StepHold | None = None
     highest: MapVersion = NO_VERSION
     life: str = ""
 
@@ -130,7 +130,7 @@
     if state.step < state.schedule.from_step:
         # A schedule holds two maps; a third must wait until the first is over.
         return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
-    held = state._replace(hold=Hold(version, order.step), highest=version)
+    held = state._replace(hold=StepHold(version, order.step), highest=version)
     return held, PrepareReply(version)
 
 
@@ -141,7 +141,7 @@
         return state, answer
     if version <= state.highest:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
-    return state._replace(hold=Hold(version, 0), highest=version), answer
+    return state._replace(hold=StepHold(version, 0), highest=version), answer
 
 
 def _commit(state: RankState, order: CommitOrder) -> Applied:
