--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -51,7 +51,7 @@
     staged: VersionedMap | None = None
     hold: StepHold | None = None
     highest: MapVersion = NO_VERSION
-    life: str = ""
+    incarnation: str = ""
 
     @property
     def may_run(self) -> bool:
@@ -136,7 +136,7 @@
 
 def _supersede(state: RankState, order: SupersedeOrder) -> Applied:
     version = order.version
-    answer = SupersedeReply(version, state.schedule, state.life)
+    answer = SupersedeReply(version, state.schedule, state.incarnation)
     if state.hold is not None and state.hold.version == version:
         return state, answer
     if version <= state.highest:
@@ -150,7 +150,7 @@
         return state, CommitReply(version)
     if state.hold is None or state.hold.version != version:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
-    if order.schedule is not None and order.incarnation != state.life:
+    if order.schedule is not None and order.incarnation != state.incarnation:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
     schedule = order.schedule or _own_schedule(state, version)
     if schedule is None:
