--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -50,7 +50,7 @@
     schedule: MapSchedule | None = None
     staged: VersionedMap | None = None
     hold: StepHold | None = None
-    highest: MapVersion = NO_VERSION
+    highest_version: MapVersion = NO_VERSION
     incarnation: str = ""
 
     @property
@@ -121,7 +121,7 @@
         return state, PrepareReply(version)
     if state.schedule is None:
         return _refuse(state, version, RefusalReason.RESTARTED)
-    if version <= state.highest:
+    if version <= state.highest_version:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
     if state.staged is None or state.staged.origin_version != version:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
@@ -139,7 +139,7 @@
     answer = SupersedeReply(version, state.schedule, state.incarnation)
     if state.hold is not None and state.hold.version == version:
         return state, answer
-    if version <= state.highest:
+    if version <= state.highest_version:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
     return state._replace(hold=StepHold(version, 0), highest=version), answer
 
@@ -172,7 +172,7 @@
         return _refuse(state, version, RefusalReason.ALREADY_COMMITTED)
     # Remembering the aborted version is what keeps a prepare that its abort overtook
     # from holding this rank, and with it the group, for ever.
-    highest = max(state.highest, version)
+    highest = max(state.highest_version, version)
     held = state.hold is not None and state.hold.version == version
     hold = None if held else state.hold
     return state._replace(hold=hold, highest=highest), AbortReply(version)
