--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -77,10 +77,10 @@
         )
 
 
-Applied = tuple[RankState, RankReply]
+OrderResult = tuple[RankState, RankReply]
 
 
-def apply_order(state: RankState, order: RankOrder) -> Applied:
+def apply_order(state: RankState, order: RankOrder) -> OrderResult:
     """Return the rank's state after ``order`` and its reply; orders are idempotent."""
     match order:
         case StageOrder():
@@ -98,11 +98,13 @@
             return state, StateReply(number, state.status, schedule)
 
 
-def _refuse(state: RankState, version: MapVersion, reason: RefusalReason) -> Applied:
+def _refuse(
+    state: RankState, version: MapVersion, reason: RefusalReason
+) -> OrderResult:
     return state, RefusalReply(version, reason)
 
 
-def _stage(state: RankState, order: StageOrder) -> Applied:
+def _stage(state: RankState, order: StageOrder) -> OrderResult:
     if state.schedule is None:
         return _refuse(state, order.version, RefusalReason.RESTARTED)
     if state.staged is not None and order.version < state.staged.origin_version:
@@ -115,7 +117,7 @@
     return state._replace(staged=staged), StageReply(order.version, state.step)
 
 
-def _prepare(state: RankState, order: PrepareOrder) -> Applied:
+def _prepare(state: RankState, order: PrepareOrder) -> OrderResult:
     version = order.version
     if state.hold is not None and state.hold.version == version:
         return state, PrepareReply(version)
@@ -134,7 +136,7 @@
     return held, PrepareReply(version)
 
 
-def _supersede(state: RankState, order: SupersedeOrder) -> Applied:
+def _supersede(state: RankState, order: SupersedeOrder) -> OrderResult:
     version = order.version
     answer = SupersedeReply(version, state.schedule, state.incarnation)
     if state.hold is not None and state.hold.version == version:
@@ -144,7 +146,7 @@
     return state._replace(hold=StepHold(version, 0), highest=version), answer
 
 
-def _commit(state: RankState, order: CommitOrder) -> Applied:
+def _commit(state: RankState, order: CommitOrder) -> OrderResult:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return state, CommitReply(version)
@@ -166,7 +168,7 @@
     return MapSchedule(version, state.schedule.new_map, state.staged, state.hold.step)
 
 
-def _abort(state: RankState, order: AbortOrder) -> Applied:
+def _abort(state: RankState, order: AbortOrder) -> OrderResult:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return _refuse(state, version, RefusalReason.ALREADY_COMMITTED)
