--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -114,7 +114,7 @@
         return True
 
     def _pass_on(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
-        result = self._rank_api.give(order, fence=message.fence)
+        result = self._rank_api.send_order(order, fence=message.fence)
         if result.is_error():
             logger.debug("Rank did not answer: %s.", result.error.detail)
             return
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -44,7 +44,9 @@
 class RankApi(Protocol):
     """A plug-in for one kind of rank; calls block for a bounded time."""
 
-    def give(self, order: AnyOrder, *, fence: int) -> Result[AnyReply, RankUnreachable]:
+    def send_order(
+        self, order: AnyOrder, *, fence: int
+    ) -> Result[AnyReply, RankUnreachable]:
         """Have the rank take ``order``; an engine may check ``fence`` or ignore it."""
 
 
