--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -88,7 +88,9 @@
         timeout = urllib3.Timeout(total=timeout_s)
         self._pool = urllib3.PoolManager(maxsize=2, timeout=timeout, retries=False)
 
-    def give(self, order: AnyOrder, *, fence: int) -> Result[AnyReply, RankUnreachable]:
+    def send_order(
+        self, order: AnyOrder, *, fence: int
+    ) -> Result[AnyReply, RankUnreachable]:
         """Have the rank take ``order``."""
         method, path = endpoint_of(order)
         body = None
