--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -62,7 +62,7 @@
     path: str
 
 
-def endpoint_of(order: AnyOrder) -> _Endpoint:
+def get_endpoint(order: AnyOrder) -> _Endpoint:
     """Return where ``order`` goes."""
     match order:
         case StageOrder():
@@ -92,7 +92,7 @@
         self, order: AnyOrder, *, fence: int
     ) -> Result[AnyReply, RankUnreachable]:
         """Have the rank take ``order``."""
-        method, path = endpoint_of(order)
+        method, path = get_endpoint(order)
         body = None
         if method == "POST":
             body = msgspec.json.encode(RankCall(fence, order))
