--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -60,7 +60,7 @@
         self._thread = Thread(target=self._run, name="rank", daemon=True)
 
     @property
-    def fence(self) -> int | None:
+    def highest_fence(self) -> int | None:
         """The highest fence seen, None before any was learnt."""
         return self._guard.highest_fence
 
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -134,7 +134,7 @@
         """Take a message of this service; others are ignored."""
         match message, link:
             case MapOrder(), _ if message.group == self._group:
-                if message.fence >= (self._worker.fence or 0):
+                if message.fence >= (self._worker.highest_fence or 0):
                     self._heard = monotonic()
                 self._worker.take(link, message)
             case MapReply(), OutgoingLink(address) if message.group == self._group:
