--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -73,7 +73,7 @@
         self._waiting.put(None)
         self._thread.join()
 
-    def take(self, link: Link, message: MapOrder) -> None:
+    def enqueue(self, link: Link, message: MapOrder) -> None:
         """Queue an order; returns at once."""
         try:
             self._waiting.put_nowait((link, message))
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -136,7 +136,7 @@
             case MapOrder(), _ if message.group == self._group:
                 if message.fence >= (self._worker.highest_fence or 0):
                     self._heard = monotonic()
-                self._worker.take(link, message)
+                self._worker.enqueue(link, message)
             case MapReply(), OutgoingLink(address) if message.group == self._group:
                 now = monotonic()
                 # A holder that was paused finds answers waiting before its next tick.
