--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -33,7 +33,7 @@
 _WAITING = 8
 
 
-class RankWorker:
+class OrderForwarder:
     """Gives orders to the rank one at a time, on a thread of its own.
 
     One at a time, so that an order of a former coordinator reaches the rank before
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -19,7 +19,7 @@
 from kingcupwheel.expertmaps.lease import Lease
 from kingcupwheel.expertmaps.lease import get_lease_fence
 from kingcupwheel.expertmaps.lease import lease_key
-from kingcupwheel.expertmaps.order_forwarder import RankWorker
+from kingcupwheel.expertmaps.order_forwarder import OrderForwarder
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.expertmaps import MapOrder
 from kingcupwheel.messages.expertmaps import MapReply
@@ -85,7 +85,7 @@
         self._group = group
         self._rank = rank
         self._timings = timings
-        self._worker = RankWorker(
+        self._worker = OrderForwarder(
             hub=hub,
             rank_api=rank_api,
             learn_fence=self._learn_fence,
