--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -150,7 +150,7 @@
         self._step(Tick(now))
         if not isinstance(self.phase, Ready):
             return
-        question = self._rebalancer.tick(now)
+        question = self._rebalancer.due_loads_request(now)
         if question is not None:
             for address in self._address_by_rank.values():
                 self._post(address, question)
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -58,7 +58,7 @@
         self._questions.put(None)
         self._thread.join()
 
-    def tick(self, now: float) -> ExpertLoadsRequest | None:
+    def due_loads_request(self, now: float) -> ExpertLoadsRequest | None:
         """Return what to ask all ranks when a period is over."""
         if now - self._asked < self._layout.rebalance_every_s:
             return None
