--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -179,7 +179,7 @@
     def _take_loads(self, rank: int, loads: ExpertLoadsReply) -> None:
         schedule = self._coordinator.schedule
         if schedule is not None:
-            self._rebalancer.take(rank, loads, schedule.new_map)
+            self._rebalancer.add_reply(rank, loads, schedule.new_map)
 
     def _step(self, event: Event) -> None:
         before = self.phase
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -67,7 +67,9 @@
         self._reply_by_rank.clear()
         return ExpertLoadsRequest(self._round)
 
-    def take(self, rank: int, reply: ExpertLoadsReply, current: VersionedMap) -> None:
+    def add_reply(
+        self, rank: int, reply: ExpertLoadsReply, current: VersionedMap
+    ) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
         if reply.round != self._round or reply.origin_version != current.origin_version:
             return
