--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -154,7 +154,7 @@
         if question is not None:
             for address in self._address_by_rank.values():
                 self._post(address, question)
-        found = self._rebalancer.offer()
+        found = self._rebalancer.take_plan()
         if found is not None:
             logger.info(
                 "Proposes %d moves, skew %.3f to %.3f.",
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -88,7 +88,7 @@
         except queue.Full:
             logger.warning("Planner is behind.")
 
-    def offer(self) -> MapPlan | None:
+    def take_plan(self) -> MapPlan | None:
         """Return a plan once it is there, and forget it."""
         found, self._plan = self._plan, None
         return found
