--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -55,7 +55,7 @@
     ``members_s``.
     """
 
-    ttl_s: float = 3.0
+    lease_ttl_s: float = 3.0
     renew_s: float = 1.0
     patience_s: float = 5.0
     turn_s: float = 1.0
@@ -99,7 +99,9 @@
             layout=layout,
             timings=timings.coordinator,
         )
-        self._lease = Lease(platform, group=group, holder=name, ttl_s=timings.ttl_s)
+        self._lease = Lease(
+            platform, group=group, holder=name, ttl_s=timings.lease_ttl_s
+        )
         self._led_fence = 0
         self._members: frozenset[str] = frozenset()
         self._heard = monotonic() - timings.patience_s
