--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -56,7 +56,7 @@
     """
 
     lease_ttl_s: float = 3.0
-    renew_s: float = 1.0
+    renew_interval_s: float = 1.0
     patience_s: float = 5.0
     turn_s: float = 1.0
     members_s: float = 5.0
@@ -169,7 +169,7 @@
 
     def _keep_lease(self) -> None:
         members_read = 0.0
-        while not self._stopping.wait(self._timings.renew_s):
+        while not self._stopping.wait(self._timings.renew_interval_s):
             now = monotonic()
             try:
                 self._follow_lease(now)
@@ -201,7 +201,7 @@
     def _members_s(self) -> float:
         """How often the list is read; more often while a rank's agent is missing."""
         settled = self._leader.has_all_addresses
-        return self._timings.members_s if settled else self._timings.renew_s
+        return self._timings.members_s if settled else self._timings.renew_interval_s
 
     def _read_members(self) -> None:
         result = self._platform.instances()
