--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -57,7 +57,7 @@
 
     lease_ttl_s: float = 3.0
     renew_interval_s: float = 1.0
-    patience_s: float = 5.0
+    coordinator_timeout_s: float = 5.0
     turn_s: float = 1.0
     members_s: float = 5.0
     coordinator: CoordinatorTimings = DEFAULT_TIMINGS
@@ -104,7 +104,7 @@
         )
         self._led_fence = 0
         self._members: frozenset[str] = frozenset()
-        self._heard = monotonic() - timings.patience_s
+        self._heard = monotonic() - timings.coordinator_timeout_s
         self._resigning = Event()
         self._stopping = Event()
         self._thread = Thread(target=self._keep_lease, name="lease", daemon=True)
@@ -195,7 +195,7 @@
         if self._rank < _WATCHERS:
             return 0.0
         turn = min(self._rank, _TURNS)
-        return self._timings.patience_s + turn * self._timings.turn_s
+        return self._timings.coordinator_timeout_s + turn * self._timings.turn_s
 
     @property
     def _members_s(self) -> float:
