--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -58,7 +58,7 @@
     lease_ttl_s: float = 3.0
     renew_interval_s: float = 1.0
     coordinator_timeout_s: float = 5.0
-    turn_s: float = 1.0
+    takeover_stagger_s: float = 1.0
     members_s: float = 5.0
     coordinator: CoordinatorTimings = DEFAULT_TIMINGS
 
@@ -195,7 +195,10 @@
         if self._rank < _WATCHERS:
             return 0.0
         turn = min(self._rank, _TURNS)
-        return self._timings.coordinator_timeout_s + turn * self._timings.turn_s
+        return (
+            self._timings.coordinator_timeout_s
+            + turn * self._timings.takeover_stagger_s
+        )
 
     @property
     def _members_s(self) -> float:
