--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -59,7 +59,7 @@
     renew_interval_s: float = 1.0
     coordinator_timeout_s: float = 5.0
     takeover_stagger_s: float = 1.0
-    members_s: float = 5.0
+    instances_interval_s: float = 5.0
     coordinator: CoordinatorTimings = DEFAULT_TIMINGS
 
 
@@ -204,7 +204,11 @@
     def _members_s(self) -> float:
         """How often the list is read; more often while a rank's agent is missing."""
         settled = self._leader.has_all_addresses
-        return self._timings.members_s if settled else self._timings.renew_interval_s
+        return (
+            self._timings.instances_interval_s
+            if settled
+            else self._timings.renew_interval_s
+        )
 
     def _read_members(self) -> None:
         result = self._platform.instances()
