--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -43,7 +43,7 @@
 _TURNS = 4
 
 
-class MapTimings(NamedTuple):
+class MapServiceTimings(NamedTuple):
     """Times in seconds.
 
     A lease runs ``ttl_s``; it is renewed, and looked at by the watchers, every
@@ -63,7 +63,7 @@
     coordinator: CoordinatorTimings = DEFAULT_TIMINGS
 
 
-DEFAULT_MAP_TIMINGS = MapTimings()
+DEFAULT_MAP_TIMINGS = MapServiceTimings()
 
 
 class MapService:
@@ -79,7 +79,7 @@
         group: str,
         rank: int,
         layout: ExpertLayout,
-        timings: MapTimings = DEFAULT_MAP_TIMINGS,
+        timings: MapServiceTimings = DEFAULT_MAP_TIMINGS,
     ) -> None:
         self._platform = platform
         self._group = group
