--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -63,7 +63,7 @@
     coordinator: CoordinatorTimings = DEFAULT_TIMINGS
 
 
-DEFAULT_MAP_TIMINGS = MapServiceTimings()
+DEFAULT_SERVICE_TIMINGS = MapServiceTimings()
 
 
 class MapService:
@@ -79,7 +79,7 @@
         group: str,
         rank: int,
         layout: ExpertLayout,
-        timings: MapServiceTimings = DEFAULT_MAP_TIMINGS,
+        timings: MapServiceTimings = DEFAULT_SERVICE_TIMINGS,
     ) -> None:
         self._platform = platform
         self._group = group
--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -15,7 +15,7 @@
 from tests.standins.ranks import Switch
 
 from kingcupwheel.expertmaps.phases import Preparing
-from kingcupwheel.expertmaps.service import DEFAULT_MAP_TIMINGS
+from kingcupwheel.expertmaps.service import DEFAULT_SERVICE_TIMINGS
 from kingcupwheel.manifest.schema import ExpertLayout
 
 
@@ -54,7 +54,7 @@
     """Return the traffic of the leader and of another agent of an idle group."""
     fleet = Fleet(
         layout=layout(ranks, layers=LAYERS, every_s=10.0),
-        timings=DEFAULT_MAP_TIMINGS,
+        timings=DEFAULT_SERVICE_TIMINGS,
         step_s=STEP_S,
     )
     fleet.start()
@@ -78,7 +78,9 @@
 
 def stall(how: str) -> float:
     """Lose the coordinator of a group in the middle of a change."""
-    fleet = Fleet(layout=layout(4, layers=2, every_s=1.0), timings=DEFAULT_MAP_TIMINGS)
+    fleet = Fleet(
+        layout=layout(4, layers=2, every_s=1.0), timings=DEFAULT_SERVICE_TIMINGS
+    )
     fleet.start()
     try:
         leader = leader_of(fleet)
