--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -110,7 +110,7 @@
         self._thread = Thread(target=self._keep_lease, name="lease", daemon=True)
 
     @property
-    def leads(self) -> bool:
+    def is_coordinating(self) -> bool:
         """Whether this agent coordinates its group."""
         return self._leader.is_coordinating
 
