--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -115,7 +115,7 @@
         return self._leader.is_coordinating
 
     @property
-    def leader(self) -> CoordinatorDriver:
+    def coordinator_driver(self) -> CoordinatorDriver:
         """The coordinator's side."""
         return self._leader
 
