--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -84,14 +84,14 @@
     fleet.start()
     try:
         leader = leader_of(fleet)
-        leader.lost_when = lambda phase: (
+        leader.freeze_condition = lambda phase: (
             isinstance(phase, Preparing) and bool(phase.acked)
         )
         with fleet.group.lock:
             switch = Switch(hot=(0, 4), factor=8.0)
             fleet.group.switch(fleet.group.ranks[0], switch)
         fleet.until(lambda: not leader.running.is_set())
-        leader.lost_when = lambda _: False
+        leader.freeze_condition = lambda _: False
         if how == "kill":
             leader.kill()
         others = [agent for agent in fleet.agents if agent is not leader]
