--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -98,7 +98,7 @@
         fleet.until(lambda: any(agent.service.is_coordinating for agent in others))
         if how == "kill":
             fleet.replace(leader)
-        leader.thaw()
+        leader.resume()
         fleet.steps_on(200)
         report = fleet.group.seen()
         assert report.mixed == []
