--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -45,7 +45,7 @@
 def leader_of(fleet: Fleet) -> Agent:
     """Wait for a coordinator whose group steps."""
     fleet.until(lambda: fleet.coordinating_agent is not None)
-    fleet.steps_on()
+    fleet.wait_for_steps()
     assert fleet.coordinating_agent is not None
     return fleet.coordinating_agent
 
@@ -99,7 +99,7 @@
         if how == "kill":
             fleet.replace(leader)
         leader.resume()
-        fleet.steps_on(200)
+        fleet.wait_for_steps(200)
         report = fleet.group.seen()
         assert report.mixed == []
         return report.longest_stall_s
