--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -59,7 +59,7 @@
 
 class _Attempt(NamedTuple):
     nonce: str
-    started: float
+    started_at: float
     fence: int
 
 
@@ -192,10 +192,10 @@
     def _recent_attempts(self) -> list[_Attempt]:
         """Return the writes that, if they took effect, still give the lease."""
         since = self._clock() - self._ttl_s
-        return [attempt for attempt in self._attempts if attempt.started > since]
+        return [attempt for attempt in self._attempts if attempt.started_at > since]
 
     def _hold(self, attempt: _Attempt, version: int) -> None:
-        until = attempt.started + self._ttl_s
+        until = attempt.started_at + self._ttl_s
         self._holding = HeldLease(attempt.fence or version, version, until)
 
 
