--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -65,7 +65,7 @@
 
 class _Sighting(NamedTuple):
     version: int
-    since: float
+    first_seen_at: float
 
 
 def lease_key(group: str) -> str:
@@ -136,7 +136,7 @@
             return get_lease_fence(found)
         if self._sighting is None or self._sighting.version != version:
             self._sighting = _Sighting(version, now)
-        lapsed = now - self._sighting.since >= self._ttl_s * _CLOCK_SLACK
+        lapsed = now - self._sighting.first_seen_at >= self._ttl_s * _CLOCK_SLACK
         if found is None or not _decode(found).holder or lapsed:
             self._write(version, fence=0)
         return get_lease_fence(found)
