--- a/src/kingcupwheel/agent/maps.py
+++ b/src/kingcupwheel/agent/maps.py
@@ -64,7 +64,7 @@
             hub=self._hub,
             platform=self._platform,
             rank_api=rank_api,
-            name=self._name,
+            agent_name=self._name,
             group=self._group,
             rank=server.rank,
             layout=layout,
--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -85,22 +85,22 @@
     def __init__(
         self,
         *,
-        ranks: int,
-        initial: ExpertMap,
+        rank_count: int,
+        initial_map: ExpertMap,
         expert_bytes: int = 0,
         timings: CoordinatorTimings = DEFAULT_TIMINGS,
     ) -> None:
-        self._ranks = ranks
-        self._initial = initial
+        self._rank_count = rank_count
+        self._initial_map = initial_map
         self._expert_bytes = expert_bytes
         self._timings = timings
         self._version = NO_VERSION
         self._phase: Phase = Standby()
         self._round = 0
         self._schedule: MapSchedule | None = None
-        self._since = 0.0
-        self._sent = 0.0
-        self._pace = StepRate()
+        self._phase_started_at = 0.0
+        self._last_sent_at = 0.0
+        self._step_rate = StepRate()
 
     @property
     def phase(self) -> Phase:
@@ -124,55 +124,61 @@
                 # Versions of this lease start anew under a fence never used before.
                 self._version = NO_VERSION._replace(fence=fence)
                 self._schedule = None
-                return self._enter(self._survey(), now)
+                return self._enter_phase(self._new_surveying_phase(), now)
             case LeaseLost():
                 self._phase = Standby()
                 return []
             case MapProposed(expert_map, now):
-                return self._propose(expert_map, now)
+                return self._handle_proposal(expert_map, now)
             case Tick(now):
-                return self._tick(now)
+                return self._handle_tick(now)
             case ReplyReceived(rank, reply, now):
-                following = self._reply(rank, reply, now)
+                following = self._handle_reply(rank, reply, now)
                 if following is None:
                     return []
-                return self._enter(following, now)
+                return self._enter_phase(following, now)
 
-    def _enter(self, phase: Phase, now: float) -> list[OutgoingOrder]:
+    def _enter_phase(self, phase: Phase, now: float) -> list[OutgoingOrder]:
         """Go to ``phase``; unless it only goes on, tell its ranks at once."""
         goes_on = phase_key(phase) == phase_key(self._phase)
         self._phase = phase
         if goes_on:
             return []
-        self._since = now
-        return self._orders(now)
+        self._phase_started_at = now
+        return self._collect_orders(now)
 
-    def _orders(self, now: float) -> list[OutgoingOrder]:
-        self._sent = now
-        wanted = (pending_order(self._phase, rank, now) for rank in range(self._ranks))
+    def _collect_orders(self, now: float) -> list[OutgoingOrder]:
+        self._last_sent_at = now
+        wanted = (
+            pending_order(self._phase, rank, now) for rank in range(self._rank_count)
+        )
         return [
             OutgoingOrder(rank, order) for rank, order in enumerate(wanted) if order
         ]
 
-    def _tick(self, now: float) -> list[OutgoingOrder]:
+    def _handle_tick(self, now: float) -> list[OutgoingOrder]:
         match self._phase:
             case Staging(version, start_times=due) if (
                 now - due[-1] > self._timings.stage_timeout_s
             ):
-                return self._enter(Aborting(version, frozenset()), now)
+                return self._enter_phase(Aborting(version, frozenset()), now)
             case Preparing(version) if (
-                now - self._since > self._timings.prepare_timeout_s
+                now - self._phase_started_at > self._timings.prepare_timeout_s
+            ):
+                return self._enter_phase(Aborting(version, frozenset()), now)
+            case Ready() if (
+                now - self._phase_started_at >= self._timings.poll_interval_s
             ):
-                return self._enter(Aborting(version, frozenset()), now)
-            case Ready() if now - self._since >= self._timings.poll_interval_s:
-                self._phase = self._ready()
-                self._since = now
-                return self._orders(now)
-        if now - self._sent >= self._timings.retry_interval_s:
-            return self._orders(now)
+                self._phase = self._new_ready_phase()
+                self._phase_started_at = now
+                return self._collect_orders(now)
+        if now - self._last_sent_at >= self._timings.retry_interval_s:
+            return self._collect_orders(now)
         return []
 
-    def _propose(self, expert_map: ExpertMap, now: float) -> list[OutgoingOrder]:
+    def _handle_proposal(
+        self, expert_map: ExpertMap, now: float
+    ) -> list[OutgoingOrder]:
         if not isinstance(self._phase, Ready) or self._schedule is None:
             return []
         self._version = self._version.next()
@@ -186,44 +192,49 @@
         cells = base.map.diff_placements(expert_map)
         order = StageOrder(self._version, base.origin_version, cells)
         staging = Staging(
-            self._version, expert_map, order, due, frozenset(), self._pace.last_step
+            self._version,
+            expert_map,
+            order,
+            due,
+            frozenset(),
+            self._step_rate.last_step,
         )
-        return self._enter(staging, now)
+        return self._enter_phase(staging, now)
 
-    def _survey(self) -> Surveying:
+    def _new_surveying_phase(self) -> Surveying:
         self._round += 1
-        return Surveying(self._round, (None,) * self._ranks)
+        return Surveying(self._round, (None,) * self._rank_count)
 
-    def _ready(self) -> Ready:
+    def _new_ready_phase(self) -> Ready:
         self._round += 1
-        return Ready(self._round, (None,) * self._ranks)
+        return Ready(self._round, (None,) * self._rank_count)
 
-    def _hold(self) -> Holding:
+    def _new_holding_phase(self) -> Holding:
         self._version = self._version.next()
-        return Holding(self._version, (None,) * self._ranks)
+        return Holding(self._version, (None,) * self._rank_count)
 
-    def _reply(self, rank: int, reply: RankReply, now: float) -> Phase | None:
+    def _handle_reply(self, rank: int, reply: RankReply, now: float) -> Phase | None:
         """Return the phase that follows, or None if the reply changes nothing."""
         if isinstance(reply, RefusalReply):
-            return self._refused(reply)
+            return self._handle_refusal(reply)
         match self._phase, reply:
             case Surveying(number) as phase, StateReply(of) if of == number:
-                return self._surveyed(phase, rank, reply)
+                return self._handle_survey_reply(phase, rank, reply)
             case Ready(number) as phase, StateReply(of) if of == number:
-                return self._polled(phase, rank, reply, now)
+                return self._handle_poll_reply(phase, rank, reply, now)
             case Holding(version) as phase, SupersedeReply(of) if of == version:
-                return self._held(phase, rank, reply)
+                return self._handle_supersede_reply(phase, rank, reply)
             case Staging(version) as phase, StageReply(of, step) if of == version:
-                return self._staged(phase, rank, step)
+                return self._handle_stage_reply(phase, rank, step)
             case Preparing(version) as phase, PrepareReply(of) if of == version:
-                return self._prepared(phase, rank)
+                return self._handle_prepare_reply(phase, rank)
             case Committing(version) as phase, CommitReply(of) if of == version:
-                return self._committed(phase, rank)
+                return self._handle_commit_reply(phase, rank)
             case Aborting(version) as phase, AbortReply(of) if of == version:
-                return self._aborted(phase, rank)
+                return self._handle_abort_reply(phase, rank)
         return None
 
-    def _refused(self, reply: RefusalReply) -> Phase | None:
+    def _handle_refusal(self, reply: RefusalReply) -> Phase | None:
         if reply.reason is RefusalReason.STALE_FENCE:
             return Standby()
         match self._phase:
@@ -233,72 +244,76 @@
             case Staging(version) | Preparing(version) if version == reply.version:
                 return Aborting(version, frozenset())
             case Committing(version) if version == reply.version:
-                return self._commit_refused(reply.reason)
+                return self._handle_commit_refusal(reply.reason)
         return None
 
-    def _commit_refused(self, reason: RefusalReason) -> Phase | None:
+    def _handle_commit_refusal(self, reason: RefusalReason) -> Phase | None:
         match reason:
             case RefusalReason.NOT_PREPARED | RefusalReason.NOT_STAGED:
                 # The rank has restarted since it prepared: it must be told its map.
-                return self._hold()
+                return self._new_holding_phase()
             case _:
                 return None
 
-    def _surveyed(self, phase: Surveying, rank: int, reply: StateReply) -> Phase:
+    def _handle_survey_reply(
+        self, phase: Surveying, rank: int, reply: StateReply
+    ) -> Phase:
         answers = with_answer(phase.answers, rank, reply)
         known = [answer for answer in answers if answer is not None]
         if not all(
             is_settled(answer, known[0].status.committed_version) for answer in known
         ):
-            return self._hold()
-        if len(known) < self._ranks:
+            return self._new_holding_phase()
+        if len(known) < self._rank_count:
             return replace(phase, answers=answers)
         self._schedule = known[0].schedule
-        return self._ready()
+        return self._new_ready_phase()
 
-    def _polled(
+    def _handle_poll_reply(
         self, phase: Ready, rank: int, reply: StateReply, now: float
     ) -> Phase | None:
         if self._schedule is None or not is_settled(reply, self._schedule.version):
-            return self._hold()
-        self._pace = self._pace.with_observation(reply.status.step, now)
+            return self._new_holding_phase()
+        self._step_rate = self._step_rate.with_observation(reply.status.step, now)
         return replace(phase, answers=with_answer(phase.answers, rank, reply))
 
-    def _held(self, phase: Holding, rank: int, reply: SupersedeReply) -> Phase:
+    def _handle_supersede_reply(
+        self, phase: Holding, rank: int, reply: SupersedeReply
+    ) -> Phase:
         answers = with_answer(phase.answers, rank, reply)
         if None in answers:
             return replace(phase, answers=answers)
         held = [answer for answer in answers if answer is not None]
         found = [answer.schedule for answer in held]
-        schedule = build_recovery_schedule(phase.version, found, self._initial)
+        schedule = build_recovery_schedule(phase.version, found, self._initial_map)
         lives = tuple(answer.incarnation for answer in held)
         return Committing(phase.version, schedule, lives, frozenset())
 
-    def _staged(self, phase: Staging, rank: int, step: int) -> Phase:
+    def _handle_stage_reply(self, phase: Staging, rank: int, step: int) -> Phase:
         acked = phase.acked | {rank}
         highest = max(phase.step, step)
-        if len(acked) < self._ranks:
+        if len(acked) < self._rank_count:
             return replace(phase, acked=acked, step=highest)
-        step = highest + self._pace.steps_in(self._timings.switch_lead_s)
+        step = highest + self._step_rate.steps_in(self._timings.switch_lead_s)
         return Preparing(phase.version, phase.map, step, frozenset())
 
-    def _prepared(self, phase: Preparing, rank: int) -> Phase:
+    def _handle_prepare_reply(self, phase: Preparing, rank: int) -> Phase:
         acked = phase.acked | {rank}
-        if len(acked) < self._ranks or self._schedule is None:
+        if len(acked) < self._rank_count or self._schedule is None:
             return replace(phase, acked=acked)
         after = VersionedMap(phase.version, phase.map)
         schedule = MapSchedule(phase.version, self._schedule.new_map, after, phase.step)
         return Committing(phase.version, schedule, None, frozenset())
 
-    def _committed(self, phase: Committing, rank: int) -> Phase:
+    def _handle_commit_reply(self, phase: Committing, rank: int) -> Phase:
         acked = phase.acked | {rank}
-        if len(acked) < self._ranks:
+        if len(acked) < self._rank_count:
             return replace(phase, acked=acked)
         self._schedule = phase.schedule
-        return self._ready()
+        return self._new_ready_phase()
 
-    def _aborted(self, phase: Aborting, rank: int) -> Phase:
+    def _handle_abort_reply(self, phase: Aborting, rank: int) -> Phase:
         acked = phase.acked | {rank}
-        if len(acked) < self._ranks:
+        if len(acked) < self._rank_count:
             return replace(phase, acked=acked)
-        return self._ready()
+        return self._new_ready_phase()
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -24,7 +24,7 @@
 # steps a second are assumed. Too many only delays the switch, too few pauses ranks.
 _ASSUMED_STEPS_PER_S = 250.0
 # A pace measured over less than this is mostly the spread of message delays.
-_PACE_WINDOW_S = 0.5
+_MIN_RATE_WINDOW_S = 0.5
 
 
 class StepRate(NamedTuple):
@@ -36,7 +36,7 @@
 
     def with_observation(self, step: int, now: float) -> StepRate:
         """Return the pace after a rank was at ``step`` at ``now``."""
-        if now - self.observed_at < _PACE_WINDOW_S:
+        if now - self.observed_at < _MIN_RATE_WINDOW_S:
             return self
         if self.observed_at and step > self.last_step:
             return StepRate(
@@ -64,7 +64,7 @@
 
 
 def build_recovery_schedule(
-    version: MapVersion, found: Iterable[MapSchedule | None], initial: ExpertMap
+    version: MapVersion, schedules: Iterable[MapSchedule | None], initial_map: ExpertMap
 ) -> MapSchedule:
     """Return what to commit as ``version``: the highest that any rank has committed.
 
@@ -73,16 +73,20 @@
     the map that others may already have used. ``initial`` is for a group none of whose
     ranks has a map.
     """
-    known = [schedule for schedule in found if schedule is not None]
+    known = [schedule for schedule in schedules if schedule is not None]
     if not known:
-        first = VersionedMap(version, initial)
+        first = VersionedMap(version, initial_map)
         return MapSchedule(version, first, first, 0)
     highest = max(known, key=lambda schedule: schedule.version)
     return MapSchedule(version, highest.old_map, highest.new_map, highest.from_step)
 
 
 def staging_start_times(
-    current: ExpertMap, wanted: ExpertMap, *, now: float, seconds_per_expert: float
+    current_map: ExpertMap,
+    target_map: ExpertMap,
+    *,
+    now: float,
+    seconds_per_expert: float,
 ) -> tuple[float, ...]:
     """Return when each rank may start to load weights (monotonic seconds).
 
@@ -92,11 +96,11 @@
     """
     turns = []
     due = now
-    for rank in range(wanted.rank_count):
+    for rank in range(target_map.rank_count):
         turns.append(due)
         loads = sum(
             len(set(new[rank]) - set(old[rank]))
-            for old, new in zip(current.layers, wanted.layers, strict=True)
+            for old, new in zip(current_map.layers, target_map.layers, strict=True)
         )
         due += loads * seconds_per_expert
     return tuple(turns)
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -41,9 +41,9 @@
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
 # A state machine's rounds start at 1, so answers to this one are for the leader alone.
-_PROBE = StateRequest(0)
+_PROBE_REQUEST = StateRequest(0)
 # How often agents that have not said which rank they speak for are asked.
-_PROBE_S = 1.0
+_PROBE_INTERVAL_S = 1.0
 
 
 class CoordinatorDriver:
@@ -54,26 +54,26 @@
         *,
         hub: MessageHub,
         group: str,
-        name: str,
+        agent_name: str,
         layout: ExpertLayout,
         timings: CoordinatorTimings,
     ) -> None:
         self._hub = hub
         self._group = group
-        self._name = name
-        self._ranks = layout.ranks
+        self._agent_name = agent_name
+        self._rank_count = layout.ranks
         self._rebalancer = Rebalancer(layout)
         self._coordinator = Coordinator(
-            ranks=layout.ranks,
-            initial=build_even_map(layout),
+            rank_count=layout.ranks,
+            initial_map=build_even_map(layout),
             expert_bytes=layout.expert_bytes,
             timings=timings,
         )
         self._address_by_rank: dict[int, str] = {}
         self._fence = 0
         self._serial = 0
-        self._probed = 0.0
-        self._started = False
+        self._last_probe_at = 0.0
+        self._is_started = False
 
     @property
     def phase(self) -> Phase:
@@ -88,12 +88,12 @@
     @property
     def has_all_addresses(self) -> bool:
         """Whether an agent has spoken for every rank."""
-        return len(self._address_by_rank) == self._ranks
+        return len(self._address_by_rank) == self._rank_count
 
     @property
     def is_superseded(self) -> bool:
         """Whether a rank has told of a newer coordinator."""
-        return self._started and isinstance(self.phase, Standby)
+        return self._is_started and isinstance(self.phase, Standby)
 
     def start_planner(self) -> None:
         """Start the planning thread."""
@@ -107,8 +107,8 @@
         """Lead under ``fence`` once the agents of all ranks are known."""
         logger.info("Leads group %s under fence %d.", self._group, fence)
         self._fence = fence
-        self._probed = 0.0
-        self._started = False
+        self._last_probe_at = 0.0
+        self._is_started = False
         self._address_by_rank.clear()
 
     def stop_coordinating(self) -> None:
@@ -116,7 +116,7 @@
         if self.is_coordinating:
             logger.info("Leads group %s no longer.", self._group)
         self._fence = 0
-        self._started = False
+        self._is_started = False
         self._coordinator.handle_event(LeaseLost())
 
     def handle_reply(self, address: str, message: MapReply, now: float) -> None:
@@ -124,36 +124,36 @@
         if not self.is_coordinating or message.fence != self._fence:
             return
         decoded = decode_reply(message.reply)
-        if decoded.is_error() or not 0 <= message.rank < self._ranks:
+        if decoded.is_error() or not 0 <= message.rank < self._rank_count:
             logger.warning("Bad reply from %s.", message.agent)
             return
-        self._learn(message.rank, address)
-        if not self._started and self.has_all_addresses:
-            self._started = True
-            self._step(LeaseTaken(self._fence, now))
+        self._record_address(message.rank, address)
+        if not self._is_started and self.has_all_addresses:
+            self._is_started = True
+            self._handle_event(LeaseTaken(self._fence, now))
         match decoded.ok:
             case ExpertLoadsReply() as loads:
-                self._take_loads(message.rank, loads)
+                self._handle_loads(message.rank, loads)
             case reply:
-                self._step(ReplyReceived(message.rank, reply, now))
+                self._handle_event(ReplyReceived(message.rank, reply, now))
 
-    def tick(self, now: float, members: frozenset[str]) -> None:
+    def tick(self, now: float, agent_addresses: frozenset[str]) -> None:
         """Repeat what is unanswered and plan when it is time.
 
         ``members`` are the addresses of the group's agents.
         """
-        if now - self._probed >= _PROBE_S:
-            self._probed = now
-            self._probe(members)
-        if not self._started:
+        if now - self._last_probe_at >= _PROBE_INTERVAL_S:
+            self._last_probe_at = now
+            self._send_probes(agent_addresses)
+        if not self._is_started:
             return
-        self._step(Tick(now))
+        self._handle_event(Tick(now))
         if not isinstance(self.phase, Ready):
             return
         question = self._rebalancer.due_loads_request(now)
         if question is not None:
             for address in self._address_by_rank.values():
-                self._post(address, question)
+                self._send_order(address, question)
         found = self._rebalancer.take_plan()
         if found is not None:
             logger.info(
@@ -162,43 +162,43 @@
                 found.skew_before,
                 found.skew_after,
             )
-            self._step(MapProposed(found.map, now))
+            self._handle_event(MapProposed(found.map, now))
 
-    def _learn(self, rank: int, address: str) -> None:
+    def _record_address(self, rank: int, address: str) -> None:
         """Note where a rank's agent is; a replaced one speaks from a new address."""
         known = self._address_by_rank.get(rank)
         if known is not None and known != address:
             logger.warning("Rank %d moved from %s to %s.", rank, known, address)
         self._address_by_rank[rank] = address
 
-    def _probe(self, members: frozenset[str]) -> None:
+    def _send_probes(self, agent_addresses: frozenset[str]) -> None:
         """Ask agents that no rank is known of which rank they speak for."""
-        for address in sorted(members - set(self._address_by_rank.values())):
-            self._post(address, _PROBE)
+        for address in sorted(agent_addresses - set(self._address_by_rank.values())):
+            self._send_order(address, _PROBE_REQUEST)
 
-    def _take_loads(self, rank: int, loads: ExpertLoadsReply) -> None:
+    def _handle_loads(self, rank: int, loads: ExpertLoadsReply) -> None:
         schedule = self._coordinator.schedule
         if schedule is not None:
             self._rebalancer.add_reply(rank, loads, schedule.new_map)
 
-    def _step(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         before = self.phase
         sends = self._coordinator.handle_event(event)
         if phase_key(self.phase) != phase_key(before) and not isinstance(
             self.phase, Ready
         ):
             logger.info("Phase %s %s.", *phase_key(self.phase))
-        self._send(sends)
+        self._send_orders(sends)
 
-    def _send(self, sends: list[OutgoingOrder]) -> None:
+    def _send_orders(self, sends: list[OutgoingOrder]) -> None:
         for send in sends:
             address = self._address_by_rank.get(send.rank)
             if address is not None:
-                self._post(address, send.order)
+                self._send_order(address, send.order)
 
-    def _post(self, address: str, order: AnyOrder) -> None:
+    def _send_order(self, address: str, order: AnyOrder) -> None:
         self._serial += 1
         message = MapOrder(
-            self._group, self._fence, self._serial, self._name, encode(order)
+            self._group, self._fence, self._serial, self._agent_name, encode(order)
         )
         self._hub.send(OutgoingLink(address, 0), message)
--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -33,7 +33,7 @@
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
 # How much longer a watcher waits than the holder counts on, for clocks that run apart.
-_CLOCK_SLACK = 1.1
+_CLOCK_DRIFT_FACTOR = 1.1
 _NONCE_BYTES = 8
 
 
@@ -57,13 +57,13 @@
     valid_until: float
 
 
-class _Attempt(NamedTuple):
+class _WriteAttempt(NamedTuple):
     nonce: str
     started_at: float
     fence: int
 
 
-class _Sighting(NamedTuple):
+class _ObservedVersion(NamedTuple):
     version: int
     first_seen_at: float
 
@@ -77,7 +77,7 @@
     """Return the fence of the lease as read from the platform, 0 without a lease."""
     if found is None:
         return 0
-    return _decode(found).fence or found.version
+    return _decode_record(found).fence or found.version
 
 
 class Lease:
@@ -101,9 +101,9 @@
         self._holder = holder
         self._ttl_s = ttl_s
         self._clock = clock
-        self._holding: HeldLease | None = None
-        self._sighting: _Sighting | None = None
-        self._attempts: list[_Attempt] = []
+        self._held_lease: HeldLease | None = None
+        self._observed: _ObservedVersion | None = None
+        self._attempts: list[_WriteAttempt] = []
 
     def get_held_lease(self, now: float) -> HeldLease | None:
         """Return the lease if it is surely held at ``now``.
@@ -113,16 +113,16 @@
         time is counted from before the write that renewed it, while a watcher counts
         from when it saw that write, and the fence stops what slips through.
         """
-        holding = self._holding
+        holding = self._held_lease
         return holding if holding is not None and now < holding.valid_until else None
 
     def renew(self) -> None:
         """Extend the lease if it is held."""
         holding = self.get_held_lease(self._clock())
         if holding is None:
-            self._holding = None
+            self._held_lease = None
             return
-        self._write(holding.version, fence=holding.fence)
+        self._write_record(holding.version, fence=holding.fence)
 
     def try_acquire(self) -> int | None:
         """Read the lease and take it if it has lapsed; return its fence if readable."""
@@ -132,13 +132,13 @@
         found = result.ok
         now = self._clock()
         version = found.version if found is not None else 0
-        if self._is_own(found):
+        if self._adopt_own_write(found):
             return get_lease_fence(found)
-        if self._sighting is None or self._sighting.version != version:
-            self._sighting = _Sighting(version, now)
-        lapsed = now - self._sighting.first_seen_at >= self._ttl_s * _CLOCK_SLACK
-        if found is None or not _decode(found).holder or lapsed:
-            self._write(version, fence=0)
+        if self._observed is None or self._observed.version != version:
+            self._observed = _ObservedVersion(version, now)
+        lapsed = now - self._observed.first_seen_at >= self._ttl_s * _CLOCK_DRIFT_FACTOR
+        if found is None or not _decode_record(found).holder or lapsed:
+            self._write_record(version, fence=0)
         return get_lease_fence(found)
 
     def release(self) -> None:
@@ -146,27 +146,27 @@
 
         The fence stays on record; the next holder's is higher, being a later version.
         """
-        holding = self._holding
-        self._holding = None
+        holding = self._held_lease
+        self._held_lease = None
         self._attempts.clear()
         if holding is not None:
             record = LeaseRecord(holder="", nonce="", fence=holding.fence)
             value = msgspec.json.encode(record)
             self._platform.update(self._key, value, version=holding.version)
 
-    def _write(self, version: int, *, fence: int) -> None:
-        attempt = _Attempt(secrets.token_hex(_NONCE_BYTES), self._clock(), fence)
+    def _write_record(self, version: int, *, fence: int) -> None:
+        attempt = _WriteAttempt(secrets.token_hex(_NONCE_BYTES), self._clock(), fence)
         self._attempts = [*self._recent_attempts(), attempt]
         record = LeaseRecord(holder=self._holder, nonce=attempt.nonce, fence=fence)
-        result = self._put(msgspec.json.encode(record), version)
+        result = self._write_value(msgspec.json.encode(record), version)
         if result.is_ok():
-            self._hold(attempt, result.ok)
+            self._record_held_lease(attempt, result.ok)
             return
         match result.error:
             case Unavailable(sent=True) | Conflict():
                 self._read_back()
 
-    def _put(self, value: bytes, version: int) -> Result[int, PlatformError]:
+    def _write_value(self, value: bytes, version: int) -> Result[int, PlatformError]:
         if version:
             return self._platform.update(self._key, value, version=version)
         return self._platform.create(self._key, value)
@@ -174,32 +174,32 @@
     def _read_back(self) -> None:
         """Settle a write whose confirmation may be lost, by the nonce it carries."""
         result = self._platform.read(self._key)
-        if result.is_ok() and not self._is_own(result.ok):
-            if self._holding is not None:
+        if result.is_ok() and not self._adopt_own_write(result.ok):
+            if self._held_lease is not None:
                 logger.warning("Lease %s passed to another process.", self._key)
-            self._holding = None
+            self._held_lease = None
 
-    def _is_own(self, found: VersionedValue | None) -> bool:
+    def _adopt_own_write(self, found: VersionedValue | None) -> bool:
         if found is None:
             return False
-        nonce = _decode(found).nonce
+        nonce = _decode_record(found).nonce
         for attempt in self._recent_attempts():
             if attempt.nonce == nonce:
-                self._hold(attempt, found.version)
+                self._record_held_lease(attempt, found.version)
                 return True
         return False
 
-    def _recent_attempts(self) -> list[_Attempt]:
+    def _recent_attempts(self) -> list[_WriteAttempt]:
         """Return the writes that, if they took effect, still give the lease."""
         since = self._clock() - self._ttl_s
         return [attempt for attempt in self._attempts if attempt.started_at > since]
 
-    def _hold(self, attempt: _Attempt, version: int) -> None:
+    def _record_held_lease(self, attempt: _WriteAttempt, version: int) -> None:
         until = attempt.started_at + self._ttl_s
-        self._holding = HeldLease(attempt.fence or version, version, until)
+        self._held_lease = HeldLease(attempt.fence or version, version, until)
 
 
-def _decode(found: VersionedValue) -> LeaseRecord:
+def _decode_record(found: VersionedValue) -> LeaseRecord:
     try:
         return msgspec.json.decode(found.value, type=LeaseRecord)
     except (msgspec.DecodeError, msgspec.ValidationError):
--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -33,39 +33,41 @@
         return math.sqrt(self.variance)
 
     def with_counts(
-        self, counted: MapLoad, *, new_share: float = NEW_COUNTS_WEIGHT
+        self, counts: MapLoad, *, new_weight: float = NEW_COUNTS_WEIGHT
     ) -> LoadEstimate:
         """Return the estimate after one more period's counts, in any unit.
 
         Layers are scaled to a sum of 1 first, so that a busy period weighs no more than
         a quiet one; a layer without any load keeps its estimate.
         """
-        old_load = self.load or tuple((1 / len(c),) * len(c) for c in counted)
-        shares = tuple(map(_shares, counted, old_load))
+        old_load = self.load or tuple((1 / len(c),) * len(c) for c in counts)
+        shares = tuple(map(_normalize, counts, old_load))
         if self.load is None:
             return LoadEstimate(shares)
         pairs = list(zip(self.load, shares, strict=True))
-        layers = tuple(_mixed(old, now, new_share) for old, now in pairs)
-        deviation = sum(_deviation(old, now) for old, now in pairs) / len(pairs)
-        variance = self.variance + new_share * (deviation - self.variance)
+        layers = tuple(_blend(old, now, new_weight) for old, now in pairs)
+        deviation = sum(_mean_square_deviation(old, now) for old, now in pairs) / len(
+            pairs
+        )
+        variance = self.variance + new_weight * (deviation - self.variance)
         return LoadEstimate(layers, variance)
 
 
-def _shares(counted: LayerLoad, otherwise: LayerLoad) -> LayerLoad:
+def _normalize(counted: LayerLoad, otherwise: LayerLoad) -> LayerLoad:
     total = sum(counted)
     if total <= 0:
         return otherwise
     return tuple(load / total for load in counted)
 
 
-def _mixed(old: LayerLoad, now: LayerLoad, new_share: float) -> LayerLoad:
+def _blend(old: LayerLoad, now: LayerLoad, new_share: float) -> LayerLoad:
     return tuple(
         before + new_share * (after - before)
         for before, after in zip(old, now, strict=True)
     )
 
 
-def _deviation(old: LayerLoad, now: LayerLoad) -> float:
+def _mean_square_deviation(old: LayerLoad, now: LayerLoad) -> float:
     # Both loads in the denominator keep an expert that was idle from counting without
     # bound when its first tokens come.
     return sum(
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -75,31 +75,31 @@
                 message = f"layer {number}: experts missing or unknown"
                 raise InvalidMapError(message)
 
-    def diff_placements(self, target: ExpertMap) -> tuple[RankPlacement, ...]:
+    def diff_placements(self, target_map: ExpertMap) -> tuple[RankPlacement, ...]:
         """Return what differs in ``target``."""
         return tuple(
             RankPlacement(layer, rank, after)
             for layer, (old, new) in enumerate(
-                zip(self.layers, target.layers, strict=True)
+                zip(self.layers, target_map.layers, strict=True)
             )
             for rank, (before, after) in enumerate(zip(old, new, strict=True))
             if before != after
         )
 
-    def with_placements(self, cells: tuple[RankPlacement, ...]) -> ExpertMap:
+    def with_placements(self, placements: tuple[RankPlacement, ...]) -> ExpertMap:
         """Return this map with ``cells`` replaced."""
         layers = [list(layer) for layer in self.layers]
-        for layer, rank, held in cells:
+        for layer, rank, held in placements:
             layers[layer][rank] = held
         return ExpertMap(
             self.expert_count, self.slots_per_rank, tuple(map(tuple, layers))
         )
 
-    def count_moves_to(self, target: ExpertMap) -> int:
+    def count_moves_to(self, target_map: ExpertMap) -> int:
         """Return how many expert weights ranks must load to change to ``target``."""
         return sum(
             len(set(after) - set(before))
-            for old, new in zip(self.layers, target.layers, strict=True)
+            for old, new in zip(self.layers, target_map.layers, strict=True)
             for before, after in zip(old, new, strict=True)
         )
 
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -30,7 +30,7 @@
 
 # Orders that wait for a slow rank. Coordinators repeat theirs, so more would only be
 # copies, and what is dropped here comes again.
-_WAITING = 8
+_MAX_WAITING_ORDERS = 8
 
 
 class OrderForwarder:
@@ -46,17 +46,19 @@
         *,
         hub: MessageHub,
         rank_api: RankApi,
-        learn_fence: Callable[[], int | None],
-        agent: str,
+        read_fence: Callable[[], int | None],
+        agent_name: str,
         rank: int,
     ) -> None:
         self._hub = hub
         self._rank_api = rank_api
-        self._learn_fence = learn_fence
-        self._agent = agent
+        self._read_fence = read_fence
+        self._agent_name = agent_name
         self._rank = rank
         self._guard = FenceGuard()
-        self._waiting: queue.Queue[tuple[Link, MapOrder] | None] = queue.Queue(_WAITING)
+        self._queue: queue.Queue[tuple[Link, MapOrder] | None] = queue.Queue(
+            _MAX_WAITING_ORDERS
+        )
         self._thread = Thread(target=self._run, name="rank", daemon=True)
 
     @property
@@ -70,18 +72,18 @@
 
     def stop(self) -> None:
         """End the thread after the order in hand."""
-        self._waiting.put(None)
+        self._queue.put(None)
         self._thread.join()
 
     def enqueue(self, link: Link, message: MapOrder) -> None:
         """Queue an order; returns at once."""
         try:
-            self._waiting.put_nowait((link, message))
+            self._queue.put_nowait((link, message))
         except queue.Full:
             logger.debug("Order %d dropped, rank is slow.", message.serial)
 
     def _run(self) -> None:
-        while (item := self._waiting.get()) is not None:
+        while (item := self._queue.get()) is not None:
             link, message = item
             try:
                 self._handle(link, message)
@@ -93,19 +95,19 @@
         if decoded.is_error():
             logger.warning("Bad order: %s.", decoded.error.detail)
             return
-        if not self._knows_fence():
+        if not self._ensure_fence():
             return
         if not self._guard.admit(message.fence):
             logger.info("Refused order under old fence %d.", message.fence)
             version = version_of(decoded.ok)
             refusal = RefusalReply(version, RefusalReason.STALE_FENCE)
-            self._answer(link, message, refusal)
+            self._send_reply(link, message, refusal)
             return
-        self._pass_on(link, message, decoded.ok)
+        self._forward(link, message, decoded.ok)
 
-    def _knows_fence(self) -> bool:
+    def _ensure_fence(self) -> bool:
         if self._guard.highest_fence is None:
-            fence = self._learn_fence()
+            fence = self._read_fence()
             if fence is None:
                 # Without it an order of a former coordinator could pass: silence makes
                 # the present one ask again.
@@ -113,19 +115,19 @@
             self._guard.raise_to(fence)
         return True
 
-    def _pass_on(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
+    def _forward(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
         result = self._rank_api.send_order(order, fence=message.fence)
         if result.is_error():
             logger.debug("Rank did not answer: %s.", result.error.detail)
             return
-        self._answer(link, message, result.ok)
+        self._send_reply(link, message, result.ok)
 
-    def _answer(self, link: Link, message: MapOrder, reply: AnyReply) -> None:
+    def _send_reply(self, link: Link, message: MapOrder, reply: AnyReply) -> None:
         answer = MapReply(
             message.group,
             message.fence,
             message.serial,
-            self._agent,
+            self._agent_name,
             self._rank,
             encode(reply),
         )
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -190,14 +190,14 @@
         case Preparing(version, _, step):
             return PrepareOrder(version, step)
         case Committing():
-            return _commit(phase, rank)
+            return _build_commit_order(phase, rank)
         case Aborting(version):
             return AbortOrder(version)
         case Standby():
             return None
 
 
-def _commit(phase: Committing, rank: int) -> CommitOrder:
+def _build_commit_order(phase: Committing, rank: int) -> CommitOrder:
     if phase.incarnations is None:
         return CommitOrder(phase.version, None)
     return CommitOrder(phase.version, phase.schedule, phase.incarnations[rank])
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -30,15 +30,15 @@
 _HYSTERESIS = 2.0
 # Changes looked at for one layer in one plan. It bounds the planner's time; what is
 # left over is planned a period later.
-_LAYER_CHANGES = 8
+_MAX_CHANGES_PER_LAYER = 8
 # Layers changed in one plan, the most uneven first. A plan of all 60 layers of a large
 # model would take its agent more processor time than control may have.
-_LAYERS = 16
+_MAX_LAYERS_PER_PLAN = 16
 # Ranks that may take load from the hottest one. The coolest few hold a good partner
 # nearly always, and looking at all of 32 takes four times as long.
-_COOL_RANKS = 4
+_MAX_COOL_RANKS = 4
 # Hottest ranks that are tried in turn until one can be relieved.
-_HOT_RANKS = 2
+_MAX_HOT_RANKS = 2
 
 
 class PlanWeights(NamedTuple):
@@ -64,36 +64,38 @@
 
 
 def plan_map(
-    current: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
+    current_map: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
 ) -> MapPlan | None:
     """Return a better map than ``current`` for the load expected, or None to stay."""
     load = estimate.load
     if load is None:
         return None
-    places = sum(len(held) for layer in current.layers for held in layer)
+    places = sum(len(held) for layer in current_map.layers for held in layer)
     cost = weights.move_cost * weights.hysteresis / places
-    even = sum(sum(layer) for layer in load) / current.rank_count
+    even = sum(sum(layer) for layer in load) / current_map.rank_count
     gain = weights.skew_weight * weights.payback_periods / even
     editors = [
         LayerEditor(
             layer,
             layer_load,
-            slots=current.slots_per_rank,
-            scatter=estimate.relative_std,
+            slots=current_map.slots_per_rank,
+            relative_std=estimate.relative_std,
         )
-        for layer, layer_load in zip(current.layers, load, strict=True)
+        for layer, layer_load in zip(current_map.layers, load, strict=True)
     ]
-    layers = list(current.layers)
+    layers = list(current_map.layers)
     uneven = sorted(
         range(len(editors)), key=lambda number: -editors[number].max_load_bound
     )
-    for number in uneven[:_LAYERS]:
+    for number in uneven[:_MAX_LAYERS_PER_PLAN]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
-    wanted = ExpertMap(current.expert_count, current.slots_per_rank, tuple(layers))
-    moves = current.count_moves_to(wanted)
+    wanted = ExpertMap(
+        current_map.expert_count, current_map.slots_per_rank, tuple(layers)
+    )
+    moves = current_map.count_moves_to(wanted)
     if not moves:
         return None
-    return MapPlan(wanted, moves, map_skew(current, load), map_skew(wanted, load))
+    return MapPlan(wanted, moves, map_skew(current_map, load), map_skew(wanted, load))
 
 
 def _plan_layer(editor: LayerEditor, *, gain: float, cost: float) -> LayerPlacement:
@@ -107,7 +109,7 @@
     best = editor.placement
     most = 0.0
     moves = 0
-    for _ in range(_LAYER_CHANGES):
+    for _ in range(_MAX_CHANGES_PER_LAYER):
         change = _best_change(editor)
         if change is None:
             break
@@ -124,8 +126,8 @@
     """Return the change that takes most off the slowest rank's load for each move."""
     order = editor.ranks_by_load()
     slowest = editor.max_load_bound
-    cool_ranks = order[-_COOL_RANKS:]
-    for hot in order[:_HOT_RANKS]:
+    cool_ranks = order[-_MAX_COOL_RANKS:]
+    for hot in order[:_MAX_HOT_RANKS]:
         best: LayerChange | None = None
         most = 0.0
         for cool in cool_ranks:
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -221,8 +221,8 @@
 AnyReply = RankReply | ExpertLoadsReply
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ORDERS: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
-_REPLIES: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
+_ORDER_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
+_REPLY_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
 
 
 def version_of(order: AnyOrder) -> MapVersion:
@@ -248,9 +248,9 @@
 
 def decode_order(data: bytes) -> Result[AnyOrder, DecodeFailure]:
     """Return the order in ``data``."""
-    return _decode(_ORDERS.decode, data)
+    return _decode(_ORDER_DECODER.decode, data)
 
 
 def decode_reply(data: bytes) -> Result[AnyReply, DecodeFailure]:
     """Return the reply in ``data``."""
-    return _decode(_REPLIES.decode, data)
+    return _decode(_REPLY_DECODER.decode, data)
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -34,11 +34,11 @@
     from kingcupwheel.expertmaps.protocol import AnyOrder
 
 # The longest answer that is read: a schedule of two maps of the largest group.
-_ANSWER_BYTES = 4_000_000
+_MAX_REPLY_BYTES = 4_000_000
 # How long a rank may take to answer. An order is answered between two steps; one that
 # takes longer is given again, and counts as possibly still to take effect.
 RANK_TIMEOUT_S = 2.0
-_REPLIES: msgspec.json.Decoder[Any] = msgspec.json.Decoder(AnyReply)
+_REPLY_DECODER: msgspec.json.Decoder[Any] = msgspec.json.Decoder(AnyReply)
 
 
 class RankApi(Protocol):
@@ -102,14 +102,16 @@
             return Error(RankUnreachable(str(error), was_sent=False))
         except urllib3.exceptions.HTTPError as error:
             return Error(RankUnreachable(str(error), was_sent=True))
-        return _reply(response)
+        return _decode_response(response)
 
 
-def _reply(response: urllib3.BaseHTTPResponse) -> Result[AnyReply, RankUnreachable]:
-    if response.status != 200 or len(response.data) > _ANSWER_BYTES:
+def _decode_response(
+    response: urllib3.BaseHTTPResponse,
+) -> Result[AnyReply, RankUnreachable]:
+    if response.status != 200 or len(response.data) > _MAX_REPLY_BYTES:
         detail = f"status {response.status}, {len(response.data)} bytes"
         return Error(RankUnreachable(detail, was_sent=True))
     try:
-        return Ok(_REPLIES.decode(response.data))
+        return Ok(_REPLY_DECODER.decode(response.data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return Error(RankUnreachable(str(error), was_sent=True))
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -154,13 +154,13 @@
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
     if order.schedule is not None and order.incarnation != state.incarnation:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
-    schedule = order.schedule or _own_schedule(state, version)
+    schedule = order.schedule or _build_schedule(state, version)
     if schedule is None:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
     return state._replace(schedule=schedule, hold=None), CommitReply(version)
 
 
-def _own_schedule(state: RankState, version: MapVersion) -> MapSchedule | None:
+def _build_schedule(state: RankState, version: MapVersion) -> MapSchedule | None:
     if state.schedule is None or state.hold is None:
         return None
     if state.staged is None or state.staged.origin_version != version:
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -25,7 +25,7 @@
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
 
-class _Question(NamedTuple):
+class _PlanRequest(NamedTuple):
     current: ExpertMap
     estimate: LoadEstimate
     weights: PlanWeights
@@ -43,9 +43,9 @@
         self._weights = PlanWeights(layout.skew_weight, layout.move_cost)
         self._estimate = LoadEstimate()
         self._round = 0
-        self._asked = 0.0
+        self._last_request_at = 0.0
         self._reply_by_rank: dict[int, ExpertLoadsReply] = {}
-        self._questions: queue.Queue[_Question | None] = queue.Queue(1)
+        self._plan_requests: queue.Queue[_PlanRequest | None] = queue.Queue(1)
         self._plan: MapPlan | None = None
         self._thread = Thread(target=self._run, name="planner", daemon=True)
 
@@ -55,36 +55,39 @@
 
     def stop(self) -> None:
         """End the planning thread."""
-        self._questions.put(None)
+        self._plan_requests.put(None)
         self._thread.join()
 
     def due_loads_request(self, now: float) -> ExpertLoadsRequest | None:
         """Return what to ask all ranks when a period is over."""
-        if now - self._asked < self._layout.rebalance_every_s:
+        if now - self._last_request_at < self._layout.rebalance_every_s:
             return None
-        self._asked = now
+        self._last_request_at = now
         self._round += 1
         self._reply_by_rank.clear()
         return ExpertLoadsRequest(self._round)
 
     def add_reply(
-        self, rank: int, reply: ExpertLoadsReply, current: VersionedMap
+        self, rank: int, reply: ExpertLoadsReply, current_map: VersionedMap
     ) -> None:
         """Add a rank's counts; with the last one, start to plan from ``current``."""
-        if reply.round != self._round or reply.origin_version != current.origin_version:
+        if (
+            reply.round != self._round
+            or reply.origin_version != current_map.origin_version
+        ):
             return
-        if not _fits(reply, rank, current.map):
+        if not _matches_placement(reply, rank, current_map.map):
             logger.warning("Rank %d counts other slots than its map has.", rank)
             return
         self._reply_by_rank[rank] = reply
         if len(self._reply_by_rank) < self._layout.ranks:
             return
-        counted = _summed(current.map, self._reply_by_rank)
+        counted = _sum_expert_loads(current_map.map, self._reply_by_rank)
         self._reply_by_rank.clear()
         self._estimate = self._estimate.with_counts(counted)
         try:
-            question = _Question(current.map, self._estimate, self._weights)
-            self._questions.put_nowait(question)
+            question = _PlanRequest(current_map.map, self._estimate, self._weights)
+            self._plan_requests.put_nowait(question)
         except queue.Full:
             logger.warning("Planner is behind.")
 
@@ -94,7 +97,7 @@
         return found
 
     def _run(self) -> None:
-        while (question := self._questions.get()) is not None:
+        while (question := self._plan_requests.get()) is not None:
             try:
                 self._plan = plan_map(
                     question.current, question.estimate, question.weights
@@ -103,12 +106,16 @@
                 logger.exception("Planning failed.")
 
 
-def _fits(reply: ExpertLoadsReply, rank: int, expert_map: ExpertMap) -> bool:
+def _matches_placement(
+    reply: ExpertLoadsReply, rank: int, expert_map: ExpertMap
+) -> bool:
     held = [len(layer[rank]) for layer in expert_map.layers]
     return [len(counts) for counts in reply.counts] == held
 
 
-def _summed(current: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]) -> MapLoad:
+def _sum_expert_loads(
+    current: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]
+) -> MapLoad:
     """Return each expert's load over all ranks that hold it."""
     layers = []
     for number, layer in enumerate(current.layers):
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -37,10 +37,10 @@
 
 # Agents of the lowest ranks that always watch the lease. One of them mostly holds it,
 # so that one or two read it; a takeover then does not wait for anybody's patience.
-_WATCHERS = 2
+_WATCHER_COUNT = 2
 # Further ranks look at the lease no later than after this many turns: a wait for each
 # rank in turn would leave a group of 32 without a coordinator.
-_TURNS = 4
+_MAX_STAGGER_COUNT = 4
 
 
 class MapServiceTimings(NamedTuple):
@@ -75,7 +75,7 @@
         hub: MessageHub,
         platform: PlatformClient,
         rank_api: RankApi,
-        name: str,
+        agent_name: str,
         group: str,
         rank: int,
         layout: ExpertLayout,
@@ -85,136 +85,136 @@
         self._group = group
         self._rank = rank
         self._timings = timings
-        self._worker = OrderForwarder(
+        self._order_forwarder = OrderForwarder(
             hub=hub,
             rank_api=rank_api,
-            learn_fence=self._learn_fence,
-            agent=name,
+            read_fence=self._read_fence,
+            agent_name=agent_name,
             rank=rank,
         )
-        self._leader = CoordinatorDriver(
+        self._coordinator_driver = CoordinatorDriver(
             hub=hub,
             group=group,
-            name=name,
+            agent_name=agent_name,
             layout=layout,
             timings=timings.coordinator,
         )
         self._lease = Lease(
-            platform, group=group, holder=name, ttl_s=timings.lease_ttl_s
+            platform, group=group, holder=agent_name, ttl_s=timings.lease_ttl_s
         )
-        self._led_fence = 0
-        self._members: frozenset[str] = frozenset()
-        self._heard = monotonic() - timings.coordinator_timeout_s
-        self._resigning = Event()
+        self._coordinated_fence = 0
+        self._agent_addresses: frozenset[str] = frozenset()
+        self._last_order_at = monotonic() - timings.coordinator_timeout_s
+        self._release_requested = Event()
         self._stopping = Event()
-        self._thread = Thread(target=self._keep_lease, name="lease", daemon=True)
+        self._thread = Thread(target=self._run_lease_loop, name="lease", daemon=True)
 
     @property
     def is_coordinating(self) -> bool:
         """Whether this agent coordinates its group."""
-        return self._leader.is_coordinating
+        return self._coordinator_driver.is_coordinating
 
     @property
     def coordinator_driver(self) -> CoordinatorDriver:
         """The coordinator's side."""
-        return self._leader
+        return self._coordinator_driver
 
     def start(self) -> None:
         """Start the threads."""
-        self._worker.start()
-        self._leader.start_planner()
+        self._order_forwarder.start()
+        self._coordinator_driver.start_planner()
         self._thread.start()
 
     def stop(self) -> None:
         """Give the lease back, so that another agent takes over at once, and end."""
         self._stopping.set()
         self._thread.join()
-        self._leader.stop_planner()
-        self._worker.stop()
+        self._coordinator_driver.stop_planner()
+        self._order_forwarder.stop()
 
     def on_message(self, link: Link, message: Message) -> None:
         """Take a message of this service; others are ignored."""
         match message, link:
             case MapOrder(), _ if message.group == self._group:
-                if message.fence >= (self._worker.highest_fence or 0):
-                    self._heard = monotonic()
-                self._worker.enqueue(link, message)
+                if message.fence >= (self._order_forwarder.highest_fence or 0):
+                    self._last_order_at = monotonic()
+                self._order_forwarder.enqueue(link, message)
             case MapReply(), OutgoingLink(address) if message.group == self._group:
                 now = monotonic()
                 # A holder that was paused finds answers waiting before its next tick.
                 if self._lease.get_held_lease(now) is not None:
-                    self._leader.handle_reply(address, message, now)
+                    self._coordinator_driver.handle_reply(address, message, now)
 
     def on_tick(self, now: float) -> None:
         """Follow the lease, then do what is due."""
         holding = self._lease.get_held_lease(now)
         if holding is None or self._stopping.is_set():
-            if self._leader.is_coordinating:
-                self._leader.stop_coordinating()
-                self._led_fence = 0
+            if self._coordinator_driver.is_coordinating:
+                self._coordinator_driver.stop_coordinating()
+                self._coordinated_fence = 0
             return
-        if holding.fence != self._led_fence:
-            self._led_fence = holding.fence
-            self._leader.start_coordinating(holding.fence)
-        if self._leader.is_superseded:
+        if holding.fence != self._coordinated_fence:
+            self._coordinated_fence = holding.fence
+            self._coordinator_driver.start_coordinating(holding.fence)
+        if self._coordinator_driver.is_superseded:
             # A higher fence exists, so ranks refuse this one: take the lease anew.
-            self._resigning.set()
-        self._leader.tick(now, self._members)
+            self._release_requested.set()
+        self._coordinator_driver.tick(now, self._agent_addresses)
 
-    def _learn_fence(self) -> int | None:
+    def _read_fence(self) -> int | None:
         result = self._platform.read(lease_key(self._group))
         if result.is_error():
             return None
         return get_lease_fence(result.ok)
 
-    def _keep_lease(self) -> None:
+    def _run_lease_loop(self) -> None:
         members_read = 0.0
         while not self._stopping.wait(self._timings.renew_interval_s):
             now = monotonic()
             try:
-                self._follow_lease(now)
-                due = now - members_read >= self._members_s
+                self._update_lease(now)
+                due = now - members_read >= self._instances_interval_s
                 if self._lease.get_held_lease(now) is not None and due:
-                    self._read_members()
+                    self._read_agent_addresses()
                     members_read = now
             except Exception:
                 logger.exception("Lease could not be followed.")
         self._lease.release()
 
-    def _follow_lease(self, now: float) -> None:
-        if self._resigning.is_set():
-            self._resigning.clear()
+    def _update_lease(self, now: float) -> None:
+        if self._release_requested.is_set():
+            self._release_requested.clear()
             self._lease.release()
         elif self._lease.get_held_lease(now) is not None:
             self._lease.renew()
-        elif now - self._heard >= self._patience_s:
+        elif now - self._last_order_at >= self._takeover_delay_s:
             self._lease.try_acquire()
 
     @property
-    def _patience_s(self) -> float:
-        if self._rank < _WATCHERS:
+    def _takeover_delay_s(self) -> float:
+        if self._rank < _WATCHER_COUNT:
             return 0.0
-        turn = min(self._rank, _TURNS)
+        turn = min(self._rank, _MAX_STAGGER_COUNT)
         return (
             self._timings.coordinator_timeout_s
             + turn * self._timings.takeover_stagger_s
         )
 
     @property
-    def _members_s(self) -> float:
+    def _instances_interval_s(self) -> float:
         """How often the list is read; more often while a rank's agent is missing."""
-        settled = self._leader.has_all_addresses
+        settled = self._coordinator_driver.has_all_addresses
         return (
             self._timings.instances_interval_s
             if settled
             else self._timings.renew_interval_s
         )
 
-    def _read_members(self) -> None:
+    def _read_agent_addresses(self) -> None:
         result = self._platform.instances()
         if result.is_error():
             return
-        self._members = frozenset(
+        self._agent_addresses = frozenset(
             instance.address
             for instance in result.ok
             if instance.role == "agent" and instance.group == self._group
