--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -132,7 +132,7 @@
     if state.step < state.schedule.from_step:
         # A schedule holds two maps; a third must wait until the first is over.
         return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
-    held = state._replace(hold=StepHold(version, order.step), highest=version)
+    held = state._replace(hold=StepHold(version, order.step), highest_version=version)
     return held, PrepareReply(version)
 
 
@@ -143,7 +143,7 @@
         return state, answer
     if version <= state.highest_version:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
-    return state._replace(hold=StepHold(version, 0), highest=version), answer
+    return state._replace(hold=StepHold(version, 0), highest_version=version), answer
 
 
 def _commit(state: RankState, order: CommitOrder) -> OrderResult:
@@ -177,4 +177,4 @@
     highest = max(state.highest_version, version)
     held = state.hold is not None and state.hold.version == version
     hold = None if held else state.hold
-    return state._replace(hold=hold, highest=highest), AbortReply(version)
+    return state._replace(hold=hold, highest_version=highest), AbortReply(version)
