--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -53,25 +53,25 @@
         return LoadEstimate(layers, variance)
 
 
-def _normalize(counted: LayerLoad, otherwise: LayerLoad) -> LayerLoad:
-    total = sum(counted)
+def _normalize(counts: LayerLoad, fallback: LayerLoad) -> LayerLoad:
+    total = sum(counts)
     if total <= 0:
-        return otherwise
-    return tuple(load / total for load in counted)
+        return fallback
+    return tuple(load / total for load in counts)
 
 
-def _blend(old: LayerLoad, now: LayerLoad, new_share: float) -> LayerLoad:
+def _blend(old: LayerLoad, new: LayerLoad, new_weight: float) -> LayerLoad:
     return tuple(
-        before + new_share * (after - before)
-        for before, after in zip(old, now, strict=True)
+        before + new_weight * (after - before)
+        for before, after in zip(old, new, strict=True)
     )
 
 
-def _mean_square_deviation(old: LayerLoad, now: LayerLoad) -> float:
+def _mean_square_deviation(old: LayerLoad, new: LayerLoad) -> float:
     # Both loads in the denominator keep an expert that was idle from counting without
     # bound when its first tokens come.
     return sum(
         2 * (after - before) ** 2 / (before + after)
-        for before, after in zip(old, now, strict=True)
+        for before, after in zip(old, new, strict=True)
         if before + after > 0
     )
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -114,12 +114,12 @@
 
 
 def _sum_expert_loads(
-    current: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]
+    current_map: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]
 ) -> MapLoad:
     """Return each expert's load over all ranks that hold it."""
     layers = []
-    for number, layer in enumerate(current.layers):
-        load = [0.0] * current.expert_count
+    for number, layer in enumerate(current_map.layers):
+        load = [0.0] * current_map.expert_count
         for rank, reply in reply_by_rank.items():
             for expert, count in zip(layer[rank], reply.counts[number], strict=True):
                 load[expert] += count
