--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -11,19 +11,19 @@
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.attempt_inboxes import InboxRegistry
-from kingcupwheel.entry.callers import CallerPages
+from kingcupwheel.entry.caller_pages import CallerPages
 from kingcupwheel.entry.context import EntryContext
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-from kingcupwheel.entry.gateway import SPARE_THREADS
-from kingcupwheel.entry.gateway import HttpServer
-from kingcupwheel.entry.handling import Handler
+from kingcupwheel.entry.entry_telemetry import EntryTelemetry
+from kingcupwheel.entry.http_server import SPARE_THREADS
+from kingcupwheel.entry.http_server import HttpServer
+from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
 from kingcupwheel.entry.membership import Membership
-from kingcupwheel.entry.operators import OPERATOR_THREADS
-from kingcupwheel.entry.operators import OperatorPages
-from kingcupwheel.entry.peers import PeerFetcher
-from kingcupwheel.entry.recording import Recording
+from kingcupwheel.entry.message_handler import MessageHandler
+from kingcupwheel.entry.operator_pages import OPERATOR_THREADS
+from kingcupwheel.entry.operator_pages import OperatorPages
 from kingcupwheel.entry.request_limiter import RequestLimiter
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.manifest.keeper import ManifestKeeper
@@ -61,34 +61,34 @@
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
         )
-        self._recording = Recording(
+        self._telemetry = EntryTelemetry(
             settings,
             client,
             metrics,
-            traces_retention_s=lambda: self._kept().traces_h * _HOUR_S,
+            traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
         )
         self._retention = ClaimRetention(
-            client, retention_s=lambda: self._kept().claims_h * _HOUR_S
+            client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
         )
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         servers = ServerTable(settings.timings)
-        limits = RequestLimiter(lambda one: self._sharing.get_initial_share(one))
+        limiter = RequestLimiter(lambda one: self._balancer.get_initial_share(one))
         self._context = EntryContext(
             settings=settings,
             hub=self._hub,
             servers=servers,
             inboxes=InboxRegistry(),
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
-            limiter=limits,
+            limiter=limiter,
             claims=ClaimStore(client),
             retention=self._retention,
-            recorder=self._recording.recorder,
-            observer=self._recording.observer,
+            recorder=self._telemetry.recorder,
+            outcome_counter=self._telemetry.outcome_counter,
             leaving=self._leaving,
         )
-        fetcher = PeerFetcher(self._hub)
+        fetcher = ManifestFetcher(self._hub)
         self._keeper = ManifestKeeper(
             client,
             fetch_from_peer=fetcher.fetch,
@@ -101,47 +101,47 @@
             servers,
             self._hub,
             leaving=self._leaving,
-            ask_seeds=self._ask_seeds,
+            request_from_seeds=self._request_instances_from_seeds,
         )
-        self._sharing = AllowanceBalancer(
+        self._balancer = AllowanceBalancer(
             settings.name,
-            limits,
+            limiter,
             self._membership,
             send=self._hub.send,
-            find_organisation=self._organisation_named,
+            find_organisation=self._find_organisation,
         )
-        self._handler = Handler(
+        self._handler = MessageHandler(
             self._context,
             self._membership,
             self._keeper,
             fetcher,
-            self._recording.burn,
-            self._sharing,
+            self._telemetry.burn_counter,
+            self._balancer,
         )
-        self._application = self._make_application()
-        self._http = HttpServer(
+        self._application = self._build_application()
+        self._http_server = HttpServer(
             self._application,
             listen=settings.http,
             threads=settings.entry.threads + SPARE_THREADS,
             connections=settings.entry.connections,
             name=settings.name,
         )
-        self._operator_http = self._operator_server()
+        self._operator_http_server = self._build_operator_server()
 
-    def _make_application(self) -> Application:
+    def _build_application(self) -> Application:
         # Callers keep an answer for less than a leaving entry goes on accepting.
         pages = CallerPages(
-            self._recording.recorder,
+            self._telemetry.recorder,
             self._membership,
-            keep_s=self._settings.timings.leave_s / 2,
+            address_ttl_s=self._settings.timings.leave_s / 2,
         )
         return Application(self._context, lambda: self._keeper.current, pages)
 
-    def _operator_server(self) -> HttpServer | None:
+    def _build_operator_server(self) -> HttpServer | None:
         if not self._settings.operator_http:
             return None
         pages = OperatorPages(
-            self._context, self._keeper, lambda: self._application.in_progress
+            self._context, self._keeper, lambda: self._application.in_progress_count
         )
         return HttpServer(
             pages,
@@ -154,20 +154,20 @@
     @property
     def port(self) -> int:
         """The port for callers."""
-        return self._http.port
+        return self._http_server.port
 
     def start(self) -> None:
         """Bind, then start every part."""
-        self._http.bind()
-        if self._operator_http is not None:
-            self._operator_http.bind()
-            self._operator_http.start()
+        self._http_server.bind()
+        if self._operator_http_server is not None:
+            self._operator_http_server.bind()
+            self._operator_http_server.start()
         self._hub.start()
         self._keeper.start()
         self._membership.start()
-        self._recording.start()
+        self._telemetry.start()
         self._retention.start()
-        self._http.start()
+        self._http_server.start()
         logger.info("Serving callers on port %d.", self.port)
 
     def reload(self, settings: Settings) -> None:
@@ -180,23 +180,23 @@
         Nothing bounds the wait for requests in progress; their own progress does.
         """
         self._leaving.set()
-        self._handler.say_leaving()
-        logger.info("Leaving; %d in progress.", self._application.in_progress)
-        self._wait_for_callers()
-        self._application.refuse_new()
-        while self._application.in_progress:
+        self._handler.announce_leaving()
+        logger.info("Leaving; %d in progress.", self._application.in_progress_count)
+        self._wait_for_address_refresh()
+        self._application.stop_accepting()
+        while self._application.in_progress_count:
             Event().wait(_DRAIN_CHECK_S)
-        self._http.stop()
-        if self._operator_http is not None:
-            self._operator_http.stop()
+        self._http_server.stop()
+        if self._operator_http_server is not None:
+            self._operator_http_server.stop()
         self._membership.stop()
         self._keeper.stop()
         self._retention.stop()
-        self._recording.stop()
+        self._telemetry.stop()
         self._hub.stop()
         logger.info("Stopped.")
 
-    def _wait_for_callers(self) -> None:
+    def _wait_for_address_refresh(self) -> None:
         # Callers keep addresses for a while; until they have asked again, a refusal
         # here would cost them a retry for nothing.
         Event().wait(self._settings.timings.leave_s)
@@ -208,17 +208,17 @@
         self._handler.on_tick(now)
 
     def _on_manifest(self, in_force: InForce) -> None:
-        self._recording.adopt(in_force, self._context.inboxes.request_ids)
+        self._telemetry.set_manifest(in_force, self._context.inboxes.request_ids)
 
-    def _organisation_named(self, name: str) -> Organisation | None:
+    def _find_organisation(self, name: str) -> Organisation | None:
         in_force = self._keeper.current
         return None if in_force is None else in_force.organisations_by_name.get(name)
 
-    def _kept(self) -> Retention:
+    def _get_retention(self) -> Retention:
         in_force = self._keeper.current
         return Retention() if in_force is None else in_force.retention
 
-    def _ask_seeds(self) -> None:
+    def _request_instances_from_seeds(self) -> None:
         for address in self._settings.seeds:
             self._hub.send(
                 OutgoingLink(address, 0), InstancesRequest(self._settings.name)
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -25,7 +25,7 @@
 
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.http_metadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
@@ -77,7 +77,7 @@
     def in_flight_requests(self, service: str) -> int:
         """Return the number of this entry's requests at the servers of a service."""
         with self._servers.lock:
-            return sum(one.in_flight for one in self._servers.of_group(service))
+            return sum(one.in_flight for one in self._servers.list_by_group(service))
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the server group in whose queue a service's requests wait."""
@@ -98,7 +98,7 @@
             by_address = self._claims.owners_by_address(self._listed, before, now)
             self._backends_by_address = by_address
             self._groups_by_service = _groups_by_service(by_address.values())
-        self._servers.keep(tuple(map(_instance, by_address.values())), now)
+        self._servers.set_instances(tuple(map(_instance, by_address.values())), now)
         for address, backend in by_address.items():
             known = before.get(address)
             if known is None or known.incarnation != backend.incarnation:
@@ -107,13 +107,15 @@
             self._dispatchers.place_waiting(service)
 
     def _register_incarnation(self, backend: Backend, now: float) -> None:
-        self._servers.heard(backend.address, _heartbeat(backend, _load(0, 0)), now)
+        self._servers.record_heartbeat(
+            backend.address, _heartbeat(backend, _load(0, 0)), now
+        )
         self._update_load(backend, _load(0, 0), now)
         if backend.warmup_left_s <= 0.0:
             # Placement ramps up load on a new server while its caches are cold; the
             # platform reports that this one is warm.
             with self._servers.lock:
-                server = self._servers.by_address(backend.address)
+                server = self._servers.find_by_address(backend.address)
                 if server is not None:
                     server.first_heard_at = now - _WARM_UPTIME_S
         self._dispatchers.reset_server_health(backend.service, backend.instance)
@@ -155,32 +157,34 @@
         is no sign of a failure.
         """
         agent_at = self._agent_reported_at.get(place.address, float("-inf"))
-        server = self._servers.by_address(place.address)
+        server = self._servers.find_by_address(place.address)
         if (
             now - agent_at > _AGENT_REPORT_MAX_AGE_S
             or server is None
-            or server.beat is None
+            or server.last_heartbeat is None
         ):
             return False
-        load = server.beat.load
+        load = server.last_heartbeat.load
         return load.running + load.queued >= load.capacity
 
-    def mark_resting(self, place: Reservation, for_s: float, request_id: str) -> None:
+    def mark_resting(self, place: Reservation, rest_s: float, request_id: str) -> None:
         """Send no requests to a server for the rest period that it asked for."""
         now = monotonic()
-        life = place.incarnation
+        incarnation = place.incarnation
         with self._servers.lock:
-            is_new = self._servers.notices.record_backoff(life, for_s, now)
+            is_new = self._servers.notices.record_backoff(incarnation, rest_s, now)
         if is_new:
-            log.info("rest-asked", server=life, for_s=round(for_s, 3), id=request_id)
+            log.info(
+                "rest-asked", server=incarnation, for_s=round(rest_s, 3), id=request_id
+            )
 
     def mark_leaving(self, place: Reservation, request_id: str) -> bool:
         """Send no more requests to a leaving server; return whether that is new."""
-        life = place.incarnation
+        incarnation = place.incarnation
         with self._servers.lock:
-            is_new = self._servers.notices.record_leaving(life)
+            is_new = self._servers.notices.record_leaving(incarnation)
         if is_new:
-            log.info("server-leaves", server=life, id=request_id)
+            log.info("server-leaves", server=incarnation, id=request_id)
         return is_new
 
     def is_leaving(self, incarnation: str) -> bool:
@@ -201,17 +205,19 @@
             ended = self._servers.notices.take_ended_backoffs(monotonic())
         if not ended:
             return
-        for life in ended:
-            log.info("rest-ended", server=life)
+        for incarnation in ended:
+            log.info("rest-ended", server=incarnation)
         for service in tuple(self._groups_by_service):
             self._dispatchers.place_waiting(service)
 
     def _remove_old_notices(self, now: float) -> None:
-        lives = {one.incarnation for one in tuple(self._backends_by_address.values())}
+        incarnations = {
+            one.incarnation for one in tuple(self._backends_by_address.values())
+        }
         with self._servers.lock:
-            forgotten = self._servers.notices.retain(lives, now)
-        for life in forgotten:
-            log.info("notice-forgotten", server=life)
+            forgotten = self._servers.notices.retain(incarnations, now)
+        for incarnation in forgotten:
+            log.info("notice-forgotten", server=incarnation)
 
     def mark_service_closed(self, service: str) -> None:
         """Record that all servers of a service reject requests at the moment.
@@ -324,9 +330,9 @@
         for address, backend in tuple(self._backends_by_address.items()):
             agent_at = self._agent_reported_at.get(address, float("-inf"))
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
-                server = self._servers.by_address(address)
+                server = self._servers.find_by_address(address)
                 if server is not None:
-                    load = _load(min(server.own_in_flight, backend.places), 0)
+                    load = _load(min(server.current_in_flight, backend.places), 0)
                     self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
@@ -341,7 +347,7 @@
         load = msgspec.structs.replace(
             reported, capacity=places_at_pace(backend.places, reported.pace)
         )
-        self._servers.heard(
+        self._servers.record_heartbeat(
             backend.address, _heartbeat(backend, load, is_up=is_up), now
         )
 
