--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -18,12 +18,12 @@
 
 from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
-from kingcupwheel.agent.adapters.calls import Call
-from kingcupwheel.agent.adapters.calls import connect
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.adapters.requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.requests import Request
-from kingcupwheel.agent.adapters.requests import get
+from kingcupwheel.agent.adapters.server_call import Call
+from kingcupwheel.agent.adapters.server_call import connect
+from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import Request
+from kingcupwheel.agent.adapters.server_requests import get
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/agent/adapters/calls.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -23,14 +23,14 @@
 
 from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
-from kingcupwheel.agent.adapters.requests import visible_headers
+from kingcupwheel.agent.adapters.server_requests import visible_headers
 
 
 if TYPE_CHECKING:
     from urllib3.response import HTTPResponse
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.adapters.requests import Request
+    from kingcupwheel.agent.adapters.server_requests import Request
     from kingcupwheel.settings.schema import ServerSettings
 
 _READ_BYTES = 65_536
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -12,13 +12,13 @@
 from kingcupwheel.agent.adapters.base import ServerAnswer
 from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
-from kingcupwheel.agent.adapters.calls import Call
-from kingcupwheel.agent.adapters.calls import Silent
-from kingcupwheel.agent.adapters.calls import connect
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.adapters.requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.requests import request_of
-from kingcupwheel.agent.adapters.requests import run_id
+from kingcupwheel.agent.adapters.server_call import Call
+from kingcupwheel.agent.adapters.server_call import Silent
+from kingcupwheel.agent.adapters.server_call import connect
+from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import request_of
+from kingcupwheel.agent.adapters.server_requests import run_id
 from kingcupwheel.plugins.kernel import server_adapters
 
 
--- a/src/kingcupwheel/agent/store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -5,10 +5,10 @@
 from threading import Condition
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.answers import Answer
-from kingcupwheel.agent.answers import AnswerHead
-from kingcupwheel.agent.answers import Subscriber
-from kingcupwheel.agent.expiring import ExpiringMap
+from kingcupwheel.agent.answer_buffer import Answer
+from kingcupwheel.agent.answer_buffer import AnswerHead
+from kingcupwheel.agent.answer_buffer import Subscriber
+from kingcupwheel.agent.expiring_map import ExpiringMap
 from kingcupwheel.messages.attempts import AttemptRefused
 
 
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.answers import Ended
+    from kingcupwheel.agent.answer_buffer import Ended
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.attempts import DispatchRefusal
--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.answers import Subscriber
+from kingcupwheel.agent.answer_buffer import Subscriber
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
@@ -34,9 +34,9 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.agent.peers import Peers
-    from kingcupwheel.agent.runner import Runner
-    from kingcupwheel.agent.store import AnswerStore
+    from kingcupwheel.agent.answer_store import AnswerStore
+    from kingcupwheel.agent.attempt_runner import Runner
+    from kingcupwheel.agent.entry_links import Peers
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
--- a/src/kingcupwheel/agent/remembered.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.expiring import ExpiringMap
+from kingcupwheel.agent.expiring_map import ExpiringMap
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/agent/runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -11,7 +11,7 @@
 from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.answers import AnswerHead
+from kingcupwheel.agent.answer_buffer import AnswerHead
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import Start
 from kingcupwheel.agent.attempts import key_of
@@ -31,10 +31,10 @@
     from kingcupwheel.agent.adapters.base import AdapterError
     from kingcupwheel.agent.adapters.base import ServerAdapter
     from kingcupwheel.agent.adapters.base import ServerAnswer
+    from kingcupwheel.agent.answer_store import AnswerStore
+    from kingcupwheel.agent.attempt_table import Runs
     from kingcupwheel.agent.attempts import AttemptKey
-    from kingcupwheel.agent.crashes import CrashTable
-    from kingcupwheel.agent.runs import Runs
-    from kingcupwheel.agent.store import AnswerStore
+    from kingcupwheel.agent.crash_table import CrashTable
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.trace.recorder import Recorder
 
--- a/src/kingcupwheel/agent/runs.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -7,6 +7,8 @@
 
 from typing import TYPE_CHECKING
 
+from kingcupwheel.agent.attempt_history import Remembered
+from kingcupwheel.agent.attempt_queue import WaitingQueue
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
@@ -17,9 +19,7 @@
 from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import is_sendable
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.agent.claimed import Claims
-from kingcupwheel.agent.remembered import Remembered
-from kingcupwheel.agent.waiting import WaitingQueue
+from kingcupwheel.agent.claim_fences import Claims
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneReply
 
--- a/src/kingcupwheel/agent/claimed.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.agent.expiring import ExpiringMap
+from kingcupwheel.agent.expiring_map import ExpiringMap
 from kingcupwheel.messages.attempts import DispatchRefusal
 
 
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.agent.adapters.base import ServerAdapter
-    from kingcupwheel.agent.runner import Runner
+    from kingcupwheel.agent.attempt_runner import Runner
     from kingcupwheel.settings.schema import Settings
 
 _NOT_ASKED = ServerState(up=False, life="", running=0, rate=0.0)
--- a/tests/agent/conftest.py
+++ b/tests/agent/conftest.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.agent.daemon import AgentDaemon
 from tests.agent.builders import agent_settings
-from tests.agent.entry import Entry
+from tests.agent.fake_entry import Entry
 from tests.standins.engine import Engine
 from tests.standins.engine import Faults
 from tests.standins.relay import Relay
--- a/tests/agent/processes.py
+++ b/tests/agent/processes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tests.agent.entry import WAIT_S
+from tests.agent.fake_entry import WAIT_S
 
 
 if TYPE_CHECKING:
--- a/tests/agent/test_drain.py
+++ b/tests/agent/test_drain_tracker.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from kingcupwheel.agent.drain import Drain
+from kingcupwheel.agent.drain_tracker import Drain
 
 
 def drain() -> Drain:
--- a/tests/agent/test_peers.py
+++ b/tests/agent/test_entry_links.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from kingcupwheel.agent.peers import Peers
+from kingcupwheel.agent.entry_links import Peers
 from kingcupwheel.link.links import IncomingLink
 
 
--- a/tests/agent/test_failures.py
+++ b/tests/agent/test_failures.py
@@ -16,7 +16,7 @@
 from kingcupwheel.settings.schema import AgentLimits
 from tests.agent.builders import completion
 from tests.agent.builders import dispatch_to
-from tests.agent.entry import wait_until
+from tests.agent.fake_entry import wait_until
 from tests.standins.relay import Mode
 from tests.standins.tokens import streamed_answer
 
--- a/tests/agent/test_heartbeat.py
+++ b/tests/agent/test_heartbeat.py
@@ -7,15 +7,15 @@
 
 from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
+from kingcupwheel.agent.answer_store import AnswerStore
+from kingcupwheel.agent.attempt_runner import Runner
+from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.crashes import CrashTable
+from kingcupwheel.agent.crash_table import CrashTable
 from kingcupwheel.agent.heartbeat import ServerProbe
-from kingcupwheel.agent.runner import Runner
-from kingcupwheel.agent.runs import Runs
-from kingcupwheel.agent.store import AnswerStore
 from kingcupwheel.trace.recorder import Recorder
 from tests.agent.builders import dispatch
-from tests.agent.entry import wait_until
+from tests.agent.fake_entry import wait_until
 
 
 if TYPE_CHECKING:
--- a/tests/agent/test_runs.py
+++ b/tests/agent/test_runs.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
@@ -9,7 +10,6 @@
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import Start
 from kingcupwheel.agent.attempts import Wait
-from kingcupwheel.agent.runs import Runs
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneRequest
--- a/tests/agent/test_runs_properties.py
+++ b/tests/agent/test_runs_properties.py
@@ -17,12 +17,12 @@
 from hypothesis.stateful import precondition
 from hypothesis.stateful import rule
 
+from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import Start
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.agent.runs import Runs
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
 from kingcupwheel.messages.attempts import DispatchRefusal
--- a/tests/agent/test_silences.py
+++ b/tests/agent/test_silences.py
@@ -20,14 +20,14 @@
 from kingcupwheel.settings.schema import AgentLimits
 from tests.agent.builders import completion
 from tests.agent.builders import dispatch_to
-from tests.agent.entry import wait_until
+from tests.agent.fake_entry import wait_until
 from tests.standins.relay import Mode
 from tests.standins.tokens import streamed_answer
 
 
 if TYPE_CHECKING:
     from tests.agent.conftest import Bench
-    from tests.agent.entry import Entry
+    from tests.agent.fake_entry import Entry
 
 STREAMS = 24
 TOKENS = 150
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -11,11 +11,11 @@
 from hypothesis.stateful import rule
 
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.answers import NOT_HELD
-from kingcupwheel.agent.answers import AnswerHead
-from kingcupwheel.agent.answers import Subscriber
+from kingcupwheel.agent.answer_buffer import NOT_HELD
+from kingcupwheel.agent.answer_buffer import AnswerHead
+from kingcupwheel.agent.answer_buffer import Subscriber
+from kingcupwheel.agent.answer_store import AnswerStore
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.store import AnswerStore
 from kingcupwheel.link.links import IncomingLink
 from kingcupwheel.messages.attempts import AttemptEnd
 from kingcupwheel.messages.attempts import Outcome
--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -19,7 +19,7 @@
 from tests.agent.builders import agent_settings
 from tests.agent.builders import completion
 from tests.agent.builders import dispatch_to
-from tests.agent.entry import Entry
+from tests.agent.fake_entry import Entry
 from tests.agent.processes import AgentProcess
 from tests.agent.processes import StandInProcess
 
