--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -40,7 +40,7 @@
     outcome: Outcome
     detail: str
 
-    def message(self, name: AttemptKey, detail: str) -> AttemptEnd:
+    def to_message(self, name: AttemptKey, detail: str) -> AttemptEnd:
         """Return the message that tells it."""
         return AttemptEnd(
             name.request_id, name.attempt, self.length, self.outcome, detail
@@ -62,9 +62,9 @@
         """
         end = self.end
         if offset != end.length:
-            return [end.message(name, NOT_HELD)]
+            return [end.to_message(name, NOT_HELD)]
         head = [] if self.head is None else [ResponseHead(*name, *self.head)]
-        return [*head, end.message(name, end.detail)]
+        return [*head, end.to_message(name, end.detail)]
 
 
 @dataclass(slots=True)
@@ -172,7 +172,7 @@
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent >= self.end.length:
             subscriber.end_sent = True
-            messages.append(self.end.message(subscriber.name, self.end.detail))
+            messages.append(self.end.to_message(subscriber.name, self.end.detail))
         return messages
 
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
