--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -53,7 +53,7 @@
     head: AnswerHead | None
     end: AnswerEnd
 
-    def messages(self, name: AttemptKey, offset: int) -> list[Message]:
+    def to_messages(self, name: AttemptKey, offset: int) -> list[Message]:
         """Tell how it ended, without bytes.
 
         An entry that has fewer than ``length`` bytes knows by it that it lacks some, so
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -218,7 +218,7 @@
         ended = self._find_ended(key)
         if ended is None:
             return False
-        for message in ended.messages(subscriber.name, subscriber.sent):
+        for message in ended.to_messages(subscriber.name, subscriber.sent):
             self._send(subscriber.link, message)
         return True
 
