--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -47,7 +47,7 @@
         )
 
 
-class Ended(NamedTuple):
+class EndedAnswer(NamedTuple):
     """What is remembered of an answer whose bytes were freed."""
 
     head: AnswerHead | None
@@ -155,9 +155,9 @@
         self._base += freed
         return freed
 
-    def ended(self) -> Ended | None:
+    def ended(self) -> EndedAnswer | None:
         """Return what is to be remembered once the bytes are freed."""
-        return None if self.end is None else Ended(self.head, self.end)
+        return None if self.end is None else EndedAnswer(self.head, self.end)
 
     def due(self, subscriber: Subscriber) -> list[Message]:
         """Return the messages that may go to the subscriber now, and count them."""
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.answer_buffer import Ended
+    from kingcupwheel.agent.answer_buffer import EndedAnswer
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.attempts import DispatchRefusal
@@ -59,8 +59,8 @@
         self._by_key: dict[AttemptKey, Answer] = {}
         self._by_place: dict[tuple[AttemptKey, Link], Answer] = {}
         self._held = 0
-        self._ended: ExpiringMap[AttemptKey, Ended] = ExpiringMap(life_s=ended_s)
-        self._ended_claims: ExpiringMap[AttemptKey, Ended] = ExpiringMap(
+        self._ended: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(life_s=ended_s)
+        self._ended_claims: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
             life_s=_ENDED_CLAIM_S
         )
 
@@ -222,7 +222,7 @@
             self._send(subscriber.link, message)
         return True
 
-    def _find_ended(self, key: AttemptKey) -> Ended | None:
+    def _find_ended(self, key: AttemptKey) -> EndedAnswer | None:
         return self._ended.get(key) or self._ended_claims.get(key)
 
     def _flush(self, answer: Answer) -> None:
