--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -83,7 +83,7 @@
     end_sent: bool = False
 
     @property
-    def place(self) -> tuple[AttemptKey, Link]:
+    def identity(self) -> tuple[AttemptKey, Link]:
         """What tells this subscriber from every other."""
         return self.name, self.link
 
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -106,8 +106,8 @@
                 self._by_place.pop(place, None)
                 if go_on and earlier is not None:
                     subscriber.go_on_from(earlier)
-            answer.subscribers[subscriber.place] = subscriber
-            self._by_place[subscriber.place] = answer
+            answer.subscribers[subscriber.identity] = subscriber
+            self._by_place[subscriber.identity] = answer
             self._flush(answer)
             return True
 
@@ -183,7 +183,7 @@
             if answer is None:
                 return
             for subscriber in list(answer.subscribers.values()):
-                self._by_place.pop(subscriber.place, None)
+                self._by_place.pop(subscriber.identity, None)
                 self._send(subscriber.link, AttemptRefused(*subscriber.name, reason))
 
     def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
