--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -74,7 +74,7 @@
     Bytes before ``acked`` have reached the caller; ``credit`` bytes may be sent beyond.
     """
 
-    name: AttemptKey
+    attempt_key: AttemptKey
     link: Link
     sent: int
     acked: int
@@ -85,7 +85,7 @@
     @property
     def identity(self) -> tuple[AttemptKey, Link]:
         """What tells this subscriber from every other."""
-        return self.name, self.link
+        return self.attempt_key, self.link
 
     def go_on_from(self, earlier: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
@@ -168,11 +168,13 @@
         messages: list[Message] = []
         if self.head is not None and not subscriber.head_sent:
             subscriber.head_sent = True
-            messages.append(ResponseHead(*subscriber.name, *self.head))
+            messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent >= self.end.length:
             subscriber.end_sent = True
-            messages.append(self.end.to_message(subscriber.name, self.end.detail))
+            messages.append(
+                self.end.to_message(subscriber.attempt_key, self.end.detail)
+            )
         return messages
 
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
@@ -182,7 +184,7 @@
             start = subscriber.sent
             stop = min(until, start + _FRAME_BYTES)
             data = bytes(self._body[start - self._base : stop - self._base])
-            messages.append(ResponseData(*subscriber.name, start, data))
+            messages.append(ResponseData(*subscriber.attempt_key, start, data))
             subscriber.sent = stop
         return messages
 
@@ -191,4 +193,4 @@
         # entry that it lacks some; waiting would not bring them back.
         subscriber.end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
-        return [AttemptEnd(*subscriber.name, self.length, outcome, NOT_HELD)]
+        return [AttemptEnd(*subscriber.attempt_key, self.length, outcome, NOT_HELD)]
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -101,7 +101,7 @@
             # The new subscriber comes before anything is freed: in between nobody
             # would need the bytes that the old link swallowed.
             for link in (subscriber.link, *replaced):
-                place = (subscriber.name, link)
+                place = (subscriber.attempt_key, link)
                 earlier = answer.subscribers.pop(place, None)
                 self._by_place.pop(place, None)
                 if go_on and earlier is not None:
@@ -184,7 +184,9 @@
                 return
             for subscriber in list(answer.subscribers.values()):
                 self._by_place.pop(subscriber.identity, None)
-                self._send(subscriber.link, AttemptRefused(*subscriber.name, reason))
+                self._send(
+                    subscriber.link, AttemptRefused(*subscriber.attempt_key, reason)
+                )
 
     def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
         """Free what has reached the caller and send on within the credit."""
@@ -218,7 +220,7 @@
         ended = self._find_ended(key)
         if ended is None:
             return False
-        for message in ended.to_messages(subscriber.name, subscriber.sent):
+        for message in ended.to_messages(subscriber.attempt_key, subscriber.sent):
             self._send(subscriber.link, message)
         return True
 
