--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -87,7 +87,7 @@
         """What tells this subscriber from every other."""
         return self.attempt_key, self.link
 
-    def go_on_from(self, earlier: Subscriber) -> None:
+    def resume_from(self, earlier: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
         self.acked = max(self.acked, earlier.acked)
         self.sent = self.acked
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -105,7 +105,7 @@
                 earlier = answer.subscribers.pop(place, None)
                 self._by_place.pop(place, None)
                 if go_on and earlier is not None:
-                    subscriber.go_on_from(earlier)
+                    subscriber.resume_from(earlier)
             answer.subscribers[subscriber.identity] = subscriber
             self._by_place[subscriber.identity] = answer
             self._flush(answer)
