--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -76,7 +76,7 @@
 
     attempt_key: AttemptKey
     link: Link
-    sent: int
+    sent_offset: int
     acked: int
     credit: int
     head_sent: bool = False
@@ -90,7 +90,7 @@
     def resume_from(self, earlier: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
         self.acked = max(self.acked, earlier.acked)
-        self.sent = self.acked
+        self.sent_offset = self.acked
 
 
 class Answer:
@@ -163,14 +163,14 @@
         """Return the messages that may go to the subscriber now, and count them."""
         if subscriber.end_sent:
             return []
-        if subscriber.sent < self._base:
+        if subscriber.sent_offset < self._base:
             return self._lost_start(subscriber)
         messages: list[Message] = []
         if self.head is not None and not subscriber.head_sent:
             subscriber.head_sent = True
             messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
         messages += self._due_data(subscriber)
-        if self.end is not None and subscriber.sent >= self.end.length:
+        if self.end is not None and subscriber.sent_offset >= self.end.length:
             subscriber.end_sent = True
             messages.append(
                 self.end.to_message(subscriber.attempt_key, self.end.detail)
@@ -180,12 +180,12 @@
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
         until = min(self.length, subscriber.acked + subscriber.credit)
-        while subscriber.sent < until:
-            start = subscriber.sent
+        while subscriber.sent_offset < until:
+            start = subscriber.sent_offset
             stop = min(until, start + _FRAME_BYTES)
             data = bytes(self._body[start - self._base : stop - self._base])
             messages.append(ResponseData(*subscriber.attempt_key, start, data))
-            subscriber.sent = stop
+            subscriber.sent_offset = stop
         return messages
 
     def _lost_start(self, subscriber: Subscriber) -> list[Message]:
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -220,7 +220,9 @@
         ended = self._find_ended(key)
         if ended is None:
             return False
-        for message in ended.to_messages(subscriber.attempt_key, subscriber.sent):
+        for message in ended.to_messages(
+            subscriber.attempt_key, subscriber.sent_offset
+        ):
             self._send(subscriber.link, message)
         return True
 
