--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -77,7 +77,7 @@
     attempt_key: AttemptKey
     link: Link
     sent_offset: int
-    acked: int
+    acked_offset: int
     credit: int
     head_sent: bool = False
     end_sent: bool = False
@@ -89,8 +89,8 @@
 
     def resume_from(self, earlier: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
-        self.acked = max(self.acked, earlier.acked)
-        self.sent_offset = self.acked
+        self.acked_offset = max(self.acked_offset, earlier.acked_offset)
+        self.sent_offset = self.acked_offset
 
 
 class Answer:
@@ -123,7 +123,7 @@
     @property
     def acked(self) -> int:
         """Bytes before this offset are needed by no subscriber."""
-        acked = [subscriber.acked for subscriber in self.subscribers.values()]
+        acked = [subscriber.acked_offset for subscriber in self.subscribers.values()]
         return min(acked, default=self.length)
 
     @property
@@ -135,7 +135,7 @@
     def delivered(self) -> bool:
         """Whether it has ended and every subscriber has all of it."""
         return self.end is not None and all(
-            subscriber.end_sent and subscriber.acked >= self.end.length
+            subscriber.end_sent and subscriber.acked_offset >= self.end.length
             for subscriber in self.subscribers.values()
         )
 
@@ -179,7 +179,7 @@
 
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
-        until = min(self.length, subscriber.acked + subscriber.credit)
+        until = min(self.length, subscriber.acked_offset + subscriber.credit)
         while subscriber.sent_offset < until:
             start = subscriber.sent_offset
             stop = min(until, start + _FRAME_BYTES)
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -195,7 +195,9 @@
             if answer is None:
                 return
             subscriber = answer.subscribers[(name, link)]
-            subscriber.acked = max(subscriber.acked, min(offset, answer.length))
+            subscriber.acked_offset = max(
+                subscriber.acked_offset, min(offset, answer.length)
+            )
             self._flush(answer)
 
     def alive(self) -> dict[Link, list[AttemptKey]]:
