--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -78,7 +78,7 @@
     link: Link
     sent_offset: int
     acked_offset: int
-    credit: int
+    credit_bytes: int
     head_sent: bool = False
     end_sent: bool = False
 
@@ -179,7 +179,7 @@
 
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
-        until = min(self.length, subscriber.acked_offset + subscriber.credit)
+        until = min(self.length, subscriber.acked_offset + subscriber.credit_bytes)
         while subscriber.sent_offset < until:
             start = subscriber.sent_offset
             stop = min(until, start + _FRAME_BYTES)
