--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -79,7 +79,7 @@
     sent_offset: int
     acked_offset: int
     credit_bytes: int
-    head_sent: bool = False
+    is_head_sent: bool = False
     end_sent: bool = False
 
     @property
@@ -166,8 +166,8 @@
         if subscriber.sent_offset < self._base:
             return self._lost_start(subscriber)
         messages: list[Message] = []
-        if self.head is not None and not subscriber.head_sent:
-            subscriber.head_sent = True
+        if self.head is not None and not subscriber.is_head_sent:
+            subscriber.is_head_sent = True
             messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent_offset >= self.end.length:
