--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -80,7 +80,7 @@
     acked_offset: int
     credit_bytes: int
     is_head_sent: bool = False
-    end_sent: bool = False
+    is_end_sent: bool = False
 
     @property
     def identity(self) -> tuple[AttemptKey, Link]:
@@ -135,7 +135,7 @@
     def delivered(self) -> bool:
         """Whether it has ended and every subscriber has all of it."""
         return self.end is not None and all(
-            subscriber.end_sent and subscriber.acked_offset >= self.end.length
+            subscriber.is_end_sent and subscriber.acked_offset >= self.end.length
             for subscriber in self.subscribers.values()
         )
 
@@ -161,7 +161,7 @@
 
     def due(self, subscriber: Subscriber) -> list[Message]:
         """Return the messages that may go to the subscriber now, and count them."""
-        if subscriber.end_sent:
+        if subscriber.is_end_sent:
             return []
         if subscriber.sent_offset < self._base:
             return self._lost_start(subscriber)
@@ -171,7 +171,7 @@
             messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
         messages += self._due_data(subscriber)
         if self.end is not None and subscriber.sent_offset >= self.end.length:
-            subscriber.end_sent = True
+            subscriber.is_end_sent = True
             messages.append(
                 self.end.to_message(subscriber.attempt_key, self.end.detail)
             )
@@ -191,6 +191,6 @@
     def _lost_start(self, subscriber: Subscriber) -> list[Message]:
         # The bytes asked for were acknowledged once and freed. The length tells the
         # entry that it lacks some; waiting would not bring them back.
-        subscriber.end_sent = True
+        subscriber.is_end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
         return [AttemptEnd(*subscriber.attempt_key, self.length, outcome, NOT_HELD)]
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -205,7 +205,7 @@
         by_link: dict[Link, list[AttemptKey]] = {}
         with self._changed:
             for (name, link), answer in self._by_place.items():
-                if not answer.subscribers[(name, link)].end_sent:
+                if not answer.subscribers[(name, link)].is_end_sent:
                     by_link.setdefault(link, []).append(name)
         return by_link
 
