--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -102,7 +102,7 @@
 
     def __init__(self, key: AttemptKey, *, keep: bool) -> None:
         self.key = key
-        self.keep = keep
+        self.is_retained = keep
         self.head: AnswerHead | None = None
         self.end: AnswerEnd | None = None
         self.ended_at = 0.0
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -235,7 +235,7 @@
         for subscriber in answer.subscribers.values():
             for message in answer.due(subscriber):
                 self._send(subscriber.link, message)
-        if answer.keep:
+        if answer.is_retained:
             return
         self._freed(answer.free())
         if answer.delivered:
@@ -255,7 +255,7 @@
         del self._by_key[answer.key]
         for place in answer.subscribers:
             self._by_place.pop(place, None)
-        remembered = self._ended_claims if answer.keep else self._ended
+        remembered = self._ended_claims if answer.is_retained else self._ended
         remembered.put(answer.key, ended, now=answer.ended_at)
         self._freed(answer.held)
 
@@ -273,7 +273,7 @@
 
     def _reclaim(self, size: int) -> None:
         """Give up kept answers that everyone has, the oldest first."""
-        kept = [answer for answer in self._by_key.values() if answer.keep]
+        kept = [answer for answer in self._by_key.values() if answer.is_retained]
         finished = [answer for answer in kept if answer.delivered]
         for answer in sorted(finished, key=lambda answer: answer.ended_at):
             if self._held + size <= self._limit:
