--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -111,7 +111,7 @@
         self._body = bytearray()
 
     @property
-    def held(self) -> int:
+    def held_bytes(self) -> int:
         """The number of bytes in memory."""
         return len(self._body)
 
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -257,7 +257,7 @@
             self._by_place.pop(place, None)
         remembered = self._ended_claims if answer.is_retained else self._ended
         remembered.put(answer.key, ended, now=answer.ended_at)
-        self._freed(answer.held)
+        self._freed(answer.held_bytes)
 
     def _freed(self, count: int) -> None:
         if count:
