--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -116,7 +116,7 @@
         return len(self._body)
 
     @property
-    def length(self) -> int:
+    def length_bytes(self) -> int:
         """The number of bytes that came so far."""
         return self._base + len(self._body)
 
@@ -124,12 +124,12 @@
     def acked(self) -> int:
         """Bytes before this offset are needed by no subscriber."""
         acked = [subscriber.acked_offset for subscriber in self.subscribers.values()]
-        return min(acked, default=self.length)
+        return min(acked, default=self.length_bytes)
 
     @property
     def unacked(self) -> int:
         """The number of bytes that some subscriber still needs."""
-        return self.length - max(self._base, self.acked)
+        return self.length_bytes - max(self._base, self.acked)
 
     @property
     def delivered(self) -> bool:
@@ -145,12 +145,12 @@
 
     def finish(self, outcome: Outcome, detail: str, *, now: float) -> None:
         """Record that nothing more comes."""
-        self.end = AnswerEnd(self.length, outcome, detail)
+        self.end = AnswerEnd(self.length_bytes, outcome, detail)
         self.ended_at = now
 
     def free(self) -> int:
         """Forget the bytes that no subscriber needs; return how many."""
-        freed = max(0, min(self.acked, self.length) - self._base)
+        freed = max(0, min(self.acked, self.length_bytes) - self._base)
         del self._body[:freed]
         self._base += freed
         return freed
@@ -179,7 +179,9 @@
 
     def _due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
-        until = min(self.length, subscriber.acked_offset + subscriber.credit_bytes)
+        until = min(
+            self.length_bytes, subscriber.acked_offset + subscriber.credit_bytes
+        )
         while subscriber.sent_offset < until:
             start = subscriber.sent_offset
             stop = min(until, start + _FRAME_BYTES)
@@ -193,4 +195,6 @@
         # entry that it lacks some; waiting would not bring them back.
         subscriber.is_end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
-        return [AttemptEnd(*subscriber.attempt_key, self.length, outcome, NOT_HELD)]
+        return [
+            AttemptEnd(*subscriber.attempt_key, self.length_bytes, outcome, NOT_HELD)
+        ]
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -172,7 +172,7 @@
             if answer is None:
                 return 0
             answer.finish(outcome, detail, now=now)
-            length = answer.length
+            length = answer.length_bytes
             self._flush(answer)
             return length
 
@@ -196,7 +196,7 @@
                 return
             subscriber = answer.subscribers[(name, link)]
             subscriber.acked_offset = max(
-                subscriber.acked_offset, min(offset, answer.length)
+                subscriber.acked_offset, min(offset, answer.length_bytes)
             )
             self._flush(answer)
 
