--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -121,7 +121,7 @@
         return self._base + len(self._body)
 
     @property
-    def acked(self) -> int:
+    def acked_offset(self) -> int:
         """Bytes before this offset are needed by no subscriber."""
         acked = [subscriber.acked_offset for subscriber in self.subscribers.values()]
         return min(acked, default=self.length_bytes)
@@ -129,7 +129,7 @@
     @property
     def unacked(self) -> int:
         """The number of bytes that some subscriber still needs."""
-        return self.length_bytes - max(self._base, self.acked)
+        return self.length_bytes - max(self._base, self.acked_offset)
 
     @property
     def delivered(self) -> bool:
@@ -150,7 +150,7 @@
 
     def free(self) -> int:
         """Forget the bytes that no subscriber needs; return how many."""
-        freed = max(0, min(self.acked, self.length_bytes) - self._base)
+        freed = max(0, min(self.acked_offset, self.length_bytes) - self._base)
         del self._body[:freed]
         self._base += freed
         return freed
