--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -127,7 +127,7 @@
         return min(acked, default=self.length_bytes)
 
     @property
-    def unacked(self) -> int:
+    def unacked_bytes(self) -> int:
         """The number of bytes that some subscriber still needs."""
         return self.length_bytes - max(self._base, self.acked_offset)
 
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -267,7 +267,7 @@
     def _has_room(self, answer: Answer, size: int) -> bool:
         if self._held + size > self._limit:
             self._reclaim(size)
-        if answer.unacked >= self._limit * _SHARE_OF_ONE:
+        if answer.unacked_bytes >= self._limit * _SHARE_OF_ONE:
             return False
         return self._held == 0 or self._held + size <= self._limit
 
