--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -132,7 +132,7 @@
         return self.length_bytes - max(self._base, self.acked_offset)
 
     @property
-    def delivered(self) -> bool:
+    def is_delivered(self) -> bool:
         """Whether it has ended and every subscriber has all of it."""
         return self.end is not None and all(
             subscriber.is_end_sent and subscriber.acked_offset >= self.end.length
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -73,7 +73,7 @@
     def undelivered(self) -> int:
         """How many answers have not ended, or not yet reached every entry."""
         with self._changed:
-            return sum(not answer.delivered for answer in self._by_key.values())
+            return sum(not answer.is_delivered for answer in self._by_key.values())
 
     def open(self, key: AttemptKey, *, keep: bool) -> None:
         """Begin the answer of an accepted attempt."""
@@ -213,7 +213,7 @@
         """Forget kept answers, and how answers ended, when their time is over."""
         with self._changed:
             for answer in list(self._by_key.values()):
-                if answer.delivered and now - answer.ended_at > _KEPT_S:
+                if answer.is_delivered and now - answer.ended_at > _KEPT_S:
                     self._close(answer)
             self._ended.expire(now=now)
             self._ended_claims.expire(now=now)
@@ -238,7 +238,7 @@
         if answer.is_retained:
             return
         self._freed(answer.free())
-        if answer.delivered:
+        if answer.is_delivered:
             self._close(answer)
 
     def _remove(self, place: tuple[AttemptKey, Link]) -> Answer | None:
@@ -274,7 +274,7 @@
     def _reclaim(self, size: int) -> None:
         """Give up kept answers that everyone has, the oldest first."""
         kept = [answer for answer in self._by_key.values() if answer.is_retained]
-        finished = [answer for answer in kept if answer.delivered]
+        finished = [answer for answer in kept if answer.is_delivered]
         for answer in sorted(finished, key=lambda answer: answer.ended_at):
             if self._held + size <= self._limit:
                 return
