--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -148,7 +148,7 @@
         self.end = AnswerEnd(self.length_bytes, outcome, detail)
         self.ended_at = now
 
-    def free(self) -> int:
+    def free_acked(self) -> int:
         """Forget the bytes that no subscriber needs; return how many."""
         freed = max(0, min(self.acked_offset, self.length_bytes) - self._base)
         del self._body[:freed]
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -237,7 +237,7 @@
                 self._send(subscriber.link, message)
         if answer.is_retained:
             return
-        self._freed(answer.free())
+        self._freed(answer.free_acked())
         if answer.is_delivered:
             self._close(answer)
 
@@ -282,4 +282,4 @@
         for answer in kept:
             if self._held + size <= self._limit:
                 return
-            self._freed(answer.free())
+            self._freed(answer.free_acked())
