--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -155,7 +155,7 @@
         self._base += freed
         return freed
 
-    def ended(self) -> EndedAnswer | None:
+    def to_ended_answer(self) -> EndedAnswer | None:
         """Return what is to be remembered once the bytes are freed."""
         return None if self.end is None else EndedAnswer(self.head, self.end)
 
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -249,7 +249,7 @@
         return answer
 
     def _close(self, answer: Answer) -> None:
-        ended = answer.ended()
+        ended = answer.to_ended_answer()
         if ended is None:
             return
         del self._by_key[answer.key]
