--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -159,7 +159,7 @@
         """Return what is to be remembered once the bytes are freed."""
         return None if self.end is None else EndedAnswer(self.head, self.end)
 
-    def due(self, subscriber: Subscriber) -> list[Message]:
+    def take_due_messages(self, subscriber: Subscriber) -> list[Message]:
         """Return the messages that may go to the subscriber now, and count them."""
         if subscriber.is_end_sent:
             return []
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -233,7 +233,7 @@
 
     def _flush(self, answer: Answer) -> None:
         for subscriber in answer.subscribers.values():
-            for message in answer.due(subscriber):
+            for message in answer.take_due_messages(subscriber):
                 self._send(subscriber.link, message)
         if answer.is_retained:
             return
