--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -93,7 +93,7 @@
         self.sent_offset = self.acked_offset
 
 
-class Answer:
+class AnswerBuffer:
     """The answer of one attempt, from the first byte not yet freed.
 
     ``keep`` is True for attempts that may not be repeated: their answer stays, also
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -5,7 +5,7 @@
 from threading import Condition
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.answer_buffer import Answer
+from kingcupwheel.agent.answer_buffer import AnswerBuffer
 from kingcupwheel.agent.answer_buffer import AnswerHead
 from kingcupwheel.agent.answer_buffer import Subscriber
 from kingcupwheel.agent.expiring_map import ExpiringMap
@@ -56,8 +56,8 @@
         self._limit = limit_bytes
         self._send = send
         self._changed = Condition()
-        self._by_key: dict[AttemptKey, Answer] = {}
-        self._by_place: dict[tuple[AttemptKey, Link], Answer] = {}
+        self._by_key: dict[AttemptKey, AnswerBuffer] = {}
+        self._by_place: dict[tuple[AttemptKey, Link], AnswerBuffer] = {}
         self._held = 0
         self._ended: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(life_s=ended_s)
         self._ended_claims: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
@@ -78,7 +78,7 @@
     def open(self, key: AttemptKey, *, keep: bool) -> None:
         """Begin the answer of an accepted attempt."""
         with self._changed:
-            self._by_key[key] = Answer(key, keep=keep)
+            self._by_key[key] = AnswerBuffer(key, keep=keep)
 
     def subscribe(
         self,
@@ -231,7 +231,7 @@
     def _find_ended(self, key: AttemptKey) -> EndedAnswer | None:
         return self._ended.get(key) or self._ended_claims.get(key)
 
-    def _flush(self, answer: Answer) -> None:
+    def _flush(self, answer: AnswerBuffer) -> None:
         for subscriber in answer.subscribers.values():
             for message in answer.take_due_messages(subscriber):
                 self._send(subscriber.link, message)
@@ -241,14 +241,14 @@
         if answer.is_delivered:
             self._close(answer)
 
-    def _remove(self, place: tuple[AttemptKey, Link]) -> Answer | None:
+    def _remove(self, place: tuple[AttemptKey, Link]) -> AnswerBuffer | None:
         answer = self._by_place.pop(place, None)
         if answer is not None:
             answer.subscribers.pop(place, None)
             self._flush(answer)
         return answer
 
-    def _close(self, answer: Answer) -> None:
+    def _close(self, answer: AnswerBuffer) -> None:
         ended = answer.to_ended_answer()
         if ended is None:
             return
@@ -264,7 +264,7 @@
             self._held -= count
             self._changed.notify_all()
 
-    def _has_room(self, answer: Answer, size: int) -> bool:
+    def _has_room(self, answer: AnswerBuffer, size: int) -> bool:
         if self._held + size > self._limit:
             self._reclaim(size)
         if answer.unacked_bytes >= self._limit * _SHARE_OF_ONE:
