--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -23,7 +23,7 @@
 
 # One frame's share of the body: small enough that a heartbeat behind it is not late.
 _FRAME_BYTES = 65_536
-NOT_HELD = "the answer's bytes are no longer held"
+BYTES_FREED_DETAIL = "the answer's bytes are no longer held"
 
 
 class AnswerHead(NamedTuple):
@@ -62,7 +62,7 @@
         """
         end = self.end
         if offset != end.length:
-            return [end.to_message(name, NOT_HELD)]
+            return [end.to_message(name, BYTES_FREED_DETAIL)]
         head = [] if self.head is None else [ResponseHead(*name, *self.head)]
         return [*head, end.to_message(name, end.detail)]
 
@@ -196,5 +196,7 @@
         subscriber.is_end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
         return [
-            AttemptEnd(*subscriber.attempt_key, self.length_bytes, outcome, NOT_HELD)
+            AttemptEnd(
+                *subscriber.attempt_key, self.length_bytes, outcome, BYTES_FREED_DETAIL
+            )
         ]
