--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -11,7 +11,7 @@
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import Join
 from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
+from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import key_of
@@ -92,7 +92,7 @@
         with self._runner.lock:
             decision = self._runner.runs.dispatch(dispatch, now=monotonic())
             match decision:
-                case Start():
+                case StartDecision():
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
                 case Wait(ahead):
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -13,7 +13,7 @@
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.answer_buffer import AnswerHead
 from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
+from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
@@ -111,7 +111,7 @@
         with self.lock:
             for step in self.runs.advance(now=monotonic()):
                 match step:
-                    case Start(dispatch):
+                    case StartDecision(dispatch):
                         self.start(dispatch)
                     case Refuse():
                         self.refuse([step])
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import Join
 from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
+from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import is_sendable
@@ -177,9 +177,9 @@
             refusals += self._never_ran(dispatch, DispatchRefusal.LEAVING, now)
         return refusals
 
-    def advance(self, *, now: float) -> list[Start | Refuse]:
+    def advance(self, *, now: float) -> list[StartDecision | Refuse]:
         """Start what has a place now, and refuse what waited past its deadline."""
-        steps: list[Start | Refuse] = []
+        steps: list[StartDecision | Refuse] = []
         for late in self._queue.expire(now=now):
             steps += self._never_ran(late, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
@@ -187,7 +187,7 @@
             if dispatch is None:
                 break
             self._running[key_of(dispatch)] = dispatch
-            steps.append(Start(dispatch))
+            steps.append(StartDecision(dispatch))
         return steps
 
     def _earlier(self, dispatch: Dispatch) -> AttemptKey | None:
@@ -264,7 +264,7 @@
             self._claims.accept(dispatch.claim.claim_id, key, now=now)
         if len(self._running) < self._capacity:
             self._running[key] = dispatch
-            return Start(dispatch)
+            return StartDecision(dispatch)
         return Wait(self._queue.push(dispatch, now=now))
 
     def _refuse(self, key: AttemptKey, reason: DispatchRefusal, now: float) -> Refuse:
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -24,7 +24,7 @@
     attempt: int
 
 
-class Start(NamedTuple):
+class StartDecision(NamedTuple):
     """Run it now."""
 
     dispatch: Dispatch
@@ -60,7 +60,7 @@
     key: AttemptKey
 
 
-Decision = Start | Wait | Join | Refuse | Forgotten
+Decision = StartDecision | Wait | Join | Refuse | Forgotten
 
 
 class Stop(NamedTuple):
