--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -38,7 +38,7 @@
 class Wait(NamedTuple):
     """Accepted; it waits for a place, ``ahead`` others are before it."""
 
-    ahead: int
+    ahead_count: int
 
 
 class Join(NamedTuple):
