--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -10,10 +10,10 @@
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import Join
+from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
-from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import AttemptAccepted
@@ -95,7 +95,7 @@
                 case StartDecision():
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
-                case Wait(ahead):
+                case QueueDecision(ahead):
                     self._recorder.record(name.request_id, Queued(ahead))
                     self._accept(link, dispatch, running=False)
                 case Join(key):
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -13,10 +13,10 @@
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import Join
+from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
-from kingcupwheel.agent.attempts import Wait
 from kingcupwheel.agent.attempts import is_sendable
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.agent.claim_fences import Claims
@@ -265,7 +265,7 @@
         if len(self._running) < self._capacity:
             self._running[key] = dispatch
             return StartDecision(dispatch)
-        return Wait(self._queue.push(dispatch, now=now))
+        return QueueDecision(self._queue.push(dispatch, now=now))
 
     def _refuse(self, key: AttemptKey, reason: DispatchRefusal, now: float) -> Refuse:
         self._remembered.refuse(key, reason, now=now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -35,7 +35,7 @@
         return key_of(self.dispatch)
 
 
-class Wait(NamedTuple):
+class QueueDecision(NamedTuple):
     """Accepted; it waits for a place, ``ahead`` others are before it."""
 
     ahead_count: int
@@ -60,7 +60,7 @@
     key: AttemptKey
 
 
-Decision = StartDecision | Wait | Join | Refuse | Forgotten
+Decision = StartDecision | QueueDecision | Join | Refuse | Forgotten
 
 
 class Stop(NamedTuple):
