--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -9,7 +9,7 @@
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
-from kingcupwheel.agent.attempts import Join
+from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import StartDecision
@@ -98,7 +98,7 @@
                 case QueueDecision(ahead):
                     self._recorder.record(name.request_id, Queued(ahead))
                     self._accept(link, dispatch, running=False)
-                case Join(key):
+                case JoinDecision(key):
                     self._join(link, dispatch, key)
                 case Forgotten():
                     self._send(link, _unknown(name))
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -12,7 +12,7 @@
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import Forgotten
 from kingcupwheel.agent.attempts import Ignore
-from kingcupwheel.agent.attempts import Join
+from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import Refuse
 from kingcupwheel.agent.attempts import StartDecision
@@ -112,7 +112,7 @@
         key = key_of(dispatch)
         earlier = self._earlier(dispatch)
         if earlier is not None:
-            return Join(earlier)
+            return JoinDecision(earlier)
         if self._may_be_forgotten(dispatch, now):
             return Forgotten(key)
         reason = self._refusal(dispatch, now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -41,7 +41,7 @@
     ahead_count: int
 
 
-class Join(NamedTuple):
+class JoinDecision(NamedTuple):
     """Nothing runs: the attempt ``key`` was accepted before and has its answer."""
 
     key: AttemptKey
@@ -60,7 +60,7 @@
     key: AttemptKey
 
 
-Decision = StartDecision | QueueDecision | Join | Refuse | Forgotten
+Decision = StartDecision | QueueDecision | JoinDecision | Refuse | Forgotten
 
 
 class Stop(NamedTuple):
