--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -11,7 +11,7 @@
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
-from kingcupwheel.agent.attempts import Refuse
+from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import key_of
@@ -102,7 +102,7 @@
                     self._join(link, dispatch, key)
                 case Forgotten():
                     self._send(link, _unknown(name))
-                case Refuse(_, reason):
+                case RefusalDecision(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
                     self._recorder.record(name.request_id, note)
                     self._send(link, AttemptRefused(*name, reason))
@@ -165,7 +165,7 @@
         match decision:
             case Stop():
                 self._runner.stop(key)
-            case Refuse(_, reason):
+            case RefusalDecision(_, reason):
                 self._store.refuse(key, reason)
                 return AttemptRefused(*key, reason)
             case Ignore():
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -12,7 +12,7 @@
 from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.answer_buffer import AnswerHead
-from kingcupwheel.agent.attempts import Refuse
+from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
@@ -100,7 +100,7 @@
         if cancellation is not None:
             cancellation.set()
 
-    def refuse(self, refusals: Iterable[Refuse]) -> None:
+    def refuse(self, refusals: Iterable[RefusalDecision]) -> None:
         """Tell the entries that accepted attempts never ran."""
         for key, reason in refusals:
             self._store.refuse(key, reason)
@@ -113,7 +113,7 @@
                 match step:
                     case StartDecision(dispatch):
                         self.start(dispatch)
-                    case Refuse():
+                    case RefusalDecision():
                         self.refuse([step])
 
     def server_died(self, generation: int) -> None:
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
-from kingcupwheel.agent.attempts import Refuse
+from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import Stop
 from kingcupwheel.agent.attempts import is_sendable
@@ -151,7 +151,7 @@
         waiting = self._queue.remove(key)
         if waiting is not None:
             self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
-            return Refuse(key, DispatchRefusal.CANCELLED)
+            return RefusalDecision(key, DispatchRefusal.CANCELLED)
         if not self._remembered.ended(key):
             self._remembered.cancel(key, now=now)
         return Ignore()
@@ -162,14 +162,14 @@
             self._joined_by_key.pop(key, None)
             self._remembered.end(key, now=now)
 
-    def unreachable(self, key: AttemptKey, *, now: float) -> list[Refuse]:
+    def unreachable(self, key: AttemptKey, *, now: float) -> list[RefusalDecision]:
         """Record that no connection to the server could be made for the attempt."""
         dispatch = self._running.pop(key, None)
         if dispatch is None:
             return []
         return self._never_ran(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
 
-    def leave(self, *, now: float) -> list[Refuse]:
+    def leave(self, *, now: float) -> list[RefusalDecision]:
         """Take no new work from now on; what only waits is refused."""
         self._leaving = True
         refusals = []
@@ -177,9 +177,9 @@
             refusals += self._never_ran(dispatch, DispatchRefusal.LEAVING, now)
         return refusals
 
-    def advance(self, *, now: float) -> list[StartDecision | Refuse]:
+    def advance(self, *, now: float) -> list[StartDecision | RefusalDecision]:
         """Start what has a place now, and refuse what waited past its deadline."""
-        steps: list[StartDecision | Refuse] = []
+        steps: list[StartDecision | RefusalDecision] = []
         for late in self._queue.expire(now=now):
             steps += self._never_ran(late, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
@@ -267,13 +267,15 @@
             return StartDecision(dispatch)
         return QueueDecision(self._queue.push(dispatch, now=now))
 
-    def _refuse(self, key: AttemptKey, reason: DispatchRefusal, now: float) -> Refuse:
+    def _refuse(
+        self, key: AttemptKey, reason: DispatchRefusal, now: float
+    ) -> RefusalDecision:
         self._remembered.refuse(key, reason, now=now)
-        return Refuse(key, reason)
+        return RefusalDecision(key, reason)
 
     def _never_ran(
         self, dispatch: Dispatch, reason: DispatchRefusal, now: float
-    ) -> list[Refuse]:
+    ) -> list[RefusalDecision]:
         """Refuse an accepted attempt and all that were joined to it."""
         if dispatch.claim is not None:
             self._claims.release(dispatch.claim.claim_id, now=now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -47,7 +47,7 @@
     key: AttemptKey
 
 
-class Refuse(NamedTuple):
+class RefusalDecision(NamedTuple):
     """It never started and never will."""
 
     key: AttemptKey
@@ -60,7 +60,7 @@
     key: AttemptKey
 
 
-Decision = StartDecision | QueueDecision | JoinDecision | Refuse | Forgotten
+Decision = StartDecision | QueueDecision | JoinDecision | RefusalDecision | Forgotten
 
 
 class Stop(NamedTuple):
@@ -73,7 +73,7 @@
     """There is nothing left to stop."""
 
 
-CancelDecision = Stop | Refuse | Ignore
+CancelDecision = Stop | RefusalDecision | Ignore
 
 
 def key_of(dispatch: Dispatch) -> AttemptKey:
