--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.agent.answer_buffer import Subscriber
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.attempts import Forgotten
+from kingcupwheel.agent.attempts import ForgottenDecision
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
@@ -100,7 +100,7 @@
                     self._accept(link, dispatch, running=False)
                 case JoinDecision(key):
                     self._join(link, dispatch, key)
-                case Forgotten():
+                case ForgottenDecision():
                     self._send(link, _unknown(name))
                 case RefusalDecision(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -10,7 +10,7 @@
 from kingcupwheel.agent.attempt_history import Remembered
 from kingcupwheel.agent.attempt_queue import WaitingQueue
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.attempts import Forgotten
+from kingcupwheel.agent.attempts import ForgottenDecision
 from kingcupwheel.agent.attempts import Ignore
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
@@ -114,7 +114,7 @@
         if earlier is not None:
             return JoinDecision(earlier)
         if self._may_be_forgotten(dispatch, now):
-            return Forgotten(key)
+            return ForgottenDecision(key)
         reason = self._refusal(dispatch, now)
         if reason is not None:
             return self._refuse(key, reason, now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -54,13 +54,15 @@
     reason: DispatchRefusal
 
 
-class Forgotten(NamedTuple):
+class ForgottenDecision(NamedTuple):
     """So old that it may have run and been forgotten; only ``unknown`` is honest."""
 
     key: AttemptKey
 
 
-Decision = StartDecision | QueueDecision | JoinDecision | RefusalDecision | Forgotten
+Decision = (
+    StartDecision | QueueDecision | JoinDecision | RefusalDecision | ForgottenDecision
+)
 
 
 class Stop(NamedTuple):
