--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.agent.attempts import CancelDecision
-    from kingcupwheel.agent.attempts import Decision
+    from kingcupwheel.agent.attempts import DispatchDecision
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.messages.attempts import TombstoneRequest
 
@@ -106,7 +106,7 @@
         """Return whether a cancel of an attempt never seen is noted."""
         return self._remembered.cancelled(key)
 
-    def dispatch(self, dispatch: Dispatch, *, now: float) -> Decision:
+    def dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
         self._forget(now)
         key = key_of(dispatch)
@@ -258,7 +258,7 @@
     def _has_suspect(self) -> bool:
         return any(other.suspect for other in (*self.running, *self.queued))
 
-    def _accept(self, dispatch: Dispatch, now: float) -> Decision:
+    def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
         key = key_of(dispatch)
         if dispatch.claim is not None:
             self._claims.accept(dispatch.claim.claim_id, key, now=now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -60,7 +60,7 @@
     key: AttemptKey
 
 
-Decision = (
+DispatchDecision = (
     StartDecision | QueueDecision | JoinDecision | RefusalDecision | ForgottenDecision
 )
 
