--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -13,7 +13,7 @@
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
-from kingcupwheel.agent.attempts import Stop
+from kingcupwheel.agent.attempts import StopDecision
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import AttemptAccepted
@@ -163,7 +163,7 @@
         with self._runner.lock:
             decision = self._runner.runs.cancel(key, now=monotonic())
         match decision:
-            case Stop():
+            case StopDecision():
                 self._runner.stop(key)
             case RefusalDecision(_, reason):
                 self._store.refuse(key, reason)
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -16,7 +16,7 @@
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
-from kingcupwheel.agent.attempts import Stop
+from kingcupwheel.agent.attempts import StopDecision
 from kingcupwheel.agent.attempts import is_sendable
 from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.agent.claim_fences import Claims
@@ -147,7 +147,7 @@
         """
         running = self._running.get(key)
         if running is not None:
-            return Stop(key) if running.claim is None else Ignore()
+            return StopDecision(key) if running.claim is None else Ignore()
         waiting = self._queue.remove(key)
         if waiting is not None:
             self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -65,7 +65,7 @@
 )
 
 
-class Stop(NamedTuple):
+class StopDecision(NamedTuple):
     """The attempt runs; its work is to be stopped."""
 
     key: AttemptKey
@@ -75,7 +75,7 @@
     """There is nothing left to stop."""
 
 
-CancelDecision = Stop | RefusalDecision | Ignore
+CancelDecision = StopDecision | RefusalDecision | Ignore
 
 
 def key_of(dispatch: Dispatch) -> AttemptKey:
