--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -8,7 +8,7 @@
 from kingcupwheel.agent.answer_buffer import Subscriber
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import ForgottenDecision
-from kingcupwheel.agent.attempts import Ignore
+from kingcupwheel.agent.attempts import IgnoreDecision
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import RefusalDecision
@@ -168,7 +168,7 @@
             case RefusalDecision(_, reason):
                 self._store.refuse(key, reason)
                 return AttemptRefused(*key, reason)
-            case Ignore():
+            case IgnoreDecision():
                 pass
         return None
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -11,7 +11,7 @@
 from kingcupwheel.agent.attempt_queue import WaitingQueue
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import ForgottenDecision
-from kingcupwheel.agent.attempts import Ignore
+from kingcupwheel.agent.attempts import IgnoreDecision
 from kingcupwheel.agent.attempts import JoinDecision
 from kingcupwheel.agent.attempts import QueueDecision
 from kingcupwheel.agent.attempts import RefusalDecision
@@ -147,14 +147,14 @@
         """
         running = self._running.get(key)
         if running is not None:
-            return StopDecision(key) if running.claim is None else Ignore()
+            return StopDecision(key) if running.claim is None else IgnoreDecision()
         waiting = self._queue.remove(key)
         if waiting is not None:
             self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
             return RefusalDecision(key, DispatchRefusal.CANCELLED)
         if not self._remembered.ended(key):
             self._remembered.cancel(key, now=now)
-        return Ignore()
+        return IgnoreDecision()
 
     def finish(self, key: AttemptKey, *, now: float) -> None:
         """Record that the attempt reached the server and ended there."""
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -71,11 +71,11 @@
     key: AttemptKey
 
 
-class Ignore(NamedTuple):
+class IgnoreDecision(NamedTuple):
     """There is nothing left to stop."""
 
 
-CancelDecision = StopDecision | RefusalDecision | Ignore
+CancelDecision = StopDecision | RefusalDecision | IgnoreDecision
 
 
 def key_of(dispatch: Dispatch) -> AttemptKey:
