--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import StopDecision
-from kingcupwheel.agent.attempts import key_of
+from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import AttemptAccepted
 from kingcupwheel.messages.attempts import AttemptEnd
@@ -88,7 +88,7 @@
             self._stop(key)
 
     def _dispatch(self, link: Link, dispatch: Dispatch) -> None:
-        name = key_of(dispatch)
+        name = get_attempt_key(dispatch)
         with self._runner.lock:
             decision = self._runner.runs.dispatch(dispatch, now=monotonic())
             match decision:
@@ -108,13 +108,13 @@
                     self._send(link, AttemptRefused(*name, reason))
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
-        name = key_of(dispatch)
+        name = get_attempt_key(dispatch)
         self._store.open(name, keep=dispatch.claim is not None)
         self._send(link, AttemptAccepted(*name, running))
         self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
 
     def _join(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
-        name = key_of(dispatch)
+        name = get_attempt_key(dispatch)
         self._recorder.record(
             name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
         )
--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.agent.attempts import key_of
+from kingcupwheel.agent.attempts import get_attempt_key
 
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         self._arrivals = count()
 
     def __contains__(self, key: object) -> bool:
-        return any(key_of(entry.dispatch) == key for entry in self._waiting)
+        return any(get_attempt_key(entry.dispatch) == key for entry in self._waiting)
 
     @property
     def full(self) -> bool:
@@ -64,7 +64,7 @@
     def remove(self, key: AttemptKey) -> Dispatch | None:
         """Remove and return the attempt's dispatch, or None."""
         for position, entry in enumerate(self._waiting):
-            if key_of(entry.dispatch) == key:
+            if get_attempt_key(entry.dispatch) == key:
                 return self._waiting.pop(position).dispatch
         return None
 
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.answer_buffer import AnswerHead
 from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
-from kingcupwheel.agent.attempts import key_of
+from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Finished
@@ -80,7 +80,7 @@
 
     def start(self, dispatch: Dispatch) -> None:
         """Run the attempt on a thread of its own."""
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         cancellation = Cancellation()
         with self.lock:
             generation = self._generation
@@ -146,13 +146,13 @@
         return [
             dispatch
             for dispatch in self.runs.running
-            if self._generations_by_key.get(key_of(dispatch)) == generation
+            if self._generations_by_key.get(get_attempt_key(dispatch)) == generation
         ]
 
     def _run(
         self, dispatch: Dispatch, cancellation: Cancellation, generation: int
     ) -> None:
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         event = Started(self._name, dispatch.attempt)
         self._recorder.record(key.request_id, event)
         try:
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -17,8 +17,8 @@
 from kingcupwheel.agent.attempts import RefusalDecision
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import StopDecision
+from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.agent.attempts import is_sendable
-from kingcupwheel.agent.attempts import key_of
 from kingcupwheel.agent.claim_fences import Claims
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneReply
@@ -109,7 +109,7 @@
     def dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
         self._forget(now)
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         earlier = self._earlier(dispatch)
         if earlier is not None:
             return JoinDecision(earlier)
@@ -186,7 +186,7 @@
             dispatch = self._queue.pop()
             if dispatch is None:
                 break
-            self._running[key_of(dispatch)] = dispatch
+            self._running[get_attempt_key(dispatch)] = dispatch
             steps.append(StartDecision(dispatch))
         return steps
 
@@ -196,7 +196,7 @@
         A claim's second dispatch joins the first whatever its fence: the run it asks
         for exists, and its answer is the true one.
         """
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         if self._is_open(key) or self._remembered.ended(key):
             return key
         if self._remembered.refused(key) or dispatch.claim is None:
@@ -218,7 +218,7 @@
         return key in self._running or key in self._queue
 
     def _refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         reason = self._remembered.refused(key)
         reason = reason or self._refusal_of_sender(dispatch, now)
         if reason is None and self._remembered.cancelled(key):
@@ -259,7 +259,7 @@
         return any(other.suspect for other in (*self.running, *self.queued))
 
     def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         if dispatch.claim is not None:
             self._claims.accept(dispatch.claim.claim_id, key, now=now)
         if len(self._running) < self._capacity:
@@ -279,7 +279,7 @@
         """Refuse an accepted attempt and all that were joined to it."""
         if dispatch.claim is not None:
             self._claims.release(dispatch.claim.claim_id, now=now)
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         joined = self._joined_by_key.pop(key, set())
         return [self._refuse(each, reason, now) for each in (key, *sorted(joined))]
 
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -32,7 +32,7 @@
     @property
     def key(self) -> AttemptKey:
         """The attempt to run."""
-        return key_of(self.dispatch)
+        return get_attempt_key(self.dispatch)
 
 
 class QueueDecision(NamedTuple):
@@ -78,7 +78,7 @@
 CancelDecision = StopDecision | RefusalDecision | IgnoreDecision
 
 
-def key_of(dispatch: Dispatch) -> AttemptKey:
+def get_attempt_key(dispatch: Dispatch) -> AttemptKey:
     """Return the name of the attempt that ``dispatch`` asks for."""
     return AttemptKey(dispatch.request_id, dispatch.attempt)
 
