--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -18,7 +18,7 @@
 from kingcupwheel.agent.attempts import StartDecision
 from kingcupwheel.agent.attempts import StopDecision
 from kingcupwheel.agent.attempts import get_attempt_key
-from kingcupwheel.agent.attempts import is_sendable
+from kingcupwheel.agent.attempts import is_valid_http_request
 from kingcupwheel.agent.claim_fences import Claims
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneReply
@@ -243,7 +243,7 @@
     def _refusal_under_load(self, dispatch: Dispatch) -> DispatchRefusal | None:
         if self._leaving:
             return DispatchRefusal.LEAVING
-        if not is_sendable(dispatch):
+        if not is_valid_http_request(dispatch):
             return DispatchRefusal.BAD_REQUEST
         if dispatch.deadline_s is not None and dispatch.deadline_s <= 0:
             return DispatchRefusal.EXPIRED
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -83,7 +83,7 @@
     return AttemptKey(dispatch.request_id, dispatch.attempt)
 
 
-def is_sendable(dispatch: Dispatch) -> bool:
+def is_valid_http_request(dispatch: Dispatch) -> bool:
     """Return whether the request's method, path and headers are valid HTTP.
 
     Found out before anything is sent, so that the refusal can say ``not-run``.
