--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -23,7 +23,7 @@
     """The highest fence seen, who set it, and the one attempt that was accepted."""
 
     fence: int
-    entombed: bool
+    is_tombstoned: bool
     accepted: AttemptKey | None
 
 
@@ -50,7 +50,7 @@
         if ref.fence < state.fence:
             return (
                 DispatchRefusal.ENTOMBED
-                if state.entombed
+                if state.is_tombstoned
                 else DispatchRefusal.LOW_FENCE
             )
         if ref.fence > state.fence:
