--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -24,7 +24,7 @@
 
     fence: int
     is_tombstoned: bool
-    accepted: AttemptKey | None
+    accepted_key: AttemptKey | None
 
 
 _UNSEEN = ClaimState(0, False, None)
@@ -42,7 +42,7 @@
 
     def accepted(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
-        return self._state(claim_id).accepted
+        return self._state(claim_id).accepted_key
 
     def see(self, ref: ClaimRef, *, now: float) -> DispatchRefusal | None:
         """Raise the claim's fence, or say why a dispatch with this one is refused."""
@@ -54,7 +54,7 @@
                 else DispatchRefusal.LOW_FENCE
             )
         if ref.fence > state.fence:
-            state = ClaimState(ref.fence, False, state.accepted)
+            state = ClaimState(ref.fence, False, state.accepted_key)
         self._by_id.put(ref.claim_id, state, now=now)
         return None
 
@@ -72,9 +72,9 @@
         """Refuse lower fences from now on; return the attempt accepted before."""
         state = self._state(claim_id)
         if fence >= state.fence:
-            state = ClaimState(fence, True, state.accepted)
+            state = ClaimState(fence, True, state.accepted_key)
         self._by_id.put(claim_id, state, now=now)
-        return state.accepted
+        return state.accepted_key
 
     def expire(self, *, now: float) -> None:
         """Forget what is too old."""
