--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -96,7 +96,7 @@
 
     def accepted_for(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
-        return self._claims.accepted(claim_id)
+        return self._claims.get_accepted_key(claim_id)
 
     def refused(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
@@ -203,7 +203,7 @@
             return None
         if dispatch.incarnation != self._incarnation:
             return None
-        earlier = self._claims.accepted(dispatch.claim.claim_id)
+        earlier = self._claims.get_accepted_key(dispatch.claim.claim_id)
         if earlier is not None and self._is_open(earlier):
             self._joined_by_key.setdefault(earlier, set()).add(key)
         return earlier
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._by_id: ExpiringMap[str, ClaimState] = ExpiringMap(life_s=_MEMORY_S)
 
-    def accepted(self, claim_id: str) -> AttemptKey | None:
+    def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
         return self._state(claim_id).accepted_key
 
