--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -224,7 +224,7 @@
         if reason is None and self._remembered.cancelled(key):
             reason = DispatchRefusal.CANCELLED
         if reason is None and dispatch.claim is not None:
-            reason = self._claims.see(dispatch.claim, now=now)
+            reason = self._claims.raise_fence(dispatch.claim, now=now)
         return reason or self._refusal_under_load(dispatch)
 
     def _refusal_of_sender(
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -44,7 +44,7 @@
         """Return the attempt that was accepted for the claim, or None."""
         return self._state(claim_id).accepted_key
 
-    def see(self, ref: ClaimRef, *, now: float) -> DispatchRefusal | None:
+    def raise_fence(self, ref: ClaimRef, *, now: float) -> DispatchRefusal | None:
         """Raise the claim's fence, or say why a dispatch with this one is refused."""
         state = self._state(ref.claim_id)
         if ref.fence < state.fence:
