--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -125,7 +125,7 @@
         ours = entomb.incarnation == self._incarnation
         ran = None
         if ours:
-            ran = self._claims.entomb(entomb.claim_id, entomb.fence, now=now)
+            ran = self._claims.set_tombstone(entomb.claim_id, entomb.fence, now=now)
         key = ran or _NO_ATTEMPT
         return TombstoneReply(
             claim_id=entomb.claim_id,
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -68,7 +68,9 @@
         state = self._state(claim_id)._replace(accepted=None)
         self._by_id.put(claim_id, state, now=now)
 
-    def entomb(self, claim_id: str, fence: int, *, now: float) -> AttemptKey | None:
+    def set_tombstone(
+        self, claim_id: str, fence: int, *, now: float
+    ) -> AttemptKey | None:
         """Refuse lower fences from now on; return the attempt accepted before."""
         state = self._state(claim_id)
         if fence >= state.fence:
