--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -19,7 +19,7 @@
 from kingcupwheel.agent.attempts import StopDecision
 from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.agent.attempts import is_valid_http_request
-from kingcupwheel.agent.claim_fences import Claims
+from kingcupwheel.agent.claim_fences import ClaimFences
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneReply
 
@@ -53,7 +53,7 @@
         # Further attempts that were joined to a running or waiting one.
         self._joined_by_key: dict[AttemptKey, set[AttemptKey]] = {}
         self._remembered = Remembered(token_s=token_s)
-        self._claims = Claims()
+        self._claims = ClaimFences()
         self._leaving = False
 
     @property
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -30,7 +30,7 @@
 _UNSEEN = ClaimState(0, False, None)
 
 
-class Claims:
+class ClaimFences:
     """Fences and accepted attempts by claim.
 
     A claim has one accepted attempt at most; it is taken back only by ``release``, when
