--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -21,7 +21,7 @@
 
 
 class _Crashed(NamedTuple):
-    deaths: tuple[int, ...]
+    crash_ids: tuple[int, ...]
     last_at: float
 
 
@@ -35,7 +35,7 @@
         """Note ``death`` for each fingerprint that was running."""
         for fingerprint in set(fingerprints):
             known = self._by_fingerprint.pop(fingerprint, _Crashed((), now))
-            self._by_fingerprint[fingerprint] = _Crashed((*known.deaths, death), now)
+            self._by_fingerprint[fingerprint] = _Crashed((*known.crash_ids, death), now)
         while len(self._by_fingerprint) > _LIMIT:
             del self._by_fingerprint[next(iter(self._by_fingerprint))]
 
@@ -46,7 +46,7 @@
             (fingerprint, death)
             for fingerprint, crashed in self._by_fingerprint.items()
             if now - crashed.last_at <= TELL_S
-            for death in crashed.deaths
+            for death in crashed.crash_ids
         )
 
     def _forget(self, now: float) -> None:
@@ -61,4 +61,4 @@
     def count(self, fingerprint: str) -> int:
         """Return how many deaths are noted for the fingerprint."""
         crashed = self._by_fingerprint.get(fingerprint)
-        return 0 if crashed is None else len(crashed.deaths)
+        return 0 if crashed is None else len(crashed.crash_ids)
