--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -22,7 +22,7 @@
 
 class _Crashed(NamedTuple):
     crash_ids: tuple[int, ...]
-    last_at: float
+    last_crash_at: float
 
 
 class CrashTable:
@@ -45,7 +45,7 @@
         return tuple(
             (fingerprint, death)
             for fingerprint, crashed in self._by_fingerprint.items()
-            if now - crashed.last_at <= TELL_S
+            if now - crashed.last_crash_at <= TELL_S
             for death in crashed.crash_ids
         )
 
@@ -53,7 +53,7 @@
         old = [
             fingerprint
             for fingerprint, crashed in self._by_fingerprint.items()
-            if now - crashed.last_at > _DECAY_S
+            if now - crashed.last_crash_at > _DECAY_S
         ]
         for fingerprint in old:
             del self._by_fingerprint[fingerprint]
