--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -127,7 +127,7 @@
             life = ServerIncarnation(
                 self._name, f"{self.runs.incarnation}.{generation}"
             )
-            self.crashes.died(fingerprints, life.crash_id, now=monotonic())
+            self.crashes.record_crash(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
             self._tell_death()
--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -31,7 +31,9 @@
     def __init__(self) -> None:
         self._by_fingerprint: dict[str, _Crashed] = {}
 
-    def died(self, fingerprints: Iterable[str], death: int, *, now: float) -> None:
+    def record_crash(
+        self, fingerprints: Iterable[str], death: int, *, now: float
+    ) -> None:
         """Note ``death`` for each fingerprint that was running."""
         for fingerprint in set(fingerprints):
             known = self._by_fingerprint.pop(fingerprint, _Crashed((), now))
