--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -41,7 +41,7 @@
         while len(self._by_fingerprint) > _LIMIT:
             del self._by_fingerprint[next(iter(self._by_fingerprint))]
 
-    def told(self, *, now: float) -> tuple[tuple[str, int], ...]:
+    def list_recent(self, *, now: float) -> tuple[tuple[str, int], ...]:
         """Return the pairs of fingerprint and death that heartbeats carry now."""
         self._forget(now)
         return tuple(
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -121,7 +121,7 @@
                 leaving=runs.leaving,
                 server_up=self._probe.up,
                 manifest_version=self._manifest_version(),
-                crashed=self._runner.crashes.told(now=now),
+                crashed=self._runner.crashes.list_recent(now=now),
             )
 
     def _load(self) -> BackendLoad:
