--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -132,7 +132,7 @@
             # the same request again, must know by then, or it costs one more server.
             self._tell_death()
             for dispatch in running:
-                deaths = self.crashes.count(dispatch.fingerprint)
+                deaths = self.crashes.count_crashes(dispatch.fingerprint)
                 event = ServerDied(self._name, dispatch.fingerprint, deaths)
                 self._recorder.record(dispatch.request_id, event)
         logger.warning("Server died, %d attempts were running.", len(running))
--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -60,7 +60,7 @@
         for fingerprint in old:
             del self._by_fingerprint[fingerprint]
 
-    def count(self, fingerprint: str) -> int:
+    def count_crashes(self, fingerprint: str) -> int:
         """Return how many deaths are noted for the fingerprint."""
         crashed = self._by_fingerprint.get(fingerprint)
         return 0 if crashed is None else len(crashed.crash_ids)
