--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -17,7 +17,7 @@
 _DECAY_S = 600.0
 # How long a death rides on heartbeats. Entries remember it; told for as long as it is
 # remembered here, one death would add kilobytes to each heartbeat for ten minutes.
-TELL_S = 15.0
+HEARTBEAT_REPORT_S = 15.0
 
 
 class _Crashed(NamedTuple):
@@ -47,7 +47,7 @@
         return tuple(
             (fingerprint, death)
             for fingerprint, crashed in self._by_fingerprint.items()
-            if now - crashed.last_crash_at <= TELL_S
+            if now - crashed.last_crash_at <= HEARTBEAT_REPORT_S
             for death in crashed.crash_ids
         )
 
