--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -244,7 +244,7 @@
         self._maps.adopt(group)
 
     def _on_tick(self, now: float) -> None:
-        if self._leave_wanted.is_set() and not self._drain.begun:
+        if self._leave_wanted.is_set() and not self._drain.has_begun:
             self._begin_leaving(now)
         if now >= self._next_beat:
             self._next_beat = now + self._settings.timings.heartbeat_s
@@ -253,7 +253,7 @@
             self._handler.links_gone(self._peers.drop_silent(now=now))
         self._maps.on_tick(now)
         self._runner.advance()
-        if self._drain.begun and self._is_drained(now):
+        if self._drain.has_begun and self._is_drained(now):
             self._drained.set()
 
     def _beat(self, now: float) -> None:
--- a/src/kingcupwheel/agent/drain_tracker.py
+++ b/src/kingcupwheel/agent/drain_tracker.py
@@ -19,7 +19,7 @@
         self._idle_since: float | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether the agent is leaving."""
         return self._begun_at is not None
 
