--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -278,7 +278,7 @@
         logger.info("Leaving, %d attempts running.", len(self._runner.runs.running))
 
     def _is_drained(self, now: float) -> bool:
-        return self._drain.is_over(
+        return self._drain.is_complete(
             busy=bool(self._runner.runs.running or self._store.alive()),
             undelivered=self._store.undelivered,
             now=now,
--- a/src/kingcupwheel/agent/drain_tracker.py
+++ b/src/kingcupwheel/agent/drain_tracker.py
@@ -27,7 +27,7 @@
         """Begin to leave."""
         self._begun_at = now
 
-    def is_over(self, *, busy: bool, undelivered: int, now: float) -> bool:
+    def is_complete(self, *, busy: bool, undelivered: int, now: float) -> bool:
         """Return whether the agent may end.
 
         ``busy`` tells that something runs or has frames to send; ``undelivered`` counts
