--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -13,7 +13,7 @@
 from kingcupwheel.agent.attempt_runner import Runner
 from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.crash_table import CrashTable
-from kingcupwheel.agent.drain_tracker import Drain
+from kingcupwheel.agent.drain_tracker import DrainTracker
 from kingcupwheel.agent.entry_links import Peers
 from kingcupwheel.agent.exceptions import NoServerError
 from kingcupwheel.agent.exceptions import NotAnAgentError
@@ -141,7 +141,7 @@
             manifest_version=lambda: self._manifest.version,
         )
         self._next_beat = 0.0
-        self._drain = Drain(
+        self._drain = DrainTracker(
             stay_s=_LEAVING_BEATS * timings.heartbeat_s, linger_s=timings.give_up_s
         )
         self._leave_wanted = Event()
--- a/src/kingcupwheel/agent/drain_tracker.py
+++ b/src/kingcupwheel/agent/drain_tracker.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Drain:
+class DrainTracker:
     """A planned stop.
 
     It lasts ``stay_s`` at least: a dispatch sent before its entry heard of the leaving
