--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -15,7 +15,7 @@
 from kingcupwheel.agent.crash_table import CrashTable
 from kingcupwheel.agent.drain_tracker import DrainTracker
 from kingcupwheel.agent.entry_links import Peers
-from kingcupwheel.agent.exceptions import NoServerError
+from kingcupwheel.agent.exceptions import MissingServerError
 from kingcupwheel.agent.exceptions import NotAnAgentError
 from kingcupwheel.agent.heartbeat import Heartbeat
 from kingcupwheel.agent.heartbeat import ServerProbe
@@ -67,7 +67,7 @@
         if settings.role is not Role.AGENT:
             raise NotAnAgentError(settings.role.value)
         if settings.server is None:
-            raise NoServerError
+            raise MissingServerError
         timings = settings.timings
         self._settings = settings
         self._metrics = Metrics(settings.statsd, process=settings.name)
--- a/src/kingcupwheel/agent/exceptions.py
+++ b/src/kingcupwheel/agent/exceptions.py
@@ -9,7 +9,7 @@
     """Base class of the agent's errors."""
 
 
-class NoServerError(AgentError):
+class MissingServerError(AgentError):
     """The settings name no backend server."""
 
     def __init__(self) -> None:
