--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -16,7 +16,7 @@
 from kingcupwheel.agent.drain_tracker import DrainTracker
 from kingcupwheel.agent.entry_links import Peers
 from kingcupwheel.agent.exceptions import MissingServerError
-from kingcupwheel.agent.exceptions import NotAnAgentError
+from kingcupwheel.agent.exceptions import WrongRoleError
 from kingcupwheel.agent.heartbeat import Heartbeat
 from kingcupwheel.agent.heartbeat import ServerProbe
 from kingcupwheel.agent.manifest_follower import AgentManifest
@@ -65,7 +65,7 @@
     def __init__(self, settings: Settings) -> None:
         load_builtin()
         if settings.role is not Role.AGENT:
-            raise NotAnAgentError(settings.role.value)
+            raise WrongRoleError(settings.role.value)
         if settings.server is None:
             raise MissingServerError
         timings = settings.timings
--- a/src/kingcupwheel/agent/exceptions.py
+++ b/src/kingcupwheel/agent/exceptions.py
@@ -16,7 +16,7 @@
         super().__init__("server: an agent needs the backend server's url")
 
 
-class NotAnAgentError(AgentError):
+class WrongRoleError(AgentError):
     """The settings are for another kind of process."""
 
     def __init__(self, role: str) -> None:
