--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -81,7 +81,7 @@
             case _:
                 pass
 
-    def links_gone(self, links: Iterable[Link]) -> None:
+    def handle_lost_links(self, links: Iterable[Link]) -> None:
         """Stop the attempts whose entries have all gone silent."""
         for key in self._store.links_gone(links):
             self._recorder.record(key.request_id, Noted("The entry went silent."))
