--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -227,7 +227,7 @@
         self._peers.hello(link, hello.name, now=now)
         self._manifest.heard(link, hello.manifest_version, hello.manifest_digest)
         if not known:
-            self._hub.send(link, self._heartbeat.beat(now=now))
+            self._hub.send(link, self._heartbeat.build(now=now))
 
     def _status(self) -> StatusReply:
         settings = self._settings
@@ -257,7 +257,7 @@
             self._drained.set()
 
     def _beat(self, now: float) -> None:
-        beat = self._heartbeat.beat(now=now)
+        beat = self._heartbeat.build(now=now)
         for link in self._peers.listening(now=now):
             self._hub.send(link, beat)
         for link, names in self._store.alive().items():
@@ -265,7 +265,7 @@
 
     def _tell_death(self) -> None:
         now = monotonic()
-        beat = self._heartbeat.beat(now=now)
+        beat = self._heartbeat.build(now=now)
         for link in self._peers.listening(now=now):
             self._hub.send(link, beat)
 
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -106,7 +106,7 @@
         self._probe = probe
         self._manifest_version = manifest_version
 
-    def beat(self, *, now: float) -> AgentHeartbeat:
+    def build(self, *, now: float) -> AgentHeartbeat:
         """Return the message for every entry that listens."""
         settings = self._settings
         with self._runner.lock:
