--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -17,7 +17,7 @@
 from kingcupwheel.agent.entry_links import Peers
 from kingcupwheel.agent.exceptions import MissingServerError
 from kingcupwheel.agent.exceptions import WrongRoleError
-from kingcupwheel.agent.heartbeat import Heartbeat
+from kingcupwheel.agent.heartbeat import HeartbeatBuilder
 from kingcupwheel.agent.heartbeat import ServerProbe
 from kingcupwheel.agent.manifest_follower import AgentManifest
 from kingcupwheel.agent.map_service_manager import AgentMaps
@@ -134,7 +134,7 @@
             retention_s=lambda: self._manifest.traces_retention_s,
             metrics=self._metrics,
         )
-        self._heartbeat = Heartbeat(
+        self._heartbeat = HeartbeatBuilder(
             settings,
             self._runner,
             self._probe,
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -90,7 +90,7 @@
         return generation
 
 
-class Heartbeat:
+class HeartbeatBuilder:
     """Makes the ``AgentHeartbeat`` of this moment."""
 
     def __init__(
