--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -46,7 +46,7 @@
         return self._state
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether the server's life of now has answered.
 
         An answer from before a death says nothing of the server now; believing it for
@@ -119,7 +119,7 @@
                 token=runs.token(now=now),
                 load=self._load(),
                 leaving=runs.leaving,
-                server_up=self._probe.up,
+                server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
                 crashed=self._runner.crashes.list_recent(now=now),
             )
