--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -55,7 +55,7 @@
         return self._state.up and self._generation == self._runner.generation
 
     @property
-    def age_s(self) -> float:
+    def state_age_s(self) -> float:
         """How old the latest answer is."""
         return monotonic() - self._asked_at
 
@@ -133,5 +133,5 @@
             capacity=runs.capacity,
             work=sum(dispatch.work for dispatch in (*running, *queued)),
             rate=self._probe.state.rate,
-            age_s=self._probe.age_s,
+            age_s=self._probe.state_age_s,
         )
