--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -225,7 +225,9 @@
     def _hello(self, link: Link, hello: Hello, now: float) -> None:
         known = link in self._peers.listening(now=now)
         self._peers.hello(link, hello.name, now=now)
-        self._manifest.heard(link, hello.manifest_version, hello.manifest_digest)
+        self._manifest.record_version(
+            link, hello.manifest_version, hello.manifest_digest
+        )
         if not known:
             self._hub.send(link, self._heartbeat.build(now=now))
 
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -82,7 +82,7 @@
         """Stop following."""
         self._keeper.stop()
 
-    def heard(self, link: Link, version: int, digest: str) -> None:
+    def record_version(self, link: Link, version: int, digest: str) -> None:
         """Note the version that an entry names on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
             self._keeper.heard(version, digest, link.identity.hex())
