--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -216,7 +216,7 @@
             case ManifestRequest(key):
                 self._hub.send(link, self._manifest.object_for(key))
             case ManifestObject():
-                self._manifest.found(message)
+                self._manifest.receive_object(message)
             case MapOrder() | MapReply():
                 self._maps.on_message(link, message)
             case _:
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -91,7 +91,7 @@
         """Return what to answer an entry that asks for an object."""
         return self._keeper.object_for(key)
 
-    def found(self, message: ManifestObject) -> None:
+    def receive_object(self, message: ManifestObject) -> None:
         """Take an entry's answer; called on the hub's thread."""
         self._found.put(message)
 
