--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -19,7 +19,7 @@
 from kingcupwheel.agent.exceptions import WrongRoleError
 from kingcupwheel.agent.heartbeat import HeartbeatBuilder
 from kingcupwheel.agent.heartbeat import ServerProbe
-from kingcupwheel.agent.manifest_follower import AgentManifest
+from kingcupwheel.agent.manifest_follower import ManifestFollower
 from kingcupwheel.agent.map_service_manager import AgentMaps
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.attempts import RunningAttempts
@@ -114,7 +114,7 @@
             platform_clients.get(settings.platform.client)(settings.platform),
             self._metrics,
         )
-        self._manifest = AgentManifest(
+        self._manifest = ManifestFollower(
             client,
             group=settings.group,
             send=self._hub.send,
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -37,7 +37,7 @@
 _HOUR_S = 3600.0
 
 
-class AgentManifest:
+class ManifestFollower:
     """The manifest as an agent sees it; ``on_group`` gets each change of its group."""
 
     def __init__(
