--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -243,7 +243,7 @@
 
     def _on_group(self, group: ServerGroup) -> None:
         self.set_concurrency(group.concurrency)
-        self._maps.adopt(group)
+        self._maps.update_group(group)
 
     def _on_tick(self, now: float) -> None:
         if self._leave_wanted.is_set() and not self._drain.has_begun:
--- a/src/kingcupwheel/agent/map_service_manager.py
+++ b/src/kingcupwheel/agent/map_service_manager.py
@@ -45,7 +45,7 @@
         self._layout: ExpertLayout | None = None
         self._lock = Lock()
 
-    def adopt(self, group: ServerGroup) -> None:
+    def update_group(self, group: ServerGroup) -> None:
         """Begin, end or begin anew as the group's experts say."""
         with self._lock:
             if group.experts == self._layout:
