--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -20,7 +20,7 @@
 from kingcupwheel.agent.heartbeat import HeartbeatBuilder
 from kingcupwheel.agent.heartbeat import ServerProbe
 from kingcupwheel.agent.manifest_follower import ManifestFollower
-from kingcupwheel.agent.map_service_manager import AgentMaps
+from kingcupwheel.agent.map_service_manager import MapServiceManager
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.messages.attempts import RunningAttempts
 from kingcupwheel.messages.expertmaps import MapOrder
@@ -120,7 +120,7 @@
             send=self._hub.send,
             on_group=self._on_group,
         )
-        self._maps = AgentMaps(
+        self._maps = MapServiceManager(
             hub=self._hub,
             platform=client,
             name=settings.name,
--- a/src/kingcupwheel/agent/map_service_manager.py
+++ b/src/kingcupwheel/agent/map_service_manager.py
@@ -24,7 +24,7 @@
 logger = logging.getLogger("kingcupwheel.agent")
 
 
-class AgentMaps:
+class MapServiceManager:
     """The map service of the agent's group, if it has experts; safe from any thread."""
 
     def __init__(
