--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -11,7 +11,7 @@
 
 
 class _Peer(NamedTuple):
-    name: str
+    entry_name: str
     heard_at: float
     hello_at: float | None
 
@@ -52,12 +52,12 @@
     def older_links(self, link: Link) -> list[Link]:
         """Return the other links of the entry that said its name on ``link``."""
         peer = self._by_link.get(link)
-        if peer is None or not peer.name:
+        if peer is None or not peer.entry_name:
             return []
         return [
             other
             for other, its_peer in self._by_link.items()
-            if other != link and its_peer.name == peer.name
+            if other != link and its_peer.entry_name == peer.entry_name
         ]
 
     def drop_silent(self, *, now: float) -> list[Link]:
