--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -12,7 +12,7 @@
 
 class _Peer(NamedTuple):
     entry_name: str
-    heard_at: float
+    last_received_at: float
     hello_at: float | None
 
 
@@ -72,7 +72,7 @@
         silent = [
             link
             for link, peer in self._by_link.items()
-            if now - peer.heard_at > self._gone_s
+            if now - peer.last_received_at > self._gone_s
         ]
         for link in silent:
             del self._by_link[link]
@@ -83,5 +83,5 @@
         if last is None or now - last <= self._hello_s:
             return
         for link, peer in self._by_link.items():
-            heard_at = peer.heard_at + (now - last)
+            heard_at = peer.last_received_at + (now - last)
             self._by_link[link] = peer._replace(heard_at=min(now, heard_at))
