--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -13,7 +13,7 @@
 class _Peer(NamedTuple):
     entry_name: str
     last_received_at: float
-    hello_at: float | None
+    last_hello_at: float | None
 
 
 class Peers:
@@ -46,7 +46,8 @@
         return [
             link
             for link, peer in tuple(self._by_link.items())
-            if peer.hello_at is not None and now - peer.hello_at <= self._hello_s
+            if peer.last_hello_at is not None
+            and now - peer.last_hello_at <= self._hello_s
         ]
 
     def older_links(self, link: Link) -> list[Link]:
