--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -205,7 +205,7 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         now = monotonic()
-        self._peers.heard(link, now=now)
+        self._peers.record_message(link, now=now)
         match message:
             case Hello():
                 self._hello(link, message, now)
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -29,7 +29,7 @@
         self._by_link: dict[Link, _Peer] = {}
         self._looked_at: float | None = None
 
-    def heard(self, link: Link, *, now: float) -> None:
+    def record_message(self, link: Link, *, now: float) -> None:
         """Record a message on the link."""
         peer = self._by_link.get(link)
         if peer is None:
