--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -224,7 +224,7 @@
 
     def _hello(self, link: Link, hello: Hello, now: float) -> None:
         known = link in self._peers.listening(now=now)
-        self._peers.hello(link, hello.name, now=now)
+        self._peers.record_hello(link, hello.name, now=now)
         self._manifest.record_version(
             link, hello.manifest_version, hello.manifest_digest
         )
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -37,7 +37,7 @@
         else:
             self._by_link[link] = peer._replace(heard_at=now)
 
-    def hello(self, link: Link, name: str, *, now: float) -> None:
+    def record_hello(self, link: Link, name: str, *, now: float) -> None:
         """Record a Hello on the link."""
         self._by_link[link] = _Peer(name, now, now)
 
