--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -223,7 +223,7 @@
                 self._handler.handle(link, message)
 
     def _hello(self, link: Link, hello: Hello, now: float) -> None:
-        known = link in self._peers.listening(now=now)
+        known = link in self._peers.list_heartbeat_links(now=now)
         self._peers.record_hello(link, hello.name, now=now)
         self._manifest.record_version(
             link, hello.manifest_version, hello.manifest_digest
@@ -260,7 +260,7 @@
 
     def _beat(self, now: float) -> None:
         beat = self._heartbeat.build(now=now)
-        for link in self._peers.listening(now=now):
+        for link in self._peers.list_heartbeat_links(now=now):
             self._hub.send(link, beat)
         for link, names in self._store.alive().items():
             self._hub.send(link, RunningAttempts(tuple(names)))
@@ -268,7 +268,7 @@
     def _tell_death(self) -> None:
         now = monotonic()
         beat = self._heartbeat.build(now=now)
-        for link in self._peers.listening(now=now):
+        for link in self._peers.list_heartbeat_links(now=now):
             self._hub.send(link, beat)
 
     def _begin_leaving(self, now: float) -> None:
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -41,7 +41,7 @@
         """Record a Hello on the link."""
         self._by_link[link] = _Peer(name, now, now)
 
-    def listening(self, *, now: float) -> list[Link]:
+    def list_heartbeat_links(self, *, now: float) -> list[Link]:
         """Return the links that heartbeats go to; safe from any thread."""
         return [
             link
