--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -120,7 +120,7 @@
         )
         self._send(link, AttemptAccepted(*name, True))
         subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
-        replaced = self._peers.older_links(link)
+        replaced = self._peers.list_older_links(link)
         if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
             self._send(link, _unknown(name))
 
@@ -130,7 +130,7 @@
         subscriber = Subscriber(
             name, link, message.offset, message.offset, message.credit
         )
-        replaced = self._peers.older_links(link)
+        replaced = self._peers.list_older_links(link)
         if self._store.subscribe(key, subscriber, replaced=replaced):
             event = Resumed(self._name, name.attempt, message.offset, "new link")
             self._recorder.record(name.request_id, event)
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -50,7 +50,7 @@
             and now - peer.last_hello_at <= self._hello_s
         ]
 
-    def older_links(self, link: Link) -> list[Link]:
+    def list_older_links(self, link: Link) -> list[Link]:
         """Return the other links of the entry that said its name on ``link``."""
         peer = self._by_link.get(link)
         if peer is None or not peer.entry_name:
