--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -252,7 +252,7 @@
             self._next_beat = now + self._settings.timings.heartbeat_s
             self._beat(now)
             self._store.expire(now=now)
-            self._handler.handle_lost_links(self._peers.drop_silent(now=now))
+            self._handler.handle_lost_links(self._peers.remove_silent_links(now=now))
         self._maps.on_tick(now)
         self._runner.advance()
         if self._drain.has_begun and self._is_drained(now):
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -61,7 +61,7 @@
             if other != link and its_peer.entry_name == peer.entry_name
         ]
 
-    def drop_silent(self, *, now: float) -> list[Link]:
+    def remove_silent_links(self, *, now: float) -> list[Link]:
         """Forget and return the links that were silent for too long.
 
         Called about every heartbeat. When this process itself was paused, every link
