--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -36,7 +36,7 @@
 
     from kingcupwheel.agent.answer_store import AnswerStore
     from kingcupwheel.agent.attempt_runner import Runner
-    from kingcupwheel.agent.entry_links import Peers
+    from kingcupwheel.agent.entry_links import EntryLinks
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
@@ -51,7 +51,7 @@
         name: str,
         runner: Runner,
         store: AnswerStore,
-        peers: Peers,
+        peers: EntryLinks,
         recorder: Recorder,
         send: Callable[[Link, Message], None],
     ) -> None:
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.crash_table import CrashTable
 from kingcupwheel.agent.drain_tracker import DrainTracker
-from kingcupwheel.agent.entry_links import Peers
+from kingcupwheel.agent.entry_links import EntryLinks
 from kingcupwheel.agent.exceptions import MissingServerError
 from kingcupwheel.agent.exceptions import WrongRoleError
 from kingcupwheel.agent.heartbeat import HeartbeatBuilder
@@ -76,7 +76,7 @@
             limit=settings.agent.traces,
             listener=EventMetrics(self._metrics, settings.role),
         )
-        self._peers = Peers(hello_s=timings.gone_s, gone_s=timings.give_up_s)
+        self._peers = EntryLinks(hello_s=timings.gone_s, gone_s=timings.give_up_s)
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -16,7 +16,7 @@
     last_hello_at: float | None
 
 
-class Peers:
+class EntryLinks:
     """Links, the entries' names and when each was heard last.
 
     An entry that replaces a link says its name on the new one. ``hello_s`` is how long
