--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -33,7 +33,7 @@
         self._cancelled: ExpiringMap[AttemptKey, bool] = ExpiringMap(life_s=refused_s)
 
     @property
-    def ended_s(self) -> float:
+    def ended_retention_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
         return self._ended_s
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -69,7 +69,7 @@
     @property
     def memory_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
-        return self._remembered.ended_s
+        return self._remembered.ended_retention_s
 
     @property
     def leaving(self) -> bool:
@@ -212,7 +212,7 @@
         if dispatch.incarnation != self._incarnation:
             return False
         age_ms = self.token(now=now) - dispatch.token
-        return age_ms > self._remembered.ended_s * 1000
+        return age_ms > self._remembered.ended_retention_s * 1000
 
     def _is_open(self, key: AttemptKey) -> bool:
         return key in self._running or key in self._queue
