--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -37,7 +37,7 @@
         """How long it is remembered what ran, in seconds after its end."""
         return self._ended_s
 
-    def ended(self, key: AttemptKey) -> bool:
+    def has_ended(self, key: AttemptKey) -> bool:
         """Return whether the attempt ran and ended."""
         return self._ended.get(key) is not None
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -152,7 +152,7 @@
         if waiting is not None:
             self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
             return RefusalDecision(key, DispatchRefusal.CANCELLED)
-        if not self._remembered.ended(key):
+        if not self._remembered.has_ended(key):
             self._remembered.cancel(key, now=now)
         return IgnoreDecision()
 
@@ -197,7 +197,7 @@
         for exists, and its answer is the true one.
         """
         key = get_attempt_key(dispatch)
-        if self._is_open(key) or self._remembered.ended(key):
+        if self._is_open(key) or self._remembered.has_ended(key):
             return key
         if self._remembered.refused(key) or dispatch.claim is None:
             return None
