--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -41,7 +41,7 @@
         """Return whether the attempt ran and ended."""
         return self._ended.get(key) is not None
 
-    def refused(self, key: AttemptKey) -> DispatchRefusal | None:
+    def get_refusal(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
         return self._tombstones.get(key)
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -100,7 +100,7 @@
 
     def refused(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
-        return self._remembered.refused(key)
+        return self._remembered.get_refusal(key)
 
     def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
@@ -199,7 +199,7 @@
         key = get_attempt_key(dispatch)
         if self._is_open(key) or self._remembered.has_ended(key):
             return key
-        if self._remembered.refused(key) or dispatch.claim is None:
+        if self._remembered.get_refusal(key) or dispatch.claim is None:
             return None
         if dispatch.incarnation != self._incarnation:
             return None
@@ -219,7 +219,7 @@
 
     def _refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
         key = get_attempt_key(dispatch)
-        reason = self._remembered.refused(key)
+        reason = self._remembered.get_refusal(key)
         reason = reason or self._refusal_of_sender(dispatch, now)
         if reason is None and self._remembered.cancelled(key):
             reason = DispatchRefusal.CANCELLED
