--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -45,7 +45,7 @@
         """Return why the attempt was refused, or None if it was not."""
         return self._tombstones.get(key)
 
-    def cancelled(self, key: AttemptKey) -> bool:
+    def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
         return self._cancelled.get(key) is not None
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -104,7 +104,7 @@
 
     def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
-        return self._remembered.cancelled(key)
+        return self._remembered.is_cancelled(key)
 
     def dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
@@ -221,7 +221,7 @@
         key = get_attempt_key(dispatch)
         reason = self._remembered.get_refusal(key)
         reason = reason or self._refusal_of_sender(dispatch, now)
-        if reason is None and self._remembered.cancelled(key):
+        if reason is None and self._remembered.is_cancelled(key):
             reason = DispatchRefusal.CANCELLED
         if reason is None and dispatch.claim is not None:
             reason = self._claims.raise_fence(dispatch.claim, now=now)
