--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -49,7 +49,7 @@
         """Return whether a cancel of an attempt never seen is noted."""
         return self._cancelled.get(key) is not None
 
-    def end(self, key: AttemptKey, *, now: float) -> None:
+    def record_end(self, key: AttemptKey, *, now: float) -> None:
         """Note that the attempt ran and ended."""
         self._ended.put(key, True, now=now)
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -160,7 +160,7 @@
         """Record that the attempt reached the server and ended there."""
         if self._running.pop(key, None) is not None:
             self._joined_by_key.pop(key, None)
-            self._remembered.end(key, now=now)
+            self._remembered.record_end(key, now=now)
 
     def unreachable(self, key: AttemptKey, *, now: float) -> list[RefusalDecision]:
         """Record that no connection to the server could be made for the attempt."""
