--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -53,7 +53,9 @@
         """Note that the attempt ran and ended."""
         self._ended.put(key, True, now=now)
 
-    def refuse(self, key: AttemptKey, reason: DispatchRefusal, *, now: float) -> None:
+    def record_refusal(
+        self, key: AttemptKey, reason: DispatchRefusal, *, now: float
+    ) -> None:
         """Note that the attempt never ran; a copy of its dispatch is told the same."""
         self._tombstones.put(key, reason, now=now)
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -270,7 +270,7 @@
     def _refuse(
         self, key: AttemptKey, reason: DispatchRefusal, now: float
     ) -> RefusalDecision:
-        self._remembered.refuse(key, reason, now=now)
+        self._remembered.record_refusal(key, reason, now=now)
         return RefusalDecision(key, reason)
 
     def _never_ran(
