--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -59,7 +59,7 @@
         """Note that the attempt never ran; a copy of its dispatch is told the same."""
         self._tombstones.put(key, reason, now=now)
 
-    def cancel(self, key: AttemptKey, *, now: float) -> None:
+    def record_cancel(self, key: AttemptKey, *, now: float) -> None:
         """Note that the attempt is to be refused if its dispatch comes."""
         self._cancelled.put(key, True, now=now)
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -153,7 +153,7 @@
             self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
             return RefusalDecision(key, DispatchRefusal.CANCELLED)
         if not self._remembered.has_ended(key):
-            self._remembered.cancel(key, now=now)
+            self._remembered.record_cancel(key, now=now)
         return IgnoreDecision()
 
     def finish(self, key: AttemptKey, *, now: float) -> None:
