--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -20,7 +20,7 @@
 _MEMORY_S = 600.0
 
 
-class Remembered:
+class AttemptHistory:
     """Tombstones, ended attempts and cancels that came before their dispatch."""
 
     def __init__(self, *, token_s: float) -> None:
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.attempt_history import Remembered
+from kingcupwheel.agent.attempt_history import AttemptHistory
 from kingcupwheel.agent.attempt_queue import WaitingQueue
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import ForgottenDecision
@@ -52,7 +52,7 @@
         self._running: dict[AttemptKey, Dispatch] = {}
         # Further attempts that were joined to a running or waiting one.
         self._joined_by_key: dict[AttemptKey, set[AttemptKey]] = {}
-        self._remembered = Remembered(token_s=token_s)
+        self._remembered = AttemptHistory(token_s=token_s)
         self._claims = ClaimFences()
         self._leaving = False
 
