--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -76,7 +76,7 @@
                 self._cancel(link, message)
             case TombstoneRequest():
                 with self._runner.lock:
-                    answer = self._runner.runs.entomb(message, now=monotonic())
+                    answer = self._runner.attempt_table.entomb(message, now=monotonic())
                 self._send(link, answer)
             case _:
                 pass
@@ -90,7 +90,7 @@
     def _dispatch(self, link: Link, dispatch: Dispatch) -> None:
         name = get_attempt_key(dispatch)
         with self._runner.lock:
-            decision = self._runner.runs.dispatch(dispatch, now=monotonic())
+            decision = self._runner.attempt_table.dispatch(dispatch, now=monotonic())
             match decision:
                 case StartDecision():
                     self._accept(link, dispatch, running=True)
@@ -136,9 +136,9 @@
             self._recorder.record(name.request_id, event)
             return
         with self._runner.lock:
-            reason = self._runner.runs.refused(name)
-            incarnation = self._runner.runs.incarnation
-            cancelled = self._runner.runs.is_cancelled(name)
+            reason = self._runner.attempt_table.refused(name)
+            incarnation = self._runner.attempt_table.incarnation
+            cancelled = self._runner.attempt_table.is_cancelled(name)
         if reason is not None:
             self._send(link, AttemptRefused(*name, reason))
         else:
@@ -148,7 +148,7 @@
         if claim_id is None or self._store.knows(name):
             return name
         with self._runner.lock:
-            return self._runner.runs.accepted_for(claim_id) or name
+            return self._runner.attempt_table.accepted_for(claim_id) or name
 
     def _cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
@@ -161,7 +161,7 @@
 
     def _stop(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
-            decision = self._runner.runs.cancel(key, now=monotonic())
+            decision = self._runner.attempt_table.cancel(key, now=monotonic())
         match decision:
             case StopDecision():
                 self._runner.stop(key)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -61,7 +61,7 @@
         tell_death: Callable[[], None],
     ) -> None:
         self.lock = RLock()
-        self.runs = runs
+        self.attempt_table = runs
         self.crashes = crashes
         self._name = name
         self._store = store
@@ -109,7 +109,7 @@
     def advance(self) -> None:
         """Start what has a place now; refuse what waited for too long."""
         with self.lock:
-            for step in self.runs.advance(now=monotonic()):
+            for step in self.attempt_table.advance(now=monotonic()):
                 match step:
                     case StartDecision(dispatch):
                         self.start(dispatch)
@@ -125,7 +125,7 @@
             running = self._running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
             life = ServerIncarnation(
-                self._name, f"{self.runs.incarnation}.{generation}"
+                self._name, f"{self.attempt_table.incarnation}.{generation}"
             )
             self.crashes.record_crash(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
@@ -145,7 +145,7 @@
         """
         return [
             dispatch
-            for dispatch in self.runs.running
+            for dispatch in self.attempt_table.running
             if self._generations_by_key.get(get_attempt_key(dispatch)) == generation
         ]
 
@@ -204,7 +204,7 @@
     ) -> None:
         if isinstance(error, ServerDown):
             with self.lock:
-                refusals = self.runs.unreachable(key, now=monotonic())
+                refusals = self.attempt_table.unreachable(key, now=monotonic())
             self.refuse(refusals)
             return
         if cancellation.is_set():
@@ -221,6 +221,6 @@
         now = monotonic()
         length = self._store.finish(key, outcome, detail, now=now)
         with self.lock:
-            self.runs.finish(key, now=now)
+            self.attempt_table.finish(key, now=now)
         event = Finished(outcome.value, status, length, detail)
         self._recorder.record(key.request_id, event)
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -155,7 +155,7 @@
     @property
     def incarnation(self) -> str:
         """The name of this life."""
-        return self._runner.runs.incarnation
+        return self._runner.attempt_table.incarnation
 
     def start(self) -> None:
         """Start serving."""
@@ -169,7 +169,7 @@
         """Bound what runs at once by the settings and by the group's limit."""
         limit = min(concurrency, self._settings.agent.concurrency)
         with self._runner.lock:
-            self._runner.runs.set_capacity(limit)
+            self._runner.attempt_table.set_capacity(limit)
         self._runner.advance()
 
     def leave(self) -> None:
@@ -238,7 +238,7 @@
             settings.role.value,
             settings.data_centre,
             self._manifest.version,
-            self._runner.runs.leaving,
+            self._runner.attempt_table.leaving,
         )
 
     def _on_group(self, group: ServerGroup) -> None:
@@ -274,14 +274,16 @@
     def _begin_leaving(self, now: float) -> None:
         self._drain.begin(now=now)
         with self._runner.lock:
-            refusals = self._runner.runs.leave(now=now)
+            refusals = self._runner.attempt_table.leave(now=now)
         self._runner.refuse(refusals)
         self._next_beat = now
-        logger.info("Leaving, %d attempts running.", len(self._runner.runs.running))
+        logger.info(
+            "Leaving, %d attempts running.", len(self._runner.attempt_table.running)
+        )
 
     def _is_drained(self, now: float) -> bool:
         return self._drain.is_complete(
-            busy=bool(self._runner.runs.running or self._store.alive()),
+            busy=bool(self._runner.attempt_table.running or self._store.alive()),
             undelivered=self._store.undelivered,
             now=now,
         )
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -110,7 +110,7 @@
         """Return the message for every entry that listens."""
         settings = self._settings
         with self._runner.lock:
-            runs = self._runner.runs
+            runs = self._runner.attempt_table
             return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
@@ -125,7 +125,7 @@
             )
 
     def _load(self) -> BackendLoad:
-        runs = self._runner.runs
+        runs = self._runner.attempt_table
         running, queued = runs.running, runs.queued
         return BackendLoad(
             running=len(running),
