--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -62,7 +62,7 @@
     ) -> None:
         self.lock = RLock()
         self.attempt_table = runs
-        self.crashes = crashes
+        self.crash_table = crashes
         self._name = name
         self._store = store
         self._adapter = adapter
@@ -127,12 +127,12 @@
             life = ServerIncarnation(
                 self._name, f"{self.attempt_table.incarnation}.{generation}"
             )
-            self.crashes.record_crash(fingerprints, life.crash_id, now=monotonic())
+            self.crash_table.record_crash(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
             self._tell_death()
             for dispatch in running:
-                deaths = self.crashes.count_crashes(dispatch.fingerprint)
+                deaths = self.crash_table.count_crashes(dispatch.fingerprint)
                 event = ServerDied(self._name, dispatch.fingerprint, deaths)
                 self._recorder.record(dispatch.request_id, event)
         logger.warning("Server died, %d attempts were running.", len(running))
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -121,7 +121,7 @@
                 leaving=runs.leaving,
                 server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
-                crashed=self._runner.crashes.list_recent(now=now),
+                crashed=self._runner.crash_table.list_recent(now=now),
             )
 
     def _load(self) -> BackendLoad:
