--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -74,7 +74,7 @@
         self._generation = 0
 
     @property
-    def generation(self) -> int:
+    def server_generation(self) -> int:
         """The server's life, counted from 0."""
         return self._generation
 
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -52,7 +52,7 @@
         An answer from before a death says nothing of the server now; believing it for
         one more period would draw work to a server that is gone.
         """
-        return self._state.up and self._generation == self._runner.generation
+        return self._state.up and self._generation == self._runner.server_generation
 
     @property
     def state_age_s(self) -> float:
@@ -69,7 +69,7 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            generation = self._runner.generation
+            generation = self._runner.server_generation
             state = self._adapter.state()
             self._generation = self._generation_of(state, generation)
             self._state = state
@@ -84,7 +84,7 @@
         if self._life and state.life != self._life:
             # The run threads report the same death; the generation counts it once.
             self._runner.server_died(self._life_generation)
-            generation = self._runner.generation
+            generation = self._runner.server_generation
         self._life = state.life
         self._life_generation = generation
         return generation
