--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -164,7 +164,7 @@
             decision = self._runner.attempt_table.cancel(key, now=monotonic())
         match decision:
             case StopDecision():
-                self._runner.stop(key)
+                self._runner.cancel(key)
             case RefusalDecision(_, reason):
                 self._store.refuse(key, reason)
                 return AttemptRefused(*key, reason)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -93,7 +93,7 @@
             daemon=True,
         ).start()
 
-    def stop(self, key: AttemptKey) -> None:
+    def cancel(self, key: AttemptKey) -> None:
         """Stop the attempt's work on the server."""
         with self.lock:
             cancellation = self._cancellations_by_key.get(key)
