--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -100,7 +100,7 @@
         if cancellation is not None:
             cancellation.set()
 
-    def refuse(self, refusals: Iterable[RefusalDecision]) -> None:
+    def report_refusals(self, refusals: Iterable[RefusalDecision]) -> None:
         """Tell the entries that accepted attempts never ran."""
         for key, reason in refusals:
             self._store.refuse(key, reason)
@@ -114,7 +114,7 @@
                     case StartDecision(dispatch):
                         self.start(dispatch)
                     case RefusalDecision():
-                        self.refuse([step])
+                        self.report_refusals([step])
 
     def server_died(self, generation: int) -> None:
         """Count one death of the server against all that ran in that life."""
@@ -205,7 +205,7 @@
         if isinstance(error, ServerDown):
             with self.lock:
                 refusals = self.attempt_table.unreachable(key, now=monotonic())
-            self.refuse(refusals)
+            self.report_refusals(refusals)
             return
         if cancellation.is_set():
             self._finish(key, Outcome.UNKNOWN, status, "cancelled")
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -275,7 +275,7 @@
         self._drain.begin(now=now)
         with self._runner.lock:
             refusals = self._runner.attempt_table.leave(now=now)
-        self._runner.refuse(refusals)
+        self._runner.report_refusals(refusals)
         self._next_beat = now
         logger.info(
             "Leaving, %d attempts running.", len(self._runner.attempt_table.running)
