--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -116,7 +116,7 @@
                     case RefusalDecision():
                         self.report_refusals([step])
 
-    def server_died(self, generation: int) -> None:
+    def record_server_crash(self, generation: int) -> None:
         """Count one death of the server against all that ran in that life."""
         with self.lock:
             if generation != self._generation:
@@ -211,7 +211,7 @@
             self._finish(key, Outcome.UNKNOWN, status, "cancelled")
             return
         if error.died:
-            self.server_died(generation)
+            self.record_server_crash(generation)
         logger.warning("Answer cut short: %s. %s", error.detail, key.request_id)
         self._finish(key, Outcome.UNKNOWN, status, error.detail)
 
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -83,7 +83,7 @@
         generation = asked_in
         if self._life and state.life != self._life:
             # The run threads report the same death; the generation counts it once.
-            self._runner.server_died(self._life_generation)
+            self._runner.record_server_crash(self._life_generation)
             generation = self._runner.server_generation
         self._life = state.life
         self._life_generation = generation
