--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -35,7 +35,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.agent.answer_store import AnswerStore
-    from kingcupwheel.agent.attempt_runner import Runner
+    from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.agent.entry_links import EntryLinks
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
@@ -49,7 +49,7 @@
         self,
         *,
         name: str,
-        runner: Runner,
+        runner: AttemptRunner,
         store: AnswerStore,
         peers: EntryLinks,
         recorder: Recorder,
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -41,7 +41,7 @@
 logger = logging.getLogger("kingcupwheel.agent")
 
 
-class Runner:
+class AttemptRunner:
     """Carries out what ``runs`` decides; no method blocks, all are thread-safe.
 
     ``lock`` guards ``runs`` and ``crashes``; hold it while using them.
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.agent.answer_store import AnswerStore
 from kingcupwheel.agent.attempt_handler import AttemptHandler
-from kingcupwheel.agent.attempt_runner import Runner
+from kingcupwheel.agent.attempt_runner import AttemptRunner
 from kingcupwheel.agent.attempt_table import Runs
 from kingcupwheel.agent.crash_table import CrashTable
 from kingcupwheel.agent.drain_tracker import DrainTracker
@@ -92,7 +92,7 @@
             send=self._hub.send,
         )
         adapter = server_adapters.get(settings.server.adapter)(settings.server)
-        self._runner = Runner(
+        self._runner = AttemptRunner(
             name=settings.name,
             runs=runs,
             store=self._store,
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.agent.adapters.base import ServerAdapter
-    from kingcupwheel.agent.attempt_runner import Runner
+    from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
 _NOT_ASKED = ServerState(up=False, life="", running=0, rate=0.0)
@@ -26,7 +26,7 @@
     """Asks the server for its state on a thread of its own, because it may be slow."""
 
     def __init__(
-        self, adapter: ServerAdapter, runner: Runner, *, period_s: float
+        self, adapter: ServerAdapter, runner: AttemptRunner, *, period_s: float
     ) -> None:
         self._adapter = adapter
         self._runner = runner
@@ -96,7 +96,7 @@
     def __init__(
         self,
         settings: Settings,
-        runner: Runner,
+        runner: AttemptRunner,
         probe: ServerProbe,
         *,
         manifest_version: Callable[[], int],
