--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -90,7 +90,9 @@
     def _dispatch(self, link: Link, dispatch: Dispatch) -> None:
         name = get_attempt_key(dispatch)
         with self._runner.lock:
-            decision = self._runner.attempt_table.dispatch(dispatch, now=monotonic())
+            decision = self._runner.attempt_table.handle_dispatch(
+                dispatch, now=monotonic()
+            )
             match decision:
                 case StartDecision():
                     self._accept(link, dispatch, running=True)
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -106,7 +106,7 @@
         """Return whether a cancel of an attempt never seen is noted."""
         return self._remembered.is_cancelled(key)
 
-    def dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
+    def handle_dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
         self._forget(now)
         key = get_attempt_key(dispatch)
