--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -67,7 +67,7 @@
         return self._capacity
 
     @property
-    def memory_s(self) -> float:
+    def ended_retention_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
         return self._remembered.ended_retention_s
 
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -88,7 +88,7 @@
         )
         self._store = AnswerStore(
             limit_bytes=settings.agent.answers_bytes,
-            ended_s=_ENDED_PER_MEMORY * runs.memory_s,
+            ended_s=_ENDED_PER_MEMORY * runs.ended_retention_s,
             send=self._hub.send,
         )
         adapter = server_adapters.get(settings.server.adapter)(settings.server)
