--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -72,7 +72,7 @@
         return self._remembered.ended_retention_s
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether new work is refused for good."""
         return self._leaving
 
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -238,7 +238,7 @@
             settings.role.value,
             settings.data_centre,
             self._manifest.version,
-            self._runner.attempt_table.leaving,
+            self._runner.attempt_table.is_leaving,
         )
 
     def _on_group(self, group: ServerGroup) -> None:
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -118,7 +118,7 @@
                 incarnation=runs.incarnation,
                 token=runs.token(now=now),
                 load=self._load(),
-                leaving=runs.leaving,
+                leaving=runs.is_leaving,
                 server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
                 crashed=self._runner.crash_table.list_recent(now=now),
