--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -145,7 +145,7 @@
         """
         return [
             dispatch
-            for dispatch in self.attempt_table.running
+            for dispatch in self.attempt_table.running_dispatches
             if self._generations_by_key.get(get_attempt_key(dispatch)) == generation
         ]
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -77,7 +77,7 @@
         return self._leaving
 
     @property
-    def running(self) -> tuple[Dispatch, ...]:
+    def running_dispatches(self) -> tuple[Dispatch, ...]:
         """What runs now."""
         return tuple(self._running.values())
 
@@ -256,7 +256,7 @@
         return None
 
     def _has_suspect(self) -> bool:
-        return any(other.suspect for other in (*self.running, *self.queued))
+        return any(other.suspect for other in (*self.running_dispatches, *self.queued))
 
     def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
         key = get_attempt_key(dispatch)
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -278,12 +278,15 @@
         self._runner.report_refusals(refusals)
         self._next_beat = now
         logger.info(
-            "Leaving, %d attempts running.", len(self._runner.attempt_table.running)
+            "Leaving, %d attempts running.",
+            len(self._runner.attempt_table.running_dispatches),
         )
 
     def _is_drained(self, now: float) -> bool:
         return self._drain.is_complete(
-            busy=bool(self._runner.attempt_table.running or self._store.alive()),
+            busy=bool(
+                self._runner.attempt_table.running_dispatches or self._store.alive()
+            ),
             undelivered=self._store.undelivered,
             now=now,
         )
