--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -82,7 +82,7 @@
         return tuple(self._running.values())
 
     @property
-    def queued(self) -> tuple[Dispatch, ...]:
+    def queued_dispatches(self) -> tuple[Dispatch, ...]:
         """What waits, in order."""
         return self._queue.dispatches
 
@@ -256,7 +256,10 @@
         return None
 
     def _has_suspect(self) -> bool:
-        return any(other.suspect for other in (*self.running_dispatches, *self.queued))
+        return any(
+            other.suspect
+            for other in (*self.running_dispatches, *self.queued_dispatches)
+        )
 
     def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
         key = get_attempt_key(dispatch)
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -126,7 +126,7 @@
 
     def _load(self) -> BackendLoad:
         runs = self._runner.attempt_table
-        running, queued = runs.running_dispatches, runs.queued
+        running, queued = runs.running_dispatches, runs.queued_dispatches
         return BackendLoad(
             running=len(running),
             queued=len(queued),
