--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -86,7 +86,7 @@
         """What waits, in order."""
         return self._queue.dispatches
 
-    def token(self, *, now: float) -> int:
+    def get_token(self, *, now: float) -> int:
         """Return the token for heartbeats: the agent's own clock in milliseconds."""
         return int(now * 1000)
 
@@ -211,7 +211,7 @@
     def _may_be_forgotten(self, dispatch: Dispatch, now: float) -> bool:
         if dispatch.incarnation != self._incarnation:
             return False
-        age_ms = self.token(now=now) - dispatch.token
+        age_ms = self.get_token(now=now) - dispatch.token
         return age_ms > self._remembered.ended_retention_s * 1000
 
     def _is_open(self, key: AttemptKey) -> bool:
@@ -235,7 +235,7 @@
         # A copy that was held up (a link thought dead, this process paused) names an
         # old token. Without this check it would run long after the entry gave it up,
         # and tombstones would have to be kept for ever.
-        age_ms = self.token(now=now) - dispatch.token
+        age_ms = self.get_token(now=now) - dispatch.token
         if age_ms < 0 or age_ms > self._token_s * 1000:
             return DispatchRefusal.STALE_TOKEN
         return None
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -116,7 +116,7 @@
                 group=settings.group,
                 data_centre=settings.data_centre,
                 incarnation=runs.incarnation,
-                token=runs.token(now=now),
+                token=runs.get_token(now=now),
                 load=self._load(),
                 leaving=runs.is_leaving,
                 server_up=self._probe.is_up,
