--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -150,7 +150,7 @@
         if claim_id is None or self._store.knows(name):
             return name
         with self._runner.lock:
-            return self._runner.attempt_table.accepted_for(claim_id) or name
+            return self._runner.attempt_table.get_accepted_key(claim_id) or name
 
     def _cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -94,7 +94,7 @@
         """Change how many attempts may run at once; running ones go on."""
         self._capacity = capacity
 
-    def accepted_for(self, claim_id: str) -> AttemptKey | None:
+    def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
         return self._claims.get_accepted_key(claim_id)
 
