--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -138,7 +138,7 @@
             self._recorder.record(name.request_id, event)
             return
         with self._runner.lock:
-            reason = self._runner.attempt_table.refused(name)
+            reason = self._runner.attempt_table.get_refusal(name)
             incarnation = self._runner.attempt_table.incarnation
             cancelled = self._runner.attempt_table.is_cancelled(name)
         if reason is not None:
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -98,7 +98,7 @@
         """Return the attempt that was accepted for the claim, or None."""
         return self._claims.get_accepted_key(claim_id)
 
-    def refused(self, key: AttemptKey) -> DispatchRefusal | None:
+    def get_refusal(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
         return self._remembered.get_refusal(key)
 
