--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -76,7 +76,9 @@
                 self._cancel(link, message)
             case TombstoneRequest():
                 with self._runner.lock:
-                    answer = self._runner.attempt_table.entomb(message, now=monotonic())
+                    answer = self._runner.attempt_table.set_tombstone(
+                        message, now=monotonic()
+                    )
                 self._send(link, answer)
             case _:
                 pass
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -120,7 +120,7 @@
             return self._refuse(key, reason, now)
         return self._accept(dispatch, now)
 
-    def entomb(self, entomb: TombstoneRequest, *, now: float) -> TombstoneReply:
+    def set_tombstone(self, entomb: TombstoneRequest, *, now: float) -> TombstoneReply:
         """Refuse lower fences of the claim from now on, or tell what already ran."""
         ours = entomb.incarnation == self._incarnation
         ran = None
