--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -204,7 +204,7 @@
     ) -> None:
         if isinstance(error, ServerDown):
             with self.lock:
-                refusals = self.attempt_table.unreachable(key, now=monotonic())
+                refusals = self.attempt_table.record_unreachable(key, now=monotonic())
             self.report_refusals(refusals)
             return
         if cancellation.is_set():
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -162,7 +162,9 @@
             self._joined_by_key.pop(key, None)
             self._remembered.record_end(key, now=now)
 
-    def unreachable(self, key: AttemptKey, *, now: float) -> list[RefusalDecision]:
+    def record_unreachable(
+        self, key: AttemptKey, *, now: float
+    ) -> list[RefusalDecision]:
         """Record that no connection to the server could be made for the attempt."""
         dispatch = self._running.pop(key, None)
         if dispatch is None:
