--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -171,7 +171,7 @@
             return []
         return self._never_ran(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
 
-    def leave(self, *, now: float) -> list[RefusalDecision]:
+    def begin_leaving(self, *, now: float) -> list[RefusalDecision]:
         """Take no new work from now on; what only waits is refused."""
         self._leaving = True
         refusals = []
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -274,7 +274,7 @@
     def _begin_leaving(self, now: float) -> None:
         self._drain.begin(now=now)
         with self._runner.lock:
-            refusals = self._runner.attempt_table.leave(now=now)
+            refusals = self._runner.attempt_table.begin_leaving(now=now)
         self._runner.report_refusals(refusals)
         self._next_beat = now
         logger.info(
