--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -32,7 +32,7 @@
     from kingcupwheel.agent.adapters.base import ServerAdapter
     from kingcupwheel.agent.adapters.base import ServerAnswer
     from kingcupwheel.agent.answer_store import AnswerStore
-    from kingcupwheel.agent.attempt_table import Runs
+    from kingcupwheel.agent.attempt_table import AttemptTable
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.agent.crash_table import CrashTable
     from kingcupwheel.messages.attempts import Dispatch
@@ -53,7 +53,7 @@
         self,
         *,
         name: str,
-        runs: Runs,
+        runs: AttemptTable,
         store: AnswerStore,
         adapter: ServerAdapter,
         crashes: CrashTable,
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -33,7 +33,7 @@
 _NO_ATTEMPT = AttemptKey("", 0)
 
 
-class Runs:
+class AttemptTable:
     """All attempts of one life of the agent.
 
     ``incarnation`` names this life; ``capacity`` bounds what runs and ``queue`` what
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -11,7 +11,7 @@
 from kingcupwheel.agent.answer_store import AnswerStore
 from kingcupwheel.agent.attempt_handler import AttemptHandler
 from kingcupwheel.agent.attempt_runner import AttemptRunner
-from kingcupwheel.agent.attempt_table import Runs
+from kingcupwheel.agent.attempt_table import AttemptTable
 from kingcupwheel.agent.crash_table import CrashTable
 from kingcupwheel.agent.drain_tracker import DrainTracker
 from kingcupwheel.agent.entry_links import EntryLinks
@@ -80,7 +80,7 @@
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
-        runs = Runs(
+        runs = AttemptTable(
             incarnation=secrets.token_hex(_INCARNATION_BYTES),
             capacity=settings.agent.concurrency,
             queue=settings.agent.queue,
