--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -70,7 +70,7 @@
         return self._held
 
     @property
-    def undelivered(self) -> int:
+    def undelivered_count(self) -> int:
         """How many answers have not ended, or not yet reached every entry."""
         with self._changed:
             return sum(not answer.is_delivered for answer in self._by_key.values())
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -287,6 +287,6 @@
             busy=bool(
                 self._runner.attempt_table.running_dispatches or self._store.alive()
             ),
-            undelivered=self._store.undelivered,
+            undelivered=self._store.undelivered_count,
             now=now,
         )
