--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -111,7 +111,7 @@
             self._flush(answer)
             return True
 
-    def knows(self, key: AttemptKey) -> bool:
+    def is_known(self, key: AttemptKey) -> bool:
         """Return whether the attempt's answer, or how it ended, is held."""
         with self._changed:
             held = key in self._by_key
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -149,7 +149,7 @@
             self._send(link, AttemptUnknown(*name, incarnation, cancelled))
 
     def _known_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
-        if claim_id is None or self._store.knows(name):
+        if claim_id is None or self._store.is_known(name):
             return name
         with self._runner.lock:
             return self._runner.attempt_table.get_accepted_key(claim_id) or name
