--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -117,7 +117,7 @@
             held = key in self._by_key
             return held or self._find_ended(key) is not None
 
-    def key_at(self, name: AttemptKey, link: Link) -> AttemptKey | None:
+    def find_key(self, name: AttemptKey, link: Link) -> AttemptKey | None:
         """Return the attempt whose answer goes to ``link`` as ``name``, or None."""
         with self._changed:
             answer = self._by_place.get((name, link))
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -156,7 +156,7 @@
 
     def _cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
-        key = self._store.key_at(name, link) or name
+        key = self._store.find_key(name, link) or name
         if self._store.unsubscribe(name, link):
             return
         reason = self._stop(key)
