--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -129,7 +129,7 @@
             answer = self._remove((name, link))
             return 0 if answer is None else len(answer.subscribers)
 
-    def links_gone(self, links: Iterable[Link]) -> list[AttemptKey]:
+    def remove_links(self, links: Iterable[Link]) -> list[AttemptKey]:
         """Drop subscribers of dead links; return the attempts left without any."""
         gone = set(links)
         orphans = []
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -85,7 +85,7 @@
 
     def handle_lost_links(self, links: Iterable[Link]) -> None:
         """Stop the attempts whose entries have all gone silent."""
-        for key in self._store.links_gone(links):
+        for key in self._store.remove_links(links):
             self._recorder.record(key.request_id, Noted("The entry went silent."))
             self._stop(key)
 
