--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -140,7 +140,7 @@
                     orphans.append(answer.key)
         return orphans
 
-    def head(self, key: AttemptKey, head: AnswerHead) -> None:
+    def set_head(self, key: AttemptKey, head: AnswerHead) -> None:
         """Add status and headers."""
         with self._changed:
             answer = self._by_key.get(key)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -178,7 +178,7 @@
         generation: int,
     ) -> None:
         try:
-            self._store.head(key, AnswerHead(answer.status, answer.headers))
+            self._store.set_head(key, AnswerHead(answer.status, answer.headers))
             first = True
             for chunk in answer.chunks():
                 if chunk.is_error() or cancellation.is_set():
