--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -200,7 +200,7 @@
             )
             self._flush(answer)
 
-    def alive(self) -> dict[Link, list[AttemptKey]]:
+    def list_unfinished_by_link(self) -> dict[Link, list[AttemptKey]]:
         """Return the attempts that are still under way, by the link they go to."""
         by_link: dict[Link, list[AttemptKey]] = {}
         with self._changed:
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -262,7 +262,7 @@
         beat = self._heartbeat.build(now=now)
         for link in self._peers.list_heartbeat_links(now=now):
             self._hub.send(link, beat)
-        for link, names in self._store.alive().items():
+        for link, names in self._store.list_unfinished_by_link().items():
             self._hub.send(link, RunningAttempts(tuple(names)))
 
     def _tell_death(self) -> None:
@@ -285,7 +285,8 @@
     def _is_drained(self, now: float) -> bool:
         return self._drain.is_complete(
             busy=bool(
-                self._runner.attempt_table.running_dispatches or self._store.alive()
+                self._runner.attempt_table.running_dispatches
+                or self._store.list_unfinished_by_link()
             ),
             undelivered=self._store.undelivered_count,
             now=now,
