--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -18,7 +18,7 @@
 class _Waiting(NamedTuple):
     """Sorts by priority (highest first), then by arrival."""
 
-    rank: int
+    negated_priority: int
     arrival: int
     expires_at: float | None
     dispatch: Dispatch
