--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -40,7 +40,7 @@
         return any(get_attempt_key(entry.dispatch) == key for entry in self._waiting)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no further attempt may wait."""
         return len(self._waiting) >= self._limit
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -253,7 +253,7 @@
         # could be cleared by the death, so a suspect is the only one of its kind here.
         if dispatch.suspect and self._has_suspect():
             return DispatchRefusal.SUSPECT_BUSY
-        if len(self._running) >= self._capacity and self._queue.full:
+        if len(self._running) >= self._capacity and self._queue.is_full:
             return DispatchRefusal.FULL
         return None
 
