--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -24,7 +24,7 @@
     dispatch: Dispatch
 
 
-class WaitingQueue:
+class AttemptQueue:
     """Orders by priority, then arrival; bounded by ``limit``.
 
     Low priorities may wait until their deadline here. That is bounded: the queue is a
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.agent.attempt_history import AttemptHistory
-from kingcupwheel.agent.attempt_queue import WaitingQueue
+from kingcupwheel.agent.attempt_queue import AttemptQueue
 from kingcupwheel.agent.attempts import AttemptKey
 from kingcupwheel.agent.attempts import ForgottenDecision
 from kingcupwheel.agent.attempts import IgnoreDecision
@@ -48,7 +48,7 @@
         self._incarnation = incarnation
         self._capacity = capacity
         self._token_s = token_s
-        self._queue = WaitingQueue(limit=queue)
+        self._queue = AttemptQueue(limit=queue)
         self._running: dict[AttemptKey, Dispatch] = {}
         # Further attempts that were joined to a running or waiting one.
         self._joined_by_key: dict[AttemptKey, set[AttemptKey]] = {}
