--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -23,7 +23,7 @@
     """
 
     detail: str
-    refused: bool
+    is_refused: bool
 
 
 class ServerLost(NamedTuple):
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -169,4 +169,4 @@
 
 
 def _died_or_no_answer(down: ServerDown) -> ServerLost | _NoAnswer:
-    return ServerLost(down.detail, died=True) if down.refused else _NoAnswer()
+    return ServerLost(down.detail, died=True) if down.is_refused else _NoAnswer()
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -108,6 +108,6 @@
             return ServerLost("server silent", died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return error._replace(died=connected.error.refused)
+            return error._replace(died=connected.error.is_refused)
         connected.ok.close()
         return error
