--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -16,7 +16,7 @@
     from kingcupwheel.messages.attempts import Dispatch
 
 
-class ServerDown(NamedTuple):
+class ServerUnreachable(NamedTuple):
     """No connection could be made: the server never saw the call.
 
     ``refused`` tells that its host answered and nothing listens there.
@@ -36,7 +36,7 @@
     died: bool
 
 
-AdapterError = ServerDown | ServerLost
+AdapterError = ServerUnreachable | ServerLost
 
 
 class ServerAnswer(Protocol):
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -16,8 +16,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.server_call import Call
 from kingcupwheel.agent.adapters.server_call import connect
@@ -168,5 +168,5 @@
         return Error(_NoAnswer())
 
 
-def _died_or_no_answer(down: ServerDown) -> ServerLost | _NoAnswer:
+def _died_or_no_answer(down: ServerUnreachable) -> ServerLost | _NoAnswer:
     return ServerLost(down.detail, died=True) if down.is_refused else _NoAnswer()
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -21,8 +21,8 @@
 from urllib3.exceptions import ReadTimeoutError
 from urllib3.util import parse_url
 
-from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.server_requests import visible_headers
 
 
@@ -120,7 +120,7 @@
 
 def connect(
     server: ServerSettings, cancellation: Cancellation
-) -> Result[Call, ServerDown]:
+) -> Result[Call, ServerUnreachable]:
     """Open a connection with TCP keepalive, which notices a host that is gone."""
     url = parse_url(server.url)
     connection = HTTPConnection(
@@ -133,7 +133,7 @@
         connection.connect()
     except (HTTPError, OSError) as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Error(ServerDown(_reason(error), refused))
+        return Error(ServerUnreachable(_reason(error), refused))
     cancellation.watch(connection.sock)
     return Ok(Call(connection, cancellation))
 
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -8,8 +8,8 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.adapters.base import ServerDown
 from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.answer_buffer import AnswerHead
 from kingcupwheel.agent.attempts import RefusalDecision
@@ -202,7 +202,7 @@
         cancellation: Cancellation,
         generation: int,
     ) -> None:
-        if isinstance(error, ServerDown):
+        if isinstance(error, ServerUnreachable):
             with self.lock:
                 refusals = self.attempt_table.record_unreachable(key, now=monotonic())
             self.report_refusals(refusals)
