--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -33,7 +33,7 @@
     """
 
     detail: str
-    died: bool
+    has_server_died: bool
 
 
 AdapterError = ServerUnreachable | ServerLost
--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -94,7 +94,7 @@
     def _resume(self, offset: int, failures: int) -> Result[None, ServerLost]:
         self._call.close()
         if failures > _RESUMES_WITHOUT_PROGRESS:
-            return Error(ServerLost("connections keep failing", died=False))
+            return Error(ServerLost("connections keep failing", has_server_died=False))
         resumed = self._client.resume(
             self._name, offset, self._life, self._cancellation
         )
@@ -134,7 +134,7 @@
         if call.header(REQUEST_ID_HEADER) != name:
             call.close()
             self._client.cancel(name)
-            return Error(ServerLost("answer of another request", died=False))
+            return Error(ServerLost("answer of another request", has_server_died=False))
         return Ok(EngineAnswer(self._client, call, name, cancellation))
 
     def state(self) -> ServerState:
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -91,7 +91,7 @@
         give_up_at = monotonic() + patience_s
         while monotonic() < give_up_at:
             if cancellation.wait(_PAUSE_S):
-                return Error(ServerLost("cancelled", died=False))
+                return Error(ServerLost("cancelled", has_server_died=False))
             resumed = self._try_resume(name, offset, life, cancellation)
             if resumed.is_ok():
                 return Ok(resumed.ok)
@@ -102,7 +102,7 @@
                     give_up_at = monotonic() + patience_s
                 case _NoAnswer():
                     pass
-        return Error(ServerLost("server silent", died=False))
+        return Error(ServerLost("server silent", has_server_died=False))
 
     def _try_resume(
         self, name: str, offset: int, life: str, cancellation: Cancellation
@@ -111,7 +111,7 @@
         if asked.is_error():
             return Error(asked.error)
         if life and asked.ok.life != life:
-            return Error(ServerLost("server restarted", died=True))
+            return Error(ServerLost("server restarted", has_server_died=True))
         opened = self._reopen(name, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
@@ -147,7 +147,9 @@
             return Error(_NoAnswer())
         if call.header(REQUEST_ID_HEADER) != name:
             call.close()
-            return Error(ServerLost("server no longer knows the request", died=False))
+            return Error(
+                ServerLost("server no longer knows the request", has_server_died=False)
+            )
         return Ok(call)
 
 
@@ -169,4 +171,8 @@
 
 
 def _died_or_no_answer(down: ServerUnreachable) -> ServerLost | _NoAnswer:
-    return ServerLost(down.detail, died=True) if down.is_refused else _NoAnswer()
+    return (
+        ServerLost(down.detail, has_server_died=True)
+        if down.is_refused
+        else _NoAnswer()
+    )
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -99,7 +99,7 @@
         if not data and self._end_is_uncertain():
             # Such an answer ends when the connection does, so that one cut short by a
             # dying server looks whole. It is passed on but never called whole.
-            return Error(ServerLost("answer without a length", died=False))
+            return Error(ServerLost("answer without a length", has_server_died=False))
         return Ok(data or b"")
 
     def close(self) -> None:
@@ -151,7 +151,7 @@
 
 
 def _lost(error: Exception) -> ServerLost:
-    return ServerLost(_reason(error), died=False)
+    return ServerLost(_reason(error), has_server_died=False)
 
 
 def _reason(error: Exception) -> str:
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -91,7 +91,7 @@
             return Error(self.lost(sent.error))
         if call.header(REQUEST_ID_HEADER) not in ("", run_id(dispatch)):
             call.close()
-            return Error(ServerLost("answer of another request", died=False))
+            return Error(ServerLost("answer of another request", has_server_died=False))
         return Ok(ServiceAnswer(call, self))
 
     def state(self) -> ServerState:
@@ -105,7 +105,7 @@
     def lost(self, error: ServerLost | Silent) -> ServerLost:
         """Return why an answer was lost, and whether the service died with it."""
         if isinstance(error, Silent):
-            return ServerLost("server silent", died=False)
+            return ServerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
             return error._replace(died=connected.error.is_refused)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -210,7 +210,7 @@
         if cancellation.is_set():
             self._finish(key, Outcome.UNKNOWN, status, "cancelled")
             return
-        if error.died:
+        if error.has_server_died:
             self.record_server_crash(generation)
         logger.warning("Answer cut short: %s. %s", error.detail, key.request_id)
         self._finish(key, Outcome.UNKNOWN, status, error.detail)
