--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -26,7 +26,7 @@
     is_refused: bool
 
 
-class ServerLost(NamedTuple):
+class AnswerLost(NamedTuple):
     """The call went out and its answer did not come whole.
 
     ``died`` tells that the server process ended or restarted meanwhile.
@@ -36,7 +36,7 @@
     has_server_died: bool
 
 
-AdapterError = ServerUnreachable | ServerLost
+AdapterError = ServerUnreachable | AnswerLost
 
 
 class ServerAnswer(Protocol):
--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -14,8 +14,8 @@
 from expression import Result
 
 from kingcupwheel.agent.adapters.base import AdapterError
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerAnswer
-from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.engine_client import EngineClient
@@ -91,10 +91,10 @@
         if not self._whole:
             self._client.cancel(self._name)
 
-    def _resume(self, offset: int, failures: int) -> Result[None, ServerLost]:
+    def _resume(self, offset: int, failures: int) -> Result[None, AnswerLost]:
         self._call.close()
         if failures > _RESUMES_WITHOUT_PROGRESS:
-            return Error(ServerLost("connections keep failing", has_server_died=False))
+            return Error(AnswerLost("connections keep failing", has_server_died=False))
         resumed = self._client.resume(
             self._name, offset, self._life, self._cancellation
         )
@@ -134,7 +134,7 @@
         if call.header(REQUEST_ID_HEADER) != name:
             call.close()
             self._client.cancel(name)
-            return Error(ServerLost("answer of another request", has_server_died=False))
+            return Error(AnswerLost("answer of another request", has_server_died=False))
         return Ok(EngineAnswer(self._client, call, name, cancellation))
 
     def state(self) -> ServerState:
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -16,7 +16,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.server_call import Call
@@ -82,7 +82,7 @@
 
     def resume(
         self, name: str, offset: int, life: str, cancellation: Cancellation
-    ) -> Result[Call, ServerLost]:
+    ) -> Result[Call, AnswerLost]:
         """Open the stream of a run anew at ``offset``, if the engine has it still.
 
         ``life`` is the engine's life that the run began in, empty if not known.
@@ -91,27 +91,27 @@
         give_up_at = monotonic() + patience_s
         while monotonic() < give_up_at:
             if cancellation.wait(_PAUSE_S):
-                return Error(ServerLost("cancelled", has_server_died=False))
+                return Error(AnswerLost("cancelled", has_server_died=False))
             resumed = self._try_resume(name, offset, life, cancellation)
             if resumed.is_ok():
                 return Ok(resumed.ok)
             match resumed.error:
-                case ServerLost() as lost:
+                case AnswerLost() as lost:
                     return Error(lost)
                 case _StillRuns():
                     give_up_at = monotonic() + patience_s
                 case _NoAnswer():
                     pass
-        return Error(ServerLost("server silent", has_server_died=False))
+        return Error(AnswerLost("server silent", has_server_died=False))
 
     def _try_resume(
         self, name: str, offset: int, life: str, cancellation: Cancellation
-    ) -> Result[Call, ServerLost | _NoAnswer | _StillRuns]:
+    ) -> Result[Call, AnswerLost | _NoAnswer | _StillRuns]:
         asked = self._ask(cancellation)
         if asked.is_error():
             return Error(asked.error)
         if life and asked.ok.life != life:
-            return Error(ServerLost("server restarted", has_server_died=True))
+            return Error(AnswerLost("server restarted", has_server_died=True))
         opened = self._reopen(name, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
@@ -121,7 +121,7 @@
 
     def _ask(
         self, cancellation: Cancellation
-    ) -> Result[EngineState, ServerLost | _NoAnswer]:
+    ) -> Result[EngineState, AnswerLost | _NoAnswer]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_died_or_no_answer(connected.error))
@@ -135,7 +135,7 @@
 
     def _reopen(
         self, name: str, offset: int, cancellation: Cancellation
-    ) -> Result[Call, ServerLost | _NoAnswer]:
+    ) -> Result[Call, AnswerLost | _NoAnswer]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_died_or_no_answer(connected.error))
@@ -148,12 +148,12 @@
         if call.header(REQUEST_ID_HEADER) != name:
             call.close()
             return Error(
-                ServerLost("server no longer knows the request", has_server_died=False)
+                AnswerLost("server no longer knows the request", has_server_died=False)
             )
         return Ok(call)
 
 
-def _read_state(call: Call) -> Result[EngineState, ServerLost | _NoAnswer]:
+def _read_state(call: Call) -> Result[EngineState, AnswerLost | _NoAnswer]:
     body = b""
     while True:
         result = call.read()
@@ -170,9 +170,9 @@
         return Error(_NoAnswer())
 
 
-def _died_or_no_answer(down: ServerUnreachable) -> ServerLost | _NoAnswer:
+def _died_or_no_answer(down: ServerUnreachable) -> AnswerLost | _NoAnswer:
     return (
-        ServerLost(down.detail, has_server_died=True)
+        AnswerLost(down.detail, has_server_died=True)
         if down.is_refused
         else _NoAnswer()
     )
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -21,7 +21,7 @@
 from urllib3.exceptions import ReadTimeoutError
 from urllib3.util import parse_url
 
-from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.server_requests import visible_headers
 
@@ -69,7 +69,7 @@
 
     def send(
         self, request: Request, *, silence_s: float | None
-    ) -> Result[None, ServerLost | Silent]:
+    ) -> Result[None, AnswerLost | Silent]:
         """Send the request and wait for the answer's head."""
         self._connection.timeout = silence_s
         try:
@@ -88,7 +88,7 @@
             return Error(_lost(error))
         return Ok(None)
 
-    def read(self) -> Result[bytes, ServerLost | Silent]:
+    def read(self) -> Result[bytes, AnswerLost | Silent]:
         """Return the next bytes of the body as they come; empty at its whole end."""
         try:
             data = self.response.read1(_READ_BYTES, decode_content=False)
@@ -99,7 +99,7 @@
         if not data and self._end_is_uncertain():
             # Such an answer ends when the connection does, so that one cut short by a
             # dying server looks whole. It is passed on but never called whole.
-            return Error(ServerLost("answer without a length", has_server_died=False))
+            return Error(AnswerLost("answer without a length", has_server_died=False))
         return Ok(data or b"")
 
     def close(self) -> None:
@@ -150,8 +150,8 @@
     ]
 
 
-def _lost(error: Exception) -> ServerLost:
-    return ServerLost(_reason(error), has_server_died=False)
+def _lost(error: Exception) -> AnswerLost:
+    return AnswerLost(_reason(error), has_server_died=False)
 
 
 def _reason(error: Exception) -> str:
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -9,8 +9,8 @@
 from expression import Result
 
 from kingcupwheel.agent.adapters.base import AdapterError
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerAnswer
-from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.server_call import Call
@@ -91,7 +91,7 @@
             return Error(self.lost(sent.error))
         if call.header(REQUEST_ID_HEADER) not in ("", run_id(dispatch)):
             call.close()
-            return Error(ServerLost("answer of another request", has_server_died=False))
+            return Error(AnswerLost("answer of another request", has_server_died=False))
         return Ok(ServiceAnswer(call, self))
 
     def state(self) -> ServerState:
@@ -102,10 +102,10 @@
         connected.ok.close()
         return ServerState(up=True, life="", running=0, rate=0.0)
 
-    def lost(self, error: ServerLost | Silent) -> ServerLost:
+    def lost(self, error: AnswerLost | Silent) -> AnswerLost:
         """Return why an answer was lost, and whether the service died with it."""
         if isinstance(error, Silent):
-            return ServerLost("server silent", has_server_died=False)
+            return AnswerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
             return error._replace(died=connected.error.is_refused)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -8,7 +8,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.answer_buffer import AnswerHead
@@ -182,7 +182,7 @@
             first = True
             for chunk in answer.chunks():
                 if chunk.is_error() or cancellation.is_set():
-                    error = chunk.error if chunk.is_error() else ServerLost("", False)
+                    error = chunk.error if chunk.is_error() else AnswerLost("", False)
                     self._failed(key, error, answer.status, cancellation, generation)
                     return
                 if first:
