--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -63,7 +63,7 @@
     ``life`` changes when the server process restarts; empty if the server tells none.
     """
 
-    up: bool
+    is_up: bool
     life: str
     running: int
     rate: float
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -19,7 +19,7 @@
     from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(up=False, life="", running=0, rate=0.0)
+_NOT_ASKED = ServerState(is_up=False, life="", running=0, rate=0.0)
 
 
 class ServerProbe:
@@ -52,7 +52,7 @@
         An answer from before a death says nothing of the server now; believing it for
         one more period would draw work to a server that is gone.
         """
-        return self._state.up and self._generation == self._runner.server_generation
+        return self._state.is_up and self._generation == self._runner.server_generation
 
     @property
     def state_age_s(self) -> float:
