--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -64,7 +64,7 @@
     """
 
     is_up: bool
-    life: str
+    incarnation: str
     running: int
     rate: float
 
--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -117,7 +117,7 @@
         self, dispatch: Dispatch, cancellation: Cancellation
     ) -> Result[ServerAnswer, AdapterError]:
         """Send the request once; return when the answer's head is there."""
-        life = self._life or self.state().life
+        life = self._life or self.state().incarnation
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(connected.error)
@@ -141,6 +141,6 @@
         """Ask the engine for its state on a new connection."""
         state = self._client.state(Cancellation())
         if state is None:
-            return ServerState(is_up=False, life="", running=0, rate=0.0)
+            return ServerState(is_up=False, incarnation="", running=0, rate=0.0)
         self._life = state.life
         return ServerState(True, state.life, len(state.running), state.rate)
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -19,7 +19,7 @@
     from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(is_up=False, life="", running=0, rate=0.0)
+_NOT_ASKED = ServerState(is_up=False, incarnation="", running=0, rate=0.0)
 
 
 class ServerProbe:
@@ -78,14 +78,14 @@
 
     def _generation_of(self, state: ServerState, asked_in: int) -> int:
         """Return the generation that ``state`` tells of, counting a death it shows."""
-        if not state.life:
+        if not state.incarnation:
             return asked_in
         generation = asked_in
-        if self._life and state.life != self._life:
+        if self._life and state.incarnation != self._life:
             # The run threads report the same death; the generation counts it once.
             self._runner.record_server_crash(self._life_generation)
             generation = self._runner.server_generation
-        self._life = state.life
+        self._life = state.incarnation
         self._life_generation = generation
         return generation
 
