--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -65,7 +65,7 @@
 
     is_up: bool
     incarnation: str
-    running: int
+    running_count: int
     rate: float
 
 
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -19,7 +19,7 @@
     from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(is_up=False, incarnation="", running=0, rate=0.0)
+_NOT_ASKED = ServerState(is_up=False, incarnation="", running_count=0, rate=0.0)
 
 
 class ServerProbe:
