--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -66,7 +66,7 @@
     is_up: bool
     incarnation: str
     running_count: int
-    rate: float
+    tokens_per_s: float
 
 
 class ServerAdapter(Protocol):
--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -141,6 +141,8 @@
         """Ask the engine for its state on a new connection."""
         state = self._client.state(Cancellation())
         if state is None:
-            return ServerState(is_up=False, incarnation="", running_count=0, rate=0.0)
+            return ServerState(
+                is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+            )
         self._life = state.life
         return ServerState(True, state.life, len(state.running), state.rate)
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -98,9 +98,13 @@
         """Return whether the service accepts connections; it tells nothing more."""
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return ServerState(is_up=False, incarnation="", running_count=0, rate=0.0)
+            return ServerState(
+                is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+            )
         connected.ok.close()
-        return ServerState(is_up=True, incarnation="", running_count=0, rate=0.0)
+        return ServerState(
+            is_up=True, incarnation="", running_count=0, tokens_per_s=0.0
+        )
 
     def lost(self, error: AnswerLost | Silent) -> AnswerLost:
         """Return why an answer was lost, and whether the service died with it."""
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -19,7 +19,7 @@
     from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(is_up=False, incarnation="", running_count=0, rate=0.0)
+_NOT_ASKED = ServerState(is_up=False, incarnation="", running_count=0, tokens_per_s=0.0)
 
 
 class ServerProbe:
@@ -132,6 +132,6 @@
             queued=len(queued),
             capacity=runs.capacity,
             work=sum(dispatch.work for dispatch in (*running, *queued)),
-            rate=self._probe.state.rate,
+            rate=self._probe.state.tokens_per_s,
             age_s=self._probe.state_age_s,
         )
