--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -20,7 +20,7 @@
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.engine_client import EngineClient
 from kingcupwheel.agent.adapters.server_call import Call
-from kingcupwheel.agent.adapters.server_call import Silent
+from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.server_requests import request_of
@@ -79,7 +79,7 @@
                 failures = 0
                 yield Ok(result.ok)
                 continue
-            failures += not isinstance(result.error, Silent)
+            failures += not isinstance(result.error, SilenceTimeout)
             resumed = self._resume(offset, failures)
             if resumed.is_error():
                 yield Error(resumed.error)
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -40,7 +40,7 @@
 _NO_BODY_STATUSES = frozenset({204, 304})
 
 
-class Silent(NamedTuple):
+class SilenceTimeout(NamedTuple):
     """Nothing came for the time that was allowed; the call may still run."""
 
 
@@ -69,7 +69,7 @@
 
     def send(
         self, request: Request, *, silence_s: float | None
-    ) -> Result[None, AnswerLost | Silent]:
+    ) -> Result[None, AnswerLost | SilenceTimeout]:
         """Send the request and wait for the answer's head."""
         self._connection.timeout = silence_s
         try:
@@ -83,17 +83,17 @@
             )
             self._response = self._connection.getresponse()
         except TimeoutError:
-            return Error(Silent())
+            return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
             return Error(_lost(error))
         return Ok(None)
 
-    def read(self) -> Result[bytes, AnswerLost | Silent]:
+    def read(self) -> Result[bytes, AnswerLost | SilenceTimeout]:
         """Return the next bytes of the body as they come; empty at its whole end."""
         try:
             data = self.response.read1(_READ_BYTES, decode_content=False)
         except ReadTimeoutError:
-            return Error(Silent())
+            return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
             return Error(_lost(error))
         if not data and self._end_is_uncertain():
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -14,7 +14,7 @@
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.server_call import Call
-from kingcupwheel.agent.adapters.server_call import Silent
+from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.server_requests import request_of
@@ -106,9 +106,9 @@
             is_up=True, incarnation="", running_count=0, tokens_per_s=0.0
         )
 
-    def lost(self, error: AnswerLost | Silent) -> AnswerLost:
+    def lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
         """Return why an answer was lost, and whether the service died with it."""
-        if isinstance(error, Silent):
+        if isinstance(error, SilenceTimeout):
             return AnswerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
