--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -19,7 +19,7 @@
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.engine_client import EngineClient
-from kingcupwheel.agent.adapters.server_call import Call
+from kingcupwheel.agent.adapters.server_call import ServerCall
 from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
@@ -44,7 +44,11 @@
     """An answer of an engine, over one connection after the other."""
 
     def __init__(
-        self, client: EngineClient, call: Call, name: str, cancellation: Cancellation
+        self,
+        client: EngineClient,
+        call: ServerCall,
+        name: str,
+        cancellation: Cancellation,
     ) -> None:
         self._client = client
         self._call = call
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -19,7 +19,7 @@
 from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.adapters.server_call import Call
+from kingcupwheel.agent.adapters.server_call import ServerCall
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.server_requests import Request
@@ -82,7 +82,7 @@
 
     def resume(
         self, name: str, offset: int, life: str, cancellation: Cancellation
-    ) -> Result[Call, AnswerLost]:
+    ) -> Result[ServerCall, AnswerLost]:
         """Open the stream of a run anew at ``offset``, if the engine has it still.
 
         ``life`` is the engine's life that the run began in, empty if not known.
@@ -106,7 +106,7 @@
 
     def _try_resume(
         self, name: str, offset: int, life: str, cancellation: Cancellation
-    ) -> Result[Call, AnswerLost | _NoAnswer | _StillRuns]:
+    ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRuns]:
         asked = self._ask(cancellation)
         if asked.is_error():
             return Error(asked.error)
@@ -135,7 +135,7 @@
 
     def _reopen(
         self, name: str, offset: int, cancellation: Cancellation
-    ) -> Result[Call, AnswerLost | _NoAnswer]:
+    ) -> Result[ServerCall, AnswerLost | _NoAnswer]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_died_or_no_answer(connected.error))
@@ -153,7 +153,7 @@
         return Ok(call)
 
 
-def _read_state(call: Call) -> Result[EngineState, AnswerLost | _NoAnswer]:
+def _read_state(call: ServerCall) -> Result[EngineState, AnswerLost | _NoAnswer]:
     body = b""
     while True:
         result = call.read()
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -44,7 +44,7 @@
     """Nothing came for the time that was allowed; the call may still run."""
 
 
-class Call:
+class ServerCall:
     """A connected call; ``send`` first, then ``read`` to the end, then ``close``."""
 
     def __init__(self, connection: HTTPConnection, cancellation: Cancellation) -> None:
@@ -120,7 +120,7 @@
 
 def connect(
     server: ServerSettings, cancellation: Cancellation
-) -> Result[Call, ServerUnreachable]:
+) -> Result[ServerCall, ServerUnreachable]:
     """Open a connection with TCP keepalive, which notices a host that is gone."""
     url = parse_url(server.url)
     connection = HTTPConnection(
@@ -135,7 +135,7 @@
         refused = isinstance(error.__cause__, ConnectionRefusedError)
         return Error(ServerUnreachable(_reason(error), refused))
     cancellation.watch(connection.sock)
-    return Ok(Call(connection, cancellation))
+    return Ok(ServerCall(connection, cancellation))
 
 
 def _socket_options(silence_s: float) -> list[tuple[int, int, int | bytes]]:
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -13,7 +13,7 @@
 from kingcupwheel.agent.adapters.base import ServerAnswer
 from kingcupwheel.agent.adapters.base import ServerState
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.adapters.server_call import Call
+from kingcupwheel.agent.adapters.server_call import ServerCall
 from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
@@ -38,7 +38,7 @@
 class ServiceAnswer:
     """An answer of a plain service."""
 
-    def __init__(self, call: Call, adapter: ServiceAdapter) -> None:
+    def __init__(self, call: ServerCall, adapter: ServiceAdapter) -> None:
         self._call = call
         self._adapter = adapter
 
