--- a/src/kingcupwheel/agent/adapters/cancellation.py
+++ b/src/kingcupwheel/agent/adapters/cancellation.py
@@ -35,7 +35,7 @@
             if self._connection is not None:
                 _shut_down(self._connection)
 
-    def watch(self, connection: socket.socket | None) -> None:
+    def set_connection(self, connection: socket.socket | None) -> None:
         """Name the connection to shut down; at once if already set."""
         with self._lock:
             self._connection = connection
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -104,7 +104,7 @@
 
     def close(self) -> None:
         """Close the connection."""
-        self._cancellation.watch(None)
+        self._cancellation.set_connection(None)
         with contextlib.suppress(HTTPError, OSError):
             self._connection.close()
         if self._response is not None:
@@ -134,7 +134,7 @@
     except (HTTPError, OSError) as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
         return Error(ServerUnreachable(_reason(error), refused))
-    cancellation.watch(connection.sock)
+    cancellation.set_connection(connection.sock)
     return Ok(ServerCall(connection, cancellation))
 
 
