--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -34,7 +34,7 @@
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.settings.schema import ServerSettings
 
-LIFE_HEADER = "X-Engine-Life"
+INCARNATION_HEADER = "X-Engine-Life"
 # Lost connections in a row without one byte between them; then something cuts every
 # connection and trying on would only load the engine.
 _RESUMES_WITHOUT_PROGRESS = 5
@@ -54,7 +54,7 @@
         self._call = call
         self._name = name
         self._cancellation = cancellation
-        self._life = call.header(LIFE_HEADER)
+        self._life = call.header(INCARNATION_HEADER)
         self._status = call.response.status
         self._headers = call.headers
         self._whole = False
