--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -23,7 +23,7 @@
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.server_requests import Request
-from kingcupwheel.agent.adapters.server_requests import get
+from kingcupwheel.agent.adapters.server_requests import build_get_request
 
 
 if TYPE_CHECKING:
@@ -128,7 +128,7 @@
         call = connected.ok
         try:
             silence_s = self._server.silence_s * _QUESTION_SHARE
-            sent = call.send(get(_STATE_PATH), silence_s=silence_s)
+            sent = call.send(build_get_request(_STATE_PATH), silence_s=silence_s)
             return Error(_NoAnswer()) if sent.is_error() else _read_state(call)
         finally:
             call.close()
@@ -140,7 +140,7 @@
         if connected.is_error():
             return Error(_died_or_no_answer(connected.error))
         call = connected.ok
-        request = get(f"/engine/resume/{name}?offset={offset}")
+        request = build_get_request(f"/engine/resume/{name}?offset={offset}")
         sent = call.send(request, silence_s=self._server.silence_s)
         if sent.is_error():
             call.close()
--- a/src/kingcupwheel/agent/adapters/server_requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -54,7 +54,7 @@
     return f"{dispatch.request_id}-{dispatch.attempt}"
 
 
-def get(path: str) -> Request:
+def build_get_request(path: str) -> Request:
     """Return a request without a body."""
     return Request("GET", path, {"Connection": "close"}, None)
 
