--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -23,7 +23,7 @@
 from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.server_requests import request_of
+from kingcupwheel.agent.adapters.server_requests import build_server_request
 from kingcupwheel.agent.adapters.server_requests import run_id
 from kingcupwheel.plugins.kernel import server_adapters
 
@@ -127,7 +127,9 @@
             return Error(connected.error)
         call = connected.ok
         name = run_id(dispatch)
-        sent = call.send(request_of(dispatch), silence_s=self._server.silence_s)
+        sent = call.send(
+            build_server_request(dispatch), silence_s=self._server.silence_s
+        )
         if sent.is_error():
             call.close()
             resumed = self._client.resume(name, 0, life, cancellation)
--- a/src/kingcupwheel/agent/adapters/server_requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -38,7 +38,7 @@
     body: bytes | None
 
 
-def request_of(dispatch: Dispatch) -> Request:
+def build_server_request(dispatch: Dispatch) -> Request:
     """Return the request to send for the dispatch, named by its attempt."""
     headers = HTTPHeaderDict()
     for name, value in dispatch.headers:
