--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -23,8 +23,8 @@
 from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import build_run_id
 from kingcupwheel.agent.adapters.server_requests import build_server_request
-from kingcupwheel.agent.adapters.server_requests import run_id
 from kingcupwheel.plugins.kernel import server_adapters
 
 
@@ -126,7 +126,7 @@
         if connected.is_error():
             return Error(connected.error)
         call = connected.ok
-        name = run_id(dispatch)
+        name = build_run_id(dispatch)
         sent = call.send(
             build_server_request(dispatch), silence_s=self._server.silence_s
         )
--- a/src/kingcupwheel/agent/adapters/server_requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -44,12 +44,12 @@
     for name, value in dispatch.headers:
         if name.lower() not in _REQUEST_HEADERS_DROPPED:
             headers.add(name, value)
-    headers[REQUEST_ID_HEADER] = run_id(dispatch)
+    headers[REQUEST_ID_HEADER] = build_run_id(dispatch)
     headers["Connection"] = "close"
     return Request(dispatch.method, dispatch.path, headers, dispatch.body)
 
 
-def run_id(dispatch: Dispatch) -> str:
+def build_run_id(dispatch: Dispatch) -> str:
     """Return the name the server knows the attempt by."""
     return f"{dispatch.request_id}-{dispatch.attempt}"
 
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -17,8 +17,8 @@
 from kingcupwheel.agent.adapters.server_call import SilenceTimeout
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import build_run_id
 from kingcupwheel.agent.adapters.server_requests import build_server_request
-from kingcupwheel.agent.adapters.server_requests import run_id
 from kingcupwheel.plugins.kernel import server_adapters
 
 
@@ -89,7 +89,7 @@
         if sent.is_error():
             call.close()
             return Error(self.lost(sent.error))
-        if call.header(REQUEST_ID_HEADER) not in ("", run_id(dispatch)):
+        if call.header(REQUEST_ID_HEADER) not in ("", build_run_id(dispatch)):
             call.close()
             return Error(AnswerLost("answer of another request", has_server_died=False))
         return Ok(ServiceAnswer(call, self))
