--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -23,7 +23,7 @@
 
 from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerUnreachable
-from kingcupwheel.agent.adapters.server_requests import visible_headers
+from kingcupwheel.agent.adapters.server_requests import filter_visible_headers
 
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
         """The answer's headers that a caller may see."""
-        return visible_headers(self.response.headers.items())
+        return filter_visible_headers(self.response.headers.items())
 
     def header(self, name: str) -> str:
         """Return one header of the answer, or an empty string."""
--- a/src/kingcupwheel/agent/adapters/server_requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -59,7 +59,7 @@
     return Request("GET", path, {"Connection": "close"}, None)
 
 
-def visible_headers(
+def filter_visible_headers(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     """Return the headers of an answer that a caller may see."""
