--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -22,7 +22,7 @@
 from kingcupwheel.agent.adapters.server_call import ServerCall
 from kingcupwheel.agent.adapters.server_call import connect
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.server_requests import Request
+from kingcupwheel.agent.adapters.server_requests import ServerRequest
 from kingcupwheel.agent.adapters.server_requests import build_get_request
 
 
@@ -72,7 +72,7 @@
 
     def cancel(self, name: str) -> None:
         """Have the engine stop the run called ``name``; best effort."""
-        request = Request(
+        request = ServerRequest(
             "POST", f"/engine/cancel/{name}", {"Connection": "close"}, b""
         )
         connected = connect(self._server, Cancellation())
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -30,7 +30,7 @@
     from urllib3.response import HTTPResponse
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.adapters.server_requests import Request
+    from kingcupwheel.agent.adapters.server_requests import ServerRequest
     from kingcupwheel.settings.schema import ServerSettings
 
 _READ_BYTES = 65_536
@@ -68,7 +68,7 @@
         return str(self.response.headers.get(name, ""))
 
     def send(
-        self, request: Request, *, silence_s: float | None
+        self, request: ServerRequest, *, silence_s: float | None
     ) -> Result[None, AnswerLost | SilenceTimeout]:
         """Send the request and wait for the answer's head."""
         self._connection.timeout = silence_s
--- a/src/kingcupwheel/agent/adapters/server_requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -29,7 +29,7 @@
 }
 
 
-class Request(NamedTuple):
+class ServerRequest(NamedTuple):
     """What is sent to the server."""
 
     method: str
@@ -38,7 +38,7 @@
     body: bytes | None
 
 
-def build_server_request(dispatch: Dispatch) -> Request:
+def build_server_request(dispatch: Dispatch) -> ServerRequest:
     """Return the request to send for the dispatch, named by its attempt."""
     headers = HTTPHeaderDict()
     for name, value in dispatch.headers:
@@ -46,7 +46,7 @@
             headers.add(name, value)
     headers[REQUEST_ID_HEADER] = build_run_id(dispatch)
     headers["Connection"] = "close"
-    return Request(dispatch.method, dispatch.path, headers, dispatch.body)
+    return ServerRequest(dispatch.method, dispatch.path, headers, dispatch.body)
 
 
 def build_run_id(dispatch: Dispatch) -> str:
@@ -54,9 +54,9 @@
     return f"{dispatch.request_id}-{dispatch.attempt}"
 
 
-def build_get_request(path: str) -> Request:
+def build_get_request(path: str) -> ServerRequest:
     """Return a request without a body."""
-    return Request("GET", path, {"Connection": "close"}, None)
+    return ServerRequest("GET", path, {"Connection": "close"}, None)
 
 
 def filter_visible_headers(
