--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -88,7 +88,7 @@
         )
         if sent.is_error():
             call.close()
-            return Error(self.lost(sent.error))
+            return Error(self.build_answer_lost(sent.error))
         if call.header(REQUEST_ID_HEADER) not in ("", build_run_id(dispatch)):
             call.close()
             return Error(AnswerLost("answer of another request", has_server_died=False))
@@ -106,7 +106,7 @@
             is_up=True, incarnation="", running_count=0, tokens_per_s=0.0
         )
 
-    def lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
+    def build_answer_lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
         """Return why an answer was lost, and whether the service died with it."""
         if isinstance(error, SilenceTimeout):
             return AnswerLost("server silent", has_server_died=False)
