--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -37,7 +37,7 @@
 INCARNATION_HEADER = "X-Engine-Life"
 # Lost connections in a row without one byte between them; then something cuts every
 # connection and trying on would only load the engine.
-_RESUMES_WITHOUT_PROGRESS = 5
+_MAX_RESUMES_WITHOUT_PROGRESS = 5
 
 
 class EngineAnswer:
@@ -47,17 +47,17 @@
         self,
         client: EngineClient,
         call: ServerCall,
-        name: str,
+        run_id: str,
         cancellation: Cancellation,
     ) -> None:
         self._client = client
         self._call = call
-        self._name = name
+        self._run_id = run_id
         self._cancellation = cancellation
-        self._life = call.header(INCARNATION_HEADER)
+        self._incarnation = call.header(INCARNATION_HEADER)
         self._status = call.response.status
         self._headers = call.headers
-        self._whole = False
+        self._is_complete = False
 
     @property
     def status(self) -> int:
@@ -77,7 +77,7 @@
             result = self._call.read()
             if result.is_ok():
                 if not result.ok:
-                    self._whole = True
+                    self._is_complete = True
                     return
                 offset += len(result.ok)
                 failures = 0
@@ -92,15 +92,15 @@
     def close(self) -> None:
         """Release the connection, cancelling what still runs."""
         self._call.close()
-        if not self._whole:
-            self._client.cancel(self._name)
+        if not self._is_complete:
+            self._client.cancel(self._run_id)
 
     def _resume(self, offset: int, failures: int) -> Result[None, AnswerLost]:
         self._call.close()
-        if failures > _RESUMES_WITHOUT_PROGRESS:
+        if failures > _MAX_RESUMES_WITHOUT_PROGRESS:
             return Error(AnswerLost("connections keep failing", has_server_died=False))
         resumed = self._client.resume(
-            self._name, offset, self._life, self._cancellation
+            self._run_id, offset, self._incarnation, self._cancellation
         )
         if resumed.is_error():
             return Error(resumed.error)
@@ -115,13 +115,13 @@
     def __init__(self, server: ServerSettings) -> None:
         self._server = server
         self._client = EngineClient(server)
-        self._life = ""
+        self._incarnation = ""
 
     def start(
         self, dispatch: Dispatch, cancellation: Cancellation
     ) -> Result[ServerAnswer, AdapterError]:
         """Send the request once; return when the answer's head is there."""
-        life = self._life or self.state().incarnation
+        life = self._incarnation or self.state().incarnation
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(connected.error)
@@ -150,5 +150,5 @@
             return ServerState(
                 is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
             )
-        self._life = state.life
+        self._incarnation = state.life
         return ServerState(True, state.life, len(state.running), state.rate)
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -31,13 +31,13 @@
 
 _STATE_PATH = "/engine/state"
 _HTTP_OK = 200
-_PAUSE_S = 0.2
+_RETRY_INTERVAL_S = 0.2
 # An engine that answers on no new connection either is stalled as a whole, not slow
 # with one request. It is asked for this many times ``silence_s`` before the answer is
 # called lost: one question alone may meet the same fault as the answer did. A question
 # gets a share of ``silence_s``.
-_PATIENCE = 2.0
-_QUESTION_SHARE = 0.5
+_GIVE_UP_SILENCES = 2.0
+_QUERY_TIMEOUT_SHARE = 0.5
 
 
 class EngineState(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     """A question about a run went out and no answer came back."""
 
 
-class _StillRuns(NamedTuple):
+class _StillRunning(NamedTuple):
     """The engine runs the request and has nothing to send yet."""
 
 
@@ -67,13 +67,13 @@
 
     def state(self, cancellation: Cancellation) -> EngineState | None:
         """Return the engine's state, None if it did not answer."""
-        asked = self._ask(cancellation)
+        asked = self._query_state(cancellation)
         return asked.ok if asked.is_ok() else None
 
-    def cancel(self, name: str) -> None:
+    def cancel(self, run_id: str) -> None:
         """Have the engine stop the run called ``name``; best effort."""
         request = ServerRequest(
-            "POST", f"/engine/cancel/{name}", {"Connection": "close"}, b""
+            "POST", f"/engine/cancel/{run_id}", {"Connection": "close"}, b""
         )
         connected = connect(self._server, Cancellation())
         if connected.is_ok():
@@ -81,71 +81,71 @@
             connected.ok.close()
 
     def resume(
-        self, name: str, offset: int, life: str, cancellation: Cancellation
+        self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
     ) -> Result[ServerCall, AnswerLost]:
         """Open the stream of a run anew at ``offset``, if the engine has it still.
 
         ``life`` is the engine's life that the run began in, empty if not known.
         """
-        patience_s = self._server.silence_s * _PATIENCE
+        patience_s = self._server.silence_s * _GIVE_UP_SILENCES
         give_up_at = monotonic() + patience_s
         while monotonic() < give_up_at:
-            if cancellation.wait(_PAUSE_S):
+            if cancellation.wait(_RETRY_INTERVAL_S):
                 return Error(AnswerLost("cancelled", has_server_died=False))
-            resumed = self._try_resume(name, offset, life, cancellation)
+            resumed = self._try_resume(run_id, offset, incarnation, cancellation)
             if resumed.is_ok():
                 return Ok(resumed.ok)
             match resumed.error:
                 case AnswerLost() as lost:
                     return Error(lost)
-                case _StillRuns():
+                case _StillRunning():
                     give_up_at = monotonic() + patience_s
                 case _NoAnswer():
                     pass
         return Error(AnswerLost("server silent", has_server_died=False))
 
     def _try_resume(
-        self, name: str, offset: int, life: str, cancellation: Cancellation
-    ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRuns]:
-        asked = self._ask(cancellation)
+        self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
+    ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRunning]:
+        asked = self._query_state(cancellation)
         if asked.is_error():
             return Error(asked.error)
-        if life and asked.ok.life != life:
+        if incarnation and asked.ok.life != incarnation:
             return Error(AnswerLost("server restarted", has_server_died=True))
-        opened = self._reopen(name, offset, cancellation)
+        opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
-        if isinstance(opened.error, _NoAnswer) and name in asked.ok.running:
-            return Error(_StillRuns())
+        if isinstance(opened.error, _NoAnswer) and run_id in asked.ok.running:
+            return Error(_StillRunning())
         return Error(opened.error)
 
-    def _ask(
+    def _query_state(
         self, cancellation: Cancellation
     ) -> Result[EngineState, AnswerLost | _NoAnswer]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
-            return Error(_died_or_no_answer(connected.error))
+            return Error(_classify_connect_failure(connected.error))
         call = connected.ok
         try:
-            silence_s = self._server.silence_s * _QUESTION_SHARE
+            silence_s = self._server.silence_s * _QUERY_TIMEOUT_SHARE
             sent = call.send(build_get_request(_STATE_PATH), silence_s=silence_s)
             return Error(_NoAnswer()) if sent.is_error() else _read_state(call)
         finally:
             call.close()
 
-    def _reopen(
-        self, name: str, offset: int, cancellation: Cancellation
+    def _open_stream(
+        self, run_id: str, offset: int, cancellation: Cancellation
     ) -> Result[ServerCall, AnswerLost | _NoAnswer]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
-            return Error(_died_or_no_answer(connected.error))
+            return Error(_classify_connect_failure(connected.error))
         call = connected.ok
-        request = build_get_request(f"/engine/resume/{name}?offset={offset}")
+        request = build_get_request(f"/engine/resume/{run_id}?offset={offset}")
         sent = call.send(request, silence_s=self._server.silence_s)
         if sent.is_error():
             call.close()
             return Error(_NoAnswer())
-        if call.header(REQUEST_ID_HEADER) != name:
+        if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
             return Error(
                 AnswerLost("server no longer knows the request", has_server_died=False)
@@ -170,9 +170,9 @@
         return Error(_NoAnswer())
 
 
-def _died_or_no_answer(down: ServerUnreachable) -> AnswerLost | _NoAnswer:
+def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoAnswer:
     return (
-        AnswerLost(down.detail, has_server_died=True)
-        if down.is_refused
+        AnswerLost(failure.detail, has_server_died=True)
+        if failure.is_refused
         else _NoAnswer()
     )
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -34,7 +34,7 @@
     from kingcupwheel.settings.schema import ServerSettings
 
 _READ_BYTES = 65_536
-_DEFAULT_PORT = 80
+_DEFAULT_HTTP_PORT = 80
 _KEEPALIVE_PROBES = 3
 _CALL_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 _NO_BODY_STATUSES = frozenset({204, 304})
@@ -85,7 +85,7 @@
         except TimeoutError:
             return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
-            return Error(_lost(error))
+            return Error(_build_answer_lost(error))
         return Ok(None)
 
     def read(self) -> Result[bytes, AnswerLost | SilenceTimeout]:
@@ -95,8 +95,8 @@
         except ReadTimeoutError:
             return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
-            return Error(_lost(error))
-        if not data and self._end_is_uncertain():
+            return Error(_build_answer_lost(error))
+        if not data and self._is_end_uncertain():
             # Such an answer ends when the connection does, so that one cut short by a
             # dying server looks whole. It is passed on but never called whole.
             return Error(AnswerLost("answer without a length", has_server_died=False))
@@ -111,7 +111,7 @@
             with contextlib.suppress(HTTPError, OSError):
                 self._response.close()
 
-    def _end_is_uncertain(self) -> bool:
+    def _is_end_uncertain(self) -> bool:
         response = self.response
         if response.status in _NO_BODY_STATUSES or response.chunked:
             return False
@@ -125,7 +125,7 @@
     url = parse_url(server.url)
     connection = HTTPConnection(
         url.host or "",
-        url.port or _DEFAULT_PORT,
+        url.port or _DEFAULT_HTTP_PORT,
         timeout=server.connect_s,
         socket_options=_socket_options(server.silence_s),
     )
@@ -133,7 +133,7 @@
         connection.connect()
     except (HTTPError, OSError) as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Error(ServerUnreachable(_reason(error), refused))
+        return Error(ServerUnreachable(_describe_error(error), refused))
     cancellation.set_connection(connection.sock)
     return Ok(ServerCall(connection, cancellation))
 
@@ -150,9 +150,9 @@
     ]
 
 
-def _lost(error: Exception) -> AnswerLost:
-    return AnswerLost(_reason(error), has_server_died=False)
+def _build_answer_lost(error: Exception) -> AnswerLost:
+    return AnswerLost(_describe_error(error), has_server_died=False)
 
 
-def _reason(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -32,7 +32,7 @@
 # connection gone silent for good look alike. After this many times the server's
 # ``silence_s`` without a byte the outcome is called unknown; without a bound the place
 # on the server would be lost for good.
-_SILENCES = 6
+_GIVE_UP_SILENCES = 6
 
 
 class ServiceAnswer:
@@ -84,7 +84,8 @@
             return Error(connected.error)
         call = connected.ok
         sent = call.send(
-            build_server_request(dispatch), silence_s=self._server.silence_s * _SILENCES
+            build_server_request(dispatch),
+            silence_s=self._server.silence_s * _GIVE_UP_SILENCES,
         )
         if sent.is_error():
             call.close()
--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -22,7 +22,7 @@
     from kingcupwheel.messages.base import Message
 
 # One frame's share of the body: small enough that a heartbeat behind it is not late.
-_FRAME_BYTES = 65_536
+_MAX_FRAME_BYTES = 65_536
 BYTES_FREED_DETAIL = "the answer's bytes are no longer held"
 
 
@@ -40,10 +40,14 @@
     outcome: Outcome
     detail: str
 
-    def to_message(self, name: AttemptKey, detail: str) -> AttemptEnd:
+    def to_message(self, attempt_key: AttemptKey, detail: str) -> AttemptEnd:
         """Return the message that tells it."""
         return AttemptEnd(
-            name.request_id, name.attempt, self.length, self.outcome, detail
+            attempt_key.request_id,
+            attempt_key.attempt,
+            self.length,
+            self.outcome,
+            detail,
         )
 
 
@@ -87,9 +91,9 @@
         """What tells this subscriber from every other."""
         return self.attempt_key, self.link
 
-    def resume_from(self, earlier: Subscriber) -> None:
+    def resume_from(self, replaced: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
-        self.acked_offset = max(self.acked_offset, earlier.acked_offset)
+        self.acked_offset = max(self.acked_offset, replaced.acked_offset)
         self.sent_offset = self.acked_offset
 
 
@@ -184,7 +188,7 @@
         )
         while subscriber.sent_offset < until:
             start = subscriber.sent_offset
-            stop = min(until, start + _FRAME_BYTES)
+            stop = min(until, start + _MAX_FRAME_BYTES)
             data = bytes(self._body[start - self._base : stop - self._base])
             messages.append(ResponseData(*subscriber.attempt_key, start, data))
             subscriber.sent_offset = stop
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -26,14 +26,14 @@
 
 # How long it is remembered how the answer of an attempt that may not be repeated ended,
 # after its bytes were freed: as long as its claim can be found.
-_ENDED_CLAIM_S = 48 * 3600.0
+_CLAIMED_END_RETENTION_S = 48 * 3600.0
 # How long the bytes of such an answer are kept for a caller that sends it again.
-_KEPT_S = 3600.0
+_RETAINED_ANSWER_S = 3600.0
 # One answer that nobody reads may hold this share of the memory; without it a single
 # stuck caller would slow every other stream of this server.
-_SHARE_OF_ONE = 0.25
+_MAX_ANSWER_SHARE = 0.25
 # A waiting reader looks again after this long even if nothing was freed.
-_LOOK_AGAIN_S = 1.0
+_ROOM_CHECK_INTERVAL_S = 1.0
 
 
 class AnswerStore:
@@ -50,24 +50,26 @@
         self,
         *,
         limit_bytes: int,
-        ended_s: float,
+        end_retention_s: float,
         send: Callable[[Link, Message], None],
     ) -> None:
-        self._limit = limit_bytes
+        self._limit_bytes = limit_bytes
         self._send = send
         self._changed = Condition()
         self._by_key: dict[AttemptKey, AnswerBuffer] = {}
-        self._by_place: dict[tuple[AttemptKey, Link], AnswerBuffer] = {}
-        self._held = 0
-        self._ended: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(life_s=ended_s)
+        self._by_subscriber: dict[tuple[AttemptKey, Link], AnswerBuffer] = {}
+        self._held_bytes = 0
+        self._ended: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
+            ttl_s=end_retention_s
+        )
         self._ended_claims: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
-            life_s=_ENDED_CLAIM_S
+            ttl_s=_CLAIMED_END_RETENTION_S
         )
 
     @property
     def held_bytes(self) -> int:
         """The number of bytes in memory."""
-        return self._held
+        return self._held_bytes
 
     @property
     def undelivered_count(self) -> int:
@@ -75,18 +77,18 @@
         with self._changed:
             return sum(not answer.is_delivered for answer in self._by_key.values())
 
-    def open(self, key: AttemptKey, *, keep: bool) -> None:
+    def open(self, key: AttemptKey, *, is_retained: bool) -> None:
         """Begin the answer of an accepted attempt."""
         with self._changed:
-            self._by_key[key] = AnswerBuffer(key, keep=keep)
+            self._by_key[key] = AnswerBuffer(key, keep=is_retained)
 
     def subscribe(
         self,
         key: AttemptKey,
         subscriber: Subscriber,
         *,
-        replaced: Iterable[Link] = (),
-        go_on: bool = False,
+        older_links: Iterable[Link] = (),
+        continue_from_ack: bool = False,
     ) -> bool:
         """Send the answer of ``key`` to an entry from now on.
 
@@ -97,17 +99,17 @@
         with self._changed:
             answer = self._by_key.get(key)
             if answer is None:
-                return self._tell_ended(key, subscriber)
+                return self._send_end(key, subscriber)
             # The new subscriber comes before anything is freed: in between nobody
             # would need the bytes that the old link swallowed.
-            for link in (subscriber.link, *replaced):
+            for link in (subscriber.link, *older_links):
                 place = (subscriber.attempt_key, link)
                 earlier = answer.subscribers.pop(place, None)
-                self._by_place.pop(place, None)
-                if go_on and earlier is not None:
+                self._by_subscriber.pop(place, None)
+                if continue_from_ack and earlier is not None:
                     subscriber.resume_from(earlier)
             answer.subscribers[subscriber.identity] = subscriber
-            self._by_place[subscriber.identity] = answer
+            self._by_subscriber[subscriber.identity] = answer
             self._flush(answer)
             return True
 
@@ -115,18 +117,18 @@
         """Return whether the attempt's answer, or how it ended, is held."""
         with self._changed:
             held = key in self._by_key
-            return held or self._find_ended(key) is not None
+            return held or self._find_ended_answer(key) is not None
 
-    def find_key(self, name: AttemptKey, link: Link) -> AttemptKey | None:
+    def find_key(self, attempt_key: AttemptKey, link: Link) -> AttemptKey | None:
         """Return the attempt whose answer goes to ``link`` as ``name``, or None."""
         with self._changed:
-            answer = self._by_place.get((name, link))
+            answer = self._by_subscriber.get((attempt_key, link))
             return None if answer is None else answer.key
 
-    def unsubscribe(self, name: AttemptKey, link: Link) -> int:
+    def unsubscribe(self, attempt_key: AttemptKey, link: Link) -> int:
         """Stop sending; return how many entries still get the same answer."""
         with self._changed:
-            answer = self._remove((name, link))
+            answer = self._remove_subscriber((attempt_key, link))
             return 0 if answer is None else len(answer.subscribers)
 
     def remove_links(self, links: Iterable[Link]) -> list[AttemptKey]:
@@ -134,8 +136,8 @@
         gone = set(links)
         orphans = []
         with self._changed:
-            for place in [place for place in self._by_place if place[1] in gone]:
-                answer = self._remove(place)
+            for place in [place for place in self._by_subscriber if place[1] in gone]:
+                answer = self._remove_subscriber(place)
                 if answer is not None and not answer.subscribers:
                     orphans.append(answer.key)
         return orphans
@@ -148,16 +150,16 @@
                 answer.head = head
                 self._flush(answer)
 
-    def append(self, key: AttemptKey, data: bytes, cancelled: Cancellation) -> None:
+    def append(self, key: AttemptKey, data: bytes, cancellation: Cancellation) -> None:
         """Add bytes; waits while there is no room, unless cancelled."""
         with self._changed:
             answer = self._by_key.get(key)
             if answer is None:
                 return
-            while not self._has_room(answer, len(data)) and not cancelled.is_set():
-                self._changed.wait(_LOOK_AGAIN_S)
+            while not self._has_room(answer, len(data)) and not cancellation.is_set():
+                self._changed.wait(_ROOM_CHECK_INTERVAL_S)
             answer.append(data)
-            self._held += len(data)
+            self._held_bytes += len(data)
             self._flush(answer)
 
     def finish(
@@ -183,18 +185,18 @@
             if answer is None:
                 return
             for subscriber in list(answer.subscribers.values()):
-                self._by_place.pop(subscriber.identity, None)
+                self._by_subscriber.pop(subscriber.identity, None)
                 self._send(
                     subscriber.link, AttemptRefused(*subscriber.attempt_key, reason)
                 )
 
-    def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
+    def acknowledge(self, attempt_key: AttemptKey, link: Link, offset: int) -> None:
         """Free what has reached the caller and send on within the credit."""
         with self._changed:
-            answer = self._by_place.get((name, link))
+            answer = self._by_subscriber.get((attempt_key, link))
             if answer is None:
                 return
-            subscriber = answer.subscribers[(name, link)]
+            subscriber = answer.subscribers[(attempt_key, link)]
             subscriber.acked_offset = max(
                 subscriber.acked_offset, min(offset, answer.length_bytes)
             )
@@ -204,7 +206,7 @@
         """Return the attempts that are still under way, by the link they go to."""
         by_link: dict[Link, list[AttemptKey]] = {}
         with self._changed:
-            for (name, link), answer in self._by_place.items():
+            for (name, link), answer in self._by_subscriber.items():
                 if not answer.subscribers[(name, link)].is_end_sent:
                     by_link.setdefault(link, []).append(name)
         return by_link
@@ -213,13 +215,13 @@
         """Forget kept answers, and how answers ended, when their time is over."""
         with self._changed:
             for answer in list(self._by_key.values()):
-                if answer.is_delivered and now - answer.ended_at > _KEPT_S:
-                    self._close(answer)
+                if answer.is_delivered and now - answer.ended_at > _RETAINED_ANSWER_S:
+                    self._release_answer(answer)
             self._ended.expire(now=now)
             self._ended_claims.expire(now=now)
 
-    def _tell_ended(self, key: AttemptKey, subscriber: Subscriber) -> bool:
-        ended = self._find_ended(key)
+    def _send_end(self, key: AttemptKey, subscriber: Subscriber) -> bool:
+        ended = self._find_ended_answer(key)
         if ended is None:
             return False
         for message in ended.to_messages(
@@ -228,7 +230,7 @@
             self._send(subscriber.link, message)
         return True
 
-    def _find_ended(self, key: AttemptKey) -> EndedAnswer | None:
+    def _find_ended_answer(self, key: AttemptKey) -> EndedAnswer | None:
         return self._ended.get(key) or self._ended_claims.get(key)
 
     def _flush(self, answer: AnswerBuffer) -> None:
@@ -237,49 +239,53 @@
                 self._send(subscriber.link, message)
         if answer.is_retained:
             return
-        self._freed(answer.free_acked())
+        self._record_freed(answer.free_acked())
         if answer.is_delivered:
-            self._close(answer)
+            self._release_answer(answer)
 
-    def _remove(self, place: tuple[AttemptKey, Link]) -> AnswerBuffer | None:
-        answer = self._by_place.pop(place, None)
+    def _remove_subscriber(
+        self, identity: tuple[AttemptKey, Link]
+    ) -> AnswerBuffer | None:
+        answer = self._by_subscriber.pop(identity, None)
         if answer is not None:
-            answer.subscribers.pop(place, None)
+            answer.subscribers.pop(identity, None)
             self._flush(answer)
         return answer
 
-    def _close(self, answer: AnswerBuffer) -> None:
+    def _release_answer(self, answer: AnswerBuffer) -> None:
         ended = answer.to_ended_answer()
         if ended is None:
             return
         del self._by_key[answer.key]
         for place in answer.subscribers:
-            self._by_place.pop(place, None)
+            self._by_subscriber.pop(place, None)
         remembered = self._ended_claims if answer.is_retained else self._ended
         remembered.put(answer.key, ended, now=answer.ended_at)
-        self._freed(answer.held_bytes)
+        self._record_freed(answer.held_bytes)
 
-    def _freed(self, count: int) -> None:
-        if count:
-            self._held -= count
+    def _record_freed(self, count_bytes: int) -> None:
+        if count_bytes:
+            self._held_bytes -= count_bytes
             self._changed.notify_all()
 
-    def _has_room(self, answer: AnswerBuffer, size: int) -> bool:
-        if self._held + size > self._limit:
-            self._reclaim(size)
-        if answer.unacked_bytes >= self._limit * _SHARE_OF_ONE:
+    def _has_room(self, answer: AnswerBuffer, size_bytes: int) -> bool:
+        if self._held_bytes + size_bytes > self._limit_bytes:
+            self._reclaim(size_bytes)
+        if answer.unacked_bytes >= self._limit_bytes * _MAX_ANSWER_SHARE:
             return False
-        return self._held == 0 or self._held + size <= self._limit
+        return (
+            self._held_bytes == 0 or self._held_bytes + size_bytes <= self._limit_bytes
+        )
 
-    def _reclaim(self, size: int) -> None:
+    def _reclaim(self, size_bytes: int) -> None:
         """Give up kept answers that everyone has, the oldest first."""
         kept = [answer for answer in self._by_key.values() if answer.is_retained]
         finished = [answer for answer in kept if answer.is_delivered]
         for answer in sorted(finished, key=lambda answer: answer.ended_at):
-            if self._held + size <= self._limit:
+            if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
-            self._close(answer)
+            self._release_answer(answer)
         for answer in kept:
-            if self._held + size <= self._limit:
+            if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
-            self._freed(answer.free_acked())
+            self._record_freed(answer.free_acked())
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -51,14 +51,14 @@
         name: str,
         runner: AttemptRunner,
         store: AnswerStore,
-        peers: EntryLinks,
+        entry_links: EntryLinks,
         recorder: Recorder,
         send: Callable[[Link, Message], None],
     ) -> None:
         self._name = name
         self._runner = runner
         self._store = store
-        self._peers = peers
+        self._entry_links = entry_links
         self._recorder = recorder
         self._send = send
 
@@ -66,14 +66,14 @@
         """Do what the message asks; others than those on attempts are ignored."""
         match message:
             case Dispatch():
-                self._dispatch(link, message)
+                self._handle_dispatch(link, message)
             case ResumeRequest():
-                self._resume(link, message)
+                self._handle_resume(link, message)
             case Ack():
                 name = AttemptKey(message.request_id, message.attempt)
                 self._store.acknowledge(name, link, message.offset)
             case CancelRequest():
-                self._cancel(link, message)
+                self._handle_cancel(link, message)
             case TombstoneRequest():
                 with self._runner.lock:
                     answer = self._runner.attempt_table.set_tombstone(
@@ -87,9 +87,9 @@
         """Stop the attempts whose entries have all gone silent."""
         for key in self._store.remove_links(links):
             self._recorder.record(key.request_id, Noted("The entry went silent."))
-            self._stop(key)
+            self._stop_attempt(key)
 
-    def _dispatch(self, link: Link, dispatch: Dispatch) -> None:
+    def _handle_dispatch(self, link: Link, dispatch: Dispatch) -> None:
         name = get_attempt_key(dispatch)
         with self._runner.lock:
             decision = self._runner.attempt_table.handle_dispatch(
@@ -103,9 +103,9 @@
                     self._recorder.record(name.request_id, Queued(ahead))
                     self._accept(link, dispatch, running=False)
                 case JoinDecision(key):
-                    self._join(link, dispatch, key)
+                    self._join_attempt(link, dispatch, key)
                 case ForgottenDecision():
-                    self._send(link, _unknown(name))
+                    self._send(link, _build_unknown_end(name))
                 case RefusalDecision(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
                     self._recorder.record(name.request_id, note)
@@ -113,29 +113,31 @@
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
         name = get_attempt_key(dispatch)
-        self._store.open(name, keep=dispatch.claim is not None)
+        self._store.open(name, is_retained=dispatch.claim is not None)
         self._send(link, AttemptAccepted(*name, running))
         self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
 
-    def _join(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
+    def _join_attempt(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
         name = get_attempt_key(dispatch)
         self._recorder.record(
             name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
         )
         self._send(link, AttemptAccepted(*name, True))
         subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
-        replaced = self._peers.list_older_links(link)
-        if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
-            self._send(link, _unknown(name))
+        replaced = self._entry_links.list_older_links(link)
+        if not self._store.subscribe(
+            key, subscriber, older_links=replaced, continue_from_ack=True
+        ):
+            self._send(link, _build_unknown_end(name))
 
-    def _resume(self, link: Link, message: ResumeRequest) -> None:
+    def _handle_resume(self, link: Link, message: ResumeRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
-        key = self._known_key(name, message.claim_id)
+        key = self._resolve_key(name, message.claim_id)
         subscriber = Subscriber(
             name, link, message.offset, message.offset, message.credit
         )
-        replaced = self._peers.list_older_links(link)
-        if self._store.subscribe(key, subscriber, replaced=replaced):
+        replaced = self._entry_links.list_older_links(link)
+        if self._store.subscribe(key, subscriber, older_links=replaced):
             event = Resumed(self._name, name.attempt, message.offset, "new link")
             self._recorder.record(name.request_id, event)
             return
@@ -148,22 +150,22 @@
         else:
             self._send(link, AttemptUnknown(*name, incarnation, cancelled))
 
-    def _known_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
+    def _resolve_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
         if claim_id is None or self._store.is_known(name):
             return name
         with self._runner.lock:
             return self._runner.attempt_table.get_accepted_key(claim_id) or name
 
-    def _cancel(self, link: Link, message: CancelRequest) -> None:
+    def _handle_cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
         key = self._store.find_key(name, link) or name
         if self._store.unsubscribe(name, link):
             return
-        reason = self._stop(key)
+        reason = self._stop_attempt(key)
         if reason is not None:
             self._send(link, reason)
 
-    def _stop(self, key: AttemptKey) -> AttemptRefused | None:
+    def _stop_attempt(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
             decision = self._runner.attempt_table.cancel(key, now=monotonic())
         match decision:
@@ -177,6 +179,8 @@
         return None
 
 
-def _unknown(name: AttemptKey) -> AttemptEnd:
+def _build_unknown_end(attempt_key: AttemptKey) -> AttemptEnd:
     detail = "older than this agent's memory"
-    return AttemptEnd(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
+    return AttemptEnd(
+        attempt_key.request_id, attempt_key.attempt, 0, Outcome.UNKNOWN, detail
+    )
--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -13,24 +13,24 @@
 
 # A copy of a dispatch carries the token of the first one and is refused as stale
 # ``token_s`` after that token, so a refusal kept twice as long outlives every copy.
-_MEMORY_PER_TOKEN_LIFE = 2.0
+_REFUSAL_RETENTION_RATIO = 2.0
 # What ran is remembered for longer. A stale copy of it must not be told ``not-run``; a
 # dispatch whose token is older than this memory may be one, and is told ``unknown``.
 # An entry that was paused for less than this still learns how its attempts ended.
-_MEMORY_S = 600.0
+_MIN_ENDED_RETENTION_S = 600.0
 
 
 class AttemptHistory:
     """Tombstones, ended attempts and cancels that came before their dispatch."""
 
     def __init__(self, *, token_s: float) -> None:
-        refused_s = _MEMORY_PER_TOKEN_LIFE * token_s
-        self._ended_s = max(_MEMORY_S, refused_s)
-        self._ended: ExpiringMap[AttemptKey, bool] = ExpiringMap(life_s=self._ended_s)
+        refused_s = _REFUSAL_RETENTION_RATIO * token_s
+        self._ended_s = max(_MIN_ENDED_RETENTION_S, refused_s)
+        self._ended: ExpiringMap[AttemptKey, bool] = ExpiringMap(ttl_s=self._ended_s)
         self._tombstones: ExpiringMap[AttemptKey, DispatchRefusal] = ExpiringMap(
-            life_s=refused_s
+            ttl_s=refused_s
         )
-        self._cancelled: ExpiringMap[AttemptKey, bool] = ExpiringMap(life_s=refused_s)
+        self._cancelled: ExpiringMap[AttemptKey, bool] = ExpiringMap(ttl_s=refused_s)
 
     @property
     def ended_retention_s(self) -> float:
--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -15,7 +15,7 @@
     from kingcupwheel.messages.attempts import Dispatch
 
 
-class _Waiting(NamedTuple):
+class _QueueEntry(NamedTuple):
     """Sorts by priority (highest first), then by arrival."""
 
     negated_priority: int
@@ -33,7 +33,7 @@
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
-        self._waiting: list[_Waiting] = []
+        self._waiting: list[_QueueEntry] = []
         self._arrivals = count()
 
     def __contains__(self, key: object) -> bool:
@@ -53,7 +53,9 @@
         """Add the dispatch; return how many are before it."""
         deadline_s = dispatch.deadline_s
         expires_at = None if deadline_s is None else now + deadline_s
-        entry = _Waiting(-dispatch.priority, next(self._arrivals), expires_at, dispatch)
+        entry = _QueueEntry(
+            -dispatch.priority, next(self._arrivals), expires_at, dispatch
+        )
         insort(self._waiting, entry)
         return self._waiting.index(entry)
 
@@ -70,8 +72,10 @@
 
     def expire(self, *, now: float) -> list[Dispatch]:
         """Remove and return what waited past its deadline."""
-        expired = [entry for entry in self._waiting if _is_late(entry, now)]
-        self._waiting = [entry for entry in self._waiting if not _is_late(entry, now)]
+        expired = [entry for entry in self._waiting if _is_expired(entry, now)]
+        self._waiting = [
+            entry for entry in self._waiting if not _is_expired(entry, now)
+        ]
         return [entry.dispatch for entry in expired]
 
     def clear(self) -> list[Dispatch]:
@@ -81,5 +85,5 @@
         return dispatches
 
 
-def _is_late(entry: _Waiting, now: float) -> bool:
+def _is_expired(entry: _QueueEntry, now: float) -> bool:
     return entry.expires_at is not None and now >= entry.expires_at
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -12,9 +12,9 @@
     from kingcupwheel.messages.attempts import DispatchRefusal
 
 
-_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_TARGET = re.compile(r"/[!-~]*")
-_FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+_HTTP_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_REQUEST_TARGET = re.compile(r"/[!-~]*")
+_HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 
 
 class AttemptKey(NamedTuple):
@@ -89,10 +89,10 @@
     Found out before anything is sent, so that the refusal can say ``not-run``.
     """
     return bool(
-        _TOKEN.fullmatch(dispatch.method)
-        and _TARGET.fullmatch(dispatch.path)
+        _HTTP_TOKEN.fullmatch(dispatch.method)
+        and _REQUEST_TARGET.fullmatch(dispatch.path)
         and all(
-            _TOKEN.fullmatch(name) and _FIELD_VALUE.fullmatch(value)
+            _HTTP_TOKEN.fullmatch(name) and _HEADER_VALUE.fullmatch(value)
             for name, value in dispatch.headers
         )
     )
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -16,7 +16,7 @@
 # The platform drops a claim after its retention (a day unless the manifest says
 # otherwise). An agent remembers for longer than a claim object can name it, so nothing
 # asks for a claim that was forgotten.
-_MEMORY_S = 48 * 3600.0
+_RETENTION_S = 48 * 3600.0
 
 
 class ClaimState(NamedTuple):
@@ -27,7 +27,7 @@
     accepted_key: AttemptKey | None
 
 
-_UNSEEN = ClaimState(0, False, None)
+_INITIAL_STATE = ClaimState(0, False, None)
 
 
 class ClaimFences:
@@ -38,7 +38,7 @@
     """
 
     def __init__(self) -> None:
-        self._by_id: ExpiringMap[str, ClaimState] = ExpiringMap(life_s=_MEMORY_S)
+        self._by_id: ExpiringMap[str, ClaimState] = ExpiringMap(ttl_s=_RETENTION_S)
 
     def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
@@ -83,4 +83,4 @@
         self._by_id.expire(now=now)
 
     def _state(self, claim_id: str) -> ClaimState:
-        return self._by_id.get(claim_id) or _UNSEEN
+        return self._by_id.get(claim_id) or _INITIAL_STATE
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -53,10 +53,10 @@
 _INCARNATION_BYTES = 8
 # How an answer ended is known for longer than that its attempt ran: a late copy of the
 # dispatch is joined to it.
-_ENDED_PER_MEMORY = 1.5
+_END_RETENTION_RATIO = 1.5
 # A leaving agent stays at least so many heartbeats: a dispatch sent before the entry
 # heard of the leaving still gets its ``not-run`` instead of silence.
-_LEAVING_BEATS = 3.0
+_MIN_DRAIN_HEARTBEATS = 3.0
 
 
 class AgentDaemon:
@@ -76,7 +76,7 @@
             limit=settings.agent.traces,
             listener=EventMetrics(self._metrics, settings.role),
         )
-        self._peers = EntryLinks(hello_s=timings.gone_s, gone_s=timings.give_up_s)
+        self._entry_links = EntryLinks(hello_s=timings.gone_s, gone_s=timings.give_up_s)
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
@@ -88,7 +88,7 @@
         )
         self._store = AnswerStore(
             limit_bytes=settings.agent.answers_bytes,
-            ended_s=_ENDED_PER_MEMORY * runs.ended_retention_s,
+            end_retention_s=_END_RETENTION_RATIO * runs.ended_retention_s,
             send=self._hub.send,
         )
         adapter = server_adapters.get(settings.server.adapter)(settings.server)
@@ -99,13 +99,13 @@
             adapter=adapter,
             crashes=CrashTable(),
             recorder=self._recorder,
-            tell_death=self._tell_death,
+            tell_death=self._send_crash_heartbeat,
         )
         self._handler = AttemptHandler(
             name=settings.name,
             runner=self._runner,
             store=self._store,
-            peers=self._peers,
+            entry_links=self._entry_links,
             recorder=self._recorder,
             send=self._hub.send,
         )
@@ -114,13 +114,13 @@
             platform_clients.get(settings.platform.client)(settings.platform),
             self._metrics,
         )
-        self._manifest = ManifestFollower(
+        self._manifest_follower = ManifestFollower(
             client,
             group=settings.group,
             send=self._hub.send,
-            on_group=self._on_group,
+            on_group=self._on_group_changed,
         )
-        self._maps = MapServiceManager(
+        self._map_services = MapServiceManager(
             hub=self._hub,
             platform=client,
             name=settings.name,
@@ -131,20 +131,21 @@
             self._recorder,
             client,
             period_s=timings.trace_batch_s,
-            retention_s=lambda: self._manifest.traces_retention_s,
+            retention_s=lambda: self._manifest_follower.traces_retention_s,
             metrics=self._metrics,
         )
-        self._heartbeat = HeartbeatBuilder(
+        self._heartbeat_builder = HeartbeatBuilder(
             settings,
             self._runner,
             self._probe,
-            manifest_version=lambda: self._manifest.version,
+            manifest_version=lambda: self._manifest_follower.version,
         )
-        self._next_beat = 0.0
+        self._next_heartbeat_at = 0.0
         self._drain = DrainTracker(
-            stay_s=_LEAVING_BEATS * timings.heartbeat_s, linger_s=timings.give_up_s
+            stay_s=_MIN_DRAIN_HEARTBEATS * timings.heartbeat_s,
+            linger_s=timings.give_up_s,
         )
-        self._leave_wanted = Event()
+        self._leave_requested = Event()
         self._drained = Event()
 
     @property
@@ -160,7 +161,7 @@
     def start(self) -> None:
         """Start serving."""
         self._probe.start()
-        self._manifest.start()
+        self._manifest_follower.start()
         self._shipper.start()
         self._hub.start()
         logger.info("Serving on port %d.", self.port)
@@ -174,7 +175,7 @@
 
     def leave(self) -> None:
         """Begin a planned stop: no new work, what runs goes on; may be repeated."""
-        self._leave_wanted.set()
+        self._leave_requested.set()
 
     def wait_drained(self, timeout_s: float) -> bool:
         """Wait until a planned stop is complete; return whether it is."""
@@ -197,86 +198,88 @@
     def close(self) -> None:
         """Close the sockets at once; attempts still running are cut off."""
         self._probe.stop()
-        self._manifest.stop()
-        self._maps.stop()
+        self._manifest_follower.stop()
+        self._map_services.stop()
         self._shipper.stop()
         self._hub.stop()
         self._metrics.close()
 
     def _on_message(self, link: Link, message: Message) -> None:
         now = monotonic()
-        self._peers.record_message(link, now=now)
+        self._entry_links.record_message(link, now=now)
         match message:
             case Hello():
-                self._hello(link, message, now)
+                self._on_hello(link, message, now)
             case TraceRequest(request_id):
                 self._hub.send(link, self._recorder.found(request_id))
             case StatusRequest():
-                self._hub.send(link, self._status())
+                self._hub.send(link, self._build_status())
             case ManifestRequest(key):
-                self._hub.send(link, self._manifest.object_for(key))
+                self._hub.send(link, self._manifest_follower.object_for(key))
             case ManifestObject():
-                self._manifest.receive_object(message)
+                self._manifest_follower.receive_object(message)
             case MapOrder() | MapReply():
-                self._maps.on_message(link, message)
+                self._map_services.on_message(link, message)
             case _:
                 self._handler.handle(link, message)
 
-    def _hello(self, link: Link, hello: Hello, now: float) -> None:
-        known = link in self._peers.list_heartbeat_links(now=now)
-        self._peers.record_hello(link, hello.name, now=now)
-        self._manifest.record_version(
+    def _on_hello(self, link: Link, hello: Hello, now: float) -> None:
+        known = link in self._entry_links.list_heartbeat_links(now=now)
+        self._entry_links.record_hello(link, hello.name, now=now)
+        self._manifest_follower.record_version(
             link, hello.manifest_version, hello.manifest_digest
         )
         if not known:
-            self._hub.send(link, self._heartbeat.build(now=now))
+            self._hub.send(link, self._heartbeat_builder.build(now=now))
 
-    def _status(self) -> StatusReply:
+    def _build_status(self) -> StatusReply:
         settings = self._settings
         return StatusReply(
             settings.name,
             settings.role.value,
             settings.data_centre,
-            self._manifest.version,
+            self._manifest_follower.version,
             self._runner.attempt_table.is_leaving,
         )
 
-    def _on_group(self, group: ServerGroup) -> None:
+    def _on_group_changed(self, group: ServerGroup) -> None:
         self.set_concurrency(group.concurrency)
-        self._maps.update_group(group)
+        self._map_services.update_group(group)
 
     def _on_tick(self, now: float) -> None:
-        if self._leave_wanted.is_set() and not self._drain.has_begun:
-            self._begin_leaving(now)
-        if now >= self._next_beat:
-            self._next_beat = now + self._settings.timings.heartbeat_s
-            self._beat(now)
+        if self._leave_requested.is_set() and not self._drain.has_begun:
+            self._begin_drain(now)
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + self._settings.timings.heartbeat_s
+            self._send_heartbeats(now)
             self._store.expire(now=now)
-            self._handler.handle_lost_links(self._peers.remove_silent_links(now=now))
-        self._maps.on_tick(now)
+            self._handler.handle_lost_links(
+                self._entry_links.remove_silent_links(now=now)
+            )
+        self._map_services.on_tick(now)
         self._runner.advance()
         if self._drain.has_begun and self._is_drained(now):
             self._drained.set()
 
-    def _beat(self, now: float) -> None:
-        beat = self._heartbeat.build(now=now)
-        for link in self._peers.list_heartbeat_links(now=now):
+    def _send_heartbeats(self, now: float) -> None:
+        beat = self._heartbeat_builder.build(now=now)
+        for link in self._entry_links.list_heartbeat_links(now=now):
             self._hub.send(link, beat)
         for link, names in self._store.list_unfinished_by_link().items():
             self._hub.send(link, RunningAttempts(tuple(names)))
 
-    def _tell_death(self) -> None:
+    def _send_crash_heartbeat(self) -> None:
         now = monotonic()
-        beat = self._heartbeat.build(now=now)
-        for link in self._peers.list_heartbeat_links(now=now):
+        beat = self._heartbeat_builder.build(now=now)
+        for link in self._entry_links.list_heartbeat_links(now=now):
             self._hub.send(link, beat)
 
-    def _begin_leaving(self, now: float) -> None:
+    def _begin_drain(self, now: float) -> None:
         self._drain.begin(now=now)
         with self._runner.lock:
             refusals = self._runner.attempt_table.begin_leaving(now=now)
         self._runner.report_refusals(refusals)
-        self._next_beat = now
+        self._next_heartbeat_at = now
         logger.info(
             "Leaving, %d attempts running.",
             len(self._runner.attempt_table.running_dispatches),
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -10,7 +10,7 @@
     from kingcupwheel.link.links import Link
 
 
-class _Peer(NamedTuple):
+class _EntryLink(NamedTuple):
     entry_name: str
     last_received_at: float
     last_hello_at: float | None
@@ -26,20 +26,20 @@
     def __init__(self, *, hello_s: float, gone_s: float) -> None:
         self._hello_s = hello_s
         self._gone_s = gone_s
-        self._by_link: dict[Link, _Peer] = {}
+        self._by_link: dict[Link, _EntryLink] = {}
         self._looked_at: float | None = None
 
     def record_message(self, link: Link, *, now: float) -> None:
         """Record a message on the link."""
         peer = self._by_link.get(link)
         if peer is None:
-            self._by_link[link] = _Peer("", now, None)
+            self._by_link[link] = _EntryLink("", now, None)
         else:
             self._by_link[link] = peer._replace(heard_at=now)
 
     def record_hello(self, link: Link, name: str, *, now: float) -> None:
         """Record a Hello on the link."""
-        self._by_link[link] = _Peer(name, now, now)
+        self._by_link[link] = _EntryLink(name, now, now)
 
     def list_heartbeat_links(self, *, now: float) -> list[Link]:
         """Return the links that heartbeats go to; safe from any thread."""
--- a/src/kingcupwheel/agent/expiring_map.py
+++ b/src/kingcupwheel/agent/expiring_map.py
@@ -18,8 +18,8 @@
 class ExpiringMap(Generic[K, V]):
     """Keeps each entry for ``life_s`` seconds after it was last put."""
 
-    def __init__(self, *, life_s: float) -> None:
-        self._life_s = life_s
+    def __init__(self, *, ttl_s: float) -> None:
+        self._ttl_s = ttl_s
         self._by_key: OrderedDict[K, tuple[float, V]] = OrderedDict()
 
     def __len__(self) -> int:
@@ -45,7 +45,7 @@
         expired = []
         while self._by_key:
             key, (put_at, value) = next(iter(self._by_key.items()))
-            if now - put_at <= self._life_s:
+            if now - put_at <= self._ttl_s:
                 break
             del self._by_key[key]
             expired.append((key, value))
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -19,7 +19,9 @@
     from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(is_up=False, incarnation="", running_count=0, tokens_per_s=0.0)
+_INITIAL_STATE = ServerState(
+    is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+)
 
 
 class ServerProbe:
@@ -31,12 +33,12 @@
         self._adapter = adapter
         self._runner = runner
         self._period_s = period_s
-        self._state = _NOT_ASKED
-        self._asked_at = monotonic()
+        self._state = _INITIAL_STATE
+        self._probed_at = monotonic()
         self._generation = 0
-        self._life = ""
+        self._incarnation = ""
         # The generation in which that life was last seen.
-        self._life_generation = 0
+        self._incarnation_generation = 0
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="probe", daemon=True)
 
@@ -57,7 +59,7 @@
     @property
     def state_age_s(self) -> float:
         """How old the latest answer is."""
-        return monotonic() - self._asked_at
+        return monotonic() - self._probed_at
 
     def start(self) -> None:
         """Start asking."""
@@ -71,22 +73,22 @@
         while not self._stopping.is_set():
             generation = self._runner.server_generation
             state = self._adapter.state()
-            self._generation = self._generation_of(state, generation)
+            self._generation = self._resolve_generation(state, generation)
             self._state = state
-            self._asked_at = monotonic()
+            self._probed_at = monotonic()
             self._stopping.wait(self._period_s)
 
-    def _generation_of(self, state: ServerState, asked_in: int) -> int:
+    def _resolve_generation(self, state: ServerState, probe_generation: int) -> int:
         """Return the generation that ``state`` tells of, counting a death it shows."""
         if not state.incarnation:
-            return asked_in
-        generation = asked_in
-        if self._life and state.incarnation != self._life:
+            return probe_generation
+        generation = probe_generation
+        if self._incarnation and state.incarnation != self._incarnation:
             # The run threads report the same death; the generation counts it once.
-            self._runner.record_server_crash(self._life_generation)
+            self._runner.record_server_crash(self._incarnation_generation)
             generation = self._runner.server_generation
-        self._life = state.incarnation
-        self._life_generation = generation
+        self._incarnation = state.incarnation
+        self._incarnation_generation = generation
         return generation
 
 
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -34,7 +34,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 _ENTRY_TIMEOUT_S = 1.5
-_HOUR_S = 3600.0
+_SECONDS_PER_HOUR = 3600.0
 
 
 class ManifestFollower:
@@ -72,7 +72,7 @@
         """How long the platform keeps traces, in seconds."""
         in_force = self._keeper.current
         retention = Retention() if in_force is None else in_force.retention
-        return retention.traces_h * _HOUR_S
+        return retention.traces_h * _SECONDS_PER_HOUR
 
     def start(self) -> None:
         """Follow the entries."""
