--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -57,7 +57,7 @@
         while True:
             result = self._call.read()
             if result.is_error():
-                yield Error(self._adapter.lost(result.error))
+                yield Error(self._adapter.build_answer_lost(result.error))
                 return
             if not result.ok:
                 return
@@ -113,6 +113,6 @@
             return AnswerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return error._replace(died=connected.error.is_refused)
+            return error._replace(has_server_died=connected.error.is_refused)
         connected.ok.close()
         return error
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -60,12 +60,12 @@
 
     def accept(self, claim_id: str, key: AttemptKey, *, now: float) -> None:
         """Record the attempt that may run for the claim."""
-        state = self._state(claim_id)._replace(accepted=key)
+        state = self._state(claim_id)._replace(accepted_key=key)
         self._by_id.put(claim_id, state, now=now)
 
     def release(self, claim_id: str, *, now: float) -> None:
         """Record that the accepted attempt never reached the server."""
-        state = self._state(claim_id)._replace(accepted=None)
+        state = self._state(claim_id)._replace(accepted_key=None)
         self._by_id.put(claim_id, state, now=now)
 
     def set_tombstone(
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -35,7 +35,7 @@
         if peer is None:
             self._by_link[link] = _EntryLink("", now, None)
         else:
-            self._by_link[link] = peer._replace(heard_at=now)
+            self._by_link[link] = peer._replace(last_received_at=now)
 
     def record_hello(self, link: Link, name: str, *, now: float) -> None:
         """Record a Hello on the link."""
@@ -85,4 +85,4 @@
             return
         for link, peer in self._by_link.items():
             heard_at = peer.last_received_at + (now - last)
-            self._by_link[link] = peer._replace(heard_at=min(now, heard_at))
+            self._by_link[link] = peer._replace(last_received_at=min(now, heard_at))
