--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -36,7 +36,7 @@
 class AnswerEnd(NamedTuple):
     """How the answer ended; ``length`` is the whole body's in bytes."""
 
-    length: int
+    length_bytes: int
     outcome: Outcome
     detail: str
 
@@ -45,7 +45,7 @@
         return AttemptEnd(
             attempt_key.request_id,
             attempt_key.attempt,
-            self.length,
+            self.length_bytes,
             self.outcome,
             detail,
         )
@@ -65,7 +65,7 @@
         instead of beginning an answer that it can't complete.
         """
         end = self.end
-        if offset != end.length:
+        if offset != end.length_bytes:
             return [end.to_message(name, BYTES_FREED_DETAIL)]
         head = [] if self.head is None else [ResponseHead(*name, *self.head)]
         return [*head, end.to_message(name, end.detail)]
@@ -139,7 +139,7 @@
     def is_delivered(self) -> bool:
         """Whether it has ended and every subscriber has all of it."""
         return self.end is not None and all(
-            subscriber.is_end_sent and subscriber.acked_offset >= self.end.length
+            subscriber.is_end_sent and subscriber.acked_offset >= self.end.length_bytes
             for subscriber in self.subscribers.values()
         )
 
@@ -174,7 +174,7 @@
             subscriber.is_head_sent = True
             messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
         messages += self._due_data(subscriber)
-        if self.end is not None and subscriber.sent_offset >= self.end.length:
+        if self.end is not None and subscriber.sent_offset >= self.end.length_bytes:
             subscriber.is_end_sent = True
             messages.append(
                 self.end.to_message(subscriber.attempt_key, self.end.detail)
