--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -87,7 +87,7 @@
     agent = AgentProcess(settings_for(engine.url, streams), folder)
     entry = Entry(agent.address)
     # An entry acknowledges every 128 KiB, which no stream here reaches.
-    entry.acknowledging.clear()
+    entry.is_auto_ack_on.clear()
     try:
         beat = entry.beat()
         tokens = int((2 * _SETTLE_S + _MEASURED_S) * 1000 / _STEP_MS) * 2
