--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -89,7 +89,7 @@
     # An entry acknowledges every 128 KiB, which no stream here reaches.
     entry.is_auto_ack_on.clear()
     try:
-        beat = entry.beat()
+        beat = entry.wait_for_heartbeat()
         tokens = int((2 * _SETTLE_S + _MEASURED_S) * 1000 / _STEP_MS) * 2
         for number in range(streams):
             body = completion(f"prompt {number}", tokens=tokens)
