--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -19,7 +19,7 @@
 from tests.agent.builders import agent_settings
 from tests.agent.builders import completion
 from tests.agent.builders import dispatch_to
-from tests.agent.fake_entry import Entry
+from tests.agent.fake_entry import FakeEntry
 from tests.agent.processes import AgentProcess
 from tests.agent.processes import StandInProcess
 
@@ -65,7 +65,7 @@
     return Usage(ticks / _TICKS_PER_S, pages * _PAGE_BYTES)
 
 
-def frames_of(entry: Entry) -> int:
+def frames_of(entry: FakeEntry) -> int:
     """Return how many frames of answers the entry received, and forget them."""
     received, entry.received = entry.received, []
     return sum(isinstance(message, ResponseData) for message in received)
@@ -85,7 +85,7 @@
     """Run ``streams`` streams and return the agent's cost."""
     engine = StandInProcess("engine", "--step-ms", str(_STEP_MS))
     agent = AgentProcess(settings_for(engine.url, streams), folder)
-    entry = Entry(agent.address)
+    entry = FakeEntry(agent.address)
     # An entry acknowledges every 128 KiB, which no stream here reaches.
     entry.is_auto_ack_on.clear()
     try:
