--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -17,8 +17,8 @@
 
 import msgspec
 from tests.agent.builders import agent_settings
+from tests.agent.builders import build_dispatch_for
 from tests.agent.builders import completion_body
-from tests.agent.builders import dispatch_to
 from tests.agent.fake_entry import FakeEntry
 from tests.agent.processes import AgentProcess
 from tests.agent.processes import StandInProcess
@@ -93,7 +93,7 @@
         tokens = int((2 * _SETTLE_S + _MEASURED_S) * 1000 / _STEP_MS) * 2
         for number in range(streams):
             body = completion_body(f"prompt {number}", tokens=tokens)
-            entry.send(dispatch_to(beat, f"r{number}", body=body))
+            entry.send(build_dispatch_for(beat, f"r{number}", body=body))
         time.sleep(_SETTLE_S)
         frames_of(entry)
         before = usage_of(agent.pid)
