--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -57,7 +57,7 @@
     head: AnswerHead | None
     end: AnswerEnd
 
-    def to_messages(self, name: AttemptKey, offset: int) -> list[Message]:
+    def to_messages(self, attempt_key: AttemptKey, offset: int) -> list[Message]:
         """Tell how it ended, without bytes.
 
         An entry that has fewer than ``length`` bytes knows by it that it lacks some, so
@@ -66,9 +66,9 @@
         """
         end = self.end
         if offset != end.length_bytes:
-            return [end.to_message(name, BYTES_FREED_DETAIL)]
-        head = [] if self.head is None else [ResponseHead(*name, *self.head)]
-        return [*head, end.to_message(name, end.detail)]
+            return [end.to_message(attempt_key, BYTES_FREED_DETAIL)]
+        head = [] if self.head is None else [ResponseHead(*attempt_key, *self.head)]
+        return [*head, end.to_message(attempt_key, end.detail)]
 
 
 @dataclass(slots=True)
@@ -104,14 +104,14 @@
     when acknowledged, for a caller that sends the request again.
     """
 
-    def __init__(self, key: AttemptKey, *, keep: bool) -> None:
+    def __init__(self, key: AttemptKey, *, is_retained: bool) -> None:
         self.key = key
-        self.is_retained = keep
+        self.is_retained = is_retained
         self.head: AnswerHead | None = None
         self.end: AnswerEnd | None = None
         self.ended_at = 0.0
         self.subscribers: dict[tuple[AttemptKey, Link], Subscriber] = {}
-        self._base = 0
+        self._base_offset = 0
         self._body = bytearray()
 
     @property
@@ -122,7 +122,7 @@
     @property
     def length_bytes(self) -> int:
         """The number of bytes that came so far."""
-        return self._base + len(self._body)
+        return self._base_offset + len(self._body)
 
     @property
     def acked_offset(self) -> int:
@@ -133,7 +133,7 @@
     @property
     def unacked_bytes(self) -> int:
         """The number of bytes that some subscriber still needs."""
-        return self.length_bytes - max(self._base, self.acked_offset)
+        return self.length_bytes - max(self._base_offset, self.acked_offset)
 
     @property
     def is_delivered(self) -> bool:
@@ -154,9 +154,9 @@
 
     def free_acked(self) -> int:
         """Forget the bytes that no subscriber needs; return how many."""
-        freed = max(0, min(self.acked_offset, self.length_bytes) - self._base)
+        freed = max(0, min(self.acked_offset, self.length_bytes) - self._base_offset)
         del self._body[:freed]
-        self._base += freed
+        self._base_offset += freed
         return freed
 
     def to_ended_answer(self) -> EndedAnswer | None:
@@ -167,13 +167,13 @@
         """Return the messages that may go to the subscriber now, and count them."""
         if subscriber.is_end_sent:
             return []
-        if subscriber.sent_offset < self._base:
-            return self._lost_start(subscriber)
+        if subscriber.sent_offset < self._base_offset:
+            return self._end_without_start(subscriber)
         messages: list[Message] = []
         if self.head is not None and not subscriber.is_head_sent:
             subscriber.is_head_sent = True
             messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
-        messages += self._due_data(subscriber)
+        messages += self._take_due_data(subscriber)
         if self.end is not None and subscriber.sent_offset >= self.end.length_bytes:
             subscriber.is_end_sent = True
             messages.append(
@@ -181,7 +181,7 @@
             )
         return messages
 
-    def _due_data(self, subscriber: Subscriber) -> list[Message]:
+    def _take_due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
         until = min(
             self.length_bytes, subscriber.acked_offset + subscriber.credit_bytes
@@ -189,12 +189,14 @@
         while subscriber.sent_offset < until:
             start = subscriber.sent_offset
             stop = min(until, start + _MAX_FRAME_BYTES)
-            data = bytes(self._body[start - self._base : stop - self._base])
+            data = bytes(
+                self._body[start - self._base_offset : stop - self._base_offset]
+            )
             messages.append(ResponseData(*subscriber.attempt_key, start, data))
             subscriber.sent_offset = stop
         return messages
 
-    def _lost_start(self, subscriber: Subscriber) -> list[Message]:
+    def _end_without_start(self, subscriber: Subscriber) -> list[Message]:
         # The bytes asked for were acknowledged once and freed. The length tells the
         # entry that it lacks some; waiting would not bring them back.
         subscriber.is_end_sent = True
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -80,7 +80,7 @@
     def open(self, key: AttemptKey, *, is_retained: bool) -> None:
         """Begin the answer of an accepted attempt."""
         with self._changed:
-            self._by_key[key] = AnswerBuffer(key, keep=is_retained)
+            self._by_key[key] = AnswerBuffer(key, is_retained=is_retained)
 
     def subscribe(
         self,
--- a/src/kingcupwheel/agent/attempt_history.py
+++ b/src/kingcupwheel/agent/attempt_history.py
@@ -25,9 +25,11 @@
 
     def __init__(self, *, token_s: float) -> None:
         refused_s = _REFUSAL_RETENTION_RATIO * token_s
-        self._ended_s = max(_MIN_ENDED_RETENTION_S, refused_s)
-        self._ended: ExpiringMap[AttemptKey, bool] = ExpiringMap(ttl_s=self._ended_s)
-        self._tombstones: ExpiringMap[AttemptKey, DispatchRefusal] = ExpiringMap(
+        self._ended_retention_s = max(_MIN_ENDED_RETENTION_S, refused_s)
+        self._ended: ExpiringMap[AttemptKey, bool] = ExpiringMap(
+            ttl_s=self._ended_retention_s
+        )
+        self._refusals: ExpiringMap[AttemptKey, DispatchRefusal] = ExpiringMap(
             ttl_s=refused_s
         )
         self._cancelled: ExpiringMap[AttemptKey, bool] = ExpiringMap(ttl_s=refused_s)
@@ -35,7 +37,7 @@
     @property
     def ended_retention_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
-        return self._ended_s
+        return self._ended_retention_s
 
     def has_ended(self, key: AttemptKey) -> bool:
         """Return whether the attempt ran and ended."""
@@ -43,7 +45,7 @@
 
     def get_refusal(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
-        return self._tombstones.get(key)
+        return self._refusals.get(key)
 
     def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
@@ -57,7 +59,7 @@
         self, key: AttemptKey, reason: DispatchRefusal, *, now: float
     ) -> None:
         """Note that the attempt never ran; a copy of its dispatch is told the same."""
-        self._tombstones.put(key, reason, now=now)
+        self._refusals.put(key, reason, now=now)
 
     def record_cancel(self, key: AttemptKey, *, now: float) -> None:
         """Note that the attempt is to be refused if its dispatch comes."""
@@ -66,5 +68,5 @@
     def expire(self, *, now: float) -> None:
         """Forget what is too old."""
         self._ended.expire(now=now)
-        self._tombstones.expire(now=now)
+        self._refusals.expire(now=now)
         self._cancelled.expire(now=now)
--- a/src/kingcupwheel/agent/attempt_queue.py
+++ b/src/kingcupwheel/agent/attempt_queue.py
@@ -33,21 +33,21 @@
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
-        self._waiting: list[_QueueEntry] = []
+        self._entries: list[_QueueEntry] = []
         self._arrivals = count()
 
     def __contains__(self, key: object) -> bool:
-        return any(get_attempt_key(entry.dispatch) == key for entry in self._waiting)
+        return any(get_attempt_key(entry.dispatch) == key for entry in self._entries)
 
     @property
     def is_full(self) -> bool:
         """Whether no further attempt may wait."""
-        return len(self._waiting) >= self._limit
+        return len(self._entries) >= self._limit
 
     @property
     def dispatches(self) -> tuple[Dispatch, ...]:
         """What waits, first to run first."""
-        return tuple(entry.dispatch for entry in self._waiting)
+        return tuple(entry.dispatch for entry in self._entries)
 
     def push(self, dispatch: Dispatch, *, now: float) -> int:
         """Add the dispatch; return how many are before it."""
@@ -56,32 +56,32 @@
         entry = _QueueEntry(
             -dispatch.priority, next(self._arrivals), expires_at, dispatch
         )
-        insort(self._waiting, entry)
-        return self._waiting.index(entry)
+        insort(self._entries, entry)
+        return self._entries.index(entry)
 
     def pop(self) -> Dispatch | None:
         """Remove and return what is to run next."""
-        return self._waiting.pop(0).dispatch if self._waiting else None
+        return self._entries.pop(0).dispatch if self._entries else None
 
     def remove(self, key: AttemptKey) -> Dispatch | None:
         """Remove and return the attempt's dispatch, or None."""
-        for position, entry in enumerate(self._waiting):
+        for position, entry in enumerate(self._entries):
             if get_attempt_key(entry.dispatch) == key:
-                return self._waiting.pop(position).dispatch
+                return self._entries.pop(position).dispatch
         return None
 
     def expire(self, *, now: float) -> list[Dispatch]:
         """Remove and return what waited past its deadline."""
-        expired = [entry for entry in self._waiting if _is_expired(entry, now)]
-        self._waiting = [
-            entry for entry in self._waiting if not _is_expired(entry, now)
+        expired = [entry for entry in self._entries if _is_expired(entry, now)]
+        self._entries = [
+            entry for entry in self._entries if not _is_expired(entry, now)
         ]
         return [entry.dispatch for entry in expired]
 
     def clear(self) -> list[Dispatch]:
         """Remove and return everything."""
-        dispatches = [entry.dispatch for entry in self._waiting]
-        self._waiting.clear()
+        dispatches = [entry.dispatch for entry in self._entries]
+        self._entries.clear()
         return dispatches
 
 
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -53,37 +53,37 @@
         self,
         *,
         name: str,
-        runs: AttemptTable,
+        attempt_table: AttemptTable,
         store: AnswerStore,
         adapter: ServerAdapter,
-        crashes: CrashTable,
+        crash_table: CrashTable,
         recorder: Recorder,
-        tell_death: Callable[[], None],
+        on_server_crash: Callable[[], None],
     ) -> None:
         self.lock = RLock()
-        self.attempt_table = runs
-        self.crash_table = crashes
+        self.attempt_table = attempt_table
+        self.crash_table = crash_table
         self._name = name
         self._store = store
         self._adapter = adapter
         self._recorder = recorder
-        self._tell_death = tell_death
+        self._on_server_crash = on_server_crash
         self._cancellations_by_key: dict[AttemptKey, Cancellation] = {}
         self._generations_by_key: dict[AttemptKey, int] = {}
         # Counts deaths of the server; a run belongs to the life it started in.
-        self._generation = 0
+        self._server_generation = 0
 
     @property
     def server_generation(self) -> int:
         """The server's life, counted from 0."""
-        return self._generation
+        return self._server_generation
 
     def start(self, dispatch: Dispatch) -> None:
         """Run the attempt on a thread of its own."""
         key = get_attempt_key(dispatch)
         cancellation = Cancellation()
         with self.lock:
-            generation = self._generation
+            generation = self._server_generation
             self._cancellations_by_key[key] = cancellation
             self._generations_by_key[key] = generation
         Thread(
@@ -119,10 +119,10 @@
     def record_server_crash(self, generation: int) -> None:
         """Count one death of the server against all that ran in that life."""
         with self.lock:
-            if generation != self._generation:
+            if generation != self._server_generation:
                 return
-            self._generation += 1
-            running = self._running_in(generation)
+            self._server_generation += 1
+            running = self._list_running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
             life = ServerIncarnation(
                 self._name, f"{self.attempt_table.incarnation}.{generation}"
@@ -130,14 +130,14 @@
             self.crash_table.record_crash(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
-            self._tell_death()
+            self._on_server_crash()
             for dispatch in running:
                 deaths = self.crash_table.count_crashes(dispatch.fingerprint)
                 event = ServerDied(self._name, dispatch.fingerprint, deaths)
                 self._recorder.record(dispatch.request_id, event)
         logger.warning("Server died, %d attempts were running.", len(running))
 
-    def _running_in(self, generation: int) -> list[Dispatch]:
+    def _list_running_in(self, generation: int) -> list[Dispatch]:
         """Return what runs since that life of the server.
 
         A run of an earlier life may not have noticed its end yet; counted again, a
@@ -158,9 +158,9 @@
         try:
             started = self._adapter.start(dispatch, cancellation)
             if started.is_ok():
-                self._read(key, started.ok, cancellation, generation)
+                self._relay_answer(key, started.ok, cancellation, generation)
             else:
-                self._failed(key, started.error, 0, cancellation, generation)
+                self._handle_failure(key, started.error, 0, cancellation, generation)
         except Exception:
             logger.exception("Run failed. %s", key.request_id)
             self._finish(key, Outcome.UNKNOWN, 0, "internal error")
@@ -170,7 +170,7 @@
                 self._generations_by_key.pop(key, None)
             self.advance()
 
-    def _read(
+    def _relay_answer(
         self,
         key: AttemptKey,
         answer: ServerAnswer,
@@ -183,7 +183,9 @@
             for chunk in answer.chunks():
                 if chunk.is_error() or cancellation.is_set():
                     error = chunk.error if chunk.is_error() else AnswerLost("", False)
-                    self._failed(key, error, answer.status, cancellation, generation)
+                    self._handle_failure(
+                        key, error, answer.status, cancellation, generation
+                    )
                     return
                 if first:
                     event = FirstByte(self._name, key.attempt)
@@ -194,7 +196,7 @@
         finally:
             answer.close()
 
-    def _failed(
+    def _handle_failure(
         self,
         key: AttemptKey,
         error: AdapterError,
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -43,17 +43,17 @@
     """
 
     def __init__(
-        self, *, incarnation: str, capacity: int, queue: int, token_s: float
+        self, *, incarnation: str, capacity: int, queue_limit: int, token_s: float
     ) -> None:
         self._incarnation = incarnation
         self._capacity = capacity
         self._token_s = token_s
-        self._queue = AttemptQueue(limit=queue)
+        self._queue = AttemptQueue(limit=queue_limit)
         self._running: dict[AttemptKey, Dispatch] = {}
         # Further attempts that were joined to a running or waiting one.
         self._joined_by_key: dict[AttemptKey, set[AttemptKey]] = {}
-        self._remembered = AttemptHistory(token_s=token_s)
-        self._claims = ClaimFences()
+        self._history = AttemptHistory(token_s=token_s)
+        self._claim_fences = ClaimFences()
         self._leaving = False
 
     @property
@@ -69,7 +69,7 @@
     @property
     def ended_retention_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
-        return self._remembered.ended_retention_s
+        return self._history.ended_retention_s
 
     @property
     def is_leaving(self) -> bool:
@@ -96,40 +96,42 @@
 
     def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
-        return self._claims.get_accepted_key(claim_id)
+        return self._claim_fences.get_accepted_key(claim_id)
 
     def get_refusal(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
-        return self._remembered.get_refusal(key)
+        return self._history.get_refusal(key)
 
     def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
-        return self._remembered.is_cancelled(key)
+        return self._history.is_cancelled(key)
 
     def handle_dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
-        self._forget(now)
+        self._expire(now)
         key = get_attempt_key(dispatch)
-        earlier = self._earlier(dispatch)
+        earlier = self._find_earlier_attempt(dispatch)
         if earlier is not None:
             return JoinDecision(earlier)
-        if self._may_be_forgotten(dispatch, now):
+        if self._is_beyond_retention(dispatch, now):
             return ForgottenDecision(key)
-        reason = self._refusal(dispatch, now)
+        reason = self._find_refusal(dispatch, now)
         if reason is not None:
             return self._refuse(key, reason, now)
         return self._accept(dispatch, now)
 
-    def set_tombstone(self, entomb: TombstoneRequest, *, now: float) -> TombstoneReply:
+    def set_tombstone(self, request: TombstoneRequest, *, now: float) -> TombstoneReply:
         """Refuse lower fences of the claim from now on, or tell what already ran."""
-        ours = entomb.incarnation == self._incarnation
+        ours = request.incarnation == self._incarnation
         ran = None
         if ours:
-            ran = self._claims.set_tombstone(entomb.claim_id, entomb.fence, now=now)
+            ran = self._claim_fences.set_tombstone(
+                request.claim_id, request.fence, now=now
+            )
         key = ran or _NO_ATTEMPT
         return TombstoneReply(
-            claim_id=entomb.claim_id,
-            fence=entomb.fence,
+            claim_id=request.claim_id,
+            fence=request.fence,
             incarnation=self._incarnation,
             accepted=ours,
             ran=ran is not None,
@@ -150,17 +152,17 @@
             return StopDecision(key) if running.claim is None else IgnoreDecision()
         waiting = self._queue.remove(key)
         if waiting is not None:
-            self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
+            self._refuse_accepted(waiting, DispatchRefusal.CANCELLED, now)
             return RefusalDecision(key, DispatchRefusal.CANCELLED)
-        if not self._remembered.has_ended(key):
-            self._remembered.record_cancel(key, now=now)
+        if not self._history.has_ended(key):
+            self._history.record_cancel(key, now=now)
         return IgnoreDecision()
 
     def finish(self, key: AttemptKey, *, now: float) -> None:
         """Record that the attempt reached the server and ended there."""
         if self._running.pop(key, None) is not None:
             self._joined_by_key.pop(key, None)
-            self._remembered.record_end(key, now=now)
+            self._history.record_end(key, now=now)
 
     def record_unreachable(
         self, key: AttemptKey, *, now: float
@@ -169,21 +171,21 @@
         dispatch = self._running.pop(key, None)
         if dispatch is None:
             return []
-        return self._never_ran(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
+        return self._refuse_accepted(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
 
     def begin_leaving(self, *, now: float) -> list[RefusalDecision]:
         """Take no new work from now on; what only waits is refused."""
         self._leaving = True
         refusals = []
         for dispatch in self._queue.clear():
-            refusals += self._never_ran(dispatch, DispatchRefusal.LEAVING, now)
+            refusals += self._refuse_accepted(dispatch, DispatchRefusal.LEAVING, now)
         return refusals
 
     def advance(self, *, now: float) -> list[StartDecision | RefusalDecision]:
         """Start what has a place now, and refuse what waited past its deadline."""
         steps: list[StartDecision | RefusalDecision] = []
         for late in self._queue.expire(now=now):
-            steps += self._never_ran(late, DispatchRefusal.EXPIRED, now)
+            steps += self._refuse_accepted(late, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
             dispatch = self._queue.pop()
             if dispatch is None:
@@ -192,44 +194,44 @@
             steps.append(StartDecision(dispatch))
         return steps
 
-    def _earlier(self, dispatch: Dispatch) -> AttemptKey | None:
+    def _find_earlier_attempt(self, dispatch: Dispatch) -> AttemptKey | None:
         """Return the attempt that this one is, or is joined to.
 
         A claim's second dispatch joins the first whatever its fence: the run it asks
         for exists, and its answer is the true one.
         """
         key = get_attempt_key(dispatch)
-        if self._is_open(key) or self._remembered.has_ended(key):
+        if self._is_pending(key) or self._history.has_ended(key):
             return key
-        if self._remembered.get_refusal(key) or dispatch.claim is None:
+        if self._history.get_refusal(key) or dispatch.claim is None:
             return None
         if dispatch.incarnation != self._incarnation:
             return None
-        earlier = self._claims.get_accepted_key(dispatch.claim.claim_id)
-        if earlier is not None and self._is_open(earlier):
+        earlier = self._claim_fences.get_accepted_key(dispatch.claim.claim_id)
+        if earlier is not None and self._is_pending(earlier):
             self._joined_by_key.setdefault(earlier, set()).add(key)
         return earlier
 
-    def _may_be_forgotten(self, dispatch: Dispatch, now: float) -> bool:
+    def _is_beyond_retention(self, dispatch: Dispatch, now: float) -> bool:
         if dispatch.incarnation != self._incarnation:
             return False
         age_ms = self.get_token(now=now) - dispatch.token
-        return age_ms > self._remembered.ended_retention_s * 1000
+        return age_ms > self._history.ended_retention_s * 1000
 
-    def _is_open(self, key: AttemptKey) -> bool:
+    def _is_pending(self, key: AttemptKey) -> bool:
         return key in self._running or key in self._queue
 
-    def _refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
+    def _find_refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
         key = get_attempt_key(dispatch)
-        reason = self._remembered.get_refusal(key)
-        reason = reason or self._refusal_of_sender(dispatch, now)
-        if reason is None and self._remembered.is_cancelled(key):
+        reason = self._history.get_refusal(key)
+        reason = reason or self._find_staleness_refusal(dispatch, now)
+        if reason is None and self._history.is_cancelled(key):
             reason = DispatchRefusal.CANCELLED
         if reason is None and dispatch.claim is not None:
-            reason = self._claims.raise_fence(dispatch.claim, now=now)
-        return reason or self._refusal_under_load(dispatch)
+            reason = self._claim_fences.raise_fence(dispatch.claim, now=now)
+        return reason or self._find_admission_refusal(dispatch)
 
-    def _refusal_of_sender(
+    def _find_staleness_refusal(
         self, dispatch: Dispatch, now: float
     ) -> DispatchRefusal | None:
         if dispatch.incarnation != self._incarnation:
@@ -242,7 +244,7 @@
             return DispatchRefusal.STALE_TOKEN
         return None
 
-    def _refusal_under_load(self, dispatch: Dispatch) -> DispatchRefusal | None:
+    def _find_admission_refusal(self, dispatch: Dispatch) -> DispatchRefusal | None:
         if self._leaving:
             return DispatchRefusal.LEAVING
         if not is_valid_http_request(dispatch):
@@ -266,7 +268,7 @@
     def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
         key = get_attempt_key(dispatch)
         if dispatch.claim is not None:
-            self._claims.accept(dispatch.claim.claim_id, key, now=now)
+            self._claim_fences.accept(dispatch.claim.claim_id, key, now=now)
         if len(self._running) < self._capacity:
             self._running[key] = dispatch
             return StartDecision(dispatch)
@@ -275,19 +277,19 @@
     def _refuse(
         self, key: AttemptKey, reason: DispatchRefusal, now: float
     ) -> RefusalDecision:
-        self._remembered.record_refusal(key, reason, now=now)
+        self._history.record_refusal(key, reason, now=now)
         return RefusalDecision(key, reason)
 
-    def _never_ran(
+    def _refuse_accepted(
         self, dispatch: Dispatch, reason: DispatchRefusal, now: float
     ) -> list[RefusalDecision]:
         """Refuse an accepted attempt and all that were joined to it."""
         if dispatch.claim is not None:
-            self._claims.release(dispatch.claim.claim_id, now=now)
+            self._claim_fences.release(dispatch.claim.claim_id, now=now)
         key = get_attempt_key(dispatch)
         joined = self._joined_by_key.pop(key, set())
         return [self._refuse(each, reason, now) for each in (key, *sorted(joined))]
 
-    def _forget(self, now: float) -> None:
-        self._remembered.expire(now=now)
-        self._claims.expire(now=now)
+    def _expire(self, now: float) -> None:
+        self._history.expire(now=now)
+        self._claim_fences.expire(now=now)
--- a/src/kingcupwheel/agent/claim_fences.py
+++ b/src/kingcupwheel/agent/claim_fences.py
@@ -42,11 +42,11 @@
 
     def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
-        return self._state(claim_id).accepted_key
+        return self._get_state(claim_id).accepted_key
 
     def raise_fence(self, ref: ClaimRef, *, now: float) -> DispatchRefusal | None:
         """Raise the claim's fence, or say why a dispatch with this one is refused."""
-        state = self._state(ref.claim_id)
+        state = self._get_state(ref.claim_id)
         if ref.fence < state.fence:
             return (
                 DispatchRefusal.ENTOMBED
@@ -60,19 +60,19 @@
 
     def accept(self, claim_id: str, key: AttemptKey, *, now: float) -> None:
         """Record the attempt that may run for the claim."""
-        state = self._state(claim_id)._replace(accepted_key=key)
+        state = self._get_state(claim_id)._replace(accepted_key=key)
         self._by_id.put(claim_id, state, now=now)
 
     def release(self, claim_id: str, *, now: float) -> None:
         """Record that the accepted attempt never reached the server."""
-        state = self._state(claim_id)._replace(accepted_key=None)
+        state = self._get_state(claim_id)._replace(accepted_key=None)
         self._by_id.put(claim_id, state, now=now)
 
     def set_tombstone(
         self, claim_id: str, fence: int, *, now: float
     ) -> AttemptKey | None:
         """Refuse lower fences from now on; return the attempt accepted before."""
-        state = self._state(claim_id)
+        state = self._get_state(claim_id)
         if fence >= state.fence:
             state = ClaimState(fence, True, state.accepted_key)
         self._by_id.put(claim_id, state, now=now)
@@ -82,5 +82,5 @@
         """Forget what is too old."""
         self._by_id.expire(now=now)
 
-    def _state(self, claim_id: str) -> ClaimState:
+    def _get_state(self, claim_id: str) -> ClaimState:
         return self._by_id.get(claim_id) or _INITIAL_STATE
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -76,14 +76,16 @@
             limit=settings.agent.traces,
             listener=EventMetrics(self._metrics, settings.role),
         )
-        self._entry_links = EntryLinks(hello_s=timings.gone_s, gone_s=timings.give_up_s)
+        self._entry_links = EntryLinks(
+            hello_ttl_s=timings.gone_s, silence_timeout_s=timings.give_up_s
+        )
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
         )
         runs = AttemptTable(
             incarnation=secrets.token_hex(_INCARNATION_BYTES),
             capacity=settings.agent.concurrency,
-            queue=settings.agent.queue,
+            queue_limit=settings.agent.queue,
             token_s=timings.token_s,
         )
         self._store = AnswerStore(
@@ -94,12 +96,12 @@
         adapter = server_adapters.get(settings.server.adapter)(settings.server)
         self._runner = AttemptRunner(
             name=settings.name,
-            runs=runs,
+            attempt_table=runs,
             store=self._store,
             adapter=adapter,
-            crashes=CrashTable(),
+            crash_table=CrashTable(),
             recorder=self._recorder,
-            tell_death=self._send_crash_heartbeat,
+            on_server_crash=self._send_crash_heartbeat,
         )
         self._handler = AttemptHandler(
             name=settings.name,
@@ -118,7 +120,7 @@
             client,
             group=settings.group,
             send=self._hub.send,
-            on_group=self._on_group_changed,
+            on_group_changed=self._on_group_changed,
         )
         self._map_services = MapServiceManager(
             hub=self._hub,
@@ -142,8 +144,8 @@
         )
         self._next_heartbeat_at = 0.0
         self._drain = DrainTracker(
-            stay_s=_MIN_DRAIN_HEARTBEATS * timings.heartbeat_s,
-            linger_s=timings.give_up_s,
+            min_duration_s=_MIN_DRAIN_HEARTBEATS * timings.heartbeat_s,
+            ack_timeout_s=timings.give_up_s,
         )
         self._leave_requested = Event()
         self._drained = Event()
--- a/src/kingcupwheel/agent/drain_tracker.py
+++ b/src/kingcupwheel/agent/drain_tracker.py
@@ -12,9 +12,9 @@
     and an entry that still wants them has resumed by the time it would give up.
     """
 
-    def __init__(self, *, stay_s: float, linger_s: float) -> None:
-        self._stay_s = stay_s
-        self._linger_s = linger_s
+    def __init__(self, *, min_duration_s: float, ack_timeout_s: float) -> None:
+        self._min_duration_s = min_duration_s
+        self._ack_timeout_s = ack_timeout_s
         self._begun_at: float | None = None
         self._idle_since: float | None = None
 
@@ -38,6 +38,6 @@
             return False
         if self._idle_since is None:
             self._idle_since = now
-        if now - self._begun_at < self._stay_s:
+        if now - self._begun_at < self._min_duration_s:
             return False
-        return not undelivered or now - self._idle_since > self._linger_s
+        return not undelivered or now - self._idle_since > self._ack_timeout_s
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -23,11 +23,11 @@
     a Hello asks for heartbeats; a link silent for ``gone_s`` is given up.
     """
 
-    def __init__(self, *, hello_s: float, gone_s: float) -> None:
-        self._hello_s = hello_s
-        self._gone_s = gone_s
+    def __init__(self, *, hello_ttl_s: float, silence_timeout_s: float) -> None:
+        self._hello_ttl_s = hello_ttl_s
+        self._silence_timeout_s = silence_timeout_s
         self._by_link: dict[Link, _EntryLink] = {}
-        self._looked_at: float | None = None
+        self._last_check_at: float | None = None
 
     def record_message(self, link: Link, *, now: float) -> None:
         """Record a message on the link."""
@@ -47,7 +47,7 @@
             link
             for link, peer in tuple(self._by_link.items())
             if peer.last_hello_at is not None
-            and now - peer.last_hello_at <= self._hello_s
+            and now - peer.last_hello_at <= self._hello_ttl_s
         ]
 
     def list_older_links(self, link: Link) -> list[Link]:
@@ -69,19 +69,19 @@
         lived is added to each last sign of life; otherwise the agent would wake and
         cancel everything that runs for callers who are still there.
         """
-        self._forgive_own_pause(now)
+        self._discount_own_pause(now)
         silent = [
             link
             for link, peer in self._by_link.items()
-            if now - peer.last_received_at > self._gone_s
+            if now - peer.last_received_at > self._silence_timeout_s
         ]
         for link in silent:
             del self._by_link[link]
         return silent
 
-    def _forgive_own_pause(self, now: float) -> None:
-        last, self._looked_at = self._looked_at, now
-        if last is None or now - last <= self._hello_s:
+    def _discount_own_pause(self, now: float) -> None:
+        last, self._last_check_at = self._last_check_at, now
+        if last is None or now - last <= self._hello_ttl_s:
             return
         for link, peer in self._by_link.items():
             heard_at = peer.last_received_at + (now - last)
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -119,14 +119,14 @@
                 data_centre=settings.data_centre,
                 incarnation=runs.incarnation,
                 token=runs.get_token(now=now),
-                load=self._load(),
+                load=self._build_load(),
                 leaving=runs.is_leaving,
                 server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
                 crashed=self._runner.crash_table.list_recent(now=now),
             )
 
-    def _load(self) -> BackendLoad:
+    def _build_load(self) -> BackendLoad:
         runs = self._runner.attempt_table
         running, queued = runs.running_dispatches, runs.queued_dispatches
         return BackendLoad(
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -46,14 +46,14 @@
         *,
         group: str,
         send: Callable[[Link, Message], None],
-        on_group: Callable[[ServerGroup], None],
+        on_group_changed: Callable[[ServerGroup], None],
     ) -> None:
         self._group = group
         self._send = send
-        self._on_group = on_group
-        self._told: ServerGroup | None = None
-        self._found: SimpleQueue[ManifestObject] = SimpleQueue()
-        self._asking = Lock()
+        self._on_group_changed = on_group_changed
+        self._last_group: ServerGroup | None = None
+        self._received_objects: SimpleQueue[ManifestObject] = SimpleQueue()
+        self._fetch_lock = Lock()
         self._keeper = ManifestKeeper(
             client,
             fetch_from_peer=self._fetch,
@@ -93,19 +93,21 @@
 
     def receive_object(self, message: ManifestObject) -> None:
         """Take an entry's answer; called on the hub's thread."""
-        self._found.put(message)
+        self._received_objects.put(message)
 
     def _fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         link = IncomingLink(bytes.fromhex(address))
-        with self._asking:
+        with self._fetch_lock:
             self._send(link, ManifestRequest(key))
-            return self._wait(key)
+            return self._wait_for_object(key)
 
-    def _wait(self, key: str) -> Result[ManifestObject | None, str]:
+    def _wait_for_object(self, key: str) -> Result[ManifestObject | None, str]:
         until = monotonic() + _ENTRY_TIMEOUT_S
         while True:
             try:
-                answer = self._found.get(timeout=max(0.0, until - monotonic()))
+                answer = self._received_objects.get(
+                    timeout=max(0.0, until - monotonic())
+                )
             except Empty:
                 return Error(f"no answer in {_ENTRY_TIMEOUT_S} s")
             if answer.key == key:
@@ -113,6 +115,6 @@
 
     def _on_change(self, in_force: InForce) -> None:
         group = in_force.groups_by_name.get(self._group)
-        if group is not None and group != self._told:
-            self._told = group
-            self._on_group(group)
+        if group is not None and group != self._last_group:
+            self._last_group = group
+            self._on_group_changed(group)
--- a/src/kingcupwheel/agent/map_service_manager.py
+++ b/src/kingcupwheel/agent/map_service_manager.py
@@ -51,11 +51,11 @@
             if group.experts == self._layout:
                 return
             self._layout = group.experts
-            self._end()
+            self._stop_service()
             if group.experts is not None:
-                self._service = self._begin(group.experts)
+                self._service = self._start_service(group.experts)
 
-    def _begin(self, layout: ExpertLayout) -> MapService:
+    def _start_service(self, layout: ExpertLayout) -> MapService:
         server = self._server
         rank_api = rank_apis.get(server.rank_api)(
             server.rank_url or server.url, timeout_s=server.rank_timeout_s
@@ -73,7 +73,7 @@
         logger.info("Speaking for rank %d of %d.", server.rank, layout.ranks)
         return service
 
-    def _end(self) -> None:
+    def _stop_service(self) -> None:
         service, self._service = self._service, None
         if service is not None:
             service.stop()
@@ -81,7 +81,7 @@
     def stop(self) -> None:
         """Give up what is held, so that another agent takes over at once."""
         with self._lock:
-            self._end()
+            self._stop_service()
 
     def on_message(self, link: Link, message: Message) -> None:
         """Take a message about expert maps; others are ignored."""
