--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -23,7 +23,7 @@
     """
 
     detail: str
-    is_refused: bool
+    is_connection_refused: bool
 
 
 class AnswerLost(NamedTuple):
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -173,6 +173,6 @@
 def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoAnswer:
     return (
         AnswerLost(failure.detail, has_server_died=True)
-        if failure.is_refused
+        if failure.is_connection_refused
         else _NoAnswer()
     )
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -113,6 +113,6 @@
             return AnswerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return error._replace(has_server_died=connected.error.is_refused)
+            return error._replace(has_server_died=connected.error.is_connection_refused)
         connected.ok.close()
         return error
