--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -289,10 +289,10 @@
 
     def _is_drained(self, now: float) -> bool:
         return self._drain.is_complete(
-            busy=bool(
+            is_busy=bool(
                 self._runner.attempt_table.running_dispatches
                 or self._store.list_unfinished_by_link()
             ),
-            undelivered=self._store.undelivered_count,
+            undelivered_count=self._store.undelivered_count,
             now=now,
         )
--- a/src/kingcupwheel/agent/drain_tracker.py
+++ b/src/kingcupwheel/agent/drain_tracker.py
@@ -27,17 +27,17 @@
         """Begin to leave."""
         self._begun_at = now
 
-    def is_complete(self, *, busy: bool, undelivered: int, now: float) -> bool:
+    def is_complete(self, *, is_busy: bool, undelivered_count: int, now: float) -> bool:
         """Return whether the agent may end.
 
         ``busy`` tells that something runs or has frames to send; ``undelivered`` counts
         answers not yet acknowledged to their end.
         """
-        if busy or self._begun_at is None:
+        if is_busy or self._begun_at is None:
             self._idle_since = None
             return False
         if self._idle_since is None:
             self._idle_since = now
         if now - self._begun_at < self._min_duration_s:
             return False
-        return not undelivered or now - self._idle_since > self._ack_timeout_s
+        return not undelivered_count or now - self._idle_since > self._ack_timeout_s
