--- a/src/kingcupwheel/entry/visiting.py
+++ b/src/kingcupwheel/entry/agent_reference.py
@@ -10,10 +10,10 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.records import ClaimRecord
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
 
 
-class Visit:
+class AgentReference:
     """Keeps the agent that a claim names known until ``end``, once.
 
     An answer read from an agent that is not known would wait for ever if that agent
@@ -32,8 +32,8 @@
             leaving=False,
         )
 
-        servers.visit(self._instance, monotonic())
+        servers.add_reference(self._instance, monotonic())
 
-    def end(self) -> None:
+    def release(self) -> None:
         """Let the agent be forgotten, unless it is used otherwise."""
-        self._servers.end_visit(self._instance.address)
+        self._servers.remove_reference(self._instance.address)
--- a/src/kingcupwheel/entry/watching.py
+++ b/src/kingcupwheel/entry/caller_connection.py
@@ -7,26 +7,26 @@
 from typing import NoReturn
 from typing import Protocol
 
-from kingcupwheel.entry.exceptions import CallerGoneError
+from kingcupwheel.entry.exceptions import CallerDisconnectedError
 
 
-class CallerWatch(Protocol):
+class CallerConnection(Protocol):
     """Looks at the caller's connection."""
 
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Return True once the caller has closed its connection."""
 
-    def raise_gone(self) -> NoReturn:
-        """Raise CallerGoneError."""
+    def raise_disconnected(self) -> NoReturn:
+        """Raise CallerDisconnectedError."""
 
 
-class SocketWatch:
+class CallerSocket:
     """Watches a caller's socket without reading from it."""
 
     def __init__(self, connection: socket.socket | None) -> None:
         self._connection = connection
 
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         """Return True once the peer has closed or reset the connection.
 
         Bytes that wait to be read are a further request, not an end.
@@ -41,6 +41,6 @@
         except (OSError, ValueError):
             return True
 
-    def raise_gone(self) -> NoReturn:
-        """Raise CallerGoneError."""
-        raise CallerGoneError("the caller closed its connection")
+    def raise_disconnected(self) -> NoReturn:
+        """Raise CallerDisconnectedError."""
+        raise CallerDisconnectedError("the caller closed its connection")
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.entry.observing import Observer
+from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.events import EventMetrics
 from kingcupwheel.trace.events import ManifestChanged
@@ -25,7 +25,7 @@
     from kingcupwheel.settings.schema import Settings
 
 
-class Recording:
+class EntryTelemetry:
     """The recording parts of one entry, started and stopped together.
 
     ``traces_retention_s`` is asked each time for how long the platform keeps traces.
@@ -44,10 +44,10 @@
             limit=settings.entry.traces,
             listener=EventMetrics(metrics, settings.role),
         )
-        self.burn = BurnCounter(
+        self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
         )
-        self.observer = Observer(self.burn, metrics)
+        self.outcome_counter = OutcomeCounter(self.burn_counter, metrics)
         self._metrics = metrics
         self._shipper = BatchShipper(
             self.recorder,
@@ -66,8 +66,8 @@
         self._shipper.stop()
         self._metrics.close()
 
-    def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
+    def set_manifest(self, in_force: InForce, request_ids: Iterable[str]) -> None:
         """Take up a new manifest, and note it in the requests under way."""
-        self.observer.adopt(in_force)
+        self.outcome_counter.set_goals(in_force)
         for request_id in request_ids:
             self.recorder.record(request_id, ManifestChanged(in_force.version))
--- a/src/kingcupwheel/entry/exceptions.py
+++ b/src/kingcupwheel/entry/exceptions.py
@@ -9,18 +9,18 @@
     """Base class of this layer's errors."""
 
 
-class AnswerCutError(EntryError):
+class AnswerTruncatedError(EntryError):
     """The rest of a streamed answer can't be had; the connection must be cut.
 
     Ending the body as usual would make a truncated answer look whole.
     """
 
 
-class CallerGoneError(EntryError):
+class CallerDisconnectedError(EntryError):
     """The caller closed its connection while its request waited."""
 
 
-class CannotServeError(EntryError):
+class HttpBindError(EntryError):
     """The address for callers can't be bound."""
 
     def __init__(self, address: str, reason: str) -> None:
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -14,11 +14,11 @@
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.exceptions import AnswerCutError
-from kingcupwheel.entry.gateway import CLOSE_KEY
-from kingcupwheel.entry.gateway import SOCKET_KEY
-from kingcupwheel.entry.parsing import HttpRequest
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
+from kingcupwheel.entry.http_server import CLOSE_ENVIRON_KEY
+from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
+from kingcupwheel.entry.request_parser import HttpRequest
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
 from kingcupwheel.utils.request_ids import new_request_id
@@ -71,11 +71,11 @@
     @property
     def socket(self) -> Any:
         """Socket of the caller's connection, None outside the HTTP server."""
-        return self._environ.get(SOCKET_KEY)
+        return self._environ.get(SOCKET_ENVIRON_KEY)
 
     def close_connection_after(self) -> None:
         """Close the connection after this response."""
-        close = self._environ.get(CLOSE_KEY)
+        close = self._environ.get(CLOSE_ENVIRON_KEY)
         if close is not None:
             close()
 
@@ -150,7 +150,7 @@
     def _stream_body(self, stream: Iterator[bytes]) -> Iterator[bytes]:
         try:
             yield from stream
-        except AnswerCutError as error:
+        except AnswerTruncatedError as error:
             logger.warning("Answer truncated: %s. [%s]", error, self.request_id)
             raise
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -12,7 +12,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.gateway import HttpServer
+from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import BranchAggregator
@@ -152,7 +152,7 @@
             case LoadsRequest():
                 self._load_aggregator.subscribe(link, message, monotonic())
             case AgentHeartbeat():
-                self._load_aggregator.handle_beat(link, message, monotonic())
+                self._load_aggregator.handle_heartbeat(link, message, monotonic())
             case Hello():
                 with self._lock:
                     self._hello_at_by_entry[link] = monotonic()
@@ -200,7 +200,7 @@
             return
         state = result.ok
         load = BackendLoad(state.running, state.waiting, 0, 0.0, 0.0, 0.0, state.pace)
-        beat = AgentHeartbeat(
+        heartbeat = AgentHeartbeat(
             name=self._rank.server,
             group=self._rank.service,
             data_centre="",
@@ -214,7 +214,7 @@
             born_ms=state.born_ms,
         )
         for link in links:
-            self._hub.send(link, beat)
+            self._hub.send(link, heartbeat)
 
     def _find_servers(self) -> Mapping[str, PairedServer]:
         """Return the servers of this service by the address of their agent.
