--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -16,27 +16,27 @@
     from kingcupwheel.messages.attempts import Dispatch
 
 
-class ServerDown(NamedTuple):
+class ServerUnreachable(NamedTuple):
     """No connection could be made: the server never saw the call.
 
     ``refused`` tells that its host answered and nothing listens there.
     """
 
     detail: str
-    refused: bool
+    is_connection_refused: bool
 
 
-class ServerLost(NamedTuple):
+class AnswerLost(NamedTuple):
     """The call went out and its answer did not come whole.
 
     ``died`` tells that the server process ended or restarted meanwhile.
     """
 
     detail: str
-    died: bool
+    has_server_died: bool
 
 
-AdapterError = ServerDown | ServerLost
+AdapterError = ServerUnreachable | AnswerLost
 
 
 class ServerAnswer(Protocol):
@@ -63,10 +63,10 @@
     ``life`` changes when the server process restarts; empty if the server tells none.
     """
 
-    up: bool
-    life: str
-    running: int
-    rate: float
+    is_up: bool
+    incarnation: str
+    running_count: int
+    tokens_per_s: float
 
 
 class ServerAdapter(Protocol):
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -9,16 +9,16 @@
 from expression import Result
 
 from kingcupwheel.agent.adapters.base import AdapterError
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerAnswer
-from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
-from kingcupwheel.agent.adapters.calls import Call
-from kingcupwheel.agent.adapters.calls import Silent
-from kingcupwheel.agent.adapters.calls import connect
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.adapters.requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.requests import request_of
-from kingcupwheel.agent.adapters.requests import run_id
+from kingcupwheel.agent.adapters.server_call import ServerCall
+from kingcupwheel.agent.adapters.server_call import SilenceTimeout
+from kingcupwheel.agent.adapters.server_call import connect
+from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import build_run_id
+from kingcupwheel.agent.adapters.server_requests import build_server_request
 from kingcupwheel.plugins.kernel import server_adapters
 
 
@@ -32,13 +32,13 @@
 # connection gone silent for good look alike. After this many times the server's
 # ``silence_s`` without a byte the outcome is called unknown; without a bound the place
 # on the server would be lost for good.
-_SILENCES = 6
+_GIVE_UP_SILENCES = 6
 
 
 class ServiceAnswer:
     """An answer of a plain service."""
 
-    def __init__(self, call: Call, adapter: ServiceAdapter) -> None:
+    def __init__(self, call: ServerCall, adapter: ServiceAdapter) -> None:
         self._call = call
         self._adapter = adapter
 
@@ -57,7 +57,7 @@
         while True:
             result = self._call.read()
             if result.is_error():
-                yield Error(self._adapter.lost(result.error))
+                yield Error(self._adapter.build_answer_lost(result.error))
                 return
             if not result.ok:
                 return
@@ -84,30 +84,35 @@
             return Error(connected.error)
         call = connected.ok
         sent = call.send(
-            request_of(dispatch), silence_s=self._server.silence_s * _SILENCES
+            build_server_request(dispatch),
+            silence_s=self._server.silence_s * _GIVE_UP_SILENCES,
         )
         if sent.is_error():
             call.close()
-            return Error(self.lost(sent.error))
-        if call.header(REQUEST_ID_HEADER) not in ("", run_id(dispatch)):
+            return Error(self.build_answer_lost(sent.error))
+        if call.header(REQUEST_ID_HEADER) not in ("", build_run_id(dispatch)):
             call.close()
-            return Error(ServerLost("answer of another request", died=False))
+            return Error(AnswerLost("answer of another request", has_server_died=False))
         return Ok(ServiceAnswer(call, self))
 
     def state(self) -> ServerState:
         """Return whether the service accepts connections; it tells nothing more."""
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return ServerState(up=False, life="", running=0, rate=0.0)
+            return ServerState(
+                is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+            )
         connected.ok.close()
-        return ServerState(up=True, life="", running=0, rate=0.0)
+        return ServerState(
+            is_up=True, incarnation="", running_count=0, tokens_per_s=0.0
+        )
 
-    def lost(self, error: ServerLost | Silent) -> ServerLost:
+    def build_answer_lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
         """Return why an answer was lost, and whether the service died with it."""
-        if isinstance(error, Silent):
-            return ServerLost("server silent", died=False)
+        if isinstance(error, SilenceTimeout):
+            return AnswerLost("server silent", has_server_died=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return error._replace(died=connected.error.refused)
+            return error._replace(has_server_died=connected.error.is_connection_refused)
         connected.ok.close()
         return error
--- a/src/kingcupwheel/agent/answers.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -22,8 +22,8 @@
     from kingcupwheel.messages.base import Message
 
 # One frame's share of the body: small enough that a heartbeat behind it is not late.
-_FRAME_BYTES = 65_536
-NOT_HELD = "the answer's bytes are no longer held"
+_MAX_FRAME_BYTES = 65_536
+BYTES_FREED_DETAIL = "the answer's bytes are no longer held"
 
 
 class AnswerHead(NamedTuple):
@@ -36,24 +36,28 @@
 class AnswerEnd(NamedTuple):
     """How the answer ended; ``length`` is the whole body's in bytes."""
 
-    length: int
+    length_bytes: int
     outcome: Outcome
     detail: str
 
-    def message(self, name: AttemptKey, detail: str) -> AttemptEnd:
+    def to_message(self, attempt_key: AttemptKey, detail: str) -> AttemptEnd:
         """Return the message that tells it."""
         return AttemptEnd(
-            name.request_id, name.attempt, self.length, self.outcome, detail
+            attempt_key.request_id,
+            attempt_key.attempt,
+            self.length_bytes,
+            self.outcome,
+            detail,
         )
 
 
-class Ended(NamedTuple):
+class EndedAnswer(NamedTuple):
     """What is remembered of an answer whose bytes were freed."""
 
     head: AnswerHead | None
     end: AnswerEnd
 
-    def messages(self, name: AttemptKey, offset: int) -> list[Message]:
+    def to_messages(self, attempt_key: AttemptKey, offset: int) -> list[Message]:
         """Tell how it ended, without bytes.
 
         An entry that has fewer than ``length`` bytes knows by it that it lacks some, so
@@ -61,10 +65,10 @@
         instead of beginning an answer that it can't complete.
         """
         end = self.end
-        if offset != end.length:
-            return [end.message(name, NOT_HELD)]
-        head = [] if self.head is None else [ResponseHead(*name, *self.head)]
-        return [*head, end.message(name, end.detail)]
+        if offset != end.length_bytes:
+            return [end.to_message(attempt_key, BYTES_FREED_DETAIL)]
+        head = [] if self.head is None else [ResponseHead(*attempt_key, *self.head)]
+        return [*head, end.to_message(attempt_key, end.detail)]
 
 
 @dataclass(slots=True)
@@ -74,68 +78,68 @@
     Bytes before ``acked`` have reached the caller; ``credit`` bytes may be sent beyond.
     """
 
-    name: AttemptKey
+    attempt_key: AttemptKey
     link: Link
-    sent: int
-    acked: int
-    credit: int
-    head_sent: bool = False
-    end_sent: bool = False
+    sent_offset: int
+    acked_offset: int
+    credit_bytes: int
+    is_head_sent: bool = False
+    is_end_sent: bool = False
 
     @property
-    def place(self) -> tuple[AttemptKey, Link]:
+    def identity(self) -> tuple[AttemptKey, Link]:
         """What tells this subscriber from every other."""
-        return self.name, self.link
+        return self.attempt_key, self.link
 
-    def go_on_from(self, earlier: Subscriber) -> None:
+    def resume_from(self, replaced: Subscriber) -> None:
         """Take over what has reached the caller by an earlier link."""
-        self.acked = max(self.acked, earlier.acked)
-        self.sent = self.acked
+        self.acked_offset = max(self.acked_offset, replaced.acked_offset)
+        self.sent_offset = self.acked_offset
 
 
-class Answer:
+class AnswerBuffer:
     """The answer of one attempt, from the first byte not yet freed.
 
     ``keep`` is True for attempts that may not be repeated: their answer stays, also
     when acknowledged, for a caller that sends the request again.
     """
 
-    def __init__(self, key: AttemptKey, *, keep: bool) -> None:
+    def __init__(self, key: AttemptKey, *, is_retained: bool) -> None:
         self.key = key
-        self.keep = keep
+        self.is_retained = is_retained
         self.head: AnswerHead | None = None
         self.end: AnswerEnd | None = None
         self.ended_at = 0.0
         self.subscribers: dict[tuple[AttemptKey, Link], Subscriber] = {}
-        self._base = 0
+        self._base_offset = 0
         self._body = bytearray()
 
     @property
-    def held(self) -> int:
+    def held_bytes(self) -> int:
         """The number of bytes in memory."""
         return len(self._body)
 
     @property
-    def length(self) -> int:
+    def length_bytes(self) -> int:
         """The number of bytes that came so far."""
-        return self._base + len(self._body)
+        return self._base_offset + len(self._body)
 
     @property
-    def acked(self) -> int:
+    def acked_offset(self) -> int:
         """Bytes before this offset are needed by no subscriber."""
-        acked = [subscriber.acked for subscriber in self.subscribers.values()]
-        return min(acked, default=self.length)
+        acked = [subscriber.acked_offset for subscriber in self.subscribers.values()]
+        return min(acked, default=self.length_bytes)
 
     @property
-    def unacked(self) -> int:
+    def unacked_bytes(self) -> int:
         """The number of bytes that some subscriber still needs."""
-        return self.length - max(self._base, self.acked)
+        return self.length_bytes - max(self._base_offset, self.acked_offset)
 
     @property
-    def delivered(self) -> bool:
+    def is_delivered(self) -> bool:
         """Whether it has ended and every subscriber has all of it."""
         return self.end is not None and all(
-            subscriber.end_sent and subscriber.acked >= self.end.length
+            subscriber.is_end_sent and subscriber.acked_offset >= self.end.length_bytes
             for subscriber in self.subscribers.values()
         )
 
@@ -145,50 +149,60 @@
 
     def finish(self, outcome: Outcome, detail: str, *, now: float) -> None:
         """Record that nothing more comes."""
-        self.end = AnswerEnd(self.length, outcome, detail)
+        self.end = AnswerEnd(self.length_bytes, outcome, detail)
         self.ended_at = now
 
-    def free(self) -> int:
+    def free_acked(self) -> int:
         """Forget the bytes that no subscriber needs; return how many."""
-        freed = max(0, min(self.acked, self.length) - self._base)
+        freed = max(0, min(self.acked_offset, self.length_bytes) - self._base_offset)
         del self._body[:freed]
-        self._base += freed
+        self._base_offset += freed
         return freed
 
-    def ended(self) -> Ended | None:
+    def to_ended_answer(self) -> EndedAnswer | None:
         """Return what is to be remembered once the bytes are freed."""
-        return None if self.end is None else Ended(self.head, self.end)
+        return None if self.end is None else EndedAnswer(self.head, self.end)
 
-    def due(self, subscriber: Subscriber) -> list[Message]:
+    def take_due_messages(self, subscriber: Subscriber) -> list[Message]:
         """Return the messages that may go to the subscriber now, and count them."""
-        if subscriber.end_sent:
+        if subscriber.is_end_sent:
             return []
-        if subscriber.sent < self._base:
-            return self._lost_start(subscriber)
+        if subscriber.sent_offset < self._base_offset:
+            return self._end_without_start(subscriber)
         messages: list[Message] = []
-        if self.head is not None and not subscriber.head_sent:
-            subscriber.head_sent = True
-            messages.append(ResponseHead(*subscriber.name, *self.head))
-        messages += self._due_data(subscriber)
-        if self.end is not None and subscriber.sent >= self.end.length:
-            subscriber.end_sent = True
-            messages.append(self.end.message(subscriber.name, self.end.detail))
+        if self.head is not None and not subscriber.is_head_sent:
+            subscriber.is_head_sent = True
+            messages.append(ResponseHead(*subscriber.attempt_key, *self.head))
+        messages += self._take_due_data(subscriber)
+        if self.end is not None and subscriber.sent_offset >= self.end.length_bytes:
+            subscriber.is_end_sent = True
+            messages.append(
+                self.end.to_message(subscriber.attempt_key, self.end.detail)
+            )
         return messages
 
-    def _due_data(self, subscriber: Subscriber) -> list[Message]:
+    def _take_due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
-        until = min(self.length, subscriber.acked + subscriber.credit)
-        while subscriber.sent < until:
-            start = subscriber.sent
-            stop = min(until, start + _FRAME_BYTES)
-            data = bytes(self._body[start - self._base : stop - self._base])
-            messages.append(ResponseData(*subscriber.name, start, data))
-            subscriber.sent = stop
+        until = min(
+            self.length_bytes, subscriber.acked_offset + subscriber.credit_bytes
+        )
+        while subscriber.sent_offset < until:
+            start = subscriber.sent_offset
+            stop = min(until, start + _MAX_FRAME_BYTES)
+            data = bytes(
+                self._body[start - self._base_offset : stop - self._base_offset]
+            )
+            messages.append(ResponseData(*subscriber.attempt_key, start, data))
+            subscriber.sent_offset = stop
         return messages
 
-    def _lost_start(self, subscriber: Subscriber) -> list[Message]:
+    def _end_without_start(self, subscriber: Subscriber) -> list[Message]:
         # The bytes asked for were acknowledged once and freed. The length tells the
         # entry that it lacks some; waiting would not bring them back.
-        subscriber.end_sent = True
+        subscriber.is_end_sent = True
         outcome = Outcome.UNKNOWN if self.end is None else self.end.outcome
-        return [AttemptEnd(*subscriber.name, self.length, outcome, NOT_HELD)]
+        return [
+            AttemptEnd(
+                *subscriber.attempt_key, self.length_bytes, outcome, BYTES_FREED_DETAIL
+            )
+        ]
--- a/src/kingcupwheel/agent/handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -5,16 +5,16 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.answers import Subscriber
+from kingcupwheel.agent.answer_buffer import Subscriber
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.attempts import Forgotten
-from kingcupwheel.agent.attempts import Ignore
-from kingcupwheel.agent.attempts import Join
-from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
-from kingcupwheel.agent.attempts import Stop
-from kingcupwheel.agent.attempts import Wait
-from kingcupwheel.agent.attempts import key_of
+from kingcupwheel.agent.attempts import ForgottenDecision
+from kingcupwheel.agent.attempts import IgnoreDecision
+from kingcupwheel.agent.attempts import JoinDecision
+from kingcupwheel.agent.attempts import QueueDecision
+from kingcupwheel.agent.attempts import RefusalDecision
+from kingcupwheel.agent.attempts import StartDecision
+from kingcupwheel.agent.attempts import StopDecision
+from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.messages.attempts import Ack
 from kingcupwheel.messages.attempts import AttemptAccepted
 from kingcupwheel.messages.attempts import AttemptEnd
@@ -34,9 +34,9 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.agent.peers import Peers
-    from kingcupwheel.agent.runner import Runner
-    from kingcupwheel.agent.store import AnswerStore
+    from kingcupwheel.agent.answer_store import AnswerStore
+    from kingcupwheel.agent.attempt_runner import AttemptRunner
+    from kingcupwheel.agent.entry_links import EntryLinks
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
     from kingcupwheel.trace.recorder import Recorder
@@ -49,16 +49,16 @@
         self,
         *,
         name: str,
-        runner: Runner,
+        runner: AttemptRunner,
         store: AnswerStore,
-        peers: Peers,
+        entry_links: EntryLinks,
         recorder: Recorder,
         send: Callable[[Link, Message], None],
     ) -> None:
         self._name = name
         self._runner = runner
         self._store = store
-        self._peers = peers
+        self._entry_links = entry_links
         self._recorder = recorder
         self._send = send
 
@@ -66,113 +66,121 @@
         """Do what the message asks; others than those on attempts are ignored."""
         match message:
             case Dispatch():
-                self._dispatch(link, message)
+                self._handle_dispatch(link, message)
             case ResumeRequest():
-                self._resume(link, message)
+                self._handle_resume(link, message)
             case Ack():
                 name = AttemptKey(message.request_id, message.attempt)
                 self._store.acknowledge(name, link, message.offset)
             case CancelRequest():
-                self._cancel(link, message)
+                self._handle_cancel(link, message)
             case TombstoneRequest():
                 with self._runner.lock:
-                    answer = self._runner.runs.entomb(message, now=monotonic())
+                    answer = self._runner.attempt_table.set_tombstone(
+                        message, now=monotonic()
+                    )
                 self._send(link, answer)
             case _:
                 pass
 
-    def links_gone(self, links: Iterable[Link]) -> None:
+    def handle_lost_links(self, links: Iterable[Link]) -> None:
         """Stop the attempts whose entries have all gone silent."""
-        for key in self._store.links_gone(links):
+        for key in self._store.remove_links(links):
             self._recorder.record(key.request_id, Noted("The entry went silent."))
-            self._stop(key)
+            self._stop_attempt(key)
 
-    def _dispatch(self, link: Link, dispatch: Dispatch) -> None:
-        name = key_of(dispatch)
+    def _handle_dispatch(self, link: Link, dispatch: Dispatch) -> None:
+        name = get_attempt_key(dispatch)
         with self._runner.lock:
-            decision = self._runner.runs.dispatch(dispatch, now=monotonic())
+            decision = self._runner.attempt_table.handle_dispatch(
+                dispatch, now=monotonic()
+            )
             match decision:
-                case Start():
+                case StartDecision():
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
-                case Wait(ahead):
+                case QueueDecision(ahead):
                     self._recorder.record(name.request_id, Queued(ahead))
                     self._accept(link, dispatch, running=False)
-                case Join(key):
-                    self._join(link, dispatch, key)
-                case Forgotten():
-                    self._send(link, _unknown(name))
-                case Refuse(_, reason):
+                case JoinDecision(key):
+                    self._join_attempt(link, dispatch, key)
+                case ForgottenDecision():
+                    self._send(link, _build_unknown_end(name))
+                case RefusalDecision(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
                     self._recorder.record(name.request_id, note)
                     self._send(link, AttemptRefused(*name, reason))
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
-        name = key_of(dispatch)
-        self._store.open(name, keep=dispatch.claim is not None)
+        name = get_attempt_key(dispatch)
+        self._store.open(name, is_retained=dispatch.claim is not None)
         self._send(link, AttemptAccepted(*name, running))
         self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
 
-    def _join(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
-        name = key_of(dispatch)
+    def _join_attempt(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
+        name = get_attempt_key(dispatch)
         self._recorder.record(
             name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
         )
         self._send(link, AttemptAccepted(*name, True))
         subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
-        replaced = self._peers.older_links(link)
-        if not self._store.subscribe(key, subscriber, replaced=replaced, go_on=True):
-            self._send(link, _unknown(name))
+        replaced = self._entry_links.list_older_links(link)
+        if not self._store.subscribe(
+            key, subscriber, older_links=replaced, continue_from_ack=True
+        ):
+            self._send(link, _build_unknown_end(name))
 
-    def _resume(self, link: Link, message: ResumeRequest) -> None:
+    def _handle_resume(self, link: Link, message: ResumeRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
-        key = self._known_key(name, message.claim_id)
+        key = self._resolve_key(name, message.claim_id)
         subscriber = Subscriber(
             name, link, message.offset, message.offset, message.credit
         )
-        replaced = self._peers.older_links(link)
-        if self._store.subscribe(key, subscriber, replaced=replaced):
+        replaced = self._entry_links.list_older_links(link)
+        if self._store.subscribe(key, subscriber, older_links=replaced):
             event = Resumed(self._name, name.attempt, message.offset, "new link")
             self._recorder.record(name.request_id, event)
             return
         with self._runner.lock:
-            reason = self._runner.runs.refused(name)
-            incarnation = self._runner.runs.incarnation
-            cancelled = self._runner.runs.is_cancelled(name)
+            reason = self._runner.attempt_table.get_refusal(name)
+            incarnation = self._runner.attempt_table.incarnation
+            cancelled = self._runner.attempt_table.is_cancelled(name)
         if reason is not None:
             self._send(link, AttemptRefused(*name, reason))
         else:
             self._send(link, AttemptUnknown(*name, incarnation, cancelled))
 
-    def _known_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
-        if claim_id is None or self._store.knows(name):
+    def _resolve_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
+        if claim_id is None or self._store.is_known(name):
             return name
         with self._runner.lock:
-            return self._runner.runs.accepted_for(claim_id) or name
+            return self._runner.attempt_table.get_accepted_key(claim_id) or name
 
-    def _cancel(self, link: Link, message: CancelRequest) -> None:
+    def _handle_cancel(self, link: Link, message: CancelRequest) -> None:
         name = AttemptKey(message.request_id, message.attempt)
-        key = self._store.key_at(name, link) or name
+        key = self._store.find_key(name, link) or name
         if self._store.unsubscribe(name, link):
             return
-        reason = self._stop(key)
+        reason = self._stop_attempt(key)
         if reason is not None:
             self._send(link, reason)
 
-    def _stop(self, key: AttemptKey) -> AttemptRefused | None:
+    def _stop_attempt(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
-            decision = self._runner.runs.cancel(key, now=monotonic())
+            decision = self._runner.attempt_table.cancel(key, now=monotonic())
         match decision:
-            case Stop():
-                self._runner.stop(key)
-            case Refuse(_, reason):
+            case StopDecision():
+                self._runner.cancel(key)
+            case RefusalDecision(_, reason):
                 self._store.refuse(key, reason)
                 return AttemptRefused(*key, reason)
-            case Ignore():
+            case IgnoreDecision():
                 pass
         return None
 
 
-def _unknown(name: AttemptKey) -> AttemptEnd:
+def _build_unknown_end(attempt_key: AttemptKey) -> AttemptEnd:
     detail = "older than this agent's memory"
-    return AttemptEnd(name.request_id, name.attempt, 0, Outcome.UNKNOWN, detail)
+    return AttemptEnd(
+        attempt_key.request_id, attempt_key.attempt, 0, Outcome.UNKNOWN, detail
+    )
--- a/src/kingcupwheel/agent/runs.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -7,33 +7,33 @@
 
 from typing import TYPE_CHECKING
 
+from kingcupwheel.agent.attempt_history import AttemptHistory
+from kingcupwheel.agent.attempt_queue import AttemptQueue
 from kingcupwheel.agent.attempts import AttemptKey
-from kingcupwheel.agent.attempts import Forgotten
-from kingcupwheel.agent.attempts import Ignore
-from kingcupwheel.agent.attempts import Join
-from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
-from kingcupwheel.agent.attempts import Stop
-from kingcupwheel.agent.attempts import Wait
-from kingcupwheel.agent.attempts import is_sendable
-from kingcupwheel.agent.attempts import key_of
-from kingcupwheel.agent.claimed import Claims
-from kingcupwheel.agent.remembered import Remembered
-from kingcupwheel.agent.waiting import WaitingQueue
+from kingcupwheel.agent.attempts import ForgottenDecision
+from kingcupwheel.agent.attempts import IgnoreDecision
+from kingcupwheel.agent.attempts import JoinDecision
+from kingcupwheel.agent.attempts import QueueDecision
+from kingcupwheel.agent.attempts import RefusalDecision
+from kingcupwheel.agent.attempts import StartDecision
+from kingcupwheel.agent.attempts import StopDecision
+from kingcupwheel.agent.attempts import get_attempt_key
+from kingcupwheel.agent.attempts import is_valid_http_request
+from kingcupwheel.agent.claim_fences import ClaimFences
 from kingcupwheel.messages.attempts import DispatchRefusal
 from kingcupwheel.messages.attempts import TombstoneReply
 
 
 if TYPE_CHECKING:
     from kingcupwheel.agent.attempts import CancelDecision
-    from kingcupwheel.agent.attempts import Decision
+    from kingcupwheel.agent.attempts import DispatchDecision
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.messages.attempts import TombstoneRequest
 
 _NO_ATTEMPT = AttemptKey("", 0)
 
 
-class Runs:
+class AttemptTable:
     """All attempts of one life of the agent.
 
     ``incarnation`` names this life; ``capacity`` bounds what runs and ``queue`` what
@@ -43,17 +43,17 @@
     """
 
     def __init__(
-        self, *, incarnation: str, capacity: int, queue: int, token_s: float
+        self, *, incarnation: str, capacity: int, queue_limit: int, token_s: float
     ) -> None:
         self._incarnation = incarnation
         self._capacity = capacity
         self._token_s = token_s
-        self._queue = WaitingQueue(limit=queue)
+        self._queue = AttemptQueue(limit=queue_limit)
         self._running: dict[AttemptKey, Dispatch] = {}
         # Further attempts that were joined to a running or waiting one.
         self._joined_by_key: dict[AttemptKey, set[AttemptKey]] = {}
-        self._remembered = Remembered(token_s=token_s)
-        self._claims = Claims()
+        self._history = AttemptHistory(token_s=token_s)
+        self._claim_fences = ClaimFences()
         self._leaving = False
 
     @property
@@ -67,26 +67,26 @@
         return self._capacity
 
     @property
-    def memory_s(self) -> float:
+    def ended_retention_s(self) -> float:
         """How long it is remembered what ran, in seconds after its end."""
-        return self._remembered.ended_s
+        return self._history.ended_retention_s
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether new work is refused for good."""
         return self._leaving
 
     @property
-    def running(self) -> tuple[Dispatch, ...]:
+    def running_dispatches(self) -> tuple[Dispatch, ...]:
         """What runs now."""
         return tuple(self._running.values())
 
     @property
-    def queued(self) -> tuple[Dispatch, ...]:
+    def queued_dispatches(self) -> tuple[Dispatch, ...]:
         """What waits, in order."""
         return self._queue.dispatches
 
-    def token(self, *, now: float) -> int:
+    def get_token(self, *, now: float) -> int:
         """Return the token for heartbeats: the agent's own clock in milliseconds."""
         return int(now * 1000)
 
@@ -94,42 +94,44 @@
         """Change how many attempts may run at once; running ones go on."""
         self._capacity = capacity
 
-    def accepted_for(self, claim_id: str) -> AttemptKey | None:
+    def get_accepted_key(self, claim_id: str) -> AttemptKey | None:
         """Return the attempt that was accepted for the claim, or None."""
-        return self._claims.accepted(claim_id)
+        return self._claim_fences.get_accepted_key(claim_id)
 
-    def refused(self, key: AttemptKey) -> DispatchRefusal | None:
+    def get_refusal(self, key: AttemptKey) -> DispatchRefusal | None:
         """Return why the attempt was refused, or None if it was not."""
-        return self._remembered.refused(key)
+        return self._history.get_refusal(key)
 
     def is_cancelled(self, key: AttemptKey) -> bool:
         """Return whether a cancel of an attempt never seen is noted."""
-        return self._remembered.cancelled(key)
+        return self._history.is_cancelled(key)
 
-    def dispatch(self, dispatch: Dispatch, *, now: float) -> Decision:
+    def handle_dispatch(self, dispatch: Dispatch, *, now: float) -> DispatchDecision:
         """Decide about one dispatch; a refusal holds for all its copies."""
-        self._forget(now)
-        key = key_of(dispatch)
-        earlier = self._earlier(dispatch)
+        self._expire(now)
+        key = get_attempt_key(dispatch)
+        earlier = self._find_earlier_attempt(dispatch)
         if earlier is not None:
-            return Join(earlier)
-        if self._may_be_forgotten(dispatch, now):
-            return Forgotten(key)
-        reason = self._refusal(dispatch, now)
+            return JoinDecision(earlier)
+        if self._is_beyond_retention(dispatch, now):
+            return ForgottenDecision(key)
+        reason = self._find_refusal(dispatch, now)
         if reason is not None:
             return self._refuse(key, reason, now)
         return self._accept(dispatch, now)
 
-    def entomb(self, entomb: TombstoneRequest, *, now: float) -> TombstoneReply:
+    def set_tombstone(self, request: TombstoneRequest, *, now: float) -> TombstoneReply:
         """Refuse lower fences of the claim from now on, or tell what already ran."""
-        ours = entomb.incarnation == self._incarnation
+        ours = request.incarnation == self._incarnation
         ran = None
         if ours:
-            ran = self._claims.entomb(entomb.claim_id, entomb.fence, now=now)
+            ran = self._claim_fences.set_tombstone(
+                request.claim_id, request.fence, now=now
+            )
         key = ran or _NO_ATTEMPT
         return TombstoneReply(
-            claim_id=entomb.claim_id,
-            fence=entomb.fence,
+            claim_id=request.claim_id,
+            fence=request.fence,
             incarnation=self._incarnation,
             accepted=ours,
             ran=ran is not None,
@@ -147,87 +149,89 @@
         """
         running = self._running.get(key)
         if running is not None:
-            return Stop(key) if running.claim is None else Ignore()
+            return StopDecision(key) if running.claim is None else IgnoreDecision()
         waiting = self._queue.remove(key)
         if waiting is not None:
-            self._never_ran(waiting, DispatchRefusal.CANCELLED, now)
-            return Refuse(key, DispatchRefusal.CANCELLED)
-        if not self._remembered.ended(key):
-            self._remembered.cancel(key, now=now)
-        return Ignore()
+            self._refuse_accepted(waiting, DispatchRefusal.CANCELLED, now)
+            return RefusalDecision(key, DispatchRefusal.CANCELLED)
+        if not self._history.has_ended(key):
+            self._history.record_cancel(key, now=now)
+        return IgnoreDecision()
 
     def finish(self, key: AttemptKey, *, now: float) -> None:
         """Record that the attempt reached the server and ended there."""
         if self._running.pop(key, None) is not None:
             self._joined_by_key.pop(key, None)
-            self._remembered.end(key, now=now)
+            self._history.record_end(key, now=now)
 
-    def unreachable(self, key: AttemptKey, *, now: float) -> list[Refuse]:
+    def record_unreachable(
+        self, key: AttemptKey, *, now: float
+    ) -> list[RefusalDecision]:
         """Record that no connection to the server could be made for the attempt."""
         dispatch = self._running.pop(key, None)
         if dispatch is None:
             return []
-        return self._never_ran(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
+        return self._refuse_accepted(dispatch, DispatchRefusal.SERVER_UNREACHABLE, now)
 
-    def leave(self, *, now: float) -> list[Refuse]:
+    def begin_leaving(self, *, now: float) -> list[RefusalDecision]:
         """Take no new work from now on; what only waits is refused."""
         self._leaving = True
         refusals = []
         for dispatch in self._queue.clear():
-            refusals += self._never_ran(dispatch, DispatchRefusal.LEAVING, now)
+            refusals += self._refuse_accepted(dispatch, DispatchRefusal.LEAVING, now)
         return refusals
 
-    def advance(self, *, now: float) -> list[Start | Refuse]:
+    def advance(self, *, now: float) -> list[StartDecision | RefusalDecision]:
         """Start what has a place now, and refuse what waited past its deadline."""
-        steps: list[Start | Refuse] = []
+        steps: list[StartDecision | RefusalDecision] = []
         for late in self._queue.expire(now=now):
-            steps += self._never_ran(late, DispatchRefusal.EXPIRED, now)
+            steps += self._refuse_accepted(late, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
             dispatch = self._queue.pop()
             if dispatch is None:
                 break
-            self._running[key_of(dispatch)] = dispatch
-            steps.append(Start(dispatch))
+            self._running[get_attempt_key(dispatch)] = dispatch
+            steps.append(StartDecision(dispatch))
         return steps
 
-    def _earlier(self, dispatch: Dispatch) -> AttemptKey | None:
+    def _find_earlier_attempt(self, dispatch: Dispatch) -> AttemptKey | None:
         """Return the attempt that this one is, or is joined to.
 
         A claim's second dispatch joins the first whatever its fence: the run it asks
         for exists, and its answer is the true one.
         """
-        key = key_of(dispatch)
-        if self._is_open(key) or self._remembered.ended(key):
+        key = get_attempt_key(dispatch)
+        if self._is_pending(key) or self._history.has_ended(key):
             return key
-        if self._remembered.refused(key) or dispatch.claim is None:
+        if self._history.get_refusal(key) or dispatch.claim is None:
             return None
         if dispatch.incarnation != self._incarnation:
             return None
-        earlier = self._claims.accepted(dispatch.claim.claim_id)
-        if earlier is not None and self._is_open(earlier):
+        earlier = self._claim_fences.get_accepted_key(dispatch.claim.claim_id)
+        if earlier is not None and self._is_pending(earlier):
             self._joined_by_key.setdefault(earlier, set()).add(key)
         return earlier
 
-    def _may_be_forgotten(self, dispatch: Dispatch, now: float) -> bool:
+    def _is_beyond_retention(self, dispatch: Dispatch, now: float) -> bool:
         if dispatch.incarnation != self._incarnation:
             return False
-        age_ms = self.token(now=now) - dispatch.token
-        return age_ms > self._remembered.ended_s * 1000
+        age_ms = self.get_token(now=now) - dispatch.token
+        return age_ms > self._history.ended_retention_s * 1000
 
-    def _is_open(self, key: AttemptKey) -> bool:
+    def _is_pending(self, key: AttemptKey) -> bool:
         return key in self._running or key in self._queue
 
-    def _refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
-        key = key_of(dispatch)
-        reason = self._remembered.refused(key)
-        reason = reason or self._refusal_of_sender(dispatch, now)
-        if reason is None and self._remembered.cancelled(key):
+    def _find_refusal(self, dispatch: Dispatch, now: float) -> DispatchRefusal | None:
+        key = get_attempt_key(dispatch)
+        reason = self._history.get_refusal(key)
+        reason = reason or self._find_staleness_refusal(dispatch, now)
+        if reason is None and self._history.is_cancelled(key):
             reason = DispatchRefusal.CANCELLED
         if reason is None and dispatch.claim is not None:
-            reason = self._claims.see(dispatch.claim, now=now)
-        return reason or self._refusal_under_load(dispatch)
+            reason = self._claim_fences.raise_fence(dispatch.claim, now=now)
+        return reason or self._find_admission_refusal(dispatch)
 
-    def _refusal_of_sender(
+    def _find_staleness_refusal(
         self, dispatch: Dispatch, now: float
     ) -> DispatchRefusal | None:
         if dispatch.incarnation != self._incarnation:
@@ -235,15 +239,15 @@
         # A copy that was held up (a link thought dead, this process paused) names an
         # old token. Without this check it would run long after the entry gave it up,
         # and tombstones would have to be kept for ever.
-        age_ms = self.token(now=now) - dispatch.token
+        age_ms = self.get_token(now=now) - dispatch.token
         if age_ms < 0 or age_ms > self._token_s * 1000:
             return DispatchRefusal.STALE_TOKEN
         return None
 
-    def _refusal_under_load(self, dispatch: Dispatch) -> DispatchRefusal | None:
+    def _find_admission_refusal(self, dispatch: Dispatch) -> DispatchRefusal | None:
         if self._leaving:
             return DispatchRefusal.LEAVING
-        if not is_sendable(dispatch):
+        if not is_valid_http_request(dispatch):
             return DispatchRefusal.BAD_REQUEST
         if dispatch.deadline_s is not None and dispatch.deadline_s <= 0:
             return DispatchRefusal.EXPIRED
@@ -251,36 +255,41 @@
         # could be cleared by the death, so a suspect is the only one of its kind here.
         if dispatch.suspect and self._has_suspect():
             return DispatchRefusal.SUSPECT_BUSY
-        if len(self._running) >= self._capacity and self._queue.full:
+        if len(self._running) >= self._capacity and self._queue.is_full:
             return DispatchRefusal.FULL
         return None
 
     def _has_suspect(self) -> bool:
-        return any(other.suspect for other in (*self.running, *self.queued))
+        return any(
+            other.suspect
+            for other in (*self.running_dispatches, *self.queued_dispatches)
+        )
 
-    def _accept(self, dispatch: Dispatch, now: float) -> Decision:
-        key = key_of(dispatch)
+    def _accept(self, dispatch: Dispatch, now: float) -> DispatchDecision:
+        key = get_attempt_key(dispatch)
         if dispatch.claim is not None:
-            self._claims.accept(dispatch.claim.claim_id, key, now=now)
+            self._claim_fences.accept(dispatch.claim.claim_id, key, now=now)
         if len(self._running) < self._capacity:
             self._running[key] = dispatch
-            return Start(dispatch)
-        return Wait(self._queue.push(dispatch, now=now))
+            return StartDecision(dispatch)
+        return QueueDecision(self._queue.push(dispatch, now=now))
 
-    def _refuse(self, key: AttemptKey, reason: DispatchRefusal, now: float) -> Refuse:
-        self._remembered.refuse(key, reason, now=now)
-        return Refuse(key, reason)
+    def _refuse(
+        self, key: AttemptKey, reason: DispatchRefusal, now: float
+    ) -> RefusalDecision:
+        self._history.record_refusal(key, reason, now=now)
+        return RefusalDecision(key, reason)
 
-    def _never_ran(
+    def _refuse_accepted(
         self, dispatch: Dispatch, reason: DispatchRefusal, now: float
-    ) -> list[Refuse]:
+    ) -> list[RefusalDecision]:
         """Refuse an accepted attempt and all that were joined to it."""
         if dispatch.claim is not None:
-            self._claims.release(dispatch.claim.claim_id, now=now)
-        key = key_of(dispatch)
+            self._claim_fences.release(dispatch.claim.claim_id, now=now)
+        key = get_attempt_key(dispatch)
         joined = self._joined_by_key.pop(key, set())
         return [self._refuse(each, reason, now) for each in (key, *sorted(joined))]
 
-    def _forget(self, now: float) -> None:
-        self._remembered.expire(now=now)
-        self._claims.expire(now=now)
+    def _expire(self, now: float) -> None:
+        self._history.expire(now=now)
+        self._claim_fences.expire(now=now)
--- a/src/kingcupwheel/agent/attempts.py
+++ b/src/kingcupwheel/agent/attempts.py
@@ -12,9 +12,9 @@
     from kingcupwheel.messages.attempts import DispatchRefusal
 
 
-_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_TARGET = re.compile(r"/[!-~]*")
-_FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+_HTTP_TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_REQUEST_TARGET = re.compile(r"/[!-~]*")
+_HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 
 
 class AttemptKey(NamedTuple):
@@ -24,7 +24,7 @@
     attempt: int
 
 
-class Start(NamedTuple):
+class StartDecision(NamedTuple):
     """Run it now."""
 
     dispatch: Dispatch
@@ -32,65 +32,67 @@
     @property
     def key(self) -> AttemptKey:
         """The attempt to run."""
-        return key_of(self.dispatch)
+        return get_attempt_key(self.dispatch)
 
 
-class Wait(NamedTuple):
+class QueueDecision(NamedTuple):
     """Accepted; it waits for a place, ``ahead`` others are before it."""
 
-    ahead: int
+    ahead_count: int
 
 
-class Join(NamedTuple):
+class JoinDecision(NamedTuple):
     """Nothing runs: the attempt ``key`` was accepted before and has its answer."""
 
     key: AttemptKey
 
 
-class Refuse(NamedTuple):
+class RefusalDecision(NamedTuple):
     """It never started and never will."""
 
     key: AttemptKey
     reason: DispatchRefusal
 
 
-class Forgotten(NamedTuple):
+class ForgottenDecision(NamedTuple):
     """So old that it may have run and been forgotten; only ``unknown`` is honest."""
 
     key: AttemptKey
 
 
-Decision = Start | Wait | Join | Refuse | Forgotten
+DispatchDecision = (
+    StartDecision | QueueDecision | JoinDecision | RefusalDecision | ForgottenDecision
+)
 
 
-class Stop(NamedTuple):
+class StopDecision(NamedTuple):
     """The attempt runs; its work is to be stopped."""
 
     key: AttemptKey
 
 
-class Ignore(NamedTuple):
+class IgnoreDecision(NamedTuple):
     """There is nothing left to stop."""
 
 
-CancelDecision = Stop | Refuse | Ignore
+CancelDecision = StopDecision | RefusalDecision | IgnoreDecision
 
 
-def key_of(dispatch: Dispatch) -> AttemptKey:
+def get_attempt_key(dispatch: Dispatch) -> AttemptKey:
     """Return the name of the attempt that ``dispatch`` asks for."""
     return AttemptKey(dispatch.request_id, dispatch.attempt)
 
 
-def is_sendable(dispatch: Dispatch) -> bool:
+def is_valid_http_request(dispatch: Dispatch) -> bool:
     """Return whether the request's method, path and headers are valid HTTP.
 
     Found out before anything is sent, so that the refusal can say ``not-run``.
     """
     return bool(
-        _TOKEN.fullmatch(dispatch.method)
-        and _TARGET.fullmatch(dispatch.path)
+        _HTTP_TOKEN.fullmatch(dispatch.method)
+        and _REQUEST_TARGET.fullmatch(dispatch.path)
         and all(
-            _TOKEN.fullmatch(name) and _FIELD_VALUE.fullmatch(value)
+            _HTTP_TOKEN.fullmatch(name) and _HEADER_VALUE.fullmatch(value)
             for name, value in dispatch.headers
         )
     )
--- a/src/kingcupwheel/agent/maps.py
+++ b/src/kingcupwheel/agent/map_service_manager.py
@@ -24,7 +24,7 @@
 logger = logging.getLogger("kingcupwheel.agent")
 
 
-class AgentMaps:
+class MapServiceManager:
     """The map service of the agent's group, if it has experts; safe from any thread."""
 
     def __init__(
@@ -45,17 +45,17 @@
         self._layout: ExpertLayout | None = None
         self._lock = Lock()
 
-    def adopt(self, group: ServerGroup) -> None:
+    def update_group(self, group: ServerGroup) -> None:
         """Begin, end or begin anew as the group's experts say."""
         with self._lock:
             if group.experts == self._layout:
                 return
             self._layout = group.experts
-            self._end()
+            self._stop_service()
             if group.experts is not None:
-                self._service = self._begin(group.experts)
+                self._service = self._start_service(group.experts)
 
-    def _begin(self, layout: ExpertLayout) -> MapService:
+    def _start_service(self, layout: ExpertLayout) -> MapService:
         server = self._server
         rank_api = rank_apis.get(server.rank_api)(
             server.rank_url or server.url, timeout_s=server.rank_timeout_s
@@ -73,7 +73,7 @@
         logger.info("Speaking for rank %d of %d.", server.rank, layout.ranks)
         return service
 
-    def _end(self) -> None:
+    def _stop_service(self) -> None:
         service, self._service = self._service, None
         if service is not None:
             service.stop()
@@ -81,7 +81,7 @@
     def stop(self) -> None:
         """Give up what is held, so that another agent takes over at once."""
         with self._lock:
-            self._end()
+            self._stop_service()
 
     def on_message(self, link: Link, message: Message) -> None:
         """Take a message about expert maps; others are ignored."""
--- /dev/null
+++ b/tests/agent/test_entry_links.py
@@ -0,0 +1,46 @@
+from __future__ import annotations
+
+from kingcupwheel.agent.entry_links import EntryLinks
+from kingcupwheel.link.links import IncomingLink
+
+
+FIRST, SECOND = IncomingLink(b"1"), IncomingLink(b"2")
+
+
+def test_heartbeats_go_to_links_that_said_hello_of_late() -> None:
+    peers = EntryLinks(hello_ttl_s=5.0, silence_timeout_s=20.0)
+    peers.record_hello(FIRST, "entry-1", now=0.0)
+    peers.record_message(SECOND, now=0.0)
+
+    assert peers.list_heartbeat_links(now=5.0) == [FIRST]
+    assert peers.list_heartbeat_links(now=5.1) == []
+
+
+def test_a_new_link_of_an_entry_replaces_its_older_ones_only() -> None:
+    peers = EntryLinks(hello_ttl_s=5.0, silence_timeout_s=20.0)
+    peers.record_hello(FIRST, "entry-1", now=0.0)
+    peers.record_message(SECOND, now=1.0)
+    assert peers.list_older_links(SECOND) == []
+
+    peers.record_hello(SECOND, "entry-1", now=1.0)
+    peers.record_hello(IncomingLink(b"3"), "entry-2", now=1.0)
+
+    assert peers.list_older_links(SECOND) == [FIRST]
+
+
+def test_a_pause_of_the_agent_itself_makes_no_entry_silent() -> None:
+    """The callers of everything that ran through the pause still get their answers.
+
+    The agent is paused for a minute. When it wakes, its clock says that no entry was
+    heard for long, but what they sent in the meantime is only waiting to be read.
+    """
+    peers = EntryLinks(hello_ttl_s=5.0, silence_timeout_s=20.0)
+    peers.record_hello(FIRST, "entry-1", now=0.0)
+    assert peers.remove_silent_links(now=1.0) == []
+
+    assert peers.remove_silent_links(now=61.0) == []
+    peers.record_message(FIRST, now=61.0)
+    silent = [peers.remove_silent_links(now=61.0 + second) for second in range(1, 25)]
+
+    assert [FIRST] in silent
+    assert silent.index([FIRST]) == 20
