--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -54,8 +54,8 @@
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True):
     """Placement of ``experts`` experts a layer on ranks of ``slots`` slots."""
 
-    expert_count: int
-    slots_per_rank: int
+    expert_count: int = msgspec.field(name="experts")
+    slots_per_rank: int = msgspec.field(name="slots")
     layers: tuple[LayerPlacement, ...]
 
     @property
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -30,7 +30,7 @@
 class VersionedMap(msgspec.Struct, frozen=True, array_like=True):
     """A map and the version it was first staged under, which identifies it."""
 
-    origin_version: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     map: ExpertMap
 
 
@@ -38,8 +38,8 @@
     """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
 
     version: MapVersion
-    old_map: VersionedMap
-    new_map: VersionedMap
+    old_map: VersionedMap = msgspec.field(name="before")
+    new_map: VersionedMap = msgspec.field(name="after")
     from_step: int
 
     def map_at(self, step: int) -> VersionedMap:
@@ -59,8 +59,8 @@
     """
 
     version: MapVersion
-    base_version: MapVersion
-    placements: tuple[RankPlacement, ...]
+    base_version: MapVersion = msgspec.field(name="base")
+    placements: tuple[RankPlacement, ...] = msgspec.field(name="cells")
 
 
 class PrepareOrder(Order, frozen=True, tag="Prepare"):
@@ -87,7 +87,7 @@
 
     version: MapVersion
     schedule: MapSchedule | None
-    incarnation: str = ""
+    incarnation: str = msgspec.field(default="", name="life")
 
 
 class AbortOrder(Order, frozen=True, tag="Abort"):
@@ -100,7 +100,7 @@
     """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
 
     round: int
-    include_schedule: bool = False
+    include_schedule: bool = msgspec.field(default=False, name="whole")
 
 
 class ExpertLoadsRequest(Order, frozen=True, tag="ReadLoads"):
@@ -116,9 +116,9 @@
     """
 
     step: int
-    committed_version: MapVersion | None
+    committed_version: MapVersion | None = msgspec.field(name="committed")
     from_step: int
-    held_version: MapVersion | None
+    held_version: MapVersion | None = msgspec.field(name="held")
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True, array_like=True):
@@ -146,7 +146,7 @@
 
     version: MapVersion
     schedule: MapSchedule | None
-    incarnation: str = ""
+    incarnation: str = msgspec.field(default="", name="life")
 
 
 class CommitReply(Reply, frozen=True, tag="Committed"):
@@ -179,7 +179,7 @@
     """
 
     round: int
-    origin_version: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     counts: tuple[tuple[int, ...], ...]
 
 
