--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -14,17 +14,17 @@
 from expression import Result
 
 from kingcupwheel.agent.adapters.base import AdapterError
+from kingcupwheel.agent.adapters.base import AnswerLost
 from kingcupwheel.agent.adapters.base import ServerAnswer
-from kingcupwheel.agent.adapters.base import ServerLost
 from kingcupwheel.agent.adapters.base import ServerState
-from kingcupwheel.agent.adapters.calls import Call
-from kingcupwheel.agent.adapters.calls import Silent
-from kingcupwheel.agent.adapters.calls import connect
 from kingcupwheel.agent.adapters.cancellation import Cancellation
 from kingcupwheel.agent.adapters.engine_client import EngineClient
-from kingcupwheel.agent.adapters.requests import REQUEST_ID_HEADER
-from kingcupwheel.agent.adapters.requests import request_of
-from kingcupwheel.agent.adapters.requests import run_id
+from kingcupwheel.agent.adapters.server_call import ServerCall
+from kingcupwheel.agent.adapters.server_call import SilenceTimeout
+from kingcupwheel.agent.adapters.server_call import connect
+from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
+from kingcupwheel.agent.adapters.server_requests import build_run_id
+from kingcupwheel.agent.adapters.server_requests import build_server_request
 from kingcupwheel.plugins.kernel import server_adapters
 
 
@@ -34,26 +34,30 @@
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.settings.schema import ServerSettings
 
-LIFE_HEADER = "X-Engine-Life"
+INCARNATION_HEADER = "X-Engine-Life"
 # Lost connections in a row without one byte between them; then something cuts every
 # connection and trying on would only load the engine.
-_RESUMES_WITHOUT_PROGRESS = 5
+_MAX_RESUMES_WITHOUT_PROGRESS = 5
 
 
 class EngineAnswer:
     """An answer of an engine, over one connection after the other."""
 
     def __init__(
-        self, client: EngineClient, call: Call, name: str, cancellation: Cancellation
+        self,
+        client: EngineClient,
+        call: ServerCall,
+        run_id: str,
+        cancellation: Cancellation,
     ) -> None:
         self._client = client
         self._call = call
-        self._name = name
+        self._run_id = run_id
         self._cancellation = cancellation
-        self._life = call.header(LIFE_HEADER)
+        self._incarnation = call.header(INCARNATION_HEADER)
         self._status = call.response.status
         self._headers = call.headers
-        self._whole = False
+        self._is_complete = False
 
     @property
     def status(self) -> int:
@@ -73,13 +77,13 @@
             result = self._call.read()
             if result.is_ok():
                 if not result.ok:
-                    self._whole = True
+                    self._is_complete = True
                     return
                 offset += len(result.ok)
                 failures = 0
                 yield Ok(result.ok)
                 continue
-            failures += not isinstance(result.error, Silent)
+            failures += not isinstance(result.error, SilenceTimeout)
             resumed = self._resume(offset, failures)
             if resumed.is_error():
                 yield Error(resumed.error)
@@ -88,15 +92,15 @@
     def close(self) -> None:
         """Release the connection, cancelling what still runs."""
         self._call.close()
-        if not self._whole:
-            self._client.cancel(self._name)
+        if not self._is_complete:
+            self._client.cancel(self._run_id)
 
-    def _resume(self, offset: int, failures: int) -> Result[None, ServerLost]:
+    def _resume(self, offset: int, failures: int) -> Result[None, AnswerLost]:
         self._call.close()
-        if failures > _RESUMES_WITHOUT_PROGRESS:
-            return Error(ServerLost("connections keep failing", died=False))
+        if failures > _MAX_RESUMES_WITHOUT_PROGRESS:
+            return Error(AnswerLost("connections keep failing", has_server_died=False))
         resumed = self._client.resume(
-            self._name, offset, self._life, self._cancellation
+            self._run_id, offset, self._incarnation, self._cancellation
         )
         if resumed.is_error():
             return Error(resumed.error)
@@ -111,19 +115,21 @@
     def __init__(self, server: ServerSettings) -> None:
         self._server = server
         self._client = EngineClient(server)
-        self._life = ""
+        self._incarnation = ""
 
     def start(
         self, dispatch: Dispatch, cancellation: Cancellation
     ) -> Result[ServerAnswer, AdapterError]:
         """Send the request once; return when the answer's head is there."""
-        life = self._life or self.state().life
+        life = self._incarnation or self.state().incarnation
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(connected.error)
         call = connected.ok
-        name = run_id(dispatch)
-        sent = call.send(request_of(dispatch), silence_s=self._server.silence_s)
+        name = build_run_id(dispatch)
+        sent = call.send(
+            build_server_request(dispatch), silence_s=self._server.silence_s
+        )
         if sent.is_error():
             call.close()
             resumed = self._client.resume(name, 0, life, cancellation)
@@ -134,13 +140,15 @@
         if call.header(REQUEST_ID_HEADER) != name:
             call.close()
             self._client.cancel(name)
-            return Error(ServerLost("answer of another request", died=False))
+            return Error(AnswerLost("answer of another request", has_server_died=False))
         return Ok(EngineAnswer(self._client, call, name, cancellation))
 
     def state(self) -> ServerState:
         """Ask the engine for its state on a new connection."""
         state = self._client.state(Cancellation())
         if state is None:
-            return ServerState(up=False, life="", running=0, rate=0.0)
-        self._life = state.life
+            return ServerState(
+                is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+            )
+        self._incarnation = state.life
         return ServerState(True, state.life, len(state.running), state.rate)
--- a/src/kingcupwheel/agent/runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -8,13 +8,13 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.adapters.base import ServerDown
-from kingcupwheel.agent.adapters.base import ServerLost
+from kingcupwheel.agent.adapters.base import AnswerLost
+from kingcupwheel.agent.adapters.base import ServerUnreachable
 from kingcupwheel.agent.adapters.cancellation import Cancellation
-from kingcupwheel.agent.answers import AnswerHead
-from kingcupwheel.agent.attempts import Refuse
-from kingcupwheel.agent.attempts import Start
-from kingcupwheel.agent.attempts import key_of
+from kingcupwheel.agent.answer_buffer import AnswerHead
+from kingcupwheel.agent.attempts import RefusalDecision
+from kingcupwheel.agent.attempts import StartDecision
+from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import Finished
@@ -31,17 +31,17 @@
     from kingcupwheel.agent.adapters.base import AdapterError
     from kingcupwheel.agent.adapters.base import ServerAdapter
     from kingcupwheel.agent.adapters.base import ServerAnswer
+    from kingcupwheel.agent.answer_store import AnswerStore
+    from kingcupwheel.agent.attempt_table import AttemptTable
     from kingcupwheel.agent.attempts import AttemptKey
-    from kingcupwheel.agent.crashes import CrashTable
-    from kingcupwheel.agent.runs import Runs
-    from kingcupwheel.agent.store import AnswerStore
+    from kingcupwheel.agent.crash_table import CrashTable
     from kingcupwheel.messages.attempts import Dispatch
     from kingcupwheel.trace.recorder import Recorder
 
 logger = logging.getLogger("kingcupwheel.agent")
 
 
-class Runner:
+class AttemptRunner:
     """Carries out what ``runs`` decides; no method blocks, all are thread-safe.
 
     ``lock`` guards ``runs`` and ``crashes``; hold it while using them.
@@ -53,37 +53,37 @@
         self,
         *,
         name: str,
-        runs: Runs,
+        attempt_table: AttemptTable,
         store: AnswerStore,
         adapter: ServerAdapter,
-        crashes: CrashTable,
+        crash_table: CrashTable,
         recorder: Recorder,
-        tell_death: Callable[[], None],
+        on_server_crash: Callable[[], None],
     ) -> None:
         self.lock = RLock()
-        self.runs = runs
-        self.crashes = crashes
+        self.attempt_table = attempt_table
+        self.crash_table = crash_table
         self._name = name
         self._store = store
         self._adapter = adapter
         self._recorder = recorder
-        self._tell_death = tell_death
+        self._on_server_crash = on_server_crash
         self._cancellations_by_key: dict[AttemptKey, Cancellation] = {}
         self._generations_by_key: dict[AttemptKey, int] = {}
         # Counts deaths of the server; a run belongs to the life it started in.
-        self._generation = 0
+        self._server_generation = 0
 
     @property
-    def generation(self) -> int:
+    def server_generation(self) -> int:
         """The server's life, counted from 0."""
-        return self._generation
+        return self._server_generation
 
     def start(self, dispatch: Dispatch) -> None:
         """Run the attempt on a thread of its own."""
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         cancellation = Cancellation()
         with self.lock:
-            generation = self._generation
+            generation = self._server_generation
             self._cancellations_by_key[key] = cancellation
             self._generations_by_key[key] = generation
         Thread(
@@ -93,14 +93,14 @@
             daemon=True,
         ).start()
 
-    def stop(self, key: AttemptKey) -> None:
+    def cancel(self, key: AttemptKey) -> None:
         """Stop the attempt's work on the server."""
         with self.lock:
             cancellation = self._cancellations_by_key.get(key)
         if cancellation is not None:
             cancellation.set()
 
-    def refuse(self, refusals: Iterable[Refuse]) -> None:
+    def report_refusals(self, refusals: Iterable[RefusalDecision]) -> None:
         """Tell the entries that accepted attempts never ran."""
         for key, reason in refusals:
             self._store.refuse(key, reason)
@@ -109,35 +109,35 @@
     def advance(self) -> None:
         """Start what has a place now; refuse what waited for too long."""
         with self.lock:
-            for step in self.runs.advance(now=monotonic()):
+            for step in self.attempt_table.advance(now=monotonic()):
                 match step:
-                    case Start(dispatch):
+                    case StartDecision(dispatch):
                         self.start(dispatch)
-                    case Refuse():
-                        self.refuse([step])
+                    case RefusalDecision():
+                        self.report_refusals([step])
 
-    def server_died(self, generation: int) -> None:
+    def record_server_crash(self, generation: int) -> None:
         """Count one death of the server against all that ran in that life."""
         with self.lock:
-            if generation != self._generation:
+            if generation != self._server_generation:
                 return
-            self._generation += 1
-            running = self._running_in(generation)
+            self._server_generation += 1
+            running = self._list_running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
             life = ServerIncarnation(
-                self._name, f"{self.runs.incarnation}.{generation}"
+                self._name, f"{self.attempt_table.incarnation}.{generation}"
             )
-            self.crashes.died(fingerprints, life.crash_id, now=monotonic())
+            self.crash_table.record_crash(fingerprints, life.crash_id, now=monotonic())
             # Told before the attempts end: an entry that repeats one of them, or gets
             # the same request again, must know by then, or it costs one more server.
-            self._tell_death()
+            self._on_server_crash()
             for dispatch in running:
-                deaths = self.crashes.count(dispatch.fingerprint)
+                deaths = self.crash_table.count_crashes(dispatch.fingerprint)
                 event = ServerDied(self._name, dispatch.fingerprint, deaths)
                 self._recorder.record(dispatch.request_id, event)
         logger.warning("Server died, %d attempts were running.", len(running))
 
-    def _running_in(self, generation: int) -> list[Dispatch]:
+    def _list_running_in(self, generation: int) -> list[Dispatch]:
         """Return what runs since that life of the server.
 
         A run of an earlier life may not have noticed its end yet; counted again, a
@@ -145,22 +145,22 @@
         """
         return [
             dispatch
-            for dispatch in self.runs.running
-            if self._generations_by_key.get(key_of(dispatch)) == generation
+            for dispatch in self.attempt_table.running_dispatches
+            if self._generations_by_key.get(get_attempt_key(dispatch)) == generation
         ]
 
     def _run(
         self, dispatch: Dispatch, cancellation: Cancellation, generation: int
     ) -> None:
-        key = key_of(dispatch)
+        key = get_attempt_key(dispatch)
         event = Started(self._name, dispatch.attempt)
         self._recorder.record(key.request_id, event)
         try:
             started = self._adapter.start(dispatch, cancellation)
             if started.is_ok():
-                self._read(key, started.ok, cancellation, generation)
+                self._relay_answer(key, started.ok, cancellation, generation)
             else:
-                self._failed(key, started.error, 0, cancellation, generation)
+                self._handle_failure(key, started.error, 0, cancellation, generation)
         except Exception:
             logger.exception("Run failed. %s", key.request_id)
             self._finish(key, Outcome.UNKNOWN, 0, "internal error")
@@ -170,7 +170,7 @@
                 self._generations_by_key.pop(key, None)
             self.advance()
 
-    def _read(
+    def _relay_answer(
         self,
         key: AttemptKey,
         answer: ServerAnswer,
@@ -178,12 +178,14 @@
         generation: int,
     ) -> None:
         try:
-            self._store.head(key, AnswerHead(answer.status, answer.headers))
+            self._store.set_head(key, AnswerHead(answer.status, answer.headers))
             first = True
             for chunk in answer.chunks():
                 if chunk.is_error() or cancellation.is_set():
-                    error = chunk.error if chunk.is_error() else ServerLost("", False)
-                    self._failed(key, error, answer.status, cancellation, generation)
+                    error = chunk.error if chunk.is_error() else AnswerLost("", False)
+                    self._handle_failure(
+                        key, error, answer.status, cancellation, generation
+                    )
                     return
                 if first:
                     event = FirstByte(self._name, key.attempt)
@@ -194,7 +196,7 @@
         finally:
             answer.close()
 
-    def _failed(
+    def _handle_failure(
         self,
         key: AttemptKey,
         error: AdapterError,
@@ -202,16 +204,16 @@
         cancellation: Cancellation,
         generation: int,
     ) -> None:
-        if isinstance(error, ServerDown):
+        if isinstance(error, ServerUnreachable):
             with self.lock:
-                refusals = self.runs.unreachable(key, now=monotonic())
-            self.refuse(refusals)
+                refusals = self.attempt_table.record_unreachable(key, now=monotonic())
+            self.report_refusals(refusals)
             return
         if cancellation.is_set():
             self._finish(key, Outcome.UNKNOWN, status, "cancelled")
             return
-        if error.died:
-            self.server_died(generation)
+        if error.has_server_died:
+            self.record_server_crash(generation)
         logger.warning("Answer cut short: %s. %s", error.detail, key.request_id)
         self._finish(key, Outcome.UNKNOWN, status, error.detail)
 
@@ -221,6 +223,6 @@
         now = monotonic()
         length = self._store.finish(key, outcome, detail, now=now)
         with self.lock:
-            self.runs.finish(key, now=now)
+            self.attempt_table.finish(key, now=now)
         event = Finished(outcome.value, status, length, detail)
         self._recorder.record(key.request_id, event)
--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -21,9 +21,9 @@
 if TYPE_CHECKING:
     from kingcupwheel.entry.answer_assembler import AnswerStep
     from kingcupwheel.entry.answer_reader import AnswerReader
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 # Time for the agent to report the outcome of a cancelled attempt. It replies at once; a
 # caller that is to get its final answer does not wait longer for a silent agent.
@@ -41,11 +41,14 @@
     """Waits for the head of one request's answer; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerWatch
+        self,
+        context: EntryContext,
+        request: CallerRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._request = request
-        self._watch = watch
+        self._connection = connection
 
     def wait(
         self, reader: AnswerReader, first_step: AnswerStep | None = None
@@ -88,9 +91,9 @@
         """
         if not self._request.route.repeatable:
             return False
-        server = self._context.servers.by_address(reader.inbox.address)
+        server = self._context.servers.find_by_address(reader.inbox.address)
         gone_s = self._context.settings.timings.gone_s
-        return server is not None and monotonic() - server.heard_at > gone_s
+        return server is not None and monotonic() - server.last_heard_at > gone_s
 
     def _handle_never_seen(
         self, reader: AnswerReader, step: AttemptNeverSeen
@@ -123,7 +126,7 @@
         """
         request = self._request
         is_late = monotonic() >= request.deadline_at
-        is_caller_gone = self._watch.gone()
+        is_caller_gone = self._connection.is_closed()
         if request.route.repeatable or not is_running:
             if is_late or is_caller_gone:
                 reader.cancel()
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -12,7 +12,7 @@
 from kingcupwheel.entry.answer_assembler import BodyChunk
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.exceptions import AnswerCutError
+from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
@@ -28,9 +28,9 @@
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
     from kingcupwheel.entry.attempt_dispatcher import AdmittedRequest
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.watching import CallerWatch
 
 # An unstreamed answer up to this size is read to its end before its head is sent, so
 # that the head has the outcome. A larger one is sent while it is read, to bound the
@@ -56,14 +56,14 @@
         context: EntryContext,
         admitted: AdmittedRequest,
         reader: AnswerReader,
-        watch: CallerWatch,
+        connection: CallerConnection,
         reservation: Reservation | None,
         on_end: Callable[[], None],
     ) -> None:
         self._context = context
         self._admitted = admitted
         self._reader = reader
-        self._watch = watch
+        self._connection = connection
         self._reservation = reservation
         self._on_end = on_end
         self._status = 0
@@ -131,7 +131,7 @@
 
     def _raise_if_truncated(self, ended: AnswerEnded) -> None:
         if ended.outcome is not Outcome.RAN:
-            raise AnswerCutError(ended.detail)
+            raise AnswerTruncatedError(ended.detail)
 
     def _encode_outcome_event(self, ended: AnswerEnded) -> bytes:
         payload = {
@@ -151,7 +151,7 @@
                     return step
                 case AnswerEnded():
                     return step
-            if self._watch.gone():
+            if self._connection.is_closed():
                 self._handle_caller_left()
                 return None
 
@@ -194,7 +194,7 @@
             self._token_count,
             is_complete=is_complete,
         )
-        self._context.observer.answered(
+        self._context.outcome_counter.count_answer(
             request,
             server=self._reader.server,
             outcome=ended.outcome,
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -19,7 +19,7 @@
 from kingcupwheel.entry.claim_resolver import ClaimRefused
 from kingcupwheel.entry.claim_resolver import ClaimResolver
 from kingcupwheel.entry.claim_resolver import EarlierRun
-from kingcupwheel.entry.exceptions import CallerGoneError
+from kingcupwheel.entry.exceptions import CallerDisconnectedError
 from kingcupwheel.entry.refusals import CALLER_LEFT
 from kingcupwheel.entry.refusals import EARLIER_SEND_RUNNING
 from kingcupwheel.entry.refusals import Refusal
@@ -37,10 +37,10 @@
     from kingcupwheel.entry.answer_head_waiter import HeadWaitResult
     from kingcupwheel.entry.answer_reader import AnswerReader
     from kingcupwheel.entry.answers import Answer
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.watching import CallerWatch
 
 
 _EARLIER_SEND_NOTE = (
@@ -52,13 +52,16 @@
     """Runs one request up to its answer or final refusal; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, request: CallerRequest, watch: CallerWatch
+        self,
+        context: EntryContext,
+        request: CallerRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._request = request
-        self._watch = watch
-        self._head_waiter = AnswerHeadWaiter(context, request, watch)
-        self._retries = RetryController(context, request, watch)
+        self._connection = connection
+        self._head_waiter = AnswerHeadWaiter(context, request, connection)
+        self._retries = RetryController(context, request, connection)
 
     def run(self) -> Answer:
         """Return the answer or the final refusal."""
@@ -74,12 +77,12 @@
         )
         try:
             return self._run_admitted(admitted)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._record(CallerLeft(0))
             return self._give_up(admitted, CALLER_LEFT)
 
     def _run_admitted(self, admitted: AdmittedRequest) -> Answer:
-        attempts = AttemptDispatcher(self._context, admitted, self._watch)
+        attempts = AttemptDispatcher(self._context, admitted, self._connection)
         if self._request.route.repeatable:
             return self._run_repeatable(admitted, attempts)
         return self._run_once(admitted, attempts)
@@ -180,7 +183,12 @@
         step = self._wait_for_head(resolution)
         if isinstance(step, HeadReceived):
             relay = AnswerRelay(
-                self._context, admitted, reader, self._watch, None, resolution.close
+                self._context,
+                admitted,
+                reader,
+                self._connection,
+                None,
+                resolution.close,
             )
             return relay.relay(step)
         resolution.close()
@@ -215,7 +223,7 @@
             self._end_attempt(attempts, reservation, reader)
 
         return AnswerRelay(
-            self._context, admitted, reader, self._watch, reservation, on_end
+            self._context, admitted, reader, self._connection, reservation, on_end
         )
 
     def _end_attempt(
@@ -249,7 +257,7 @@
         self._record(event)
         outcome = refusal.outcome.value
         self._record(Finished(outcome, refusal.status, 0, refusal.reason))
-        self._context.observer.refused(self._request, refusal)
+        self._context.outcome_counter.count_refusal(self._request, refusal)
         return RefusedAnswer(refusal)
 
     def _record(
--- a/src/kingcupwheel/expertmaps/conclusions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 from typing import TypeVar
 
-from kingcupwheel.expertmaps.protocol import NamedMap
-from kingcupwheel.expertmaps.protocol import Schedule
+from kingcupwheel.expertmaps.protocol import MapSchedule
+from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
-    from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import StateReply
 
 T = TypeVar("T")
 
@@ -24,44 +24,48 @@
 # steps a second are assumed. Too many only delays the switch, too few pauses ranks.
 _ASSUMED_STEPS_PER_S = 250.0
 # A pace measured over less than this is mostly the spread of message delays.
-_PACE_WINDOW_S = 0.5
+_MIN_RATE_WINDOW_S = 0.5
 
 
-class Pace(NamedTuple):
+class StepRate(NamedTuple):
     """How fast a group steps, from the last ``step`` heard of and when (``at``)."""
 
-    step: int = 0
-    at: float = 0.0
-    per_s: float = _ASSUMED_STEPS_PER_S
+    last_step: int = 0
+    observed_at: float = 0.0
+    steps_per_s: float = _ASSUMED_STEPS_PER_S
 
-    def seen(self, step: int, now: float) -> Pace:
+    def with_observation(self, step: int, now: float) -> StepRate:
         """Return the pace after a rank was at ``step`` at ``now``."""
-        if now - self.at < _PACE_WINDOW_S:
+        if now - self.observed_at < _MIN_RATE_WINDOW_S:
             return self
-        if self.at and step > self.step:
-            return Pace(step, now, (step - self.step) / (now - self.at))
-        return Pace(step, now, self.per_s)
+        if self.observed_at and step > self.last_step:
+            return StepRate(
+                step, now, (step - self.last_step) / (now - self.observed_at)
+            )
+        return StepRate(step, now, self.steps_per_s)
 
-    def ahead(self, lead_s: float) -> int:
+    def steps_in(self, lead_s: float) -> int:
         """Return how many steps a group runs in ``lead_s`` seconds."""
-        return math.ceil(self.per_s * lead_s)
+        return math.ceil(self.steps_per_s * lead_s)
 
 
-def is_settled(answer: StateRead, version: MapVersion | None) -> bool:
+def is_settled(answer: StateReply, version: MapVersion | None) -> bool:
     """Tell whether a rank has a map, the one of ``version``, and no version open."""
     status = answer.status
-    known = status.committed is not None and status.committed == version
-    return known and status.held is None
+    known = status.committed_version is not None and status.committed_version == version
+    return known and status.held_version is None
 
 
-def put(answers: tuple[T | None, ...], rank: int, answer: T) -> tuple[T | None, ...]:
+def with_answer(
+    answers: tuple[T | None, ...], rank: int, answer: T
+) -> tuple[T | None, ...]:
     """Return ``answers`` with that of ``rank`` in place."""
     return (*answers[:rank], answer, *answers[rank + 1 :])
 
 
-def restate(
-    version: MapVersion, found: Iterable[Schedule | None], initial: ExpertMap
-) -> Schedule:
+def build_recovery_schedule(
+    version: MapVersion, schedules: Iterable[MapSchedule | None], initial_map: ExpertMap
+) -> MapSchedule:
     """Return what to commit as ``version``: the highest that any rank has committed.
 
     A version is committed only after all ranks prepared it. So a rank that has not
@@ -69,16 +73,20 @@
     the map that others may already have used. ``initial`` is for a group none of whose
     ranks has a map.
     """
-    known = [schedule for schedule in found if schedule is not None]
+    known = [schedule for schedule in schedules if schedule is not None]
     if not known:
-        first = NamedMap(version, initial)
-        return Schedule(version, first, first, 0)
+        first = VersionedMap(version, initial_map)
+        return MapSchedule(version, first, first, 0)
     highest = max(known, key=lambda schedule: schedule.version)
-    return Schedule(version, highest.before, highest.after, highest.from_step)
+    return MapSchedule(version, highest.old_map, highest.new_map, highest.from_step)
 
 
-def staging_turns(
-    current: ExpertMap, wanted: ExpertMap, *, now: float, seconds_per_expert: float
+def staging_start_times(
+    current_map: ExpertMap,
+    target_map: ExpertMap,
+    *,
+    now: float,
+    seconds_per_expert: float,
 ) -> tuple[float, ...]:
     """Return when each rank may start to load weights (monotonic seconds).
 
@@ -88,11 +96,11 @@
     """
     turns = []
     due = now
-    for rank in range(wanted.ranks):
+    for rank in range(target_map.rank_count):
         turns.append(due)
         loads = sum(
             len(set(new[rank]) - set(old[rank]))
-            for old, new in zip(current.layers, wanted.layers, strict=True)
+            for old, new in zip(current_map.layers, target_map.layers, strict=True)
         )
         due += loads * seconds_per_expert
     return tuple(turns)
--- a/src/kingcupwheel/expertmaps/guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class RankGuard:
+class FenceGuard:
     """Refuses orders of a coordinator whose lease has passed to another.
 
     Failure: a paused coordinator wakes and goes on with a change that its successor has
@@ -17,15 +17,15 @@
         self._fence: int | None = None
 
     @property
-    def fence(self) -> int | None:
+    def highest_fence(self) -> int | None:
         """The highest fence seen; None until ``learn`` was called."""
         return self._fence
 
-    def learn(self, fence: int) -> None:
+    def raise_to(self, fence: int) -> None:
         """Take over the fence read from the lease object (0: no lease yet)."""
         self._fence = max(fence, self._fence or 0)
 
-    def admits(self, fence: int) -> bool:
+    def admit(self, fence: int) -> bool:
         """Tell whether an order under ``fence`` may pass; remembers a higher one."""
         if self._fence is None or fence < self._fence:
             return False
--- a/src/kingcupwheel/expertmaps/loads.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -11,13 +11,13 @@
 # Share of the estimate that a new reading takes. Readings of one period scatter with
 # the requests that were about; a quarter halves that scatter and still follows a change
 # within a few periods.
-NEW_SHARE = 0.25
+NEW_COUNTS_WEIGHT = 0.25
 
 # Load of each layer's experts.
 MapLoad = tuple[LayerLoad, ...]
 
 
-class DecayedLoad(NamedTuple):
+class LoadEstimate(NamedTuple):
     """An estimate of each expert's share of its layer's load; None before a reading.
 
     ``variance`` is how far counts lie from the estimate: the mean square of an expert's
@@ -28,46 +28,50 @@
     variance: float = 0.0
 
     @property
-    def scatter(self) -> float:
+    def relative_std(self) -> float:
         """Standard deviation of one period's counts, relative to an expert's load."""
         return math.sqrt(self.variance)
 
-    def after(self, counted: MapLoad, *, new_share: float = NEW_SHARE) -> DecayedLoad:
+    def with_counts(
+        self, counts: MapLoad, *, new_weight: float = NEW_COUNTS_WEIGHT
+    ) -> LoadEstimate:
         """Return the estimate after one more period's counts, in any unit.
 
         Layers are scaled to a sum of 1 first, so that a busy period weighs no more than
         a quiet one; a layer without any load keeps its estimate.
         """
-        old_load = self.load or tuple((1 / len(c),) * len(c) for c in counted)
-        shares = tuple(map(_shares, counted, old_load))
+        old_load = self.load or tuple((1 / len(c),) * len(c) for c in counts)
+        shares = tuple(map(_normalize, counts, old_load))
         if self.load is None:
-            return DecayedLoad(shares)
+            return LoadEstimate(shares)
         pairs = list(zip(self.load, shares, strict=True))
-        layers = tuple(_mixed(old, now, new_share) for old, now in pairs)
-        deviation = sum(_deviation(old, now) for old, now in pairs) / len(pairs)
-        variance = self.variance + new_share * (deviation - self.variance)
-        return DecayedLoad(layers, variance)
+        layers = tuple(_blend(old, now, new_weight) for old, now in pairs)
+        deviation = sum(_mean_square_deviation(old, now) for old, now in pairs) / len(
+            pairs
+        )
+        variance = self.variance + new_weight * (deviation - self.variance)
+        return LoadEstimate(layers, variance)
 
 
-def _shares(counted: LayerLoad, otherwise: LayerLoad) -> LayerLoad:
-    total = sum(counted)
+def _normalize(counts: LayerLoad, fallback: LayerLoad) -> LayerLoad:
+    total = sum(counts)
     if total <= 0:
-        return otherwise
-    return tuple(load / total for load in counted)
+        return fallback
+    return tuple(load / total for load in counts)
 
 
-def _mixed(old: LayerLoad, now: LayerLoad, new_share: float) -> LayerLoad:
+def _blend(old: LayerLoad, new: LayerLoad, new_weight: float) -> LayerLoad:
     return tuple(
-        before + new_share * (after - before)
-        for before, after in zip(old, now, strict=True)
+        before + new_weight * (after - before)
+        for before, after in zip(old, new, strict=True)
     )
 
 
-def _deviation(old: LayerLoad, now: LayerLoad) -> float:
+def _mean_square_deviation(old: LayerLoad, new: LayerLoad) -> float:
     # Both loads in the denominator keep an expert that was idle from counting without
     # bound when its first tokens come.
     return sum(
         2 * (after - before) ** 2 / (before + after)
-        for before, after in zip(old, now, strict=True)
+        for before, after in zip(old, new, strict=True)
         if before + after > 0
     )
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -12,14 +12,14 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.edits import Change
-from kingcupwheel.expertmaps.edits import LayerEditor
+from kingcupwheel.expertmaps.layer_editor import LayerChange
+from kingcupwheel.expertmaps.layer_editor import LayerEditor
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import map_skew
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
     from kingcupwheel.expertmaps.maps import LayerPlacement
 
 # How many periods a move is expected to pay off for. Longer moves more for the same
@@ -30,15 +30,15 @@
 _HYSTERESIS = 2.0
 # Changes looked at for one layer in one plan. It bounds the planner's time; what is
 # left over is planned a period later.
-_LAYER_CHANGES = 8
+_MAX_CHANGES_PER_LAYER = 8
 # Layers changed in one plan, the most uneven first. A plan of all 60 layers of a large
 # model would take its agent more processor time than control may have.
-_LAYERS = 16
+_MAX_LAYERS_PER_PLAN = 16
 # Ranks that may take load from the hottest one. The coolest few hold a good partner
 # nearly always, and looking at all of 32 takes four times as long.
-_COOL_RANKS = 4
+_MAX_COOL_RANKS = 4
 # Hottest ranks that are tried in turn until one can be relieved.
-_HOT_RANKS = 2
+_MAX_HOT_RANKS = 2
 
 
 class PlanWeights(NamedTuple):
@@ -54,39 +54,48 @@
     hysteresis: float = _HYSTERESIS
 
 
-class Plan(NamedTuple):
+class MapPlan(NamedTuple):
     """A map to propose, the moves it takes and the skew predicted without and with."""
 
     map: ExpertMap
-    moves: int
+    move_count: int
     skew_before: float
     skew_after: float
 
 
-def plan(
-    current: ExpertMap, estimate: DecayedLoad, weights: PlanWeights
-) -> Plan | None:
+def plan_map(
+    current_map: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
+) -> MapPlan | None:
     """Return a better map than ``current`` for the load expected, or None to stay."""
     load = estimate.load
     if load is None:
         return None
-    places = sum(len(held) for layer in current.layers for held in layer)
+    places = sum(len(held) for layer in current_map.layers for held in layer)
     cost = weights.move_cost * weights.hysteresis / places
-    even = sum(sum(layer) for layer in load) / current.ranks
+    even = sum(sum(layer) for layer in load) / current_map.rank_count
     gain = weights.skew_weight * weights.payback_periods / even
     editors = [
-        LayerEditor(layer, layer_load, slots=current.slots, scatter=estimate.scatter)
-        for layer, layer_load in zip(current.layers, load, strict=True)
+        LayerEditor(
+            layer,
+            layer_load,
+            slots=current_map.slots_per_rank,
+            relative_std=estimate.relative_std,
+        )
+        for layer, layer_load in zip(current_map.layers, load, strict=True)
     ]
-    layers = list(current.layers)
-    uneven = sorted(range(len(editors)), key=lambda number: -editors[number].slowest)
-    for number in uneven[:_LAYERS]:
+    layers = list(current_map.layers)
+    uneven = sorted(
+        range(len(editors)), key=lambda number: -editors[number].max_load_bound
+    )
+    for number in uneven[:_MAX_LAYERS_PER_PLAN]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
-    wanted = ExpertMap(current.experts, current.slots, tuple(layers))
-    moves = current.moves_to(wanted)
+    wanted = ExpertMap(
+        current_map.expert_count, current_map.slots_per_rank, tuple(layers)
+    )
+    moves = current_map.count_moves_to(wanted)
     if not moves:
         return None
-    return Plan(wanted, moves, map_skew(current, load), map_skew(wanted, load))
+    return MapPlan(wanted, moves, map_skew(current_map, load), map_skew(wanted, load))
 
 
 def _plan_layer(editor: LayerEditor, *, gain: float, cost: float) -> LayerPlacement:
@@ -96,34 +105,36 @@
     one move. A single change often only shifts which rank is slowest, so a whole run is
     tried and cut where its worth was highest.
     """
-    before = editor.slowest
+    before = editor.max_load_bound
     best = editor.placement
     most = 0.0
     moves = 0
-    for _ in range(_LAYER_CHANGES):
+    for _ in range(_MAX_CHANGES_PER_LAYER):
         change = _best_change(editor)
         if change is None:
             break
-        editor.make(change)
-        moves += change.moves
-        worth = gain * (before - editor.slowest) - cost * moves
+        editor.apply(change)
+        moves += change.move_count
+        worth = gain * (before - editor.max_load_bound) - cost * moves
         if worth > most:
             best = editor.placement
             most = worth
     return best
 
 
-def _best_change(editor: LayerEditor) -> Change | None:
+def _best_change(editor: LayerEditor) -> LayerChange | None:
     """Return the change that takes most off the slowest rank's load for each move."""
-    order = editor.order()
-    slowest = editor.slowest
-    cool_ranks = order[-_COOL_RANKS:]
-    for hot in order[:_HOT_RANKS]:
-        best: Change | None = None
+    order = editor.ranks_by_load()
+    slowest = editor.max_load_bound
+    cool_ranks = order[-_MAX_COOL_RANKS:]
+    for hot in order[:_MAX_HOT_RANKS]:
+        best: LayerChange | None = None
         most = 0.0
         for cool in cool_ranks:
-            for change in editor.changes(hot, cool) if cool != hot else ():
-                relief = (slowest - editor.slowest_after(change)) / change.moves
+            for change in editor.candidate_changes(hot, cool) if cool != hot else ():
+                relief = (
+                    slowest - editor.max_load_bound_after(change)
+                ) / change.move_count
                 if relief > most:
                     best = change
                     most = relief
--- a/src/kingcupwheel/expertmaps/rank.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -11,28 +11,28 @@
 
 from kingcupwheel.expertmaps.maps import NO_VERSION
 from kingcupwheel.expertmaps.maps import MapVersion
-from kingcupwheel.expertmaps.protocol import Abort
-from kingcupwheel.expertmaps.protocol import Aborted
-from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Committed
-from kingcupwheel.expertmaps.protocol import Held
-from kingcupwheel.expertmaps.protocol import NamedMap
-from kingcupwheel.expertmaps.protocol import Prepare
-from kingcupwheel.expertmaps.protocol import Prepared
+from kingcupwheel.expertmaps.protocol import AbortOrder
+from kingcupwheel.expertmaps.protocol import AbortReply
+from kingcupwheel.expertmaps.protocol import CommitOrder
+from kingcupwheel.expertmaps.protocol import CommitReply
+from kingcupwheel.expertmaps.protocol import MapSchedule
+from kingcupwheel.expertmaps.protocol import PrepareOrder
+from kingcupwheel.expertmaps.protocol import PrepareReply
 from kingcupwheel.expertmaps.protocol import RankOrder
 from kingcupwheel.expertmaps.protocol import RankReply
 from kingcupwheel.expertmaps.protocol import RankStatus
-from kingcupwheel.expertmaps.protocol import ReadState
 from kingcupwheel.expertmaps.protocol import RefusalReason
-from kingcupwheel.expertmaps.protocol import Refused
-from kingcupwheel.expertmaps.protocol import Schedule
-from kingcupwheel.expertmaps.protocol import Stage
-from kingcupwheel.expertmaps.protocol import Staged
-from kingcupwheel.expertmaps.protocol import StateRead
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import RefusalReply
+from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StageReply
+from kingcupwheel.expertmaps.protocol import StateReply
+from kingcupwheel.expertmaps.protocol import StateRequest
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
+from kingcupwheel.expertmaps.protocol import SupersedeReply
+from kingcupwheel.expertmaps.protocol import VersionedMap
 
 
-class Hold(NamedTuple):
+class StepHold(NamedTuple):
     """A version neither committed nor aborted; no step from ``step`` on is run."""
 
     version: MapVersion
@@ -47,11 +47,11 @@
     """
 
     step: int = 0
-    schedule: Schedule | None = None
-    staged: NamedMap | None = None
-    hold: Hold | None = None
-    highest: MapVersion = NO_VERSION
-    life: str = ""
+    schedule: MapSchedule | None = None
+    staged: VersionedMap | None = None
+    hold: StepHold | None = None
+    highest_version: MapVersion = NO_VERSION
+    incarnation: str = ""
 
     @property
     def may_run(self) -> bool:
@@ -62,7 +62,7 @@
         return self.hold is None or self.step < self.hold.step
 
     @property
-    def map_in_force(self) -> NamedMap | None:
+    def map_in_force(self) -> VersionedMap | None:
         """The map that the next step would use."""
         return self.schedule.map_at(self.step) if self.schedule else None
 
@@ -77,100 +77,104 @@
         )
 
 
-Applied = tuple[RankState, RankReply]
+OrderResult = tuple[RankState, RankReply]
 
 
-def apply_order(state: RankState, order: RankOrder) -> Applied:
+def apply_order(state: RankState, order: RankOrder) -> OrderResult:
     """Return the rank's state after ``order`` and its reply; orders are idempotent."""
     match order:
-        case Stage():
+        case StageOrder():
             return _stage(state, order)
-        case Prepare():
+        case PrepareOrder():
             return _prepare(state, order)
-        case Supersede():
+        case SupersedeOrder():
             return _supersede(state, order)
-        case Commit():
+        case CommitOrder():
             return _commit(state, order)
-        case Abort():
+        case AbortOrder():
             return _abort(state, order)
-        case ReadState(number, whole):
+        case StateRequest(number, whole):
             schedule = state.schedule if whole else None
-            return state, StateRead(number, state.status, schedule)
+            return state, StateReply(number, state.status, schedule)
 
 
-def _refuse(state: RankState, version: MapVersion, reason: RefusalReason) -> Applied:
-    return state, Refused(version, reason)
+def _refuse(
+    state: RankState, version: MapVersion, reason: RefusalReason
+) -> OrderResult:
+    return state, RefusalReply(version, reason)
 
 
-def _stage(state: RankState, order: Stage) -> Applied:
+def _stage(state: RankState, order: StageOrder) -> OrderResult:
     if state.schedule is None:
         return _refuse(state, order.version, RefusalReason.RESTARTED)
-    if state.staged is not None and order.version < state.staged.origin:
+    if state.staged is not None and order.version < state.staged.origin_version:
         return _refuse(state, order.version, RefusalReason.STALE_VERSION)
-    if state.schedule.after.origin != order.base:
-        return _refuse(state, order.version, RefusalReason.OTHER_BASE)
-    staged = NamedMap(order.version, state.schedule.after.map.with_cells(order.cells))
-    return state._replace(staged=staged), Staged(order.version, state.step)
+    if state.schedule.new_map.origin_version != order.base_version:
+        return _refuse(state, order.version, RefusalReason.BASE_MISMATCH)
+    staged = VersionedMap(
+        order.version, state.schedule.new_map.map.with_placements(order.placements)
+    )
+    return state._replace(staged=staged), StageReply(order.version, state.step)
 
 
-def _prepare(state: RankState, order: Prepare) -> Applied:
+def _prepare(state: RankState, order: PrepareOrder) -> OrderResult:
     version = order.version
     if state.hold is not None and state.hold.version == version:
-        return state, Prepared(version)
+        return state, PrepareReply(version)
     if state.schedule is None:
         return _refuse(state, version, RefusalReason.RESTARTED)
-    if version <= state.highest:
+    if version <= state.highest_version:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
-    if state.staged is None or state.staged.origin != version:
+    if state.staged is None or state.staged.origin_version != version:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
     if order.step < state.step:
         return _refuse(state, version, RefusalReason.STEP_PASSED)
     if state.step < state.schedule.from_step:
         # A schedule holds two maps; a third must wait until the first is over.
-        return _refuse(state, version, RefusalReason.EARLIER_CHANGE)
-    held = state._replace(hold=Hold(version, order.step), highest=version)
-    return held, Prepared(version)
+        return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
+    held = state._replace(hold=StepHold(version, order.step), highest_version=version)
+    return held, PrepareReply(version)
 
 
-def _supersede(state: RankState, order: Supersede) -> Applied:
+def _supersede(state: RankState, order: SupersedeOrder) -> OrderResult:
     version = order.version
-    answer = Held(version, state.schedule, state.life)
+    answer = SupersedeReply(version, state.schedule, state.incarnation)
     if state.hold is not None and state.hold.version == version:
         return state, answer
-    if version <= state.highest:
+    if version <= state.highest_version:
         return _refuse(state, version, RefusalReason.STALE_VERSION)
-    return state._replace(hold=Hold(version, 0), highest=version), answer
+    return state._replace(hold=StepHold(version, 0), highest_version=version), answer
 
 
-def _commit(state: RankState, order: Commit) -> Applied:
+def _commit(state: RankState, order: CommitOrder) -> OrderResult:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
-        return state, Committed(version)
+        return state, CommitReply(version)
     if state.hold is None or state.hold.version != version:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
-    if order.schedule is not None and order.life != state.life:
+    if order.schedule is not None and order.incarnation != state.incarnation:
         return _refuse(state, version, RefusalReason.NOT_PREPARED)
-    schedule = order.schedule or _own_schedule(state, version)
+    schedule = order.schedule or _build_schedule(state, version)
     if schedule is None:
         return _refuse(state, version, RefusalReason.NOT_STAGED)
-    return state._replace(schedule=schedule, hold=None), Committed(version)
+    return state._replace(schedule=schedule, hold=None), CommitReply(version)
 
 
-def _own_schedule(state: RankState, version: MapVersion) -> Schedule | None:
+def _build_schedule(state: RankState, version: MapVersion) -> MapSchedule | None:
     if state.schedule is None or state.hold is None:
         return None
-    if state.staged is None or state.staged.origin != version:
+    if state.staged is None or state.staged.origin_version != version:
         return None
-    return Schedule(version, state.schedule.after, state.staged, state.hold.step)
+    return MapSchedule(version, state.schedule.new_map, state.staged, state.hold.step)
 
 
-def _abort(state: RankState, order: Abort) -> Applied:
+def _abort(state: RankState, order: AbortOrder) -> OrderResult:
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return _refuse(state, version, RefusalReason.ALREADY_COMMITTED)
     # Remembering the aborted version is what keeps a prepare that its abort overtook
     # from holding this rank, and with it the group, for ever.
-    highest = max(state.highest, version)
+    highest = max(state.highest_version, version)
     held = state.hold is not None and state.hold.version == version
     hold = None if held else state.hold
-    return state._replace(hold=hold, highest=highest), Aborted(version)
+    return state._replace(hold=hold, highest_version=highest), AbortReply(version)
--- a/src/kingcupwheel/forwarding/exchange.py
+++ b/src/kingcupwheel/forwarding/exchange.py
@@ -11,10 +11,10 @@
 from kingcupwheel.entry.answers import BufferedAnswer
 from kingcupwheel.entry.answers import RefusedAnswer
 from kingcupwheel.entry.answers import StreamedAnswer
-from kingcupwheel.entry.gateway import CLOSE_KEY
-from kingcupwheel.entry.gateway import SOCKET_KEY
 from kingcupwheel.entry.http_exchange import extract_headers
 from kingcupwheel.entry.http_exchange import format_status_line
+from kingcupwheel.entry.http_server import CLOSE_ENVIRON_KEY
+from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.forwarding.admission import ReceivedRequest
 from kingcupwheel.platform.headers import read_attempt_id
@@ -42,11 +42,11 @@
     @property
     def socket(self) -> Any:
         """The caller's socket, None outside the HTTP server."""
-        return self._environ.get(SOCKET_KEY)
+        return self._environ.get(SOCKET_ENVIRON_KEY)
 
     def close_after_answer(self) -> None:
         """Close the connection after this answer."""
-        close = self._environ.get(CLOSE_KEY)
+        close = self._environ.get(CLOSE_ENVIRON_KEY)
         if close is not None:
             close()
 
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -54,7 +54,10 @@
     limit_bytes: int
 
     def __str__(self) -> str:
-        return f"{self.key}: {self.size_bytes} bytes are over the limit of {self.limit_bytes}"
+        return (
+            f"{self.key}: {self.size_bytes} bytes are over the limit of"
+            f" {self.limit_bytes}"
+        )
 
 
 class InvalidObject(NamedTuple):
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -9,41 +9,41 @@
 from kingcupwheel.expertmaps.maps import LayerPlacement
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 
 # Plain hysteresis starts to move above the first skew and goes on to the second.
 _HIGH_SKEW = 1.25
 _LOW_SKEW = 1.10
 
 
-def longest_first(current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+def longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
     """Return the longest-processing-time-first map, whatever it takes to get there."""
     if estimate.load is None:
         return current
     layers = tuple(
         _place(_replicas(layer, current), layer, current) for layer in estimate.load
     )
-    result = ExpertMap(current.experts, current.slots, layers)
-    result.check()
+    result = ExpertMap(current.expert_count, current.slots_per_rank, layers)
+    result.validate()
     return result
 
 
 def _replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
     """Return replica counts: spare places go to the highest load a replica."""
     counts = [1] * len(load)
-    for _ in range(shape.ranks * shape.slots - len(load)):
-        open_experts = (e for e in range(len(load)) if counts[e] < shape.ranks)
+    for _ in range(shape.rank_count * shape.slots_per_rank - len(load)):
+        open_experts = (e for e in range(len(load)) if counts[e] < shape.rank_count)
         counts[max(open_experts, key=lambda e: load[e] / counts[e])] += 1
     return counts
 
 
 def _place(counts: list[int], load: LayerLoad, shape: ExpertMap) -> LayerPlacement:
-    held: list[list[int]] = [[] for _ in range(shape.ranks)]
-    loads = [0.0] * shape.ranks
+    held: list[list[int]] = [[] for _ in range(shape.rank_count)]
+    loads = [0.0] * shape.rank_count
     shares = [
         (load[expert] / count, expert)
         for expert, count in enumerate(counts)
@@ -53,8 +53,8 @@
     for share, expert in sorted(shares, reverse=True):
         free = [
             rank
-            for rank in range(shape.ranks)
-            if len(held[rank]) < shape.slots and expert not in held[rank]
+            for rank in range(shape.rank_count)
+            if len(held[rank]) < shape.slots_per_rank and expert not in held[rank]
         ]
         if free:
             rank = min(free, key=loads.__getitem__)
@@ -69,11 +69,11 @@
     def __init__(self) -> None:
         self._moving = False
 
-    def __call__(self, current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+    def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         skew = map_skew(current, estimate.load) if estimate.load else 1.0
         self._moving = skew > (_LOW_SKEW if self._moving else _HIGH_SKEW)
         if not self._moving:
             return current
-        found = plan(current, estimate, PlanWeights(1.0, 0.0))
+        found = plan_map(current, estimate, PlanWeights(1.0, 0.0))
         return found.map if found else current
