--- a/src/kingcupwheel/agent/adapters/requests.py
+++ b/src/kingcupwheel/agent/adapters/server_requests.py
@@ -29,7 +29,7 @@
 }
 
 
-class Request(NamedTuple):
+class ServerRequest(NamedTuple):
     """What is sent to the server."""
 
     method: str
@@ -38,28 +38,28 @@
     body: bytes | None
 
 
-def request_of(dispatch: Dispatch) -> Request:
+def build_server_request(dispatch: Dispatch) -> ServerRequest:
     """Return the request to send for the dispatch, named by its attempt."""
     headers = HTTPHeaderDict()
     for name, value in dispatch.headers:
         if name.lower() not in _REQUEST_HEADERS_DROPPED:
             headers.add(name, value)
-    headers[REQUEST_ID_HEADER] = run_id(dispatch)
+    headers[REQUEST_ID_HEADER] = build_run_id(dispatch)
     headers["Connection"] = "close"
-    return Request(dispatch.method, dispatch.path, headers, dispatch.body)
+    return ServerRequest(dispatch.method, dispatch.path, headers, dispatch.body)
 
 
-def run_id(dispatch: Dispatch) -> str:
+def build_run_id(dispatch: Dispatch) -> str:
     """Return the name the server knows the attempt by."""
     return f"{dispatch.request_id}-{dispatch.attempt}"
 
 
-def get(path: str) -> Request:
+def build_get_request(path: str) -> ServerRequest:
     """Return a request without a body."""
-    return Request("GET", path, {"Connection": "close"}, None)
+    return ServerRequest("GET", path, {"Connection": "close"}, None)
 
 
-def visible_headers(
+def filter_visible_headers(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     """Return the headers of an answer that a caller may see."""
--- a/src/kingcupwheel/agent/exceptions.py
+++ b/src/kingcupwheel/agent/exceptions.py
@@ -9,14 +9,14 @@
     """Base class of the agent's errors."""
 
 
-class NoServerError(AgentError):
+class MissingServerError(AgentError):
     """The settings name no backend server."""
 
     def __init__(self) -> None:
         super().__init__("server: an agent needs the backend server's url")
 
 
-class NotAnAgentError(AgentError):
+class WrongRoleError(AgentError):
     """The settings are for another kind of process."""
 
     def __init__(self, role: str) -> None:
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -16,27 +16,29 @@
     from collections.abc import Callable
 
     from kingcupwheel.agent.adapters.base import ServerAdapter
-    from kingcupwheel.agent.runner import Runner
+    from kingcupwheel.agent.attempt_runner import AttemptRunner
     from kingcupwheel.settings.schema import Settings
 
-_NOT_ASKED = ServerState(up=False, life="", running=0, rate=0.0)
+_INITIAL_STATE = ServerState(
+    is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
+)
 
 
 class ServerProbe:
     """Asks the server for its state on a thread of its own, because it may be slow."""
 
     def __init__(
-        self, adapter: ServerAdapter, runner: Runner, *, period_s: float
+        self, adapter: ServerAdapter, runner: AttemptRunner, *, period_s: float
     ) -> None:
         self._adapter = adapter
         self._runner = runner
         self._period_s = period_s
-        self._state = _NOT_ASKED
-        self._asked_at = monotonic()
+        self._state = _INITIAL_STATE
+        self._probed_at = monotonic()
         self._generation = 0
-        self._life = ""
+        self._incarnation = ""
         # The generation in which that life was last seen.
-        self._life_generation = 0
+        self._incarnation_generation = 0
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="probe", daemon=True)
 
@@ -46,18 +48,18 @@
         return self._state
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether the server's life of now has answered.
 
         An answer from before a death says nothing of the server now; believing it for
         one more period would draw work to a server that is gone.
         """
-        return self._state.up and self._generation == self._runner.generation
+        return self._state.is_up and self._generation == self._runner.server_generation
 
     @property
-    def age_s(self) -> float:
+    def state_age_s(self) -> float:
         """How old the latest answer is."""
-        return monotonic() - self._asked_at
+        return monotonic() - self._probed_at
 
     def start(self) -> None:
         """Start asking."""
@@ -69,34 +71,34 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            generation = self._runner.generation
+            generation = self._runner.server_generation
             state = self._adapter.state()
-            self._generation = self._generation_of(state, generation)
+            self._generation = self._resolve_generation(state, generation)
             self._state = state
-            self._asked_at = monotonic()
+            self._probed_at = monotonic()
             self._stopping.wait(self._period_s)
 
-    def _generation_of(self, state: ServerState, asked_in: int) -> int:
+    def _resolve_generation(self, state: ServerState, probe_generation: int) -> int:
         """Return the generation that ``state`` tells of, counting a death it shows."""
-        if not state.life:
-            return asked_in
-        generation = asked_in
-        if self._life and state.life != self._life:
+        if not state.incarnation:
+            return probe_generation
+        generation = probe_generation
+        if self._incarnation and state.incarnation != self._incarnation:
             # The run threads report the same death; the generation counts it once.
-            self._runner.server_died(self._life_generation)
-            generation = self._runner.generation
-        self._life = state.life
-        self._life_generation = generation
+            self._runner.record_server_crash(self._incarnation_generation)
+            generation = self._runner.server_generation
+        self._incarnation = state.incarnation
+        self._incarnation_generation = generation
         return generation
 
 
-class Heartbeat:
+class HeartbeatBuilder:
     """Makes the ``AgentHeartbeat`` of this moment."""
 
     def __init__(
         self,
         settings: Settings,
-        runner: Runner,
+        runner: AttemptRunner,
         probe: ServerProbe,
         *,
         manifest_version: Callable[[], int],
@@ -106,32 +108,32 @@
         self._probe = probe
         self._manifest_version = manifest_version
 
-    def beat(self, *, now: float) -> AgentHeartbeat:
+    def build(self, *, now: float) -> AgentHeartbeat:
         """Return the message for every entry that listens."""
         settings = self._settings
         with self._runner.lock:
-            runs = self._runner.runs
+            runs = self._runner.attempt_table
             return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
                 data_centre=settings.data_centre,
                 incarnation=runs.incarnation,
-                token=runs.token(now=now),
-                load=self._load(),
-                leaving=runs.leaving,
-                server_up=self._probe.up,
+                token=runs.get_token(now=now),
+                load=self._build_load(),
+                leaving=runs.is_leaving,
+                server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
-                crashed=self._runner.crashes.told(now=now),
+                crashed=self._runner.crash_table.list_recent(now=now),
             )
 
-    def _load(self) -> BackendLoad:
-        runs = self._runner.runs
-        running, queued = runs.running, runs.queued
+    def _build_load(self) -> BackendLoad:
+        runs = self._runner.attempt_table
+        running, queued = runs.running_dispatches, runs.queued_dispatches
         return BackendLoad(
             running=len(running),
             queued=len(queued),
             capacity=runs.capacity,
             work=sum(dispatch.work for dispatch in (*running, *queued)),
-            rate=self._probe.state.rate,
-            age_s=self._probe.age_s,
+            rate=self._probe.state.tokens_per_s,
+            age_s=self._probe.state_age_s,
         )
--- a/src/kingcupwheel/agent/manifest.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -18,8 +18,8 @@
 from expression import Result
 
 from kingcupwheel.link.links import IncomingLink
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import ManifestRequest
 
 
@@ -27,17 +27,17 @@
     from collections.abc import Callable
 
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.messages.base import Message
     from kingcupwheel.messages.membership import ManifestObject
     from kingcupwheel.platform.client import PlatformClient
 
 _ENTRY_TIMEOUT_S = 1.5
-_HOUR_S = 3600.0
+_SECONDS_PER_HOUR = 3600.0
 
 
-class AgentManifest:
+class ManifestFollower:
     """The manifest as an agent sees it; ``on_group`` gets each change of its group."""
 
     def __init__(
@@ -46,15 +46,15 @@
         *,
         group: str,
         send: Callable[[Link, Message], None],
-        on_group: Callable[[ServerGroup], None],
+        on_group_changed: Callable[[ServerGroup], None],
     ) -> None:
         self._group = group
         self._send = send
-        self._on_group = on_group
-        self._told: ServerGroup | None = None
-        self._found: SimpleQueue[ManifestObject] = SimpleQueue()
-        self._asking = Lock()
-        self._keeper = ManifestKeeper(
+        self._on_group_changed = on_group_changed
+        self._last_group: ServerGroup | None = None
+        self._received_objects: SimpleQueue[ManifestObject] = SimpleQueue()
+        self._fetch_lock = Lock()
+        self._keeper = ManifestSynchronizer(
             client,
             fetch_from_peer=self._fetch,
             on_change=self._on_change,
@@ -72,7 +72,7 @@
         """How long the platform keeps traces, in seconds."""
         in_force = self._keeper.current
         retention = Retention() if in_force is None else in_force.retention
-        return retention.traces_h * _HOUR_S
+        return retention.traces_h * _SECONDS_PER_HOUR
 
     def start(self) -> None:
         """Follow the entries."""
@@ -82,37 +82,39 @@
         """Stop following."""
         self._keeper.stop()
 
-    def heard(self, link: Link, version: int, digest: str) -> None:
+    def record_version(self, link: Link, version: int, digest: str) -> None:
         """Note the version that an entry names on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
-            self._keeper.heard(version, digest, link.identity.hex())
+            self._keeper.record_peer_version(version, digest, link.identity.hex())
 
     def object_for(self, key: str) -> ManifestObject:
         """Return what to answer an entry that asks for an object."""
-        return self._keeper.object_for(key)
+        return self._keeper.get_object(key)
 
-    def found(self, message: ManifestObject) -> None:
+    def receive_object(self, message: ManifestObject) -> None:
         """Take an entry's answer; called on the hub's thread."""
-        self._found.put(message)
+        self._received_objects.put(message)
 
     def _fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
         link = IncomingLink(bytes.fromhex(address))
-        with self._asking:
+        with self._fetch_lock:
             self._send(link, ManifestRequest(key))
-            return self._wait(key)
+            return self._wait_for_object(key)
 
-    def _wait(self, key: str) -> Result[ManifestObject | None, str]:
+    def _wait_for_object(self, key: str) -> Result[ManifestObject | None, str]:
         until = monotonic() + _ENTRY_TIMEOUT_S
         while True:
             try:
-                answer = self._found.get(timeout=max(0.0, until - monotonic()))
+                answer = self._received_objects.get(
+                    timeout=max(0.0, until - monotonic())
+                )
             except Empty:
                 return Error(f"no answer in {_ENTRY_TIMEOUT_S} s")
             if answer.key == key:
                 return Ok(answer)
 
-    def _on_change(self, in_force: InForce) -> None:
+    def _on_change(self, in_force: CompiledManifest) -> None:
         group = in_force.groups_by_name.get(self._group)
-        if group is not None and group != self._told:
-            self._told = group
-            self._on_group(group)
+        if group is not None and group != self._last_group:
+            self._last_group = group
+            self._on_group_changed(group)
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -26,8 +26,8 @@
 from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.link.links import OutgoingLink
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import InstancesRequest
 from kingcupwheel.metrics.client import Metrics
 from kingcupwheel.metrics.platform import MeteredPlatformClient
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.messages.base import Message
     from kingcupwheel.settings.schema import Settings
@@ -89,7 +89,7 @@
             leaving=self._leaving,
         )
         fetcher = ManifestFetcher(self._hub)
-        self._keeper = ManifestKeeper(
+        self._keeper = ManifestSynchronizer(
             client,
             fetch_from_peer=fetcher.fetch,
             on_change=self._on_manifest,
@@ -210,7 +210,7 @@
     def _on_tick(self, now: float) -> None:
         self._handler.on_tick(now)
 
-    def _on_manifest(self, in_force: InForce) -> None:
+    def _on_manifest(self, in_force: CompiledManifest) -> None:
         self._telemetry.set_manifest(in_force, self._context.inboxes.request_ids)
 
     def _find_organisation(self, name: str) -> Organisation | None:
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.metrics.client import Metrics
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
@@ -66,7 +66,9 @@
         self._shipper.stop()
         self._metrics.close()
 
-    def set_manifest(self, in_force: InForce, request_ids: Iterable[str]) -> None:
+    def set_manifest(
+        self, in_force: CompiledManifest, request_ids: Iterable[str]
+    ) -> None:
         """Apply a new manifest and record the change in traces of ``request_ids``."""
         self.outcome_counter.set_goals(in_force)
         for request_id in request_ids:
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -49,7 +49,7 @@
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.entry.server_table import LivenessEvent
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.keeper import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
     from kingcupwheel.messages.base import Message
 
 logger = logging.getLogger("kingcupwheel.entry")
@@ -62,7 +62,7 @@
         self,
         context: EntryContext,
         membership: Membership,
-        keeper: ManifestKeeper,
+        keeper: ManifestSynchronizer,
         manifest_fetcher: ManifestFetcher,
         burn_counter: BurnCounter,
         balancer: AllowanceBalancer,
@@ -116,7 +116,7 @@
             case PeerHeartbeat():
                 self._on_peer_heartbeat(link, message)
             case ManifestRequest(key):
-                send(link, self._keeper.object_for(key))
+                send(link, self._keeper.get_object(key))
             case ManifestObject():
                 self._manifest_fetcher.put_object(message)
             case InstancesReply(instances):
@@ -152,7 +152,7 @@
             self._on_liveness_event(restart_event)
         if heartbeat.crashed:
             self._context.limiter.record_crashes(heartbeat.crashed)
-        self._keeper.heard(heartbeat.manifest_version, "", address)
+        self._keeper.record_peer_version(heartbeat.manifest_version, "", address)
         self._context.dispatchers.place_waiting(heartbeat.group)
 
     def _on_peer_heartbeat(self, link: Link, heartbeat: PeerHeartbeat) -> None:
@@ -163,7 +163,7 @@
             address = link.address
         else:
             address = self._membership.find_address(heartbeat.name)
-        self._keeper.heard(
+        self._keeper.record_peer_version(
             heartbeat.manifest_version, heartbeat.manifest_digest, address
         )
         # An entry that started during a platform outage is on no entry's list of
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -19,7 +19,7 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.metrics.client import Metrics
 
@@ -33,7 +33,7 @@
         self._burn_counter = burn_counter
         self._metrics = metrics
 
-    def set_goals(self, in_force: InForce) -> None:
+    def set_goals(self, in_force: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
         self._burn_counter.adopt(build_burn_goals(in_force))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
@@ -97,7 +97,7 @@
                 self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
 
 
-def build_burn_goals(in_force: InForce) -> BurnGoals:
+def build_burn_goals(in_force: CompiledManifest) -> BurnGoals:
     """Return the goals set in the manifest in force."""
     routes = in_force.assembly.core.routes
     organisations = in_force.organisations_by_name.values()
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -23,9 +23,9 @@
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
+from kingcupwheel.manifest.routing import MatchedRoute
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
-from kingcupwheel.manifest.routing import RouteFound
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import Organisation
 
 _BEARER_PREFIX = "bearer "
@@ -70,14 +70,14 @@
 
 
 def authenticate_organisation(
-    headers: Mapping[str, str], in_force: InForce
+    headers: Mapping[str, str], in_force: CompiledManifest
 ) -> Result[Organisation, Refusal]:
     """Return the organisation of the API key, or a refusal."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER_PREFIX) :].strip()
-    organisation = in_force.organisation_of_key(key)
+    organisation = in_force.find_organisation_by_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
@@ -97,7 +97,7 @@
 def parse_request(
     http_request: HttpRequest,
     organisation: Organisation,
-    in_force: InForce,
+    in_force: CompiledManifest,
     *,
     request_id: str,
     received_at: float,
@@ -152,18 +152,22 @@
     )
 
 
-def _find_route(http_request: HttpRequest, in_force: InForce) -> RouteFound | Refusal:
-    match in_force.route_for(http_request.host, http_request.path, http_request.method):
+def _find_route(
+    http_request: HttpRequest, in_force: CompiledManifest
+) -> MatchedRoute | Refusal:
+    match in_force.find_route(
+        http_request.host, http_request.path, http_request.method
+    ):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
-        case RouteFound() as found:
+        case MatchedRoute() as found:
             return _check_idempotency_key(http_request, found) or found
 
 
 def _check_idempotency_key(
-    http_request: HttpRequest, route_match: RouteFound
+    http_request: HttpRequest, route_match: MatchedRoute
 ) -> Refusal | None:
     key = http_request.headers.get(_IDEMPOTENCY_KEY_HEADER, "")
     if not key and not route_match.route.repeatable:
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -43,81 +43,85 @@
 NO_VERSION = MapVersion(0, 0)
 
 
-class Cell(NamedTuple):
+class RankPlacement(NamedTuple):
     """The experts that one rank holds of one layer."""
 
     layer: int
     rank: int
-    held: tuple[int, ...]
+    experts: tuple[int, ...]
 
 
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True):
     """Placement of ``experts`` experts a layer on ranks of ``slots`` slots."""
 
-    experts: int
-    slots: int
+    expert_count: int = msgspec.field(name="experts")
+    slots_per_rank: int = msgspec.field(name="slots")
     layers: tuple[LayerPlacement, ...]
 
     @property
-    def ranks(self) -> int:
+    def rank_count(self) -> int:
         """The number of ranks."""
         return len(self.layers[0])
 
-    def check(self) -> None:
+    def validate(self) -> None:
         """Raise InvalidMapError if a rank is overfull or an expert has no place."""
         for number, layer in enumerate(self.layers):
             for rank, held in enumerate(layer):
-                if len(held) > self.slots or len(set(held)) != len(held):
+                if len(held) > self.slots_per_rank or len(set(held)) != len(held):
                     message = f"layer {number}: rank {rank} holds {held}"
                     raise InvalidMapError(message)
             placed = {expert for held in layer for expert in held}
-            if placed != set(range(self.experts)):
+            if placed != set(range(self.expert_count)):
                 message = f"layer {number}: experts missing or unknown"
                 raise InvalidMapError(message)
 
-    def cells_to(self, target: ExpertMap) -> tuple[Cell, ...]:
+    def diff_placements(self, target_map: ExpertMap) -> tuple[RankPlacement, ...]:
         """Return what differs in ``target``."""
         return tuple(
-            Cell(layer, rank, after)
+            RankPlacement(layer, rank, after)
             for layer, (old, new) in enumerate(
-                zip(self.layers, target.layers, strict=True)
+                zip(self.layers, target_map.layers, strict=True)
             )
             for rank, (before, after) in enumerate(zip(old, new, strict=True))
             if before != after
         )
 
-    def with_cells(self, cells: tuple[Cell, ...]) -> ExpertMap:
+    def with_placements(self, placements: tuple[RankPlacement, ...]) -> ExpertMap:
         """Return this map with ``cells`` replaced."""
         layers = [list(layer) for layer in self.layers]
-        for layer, rank, held in cells:
+        for layer, rank, held in placements:
             layers[layer][rank] = held
-        return ExpertMap(self.experts, self.slots, tuple(map(tuple, layers)))
+        return ExpertMap(
+            self.expert_count, self.slots_per_rank, tuple(map(tuple, layers))
+        )
 
-    def moves_to(self, target: ExpertMap) -> int:
+    def count_moves_to(self, target_map: ExpertMap) -> int:
         """Return how many expert weights ranks must load to change to ``target``."""
         return sum(
             len(set(after) - set(before))
-            for old, new in zip(self.layers, target.layers, strict=True)
+            for old, new in zip(self.layers, target_map.layers, strict=True)
             for before, after in zip(old, new, strict=True)
         )
 
 
-def slots_per_rank(layout: ExpertLayout) -> int:
+def get_slots_per_rank(layout: ExpertLayout) -> int:
     """Return the slots of a rank: as set, or just enough for one replica of each."""
     return layout.slots or -(-layout.experts // layout.ranks)
 
 
-def even_map(layout: ExpertLayout) -> ExpertMap:
+def build_even_map(layout: ExpertLayout) -> ExpertMap:
     """Return the map of a group that has not run yet: experts dealt out in turn."""
     layer = tuple(
         tuple(range(rank, layout.experts, layout.ranks)) for rank in range(layout.ranks)
     )
-    result = ExpertMap(layout.experts, slots_per_rank(layout), (layer,) * layout.layers)
-    result.check()
+    result = ExpertMap(
+        layout.experts, get_slots_per_rank(layout), (layer,) * layout.layers
+    )
+    result.validate()
     return result
 
 
-def replica_counts(layer: LayerPlacement, experts: int) -> list[int]:
+def count_replicas(layer: LayerPlacement, experts: int) -> list[int]:
     """Return the number of replicas of each expert of a layer."""
     counts = [0] * experts
     for held in layer:
@@ -128,7 +132,7 @@
 
 def rank_loads(layer: LayerPlacement, load: LayerLoad) -> list[float]:
     """Return each rank's load, replicas sharing their expert's load evenly."""
-    counts = replica_counts(layer, len(load))
+    counts = count_replicas(layer, len(load))
     return [sum(load[expert] / counts[expert] for expert in held) for held in layer]
 
 
--- a/src/kingcupwheel/expertmaps/rank_worker.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -7,9 +7,9 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.expertmaps.guard import RankGuard
+from kingcupwheel.expertmaps.fence_guard import FenceGuard
 from kingcupwheel.expertmaps.protocol import RefusalReason
-from kingcupwheel.expertmaps.protocol import Refused
+from kingcupwheel.expertmaps.protocol import RefusalReply
 from kingcupwheel.expertmaps.protocol import decode_order
 from kingcupwheel.expertmaps.protocol import encode
 from kingcupwheel.expertmaps.protocol import version_of
@@ -30,10 +30,10 @@
 
 # Orders that wait for a slow rank. Coordinators repeat theirs, so more would only be
 # copies, and what is dropped here comes again.
-_WAITING = 8
+_MAX_WAITING_ORDERS = 8
 
 
-class RankWorker:
+class OrderForwarder:
     """Gives orders to the rank one at a time, on a thread of its own.
 
     One at a time, so that an order of a former coordinator reaches the rank before
@@ -46,23 +46,25 @@
         *,
         hub: MessageHub,
         rank_api: RankApi,
-        learn_fence: Callable[[], int | None],
-        agent: str,
+        read_fence: Callable[[], int | None],
+        agent_name: str,
         rank: int,
     ) -> None:
         self._hub = hub
         self._rank_api = rank_api
-        self._learn_fence = learn_fence
-        self._agent = agent
+        self._read_fence = read_fence
+        self._agent_name = agent_name
         self._rank = rank
-        self._guard = RankGuard()
-        self._waiting: queue.Queue[tuple[Link, MapOrder] | None] = queue.Queue(_WAITING)
+        self._guard = FenceGuard()
+        self._queue: queue.Queue[tuple[Link, MapOrder] | None] = queue.Queue(
+            _MAX_WAITING_ORDERS
+        )
         self._thread = Thread(target=self._run, name="rank", daemon=True)
 
     @property
-    def fence(self) -> int | None:
+    def highest_fence(self) -> int | None:
         """The highest fence seen, None before any was learnt."""
-        return self._guard.fence
+        return self._guard.highest_fence
 
     def start(self) -> None:
         """Start the thread."""
@@ -70,18 +72,18 @@
 
     def stop(self) -> None:
         """End the thread after the order in hand."""
-        self._waiting.put(None)
+        self._queue.put(None)
         self._thread.join()
 
-    def take(self, link: Link, message: MapOrder) -> None:
+    def enqueue(self, link: Link, message: MapOrder) -> None:
         """Queue an order; returns at once."""
         try:
-            self._waiting.put_nowait((link, message))
+            self._queue.put_nowait((link, message))
         except queue.Full:
             logger.debug("Order %d dropped, rank is slow.", message.serial)
 
     def _run(self) -> None:
-        while (item := self._waiting.get()) is not None:
+        while (item := self._queue.get()) is not None:
             link, message = item
             try:
                 self._handle(link, message)
@@ -93,39 +95,39 @@
         if decoded.is_error():
             logger.warning("Bad order: %s.", decoded.error.detail)
             return
-        if not self._knows_fence():
+        if not self._ensure_fence():
             return
-        if not self._guard.admits(message.fence):
+        if not self._guard.admit(message.fence):
             logger.info("Refused order under old fence %d.", message.fence)
             version = version_of(decoded.ok)
-            refusal = Refused(version, RefusalReason.STALE_FENCE)
-            self._answer(link, message, refusal)
+            refusal = RefusalReply(version, RefusalReason.STALE_FENCE)
+            self._send_reply(link, message, refusal)
             return
-        self._pass_on(link, message, decoded.ok)
+        self._forward(link, message, decoded.ok)
 
-    def _knows_fence(self) -> bool:
-        if self._guard.fence is None:
-            fence = self._learn_fence()
+    def _ensure_fence(self) -> bool:
+        if self._guard.highest_fence is None:
+            fence = self._read_fence()
             if fence is None:
                 # Without it an order of a former coordinator could pass: silence makes
                 # the present one ask again.
                 return False
-            self._guard.learn(fence)
+            self._guard.raise_to(fence)
         return True
 
-    def _pass_on(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
-        result = self._rank_api.give(order, fence=message.fence)
+    def _forward(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
+        result = self._rank_api.send_order(order, fence=message.fence)
         if result.is_error():
             logger.debug("Rank did not answer: %s.", result.error.detail)
             return
-        self._answer(link, message, result.ok)
+        self._send_reply(link, message, result.ok)
 
-    def _answer(self, link: Link, message: MapOrder, reply: AnyReply) -> None:
+    def _send_reply(self, link: Link, message: MapOrder, reply: AnyReply) -> None:
         answer = MapReply(
             message.group,
             message.fence,
             message.serial,
-            self._agent,
+            self._agent_name,
             self._rank,
             encode(reply),
         )
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -9,22 +9,22 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.protocol import Abort
-from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Prepare
-from kingcupwheel.expertmaps.protocol import ReadState
-from kingcupwheel.expertmaps.protocol import Stage
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import AbortOrder
+from kingcupwheel.expertmaps.protocol import CommitOrder
+from kingcupwheel.expertmaps.protocol import PrepareOrder
+from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StateRequest
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 
 
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
-    from kingcupwheel.expertmaps.protocol import Held
+    from kingcupwheel.expertmaps.protocol import MapSchedule
     from kingcupwheel.expertmaps.protocol import RankOrder
     from kingcupwheel.expertmaps.protocol import RankReply
-    from kingcupwheel.expertmaps.protocol import Schedule
-    from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import StateReply
+    from kingcupwheel.expertmaps.protocol import SupersedeReply
 
 
 class LeaseTaken(NamedTuple):
@@ -38,14 +38,14 @@
     """The lease is gone or may be."""
 
 
-class Proposed(NamedTuple):
+class MapProposed(NamedTuple):
     """The planner wants ``map`` in force."""
 
     map: ExpertMap
     now: float
 
 
-class Replied(NamedTuple):
+class ReplyReceived(NamedTuple):
     """The agent of ``rank`` passed on its answer."""
 
     rank: int
@@ -53,16 +53,16 @@
     now: float
 
 
-class Ticked(NamedTuple):
+class Tick(NamedTuple):
     """Time has passed; ``now`` is monotonic, in seconds."""
 
     now: float
 
 
-Event = LeaseTaken | LeaseLost | Proposed | Replied | Ticked
+Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Tick
 
 
-class Send(NamedTuple):
+class OutgoingOrder(NamedTuple):
     """Send ``order`` to the agent of ``rank``."""
 
     rank: int
@@ -79,7 +79,7 @@
     """Just took the lease: reads every rank before it holds any of them."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
     """Supersedes what a predecessor, or a change cut short, left open."""
 
     version: MapVersion
-    answers: tuple[Held | None, ...]
+    answers: tuple[SupersedeReply | None, ...]
 
 
 @dataclass(frozen=True)
@@ -95,7 +95,7 @@
     """All ranks have committed the same; they are read now and then."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
@@ -108,8 +108,8 @@
 
     version: MapVersion
     map: ExpertMap
-    order: Stage
-    due: tuple[float, ...]
+    order: StageOrder
+    start_times: tuple[float, ...]
     acked: frozenset[int]
     step: int
 
@@ -133,8 +133,8 @@
     """
 
     version: MapVersion
-    schedule: Schedule
-    lives: tuple[str, ...] | None
+    schedule: MapSchedule
+    incarnations: tuple[str, ...] | None
     acked: frozenset[int]
 
 
@@ -151,7 +151,7 @@
 )
 
 
-def label(phase: Phase) -> tuple[str, object]:
+def phase_key(phase: Phase) -> tuple[str, object]:
     """Return what stays the same while ``phase`` only collects answers."""
     name = type(phase).__name__
     match phase:
@@ -163,7 +163,7 @@
             return name, phase.version
 
 
-def answered(phase: Phase, rank: int) -> bool:
+def has_answered(phase: Phase, rank: int) -> bool:
     """Tell whether ``rank`` has answered what ``phase`` asks of it."""
     match phase:
         case Standby():
@@ -174,30 +174,30 @@
             return rank in phase.acked
 
 
-def order_of(phase: Phase, rank: int, now: float) -> RankOrder | None:
+def pending_order(phase: Phase, rank: int, now: float) -> RankOrder | None:
     """Return what ``rank`` still has to be told in ``phase``, if anything."""
-    if answered(phase, rank):
+    if has_answered(phase, rank):
         return None
     match phase:
         case Surveying(number, _):
-            return ReadState(number, whole=True)
+            return StateRequest(number, include_schedule=True)
         case Ready(number, _):
-            return ReadState(number)
+            return StateRequest(number)
         case Holding(version, _):
-            return Supersede(version)
-        case Staging(order=order, due=due):
+            return SupersedeOrder(version)
+        case Staging(order=order, start_times=due):
             return order if now >= due[rank] else None
         case Preparing(version, _, step):
-            return Prepare(version, step)
+            return PrepareOrder(version, step)
         case Committing():
-            return _commit(phase, rank)
+            return _build_commit_order(phase, rank)
         case Aborting(version):
-            return Abort(version)
+            return AbortOrder(version)
         case Standby():
             return None
 
 
-def _commit(phase: Committing, rank: int) -> Commit:
-    if phase.lives is None:
-        return Commit(phase.version, None)
-    return Commit(phase.version, phase.schedule, phase.lives[rank])
+def _build_commit_order(phase: Committing, rank: int) -> CommitOrder:
+    if phase.incarnations is None:
+        return CommitOrder(phase.version, None)
+    return CommitOrder(phase.version, phase.schedule, phase.incarnations[rank])
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -16,42 +16,42 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.expertmaps.exceptions import BadOrder
+from kingcupwheel.expertmaps.exceptions import DecodeFailure
 from kingcupwheel.expertmaps.maps import NO_VERSION
-from kingcupwheel.expertmaps.maps import Cell
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import MapVersion
+from kingcupwheel.expertmaps.maps import RankPlacement
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 
-class NamedMap(msgspec.Struct, frozen=True, array_like=True):
+class VersionedMap(msgspec.Struct, frozen=True, array_like=True):
     """A map and the version it was first staged under, which identifies it."""
 
-    origin: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     map: ExpertMap
 
 
-class Schedule(msgspec.Struct, frozen=True, array_like=True):
+class MapSchedule(msgspec.Struct, frozen=True, array_like=True):
     """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
 
     version: MapVersion
-    before: NamedMap
-    after: NamedMap
+    old_map: VersionedMap = msgspec.field(name="before")
+    new_map: VersionedMap = msgspec.field(name="after")
     from_step: int
 
-    def map_at(self, step: int) -> NamedMap:
+    def map_at(self, step: int) -> VersionedMap:
         """Return the map in force in ``step``."""
-        return self.before if step < self.from_step else self.after
+        return self.old_map if step < self.from_step else self.new_map
 
 
 class Order(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """Base of all orders."""
 
 
-class Stage(Order, frozen=True):
+class StageOrder(Order, frozen=True, tag="Stage"):
     """Load the weights that a new map needs on this rank.
 
     The map is that of ``base``, which the rank has committed, with ``cells`` replaced:
@@ -59,24 +59,24 @@
     """
 
     version: MapVersion
-    base: MapVersion
-    cells: tuple[Cell, ...]
+    base_version: MapVersion = msgspec.field(name="base")
+    placements: tuple[RankPlacement, ...] = msgspec.field(name="cells")
 
 
-class Prepare(Order, frozen=True):
+class PrepareOrder(Order, frozen=True, tag="Prepare"):
     """Run no step from ``step`` on until this version is committed or aborted."""
 
     version: MapVersion
     step: int
 
 
-class Supersede(Order, frozen=True):
+class SupersedeOrder(Order, frozen=True, tag="Supersede"):
     """End lower versions not committed, run no step, say what is committed."""
 
     version: MapVersion
 
 
-class Commit(Order, frozen=True):
+class CommitOrder(Order, frozen=True, tag="Commit"):
     """Make the prepared version final.
 
     ``schedule`` is given after ``Supersede`` and takes the place of the rank's own; a
@@ -86,24 +86,24 @@
     """
 
     version: MapVersion
-    schedule: Schedule | None
-    life: str = ""
+    schedule: MapSchedule | None
+    incarnation: str = msgspec.field(default="", name="life")
 
 
-class Abort(Order, frozen=True):
+class AbortOrder(Order, frozen=True, tag="Abort"):
     """Give the version up; also when its ``Prepare`` has not arrived yet."""
 
     version: MapVersion
 
 
-class ReadState(Order, frozen=True):
+class StateRequest(Order, frozen=True, tag="ReadState"):
     """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
 
     round: int
-    whole: bool = False
+    include_schedule: bool = msgspec.field(default=False, name="whole")
 
 
-class ReadLoads(Order, frozen=True):
+class ExpertLoadsRequest(Order, frozen=True, tag="ReadLoads"):
     """Ask how much work each expert had since the last asking."""
 
     round: int
@@ -116,60 +116,60 @@
     """
 
     step: int
-    committed: MapVersion | None
+    committed_version: MapVersion | None = msgspec.field(name="committed")
     from_step: int
-    held: MapVersion | None
+    held_version: MapVersion | None = msgspec.field(name="held")
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """Base of all replies."""
 
 
-class Staged(Reply, frozen=True):
+class StageReply(Reply, frozen=True, tag="Staged"):
     """The weights of ``version`` are loaded; ``step`` is the next to run."""
 
     version: MapVersion
     step: int
 
 
-class Prepared(Reply, frozen=True):
+class PrepareReply(Reply, frozen=True, tag="Prepared"):
     """The rank will not run the step until told."""
 
     version: MapVersion
 
 
-class Held(Reply, frozen=True):
+class SupersedeReply(Reply, frozen=True, tag="Held"):
     """Answers ``Supersede``; ``schedule`` is None for a rank that has restarted.
 
     ``life`` names the rank's life, from one start to the next.
     """
 
     version: MapVersion
-    schedule: Schedule | None
-    life: str = ""
+    schedule: MapSchedule | None
+    incarnation: str = msgspec.field(default="", name="life")
 
 
-class Committed(Reply, frozen=True):
+class CommitReply(Reply, frozen=True, tag="Committed"):
     """The version is final on this rank."""
 
     version: MapVersion
 
 
-class Aborted(Reply, frozen=True):
+class AbortReply(Reply, frozen=True, tag="Aborted"):
     """The version will never be prepared or committed on this rank."""
 
     version: MapVersion
 
 
-class StateRead(Reply, frozen=True):
+class StateReply(Reply, frozen=True, tag="StateRead"):
     """Answers ``ReadState``; ``schedule`` only if it was asked for."""
 
     round: int
     status: RankStatus
-    schedule: Schedule | None = None
+    schedule: MapSchedule | None = None
 
 
-class LoadsRead(Reply, frozen=True):
+class ExpertLoadsReply(Reply, frozen=True, tag="LoadsRead"):
     """Answers ``ReadLoads``.
 
     ``counts`` are, for each layer, the tokens that passed each expert in this rank's
@@ -179,7 +179,7 @@
     """
 
     round: int
-    origin: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     counts: tuple[tuple[int, ...], ...]
 
 
@@ -189,36 +189,46 @@
     STALE_FENCE = "stale-fence"
     STALE_VERSION = "stale-version"
     RESTARTED = "restarted"
-    OTHER_BASE = "other-base"
+    BASE_MISMATCH = "other-base"
     NOT_STAGED = "not-staged"
     STEP_PASSED = "step-passed"
-    EARLIER_CHANGE = "earlier-change"
+    EARLIER_CHANGE_PENDING = "earlier-change"
     NOT_PREPARED = "not-prepared"
     ALREADY_COMMITTED = "already-committed"
-    ENGINE = "engine"
+    ENGINE_REFUSED = "engine"
 
 
-class Refused(Reply, frozen=True):
+class RefusalReply(Reply, frozen=True, tag="Refused"):
     """The order that named ``version`` changed nothing."""
 
     version: MapVersion
     reason: RefusalReason
 
 
-RankOrder = Stage | Prepare | Supersede | Commit | Abort | ReadState
-AnyOrder = RankOrder | ReadLoads
-RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
-AnyReply = RankReply | LoadsRead
+RankOrder = (
+    StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
+)
+AnyOrder = RankOrder | ExpertLoadsRequest
+RankReply = (
+    StageReply
+    | PrepareReply
+    | SupersedeReply
+    | CommitReply
+    | AbortReply
+    | StateReply
+    | RefusalReply
+)
+AnyReply = RankReply | ExpertLoadsReply
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ORDERS: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
-_REPLIES: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
+_ORDER_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
+_REPLY_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
 
 
 def version_of(order: AnyOrder) -> MapVersion:
     """Return the version that ``order`` names; ``ReadState`` names none."""
     match order:
-        case ReadState() | ReadLoads():
+        case StateRequest() | ExpertLoadsRequest():
             return NO_VERSION
         case _:
             return order.version
@@ -229,18 +239,18 @@
     return _ENCODER.encode(item)
 
 
-def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, BadOrder]:
+def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, DecodeFailure]:
     try:
         return Ok(decode(data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Error(BadOrder(str(error)))
+        return Error(DecodeFailure(str(error)))
 
 
-def decode_order(data: bytes) -> Result[AnyOrder, BadOrder]:
+def decode_order(data: bytes) -> Result[AnyOrder, DecodeFailure]:
     """Return the order in ``data``."""
-    return _decode(_ORDERS.decode, data)
+    return _decode(_ORDER_DECODER.decode, data)
 
 
-def decode_reply(data: bytes) -> Result[AnyReply, BadOrder]:
+def decode_reply(data: bytes) -> Result[AnyReply, DecodeFailure]:
     """Return the reply in ``data``."""
-    return _decode(_REPLIES.decode, data)
+    return _decode(_REPLY_DECODER.decode, data)
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -19,14 +19,14 @@
 from expression import Result
 
 from kingcupwheel.expertmaps.exceptions import RankUnreachable
-from kingcupwheel.expertmaps.protocol import Abort
+from kingcupwheel.expertmaps.protocol import AbortOrder
 from kingcupwheel.expertmaps.protocol import AnyReply
-from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Prepare
-from kingcupwheel.expertmaps.protocol import ReadLoads
-from kingcupwheel.expertmaps.protocol import ReadState
-from kingcupwheel.expertmaps.protocol import Stage
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import CommitOrder
+from kingcupwheel.expertmaps.protocol import ExpertLoadsRequest
+from kingcupwheel.expertmaps.protocol import PrepareOrder
+from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StateRequest
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 from kingcupwheel.plugins.kernel import rank_apis
 
 
@@ -34,17 +34,19 @@
     from kingcupwheel.expertmaps.protocol import AnyOrder
 
 # The longest answer that is read: a schedule of two maps of the largest group.
-_ANSWER_BYTES = 4_000_000
+_MAX_REPLY_BYTES = 4_000_000
 # How long a rank may take to answer. An order is answered between two steps; one that
 # takes longer is given again, and counts as possibly still to take effect.
 RANK_TIMEOUT_S = 2.0
-_REPLIES: msgspec.json.Decoder[Any] = msgspec.json.Decoder(AnyReply)
+_REPLY_DECODER: msgspec.json.Decoder[Any] = msgspec.json.Decoder(AnyReply)
 
 
 class RankApi(Protocol):
     """A plug-in for one kind of rank; calls block for a bounded time."""
 
-    def give(self, order: AnyOrder, *, fence: int) -> Result[AnyReply, RankUnreachable]:
+    def send_order(
+        self, order: AnyOrder, *, fence: int
+    ) -> Result[AnyReply, RankUnreachable]:
         """Have the rank take ``order``; an engine may check ``fence`` or ignore it."""
 
 
@@ -60,20 +62,20 @@
     path: str
 
 
-def endpoint_of(order: AnyOrder) -> _Endpoint:
+def get_endpoint(order: AnyOrder) -> _Endpoint:
     """Return where ``order`` goes."""
     match order:
-        case Stage():
+        case StageOrder():
             return _Endpoint("POST", "/rank/stage")
-        case Prepare() | Supersede():
+        case PrepareOrder() | SupersedeOrder():
             return _Endpoint("POST", "/rank/prepare")
-        case Commit():
+        case CommitOrder():
             return _Endpoint("POST", "/rank/commit")
-        case Abort():
+        case AbortOrder():
             return _Endpoint("POST", "/rank/abort")
-        case ReadState(number, whole):
+        case StateRequest(number, whole):
             return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
-        case ReadLoads(number):
+        case ExpertLoadsRequest(number):
             return _Endpoint("GET", f"/rank/loads?round={number}")
 
 
@@ -86,26 +88,30 @@
         timeout = urllib3.Timeout(total=timeout_s)
         self._pool = urllib3.PoolManager(maxsize=2, timeout=timeout, retries=False)
 
-    def give(self, order: AnyOrder, *, fence: int) -> Result[AnyReply, RankUnreachable]:
+    def send_order(
+        self, order: AnyOrder, *, fence: int
+    ) -> Result[AnyReply, RankUnreachable]:
         """Have the rank take ``order``."""
-        method, path = endpoint_of(order)
+        method, path = get_endpoint(order)
         body = None
         if method == "POST":
             body = msgspec.json.encode(RankCall(fence, order))
         try:
             response = self._pool.request(method, self._url + path, body=body)
         except urllib3.exceptions.NewConnectionError as error:
-            return Error(RankUnreachable(str(error), sent=False))
+            return Error(RankUnreachable(str(error), was_sent=False))
         except urllib3.exceptions.HTTPError as error:
-            return Error(RankUnreachable(str(error), sent=True))
-        return _reply(response)
+            return Error(RankUnreachable(str(error), was_sent=True))
+        return _decode_response(response)
 
 
-def _reply(response: urllib3.BaseHTTPResponse) -> Result[AnyReply, RankUnreachable]:
-    if response.status != 200 or len(response.data) > _ANSWER_BYTES:
+def _decode_response(
+    response: urllib3.BaseHTTPResponse,
+) -> Result[AnyReply, RankUnreachable]:
+    if response.status != 200 or len(response.data) > _MAX_REPLY_BYTES:
         detail = f"status {response.status}, {len(response.data)} bytes"
-        return Error(RankUnreachable(detail, sent=True))
+        return Error(RankUnreachable(detail, was_sent=True))
     try:
-        return Ok(_REPLIES.decode(response.data))
+        return Ok(_REPLY_DECODER.decode(response.data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Error(RankUnreachable(str(error), sent=True))
+        return Error(RankUnreachable(str(error), was_sent=True))
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -14,12 +14,12 @@
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import map_skew
 from kingcupwheel.expertmaps.planner import PlanWeights
-from kingcupwheel.expertmaps.planner import plan
+from kingcupwheel.expertmaps.planner import plan_map
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.expertmaps.loads import DecayedLoad
-    from kingcupwheel.expertmaps.loads import MapLoad
+    from kingcupwheel.expertmaps.load_estimate import LoadEstimate
+    from kingcupwheel.expertmaps.load_estimate import MapLoad
 
 # The paper's exploration parameter; it has to exceed one half.
 _ALPHA = 0.52
@@ -35,12 +35,12 @@
         self._loads: deque[MapLoad] = deque(maxlen=_WINDOW)
         self._periods = 0
 
-    def __call__(self, current: ExpertMap, estimate: DecayedLoad) -> ExpertMap:
+    def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         self._periods += 1
         if estimate.load is not None:
             self._loads.append(estimate.load)
-        found = plan(current, estimate, self._weights)
+        found = plan_map(current, estimate, self._weights)
         if found is None:
             return current
         gains = [
@@ -48,7 +48,7 @@
         ]
         places = sum(len(held) for layer in current.layers for held in layer)
         weights = self._weights
-        cost = weights.move_cost * found.moves / places
+        cost = weights.move_cost * found.move_count / places
         worth = (
             weights.skew_weight
             * weights.payback_periods
