--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -46,11 +46,11 @@
     def __init__(
         self,
         context: EntryContext,
-        get_in_force: Callable[[], CompiledManifest | None],
+        get_manifest: Callable[[], CompiledManifest | None],
         caller_pages: CallerPages,
     ) -> None:
         self._context = context
-        self._get_in_force = get_in_force
+        self._get_manifest = get_manifest
         self._caller_pages = caller_pages
         self._in_progress = 0
         self._is_closed = False
@@ -104,8 +104,8 @@
 
     def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
         settings = self._context.settings.entry
-        in_force = self._get_in_force()
-        if self._is_closed or in_force is None:
+        manifest = self._get_manifest()
+        if self._is_closed or manifest is None:
             exchange.discard_body(settings.body_bytes)
             return exchange.refuse(ENTRY_LEAVING if self._is_closed else NO_MANIFEST)
         refusal = check_sizes(
@@ -116,7 +116,7 @@
         if refusal is not None:
             exchange.discard_body(_MAX_DISCARDED_BODIES * settings.body_bytes)
             return exchange.refuse(refusal)
-        authenticated = authenticate_organisation(exchange.headers, in_force)
+        authenticated = authenticate_organisation(exchange.headers, manifest)
         if authenticated.is_error():
             # One chunk only: unauthenticated callers must not hold a thread for long.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
@@ -133,7 +133,7 @@
         parsed = parse_request(
             exchange.build_http_request(body),
             authenticated.ok,
-            in_force,
+            manifest,
             request_id=exchange.request_id,
             received_at=exchange.received_at,
         )
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -89,7 +89,7 @@
             leaving=self._leaving,
         )
         fetcher = ManifestFetcher(self._hub)
-        self._keeper = ManifestSynchronizer(
+        self._manifest_synchronizer = ManifestSynchronizer(
             client,
             fetch_from_peer=fetcher.fetch,
             on_change=self._on_manifest,
@@ -113,7 +113,7 @@
         self._handler = MessageHandler(
             self._context,
             self._membership,
-            self._keeper,
+            self._manifest_synchronizer,
             fetcher,
             self._telemetry.burn_counter,
             self._balancer,
@@ -135,13 +135,17 @@
             self._membership,
             address_ttl_s=self._settings.timings.leave_s / 2,
         )
-        return Application(self._context, lambda: self._keeper.current, pages)
+        return Application(
+            self._context, lambda: self._manifest_synchronizer.current, pages
+        )
 
     def _build_operator_server(self) -> HttpServer | None:
         if not self._settings.operator_http:
             return None
         pages = OperatorPages(
-            self._context, self._keeper, lambda: self._application.in_progress_count
+            self._context,
+            self._manifest_synchronizer,
+            lambda: self._application.in_progress_count,
         )
         return HttpServer(
             pages,
@@ -163,7 +167,7 @@
             self._operator_http_server.bind()
             self._operator_http_server.start()
         self._hub.start()
-        self._keeper.start()
+        self._manifest_synchronizer.start()
         self._membership.start()
         self._telemetry.start()
         self._retention.start()
@@ -193,7 +197,7 @@
         if self._operator_http_server is not None:
             self._operator_http_server.stop()
         self._membership.stop()
-        self._keeper.stop()
+        self._manifest_synchronizer.stop()
         self._retention.stop()
         self._telemetry.stop()
         self._hub.stop()
@@ -210,16 +214,16 @@
     def _on_tick(self, now: float) -> None:
         self._handler.on_tick(now)
 
-    def _on_manifest(self, in_force: CompiledManifest) -> None:
-        self._telemetry.set_manifest(in_force, self._context.inboxes.request_ids)
+    def _on_manifest(self, manifest: CompiledManifest) -> None:
+        self._telemetry.set_manifest(manifest, self._context.inboxes.request_ids)
 
     def _find_organisation(self, name: str) -> Organisation | None:
-        in_force = self._keeper.current
-        return None if in_force is None else in_force.organisations_by_name.get(name)
+        manifest = self._manifest_synchronizer.current
+        return None if manifest is None else manifest.organisations_by_name.get(name)
 
     def _get_retention(self) -> Retention:
-        in_force = self._keeper.current
-        return Retention() if in_force is None else in_force.retention
+        manifest = self._manifest_synchronizer.current
+        return Retention() if manifest is None else manifest.retention
 
     def _request_instances_from_seeds(self) -> None:
         for address in self._settings.seeds:
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -67,9 +67,9 @@
         self._metrics.close()
 
     def set_manifest(
-        self, in_force: CompiledManifest, request_ids: Iterable[str]
+        self, manifest: CompiledManifest, request_ids: Iterable[str]
     ) -> None:
         """Apply a new manifest and record the change in traces of ``request_ids``."""
-        self.outcome_counter.set_goals(in_force)
+        self.outcome_counter.set_goals(manifest)
         for request_id in request_ids:
-            self.recorder.record(request_id, ManifestChanged(in_force.version))
+            self.recorder.record(request_id, ManifestChanged(manifest.version))
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -62,14 +62,14 @@
         self,
         context: EntryContext,
         membership: Membership,
-        keeper: ManifestSynchronizer,
+        manifest_synchronizer: ManifestSynchronizer,
         manifest_fetcher: ManifestFetcher,
         burn_counter: BurnCounter,
         balancer: AllowanceBalancer,
     ) -> None:
         self._context = context
         self._membership = membership
-        self._keeper = keeper
+        self._manifest_synchronizer = manifest_synchronizer
         self._manifest_fetcher = manifest_fetcher
         self._burn_counter = burn_counter
         self._balancer = balancer
@@ -116,7 +116,7 @@
             case PeerHeartbeat():
                 self._on_peer_heartbeat(link, message)
             case ManifestRequest(key):
-                send(link, self._keeper.get_object(key))
+                send(link, self._manifest_synchronizer.get_object(key))
             case ManifestObject():
                 self._manifest_fetcher.put_object(message)
             case InstancesReply(instances):
@@ -152,7 +152,9 @@
             self._on_liveness_event(restart_event)
         if heartbeat.crashed:
             self._context.limiter.record_crashes(heartbeat.crashed)
-        self._keeper.record_peer_version(heartbeat.manifest_version, "", address)
+        self._manifest_synchronizer.record_peer_version(
+            heartbeat.manifest_version, "", address
+        )
         self._context.dispatchers.place_waiting(heartbeat.group)
 
     def _on_peer_heartbeat(self, link: Link, heartbeat: PeerHeartbeat) -> None:
@@ -163,7 +165,7 @@
             address = link.address
         else:
             address = self._membership.find_address(heartbeat.name)
-        self._keeper.record_peer_version(
+        self._manifest_synchronizer.record_peer_version(
             heartbeat.manifest_version, heartbeat.manifest_digest, address
         )
         # An entry that started during a platform outage is on no entry's list of
@@ -171,7 +173,7 @@
         # manifest.
         if (
             isinstance(link, IncomingLink)
-            and heartbeat.manifest_version < self._keeper.version
+            and heartbeat.manifest_version < self._manifest_synchronizer.version
         ):
             self._context.hub.send(link, self._build_peer_heartbeat())
 
@@ -190,7 +192,7 @@
             settings.name,
             settings.role.value,
             settings.data_centre,
-            self._keeper.version,
+            self._manifest_synchronizer.version,
             self._context.leaving.is_set(),
         )
 
@@ -233,7 +235,10 @@
 
     def _send_heartbeats(self) -> None:
         context = self._context
-        version, digest = self._keeper.version, self._keeper.digest
+        version, digest = (
+            self._manifest_synchronizer.version,
+            self._manifest_synchronizer.digest,
+        )
         leaving = context.leaving.is_set()
         name, data_centre = context.settings.name, context.settings.data_centre
         hello = Hello(name, data_centre, version, digest, leaving)
@@ -248,8 +253,8 @@
         return PeerHeartbeat(
             context.settings.name,
             context.settings.data_centre,
-            self._keeper.version,
-            self._keeper.digest,
+            self._manifest_synchronizer.version,
+            self._manifest_synchronizer.digest,
             context.leaving.is_set(),
             context.limiter.recent_crashes,
         )
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -57,11 +57,11 @@
     def __init__(
         self,
         context: EntryContext,
-        keeper: ManifestSynchronizer,
+        manifest_synchronizer: ManifestSynchronizer,
         count_in_progress: Callable[[], int],
     ) -> None:
         self._context = context
-        self._keeper = keeper
+        self._manifest_synchronizer = manifest_synchronizer
         self._count_in_progress = count_in_progress
 
     def __call__(
@@ -93,7 +93,7 @@
         reason = ""
         if self._context.leaving.is_set():
             reason = "leaving"
-        elif self._keeper.current is None:
+        elif self._manifest_synchronizer.current is None:
             reason = "no manifest in force"
         status = "503 Service Unavailable" if reason else "200 OK"
         return _Page(status, {"healthy": not reason, "why": reason})
@@ -103,7 +103,7 @@
         servers = self._context.servers.servers
         return StatusBody(
             name=self._context.settings.name,
-            manifest_version=self._keeper.version,
+            manifest_version=self._manifest_synchronizer.version,
             leaving=self._context.leaving.is_set(),
             in_progress=self._count_in_progress(),
             waiting_by_group=self._context.dispatchers.waiting_count_by_group,
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -33,11 +33,11 @@
         self._burn_counter = burn_counter
         self._metrics = metrics
 
-    def set_goals(self, in_force: CompiledManifest) -> None:
+    def set_goals(self, manifest: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
-        self._burn_counter.adopt(build_burn_goals(in_force))
+        self._burn_counter.adopt(build_burn_goals(manifest))
         self._metrics.count(Count.MANIFESTS_ADOPTED)
-        self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
+        self._metrics.level(Level.MANIFEST_VERSION, manifest.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that the entry refused."""
@@ -97,13 +97,13 @@
                 self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
 
 
-def build_burn_goals(in_force: CompiledManifest) -> BurnGoals:
+def build_burn_goals(manifest: CompiledManifest) -> BurnGoals:
     """Return the goals set in the manifest in force."""
-    routes = in_force.assembly.core.routes
-    organisations = in_force.organisations_by_name.values()
+    routes = manifest.assembly.core.routes
+    organisations = manifest.organisations_by_name.values()
     return BurnGoals(
-        in_force.version,
-        in_force.goals,
+        manifest.version,
+        manifest.goals,
         {route_name(route): route.goals for route in routes if route.goals},
         {item.name: item.goals for item in organisations if item.goals},
     )
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -70,14 +70,14 @@
 
 
 def authenticate_organisation(
-    headers: Mapping[str, str], in_force: CompiledManifest
+    headers: Mapping[str, str], manifest: CompiledManifest
 ) -> Result[Organisation, Refusal]:
     """Return the organisation of the API key, or a refusal."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER_PREFIX) :].strip()
-    organisation = in_force.find_organisation_by_key(key)
+    organisation = manifest.find_organisation_by_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
@@ -97,7 +97,7 @@
 def parse_request(
     http_request: HttpRequest,
     organisation: Organisation,
-    in_force: CompiledManifest,
+    manifest: CompiledManifest,
     *,
     request_id: str,
     received_at: float,
@@ -106,7 +106,7 @@
 
     ``received_at`` is in seconds of the monotonic clock.
     """
-    route_match = _find_route(http_request, in_force)
+    route_match = _find_route(http_request, manifest)
     if isinstance(route_match, Refusal):
         return Error(route_match)
     route, group = route_match
@@ -147,15 +147,15 @@
             received_at=received_at,
             deadline_s=route.deadline_s if deadline is None else deadline,
             has_own_deadline=deadline is not None,
-            manifest_version=in_force.version,
+            manifest_version=manifest.version,
         )
     )
 
 
 def _find_route(
-    http_request: HttpRequest, in_force: CompiledManifest
+    http_request: HttpRequest, manifest: CompiledManifest
 ) -> MatchedRoute | Refusal:
-    match in_force.find_route(
+    match manifest.find_route(
         http_request.host, http_request.path, http_request.method
     ):
         case NoRoute():
