--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -41,7 +41,7 @@
 
 
 class Application:
-    """Answers callers; ``get_in_force`` returns the manifest for new requests."""
+    """Answers callers; ``get_manifest`` returns the manifest for new requests."""
 
     def __init__(
         self,
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -198,8 +198,8 @@
 
     def on_tick(self, now: float) -> None:
         """Check the liveness of agents; send heartbeats when they are due."""
-        for finding in self._context.servers.check_liveness(now):
-            self._on_liveness_event(finding)
+        for event in self._context.servers.check_liveness(now):
+            self._on_liveness_event(event)
         if now - self._last_heartbeat_at >= self._context.settings.timings.heartbeat_s:
             self._last_heartbeat_at = now
             self._balancer.update_shares(now)
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -162,8 +162,8 @@
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
-        case MatchedRoute() as found:
-            return _check_idempotency_key(http_request, found) or found
+        case MatchedRoute() as route_match:
+            return _check_idempotency_key(http_request, route_match) or route_match
 
 
 def _check_idempotency_key(
