--- a/src/kingcupwheel/expertmaps/__init__.py
+++ b/src/kingcupwheel/expertmaps/__init__.py
@@ -1,3 +1,3 @@
-"""Expert maps: planned, agreed on and put in force."""
+"""Planning of expert maps and the protocol that changes them on all ranks."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -1,11 +1,11 @@
-"""The coordinator of a group's expert map as a state machine without I/O or clocks.
-
-In every step all ranks must use one map, whatever process dies. A change is staged,
-prepared for a step to come on all ranks, and only then committed; short of that it is
-aborted. After a takeover, or when a rank has restarted, nothing read from a rank can be
-trusted to stay true, because an order may still be on its way to it; so the coordinator
-supersedes open versions on all ranks first and decides when all have answered. Silence
-means that it waits: a guess could put two maps in force.
+"""Coordinator of a group's expert map, a state machine without I/O or clocks.
+
+All ranks must use the same map in every step, whichever process fails. A change is
+staged, prepared on all ranks for a later step, and only then committed; otherwise it is
+aborted. After a takeover or the restart of a rank, the state read from a rank may be
+outdated at once, because an earlier order may still be in transit. So the coordinator
+first supersedes open versions on all ranks and decides once all have answered. It waits
+for ranks that do not answer, because a guess could activate two maps.
 """
 
 from __future__ import annotations
@@ -57,11 +57,14 @@
 
 
 class CoordinatorTimings(NamedTuple):
-    """Times in seconds, and the weight store's rate in bytes per second.
-
-    Orders are repeated every ``repeat_s``, ranks read every ``poll_s``. ``lead_s`` is
-    how far ahead the step of a change is set. A change not prepared ``prepare_s`` after
-    it was asked for, or not staged ``stage_s`` after the last turn, is aborted.
+    """Timings of a coordinator.
+
+    Unanswered orders are retried every ``retry_interval_s``, and the state of the ranks
+    is polled every ``poll_interval_s``. A change takes effect at a step that is about
+    ``switch_lead_s`` ahead. It is aborted if it is not prepared within
+    ``prepare_timeout_s``, or not staged within ``stage_timeout_s`` of the last start
+    time of a rank. ``store_bytes_per_s`` is the rate of the weight store reserved for
+    rebalancing.
     """
 
     retry_interval_s: float = 0.5
@@ -76,9 +79,9 @@
 
 
 class Coordinator:
-    """Give it every event by ``step``; it returns the orders to send.
+    """State machine that turns events into orders for the ranks.
 
-    ``initial`` is put in force in a group none of whose ranks has a map. Attributes
+    ``initial_map`` is committed in a group none of whose ranks has a map. Attributes
     hold immutable values only, so that a shallow copy of a coordinator is a snapshot.
     """
 
@@ -104,24 +107,24 @@
 
     @property
     def phase(self) -> Phase:
-        """What the coordinator is doing."""
+        """Current phase."""
         return self._phase
 
     @property
     def fence(self) -> int:
-        """The fence that its orders carry."""
+        """Fence that its orders carry."""
         return self._version.fence
 
     @property
     def schedule(self) -> MapSchedule | None:
-        """What all ranks have committed, as far as is known."""
+        """Schedule that all ranks have committed, None if unknown."""
         return self._schedule
 
     def handle_event(self, event: Event) -> list[OutgoingOrder]:
-        """Take ``event`` and return the orders to send."""
+        """Handle ``event`` and return the orders to send."""
         match event:
             case LeaseTaken(fence, now):
-                # Versions of this lease start anew under a fence never used before.
+                # Counters restart at 0, because the fence has never been used before.
                 self._version = NO_VERSION._replace(fence=fence)
                 self._schedule = None
                 return self._enter_phase(self._new_surveying_phase(), now)
@@ -133,33 +136,33 @@
             case Tick(now):
                 return self._handle_tick(now)
             case ReplyReceived(rank, reply, now):
-                following = self._handle_reply(rank, reply, now)
-                if following is None:
+                next_phase = self._handle_reply(rank, reply, now)
+                if next_phase is None:
                     return []
-                return self._enter_phase(following, now)
+                return self._enter_phase(next_phase, now)
 
     def _enter_phase(self, phase: Phase, now: float) -> list[OutgoingOrder]:
-        """Go to ``phase``; unless it only goes on, tell its ranks at once."""
-        goes_on = phase_key(phase) == phase_key(self._phase)
+        """Enter ``phase``; if it is a new one, return its orders at once."""
+        is_same_phase = phase_key(phase) == phase_key(self._phase)
         self._phase = phase
-        if goes_on:
+        if is_same_phase:
             return []
         self._phase_started_at = now
         return self._collect_orders(now)
 
     def _collect_orders(self, now: float) -> list[OutgoingOrder]:
         self._last_sent_at = now
-        wanted = (
+        orders = (
             pending_order(self._phase, rank, now) for rank in range(self._rank_count)
         )
         return [
-            OutgoingOrder(rank, order) for rank, order in enumerate(wanted) if order
+            OutgoingOrder(rank, order) for rank, order in enumerate(orders) if order
         ]
 
     def _handle_tick(self, now: float) -> list[OutgoingOrder]:
         match self._phase:
-            case Staging(version, start_times=due) if (
-                now - due[-1] > self._timings.stage_timeout_s
+            case Staging(version, start_times=start_times) if (
+                now - start_times[-1] > self._timings.stage_timeout_s
             ):
                 return self._enter_phase(Aborting(version, frozenset()), now)
             case Preparing(version) if (
@@ -183,19 +186,19 @@
             return []
         self._version = self._version.next()
         base = self._schedule.new_map
-        due = staging_start_times(
+        start_times = staging_start_times(
             base.map,
             expert_map,
             now=now,
             seconds_per_expert=self._expert_bytes / self._timings.store_bytes_per_s,
         )
-        cells = base.map.diff_placements(expert_map)
-        order = StageOrder(self._version, base.origin_version, cells)
+        placements = base.map.diff_placements(expert_map)
+        order = StageOrder(self._version, base.origin_version, placements)
         staging = Staging(
             self._version,
             expert_map,
             order,
-            due,
+            start_times,
             frozenset(),
             self._step_rate.last_step,
         )
@@ -214,23 +217,33 @@
         return Holding(self._version, (None,) * self._rank_count)
 
     def _handle_reply(self, rank: int, reply: RankReply, now: float) -> Phase | None:
-        """Return the phase that follows, or None if the reply changes nothing."""
+        """Return the next phase, or None if the reply changes nothing."""
         if isinstance(reply, RefusalReply):
             return self._handle_refusal(reply)
         match self._phase, reply:
-            case Surveying(number) as phase, StateReply(of) if of == number:
+            case Surveying(number) as phase, StateReply(answered) if answered == number:
                 return self._handle_survey_reply(phase, rank, reply)
-            case Ready(number) as phase, StateReply(of) if of == number:
+            case Ready(number) as phase, StateReply(answered) if answered == number:
                 return self._handle_poll_reply(phase, rank, reply, now)
-            case Holding(version) as phase, SupersedeReply(of) if of == version:
+            case Holding(version) as phase, SupersedeReply(answered) if (
+                answered == version
+            ):
                 return self._handle_supersede_reply(phase, rank, reply)
-            case Staging(version) as phase, StageReply(of, step) if of == version:
+            case Staging(version) as phase, StageReply(answered, step) if (
+                answered == version
+            ):
                 return self._handle_stage_reply(phase, rank, step)
-            case Preparing(version) as phase, PrepareReply(of) if of == version:
+            case Preparing(version) as phase, PrepareReply(answered) if (
+                answered == version
+            ):
                 return self._handle_prepare_reply(phase, rank)
-            case Committing(version) as phase, CommitReply(of) if of == version:
+            case Committing(version) as phase, CommitReply(answered) if (
+                answered == version
+            ):
                 return self._handle_commit_reply(phase, rank)
-            case Aborting(version) as phase, AbortReply(of) if of == version:
+            case Aborting(version) as phase, AbortReply(answered) if (
+                answered == version
+            ):
                 return self._handle_abort_reply(phase, rank)
         return None
 
@@ -239,7 +252,7 @@
             return Standby()
         match self._phase:
             case Holding(version) if version == reply.version:
-                # A rank has seen a higher version, so a newer coordinator is at work.
+                # The rank has seen a higher version, so a newer coordinator is active.
                 return Standby()
             case Staging(version) | Preparing(version) if version == reply.version:
                 return Aborting(version, frozenset())
@@ -250,7 +263,7 @@
     def _handle_commit_refusal(self, reason: RefusalReason) -> Phase | None:
         match reason:
             case RefusalReason.NOT_PREPARED | RefusalReason.NOT_STAGED:
-                # The rank has restarted since it prepared: it must be told its map.
+                # The rank has restarted since it prepared and has lost its map.
                 return self._new_holding_phase()
             case _:
                 return None
@@ -283,11 +296,11 @@
         answers = with_answer(phase.answers, rank, reply)
         if None in answers:
             return replace(phase, answers=answers)
-        held = [answer for answer in answers if answer is not None]
-        found = [answer.schedule for answer in held]
-        schedule = build_recovery_schedule(phase.version, found, self._initial_map)
-        lives = tuple(answer.incarnation for answer in held)
-        return Committing(phase.version, schedule, lives, frozenset())
+        replies = [answer for answer in answers if answer is not None]
+        schedules = [answer.schedule for answer in replies]
+        schedule = build_recovery_schedule(phase.version, schedules, self._initial_map)
+        incarnations = tuple(answer.incarnation for answer in replies)
+        return Committing(phase.version, schedule, incarnations, frozenset())
 
     def _handle_stage_reply(self, phase: Staging, rank: int, step: int) -> Phase:
         acked = phase.acked | {rank}
@@ -301,8 +314,10 @@
         acked = phase.acked | {rank}
         if len(acked) < self._rank_count or self._schedule is None:
             return replace(phase, acked=acked)
-        after = VersionedMap(phase.version, phase.map)
-        schedule = MapSchedule(phase.version, self._schedule.new_map, after, phase.step)
+        new_map = VersionedMap(phase.version, phase.map)
+        schedule = MapSchedule(
+            phase.version, self._schedule.new_map, new_map, phase.step
+        )
         return Committing(phase.version, schedule, None, frozenset())
 
     def _handle_commit_reply(self, phase: Committing, rank: int) -> Phase:
--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -1,4 +1,4 @@
-"""What a coordinator concludes from its ranks' answers, as pure functions."""
+"""Pure functions behind the decisions of a coordinator."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 T = TypeVar("T")
 
-# Engine steps take a few milliseconds; until the pace of a group is known this many
-# steps a second are assumed. Too many only delays the switch, too few pauses ranks.
+# Assumed until the step rate of a group is known; engine steps take a few milliseconds.
+# Too high a rate only delays the switch to a new map, too low a rate pauses ranks.
 _ASSUMED_STEPS_PER_S = 250.0
-# A pace measured over less than this is mostly the spread of message delays.
+# Over a shorter time the rate would mostly reflect the variation of message delays.
 _MIN_RATE_WINDOW_S = 0.5
 
 
 class StepRate(NamedTuple):
-    """How fast a group steps, from the last ``step`` heard of and when (``at``)."""
+    """Step rate of a group, from the last step reported and when it was reported."""
 
     last_step: int = 0
     observed_at: float = 0.0
     steps_per_s: float = _ASSUMED_STEPS_PER_S
 
     def with_observation(self, step: int, now: float) -> StepRate:
-        """Return the pace after a rank was at ``step`` at ``now``."""
+        """Return the rate updated with a rank that was at ``step`` at ``now``."""
         if now - self.observed_at < _MIN_RATE_WINDOW_S:
             return self
         if self.observed_at and step > self.last_step:
@@ -45,12 +45,12 @@
         return StepRate(step, now, self.steps_per_s)
 
     def steps_in(self, lead_s: float) -> int:
-        """Return how many steps a group runs in ``lead_s`` seconds."""
+        """Return how many steps a group runs in ``lead_s``, rounded up."""
         return math.ceil(self.steps_per_s * lead_s)
 
 
 def is_settled(answer: StateReply, version: MapVersion | None) -> bool:
-    """Tell whether a rank has a map, the one of ``version``, and no version open."""
+    """Return whether a rank has committed ``version`` and holds no other version."""
     status = answer.status
     known = status.committed_version is not None and status.committed_version == version
     return known and status.held_version is None
@@ -59,19 +59,19 @@
 def with_answer(
     answers: tuple[T | None, ...], rank: int, answer: T
 ) -> tuple[T | None, ...]:
-    """Return ``answers`` with that of ``rank`` in place."""
+    """Return a copy of ``answers`` with that of ``rank`` set."""
     return (*answers[:rank], answer, *answers[rank + 1 :])
 
 
 def build_recovery_schedule(
     version: MapVersion, schedules: Iterable[MapSchedule | None], initial_map: ExpertMap
 ) -> MapSchedule:
-    """Return what to commit as ``version``: the highest that any rank has committed.
+    """Return the schedule to commit as ``version``, the highest of ``schedules``.
 
-    A version is committed only after all ranks prepared it. So a rank that has not
-    committed the highest one was held before its step until now, and runs that step on
-    the map that others may already have used. ``initial`` is for a group none of whose
-    ranks has a map.
+    A version is committed only after all ranks have prepared it. So a rank that has not
+    committed the highest version has been held before its step until now, and runs that
+    step on the map that other ranks may already have used. ``initial_map`` is used if
+    no rank of the group has a map.
     """
     known = [schedule for schedule in schedules if schedule is not None]
     if not known:
@@ -90,9 +90,9 @@
 ) -> tuple[float, ...]:
     """Return when each rank may start to load weights (monotonic seconds).
 
-    Load: ranks that load all at once take the weight store's whole rate. Harm: engines
-    that are starting wait for theirs. Limit: a rank's turn comes when those before it
-    have had the time to load at the rate that is set aside for rebalancing.
+    If all ranks loaded at once, they would use the whole rate of the weight store and
+    delay engines that are starting. So a rank starts once the ranks before it have had
+    the time to load at the rate reserved for rebalancing.
     """
     turns = []
     due = now
--- a/src/kingcupwheel/expertmaps/coordinator_driver.py
+++ b/src/kingcupwheel/expertmaps/coordinator_driver.py
@@ -1,7 +1,7 @@
-"""The coordinator's side of a group while this agent holds the lease.
+"""Driver of a group's coordinator while this agent holds the lease.
 
-Runs on the hub's thread: finds which agent speaks for which rank, feeds the state
-machine and sends its orders.
+Runs on the hub's thread. It finds the agent of each rank, passes events to the state
+machine and orders the orders that it returns.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
-# A state machine's rounds start at 1, so answers to this one are for the leader alone.
+# The state machine's rounds start at 1, so it ignores the replies to this request.
 _PROBE_REQUEST = StateRequest(0)
-# How often agents that have not said which rank they speak for are asked.
+# Interval of requests to agents whose rank is not known yet.
 _PROBE_INTERVAL_S = 1.0
 
 
 class CoordinatorDriver:
-    """Leads a group under one fence at a time; ``stop`` it when the lease is lost."""
+    """Coordinates a group under one fence at a time, as long as the lease is held."""
 
     def __init__(
         self,
@@ -77,22 +77,22 @@
 
     @property
     def phase(self) -> Phase:
-        """What the coordinator is doing."""
+        """Current phase of the coordinator."""
         return self._coordinator.phase
 
     @property
     def is_coordinating(self) -> bool:
-        """Whether a fence is in hand."""
+        """Whether this agent coordinates the group."""
         return self._fence > 0
 
     @property
     def has_all_addresses(self) -> bool:
-        """Whether an agent has spoken for every rank."""
+        """Whether the address of every rank's agent is known."""
         return len(self._address_by_rank) == self._rank_count
 
     @property
     def is_superseded(self) -> bool:
-        """Whether a rank has told of a newer coordinator."""
+        """Whether a rank has reported a newer coordinator."""
         return self._is_started and isinstance(self.phase, Standby)
 
     def start_planner(self) -> None:
@@ -100,32 +100,32 @@
         self._rebalancer.start()
 
     def stop_planner(self) -> None:
-        """End the planning thread."""
+        """Stop the planning thread."""
         self._rebalancer.stop()
 
     def start_coordinating(self, fence: int) -> None:
-        """Lead under ``fence`` once the agents of all ranks are known."""
-        logger.info("Leads group %s under fence %d.", self._group, fence)
+        """Coordinate under ``fence`` once the agents of all ranks are known."""
+        logger.info("Coordinating group %s under fence %d.", self._group, fence)
         self._fence = fence
         self._last_probe_at = 0.0
         self._is_started = False
         self._address_by_rank.clear()
 
     def stop_coordinating(self) -> None:
-        """Send no more orders."""
+        """Stop sending orders."""
         if self.is_coordinating:
-            logger.info("Leads group %s no longer.", self._group)
+            logger.info("Stopped coordinating group %s.", self._group)
         self._fence = 0
         self._is_started = False
         self._coordinator.handle_event(LeaseLost())
 
     def handle_reply(self, address: str, message: MapReply, now: float) -> None:
-        """Take an agent's answer."""
+        """Handle a reply forwarded by an agent."""
         if not self.is_coordinating or message.fence != self._fence:
             return
         decoded = decode_reply(message.reply)
         if decoded.is_error() or not 0 <= message.rank < self._rank_count:
-            logger.warning("Bad reply from %s.", message.agent)
+            logger.warning("Invalid reply or rank from agent %s.", message.agent)
             return
         self._record_address(message.rank, address)
         if not self._is_started and self.has_all_addresses:
@@ -138,9 +138,9 @@
                 self._handle_event(ReplyReceived(message.rank, reply, now))
 
     def tick(self, now: float, agent_addresses: frozenset[str]) -> None:
-        """Repeat what is unanswered and plan when it is time.
+        """Retry unanswered orders, request loads that are due, propose a plan.
 
-        ``members`` are the addresses of the group's agents.
+        ``agent_addresses`` are the addresses of the group's agents.
         """
         if now - self._last_probe_at >= _PROBE_INTERVAL_S:
             self._last_probe_at = now
@@ -150,29 +150,34 @@
         self._handle_event(Tick(now))
         if not isinstance(self.phase, Ready):
             return
-        question = self._rebalancer.due_loads_request(now)
-        if question is not None:
+        loads_request = self._rebalancer.due_loads_request(now)
+        if loads_request is not None:
             for address in self._address_by_rank.values():
-                self._send_order(address, question)
-        found = self._rebalancer.take_plan()
-        if found is not None:
+                self._send_order(address, loads_request)
+        plan = self._rebalancer.take_plan()
+        if plan is not None:
             logger.info(
-                "Proposes %d moves, skew %.3f to %.3f.",
-                found.move_count,
-                found.skew_before,
-                found.skew_after,
+                "Proposing a map with %d moves; skew changes from %.3f to %.3f.",
+                plan.move_count,
+                plan.skew_before,
+                plan.skew_after,
             )
-            self._handle_event(MapProposed(found.map, now))
+            self._handle_event(MapProposed(plan.map, now))
 
     def _record_address(self, rank: int, address: str) -> None:
-        """Note where a rank's agent is; a replaced one speaks from a new address."""
+        """Record the address of a rank's agent, which changes if it is replaced."""
         known = self._address_by_rank.get(rank)
         if known is not None and known != address:
-            logger.warning("Rank %d moved from %s to %s.", rank, known, address)
+            logger.warning(
+                "Agent of rank %d changed its address from %s to %s.",
+                rank,
+                known,
+                address,
+            )
         self._address_by_rank[rank] = address
 
     def _send_probes(self, agent_addresses: frozenset[str]) -> None:
-        """Ask agents that no rank is known of which rank they speak for."""
+        """Request the state from agents whose rank is unknown; replies name it."""
         for address in sorted(agent_addresses - set(self._address_by_rank.values())):
             self._send_order(address, _PROBE_REQUEST)
 
@@ -182,19 +187,19 @@
             self._rebalancer.add_reply(rank, loads, schedule.new_map)
 
     def _handle_event(self, event: Event) -> None:
-        before = self.phase
-        sends = self._coordinator.handle_event(event)
-        if phase_key(self.phase) != phase_key(before) and not isinstance(
+        old_phase = self.phase
+        orders = self._coordinator.handle_event(event)
+        if phase_key(self.phase) != phase_key(old_phase) and not isinstance(
             self.phase, Ready
         ):
-            logger.info("Phase %s %s.", *phase_key(self.phase))
-        self._send_orders(sends)
+            logger.info("Entered phase %s %s.", *phase_key(self.phase))
+        self._send_orders(orders)
 
-    def _send_orders(self, sends: list[OutgoingOrder]) -> None:
-        for send in sends:
-            address = self._address_by_rank.get(send.rank)
+    def _send_orders(self, orders: list[OutgoingOrder]) -> None:
+        for outgoing in orders:
+            address = self._address_by_rank.get(outgoing.rank)
             if address is not None:
-                self._send_order(address, send.order)
+                self._send_order(address, outgoing.order)
 
     def _send_order(self, address: str, order: AnyOrder) -> None:
         self._serial += 1
--- a/src/kingcupwheel/expertmaps/exceptions.py
+++ b/src/kingcupwheel/expertmaps/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the expert-map layer."""
+"""Errors of the expert map package."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class InvalidMapError(KingcupwheelError):
-    """A map that no group could run: an expert is missing or a rank overfull."""
+    """An invalid expert map: an expert is missing or a rank holds too many."""
 
 
 class DecodeFailure(NamedTuple):
-    """Bytes that are no order or reply of this version; ``detail`` says why."""
+    """Failure to decode an order or reply; ``detail`` is the decoder's message."""
 
     detail: str
 
 
 class RankUnreachable(NamedTuple):
-    """The rank did not answer; an order that was ``sent`` may yet take effect."""
+    """Failed call to a rank; if ``was_sent``, the order may still take effect."""
 
     detail: str
     was_sent: bool
--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -1,16 +1,16 @@
-"""The fence that an agent keeps before its rank."""
+"""Fencing check of an agent in front of its rank."""
 
 from __future__ import annotations
 
 
 class FenceGuard:
-    """Refuses orders of a coordinator whose lease has passed to another.
+    """Rejects orders of a coordinator that no longer holds the lease.
 
-    Failure: a paused coordinator wakes and goes on with a change that its successor has
-    settled otherwise. Symptom: ranks that step on different maps, or stay held. Enough,
-    because fences only rise, and a restarted agent takes no order before it has learnt
-    the lease's fence: so it never accepts less than its former life did, but for what a
-    newer coordinator told that life only, and that one repeats its orders.
+    Guards against a paused coordinator that resumes a change which its successor has
+    decided otherwise: ranks would step on different maps or stay held. Fences only
+    rise, and a restarted agent accepts no order before it has read the lease's fence.
+    So it accepts no fence lower than before the restart, except where only the former
+    process had seen the fence of a newer coordinator, and that one retries its orders.
     """
 
     def __init__(self) -> None:
@@ -18,15 +18,15 @@
 
     @property
     def highest_fence(self) -> int | None:
-        """The highest fence seen; None until ``learn`` was called."""
+        """Highest fence seen; None before the first ``raise_to``."""
         return self._fence
 
     def raise_to(self, fence: int) -> None:
-        """Take over the fence read from the lease object (0: no lease yet)."""
+        """Raise the highest fence to that read from the lease (0: no lease yet)."""
         self._fence = max(fence, self._fence or 0)
 
     def admit(self, fence: int) -> bool:
-        """Tell whether an order under ``fence`` may pass; remembers a higher one."""
+        """Return whether an order with ``fence`` is accepted; stores a higher fence."""
         if self._fence is None or fence < self._fence:
             return False
         self._fence = fence
--- a/src/kingcupwheel/expertmaps/layer_editor.py
+++ b/src/kingcupwheel/expertmaps/layer_editor.py
@@ -1,4 +1,4 @@
-"""One layer of a map being changed, edit by edit."""
+"""Editor that changes the placement of one layer of an expert map."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RankEdit(NamedTuple):
-    """One rank loses and gains a replica; ``gained`` has its weights loaded."""
+    """Replicas removed from and added to one rank; ``added`` loads its weights."""
 
     rank: int
     removed: int | None
@@ -24,43 +24,44 @@
 
 
 class LayerChange(NamedTuple):
-    """Edits made together, and what they cost in weights loaded."""
+    """Edits that are applied together."""
 
     edits: tuple[RankEdit, ...]
 
     @property
     def move_count(self) -> int:
-        """The number of expert weights to load."""
+        """Number of expert weights to load."""
         return sum(edit.added is not None for edit in self.edits)
 
 
-# Without scatter the smooth maximum is within log(ranks) over this of the true one, in
-# even rank loads.
+# Upper bound of the sharpness times the mean rank load. Without deviation, the smooth
+# maximum exceeds the true one by at most log(ranks) / 100 of the mean rank load.
 _MAX_SHARPNESS = 100.0
 
 
-# A difference below this share of its minuend is taken as lost to rounding.
+# A difference below this ratio to its minuend counts as a rounding error.
 _MIN_REMAINDER_RATIO = 1e-6
-# No place can be made on a rank.
+# Marks a rank on which no slot can be removed.
 _NO_SLOT = -1
 
 
 class RankLoadDelta(NamedTuple):
-    """What a change adds to a rank: load, and squares of its experts' loads."""
+    """Change of a rank's load and of the sum of squares of its replicas' loads."""
 
     load: float = 0.0
     squares: float = 0.0
 
 
 class LayerEditor:
-    """Keeps a layer's rank loads while replicas move; capacity is never broken.
-
-    Which rank is the slowest changes from step to step with the scatter of the experts'
-    loads, so every rank counts, not only the one with the highest mean: the expected
-    maximum of normal loads with means m and deviations d is at most
-    log(sum(exp(b * m + (b * d) ** 2 / 2))) / b for any b > 0. Replicas lower d: halves
-    of a hot expert on two ranks seldom peak together with the rest there. ``scatter``
-    is the relative deviation of one expert's load.
+    """Applies changes to a layer within the slots of each rank; tracks rank loads.
+
+    The slowest rank differs from step to step, because the experts' loads vary. So all
+    ranks count, not only the one with the highest mean load: the expected maximum of
+    normal loads with means m and deviations d is at most
+    log(sum(exp(b * m + (b * d) ** 2 / 2))) / b for any b > 0, where b is the sharpness.
+    Replicas lower d, because the halves of a popular expert on two ranks seldom peak
+    together with the other experts there. ``relative_std`` is the relative standard
+    deviation of one expert's load.
     """
 
     def __init__(
@@ -96,17 +97,17 @@
 
     @property
     def placement(self) -> LayerPlacement:
-        """The layer as it stands."""
+        """Current placement of the layer."""
         return tuple(tuple(sorted(experts)) for experts in self._experts_by_rank)
 
     @property
     def rank_loads(self) -> tuple[float, ...]:
-        """The mean load of each rank."""
+        """Mean load of each rank."""
         return tuple(self._rank_loads)
 
     @property
     def max_load_bound(self) -> float:
-        """Bound of the expected highest rank load."""
+        """Upper bound of the expected maximum rank load."""
         return self._compute_bound(self._total)
 
     def ranks_by_load(self) -> list[int]:
@@ -116,51 +117,51 @@
         )
 
     def candidate_changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
-        """Yield the changes that could take load from ``hot`` to ``cool``."""
+        """Yield changes that may move load from rank ``hot`` to rank ``cool``."""
         yield from self._shift_changes(hot, cool)
         yield from self._swap_changes(hot, cool)
 
     def _shift_changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
-        """Yield replicas of an expert of ``hot`` added on ``cool``, or moved there."""
-        places = list(self._freeable_slots(cool))
+        """Yield changes that add an expert of ``hot`` to ``cool`` or move it there."""
+        slots = list(self._freeable_slots(cool))
         for expert in sorted(self._experts_by_rank[hot] - self._experts_by_rank[cool]):
-            for freed in places:
-                gained = RankEdit(cool, freed, expert)
-                yield LayerChange((gained,))
-                yield LayerChange((RankEdit(hot, expert, None), gained))
+            for removed in slots:
+                cool_edit = RankEdit(cool, removed, expert)
+                yield LayerChange((cool_edit,))
+                yield LayerChange((RankEdit(hot, expert, None), cool_edit))
 
     def _swap_changes(self, hot: int, cool: int) -> Iterator[LayerChange]:
-        """Yield experts exchanged for lesser ones.
+        """Yield changes that exchange an expert for one of lower load.
 
-        Where ``hot`` has a place to spare it may also keep a replica of what it gives:
-        so a hot expert alone on its rank is split between two ranks that are full.
+        If ``hot`` can free another slot, it may also keep a replica of the expert. This
+        splits a popular expert between two full ranks.
         """
-        spare = next(self._freeable_slots(hot), _NO_SLOT)
+        spare_expert = next(self._freeable_slots(hot), _NO_SLOT)
         for expert in sorted(self._experts_by_rank[hot] - self._experts_by_rank[cool]):
             for other in sorted(
                 self._experts_by_rank[cool] - self._experts_by_rank[hot]
             ):
                 if self._expert_loads[other] >= self._expert_loads[expert]:
                     continue
-                given = RankEdit(cool, other, expert)
-                yield LayerChange((RankEdit(hot, expert, other), given))
-                if spare != _NO_SLOT and spare != expert:
-                    yield LayerChange((RankEdit(hot, spare, other), given))
+                cool_edit = RankEdit(cool, other, expert)
+                yield LayerChange((RankEdit(hot, expert, other), cool_edit))
+                if spare_expert != _NO_SLOT and spare_expert != expert:
+                    yield LayerChange((RankEdit(hot, spare_expert, other), cool_edit))
 
     def max_load_bound_after(self, change: LayerChange) -> float:
-        """Return what ``slowest`` would be after ``change``."""
+        """Return ``max_load_bound`` as it would be after ``change``."""
         deltas = self._compute_deltas(change)
         before = sum(self._terms[rank] for rank in deltas)
         after = sum(self._term_after(rank, delta) for rank, delta in deltas.items())
         others = self._total - before
         if others < self._total * _MIN_REMAINDER_RATIO:
-            # The touched ranks were all but everything: the difference is rounding.
+            # The changed ranks are nearly the whole total: avoids rounding errors.
             terms = enumerate(self._terms)
             others = sum(term for rank, term in terms if rank not in deltas)
         return self._compute_bound(others + after)
 
     def apply(self, change: LayerChange) -> None:
-        """Carry ``change`` out."""
+        """Apply ``change`` to the layer."""
         for rank, delta in self._compute_deltas(change).items():
             self._terms[rank] = self._term_after(rank, delta)
             self._rank_loads[rank] += delta.load
@@ -178,19 +179,19 @@
         return self._expert_loads[expert] / len(self._ranks_by_expert[expert])
 
     def _compute_sharpness(self) -> float:
-        """Return the b that makes the bound tight for ranks that are even."""
+        """Return the sharpness that makes the bound tight for equally loaded ranks."""
         ranks = len(self._rank_loads)
-        spread = self._relative_std * math.sqrt(sum(self._rank_squares) / ranks)
-        sharpest = _MAX_SHARPNESS / self._mean_load
-        if spread * sharpest <= math.sqrt(2 * math.log(ranks)):
-            return sharpest
-        return math.sqrt(2 * math.log(ranks)) / spread
+        deviation = self._relative_std * math.sqrt(sum(self._rank_squares) / ranks)
+        max_sharpness = _MAX_SHARPNESS / self._mean_load
+        if deviation * max_sharpness <= math.sqrt(2 * math.log(ranks)):
+            return max_sharpness
+        return math.sqrt(2 * math.log(ranks)) / deviation
 
     def _term(self, load: float, squares: float) -> float:
         deviation = self._sharpness * self._relative_std
         above = self._sharpness * (load - self._mean_load)
-        # A single rank of many times the even load would overflow; any cap that is far
-        # above the other terms keeps it the first to be relieved.
+        # The cap prevents an overflow for a rank of many times the mean load. It is far
+        # above the other terms, so that rank is still relieved first.
         return math.exp(min(above + deviation * deviation * squares / 2, 600.0))
 
     def _term_after(self, rank: int, delta: RankLoadDelta) -> float:
@@ -201,7 +202,7 @@
         return self._mean_load + math.log(total) / self._sharpness
 
     def _freeable_slots(self, rank: int) -> Iterator[int | None]:
-        """Yield what could make way on ``rank``: nothing, or a spare replica."""
+        """Yield experts to remove for a slot on ``rank``, None if a slot is free."""
         if len(self._experts_by_rank[rank]) < self._slots:
             yield None
             return
@@ -219,14 +220,14 @@
         load: dict[int, float] = defaultdict(float)
         squares: dict[int, float] = defaultdict(float)
         for expert, after in after_by_expert.items():
-            share = self._replica_load(expert)
+            replica_load = self._replica_load(expert)
             for rank in self._ranks_by_expert[expert]:
-                load[rank] -= share
-                squares[rank] -= share * share
-            share = self._expert_loads[expert] / len(after)
+                load[rank] -= replica_load
+                squares[rank] -= replica_load * replica_load
+            replica_load = self._expert_loads[expert] / len(after)
             for rank in after:
-                load[rank] += share
-                squares[rank] += share * share
+                load[rank] += replica_load
+                squares[rank] += replica_load * replica_load
         return {rank: RankLoadDelta(load[rank], squares[rank]) for rank in load}
 
     def _ranks_after(
--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -1,9 +1,9 @@
-"""The lease of a group's coordinator, an object on the platform.
+"""Lease of a group's coordinator, stored as an object on the platform.
 
-The lease's fence is the object's version at the time it was taken. Times are each
-process's own monotonic clock; clocks of two machines are never compared. Two holders at
-once do no harm, since ranks settle every change by its version: the lease only keeps
-coordinators from getting in each other's way.
+The fence (fencing token) is the object's version at the time the lease was acquired.
+Each process uses its own monotonic clock; clocks of two machines are never compared.
+Two holders at once are safe, because ranks order all changes by version. The lease only
+keeps coordinators from interrupting each other's changes.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
-# How much longer a watcher waits than the holder counts on, for clocks that run apart.
+# A watcher waits longer than the TTL by this factor, to allow for clock drift.
 _CLOCK_DRIFT_FACTOR = 1.1
 _NONCE_BYTES = 8
 
 
 class LeaseRecord(Record, frozen=True):
-    """The lease's value.
+    """Stored value of the lease.
 
     ``fence`` is 0 until the first renewal, then the version at which the lease was
-    taken. ``holder`` is empty once it was given back.
+    acquired. ``holder`` is empty after a release.
     """
 
     holder: str
@@ -50,7 +50,7 @@
 
 
 class HeldLease(NamedTuple):
-    """A lease held under ``fence``; ``until`` by the holder's monotonic clock."""
+    """Lease held under ``fence``; ``valid_until`` is the holder's monotonic time."""
 
     fence: int
     version: int
@@ -69,22 +69,22 @@
 
 
 def lease_key(group: str) -> str:
-    """Return the key of a group's lease."""
+    """Return the platform key of a group's lease."""
     return f"leases/{group}"
 
 
 def get_lease_fence(found: VersionedValue | None) -> int:
-    """Return the fence of the lease as read from the platform, 0 without a lease."""
+    """Return the fence of the lease read from the platform, 0 if there is none."""
     if found is None:
         return 0
     return _decode_record(found).fence or found.version
 
 
 class Lease:
-    """Takes, renews and gives back a group's lease; used by one thread.
+    """Acquires, renews and releases a group's lease; used by one thread.
 
-    Calls block for as long as the platform's client does. ``held_until`` may be read by
-    other threads.
+    Calls block for as long as the platform client does. Other threads may call
+    ``get_held_lease``.
     """
 
     def __init__(
@@ -106,18 +106,19 @@
         self._attempts: list[_WriteAttempt] = []
 
     def get_held_lease(self, now: float) -> HeldLease | None:
-        """Return the lease if it is surely held at ``now``.
+        """Return the lease if it is certainly held at ``now``.
 
-        Failure: the holder is paused for longer than the lease runs and goes on as if
-        nothing had happened. Symptom: two coordinators give orders. Enough, because the
-        time is counted from before the write that renewed it, while a watcher counts
-        from when it saw that write, and the fence stops what slips through.
+        Guards against a holder that is paused for longer than the lease lasts and then
+        continues, so that two coordinators send orders. The holder counts the TTL from
+        before the write that renewed the lease, while a watcher counts from when it saw
+        that write, so the holder stops first; ranks refuse any remaining order by its
+        fence.
         """
         holding = self._held_lease
         return holding if holding is not None and now < holding.valid_until else None
 
     def renew(self) -> None:
-        """Extend the lease if it is held."""
+        """Renew the lease if it is held."""
         holding = self.get_held_lease(self._clock())
         if holding is None:
             self._held_lease = None
@@ -125,7 +126,10 @@
         self._write_record(holding.version, fence=holding.fence)
 
     def try_acquire(self) -> int | None:
-        """Read the lease and take it if it has lapsed; return its fence if readable."""
+        """Acquire the lease if it has expired.
+
+        Returns the fence that was read, or None if the lease could not be read.
+        """
         result = self._platform.read(self._key)
         if result.is_error():
             return None
@@ -142,9 +146,10 @@
         return get_lease_fence(found)
 
     def release(self) -> None:
-        """Give the lease back, so that another process need not wait for it to lapse.
+        """Release the lease, so that another process need not wait until it expires.
 
-        The fence stays on record; the next holder's is higher, being a later version.
+        The fence remains stored. The next holder's fence is a later version of the
+        object and therefore higher.
         """
         holding = self._held_lease
         self._held_lease = None
@@ -172,11 +177,11 @@
         return self._platform.create(self._key, value)
 
     def _read_back(self) -> None:
-        """Settle a write whose confirmation may be lost, by the nonce it carries."""
+        """Find out by its nonce whether a write of unknown outcome took effect."""
         result = self._platform.read(self._key)
         if result.is_ok() and not self._adopt_own_write(result.ok):
             if self._held_lease is not None:
-                logger.warning("Lease %s passed to another process.", self._key)
+                logger.warning("Lease %s is held by another process.", self._key)
             self._held_lease = None
 
     def _adopt_own_write(self, found: VersionedValue | None) -> bool:
@@ -190,7 +195,7 @@
         return False
 
     def _recent_attempts(self) -> list[_WriteAttempt]:
-        """Return the writes that, if they took effect, still give the lease."""
+        """Return the writes that hold the lease if they took effect."""
         since = self._clock() - self._ttl_s
         return [attempt for attempt in self._attempts if attempt.started_at > since]
 
@@ -203,5 +208,5 @@
     try:
         return msgspec.json.decode(found.value, type=LeaseRecord)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        # A value that nobody here wrote: treated as held, so it has to lapse.
+        # An unreadable value counts as held by another process and has to expire.
         return LeaseRecord(holder="?", nonce="", fence=0)
--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -1,4 +1,4 @@
-"""Decayed load of a group's experts, from what its ranks counted."""
+"""Exponentially weighted estimate of the load of a group's experts."""
 
 from __future__ import annotations
 
@@ -8,20 +8,19 @@
 from kingcupwheel.expertmaps.maps import LayerLoad
 
 
-# Share of the estimate that a new reading takes. Readings of one period scatter with
-# the requests that were about; a quarter halves that scatter and still follows a change
-# within a few periods.
+# Weight of the counts of a new period. Counts vary with the requests of the period; a
+# quarter halves that variation and still follows a change within a few periods.
 NEW_COUNTS_WEIGHT = 0.25
 
-# Load of each layer's experts.
+# Load of the experts of each layer.
 MapLoad = tuple[LayerLoad, ...]
 
 
 class LoadEstimate(NamedTuple):
-    """An estimate of each expert's share of its layer's load; None before a reading.
+    """Estimate of each expert's share of its layer's load; None before any counts.
 
-    ``variance`` is how far counts lie from the estimate: the mean square of an expert's
-    relative deviation, weighted by load.
+    ``variance`` is the mean square of an expert's relative deviation from the
+    estimate, weighted by load.
     """
 
     load: MapLoad | None = None
@@ -29,16 +28,16 @@
 
     @property
     def relative_std(self) -> float:
-        """Standard deviation of one period's counts, relative to an expert's load."""
+        """Standard deviation of a period's counts, relative to an expert's load."""
         return math.sqrt(self.variance)
 
     def with_counts(
         self, counts: MapLoad, *, new_weight: float = NEW_COUNTS_WEIGHT
     ) -> LoadEstimate:
-        """Return the estimate after one more period's counts, in any unit.
+        """Return the estimate updated with the counts of one period, in any unit.
 
-        Layers are scaled to a sum of 1 first, so that a busy period weighs no more than
-        a quiet one; a layer without any load keeps its estimate.
+        Each layer is first normalized to a sum of 1, so that a busy period weighs no
+        more than a quiet one. A layer without load keeps its estimate.
         """
         old_load = self.load or tuple((1 / len(c),) * len(c) for c in counts)
         shares = tuple(map(_normalize, counts, old_load))
@@ -68,8 +67,8 @@
 
 
 def _mean_square_deviation(old: LayerLoad, new: LayerLoad) -> float:
-    # Both loads in the denominator keep an expert that was idle from counting without
-    # bound when its first tokens come.
+    # With both loads in the denominator, the term of a formerly idle expert stays
+    # bounded when it receives its first tokens.
     return sum(
         2 * (after - before) ** 2 / (before + after)
         for before, after in zip(old, new, strict=True)
--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -1,7 +1,7 @@
-"""Expert maps: which rank holds which expert, layer by layer.
+"""Expert maps: the placement of experts on ranks, layer by layer.
 
-A map lists for each layer and rank the experts in that rank's slots. An expert with
-several replicas has its load split evenly over them.
+A map lists the experts in the slots of each rank for each layer. The load of an expert
+is split evenly over its replicas.
 """
 
 from __future__ import annotations
@@ -17,23 +17,24 @@
 if TYPE_CHECKING:
     from kingcupwheel.manifest.schema import ExpertLayout
 
-# Experts in the slots of each rank of one layer.
+# Experts of one layer, by rank.
 LayerPlacement = tuple[tuple[int, ...], ...]
-# Load of each expert of one layer, in any unit of work.
+# Load of each expert of one layer, in any unit.
 LayerLoad = tuple[float, ...]
 
 
 class MapVersion(NamedTuple):
-    """Names one change of a group's map; never used again.
+    """Unique version of a group's map; never reused.
 
-    ``fence`` is the coordinator's lease version, ``counter`` rises within it.
+    ``fence`` is the version of the coordinator's lease, ``counter`` increases within
+    it.
     """
 
     fence: int
     counter: int
 
     def next(self) -> MapVersion:
-        """Return the following version of the same coordinator."""
+        """Return the next version of the same coordinator."""
         return MapVersion(self.fence, self.counter + 1)
 
     def __str__(self) -> str:
@@ -44,7 +45,7 @@
 
 
 class RankPlacement(NamedTuple):
-    """The experts that one rank holds of one layer."""
+    """Experts of one layer on one rank."""
 
     layer: int
     rank: int
@@ -52,7 +53,7 @@
 
 
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True):
-    """Placement of ``experts`` experts a layer on ranks of ``slots`` slots."""
+    """Placement of the experts of all layers on the ranks of a group."""
 
     expert_count: int = msgspec.field(name="experts")
     slots_per_rank: int = msgspec.field(name="slots")
@@ -64,19 +65,22 @@
         return len(self.layers[0])
 
     def validate(self) -> None:
-        """Raise InvalidMapError if a rank is overfull or an expert has no place."""
+        """Raise InvalidMapError if a rank holds too many experts or one is missing."""
         for number, layer in enumerate(self.layers):
             for rank, held in enumerate(layer):
                 if len(held) > self.slots_per_rank or len(set(held)) != len(held):
-                    message = f"layer {number}: rank {rank} holds {held}"
+                    message = (
+                        f"layer {number}: rank {rank} has duplicate or too many "
+                        f"experts: {held}"
+                    )
                     raise InvalidMapError(message)
             placed = {expert for held in layer for expert in held}
             if placed != set(range(self.expert_count)):
-                message = f"layer {number}: experts missing or unknown"
+                message = f"layer {number}: an expert is missing or unknown"
                 raise InvalidMapError(message)
 
     def diff_placements(self, target_map: ExpertMap) -> tuple[RankPlacement, ...]:
-        """Return what differs in ``target``."""
+        """Return the placements of ``target_map`` that differ from this map's."""
         return tuple(
             RankPlacement(layer, rank, after)
             for layer, (old, new) in enumerate(
@@ -87,7 +91,7 @@
         )
 
     def with_placements(self, placements: tuple[RankPlacement, ...]) -> ExpertMap:
-        """Return this map with ``cells`` replaced."""
+        """Return a copy of this map with ``placements`` replaced."""
         layers = [list(layer) for layer in self.layers]
         for layer, rank, held in placements:
             layers[layer][rank] = held
@@ -96,7 +100,7 @@
         )
 
     def count_moves_to(self, target_map: ExpertMap) -> int:
-        """Return how many expert weights ranks must load to change to ``target``."""
+        """Return how many expert weights a change to ``target_map`` loads."""
         return sum(
             len(set(after) - set(before))
             for old, new in zip(self.layers, target_map.layers, strict=True)
@@ -105,12 +109,12 @@
 
 
 def get_slots_per_rank(layout: ExpertLayout) -> int:
-    """Return the slots of a rank: as set, or just enough for one replica of each."""
+    """Return the configured slots per rank, or the least that hold each expert once."""
     return layout.slots or -(-layout.experts // layout.ranks)
 
 
 def build_even_map(layout: ExpertLayout) -> ExpertMap:
-    """Return the map of a group that has not run yet: experts dealt out in turn."""
+    """Return the initial map of a group, with its experts assigned round-robin."""
     layer = tuple(
         tuple(range(rank, layout.experts, layout.ranks)) for rank in range(layout.ranks)
     )
@@ -131,13 +135,13 @@
 
 
 def rank_loads(layer: LayerPlacement, load: LayerLoad) -> list[float]:
-    """Return each rank's load, replicas sharing their expert's load evenly."""
+    """Return the load of each rank; replicas share their expert's load evenly."""
     counts = count_replicas(layer, len(load))
     return [sum(load[expert] / counts[expert] for expert in held) for held in layer]
 
 
 def layer_skew(layer: LayerPlacement, load: LayerLoad) -> float:
-    """Return the step-time skew of a layer: max over mean rank load, at least 1."""
+    """Return the skew of a layer: maximum over mean rank load, at least 1."""
     loads = rank_loads(layer, load)
     mean = sum(loads) / len(loads)
     return max(loads) / mean if mean > 0 else 1.0
@@ -147,7 +151,8 @@
     """Return the skew of a whole step.
 
     Layers run one after another and each waits for its slowest rank, so a step takes
-    the sum of the layers' maxima; the mean is what it would take on even ranks.
+    the sum of the maximum rank loads. The skew relates it to the sum of the means,
+    which a step would take if all ranks had the same load.
     """
     slowest = 0.0
     even = 0.0
--- a/src/kingcupwheel/expertmaps/order_forwarder.py
+++ b/src/kingcupwheel/expertmaps/order_forwarder.py
@@ -1,4 +1,4 @@
-"""The agent's side: passes a coordinator's orders on to the rank beside it."""
+"""Forwarder of a coordinator's orders from an agent to its rank."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
-# Orders that wait for a slow rank. Coordinators repeat theirs, so more would only be
-# copies, and what is dropped here comes again.
+# Coordinators retry their orders, so a longer queue would only hold duplicates, and an
+# order dropped here is sent again.
 _MAX_WAITING_ORDERS = 8
 
 
 class OrderForwarder:
-    """Gives orders to the rank one at a time, on a thread of its own.
+    """Forwards orders to the rank one at a time, on its own thread.
 
-    One at a time, so that an order of a former coordinator reaches the rank before
-    those of its successor do, or not at all. ``learn_fence`` reads the lease's fence
-    from the platform and returns None if it cannot: then no order is taken.
+    This way an order of a former coordinator reaches the rank before those of its
+    successor, or not at all. ``read_fence`` reads the lease's fence from the platform
+    and returns None on failure; then no order is forwarded.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
 
     @property
     def highest_fence(self) -> int | None:
-        """The highest fence seen, None before any was learnt."""
+        """Highest fence seen, None before the first."""
         return self._guard.highest_fence
 
     def start(self) -> None:
@@ -71,16 +71,18 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread after the order in hand."""
+        """Stop the thread once the queued orders are handled."""
         self._queue.put(None)
         self._thread.join()
 
     def enqueue(self, link: Link, message: MapOrder) -> None:
-        """Queue an order; returns at once."""
+        """Queue an order without blocking; drop it if the queue is full."""
         try:
             self._queue.put_nowait((link, message))
         except queue.Full:
-            logger.debug("Order %d dropped, rank is slow.", message.serial)
+            logger.debug(
+                "Dropped order %d: the queue of the rank is full.", message.serial
+            )
 
     def _run(self) -> None:
         while (item := self._queue.get()) is not None:
@@ -88,17 +90,17 @@
             try:
                 self._handle(link, message)
             except Exception:
-                logger.exception("Order %d failed.", message.serial)
+                logger.exception("Failed to handle order %d.", message.serial)
 
     def _handle(self, link: Link, message: MapOrder) -> None:
         decoded = decode_order(message.order)
         if decoded.is_error():
-            logger.warning("Bad order: %s.", decoded.error.detail)
+            logger.warning("Cannot decode order: %s.", decoded.error.detail)
             return
         if not self._ensure_fence():
             return
         if not self._guard.admit(message.fence):
-            logger.info("Refused order under old fence %d.", message.fence)
+            logger.info("Refused order with stale fence %d.", message.fence)
             version = version_of(decoded.ok)
             refusal = RefusalReply(version, RefusalReason.STALE_FENCE)
             self._send_reply(link, message, refusal)
@@ -109,8 +111,8 @@
         if self._guard.highest_fence is None:
             fence = self._read_fence()
             if fence is None:
-                # Without it an order of a former coordinator could pass: silence makes
-                # the present one ask again.
+                # Without the fence, an order of a former coordinator could be
+                # accepted. The current coordinator retries an order without a reply.
                 return False
             self._guard.raise_to(fence)
         return True
@@ -118,7 +120,7 @@
     def _forward(self, link: Link, message: MapOrder, order: AnyOrder) -> None:
         result = self._rank_api.send_order(order, fence=message.fence)
         if result.is_error():
-            logger.debug("Rank did not answer: %s.", result.error.detail)
+            logger.debug("Call to the rank failed: %s.", result.error.detail)
             return
         self._send_reply(link, message, result.ok)
 
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -1,4 +1,4 @@
-"""What a coordinator is doing: its phases, the events it takes, the orders it gives.
+"""Phases and events of the coordinator's state machine, and the orders it sends.
 
 Ranks are numbered from 0; tuples of answers are indexed by rank.
 """
@@ -28,25 +28,25 @@
 
 
 class LeaseTaken(NamedTuple):
-    """The process now holds the group's lease with ``fence``."""
+    """The process acquired the group's lease under ``fence``."""
 
     fence: int
     now: float
 
 
 class LeaseLost(NamedTuple):
-    """The lease is gone or may be."""
+    """The lease was lost or may have expired."""
 
 
 class MapProposed(NamedTuple):
-    """The planner wants ``map`` in force."""
+    """The planner proposed ``map``."""
 
     map: ExpertMap
     now: float
 
 
 class ReplyReceived(NamedTuple):
-    """The agent of ``rank`` passed on its answer."""
+    """The agent of ``rank`` forwarded the rank's reply."""
 
     rank: int
     reply: RankReply
@@ -54,7 +54,7 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; ``now`` is monotonic, in seconds."""
+    """Periodic event; ``now`` is monotonic, in seconds."""
 
     now: float
 
@@ -63,7 +63,7 @@
 
 
 class OutgoingOrder(NamedTuple):
-    """Send ``order`` to the agent of ``rank``."""
+    """Order to send to the agent of ``rank``."""
 
     rank: int
     order: RankOrder
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Surveying:
-    """Just took the lease: reads every rank before it holds any of them."""
+    """Reads the state of every rank after a takeover, before it holds any of them."""
 
     round: int
     answers: tuple[StateReply | None, ...]
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """Supersedes what a predecessor, or a change cut short, left open."""
+    """Supersedes versions left open by a predecessor or an interrupted change."""
 
     version: MapVersion
     answers: tuple[SupersedeReply | None, ...]
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Ready:
-    """All ranks have committed the same; they are read now and then."""
+    """All ranks have committed the same version; polls their state."""
 
     round: int
     answers: tuple[StateReply | None, ...]
@@ -100,10 +100,10 @@
 
 @dataclass(frozen=True)
 class Staging:
-    """Ranks load the weights of the new map, each from its turn on.
+    """Waits until all ranks have loaded the weights of the new map.
 
-    ``order`` is for all of them, ``due`` is when each rank's turn comes (monotonic),
-    ``step`` the highest heard of.
+    ``order`` is the same for all ranks, ``start_times`` is when each rank may start to
+    load (monotonic seconds), ``step`` the highest step reported.
     """
 
     version: MapVersion
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True)
 class Preparing:
-    """Waits for every rank to promise that it stops before ``step``."""
+    """Waits until every rank has confirmed that it stops before ``step``."""
 
     version: MapVersion
     map: ExpertMap
@@ -126,10 +126,10 @@
 
 @dataclass(frozen=True)
 class Committing:
-    """The outcome is decided; ``schedule`` is what each rank will have committed.
+    """Waits until every rank has committed ``schedule``; the outcome is decided.
 
-    ``lives`` are the ranks' lives that answered a hold before this, which have to be
-    given the schedule; None if it follows no hold.
+    ``incarnations`` are those of the ranks in the preceding ``Holding`` phase, which
+    need the schedule; None if another phase preceded.
     """
 
     version: MapVersion
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True)
 class Aborting:
-    """Releases the ranks that may have prepared ``version``."""
+    """Waits until every rank has aborted ``version``."""
 
     version: MapVersion
     acked: frozenset[int]
@@ -152,7 +152,7 @@
 
 
 def phase_key(phase: Phase) -> tuple[str, object]:
-    """Return what stays the same while ``phase`` only collects answers."""
+    """Return a key that stays the same while ``phase`` only collects answers."""
     name = type(phase).__name__
     match phase:
         case Standby():
@@ -164,7 +164,7 @@
 
 
 def has_answered(phase: Phase, rank: int) -> bool:
-    """Tell whether ``rank`` has answered what ``phase`` asks of it."""
+    """Return whether ``rank`` has answered its order in ``phase``."""
     match phase:
         case Standby():
             return True
@@ -175,7 +175,7 @@
 
 
 def pending_order(phase: Phase, rank: int, now: float) -> RankOrder | None:
-    """Return what ``rank`` still has to be told in ``phase``, if anything."""
+    """Return the order of ``phase`` that ``rank`` has not answered, if any."""
     if has_answered(phase, rank):
         return None
     match phase:
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -1,10 +1,9 @@
-"""Plans a new expert map of few moves from the experts' decayed load.
+"""Planner of expert maps that lower the skew of a group with few moves.
 
-Load: expert popularity drifts with the season or jumps with a fleet-wide inspection,
-and all ranks advance in lock-step. Harm: one overloaded rank slows every step of the
-group; but each expert moved loads weights from a rate-limited store, and moving back
-and forth with noise costs that for nothing. So a change is made only where its gain
-outweighs its cost for the group's own weighting.
+The popularity of experts drifts or jumps, and all ranks advance in lock-step, so one
+overloaded rank slows every step of the group. But each move of an expert loads weights
+from a rate-limited store, and moves that only follow noise are wasted. So a change is
+planned only where its gain exceeds its cost by the group's own weights.
 """
 
 from __future__ import annotations
@@ -22,30 +21,30 @@
     from kingcupwheel.expertmaps.load_estimate import LoadEstimate
     from kingcupwheel.expertmaps.maps import LayerPlacement
 
-# How many periods a move is expected to pay off for. Longer moves more for the same
-# skew, shorter waits longer while a rank is slow.
+# Number of periods over which a move has to pay off. More periods cause more moves for
+# the same skew, fewer leave a rank slow for longer.
 _PAYBACK_PERIODS = 4.0
-# A plan has to gain this many times its cost. Below 1 noise in the loads makes the plan
-# of one period undo that of the one before.
+# Minimum ratio of gain to cost. Below 1, noise in the loads makes the plan of one
+# period undo that of the previous one.
 _HYSTERESIS = 2.0
-# Changes looked at for one layer in one plan. It bounds the planner's time; what is
-# left over is planned a period later.
+# Bounds the changes of one layer in one plan, and so the planner's time. Further
+# changes are planned in the next period.
 _MAX_CHANGES_PER_LAYER = 8
-# Layers changed in one plan, the most uneven first. A plan of all 60 layers of a large
-# model would take its agent more processor time than control may have.
+# Bounds the layers changed in one plan, the most skewed first. A plan of all 60 layers
+# of a large model would take too much of the agent's processor time.
 _MAX_LAYERS_PER_PLAN = 16
-# Ranks that may take load from the hottest one. The coolest few hold a good partner
-# nearly always, and looking at all of 32 takes four times as long.
+# Bounds the least loaded ranks considered as targets of load. A good target is nearly
+# always among them; considering all of 32 ranks takes four times as long.
 _MAX_COOL_RANKS = 4
-# Hottest ranks that are tried in turn until one can be relieved.
+# Bounds the most loaded ranks tried in turn until the load of one can be lowered.
 _MAX_HOT_RANKS = 2
 
 
 class PlanWeights(NamedTuple):
-    """How a group weighs skew against moves.
+    """Weights of skew and moves for a group.
 
-    ``move_cost`` is what moving every place of the map once would cost; ``skew_weight``
-    what one period at a skew of 2 instead of 1 costs.
+    ``move_cost`` is the cost of replacing the experts in all slots of the map once,
+    ``skew_weight`` the cost of one period at a skew of 2 instead of 1.
     """
 
     skew_weight: float
@@ -55,7 +54,7 @@
 
 
 class MapPlan(NamedTuple):
-    """A map to propose, the moves it takes and the skew predicted without and with."""
+    """Proposed map, its number of moves, and the skew predicted without and with it."""
 
     map: ExpertMap
     move_count: int
@@ -66,14 +65,14 @@
 def plan_map(
     current_map: ExpertMap, estimate: LoadEstimate, weights: PlanWeights
 ) -> MapPlan | None:
-    """Return a better map than ``current`` for the load expected, or None to stay."""
+    """Return a plan that improves on ``current_map``, or None to keep that map."""
     load = estimate.load
     if load is None:
         return None
-    places = sum(len(held) for layer in current_map.layers for held in layer)
-    cost = weights.move_cost * weights.hysteresis / places
-    even = sum(sum(layer) for layer in load) / current_map.rank_count
-    gain = weights.skew_weight * weights.payback_periods / even
+    slot_count = sum(len(held) for layer in current_map.layers for held in layer)
+    cost = weights.move_cost * weights.hysteresis / slot_count
+    mean_load = sum(sum(layer) for layer in load) / current_map.rank_count
+    gain = weights.skew_weight * weights.payback_periods / mean_load
     editors = [
         LayerEditor(
             layer,
@@ -89,25 +88,27 @@
     )
     for number in uneven[:_MAX_LAYERS_PER_PLAN]:
         layers[number] = _plan_layer(editors[number], gain=gain, cost=cost)
-    wanted = ExpertMap(
+    target_map = ExpertMap(
         current_map.expert_count, current_map.slots_per_rank, tuple(layers)
     )
-    moves = current_map.count_moves_to(wanted)
+    moves = current_map.count_moves_to(target_map)
     if not moves:
         return None
-    return MapPlan(wanted, moves, map_skew(current_map, load), map_skew(wanted, load))
+    return MapPlan(
+        target_map, moves, map_skew(current_map, load), map_skew(target_map, load)
+    )
 
 
 def _plan_layer(editor: LayerEditor, *, gain: float, cost: float) -> LayerPlacement:
-    """Return the layer after the run of changes that is worth most.
+    """Return the layer after the sequence of changes with the highest net gain.
 
-    ``gain`` is the worth of one unit less load on the slowest rank, ``cost`` that of
-    one move. A single change often only shifts which rank is slowest, so a whole run is
-    tried and cut where its worth was highest.
+    ``gain`` is the value of one unit less load on the slowest rank, ``cost`` that of
+    one move. A single change often only makes another rank the slowest, so a whole
+    sequence is tried and cut where its net gain was highest.
     """
     before = editor.max_load_bound
     best = editor.placement
-    most = 0.0
+    best_gain = 0.0
     moves = 0
     for _ in range(_MAX_CHANGES_PER_LAYER):
         change = _best_change(editor)
@@ -115,29 +116,29 @@
             break
         editor.apply(change)
         moves += change.move_count
-        worth = gain * (before - editor.max_load_bound) - cost * moves
-        if worth > most:
+        net_gain = gain * (before - editor.max_load_bound) - cost * moves
+        if net_gain > best_gain:
             best = editor.placement
-            most = worth
+            best_gain = net_gain
     return best
 
 
 def _best_change(editor: LayerEditor) -> LayerChange | None:
-    """Return the change that takes most off the slowest rank's load for each move."""
+    """Return the change that lowers the maximum load most for each move, if any."""
     order = editor.ranks_by_load()
-    slowest = editor.max_load_bound
+    bound = editor.max_load_bound
     cool_ranks = order[-_MAX_COOL_RANKS:]
     for hot in order[:_MAX_HOT_RANKS]:
         best: LayerChange | None = None
-        most = 0.0
+        best_gain = 0.0
         for cool in cool_ranks:
             for change in editor.candidate_changes(hot, cool) if cool != hot else ():
-                relief = (
-                    slowest - editor.max_load_bound_after(change)
+                gain_per_move = (
+                    bound - editor.max_load_bound_after(change)
                 ) / change.move_count
-                if relief > most:
+                if gain_per_move > best_gain:
                     best = change
-                    most = relief
+                    best_gain = gain_per_move
         if best is not None:
             return best
     return None
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -1,8 +1,10 @@
 """Orders of a group's coordinator to its ranks, and the ranks' replies.
 
-``Stage`` loads weights, ``Prepare`` holds a rank before a step, ``Commit`` or ``Abort``
-ends that. ``Supersede`` is the prepare of a successor: it ends every lower version that
-the rank has not committed, holds the rank at once, and asks what it has committed.
+A change of the map is a two-phase commit. ``StageOrder`` loads weights,
+``PrepareOrder`` holds a rank before a step, ``CommitOrder`` or ``AbortOrder`` releases
+it. A coordinator that takes over sends ``SupersedeOrder`` in place of a prepare: it
+invalidates every lower version that the rank has not committed, holds the rank at once
+and returns what the rank has committed.
 """
 
 from __future__ import annotations
@@ -28,14 +30,14 @@
 
 
 class VersionedMap(msgspec.Struct, frozen=True, array_like=True):
-    """A map and the version it was first staged under, which identifies it."""
+    """An expert map and the version it was first staged under, its identifier."""
 
     origin_version: MapVersion = msgspec.field(name="origin")
     map: ExpertMap
 
 
 class MapSchedule(msgspec.Struct, frozen=True, array_like=True):
-    """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
+    """Committed maps of a rank: ``old_map`` before ``from_step``, then ``new_map``."""
 
     version: MapVersion
     old_map: VersionedMap = msgspec.field(name="before")
@@ -48,14 +50,15 @@
 
 
 class Order(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Base of all orders."""
+    """Base class of all orders."""
 
 
 class StageOrder(Order, frozen=True, tag="Stage"):
     """Load the weights that a new map needs on this rank.
 
-    The map is that of ``base``, which the rank has committed, with ``cells`` replaced:
-    a whole map for each rank and change would be most of a coordinator's traffic.
+    The new map is the committed map of ``base_version`` with ``placements`` replaced.
+    Only the difference is sent because a whole map for each rank and change would be
+    most of a coordinator's traffic.
     """
 
     version: MapVersion
@@ -64,25 +67,26 @@
 
 
 class PrepareOrder(Order, frozen=True, tag="Prepare"):
-    """Run no step from ``step`` on until this version is committed or aborted."""
+    """Hold the rank before ``step`` until this version is committed or aborted."""
 
     version: MapVersion
     step: int
 
 
 class SupersedeOrder(Order, frozen=True, tag="Supersede"):
-    """End lower versions not committed, run no step, say what is committed."""
+    """Invalidate lower uncommitted versions, hold the rank, return its schedule."""
 
     version: MapVersion
 
 
 class CommitOrder(Order, frozen=True, tag="Commit"):
-    """Make the prepared version final.
+    """Commit the prepared version.
 
-    ``schedule`` is given after ``Supersede`` and takes the place of the rank's own; a
-    rank that has restarted loads its weights by it. It is meant for the ``life`` of the
-    rank that answered ``Held``: a copy of both orders that comes after one more restart
-    would otherwise put a map of long ago in force on this rank alone.
+    ``schedule`` is set only after a ``SupersedeOrder``. It replaces the rank's own
+    schedule, and a restarted rank loads its weights by it. It is valid only for the
+    ``incarnation`` in the rank's ``SupersedeReply``: duplicates of both orders that
+    arrive after another restart would otherwise activate an outdated map on this rank
+    alone.
     """
 
     version: MapVersion
@@ -91,28 +95,30 @@
 
 
 class AbortOrder(Order, frozen=True, tag="Abort"):
-    """Give the version up; also when its ``Prepare`` has not arrived yet."""
+    """Abort the version, even if its ``PrepareOrder`` has not arrived yet."""
 
     version: MapVersion
 
 
 class StateRequest(Order, frozen=True, tag="ReadState"):
-    """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
+    """Request the rank's state; the reply repeats ``round``."""
 
     round: int
     include_schedule: bool = msgspec.field(default=False, name="whole")
 
 
 class ExpertLoadsRequest(Order, frozen=True, tag="ReadLoads"):
-    """Ask how much work each expert had since the last asking."""
+    """Request the load of each expert since the previous request."""
 
     round: int
 
 
 class RankStatus(msgspec.Struct, frozen=True, array_like=True):
-    """A rank's state: ``step`` is the next to run, ``held`` a version not yet ended.
+    """State of a rank; ``step`` is the next to run.
 
-    ``committed`` is None for a rank that has restarted and was not told its map.
+    ``committed_version`` is None for a restarted rank that has not received its map
+    yet. ``held_version`` is the version, neither committed nor aborted, that holds the
+    rank.
     """
 
     step: int
@@ -122,26 +128,26 @@
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Base of all replies."""
+    """Base class of all replies."""
 
 
 class StageReply(Reply, frozen=True, tag="Staged"):
-    """The weights of ``version`` are loaded; ``step`` is the next to run."""
+    """Weights of ``version`` are loaded; ``step`` is the next to run."""
 
     version: MapVersion
     step: int
 
 
 class PrepareReply(Reply, frozen=True, tag="Prepared"):
-    """The rank will not run the step until told."""
+    """The rank is held before the step in its ``PrepareOrder``."""
 
     version: MapVersion
 
 
 class SupersedeReply(Reply, frozen=True, tag="Held"):
-    """Answers ``Supersede``; ``schedule`` is None for a rank that has restarted.
+    """Reply to ``SupersedeOrder``; ``schedule`` is None for a restarted rank.
 
-    ``life`` names the rank's life, from one start to the next.
+    ``incarnation`` identifies the rank's process from one start to the next.
     """
 
     version: MapVersion
@@ -150,7 +156,7 @@
 
 
 class CommitReply(Reply, frozen=True, tag="Committed"):
-    """The version is final on this rank."""
+    """The version is committed on this rank."""
 
     version: MapVersion
 
@@ -162,7 +168,7 @@
 
 
 class StateReply(Reply, frozen=True, tag="StateRead"):
-    """Answers ``ReadState``; ``schedule`` only if it was asked for."""
+    """Reply to ``StateRequest``; ``schedule`` is set only if it was requested."""
 
     round: int
     status: RankStatus
@@ -170,12 +176,12 @@
 
 
 class ExpertLoadsReply(Reply, frozen=True, tag="LoadsRead"):
-    """Answers ``ReadLoads``.
+    """Reply to ``ExpertLoadsRequest``.
 
-    ``counts`` are, for each layer, the tokens that passed each expert in this rank's
-    slots, in the order of the map of ``origin``, since it is in force or was last asked
-    for. A rank tells of its own slots only: a coordinator of 32 ranks would otherwise
-    hear of every expert 32 times.
+    ``counts`` has, for each layer, the tokens processed by each expert in this rank's
+    slots, in the order of the map of ``origin_version``, since that map took effect or
+    since the previous request. A rank reports only its own slots; otherwise a
+    coordinator of 32 ranks would receive the counts of every expert 32 times.
     """
 
     round: int
@@ -184,7 +190,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why an order changed nothing."""
+    """Why a rank or its agent refused an order."""
 
     STALE_FENCE = "stale-fence"
     STALE_VERSION = "stale-version"
@@ -199,7 +205,7 @@
 
 
 class RefusalReply(Reply, frozen=True, tag="Refused"):
-    """The order that named ``version`` changed nothing."""
+    """The order for ``version`` was refused and had no effect."""
 
     version: MapVersion
     reason: RefusalReason
@@ -226,7 +232,7 @@
 
 
 def version_of(order: AnyOrder) -> MapVersion:
-    """Return the version that ``order`` names; ``ReadState`` names none."""
+    """Return the version of ``order``, or ``NO_VERSION`` for a request."""
     match order:
         case StateRequest() | ExpertLoadsRequest():
             return NO_VERSION
@@ -235,7 +241,7 @@
 
 
 def encode(item: AnyOrder | AnyReply) -> bytes:
-    """Return an order or reply as msgpack."""
+    """Encode an order or reply as msgpack."""
     return _ENCODER.encode(item)
 
 
@@ -247,10 +253,10 @@
 
 
 def decode_order(data: bytes) -> Result[AnyOrder, DecodeFailure]:
-    """Return the order in ``data``."""
+    """Decode an order."""
     return _decode(_ORDER_DECODER.decode, data)
 
 
 def decode_reply(data: bytes) -> Result[AnyReply, DecodeFailure]:
-    """Return the reply in ``data``."""
+    """Decode a reply."""
     return _decode(_REPLY_DECODER.decode, data)
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -1,8 +1,8 @@
-"""How an agent gives its rank an order, whatever the rank's protocol.
+"""Rank API: the plug-in interface through which an agent sends orders to its rank.
 
-The HTTP plug-in is the assumed protocol: JSON over ``POST /rank/stage``, ``prepare``
-(without a step: supersede), ``commit``, ``abort`` and ``GET /rank/state``, ``loads``.
-Each call names the fence; the answer's body is the reply.
+The HTTP plug-in uses JSON over ``POST /rank/stage``, ``prepare`` (without a step:
+supersede), ``commit``, ``abort`` and ``GET /rank/state``, ``loads``. Each order carries
+the fence; the response body is the reply.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.protocol import AnyOrder
 
-# The longest answer that is read: a schedule of two maps of the largest group.
+# Fits a schedule of two maps of the largest group.
 _MAX_REPLY_BYTES = 4_000_000
-# How long a rank may take to answer. An order is answered between two steps; one that
-# takes longer is given again, and counts as possibly still to take effect.
+# A rank answers between two steps. An order that times out is retried, and may still
+# take effect.
 RANK_TIMEOUT_S = 2.0
 _REPLY_DECODER: msgspec.json.Decoder[Any] = msgspec.json.Decoder(AnyReply)
 
 
 class RankApi(Protocol):
-    """A plug-in for one kind of rank; calls block for a bounded time."""
+    """Client of one kind of rank; calls block for a bounded time."""
 
     def send_order(
         self, order: AnyOrder, *, fence: int
     ) -> Result[AnyReply, RankUnreachable]:
-        """Have the rank take ``order``; an engine may check ``fence`` or ignore it."""
+        """Send ``order`` to the rank, whose engine may check ``fence`` or ignore it."""
 
 
 class RankCall(msgspec.Struct, frozen=True):
-    """The body of a call: an order under a fence."""
+    """Request body: an order and its fence."""
 
     fence: int
     order: Any
@@ -63,7 +63,7 @@
 
 
 def get_endpoint(order: AnyOrder) -> _Endpoint:
-    """Return where ``order`` goes."""
+    """Return the method and path for ``order``."""
     match order:
         case StageOrder():
             return _Endpoint("POST", "/rank/stage")
@@ -81,7 +81,7 @@
 
 @rank_apis.register("http")
 class HttpRankApi:
-    """Speaks to the rank at ``url``; each call takes ``timeout_s`` at most."""
+    """Client of the rank at ``url``; each call takes ``timeout_s`` at most."""
 
     def __init__(self, url: str, *, timeout_s: float = RANK_TIMEOUT_S) -> None:
         self._url = url.rstrip("/")
@@ -91,7 +91,7 @@
     def send_order(
         self, order: AnyOrder, *, fence: int
     ) -> Result[AnyReply, RankUnreachable]:
-        """Have the rank take ``order``."""
+        """Send ``order`` to the rank."""
         method, path = get_endpoint(order)
         body = None
         if method == "POST":
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -1,8 +1,8 @@
-"""The rules that a rank of a lock-step group keeps, as pure functions.
+"""State of a rank in the map change protocol, with orders as pure functions.
 
-The stand-in ranks and the proofs run them; a real engine keeps the same ones behind its
-own protocol. Versions order all changes: a rank takes part only in a version higher
-than every one it has seen, which an engine that ignores fences does too.
+The ranks in the tests run this code; a real engine follows the same rules behind its
+own protocol. Versions order all changes: a rank prepares only a version higher than
+every version it has seen. Engines that ignore fences follow this rule as well.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 
 class StepHold(NamedTuple):
-    """A version neither committed nor aborted; no step from ``step`` on is run."""
+    """Hold of a rank before ``step``, by a version neither committed nor aborted."""
 
     version: MapVersion
     step: int
 
 
 class RankState(NamedTuple):
-    """What a rank remembers; all but ``step`` is lost when it restarts.
+    """State of a rank; all but ``step`` is lost in a restart.
 
-    ``step`` is the next to run, ``highest`` the highest version ever taken or aborted,
-    ``life`` a name of this life that no other of the rank's has.
+    ``step`` is the next to run, ``highest_version`` the highest version ever prepared
+    or aborted, ``incarnation`` a unique name of the rank's process.
     """
 
     step: int = 0
@@ -57,18 +57,18 @@
     def may_run(self) -> bool:
         """Whether the rank may run its next step."""
         if self.schedule is None:
-            # A restarted rank would otherwise run on whatever map it starts with.
+            # A restarted rank would otherwise run on its default map.
             return False
         return self.hold is None or self.step < self.hold.step
 
     @property
     def map_in_force(self) -> VersionedMap | None:
-        """The map that the next step would use."""
+        """Map of the next step, None if the rank has restarted."""
         return self.schedule.map_at(self.step) if self.schedule else None
 
     @property
     def status(self) -> RankStatus:
-        """The state as told to a coordinator."""
+        """State as reported to a coordinator."""
         return RankStatus(
             self.step,
             self.schedule.version if self.schedule else None,
@@ -81,7 +81,7 @@
 
 
 def apply_order(state: RankState, order: RankOrder) -> OrderResult:
-    """Return the rank's state after ``order`` and its reply; orders are idempotent."""
+    """Apply ``order``; return the new state and the reply. Orders are idempotent."""
     match order:
         case StageOrder():
             return _stage(state, order)
@@ -130,7 +130,7 @@
     if order.step < state.step:
         return _refuse(state, version, RefusalReason.STEP_PASSED)
     if state.step < state.schedule.from_step:
-        # A schedule holds two maps; a third must wait until the first is over.
+        # A schedule has two maps; a third has to wait until the first is unused.
         return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
     held = state._replace(hold=StepHold(version, order.step), highest_version=version)
     return held, PrepareReply(version)
@@ -172,8 +172,8 @@
     version = order.version
     if state.schedule is not None and state.schedule.version == version:
         return _refuse(state, version, RefusalReason.ALREADY_COMMITTED)
-    # Remembering the aborted version is what keeps a prepare that its abort overtook
-    # from holding this rank, and with it the group, for ever.
+    # The aborted version is stored so that its prepare, if it arrives after the abort,
+    # cannot hold this rank, and with it the group, forever.
     highest = max(state.highest_version, version)
     held = state.hold is not None and state.hold.version == version
     hold = None if held else state.hold
--- a/src/kingcupwheel/expertmaps/rebalancer.py
+++ b/src/kingcupwheel/expertmaps/rebalancer.py
@@ -1,4 +1,4 @@
-"""Gathers the ranks' loads for the coordinator and plans on a thread of its own."""
+"""Rebalancer that collects expert loads and plans new maps for the coordinator."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 
 
 class _PlanRequest(NamedTuple):
-    current: ExpertMap
+    current_map: ExpertMap
     estimate: LoadEstimate
     weights: PlanWeights
 
 
 class Rebalancer:
-    """Asks for loads every period and offers a plan when there is one.
+    """Collects loads every period and provides a plan when there is one.
 
-    All but the planning itself runs on the caller's thread. A rank that does not answer
-    leaves its period without a plan: half the loads would make a map for half the work.
+    Planning runs on its own thread, all else on the caller's thread. A period in which
+    a rank does not answer has no plan, because a plan from part of the loads would be
+    wrong.
     """
 
     def __init__(self, layout: ExpertLayout) -> None:
@@ -54,12 +55,12 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the planning thread."""
+        """Stop the planning thread."""
         self._plan_requests.put(None)
         self._thread.join()
 
     def due_loads_request(self, now: float) -> ExpertLoadsRequest | None:
-        """Return what to ask all ranks when a period is over."""
+        """Return the request to send to all ranks if a period is over."""
         if now - self._last_request_at < self._layout.rebalance_every_s:
             return None
         self._last_request_at = now
@@ -70,37 +71,39 @@
     def add_reply(
         self, rank: int, reply: ExpertLoadsReply, current_map: VersionedMap
     ) -> None:
-        """Add a rank's counts; with the last one, start to plan from ``current``."""
+        """Add a rank's counts; start planning from ``current_map`` once complete."""
         if (
             reply.round != self._round
             or reply.origin_version != current_map.origin_version
         ):
             return
         if not _matches_placement(reply, rank, current_map.map):
-            logger.warning("Rank %d counts other slots than its map has.", rank)
+            logger.warning("Counts of rank %d do not match the slots in its map.", rank)
             return
         self._reply_by_rank[rank] = reply
         if len(self._reply_by_rank) < self._layout.ranks:
             return
-        counted = _sum_expert_loads(current_map.map, self._reply_by_rank)
+        loads = _sum_expert_loads(current_map.map, self._reply_by_rank)
         self._reply_by_rank.clear()
-        self._estimate = self._estimate.with_counts(counted)
+        self._estimate = self._estimate.with_counts(loads)
         try:
-            question = _PlanRequest(current_map.map, self._estimate, self._weights)
-            self._plan_requests.put_nowait(question)
+            request = _PlanRequest(current_map.map, self._estimate, self._weights)
+            self._plan_requests.put_nowait(request)
         except queue.Full:
-            logger.warning("Planner is behind.")
+            logger.warning(
+                "Skipped planning: the planner has not started the previous plan."
+            )
 
     def take_plan(self) -> MapPlan | None:
-        """Return a plan once it is there, and forget it."""
-        found, self._plan = self._plan, None
-        return found
+        """Return the finished plan, if any, and clear it."""
+        plan, self._plan = self._plan, None
+        return plan
 
     def _run(self) -> None:
-        while (question := self._plan_requests.get()) is not None:
+        while (request := self._plan_requests.get()) is not None:
             try:
                 self._plan = plan_map(
-                    question.current, question.estimate, question.weights
+                    request.current_map, request.estimate, request.weights
                 )
             except Exception:
                 logger.exception("Planning failed.")
@@ -116,7 +119,7 @@
 def _sum_expert_loads(
     current_map: ExpertMap, reply_by_rank: dict[int, ExpertLoadsReply]
 ) -> MapLoad:
-    """Return each expert's load over all ranks that hold it."""
+    """Return the load of each expert, summed over the ranks that hold it."""
     layers = []
     for number, layer in enumerate(current_map.layers):
         load = [0.0] * current_map.expert_count
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -1,7 +1,7 @@
-"""Expert maps on an agent: its rank's orders, the group's lease, and coordination.
+"""Expert map service of an agent: rank orders, the group's lease, coordination.
 
 The agent daemon calls ``on_message`` and ``on_tick`` on the hub's thread; neither
-blocks. The platform and the rank are spoken to by threads of the service's own.
+blocks. Calls to the platform and to the rank run on the service's own threads.
 """
 
 from __future__ import annotations
@@ -35,24 +35,25 @@
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
-# Agents of the lowest ranks that always watch the lease. One of them mostly holds it,
-# so that one or two read it; a takeover then does not wait for anybody's patience.
+# The agents of the lowest ranks always watch the lease, without a takeover delay. One
+# of them usually holds it, so that one or two agents read it.
 _WATCHER_COUNT = 2
-# Further ranks look at the lease no later than after this many turns: a wait for each
-# rank in turn would leave a group of 32 without a coordinator.
+# Bounds the staggered delay of further ranks. Without the bound, a group of 32 could be
+# without a coordinator for too long.
 _MAX_STAGGER_COUNT = 4
 
 
 class MapServiceTimings(NamedTuple):
-    """Times in seconds.
-
-    A lease runs ``ttl_s``; it is renewed, and looked at by the watchers, every
-    ``renew_s``: at 128 groups some 130 writes and 130 to 260 reads a second on the
-    platform, which takes several hundred and two thousand. Shorter stalls the group
-    less when its coordinator is lost, longer calls the platform less. Other agents read
-    the lease only once they have heard of no coordinator for ``patience_s`` and
-    ``turn_s`` for each rank before theirs. The list of instances is read every
-    ``members_s``.
+    """Timings of a map service.
+
+    The holder renews the lease, and the watchers read it, every ``renew_interval_s``.
+    With 128 groups that is about 130 writes and 130 to 260 reads a second on the
+    platform, which handles several hundred writes and two thousand reads. A shorter
+    ``lease_ttl_s`` and interval shorten the stall of a group that loses its
+    coordinator, longer ones reduce the calls to the platform. Other agents read the
+    lease only after they have received no orders for ``coordinator_timeout_s`` plus
+    ``takeover_stagger_s`` for each rank before theirs. The list of instances is read
+    every ``instances_interval_s``.
     """
 
     lease_ttl_s: float = 3.0
@@ -67,7 +68,7 @@
 
 
 class MapService:
-    """Expert maps for one agent of ``group``, which speaks for ``rank``."""
+    """Map service of the agent of ``rank`` in ``group``."""
 
     def __init__(
         self,
@@ -116,7 +117,7 @@
 
     @property
     def coordinator_driver(self) -> CoordinatorDriver:
-        """The coordinator's side."""
+        """Driver of this agent's coordinator."""
         return self._coordinator_driver
 
     def start(self) -> None:
@@ -126,14 +127,14 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Give the lease back, so that another agent takes over at once, and end."""
+        """Release the lease, so that another agent takes over at once, and stop."""
         self._stopping.set()
         self._thread.join()
         self._coordinator_driver.stop_planner()
         self._order_forwarder.stop()
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take a message of this service; others are ignored."""
+        """Handle a map order or reply of the group; ignore other messages."""
         match message, link:
             case MapOrder(), _ if message.group == self._group:
                 if message.fence >= (self._order_forwarder.highest_fence or 0):
@@ -141,23 +142,23 @@
                 self._order_forwarder.enqueue(link, message)
             case MapReply(), OutgoingLink(address) if message.group == self._group:
                 now = monotonic()
-                # A holder that was paused finds answers waiting before its next tick.
+                # A paused holder may receive replies before its next tick.
                 if self._lease.get_held_lease(now) is not None:
                     self._coordinator_driver.handle_reply(address, message, now)
 
     def on_tick(self, now: float) -> None:
-        """Follow the lease, then do what is due."""
-        holding = self._lease.get_held_lease(now)
-        if holding is None or self._stopping.is_set():
+        """Start or stop coordinating as the lease requires, then run due work."""
+        held_lease = self._lease.get_held_lease(now)
+        if held_lease is None or self._stopping.is_set():
             if self._coordinator_driver.is_coordinating:
                 self._coordinator_driver.stop_coordinating()
                 self._coordinated_fence = 0
             return
-        if holding.fence != self._coordinated_fence:
-            self._coordinated_fence = holding.fence
-            self._coordinator_driver.start_coordinating(holding.fence)
+        if held_lease.fence != self._coordinated_fence:
+            self._coordinated_fence = held_lease.fence
+            self._coordinator_driver.start_coordinating(held_lease.fence)
         if self._coordinator_driver.is_superseded:
-            # A higher fence exists, so ranks refuse this one: take the lease anew.
+            # Ranks refuse this fence for a higher one: acquire the lease again.
             self._release_requested.set()
         self._coordinator_driver.tick(now, self._agent_addresses)
 
@@ -168,17 +169,17 @@
         return get_lease_fence(result.ok)
 
     def _run_lease_loop(self) -> None:
-        members_read = 0.0
+        instances_read_at = 0.0
         while not self._stopping.wait(self._timings.renew_interval_s):
             now = monotonic()
             try:
                 self._update_lease(now)
-                due = now - members_read >= self._instances_interval_s
+                due = now - instances_read_at >= self._instances_interval_s
                 if self._lease.get_held_lease(now) is not None and due:
                     self._read_agent_addresses()
-                    members_read = now
+                    instances_read_at = now
             except Exception:
-                logger.exception("Lease could not be followed.")
+                logger.exception("Failed to check or renew the lease.")
         self._lease.release()
 
     def _update_lease(self, now: float) -> None:
@@ -194,19 +195,19 @@
     def _takeover_delay_s(self) -> float:
         if self._rank < _WATCHER_COUNT:
             return 0.0
-        turn = min(self._rank, _MAX_STAGGER_COUNT)
+        stagger_count = min(self._rank, _MAX_STAGGER_COUNT)
         return (
             self._timings.coordinator_timeout_s
-            + turn * self._timings.takeover_stagger_s
+            + stagger_count * self._timings.takeover_stagger_s
         )
 
     @property
     def _instances_interval_s(self) -> float:
-        """How often the list is read; more often while a rank's agent is missing."""
-        settled = self._coordinator_driver.has_all_addresses
+        """Interval of reading the instances, shorter while an agent is missing."""
+        has_all_addresses = self._coordinator_driver.has_all_addresses
         return (
             self._timings.instances_interval_s
-            if settled
+            if has_all_addresses
             else self._timings.renew_interval_s
         )
 
