--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -18,8 +18,8 @@
 from expression import Result
 
 from kingcupwheel.link.links import IncomingLink
-from kingcupwheel.manifest.keeper import ManifestKeeper
 from kingcupwheel.manifest.schema import Retention
+from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import ManifestRequest
 
 
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import ServerGroup
     from kingcupwheel.messages.base import Message
     from kingcupwheel.messages.membership import ManifestObject
@@ -54,7 +54,7 @@
         self._last_group: ServerGroup | None = None
         self._received_objects: SimpleQueue[ManifestObject] = SimpleQueue()
         self._fetch_lock = Lock()
-        self._keeper = ManifestKeeper(
+        self._keeper = ManifestSynchronizer(
             client,
             fetch_from_peer=self._fetch,
             on_change=self._on_change,
@@ -85,11 +85,11 @@
     def record_version(self, link: Link, version: int, digest: str) -> None:
         """Note the version that an entry names on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
-            self._keeper.heard(version, digest, link.identity.hex())
+            self._keeper.record_peer_version(version, digest, link.identity.hex())
 
     def object_for(self, key: str) -> ManifestObject:
         """Return what to answer an entry that asks for an object."""
-        return self._keeper.object_for(key)
+        return self._keeper.get_object(key)
 
     def receive_object(self, message: ManifestObject) -> None:
         """Take an entry's answer; called on the hub's thread."""
@@ -113,7 +113,7 @@
             if answer.key == key:
                 return Ok(answer)
 
-    def _on_change(self, in_force: InForce) -> None:
+    def _on_change(self, in_force: CompiledManifest) -> None:
         group = in_force.groups_by_name.get(self._group)
         if group is not None and group != self._last_group:
             self._last_group = group
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/printing.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from kingcupwheel.manifest.status import Process
-    from kingcupwheel.manifest.status import Rollout
+    from kingcupwheel.manifest.rollout_status import ProcessStatus
+    from kingcupwheel.manifest.rollout_status import RolloutStatus
 
 
 class ManifestShown(Record, frozen=True):
@@ -34,21 +34,23 @@
     return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
 
 
-def rollout_text(rollout: Rollout) -> str:
+def rollout_text(rollout: RolloutStatus) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
-    processes = len(rollout.there) + len(rollout.behind) + len(rollout.silent)
+    processes = (
+        len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
+    )
     lines = [
-        f"Version {rollout.version} is in force on {len(rollout.there)}"
+        f"Version {rollout.version} is in force on {len(rollout.up_to_date)}"
         f" of {processes} listed processes."
     ]
     lines.extend(_lines(rollout.behind))
-    lines.extend(_lines(rollout.silent))
+    lines.extend(_lines(rollout.unresponsive))
     return "\n".join(lines) + "\n"
 
 
-def _lines(processes: tuple[Process, ...]) -> Iterator[str]:
+def _lines(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
     for process in processes:
-        leaving = ", leaving" if process.leaving else ""
+        leaving = ", leaving" if process.is_leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
         where = f"{process.role} {process.name} in {process.data_centre}"
         yield f"  {where}: {state}{leaving}"
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers talk to."""
+"""The WSGI application for callers."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
     from kingcupwheel.entry.caller_pages import CallerPages
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
 
 logger = logging.getLogger("kingcupwheel.entry")
 
 PAGES_PREFIX = "/kingcupwheel/"
-# How long a refused caller is still listened to, in longest bodies.
+# Limit for discarding the body of a refused request, in multiples of ``body_bytes``.
 _MAX_DISCARDED_BODIES = 2
 
 
 class Application:
-    """Answers callers; ``in_force`` returns the manifest to use for a new request."""
+    """Answers callers; ``get_in_force`` returns the manifest for new requests."""
 
     def __init__(
         self,
         context: EntryContext,
-        get_in_force: Callable[[], InForce | None],
+        get_in_force: Callable[[], CompiledManifest | None],
         caller_pages: CallerPages,
     ) -> None:
         self._context = context
@@ -58,11 +58,11 @@
 
     @property
     def in_progress_count(self) -> int:
-        """Requests not yet answered to their end."""
+        """Number of requests whose answers are not yet sent completely."""
         return self._in_progress
 
     def stop_accepting(self) -> None:
-        """Refuse every request from now on; those in progress go on."""
+        """Refuse all new requests; those in progress continue."""
         self._is_closed = True
 
     def __call__(
@@ -73,8 +73,8 @@
         if self._context.leaving.is_set():
             exchange.close_connection_after()
         if not self._try_begin_request():
-            # The server would read whatever body comes before the next request; here
-            # it is not even listened to, because few threads are left.
+            # On a kept connection the server would read the rest of the body before
+            # the next request. It is closed instead, because few threads are left.
             exchange.close_connection_after()
             return exchange.refuse(ENTRY_BUSY)
         try:
@@ -96,41 +96,43 @@
             self._in_progress -= 1
 
     def _yield_in_progress(self, body: Iterable[bytes]) -> Iterator[bytes]:
-        """Yield ``body``; the request counts as in progress until it is sent."""
+        """Yield ``body``; the request is in progress until it is sent."""
         try:
             yield from body
         finally:
             self._end_request()
 
     def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
-        limits = self._context.settings.entry
+        settings = self._context.settings.entry
         in_force = self._get_in_force()
         if self._is_closed or in_force is None:
-            exchange.discard_body(limits.body_bytes)
+            exchange.discard_body(settings.body_bytes)
             return exchange.refuse(ENTRY_LEAVING if self._is_closed else NO_MANIFEST)
         refusal = check_sizes(
             exchange.headers,
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
+            header_bytes=settings.header_bytes,
+            body_bytes=settings.body_bytes,
         )
         if refusal is not None:
-            exchange.discard_body(_MAX_DISCARDED_BODIES * limits.body_bytes)
+            exchange.discard_body(_MAX_DISCARDED_BODIES * settings.body_bytes)
             return exchange.refuse(refusal)
-        found = authenticate_organisation(exchange.headers, in_force)
-        if found.is_error():
-            # Little, because anybody may send it and hold a thread meanwhile.
+        authenticated = authenticate_organisation(exchange.headers, in_force)
+        if authenticated.is_error():
+            # One chunk only: unauthenticated callers must not hold a thread for long.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
-            return exchange.refuse(found.error)
+            return exchange.refuse(authenticated.error)
         if exchange.path.startswith(PAGES_PREFIX):
-            page = self._caller_pages.get_page(exchange.method, exchange.path, found.ok)
+            page = self._caller_pages.get_page(
+                exchange.method, exchange.path, authenticated.ok
+            )
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
-        body = exchange.read_body(limits.body_bytes)
+        body = exchange.read_body(settings.body_bytes)
         if body is None:
             exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
         parsed = parse_request(
             exchange.build_http_request(body),
-            found.ok,
+            authenticated.ok,
             in_force,
             request_id=exchange.request_id,
             received_at=exchange.received_at,
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -1,4 +1,4 @@
-"""Turns an HTTP request into a ``CallerRequest``, or says what is wrong with it."""
+"""Parses an HTTP request into a ``CallerRequest`` or a refusal."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from kingcupwheel.entry.refusals import NO_ROUTE
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.entry.refusals import build_bad_request_refusal
+from kingcupwheel.manifest.routing import MatchedRoute
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
-from kingcupwheel.manifest.routing import RouteFound
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.utils.http_headers import HOP_BY_HOP
 from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
@@ -34,21 +34,21 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.manifest.schema import Organisation
 
 _BEARER_PREFIX = "bearer "
 _IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 _MAX_IDEMPOTENCY_KEY_CHARACTERS = 255
-# Characters of a prompt that name its prefix: the length of a system prompt's start,
+# Leading characters of a prompt that make up its prefix: the start of a system prompt,
 # which callers of one application share.
 _MAX_PREFIX_CHARACTERS = 256
-# Headers that belong to one connection, or to the entry alone, and are not passed on.
+# Headers that apply to one connection or to the entry only.
 _UNFORWARDED_HEADERS = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
-    """What the HTTP layer read; ``headers`` have lower-case names."""
+    """An HTTP request; the names in ``headers`` are lower-case."""
 
     method: str
     host: str
@@ -59,7 +59,7 @@
 
 
 class PromptInfo(NamedTuple):
-    """What of a model request's body the entry looks at."""
+    """Fields of a model request's body that the entry uses."""
 
     is_streamed: bool
     max_tokens: int | None
@@ -70,21 +70,21 @@
 
 
 def authenticate_organisation(
-    headers: Mapping[str, str], in_force: InForce
+    headers: Mapping[str, str], in_force: CompiledManifest
 ) -> Result[Organisation, Refusal]:
-    """Return the organisation that the bearer key belongs to."""
+    """Return the organisation of the API key, or a refusal."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER_PREFIX) :].strip()
-    organisation = in_force.organisation_of_key(key)
+    organisation = in_force.find_organisation_by_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
 def check_sizes(
     headers: Mapping[str, str], *, header_bytes: int, body_bytes: int
 ) -> Refusal | None:
-    """Return a refusal of what is too large, before any of the body is read."""
+    """Return a refusal if headers or body are too large; called before it is read."""
     size = sum(len(name) + len(value) for name, value in headers.items())
     if size > header_bytes:
         return HEADERS_TOO_LARGE
@@ -97,16 +97,19 @@
 def parse_request(
     http_request: HttpRequest,
     organisation: Organisation,
-    in_force: InForce,
+    in_force: CompiledManifest,
     *,
     request_id: str,
     received_at: float,
 ) -> Result[CallerRequest, Refusal]:
-    """Return the request, checked against the manifest in force; ``now`` monotonic."""
-    found = _find_route(http_request, in_force)
-    if isinstance(found, Refusal):
-        return Error(found)
-    route, group = found
+    """Return the request, checked against the manifest in force, or a refusal.
+
+    ``received_at`` is in seconds of the monotonic clock.
+    """
+    route_match = _find_route(http_request, in_force)
+    if isinstance(route_match, Refusal):
+        return Error(route_match)
+    route, group = route_match
     deadline = _parse_deadline(http_request.headers.get("kingcupwheel-deadline", ""))
     if isinstance(deadline, Refusal):
         return Error(deadline)
@@ -149,21 +152,25 @@
     )
 
 
-def _find_route(http_request: HttpRequest, in_force: InForce) -> RouteFound | Refusal:
-    match in_force.route_for(http_request.host, http_request.path, http_request.method):
+def _find_route(
+    http_request: HttpRequest, in_force: CompiledManifest
+) -> MatchedRoute | Refusal:
+    match in_force.find_route(
+        http_request.host, http_request.path, http_request.method
+    ):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
-        case RouteFound() as found:
+        case MatchedRoute() as found:
             return _check_idempotency_key(http_request, found) or found
 
 
 def _check_idempotency_key(
-    http_request: HttpRequest, found: RouteFound
+    http_request: HttpRequest, route_match: MatchedRoute
 ) -> Refusal | None:
     key = http_request.headers.get(_IDEMPOTENCY_KEY_HEADER, "")
-    if not key and not found.route.repeatable:
+    if not key and not route_match.route.repeatable:
         return IDEMPOTENCY_KEY_MISSING
     if len(key) > _MAX_IDEMPOTENCY_KEY_CHARACTERS:
         return build_bad_request_refusal(
--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -10,14 +10,14 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import BadObject
 from kingcupwheel.manifest.exceptions import FetchError
-from kingcupwheel.manifest.shards import Core
-from kingcupwheel.manifest.shards import Index
+from kingcupwheel.manifest.exceptions import InvalidObject
+from kingcupwheel.manifest.shards import ManifestCore
+from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_bucket
 from kingcupwheel.manifest.shards import decode_core
 from kingcupwheel.manifest.shards import decode_index
-from kingcupwheel.manifest.shards import join
+from kingcupwheel.manifest.shards import join_shards
 from kingcupwheel.manifest.shards import shard_key
 
 
@@ -31,33 +31,33 @@
 ObjectSource = Callable[[str], Result[bytes, FetchError]]
 
 
-class Bucket(NamedTuple):
+class OrganisationBucket(NamedTuple):
     """A decoded shard of organisations with its stored value."""
 
     value: bytes
     organisations: tuple[Organisation, ...]
 
 
-class Assembly(NamedTuple):
+class AssembledManifest(NamedTuple):
     """A manifest with the objects it came from.
 
     ``buckets_by_digest`` is empty where organisations are not wanted.
     """
 
     index_value: bytes
-    index_object: Index
+    index_object: ManifestIndex
     core_value: bytes
-    core: Core
-    buckets_by_digest: Mapping[str, Bucket]
+    core: ManifestCore
+    buckets_by_digest: Mapping[str, OrganisationBucket]
 
     @property
     def manifest(self) -> Manifest:
         """The whole manifest, organisations sorted by name."""
         buckets = self.buckets_by_digest.values()
-        return join(self.core, (bucket.organisations for bucket in buckets))
+        return join_shards(self.core, (bucket.organisations for bucket in buckets))
 
 
-class FetchedObjects:
+class FetchedObjectCache:
     """Remembers objects between tries to put one manifest together.
 
     Failure: one read of many is refused by the platform's rate limit. Symptom: each try
@@ -70,10 +70,10 @@
         self._index_value = b""
         self._values_by_key: dict[str, bytes] = {}
 
-    def over(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
+    def wrap(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
         """Return ``source`` with what was fetched before for this index."""
         if index_value != self._index_value:
-            self.forget()
+            self.clear()
             self._index_value = index_value
 
         def read(key: str) -> Result[bytes, FetchError]:
@@ -87,18 +87,18 @@
 
         return read
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop what was fetched."""
         self._values_by_key.clear()
 
 
-def assemble(
+def assemble_manifest(
     index_value: bytes,
     source: ObjectSource,
     *,
-    reuse: Assembly | None = None,
+    previous: AssembledManifest | None = None,
     with_organisations: bool = True,
-) -> Result[Assembly, FetchError]:
+) -> Result[AssembledManifest, FetchError]:
     """Return the manifest that ``index_value`` names.
 
     Shards that ``reuse`` holds are not read again; every other is read from ``source``
@@ -107,33 +107,35 @@
     index = decode_index(index_value)
     if index.is_error():
         return Error(index.error)
-    core = _core(index.ok, source, reuse)
+    core = _load_core(index.ok, source, previous)
     if core.is_error():
         return Error(core.error)
-    wanted = index.ok.organisations if with_organisations else ()
-    buckets = _buckets(wanted, source, reuse)
+    wanted = index.ok.bucket_digests if with_organisations else ()
+    buckets = _load_buckets(wanted, source, previous)
     if buckets.is_error():
         return Error(buckets.error)
-    return Ok(Assembly(index_value, index.ok, *core.ok, buckets.ok))
+    return Ok(AssembledManifest(index_value, index.ok, *core.ok, buckets.ok))
 
 
-def _core(
-    index: Index, source: ObjectSource, reuse: Assembly | None
-) -> Result[tuple[bytes, Core], FetchError]:
-    if reuse is not None and reuse.index_object.core == index.core:
-        return Ok((reuse.core_value, reuse.core))
-    value = source(shard_key(index.core))
+def _load_core(
+    index: ManifestIndex, source: ObjectSource, previous: AssembledManifest | None
+) -> Result[tuple[bytes, ManifestCore], FetchError]:
+    if previous is not None and previous.index_object.core_digest == index.core_digest:
+        return Ok((previous.core_value, previous.core))
+    value = source(shard_key(index.core_digest))
     if value.is_error():
         return Error(value.error)
-    decoded: Result[Core, BadObject] = decode_core(index.core, value.ok)
+    decoded: Result[ManifestCore, InvalidObject] = decode_core(
+        index.core_digest, value.ok
+    )
     return Ok((value.ok, decoded.ok)) if decoded.is_ok() else Error(decoded.error)
 
 
-def _buckets(
-    digests: tuple[str, ...], source: ObjectSource, reuse: Assembly | None
-) -> Result[dict[str, Bucket], FetchError]:
-    held = {} if reuse is None else reuse.buckets_by_digest
-    buckets_by_digest: dict[str, Bucket] = {}
+def _load_buckets(
+    digests: tuple[str, ...], source: ObjectSource, previous: AssembledManifest | None
+) -> Result[dict[str, OrganisationBucket], FetchError]:
+    held = {} if previous is None else previous.buckets_by_digest
+    buckets_by_digest: dict[str, OrganisationBucket] = {}
     for digest in digests:
         known = held.get(digest)
         if known is not None:
@@ -145,5 +147,5 @@
         decoded = decode_bucket(digest, value.ok)
         if decoded.is_error():
             return Error(decoded.error)
-        buckets_by_digest[digest] = Bucket(value.ok, decoded.ok)
+        buckets_by_digest[digest] = OrganisationBucket(value.ok, decoded.ok)
     return Ok(buckets_by_digest)
--- a/src/kingcupwheel/manifest/patience.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -21,16 +21,16 @@
 
 T = TypeVar("T")
 
-_RETRY_S = 0.25
+_RETRY_DELAY_S = 0.25
 
 
-class Patience:
+class PlatformRetrier:
     """The ``seconds`` from now on in which calls are repeated."""
 
-    def __init__(self, seconds: float) -> None:
-        self._deadline = monotonic() + seconds
+    def __init__(self, timeout_s: float) -> None:
+        self._deadline = monotonic() + timeout_s
 
-    def insist(
+    def call_with_retries(
         self, call: Callable[[], Result[T, PlatformError]]
     ) -> Result[T, PlatformError]:
         """Repeat an idempotent call until it is answered or time runs out."""
@@ -38,19 +38,21 @@
             result = call()
             if result.is_ok() or isinstance(result.error, Conflict | Rejected):
                 return result
-            if not self.pause(result.error):
+            if not self.wait_before_retry(result.error):
                 return result
 
-    def pause(self, error: PlatformError) -> bool:
+    def wait_before_retry(self, error: PlatformError) -> bool:
         """Wait as ``error`` asks; False at once if time would run out."""
-        wait_s = error.retry_after_s if isinstance(error, RateLimited) else _RETRY_S
+        wait_s = (
+            error.retry_after_s if isinstance(error, RateLimited) else _RETRY_DELAY_S
+        )
         if monotonic() + wait_s >= self._deadline:
             return False
         sleep(wait_s)
         return True
 
 
-def describe(error: PlatformError) -> str:
+def describe_platform_error(error: PlatformError) -> str:
     """Return ``error`` in a few words for an operator."""
     match error:
         case Unavailable(detail, _):
--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -13,10 +13,10 @@
     from collections.abc import Mapping
 
 _ANY_HOST = "*"
-_PREFIX_MARK = "*"
+_PREFIX_WILDCARD = "*"
 
 
-class RouteFound(NamedTuple):
+class MatchedRoute(NamedTuple):
     """The request belongs to ``group`` under the rules of ``route``."""
 
     route: Route
@@ -30,10 +30,10 @@
 class MethodNotAllowed(NamedTuple):
     """The path has a route, for the methods ``allowed`` only."""
 
-    allowed: tuple[str, ...]
+    allowed_methods: tuple[str, ...]
 
 
-RouteMatch = RouteFound | NoRoute | MethodNotAllowed
+RouteMatch = MatchedRoute | NoRoute | MethodNotAllowed
 
 _RoutesByMethod = dict[str, Route]
 
@@ -46,13 +46,13 @@
         self._by_prefix: dict[str, _RoutesByMethod] = {}
 
     def add(self, route: Route) -> None:
-        is_prefix = route.path.endswith(_PREFIX_MARK)
+        is_prefix = route.path.endswith(_PREFIX_WILDCARD)
         by_path = self._by_prefix if is_prefix else self._exact_by_path
-        by_method = by_path.setdefault(route.path.removesuffix(_PREFIX_MARK), {})
+        by_method = by_path.setdefault(route.path.removesuffix(_PREFIX_WILDCARD), {})
         for method in route.methods:
             by_method[method] = route
 
-    def sort(self) -> None:
+    def sort_prefixes(self) -> None:
         longest_first = sorted(self._by_prefix.items(), key=lambda each: -len(each[0]))
         self._by_prefix = dict(longest_first)
 
@@ -82,7 +82,7 @@
         for route in routes:
             self._by_host.setdefault(route.host, _HostRoutes()).add(route)
         for host_routes in self._by_host.values():
-            host_routes.sort()
+            host_routes.sort_prefixes()
 
     def find(self, host: str, path: str, method: str) -> RouteMatch:
         """Return the match; ``host`` may have a port and ``path`` a query."""
@@ -98,7 +98,7 @@
         route = by_method.get(method)
         if route is None:
             return MethodNotAllowed(tuple(sorted(by_method)))
-        return RouteFound(route, self._groups_by_name[route.group])
+        return MatchedRoute(route, self._groups_by_name[route.group])
 
 
 def _host_name(host: str) -> str:
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -19,8 +19,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.exceptions import TooLarge
+from kingcupwheel.manifest.exceptions import InvalidObject
+from kingcupwheel.manifest.exceptions import ObjectTooLarge
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
@@ -45,20 +45,20 @@
 _MAX_BUCKET_BYTES = 160_000
 # Buckets are halved in number when the largest is below this. The gap to the limit
 # keeps their number, and with it every shard, while organisations come and go.
-_MIN_BUCKET_BYTES = _MAX_BUCKET_BYTES // 8
+_BUCKET_MERGE_BYTES = _MAX_BUCKET_BYTES // 8
 _MAX_BUCKETS = 4096
 # A shard may unpack to no more than this: a damaged one must not use up the memory.
 _MAX_UNPACKED_BYTES = 16_000_000
 _COMPRESSION_LEVEL = 6
 # Submissions that an index remembers of those before it, so that a submitter whose
 # confirmation was lost learns that it won even if others have won since.
-_EARLIER_SUBMISSIONS = 32
+_MAX_EARLIER_SUBMISSIONS = 32
 # Submissions for which replaced shards are kept. A process that read an index just
 # before it was replaced still finds its shards; at 720 changes a day that is 30 min.
-_KEPT_SUBMISSIONS = 16
+_RETIRED_SHARDS_KEPT_SUBMISSIONS = 16
 
 
-class Index(Record, frozen=True):
+class ManifestIndex(Record, frozen=True):
     """What a manifest version consists of.
 
     ``submission`` names the submission, ``earlier`` those before it, latest first.
@@ -67,24 +67,26 @@
     the last submissions replaced, latest first. Shards are named by SHA-256 digest.
     """
 
-    submission: str
-    core: str
-    organisations: tuple[str, ...]
-    earlier: tuple[str, ...] = ()
-    retired: tuple[tuple[str, ...], ...] = ()
+    submission_id: str = msgspec.field(name="submission")
+    core_digest: str = msgspec.field(name="core")
+    bucket_digests: tuple[str, ...] = msgspec.field(name="organisations")
+    earlier_submission_ids: tuple[str, ...] = msgspec.field(default=(), name="earlier")
+    retired_digests: tuple[tuple[str, ...], ...] = msgspec.field(
+        default=(), name="retired"
+    )
 
     @property
-    def digests(self) -> tuple[str, ...]:
+    def shard_digests(self) -> tuple[str, ...]:
         """The digests of all shards, the core's first."""
-        return (self.core, *self.organisations)
+        return (self.core_digest, *self.bucket_digests)
 
     @property
     def shard_keys(self) -> tuple[str, ...]:
         """The keys of all shards, the core's first."""
-        return tuple(shard_key(each) for each in self.digests)
+        return tuple(shard_key(each) for each in self.shard_digests)
 
 
-class Core(Record, frozen=True):
+class ManifestCore(Record, frozen=True):
     """A manifest without its organisations."""
 
     groups: tuple[ServerGroup, ...]
@@ -93,10 +95,10 @@
     retention: Retention
 
 
-class Sharded(NamedTuple):
+class ShardedManifest(NamedTuple):
     """A manifest cut into objects; values are as stored, by key."""
 
-    index_object: Index
+    index_object: ManifestIndex
     shards_by_key: Mapping[str, bytes]
 
 
@@ -105,44 +107,51 @@
     return SHARD_PREFIX + digest
 
 
-def cut(
-    manifest: Manifest, *, submission: str, previous: Index | None
-) -> Result[Sharded, TooLarge]:
+def shard_manifest(
+    manifest: Manifest, *, submission_id: str, previous_index: ManifestIndex | None
+) -> Result[ShardedManifest, ObjectTooLarge]:
     """Cut ``manifest`` into shards and their index, which follows ``previous``."""
-    core = Core(
+    core = ManifestCore(
         groups=manifest.groups,
         routes=manifest.routes,
         goals=manifest.goals,
         retention=manifest.retention,
     )
     core_value = _pack(core)
-    values = _pack_buckets(manifest.organisations, previous)
-    digests = tuple(_digest(value) for value in values)
-    index = Index(
-        submission=submission,
-        core=_digest(core_value),
-        organisations=digests,
-        earlier=_earlier(previous),
-        retired=_retired(previous, {_digest(core_value), *digests}),
+    values = _pack_buckets(manifest.organisations, previous_index)
+    digests = tuple(_compute_digest(value) for value in values)
+    index = ManifestIndex(
+        submission_id=submission_id,
+        core_digest=_compute_digest(core_value),
+        bucket_digests=digests,
+        earlier_submission_ids=_list_earlier_submission_ids(previous_index),
+        retired_digests=_list_retired_digests(
+            previous_index, {_compute_digest(core_value), *digests}
+        ),
     )
     shards_by_key = {
-        shard_key(_digest(value)): value for value in (core_value, *values)
+        shard_key(_compute_digest(value)): value for value in (core_value, *values)
     }
-    return _checked(Sharded(index, shards_by_key))
+    return _check_sizes(ShardedManifest(index, shards_by_key))
 
 
-def expiring_keys(previous: Index | None) -> tuple[str, ...]:
+def list_expiring_shard_keys(previous_index: ManifestIndex | None) -> tuple[str, ...]:
     """Return the retired shards that an index which follows ``previous`` forgets."""
-    if previous is None or len(previous.retired) < _KEPT_SUBMISSIONS:
+    if (
+        previous_index is None
+        or len(previous_index.retired_digests) < _RETIRED_SHARDS_KEPT_SUBMISSIONS
+    ):
         return ()
-    return tuple(shard_key(digest) for digest in previous.retired[-1])
+    return tuple(shard_key(digest) for digest in previous_index.retired_digests[-1])
 
 
-def join(core: Core, buckets: Iterable[tuple[Organisation, ...]]) -> Manifest:
+def join_shards(
+    core: ManifestCore, buckets: Iterable[tuple[Organisation, ...]]
+) -> Manifest:
     """Return the manifest that was cut; its organisations come sorted by name."""
     organisations = [each for bucket in buckets for each in bucket]
     return Manifest(
-        organisations=_sorted(organisations),
+        organisations=_sort_by_name(organisations),
         groups=core.groups,
         routes=core.routes,
         goals=core.goals,
@@ -150,101 +159,115 @@
     )
 
 
-def encode_index(index: Index) -> bytes:
+def encode_index(index: ManifestIndex) -> bytes:
     """Return the index object's value, which is JSON."""
     return msgspec.json.encode(index)
 
 
-def decode_index(value: bytes) -> Result[Index, BadObject]:
+def decode_index(value: bytes) -> Result[ManifestIndex, InvalidObject]:
     """Return the index in an object's value."""
     try:
-        return Ok(msgspec.json.decode(value, type=Index))
+        return Ok(msgspec.json.decode(value, type=ManifestIndex))
     except msgspec.DecodeError as error:
-        return Error(BadObject(INDEX_KEY, str(error)))
+        return Error(InvalidObject(INDEX_KEY, str(error)))
 
 
-def decode_core(digest: str, value: bytes) -> Result[Core, BadObject]:
+def decode_core(digest: str, value: bytes) -> Result[ManifestCore, InvalidObject]:
     """Return the core shard in ``value`` if it has that digest."""
-    return _unpack(digest, value, Core)
+    return _unpack(digest, value, ManifestCore)
 
 
 def decode_bucket(
     digest: str, value: bytes
-) -> Result[tuple[Organisation, ...], BadObject]:
+) -> Result[tuple[Organisation, ...], InvalidObject]:
     """Return the organisations in ``value`` if it has that digest."""
     return _unpack(digest, value, tuple[Organisation, ...])
 
 
 def _pack_buckets(
-    organisations: tuple[Organisation, ...], previous: Index | None
+    organisations: tuple[Organisation, ...], previous_index: ManifestIndex | None
 ) -> list[bytes]:
     """Return the packed buckets; their number is a power of two.
 
     It starts at the previous one and changes only if a bucket is too large or all are
     small: another number rewrites every bucket.
     """
-    buckets = 1 if previous is None else _power_of_two(len(previous.organisations))
+    buckets = (
+        1
+        if previous_index is None
+        else _floor_power_of_two(len(previous_index.bucket_digests))
+    )
     while True:
-        values = _pack_into(buckets, organisations)
+        values = _pack_into_buckets(buckets, organisations)
         largest = max(len(value) for value in values)
         if largest > _MAX_BUCKET_BYTES and buckets < _MAX_BUCKETS:
             buckets *= 2
-        elif largest < _MIN_BUCKET_BYTES and buckets > 1:
+        elif largest < _BUCKET_MERGE_BYTES and buckets > 1:
             buckets //= 2
         else:
             return values
 
 
-def _pack_into(buckets: int, organisations: tuple[Organisation, ...]) -> list[bytes]:
-    organisations_by_bucket: list[list[Organisation]] = [[] for _ in range(buckets)]
+def _pack_into_buckets(
+    bucket_count: int, organisations: tuple[Organisation, ...]
+) -> list[bytes]:
+    organisations_by_bucket: list[list[Organisation]] = [
+        [] for _ in range(bucket_count)
+    ]
     for organisation in organisations:
-        bucket = _bucket(organisation.name, buckets)
+        bucket = _bucket_index(organisation.name, bucket_count)
         organisations_by_bucket[bucket].append(organisation)
-    return [_pack(_sorted(each)) for each in organisations_by_bucket]
+    return [_pack(_sort_by_name(each)) for each in organisations_by_bucket]
 
 
-def _power_of_two(number: int) -> int:
+def _floor_power_of_two(number: int) -> int:
     """Return the largest power of two up to ``number``, at least 1."""
     return 1 << max(0, number.bit_length() - 1)
 
 
-def _bucket(name: str, buckets: int) -> int:
-    return int.from_bytes(sha256(name.encode()).digest()[:4], "big") % buckets
+def _bucket_index(name: str, bucket_count: int) -> int:
+    return int.from_bytes(sha256(name.encode()).digest()[:4], "big") % bucket_count
 
 
-def _sorted(organisations: list[Organisation]) -> tuple[Organisation, ...]:
+def _sort_by_name(organisations: list[Organisation]) -> tuple[Organisation, ...]:
     return tuple(sorted(organisations, key=lambda each: each.name))
 
 
-def _earlier(previous: Index | None) -> tuple[str, ...]:
-    if previous is None:
+def _list_earlier_submission_ids(
+    previous_index: ManifestIndex | None,
+) -> tuple[str, ...]:
+    if previous_index is None:
         return ()
-    return (previous.submission, *previous.earlier)[:_EARLIER_SUBMISSIONS]
+    return (previous_index.submission_id, *previous_index.earlier_submission_ids)[
+        :_MAX_EARLIER_SUBMISSIONS
+    ]
 
 
-def _retired(previous: Index | None, used: set[str]) -> tuple[tuple[str, ...], ...]:
-    if previous is None:
+def _list_retired_digests(
+    previous_index: ManifestIndex | None, used_digests: set[str]
+) -> tuple[tuple[str, ...], ...]:
+    if previous_index is None:
         return ()
-    replaced = tuple(sorted(set(previous.digests) - used))
+    replaced = tuple(sorted(set(previous_index.shard_digests) - used_digests))
     before = [
-        tuple(digest for digest in digests if digest not in used)
-        for digests in previous.retired
+        tuple(digest for digest in digests if digest not in used_digests)
+        for digests in previous_index.retired_digests
     ]
-    return (replaced, *before)[:_KEPT_SUBMISSIONS]
+    return (replaced, *before)[:_RETIRED_SHARDS_KEPT_SUBMISSIONS]
 
 
-def _checked(sharded: Sharded) -> Result[Sharded, TooLarge]:
+def _check_sizes(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
     values_by_key = {
         INDEX_KEY: encode_index(sharded.index_object),
         **sharded.shards_by_key,
     }
     for key, value in values_by_key.items():
         if len(value) > MAX_VALUE_BYTES:
-            return Error(TooLarge(key, len(value), MAX_VALUE_BYTES))
+            return Error(ObjectTooLarge(key, len(value), MAX_VALUE_BYTES))
     return Ok(sharded)
 
 
-def _digest(value: bytes) -> str:
+def _compute_digest(value: bytes) -> str:
     return sha256(value).hexdigest()
 
 
@@ -252,15 +275,17 @@
     return zlib.compress(msgspec.json.encode(content), _COMPRESSION_LEVEL)
 
 
-def _unpack(digest: str, value: bytes, kind: Any) -> Result[Any, BadObject]:
+def _unpack(digest: str, value: bytes, content_type: Any) -> Result[Any, InvalidObject]:
     key = shard_key(digest)
-    if _digest(value) != digest:
-        return Error(BadObject(key, "its value has another digest"))
+    if _compute_digest(value) != digest:
+        return Error(InvalidObject(key, "its value has another digest"))
     try:
         unpacker = zlib.decompressobj()
         content = unpacker.decompress(value, _MAX_UNPACKED_BYTES)
         if unpacker.unconsumed_tail:
-            return Error(BadObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes"))
-        return Ok(msgspec.json.decode(content, type=kind))
+            return Error(
+                InvalidObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes")
+            )
+        return Ok(msgspec.json.decode(content, type=content_type))
     except (zlib.error, msgspec.DecodeError) as error:
-        return Error(BadObject(key, str(error)))
+        return Error(InvalidObject(key, str(error)))
--- a/src/kingcupwheel/manifest/hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -10,29 +10,29 @@
 # How long this process is behind before it reads the platform on the word of a process
 # that holds no manifest to copy. Ordinary changes arrive by the watch well within it;
 # a watch that has gone silent is noticed in time for the 7 seconds of a change.
-_PATIENCE_S = 2.5
+_PLATFORM_READ_DELAY_S = 2.5
 # The least time between such reads: heartbeats name the version many times a second,
 # and in an outage the reads would add to what the platform has to refuse.
-_READ_EVERY_S = 1.0
+_PLATFORM_READ_INTERVAL_S = 1.0
 
 
-class AskPeer(NamedTuple):
+class PeerHint(NamedTuple):
     """Copy ``version`` or a later one from the peer at ``address``."""
 
     address: str
     version: int
 
 
-class ReadPlatform(NamedTuple):
+class PlatformHint(NamedTuple):
     """Read the index from the platform; it is at ``version`` or a later one."""
 
     version: int
 
 
-Hint = AskPeer | ReadPlatform
+VersionHint = PeerHint | PlatformHint
 
 
-class Hints:
+class VersionHints:
     """Decides where to look; ``now`` is monotonic, in seconds.
 
     Made for a change heard of from tens of processes a second: each peer is asked once
@@ -42,17 +42,17 @@
     def __init__(self) -> None:
         self._version_by_peer: dict[str, int] = {}
         self._behind_since: float | None = None
-        self._named = 0
-        self._read_at = float("-inf")
+        self._latest_version = 0
+        self._platform_read_at = float("-inf")
 
     @property
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether a version was named that was not in force at the last look."""
         return self._behind_since is not None
 
-    def note(self, version: int, *, peer: str | None, now: float) -> None:
+    def record(self, version: int, *, peer: str | None, now: float) -> None:
         """Note a later version; ``peer`` is an address that can be copied from."""
-        self._named = max(self._named, version)
+        self._latest_version = max(self._latest_version, version)
         if self._behind_since is None:
             self._behind_since = now
         if peer is not None:
@@ -60,27 +60,30 @@
             if peer in self._version_by_peer or not full:
                 self._version_by_peer[peer] = version
 
-    def take(self, in_force: int, *, now: float) -> Hint | None:
+    def pop_next(self, current_version: int, *, now: float) -> VersionHint | None:
         """Return where to look next, if anywhere; peers with later versions first.
 
         A failed look needs no undoing: the next heartbeat brings the hint again.
         """
-        self._forget(in_force)
+        self._discard_outdated(current_version)
         if self._version_by_peer:
             address = max(self._version_by_peer, key=self._version_by_peer.__getitem__)
-            return AskPeer(address, self._version_by_peer.pop(address))
-        if self._behind_since is None or now - self._behind_since < _PATIENCE_S:
+            return PeerHint(address, self._version_by_peer.pop(address))
+        if (
+            self._behind_since is None
+            or now - self._behind_since < _PLATFORM_READ_DELAY_S
+        ):
             return None
-        if now - self._read_at < _READ_EVERY_S:
+        if now - self._platform_read_at < _PLATFORM_READ_INTERVAL_S:
             return None
-        self._read_at = now
-        return ReadPlatform(self._named)
+        self._platform_read_at = now
+        return PlatformHint(self._latest_version)
 
-    def _forget(self, in_force: int) -> None:
+    def _discard_outdated(self, current_version: int) -> None:
         self._version_by_peer = {
             peer: version
             for peer, version in self._version_by_peer.items()
-            if version > in_force
+            if version > current_version
         }
-        if self._named <= in_force:
+        if self._latest_version <= current_version:
             self._behind_since = None
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -9,7 +9,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.settings.checks import settings_problems
+from kingcupwheel.settings.checks import find_settings_problems
 from kingcupwheel.settings.schema import Settings
 from kingcupwheel.utils.problems import Problem
 from kingcupwheel.utils.problems import Problems
@@ -32,9 +32,11 @@
 
 def parse_settings(text: str) -> Result[Settings, Problems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
-    return read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check)
+    return (
+        read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check_settings)
+    )
 
 
-def _check(settings: Settings) -> Result[Settings, Problems]:
-    problems = tuple(settings_problems(settings))
+def _check_settings(settings: Settings) -> Result[Settings, Problems]:
+    problems = tuple(find_settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
