--- a/src/kingcupwheel/agent/adapters/calls.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -21,30 +21,30 @@
 from urllib3.exceptions import ReadTimeoutError
 from urllib3.util import parse_url
 
-from kingcupwheel.agent.adapters.base import ServerDown
-from kingcupwheel.agent.adapters.base import ServerLost
-from kingcupwheel.agent.adapters.requests import visible_headers
+from kingcupwheel.agent.adapters.base import AnswerLost
+from kingcupwheel.agent.adapters.base import ServerUnreachable
+from kingcupwheel.agent.adapters.server_requests import filter_visible_headers
 
 
 if TYPE_CHECKING:
     from urllib3.response import HTTPResponse
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.adapters.requests import Request
+    from kingcupwheel.agent.adapters.server_requests import ServerRequest
     from kingcupwheel.settings.schema import ServerSettings
 
 _READ_BYTES = 65_536
-_DEFAULT_PORT = 80
+_DEFAULT_HTTP_PORT = 80
 _KEEPALIVE_PROBES = 3
 _CALL_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 _NO_BODY_STATUSES = frozenset({204, 304})
 
 
-class Silent(NamedTuple):
+class SilenceTimeout(NamedTuple):
     """Nothing came for the time that was allowed; the call may still run."""
 
 
-class Call:
+class ServerCall:
     """A connected call; ``send`` first, then ``read`` to the end, then ``close``."""
 
     def __init__(self, connection: HTTPConnection, cancellation: Cancellation) -> None:
@@ -61,15 +61,15 @@
     @property
     def headers(self) -> tuple[tuple[str, str], ...]:
         """The answer's headers that a caller may see."""
-        return visible_headers(self.response.headers.items())
+        return filter_visible_headers(self.response.headers.items())
 
     def header(self, name: str) -> str:
         """Return one header of the answer, or an empty string."""
         return str(self.response.headers.get(name, ""))
 
     def send(
-        self, request: Request, *, silence_s: float | None
-    ) -> Result[None, ServerLost | Silent]:
+        self, request: ServerRequest, *, silence_s: float | None
+    ) -> Result[None, AnswerLost | SilenceTimeout]:
         """Send the request and wait for the answer's head."""
         self._connection.timeout = silence_s
         try:
@@ -83,35 +83,35 @@
             )
             self._response = self._connection.getresponse()
         except TimeoutError:
-            return Error(Silent())
+            return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
-            return Error(_lost(error))
+            return Error(_build_answer_lost(error))
         return Ok(None)
 
-    def read(self) -> Result[bytes, ServerLost | Silent]:
+    def read(self) -> Result[bytes, AnswerLost | SilenceTimeout]:
         """Return the next bytes of the body as they come; empty at its whole end."""
         try:
             data = self.response.read1(_READ_BYTES, decode_content=False)
         except ReadTimeoutError:
-            return Error(Silent())
+            return Error(SilenceTimeout())
         except _CALL_ERRORS as error:
-            return Error(_lost(error))
-        if not data and self._end_is_uncertain():
+            return Error(_build_answer_lost(error))
+        if not data and self._is_end_uncertain():
             # Such an answer ends when the connection does, so that one cut short by a
             # dying server looks whole. It is passed on but never called whole.
-            return Error(ServerLost("answer without a length", died=False))
+            return Error(AnswerLost("answer without a length", has_server_died=False))
         return Ok(data or b"")
 
     def close(self) -> None:
         """Close the connection."""
-        self._cancellation.watch(None)
+        self._cancellation.set_connection(None)
         with contextlib.suppress(HTTPError, OSError):
             self._connection.close()
         if self._response is not None:
             with contextlib.suppress(HTTPError, OSError):
                 self._response.close()
 
-    def _end_is_uncertain(self) -> bool:
+    def _is_end_uncertain(self) -> bool:
         response = self.response
         if response.status in _NO_BODY_STATUSES or response.chunked:
             return False
@@ -120,12 +120,12 @@
 
 def connect(
     server: ServerSettings, cancellation: Cancellation
-) -> Result[Call, ServerDown]:
+) -> Result[ServerCall, ServerUnreachable]:
     """Open a connection with TCP keepalive, which notices a host that is gone."""
     url = parse_url(server.url)
     connection = HTTPConnection(
         url.host or "",
-        url.port or _DEFAULT_PORT,
+        url.port or _DEFAULT_HTTP_PORT,
         timeout=server.connect_s,
         socket_options=_socket_options(server.silence_s),
     )
@@ -133,9 +133,9 @@
         connection.connect()
     except (HTTPError, OSError) as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Error(ServerDown(_reason(error), refused))
-    cancellation.watch(connection.sock)
-    return Ok(Call(connection, cancellation))
+        return Error(ServerUnreachable(_describe_error(error), refused))
+    cancellation.set_connection(connection.sock)
+    return Ok(ServerCall(connection, cancellation))
 
 
 def _socket_options(silence_s: float) -> list[tuple[int, int, int | bytes]]:
@@ -150,9 +150,9 @@
     ]
 
 
-def _lost(error: Exception) -> ServerLost:
-    return ServerLost(_reason(error), died=False)
+def _build_answer_lost(error: Exception) -> AnswerLost:
+    return AnswerLost(_describe_error(error), has_server_died=False)
 
 
-def _reason(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/src/kingcupwheel/agent/store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -5,10 +5,10 @@
 from threading import Condition
 from typing import TYPE_CHECKING
 
-from kingcupwheel.agent.answers import Answer
-from kingcupwheel.agent.answers import AnswerHead
-from kingcupwheel.agent.answers import Subscriber
-from kingcupwheel.agent.expiring import ExpiringMap
+from kingcupwheel.agent.answer_buffer import AnswerBuffer
+from kingcupwheel.agent.answer_buffer import AnswerHead
+from kingcupwheel.agent.answer_buffer import Subscriber
+from kingcupwheel.agent.expiring_map import ExpiringMap
 from kingcupwheel.messages.attempts import AttemptRefused
 
 
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.agent.adapters.cancellation import Cancellation
-    from kingcupwheel.agent.answers import Ended
+    from kingcupwheel.agent.answer_buffer import EndedAnswer
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.attempts import DispatchRefusal
@@ -26,14 +26,14 @@
 
 # How long it is remembered how the answer of an attempt that may not be repeated ended,
 # after its bytes were freed: as long as its claim can be found.
-_ENDED_CLAIM_S = 48 * 3600.0
+_CLAIMED_END_RETENTION_S = 48 * 3600.0
 # How long the bytes of such an answer are kept for a caller that sends it again.
-_KEPT_S = 3600.0
+_RETAINED_ANSWER_S = 3600.0
 # One answer that nobody reads may hold this share of the memory; without it a single
 # stuck caller would slow every other stream of this server.
-_SHARE_OF_ONE = 0.25
+_MAX_ANSWER_SHARE = 0.25
 # A waiting reader looks again after this long even if nothing was freed.
-_LOOK_AGAIN_S = 1.0
+_ROOM_CHECK_INTERVAL_S = 1.0
 
 
 class AnswerStore:
@@ -50,43 +50,45 @@
         self,
         *,
         limit_bytes: int,
-        ended_s: float,
+        end_retention_s: float,
         send: Callable[[Link, Message], None],
     ) -> None:
-        self._limit = limit_bytes
+        self._limit_bytes = limit_bytes
         self._send = send
         self._changed = Condition()
-        self._by_key: dict[AttemptKey, Answer] = {}
-        self._by_place: dict[tuple[AttemptKey, Link], Answer] = {}
-        self._held = 0
-        self._ended: ExpiringMap[AttemptKey, Ended] = ExpiringMap(life_s=ended_s)
-        self._ended_claims: ExpiringMap[AttemptKey, Ended] = ExpiringMap(
-            life_s=_ENDED_CLAIM_S
+        self._by_key: dict[AttemptKey, AnswerBuffer] = {}
+        self._by_subscriber: dict[tuple[AttemptKey, Link], AnswerBuffer] = {}
+        self._held_bytes = 0
+        self._ended: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
+            ttl_s=end_retention_s
+        )
+        self._ended_claims: ExpiringMap[AttemptKey, EndedAnswer] = ExpiringMap(
+            ttl_s=_CLAIMED_END_RETENTION_S
         )
 
     @property
-    def held(self) -> int:
+    def held_bytes(self) -> int:
         """The number of bytes in memory."""
-        return self._held
+        return self._held_bytes
 
     @property
-    def undelivered(self) -> int:
+    def undelivered_count(self) -> int:
         """How many answers have not ended, or not yet reached every entry."""
         with self._changed:
-            return sum(not answer.delivered for answer in self._by_key.values())
+            return sum(not answer.is_delivered for answer in self._by_key.values())
 
-    def open(self, key: AttemptKey, *, keep: bool) -> None:
+    def open(self, key: AttemptKey, *, is_retained: bool) -> None:
         """Begin the answer of an accepted attempt."""
         with self._changed:
-            self._by_key[key] = Answer(key, keep=keep)
+            self._by_key[key] = AnswerBuffer(key, is_retained=is_retained)
 
     def subscribe(
         self,
         key: AttemptKey,
         subscriber: Subscriber,
         *,
-        replaced: Iterable[Link] = (),
-        go_on: bool = False,
+        older_links: Iterable[Link] = (),
+        continue_from_ack: bool = False,
     ) -> bool:
         """Send the answer of ``key`` to an entry from now on.
 
@@ -97,50 +99,50 @@
         with self._changed:
             answer = self._by_key.get(key)
             if answer is None:
-                return self._tell_ended(key, subscriber)
+                return self._send_end(key, subscriber)
             # The new subscriber comes before anything is freed: in between nobody
             # would need the bytes that the old link swallowed.
-            for link in (subscriber.link, *replaced):
-                place = (subscriber.name, link)
+            for link in (subscriber.link, *older_links):
+                place = (subscriber.attempt_key, link)
                 earlier = answer.subscribers.pop(place, None)
-                self._by_place.pop(place, None)
-                if go_on and earlier is not None:
-                    subscriber.go_on_from(earlier)
-            answer.subscribers[subscriber.place] = subscriber
-            self._by_place[subscriber.place] = answer
+                self._by_subscriber.pop(place, None)
+                if continue_from_ack and earlier is not None:
+                    subscriber.resume_from(earlier)
+            answer.subscribers[subscriber.identity] = subscriber
+            self._by_subscriber[subscriber.identity] = answer
             self._flush(answer)
             return True
 
-    def knows(self, key: AttemptKey) -> bool:
+    def is_known(self, key: AttemptKey) -> bool:
         """Return whether the attempt's answer, or how it ended, is held."""
         with self._changed:
             held = key in self._by_key
-            return held or self._find_ended(key) is not None
+            return held or self._find_ended_answer(key) is not None
 
-    def key_at(self, name: AttemptKey, link: Link) -> AttemptKey | None:
+    def find_key(self, attempt_key: AttemptKey, link: Link) -> AttemptKey | None:
         """Return the attempt whose answer goes to ``link`` as ``name``, or None."""
         with self._changed:
-            answer = self._by_place.get((name, link))
+            answer = self._by_subscriber.get((attempt_key, link))
             return None if answer is None else answer.key
 
-    def unsubscribe(self, name: AttemptKey, link: Link) -> int:
+    def unsubscribe(self, attempt_key: AttemptKey, link: Link) -> int:
         """Stop sending; return how many entries still get the same answer."""
         with self._changed:
-            answer = self._remove((name, link))
+            answer = self._remove_subscriber((attempt_key, link))
             return 0 if answer is None else len(answer.subscribers)
 
-    def links_gone(self, links: Iterable[Link]) -> list[AttemptKey]:
+    def remove_links(self, links: Iterable[Link]) -> list[AttemptKey]:
         """Drop subscribers of dead links; return the attempts left without any."""
         gone = set(links)
         orphans = []
         with self._changed:
-            for place in [place for place in self._by_place if place[1] in gone]:
-                answer = self._remove(place)
+            for place in [place for place in self._by_subscriber if place[1] in gone]:
+                answer = self._remove_subscriber(place)
                 if answer is not None and not answer.subscribers:
                     orphans.append(answer.key)
         return orphans
 
-    def head(self, key: AttemptKey, head: AnswerHead) -> None:
+    def set_head(self, key: AttemptKey, head: AnswerHead) -> None:
         """Add status and headers."""
         with self._changed:
             answer = self._by_key.get(key)
@@ -148,16 +150,16 @@
                 answer.head = head
                 self._flush(answer)
 
-    def append(self, key: AttemptKey, data: bytes, cancelled: Cancellation) -> None:
+    def append(self, key: AttemptKey, data: bytes, cancellation: Cancellation) -> None:
         """Add bytes; waits while there is no room, unless cancelled."""
         with self._changed:
             answer = self._by_key.get(key)
             if answer is None:
                 return
-            while not self._has_room(answer, len(data)) and not cancelled.is_set():
-                self._changed.wait(_LOOK_AGAIN_S)
+            while not self._has_room(answer, len(data)) and not cancellation.is_set():
+                self._changed.wait(_ROOM_CHECK_INTERVAL_S)
             answer.append(data)
-            self._held += len(data)
+            self._held_bytes += len(data)
             self._flush(answer)
 
     def finish(
@@ -172,7 +174,7 @@
             if answer is None:
                 return 0
             answer.finish(outcome, detail, now=now)
-            length = answer.length
+            length = answer.length_bytes
             self._flush(answer)
             return length
 
@@ -183,25 +185,29 @@
             if answer is None:
                 return
             for subscriber in list(answer.subscribers.values()):
-                self._by_place.pop(subscriber.place, None)
-                self._send(subscriber.link, AttemptRefused(*subscriber.name, reason))
+                self._by_subscriber.pop(subscriber.identity, None)
+                self._send(
+                    subscriber.link, AttemptRefused(*subscriber.attempt_key, reason)
+                )
 
-    def acknowledge(self, name: AttemptKey, link: Link, offset: int) -> None:
+    def acknowledge(self, attempt_key: AttemptKey, link: Link, offset: int) -> None:
         """Free what has reached the caller and send on within the credit."""
         with self._changed:
-            answer = self._by_place.get((name, link))
+            answer = self._by_subscriber.get((attempt_key, link))
             if answer is None:
                 return
-            subscriber = answer.subscribers[(name, link)]
-            subscriber.acked = max(subscriber.acked, min(offset, answer.length))
+            subscriber = answer.subscribers[(attempt_key, link)]
+            subscriber.acked_offset = max(
+                subscriber.acked_offset, min(offset, answer.length_bytes)
+            )
             self._flush(answer)
 
-    def alive(self) -> dict[Link, list[AttemptKey]]:
+    def list_unfinished_by_link(self) -> dict[Link, list[AttemptKey]]:
         """Return the attempts that are still under way, by the link they go to."""
         by_link: dict[Link, list[AttemptKey]] = {}
         with self._changed:
-            for (name, link), answer in self._by_place.items():
-                if not answer.subscribers[(name, link)].end_sent:
+            for (name, link), answer in self._by_subscriber.items():
+                if not answer.subscribers[(name, link)].is_end_sent:
                     by_link.setdefault(link, []).append(name)
         return by_link
 
@@ -209,71 +215,77 @@
         """Forget kept answers, and how answers ended, when their time is over."""
         with self._changed:
             for answer in list(self._by_key.values()):
-                if answer.delivered and now - answer.ended_at > _KEPT_S:
-                    self._close(answer)
+                if answer.is_delivered and now - answer.ended_at > _RETAINED_ANSWER_S:
+                    self._release_answer(answer)
             self._ended.expire(now=now)
             self._ended_claims.expire(now=now)
 
-    def _tell_ended(self, key: AttemptKey, subscriber: Subscriber) -> bool:
-        ended = self._find_ended(key)
+    def _send_end(self, key: AttemptKey, subscriber: Subscriber) -> bool:
+        ended = self._find_ended_answer(key)
         if ended is None:
             return False
-        for message in ended.messages(subscriber.name, subscriber.sent):
+        for message in ended.to_messages(
+            subscriber.attempt_key, subscriber.sent_offset
+        ):
             self._send(subscriber.link, message)
         return True
 
-    def _find_ended(self, key: AttemptKey) -> Ended | None:
+    def _find_ended_answer(self, key: AttemptKey) -> EndedAnswer | None:
         return self._ended.get(key) or self._ended_claims.get(key)
 
-    def _flush(self, answer: Answer) -> None:
+    def _flush(self, answer: AnswerBuffer) -> None:
         for subscriber in answer.subscribers.values():
-            for message in answer.due(subscriber):
+            for message in answer.take_due_messages(subscriber):
                 self._send(subscriber.link, message)
-        if answer.keep:
+        if answer.is_retained:
             return
-        self._freed(answer.free())
-        if answer.delivered:
-            self._close(answer)
-
-    def _remove(self, place: tuple[AttemptKey, Link]) -> Answer | None:
-        answer = self._by_place.pop(place, None)
+        self._record_freed(answer.free_acked())
+        if answer.is_delivered:
+            self._release_answer(answer)
+
+    def _remove_subscriber(
+        self, identity: tuple[AttemptKey, Link]
+    ) -> AnswerBuffer | None:
+        answer = self._by_subscriber.pop(identity, None)
         if answer is not None:
-            answer.subscribers.pop(place, None)
+            answer.subscribers.pop(identity, None)
             self._flush(answer)
         return answer
 
-    def _close(self, answer: Answer) -> None:
-        ended = answer.ended()
+    def _release_answer(self, answer: AnswerBuffer) -> None:
+        ended = answer.to_ended_answer()
         if ended is None:
             return
         del self._by_key[answer.key]
         for place in answer.subscribers:
-            self._by_place.pop(place, None)
-        remembered = self._ended_claims if answer.keep else self._ended
+            self._by_subscriber.pop(place, None)
+        remembered = self._ended_claims if answer.is_retained else self._ended
         remembered.put(answer.key, ended, now=answer.ended_at)
-        self._freed(answer.held)
+        self._record_freed(answer.held_bytes)
 
-    def _freed(self, count: int) -> None:
-        if count:
-            self._held -= count
+    def _record_freed(self, count_bytes: int) -> None:
+        if count_bytes:
+            self._held_bytes -= count_bytes
             self._changed.notify_all()
 
-    def _has_room(self, answer: Answer, size: int) -> bool:
-        if self._held + size > self._limit:
-            self._reclaim(size)
-        if answer.unacked >= self._limit * _SHARE_OF_ONE:
+    def _has_room(self, answer: AnswerBuffer, size_bytes: int) -> bool:
+        if self._held_bytes + size_bytes > self._limit_bytes:
+            self._reclaim(size_bytes)
+        if answer.unacked_bytes >= self._limit_bytes * _MAX_ANSWER_SHARE:
             return False
-        return self._held == 0 or self._held + size <= self._limit
+        return (
+            self._held_bytes == 0 or self._held_bytes + size_bytes <= self._limit_bytes
+        )
 
-    def _reclaim(self, size: int) -> None:
+    def _reclaim(self, size_bytes: int) -> None:
         """Give up kept answers that everyone has, the oldest first."""
-        kept = [answer for answer in self._by_key.values() if answer.keep]
-        finished = [answer for answer in kept if answer.delivered]
+        kept = [answer for answer in self._by_key.values() if answer.is_retained]
+        finished = [answer for answer in kept if answer.is_delivered]
         for answer in sorted(finished, key=lambda answer: answer.ended_at):
-            if self._held + size <= self._limit:
+            if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
-            self._close(answer)
+            self._release_answer(answer)
         for answer in kept:
-            if self._held + size <= self._limit:
+            if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
-            self._freed(answer.free())
+            self._record_freed(answer.free_acked())
--- a/src/kingcupwheel/agent/peers.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -10,57 +10,58 @@
     from kingcupwheel.link.links import Link
 
 
-class _Peer(NamedTuple):
-    name: str
-    heard_at: float
-    hello_at: float | None
+class _EntryLink(NamedTuple):
+    entry_name: str
+    last_received_at: float
+    last_hello_at: float | None
 
 
-class Peers:
+class EntryLinks:
     """Links, the entries' names and when each was heard last.
 
     An entry that replaces a link says its name on the new one. ``hello_s`` is how long
     a Hello asks for heartbeats; a link silent for ``gone_s`` is given up.
     """
 
-    def __init__(self, *, hello_s: float, gone_s: float) -> None:
-        self._hello_s = hello_s
-        self._gone_s = gone_s
-        self._by_link: dict[Link, _Peer] = {}
-        self._looked_at: float | None = None
+    def __init__(self, *, hello_ttl_s: float, silence_timeout_s: float) -> None:
+        self._hello_ttl_s = hello_ttl_s
+        self._silence_timeout_s = silence_timeout_s
+        self._by_link: dict[Link, _EntryLink] = {}
+        self._last_check_at: float | None = None
 
-    def heard(self, link: Link, *, now: float) -> None:
+    def record_message(self, link: Link, *, now: float) -> None:
         """Record a message on the link."""
         peer = self._by_link.get(link)
         if peer is None:
-            self._by_link[link] = _Peer("", now, None)
+            self._by_link[link] = _EntryLink("", now, None)
         else:
-            self._by_link[link] = peer._replace(heard_at=now)
+            self._by_link[link] = peer._replace(last_received_at=now)
 
-    def hello(self, link: Link, name: str, *, now: float) -> None:
+    def record_hello(self, link: Link, name: str, *, now: float) -> None:
         """Record a Hello on the link."""
-        self._by_link[link] = _Peer(name, now, now)
+        self._by_link[link] = _EntryLink(name, now, now)
 
-    def listening(self, *, now: float) -> list[Link]:
+    def list_heartbeat_links(self, *, now: float) -> list[Link]:
         """Return the links that heartbeats go to; safe from any thread."""
         return [
             link
             for link, peer in tuple(self._by_link.items())
-            if peer.hello_at is not None and now - peer.hello_at <= self._hello_s
+            if peer.last_hello_at is not None
+            and now - peer.last_hello_at <= self._hello_ttl_s
         ]
 
-    def older_links(self, link: Link) -> list[Link]:
+    def list_older_links(self, link: Link) -> list[Link]:
         """Return the other links of the entry that said its name on ``link``."""
         peer = self._by_link.get(link)
-        if peer is None or not peer.name:
+        if peer is None or not peer.entry_name:
             return []
         return [
             other
             for other, its_peer in self._by_link.items()
-            if other != link and its_peer.name == peer.name
+            if other != link and its_peer.entry_name == peer.entry_name
         ]
 
-    def drop_silent(self, *, now: float) -> list[Link]:
+    def remove_silent_links(self, *, now: float) -> list[Link]:
         """Forget and return the links that were silent for too long.
 
         Called about every heartbeat. When this process itself was paused, every link
@@ -68,20 +69,20 @@
         lived is added to each last sign of life; otherwise the agent would wake and
         cancel everything that runs for callers who are still there.
         """
-        self._forgive_own_pause(now)
+        self._discount_own_pause(now)
         silent = [
             link
             for link, peer in self._by_link.items()
-            if now - peer.heard_at > self._gone_s
+            if now - peer.last_received_at > self._silence_timeout_s
         ]
         for link in silent:
             del self._by_link[link]
         return silent
 
-    def _forgive_own_pause(self, now: float) -> None:
-        last, self._looked_at = self._looked_at, now
-        if last is None or now - last <= self._hello_s:
+    def _discount_own_pause(self, now: float) -> None:
+        last, self._last_check_at = self._last_check_at, now
+        if last is None or now - last <= self._hello_ttl_s:
             return
         for link, peer in self._by_link.items():
-            heard_at = peer.heard_at + (now - last)
-            self._by_link[link] = peer._replace(heard_at=min(now, heard_at))
+            heard_at = peer.last_received_at + (now - last)
+            self._by_link[link] = peer._replace(last_received_at=min(now, heard_at))
--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -17,22 +17,22 @@
 from kingcupwheel.console.manifest_formatting import format_rollout
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.problem_reports import print_problems
-from kingcupwheel.manifest.exceptions import LostRace
-from kingcupwheel.manifest.exceptions import PlatformFailed
-from kingcupwheel.manifest.exceptions import TooLarge
-from kingcupwheel.manifest.exceptions import Unsettled
-from kingcupwheel.manifest.loading import load_manifest
-from kingcupwheel.manifest.patience import describe
-from kingcupwheel.manifest.status import ask_status
-from kingcupwheel.manifest.status import rollout
-from kingcupwheel.manifest.store import DEFAULT_PATIENCE_S
+from kingcupwheel.manifest.exceptions import ObjectTooLarge
+from kingcupwheel.manifest.exceptions import PlatformFailure
+from kingcupwheel.manifest.exceptions import UnknownOutcome
+from kingcupwheel.manifest.exceptions import VersionConflict
+from kingcupwheel.manifest.loader import load_manifest
+from kingcupwheel.manifest.platform_retries import describe_platform_error
+from kingcupwheel.manifest.rollout_status import build_rollout_status
+from kingcupwheel.manifest.rollout_status import query_statuses
+from kingcupwheel.manifest.store import DEFAULT_RETRY_TIMEOUT_S
 from kingcupwheel.manifest.store import ManifestStore
 from kingcupwheel.plugins.registries import load_builtin_plugins
 from kingcupwheel.plugins.registries import placement_policies
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.manifest.assembly import Assembly
+    from kingcupwheel.manifest.assembly import AssembledManifest
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.manifest.schema import Manifest
 
@@ -80,7 +80,7 @@
 @click.option(
     "--timeout",
     "timeout_s",
-    default=DEFAULT_PATIENCE_S,
+    default=DEFAULT_RETRY_TIMEOUT_S,
     show_default=True,
     help="Seconds to go on trying.",
 )
@@ -95,9 +95,9 @@
     whether it was accepted.
     """
     manifest = _load_manifest_or_exit(file, as_json=as_json)
-    store = ManifestStore(create_platform_client(url), patience_s=timeout_s)
+    store = ManifestStore(create_platform_client(url), retry_timeout_s=timeout_s)
     submission = secrets.token_hex(_SUBMISSION_ID_BYTES)
-    result = store.submit(manifest, submission=submission, expected=expect)
+    result = store.submit(manifest, submission_id=submission, expected_version=expect)
     if result.is_error():
         _exit_with_submit_error(result.error)
     accepted = result.ok
@@ -125,7 +125,7 @@
     )
     shown = VersionedManifest(
         version=version,
-        submission=assembly.index_object.submission,
+        submission=assembly.index_object.submission_id,
         manifest=assembly.manifest,
     )
     if as_json:
@@ -149,14 +149,17 @@
     listed = client.instances()
     if listed.is_error():
         _exit_with_message(
-            f"the list can't be read: {describe(listed.error)}", ExitCode.UNAVAILABLE
+            f"the list can't be read: {describe_platform_error(listed.error)}",
+            ExitCode.UNAVAILABLE,
         )
-    found = rollout(version, listed.ok, ask_status(listed.ok, timeout_s))
+    found = build_rollout_status(
+        version, listed.ok, query_statuses(listed.ok, timeout_s)
+    )
     if as_json:
         _print_json(found)
     else:
         click.echo(format_rollout(found), nl=False)
-    sys.exit(ExitCode.OK if found.complete else ExitCode.INCOMPLETE)
+    sys.exit(ExitCode.OK if found.is_complete else ExitCode.INCOMPLETE)
 
 
 def _load_manifest_or_exit(file: Path, *, as_json: bool) -> Manifest:
@@ -172,7 +175,7 @@
     return loaded.ok
 
 
-def _fetch_manifest_or_exit(store: ManifestStore) -> tuple[int, Assembly]:
+def _fetch_manifest_or_exit(store: ManifestStore) -> tuple[int, AssembledManifest]:
     fetched = store.fetch()
     if fetched.is_error():
         _exit_with_message(str(fetched.error), ExitCode.UNAVAILABLE)
@@ -182,7 +185,7 @@
 
 
 def _fetch_version_or_exit(store: ManifestStore) -> int:
-    version = store.version()
+    version = store.read_version()
     if version.is_error():
         _exit_with_message(str(version.error), ExitCode.UNAVAILABLE)
     if version.ok == 0:
@@ -192,13 +195,13 @@
 
 def _exit_with_submit_error(error: SubmitError) -> NoReturn:
     match error:
-        case LostRace():
+        case VersionConflict():
             _exit_with_message(str(error), ExitCode.CONFLICT)
-        case PlatformFailed():
+        case PlatformFailure():
             _exit_with_message(f"not accepted: {error}", ExitCode.UNAVAILABLE)
-        case TooLarge():
+        case ObjectTooLarge():
             _exit_with_message(f"not accepted: {error}", ExitCode.INVALID)
-        case Unsettled():
+        case UnknownOutcome():
             _exit_with_message(str(error), ExitCode.INCOMPLETE)
 
 
--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers talk to."""
+"""The WSGI application for callers."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 import msgspec
 
+from kingcupwheel.entry.caller_connection import CallerSocket
 from kingcupwheel.entry.http_exchange import DISCARD_CHUNK_BYTES
 from kingcupwheel.entry.http_exchange import HttpExchange
-from kingcupwheel.entry.parsing import check_sizes
-from kingcupwheel.entry.parsing import organisation_of
-from kingcupwheel.entry.parsing import parse
 from kingcupwheel.entry.refusals import BODY_TOO_LARGE
 from kingcupwheel.entry.refusals import ENTRY_BUSY
 from kingcupwheel.entry.refusals import ENTRY_LEAVING
 from kingcupwheel.entry.refusals import NO_MANIFEST
+from kingcupwheel.entry.request_parser import authenticate_organisation
+from kingcupwheel.entry.request_parser import check_sizes
+from kingcupwheel.entry.request_parser import parse_request
 from kingcupwheel.entry.request_runner import RequestRunner
-from kingcupwheel.entry.watching import SocketWatch
 from kingcupwheel.trace.events import Received
 
 
@@ -28,42 +28,42 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
+    from kingcupwheel.entry.caller_pages import CallerPages
     from kingcupwheel.entry.caller_requests import CallerRequest
-    from kingcupwheel.entry.callers import CallerPages
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
 
 logger = logging.getLogger("kingcupwheel.entry")
 
-OWN_PREFIX = "/kingcupwheel/"
-# How long a refused caller is still listened to, in longest bodies.
-_DISCARDED_BODIES = 2
+PAGES_PREFIX = "/kingcupwheel/"
+# Limit for discarding the body of a refused request, in multiples of ``body_bytes``.
+_MAX_DISCARDED_BODIES = 2
 
 
 class Application:
-    """Answers callers; ``in_force`` returns the manifest to use for a new request."""
+    """Answers callers; ``get_manifest`` returns the manifest for new requests."""
 
     def __init__(
         self,
         context: EntryContext,
-        in_force: Callable[[], InForce | None],
-        pages: CallerPages,
+        get_manifest: Callable[[], CompiledManifest | None],
+        caller_pages: CallerPages,
     ) -> None:
         self._context = context
-        self._in_force = in_force
-        self._pages = pages
+        self._get_manifest = get_manifest
+        self._caller_pages = caller_pages
         self._in_progress = 0
-        self._closed = False
+        self._is_closed = False
         self._lock = Lock()
 
     @property
-    def in_progress(self) -> int:
-        """Requests not yet answered to their end."""
+    def in_progress_count(self) -> int:
+        """Number of requests whose answers are not yet sent completely."""
         return self._in_progress
 
-    def refuse_new(self) -> None:
-        """Refuse every request from now on; those in progress go on."""
-        self._closed = True
+    def stop_accepting(self) -> None:
+        """Refuse all new requests; those in progress continue."""
+        self._is_closed = True
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -72,75 +72,77 @@
         exchange = HttpExchange(self._context, environ, start_response)
         if self._context.leaving.is_set():
             exchange.close_connection_after()
-        if not self._enter():
-            # The server would read whatever body comes before the next request; here
-            # it is not even listened to, because few threads are left.
+        if not self._try_begin_request():
+            # On a kept connection the server would read the rest of the body before
+            # the next request. It is closed instead, because few threads are left.
             exchange.close_connection_after()
             return exchange.refuse(ENTRY_BUSY)
         try:
             body = self._answer(exchange)
         except BaseException:
-            self._leave()
+            self._end_request()
             raise
-        return self._until_sent(body)
+        return self._yield_in_progress(body)
 
-    def _enter(self) -> bool:
+    def _try_begin_request(self) -> bool:
         with self._lock:
             if self._in_progress >= self._context.settings.entry.threads:
                 return False
             self._in_progress += 1
         return True
 
-    def _leave(self) -> None:
+    def _end_request(self) -> None:
         with self._lock:
             self._in_progress -= 1
 
-    def _until_sent(self, body: Iterable[bytes]) -> Iterator[bytes]:
-        """Yield ``body``; the request counts as in progress until it is sent."""
+    def _yield_in_progress(self, body: Iterable[bytes]) -> Iterator[bytes]:
+        """Yield ``body``; the request is in progress until it is sent."""
         try:
             yield from body
         finally:
-            self._leave()
+            self._end_request()
 
     def _answer(self, exchange: HttpExchange) -> Iterable[bytes]:
-        limits = self._context.settings.entry
-        in_force = self._in_force()
-        if self._closed or in_force is None:
-            exchange.discard_body(limits.body_bytes)
-            return exchange.refuse(ENTRY_LEAVING if self._closed else NO_MANIFEST)
+        settings = self._context.settings.entry
+        manifest = self._get_manifest()
+        if self._is_closed or manifest is None:
+            exchange.discard_body(settings.body_bytes)
+            return exchange.refuse(ENTRY_LEAVING if self._is_closed else NO_MANIFEST)
         refusal = check_sizes(
             exchange.headers,
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
+            header_bytes=settings.header_bytes,
+            body_bytes=settings.body_bytes,
         )
         if refusal is not None:
-            exchange.discard_body(_DISCARDED_BODIES * limits.body_bytes)
+            exchange.discard_body(_MAX_DISCARDED_BODIES * settings.body_bytes)
             return exchange.refuse(refusal)
-        found = organisation_of(exchange.headers, in_force)
-        if found.is_error():
-            # Little, because anybody may send it and hold a thread meanwhile.
+        authenticated = authenticate_organisation(exchange.headers, manifest)
+        if authenticated.is_error():
+            # One chunk only: unauthenticated callers must not hold a thread for long.
             exchange.discard_body(DISCARD_CHUNK_BYTES)
-            return exchange.refuse(found.error)
-        if exchange.path.startswith(OWN_PREFIX):
-            page = self._pages.answer(exchange.method, exchange.path, found.ok)
+            return exchange.refuse(authenticated.error)
+        if exchange.path.startswith(PAGES_PREFIX):
+            page = self._caller_pages.get_page(
+                exchange.method, exchange.path, authenticated.ok
+            )
             return exchange.send_json(page.status, (), msgspec.json.encode(page.body))
-        body = exchange.read_body(limits.body_bytes)
+        body = exchange.read_body(settings.body_bytes)
         if body is None:
             exchange.close_connection_after()
             return exchange.refuse(BODY_TOO_LARGE)
-        parsed = parse(
+        parsed = parse_request(
             exchange.build_http_request(body),
-            found.ok,
-            in_force,
+            authenticated.ok,
+            manifest,
             request_id=exchange.request_id,
-            now=exchange.received_at,
+            received_at=exchange.received_at,
         )
         if parsed.is_error():
             return exchange.refuse(parsed.error)
         self._record_received(parsed.ok)
-        watch = SocketWatch(exchange.socket)
+        connection = CallerSocket(exchange.socket)
         return exchange.send_answer(
-            RequestRunner(self._context, parsed.ok, watch).run()
+            RequestRunner(self._context, parsed.ok, connection).run()
         )
 
     def _record_received(self, request: CallerRequest) -> None:
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -26,9 +26,9 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.claims.claim_records import StoredClaim
+    from kingcupwheel.entry.caller_connection import CallerConnection
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.context import EntryContext
-    from kingcupwheel.entry.watching import CallerWatch
 
 # Interval at which a waiting thread checks whether its caller is still connected.
 CALLER_POLL_INTERVAL_S = 0.5
@@ -50,11 +50,14 @@
     """Starts the attempts of one request; not thread-safe."""
 
     def __init__(
-        self, context: EntryContext, admitted: AdmittedRequest, watch: CallerWatch
+        self,
+        context: EntryContext,
+        admitted: AdmittedRequest,
+        connection: CallerConnection,
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._watch = watch
+        self._connection = connection
         self._count = 0
         self._excluded_servers: frozenset[str] = frozenset()
 
@@ -72,7 +75,7 @@
     def reserve_server(self) -> Reservation | Refusal:
         """Wait for a server with free capacity.
 
-        Raises CallerGoneError if the caller disconnects meanwhile.
+        Raises CallerDisconnectedError if the caller disconnects meanwhile.
         """
         request = self._admitted.request
         placement_request = PlacementRequest(
@@ -115,9 +118,9 @@
             result = ticket.wait(CALLER_POLL_INTERVAL_S)
             if result is not None:
                 return result
-            if self._watch.gone():
+            if self._connection.is_closed():
                 dispatcher.withdraw(ticket)
-                self._watch.raise_gone()
+                self._connection.raise_disconnected()
             dispatcher.place_waiting()
 
     def _record_reservation(self, reservation: Reservation) -> None:
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -13,9 +13,9 @@
     from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
     from kingcupwheel.entry.attempt_inboxes import InboxRegistry
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-    from kingcupwheel.entry.observing import Observer
+    from kingcupwheel.entry.outcome_counter import OutcomeCounter
     from kingcupwheel.entry.request_limiter import RequestLimiter
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
     from kingcupwheel.trace.recorder import Recorder
@@ -33,5 +33,5 @@
     claims: ClaimStore
     retention: ExpiredClaimRemover
     recorder: Recorder
-    observer: Observer
+    outcome_counter: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/recording.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of its requests: stories, counts against goals, metrics."""
+"""Telemetry of an entry: traces, service level counts and metrics."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.entry.observing import Observer
+from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
@@ -19,16 +19,16 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
 
-class Recording:
-    """The recording parts of one entry, started and stopped together.
+class EntryTelemetry:
+    """Recorder, counters and trace shipper of one entry.
 
-    ``traces_retention_s`` is asked each time for how long the platform keeps traces.
+    ``traces_retention_s`` returns for how many seconds the platform keeps traces.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
             limit=settings.entry.traces,
             listener=TraceEventMetrics(metrics, settings.role),
         )
-        self.burn = BurnCounter(
+        self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
         )
-        self.observer = Observer(self.burn, metrics)
+        self.outcome_counter = OutcomeCounter(self.burn_counter, metrics)
         self._metrics = metrics
         self._shipper = BatchShipper(
             self.recorder,
@@ -58,16 +58,18 @@
         )
 
     def start(self) -> None:
-        """Begin to write batches."""
+        """Start shipping batches of traces."""
         self._shipper.start()
 
     def stop(self) -> None:
-        """Write what is left and close."""
+        """Ship the remaining traces and close the metrics client."""
         self._shipper.stop()
         self._metrics.close()
 
-    def adopt(self, in_force: InForce, request_ids: Iterable[str]) -> None:
-        """Take up a new manifest, and note it in the requests under way."""
-        self.observer.adopt(in_force)
+    def set_manifest(
+        self, manifest: CompiledManifest, request_ids: Iterable[str]
+    ) -> None:
+        """Apply a new manifest and record the change in traces of ``request_ids``."""
+        self.outcome_counter.set_goals(manifest)
         for request_id in request_ids:
-            self.recorder.record(request_id, ManifestChanged(in_force.version))
+            self.recorder.record(request_id, ManifestChanged(manifest.version))
--- a/src/kingcupwheel/entry/group_dispatcher.py
+++ b/src/kingcupwheel/entry/group_dispatcher.py
@@ -35,8 +35,8 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.placement_tickets import SubmittedRequest
-    from kingcupwheel.entry.servers import Server
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import Server
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.manifest.schema import ServerGroup
 
 # Requests that only some servers may take (retries, crash suspects) wait outside the
@@ -141,8 +141,10 @@
 
     def release(self, reservation: Reservation) -> None:
         """Release a reservation and place waiting requests."""
-        self._servers.give_back(
-            reservation.address, reservation.incarnation, suspect=reservation.is_suspect
+        self._servers.release_attempt(
+            reservation.address,
+            reservation.incarnation,
+            is_suspect=reservation.is_suspect,
         )
         self.place_waiting()
 
@@ -163,7 +165,9 @@
         its name loses everything it ran, and these losses, noticed late, would eject
         the new incarnation for seconds.
         """
-        if not self._servers.is_living(reservation.address, reservation.incarnation):
+        if not self._servers.is_current_incarnation(
+            reservation.address, reservation.incarnation
+        ):
             return
         with self._lock:
             self._health.get(reservation.server).record_failure(monotonic())
@@ -297,8 +301,8 @@
     def _get_heard_servers_by_name(self) -> dict[str, Server]:
         return {
             server.name: server
-            for server in self._servers.of_group(self._group.name)
-            if server.beat is not None
+            for server in self._servers.list_by_group(self._group.name)
+            if server.last_heartbeat is not None
         }
 
     def _build_candidates(
@@ -309,7 +313,7 @@
         candidates = [
             replace(
                 _build_candidate(server, concurrency, now),
-                backoff_until=notices.backoff_until(server.known_beat.incarnation)
+                backoff_until=notices.backoff_until(server.known_heartbeat.incarnation)
                 or 0.0,
             )
             for server in servers.values()
@@ -334,10 +338,10 @@
 
     def _find_excluding_state(self, server: Server, now: float) -> ServerState | None:
         """Return the state that excludes a server whatever its health, None if none."""
-        incarnation = server.known_beat.incarnation
-        if server.is_going or self._servers.notices.is_leaving(incarnation):
+        incarnation = server.known_heartbeat.incarnation
+        if server.is_draining or self._servers.notices.is_leaving(incarnation):
             return ServerState.LEAVING
-        if not server.in_service:
+        if not server.is_in_service:
             return ServerState.DOWN
         if self._servers.notices.is_backing_off(incarnation, now):
             return ServerState.BACKING_OFF
@@ -361,9 +365,9 @@
 def _reserve(
     server: Server, decision: SelectedServer, ticket: PlacementTicket, now: float
 ) -> Reservation:
-    heartbeat = server.known_beat
+    heartbeat = server.known_heartbeat
     server.in_flight += 1
-    server.suspects += ticket.placement_request.is_suspect
+    server.suspect_count += ticket.placement_request.is_suspect
     return Reservation(
         server=server.name,
         address=server.instance.address,
@@ -377,7 +381,7 @@
 
 
 def _build_candidate(server: Server, concurrency: int, now: float) -> Candidate:
-    load = server.known_beat.load
+    load = server.known_heartbeat.load
     return Candidate(
         name=server.name,
         data_centre=server.instance.data_centre,
@@ -386,9 +390,9 @@
         queued=load.queued,
         work=load.work,
         work_per_s=load.rate,
-        own_in_flight=server.own_in_flight,
-        report_age_s=now - server.heard_at,
+        own_in_flight=server.current_in_flight,
+        report_age_s=now - server.last_heard_at,
         uptime_s=now - server.first_heard_at,
-        own_in_flight_at_report=server.in_flight_at_beat,
-        running_suspects=server.suspects,
+        own_in_flight_at_report=server.in_flight_at_heartbeat,
+        running_suspects=server.suspect_count,
     )
--- a/src/kingcupwheel/entry/observing.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -1,4 +1,4 @@
-"""Where finished requests are counted: service levels and metrics."""
+"""Counts outcomes of requests for service level goals and metrics."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from kingcupwheel.burn.counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
-    from kingcupwheel.manifest.inforce import InForce
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.messages.attempts import Outcome
     from kingcupwheel.metrics.statsd_client import MetricsClient
 
 _CALLER_LEFT = "caller-left"
 
 
-class Observer:
+class OutcomeCounter:
     """Counts final outcomes; called on request threads, never blocks."""
 
-    def __init__(self, burn: BurnCounter, metrics: MetricsClient) -> None:
-        self._burn = burn
+    def __init__(self, burn_counter: BurnCounter, metrics: MetricsClient) -> None:
+        self._burn_counter = burn_counter
         self._metrics = metrics
 
-    def adopt(self, in_force: InForce) -> None:
-        """Hold requests to the goals of this manifest from now on."""
-        self._burn.adopt(burn_goals(in_force))
+    def set_goals(self, manifest: CompiledManifest) -> None:
+        """Apply the goals of this manifest to later requests."""
+        self._burn_counter.adopt(build_burn_goals(manifest))
         self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
-        self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, in_force.version)
+        self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
-    def refused(self, request: CallerRequest, refusal: Refusal) -> None:
-        """Count a request that got no answer of a backend server."""
+    def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
+        """Count a request that the entry refused."""
         self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
-        self._observe(
+        self._count(
             Observed(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
@@ -55,7 +55,7 @@
             )
         )
 
-    def answered(
+    def count_answer(
         self,
         request: CallerRequest,
         *,
@@ -66,12 +66,12 @@
         gaps_s: Sequence[float],
         caller_left: bool,
     ) -> None:
-        """Count an answer; ``gaps_s`` are the times between chunks in seconds."""
+        """Count an answer; ``gaps_s`` are the seconds between its chunks."""
         if first_byte_s is not None:
             self._metrics.record_duration(TimerName.FIRST_BYTE, first_byte_s)
         if gaps_s:
             self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
-        self._observe(
+        self._count(
             Observed(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
@@ -86,12 +86,12 @@
             )
         )
 
-    def _observe(self, observed: Observed) -> None:
+    def _count(self, observed: Observed) -> None:
         self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
             self._metrics.increment(CounterName.CALLERS_LEFT)
-        judged = self._burn.observe(observed, now=time.time())
-        for indicator, count in judged.items():
+        count_by_indicator = self._burn_counter.observe(observed, now=time.time())
+        for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
                 self._metrics.increment(
@@ -99,13 +99,13 @@
                 )
 
 
-def burn_goals(in_force: InForce) -> BurnGoals:
-    """Return the goals that the manifest in force sets."""
-    routes = in_force.assembly.core.routes
-    organisations = in_force.organisations_by_name.values()
+def build_burn_goals(manifest: CompiledManifest) -> BurnGoals:
+    """Return the goals set in the manifest in force."""
+    routes = manifest.assembly.core.routes
+    organisations = manifest.organisations_by_name.values()
     return BurnGoals(
-        in_force.version,
-        in_force.goals,
+        manifest.version,
+        manifest.goals,
         {route_name(route): route.goals for route in routes if route.goals},
         {item.name: item.goals for item in organisations if item.goals},
     )
--- a/src/kingcupwheel/expertmaps/protocol.py
+++ b/src/kingcupwheel/expertmaps/protocol.py
@@ -1,8 +1,10 @@
 """Orders of a group's coordinator to its ranks, and the ranks' replies.
 
-``Stage`` loads weights, ``Prepare`` holds a rank before a step, ``Commit`` or ``Abort``
-ends that. ``Supersede`` is the prepare of a successor: it ends every lower version that
-the rank has not committed, holds the rank at once, and asks what it has committed.
+A change of the map is a two-phase commit. ``StageOrder`` loads weights,
+``PrepareOrder`` holds a rank before a step, ``CommitOrder`` or ``AbortOrder`` releases
+it. A coordinator that takes over sends ``SupersedeOrder`` in place of a prepare: it
+invalidates every lower version that the rank has not committed, holds the rank at once
+and returns what the rank has committed.
 """
 
 from __future__ import annotations
@@ -16,231 +18,245 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.expertmaps.exceptions import BadOrder
+from kingcupwheel.expertmaps.exceptions import DecodeFailure
 from kingcupwheel.expertmaps.maps import NO_VERSION
-from kingcupwheel.expertmaps.maps import Cell
 from kingcupwheel.expertmaps.maps import ExpertMap
 from kingcupwheel.expertmaps.maps import MapVersion
+from kingcupwheel.expertmaps.maps import RankPlacement
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 
-class NamedMap(msgspec.Struct, frozen=True, array_like=True):
-    """A map and the version it was first staged under, which identifies it."""
+class VersionedMap(msgspec.Struct, frozen=True, array_like=True):
+    """An expert map and the version it was first staged under, its identifier."""
 
-    origin: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     map: ExpertMap
 
 
-class Schedule(msgspec.Struct, frozen=True, array_like=True):
-    """What a rank has committed: ``before`` up to ``from_step``, then ``after``."""
+class MapSchedule(msgspec.Struct, frozen=True, array_like=True):
+    """Committed maps of a rank: ``old_map`` before ``from_step``, then ``new_map``."""
 
     version: MapVersion
-    before: NamedMap
-    after: NamedMap
+    old_map: VersionedMap = msgspec.field(name="before")
+    new_map: VersionedMap = msgspec.field(name="after")
     from_step: int
 
-    def map_at(self, step: int) -> NamedMap:
+    def map_at(self, step: int) -> VersionedMap:
         """Return the map in force in ``step``."""
-        return self.before if step < self.from_step else self.after
+        return self.old_map if step < self.from_step else self.new_map
 
 
 class Order(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Base of all orders."""
+    """Base class of all orders."""
 
 
-class Stage(Order, frozen=True):
+class StageOrder(Order, frozen=True, tag="Stage"):
     """Load the weights that a new map needs on this rank.
 
-    The map is that of ``base``, which the rank has committed, with ``cells`` replaced:
-    a whole map for each rank and change would be most of a coordinator's traffic.
+    The new map is the committed map of ``base_version`` with ``placements`` replaced.
+    Only the difference is sent because a whole map for each rank and change would be
+    most of a coordinator's traffic.
     """
 
     version: MapVersion
-    base: MapVersion
-    cells: tuple[Cell, ...]
+    base_version: MapVersion = msgspec.field(name="base")
+    placements: tuple[RankPlacement, ...] = msgspec.field(name="cells")
 
 
-class Prepare(Order, frozen=True):
-    """Run no step from ``step`` on until this version is committed or aborted."""
+class PrepareOrder(Order, frozen=True, tag="Prepare"):
+    """Hold the rank before ``step`` until this version is committed or aborted."""
 
     version: MapVersion
     step: int
 
 
-class Supersede(Order, frozen=True):
-    """End lower versions not committed, run no step, say what is committed."""
+class SupersedeOrder(Order, frozen=True, tag="Supersede"):
+    """Invalidate lower uncommitted versions, hold the rank, return its schedule."""
 
     version: MapVersion
 
 
-class Commit(Order, frozen=True):
-    """Make the prepared version final.
+class CommitOrder(Order, frozen=True, tag="Commit"):
+    """Commit the prepared version.
 
-    ``schedule`` is given after ``Supersede`` and takes the place of the rank's own; a
-    rank that has restarted loads its weights by it. It is meant for the ``life`` of the
-    rank that answered ``Held``: a copy of both orders that comes after one more restart
-    would otherwise put a map of long ago in force on this rank alone.
+    ``schedule`` is set only after a ``SupersedeOrder``. It replaces the rank's own
+    schedule, and a restarted rank loads its weights by it. It is valid only for the
+    ``incarnation`` in the rank's ``SupersedeReply``: duplicates of both orders that
+    arrive after another restart would otherwise activate an outdated map on this rank
+    alone.
     """
 
     version: MapVersion
-    schedule: Schedule | None
-    life: str = ""
+    schedule: MapSchedule | None
+    incarnation: str = msgspec.field(default="", name="life")
 
 
-class Abort(Order, frozen=True):
-    """Give the version up; also when its ``Prepare`` has not arrived yet."""
+class AbortOrder(Order, frozen=True, tag="Abort"):
+    """Abort the version, even if its ``PrepareOrder`` has not arrived yet."""
 
     version: MapVersion
 
 
-class ReadState(Order, frozen=True):
-    """Ask for the rank's state, ``whole`` with its maps; ``round`` pairs the reply."""
+class StateRequest(Order, frozen=True, tag="ReadState"):
+    """Request the rank's state; the reply repeats ``round``."""
 
     round: int
-    whole: bool = False
+    include_schedule: bool = msgspec.field(default=False, name="whole")
 
 
-class ReadLoads(Order, frozen=True):
-    """Ask how much work each expert had since the last asking."""
+class ExpertLoadsRequest(Order, frozen=True, tag="ReadLoads"):
+    """Request the load of each expert since the previous request."""
 
     round: int
 
 
 class RankStatus(msgspec.Struct, frozen=True, array_like=True):
-    """A rank's state: ``step`` is the next to run, ``held`` a version not yet ended.
+    """State of a rank; ``step`` is the next to run.
 
-    ``committed`` is None for a rank that has restarted and was not told its map.
+    ``committed_version`` is None for a restarted rank that has not received its map
+    yet. ``held_version`` is the version, neither committed nor aborted, that holds the
+    rank.
     """
 
     step: int
-    committed: MapVersion | None
+    committed_version: MapVersion | None = msgspec.field(name="committed")
     from_step: int
-    held: MapVersion | None
+    held_version: MapVersion | None = msgspec.field(name="held")
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Base of all replies."""
+    """Base class of all replies."""
 
 
-class Staged(Reply, frozen=True):
-    """The weights of ``version`` are loaded; ``step`` is the next to run."""
+class StageReply(Reply, frozen=True, tag="Staged"):
+    """Weights of ``version`` are loaded; ``step`` is the next to run."""
 
     version: MapVersion
     step: int
 
 
-class Prepared(Reply, frozen=True):
-    """The rank will not run the step until told."""
+class PrepareReply(Reply, frozen=True, tag="Prepared"):
+    """The rank is held before the step in its ``PrepareOrder``."""
 
     version: MapVersion
 
 
-class Held(Reply, frozen=True):
-    """Answers ``Supersede``; ``schedule`` is None for a rank that has restarted.
+class SupersedeReply(Reply, frozen=True, tag="Held"):
+    """Reply to ``SupersedeOrder``; ``schedule`` is None for a restarted rank.
 
-    ``life`` names the rank's life, from one start to the next.
+    ``incarnation`` identifies the rank's process from one start to the next.
     """
 
     version: MapVersion
-    schedule: Schedule | None
-    life: str = ""
+    schedule: MapSchedule | None
+    incarnation: str = msgspec.field(default="", name="life")
 
 
-class Committed(Reply, frozen=True):
-    """The version is final on this rank."""
+class CommitReply(Reply, frozen=True, tag="Committed"):
+    """The version is committed on this rank."""
 
     version: MapVersion
 
 
-class Aborted(Reply, frozen=True):
+class AbortReply(Reply, frozen=True, tag="Aborted"):
     """The version will never be prepared or committed on this rank."""
 
     version: MapVersion
 
 
-class StateRead(Reply, frozen=True):
-    """Answers ``ReadState``; ``schedule`` only if it was asked for."""
+class StateReply(Reply, frozen=True, tag="StateRead"):
+    """Reply to ``StateRequest``; ``schedule`` is set only if it was requested."""
 
     round: int
     status: RankStatus
-    schedule: Schedule | None = None
+    schedule: MapSchedule | None = None
 
 
-class LoadsRead(Reply, frozen=True):
-    """Answers ``ReadLoads``.
+class ExpertLoadsReply(Reply, frozen=True, tag="LoadsRead"):
+    """Reply to ``ExpertLoadsRequest``.
 
-    ``counts`` are, for each layer, the tokens that passed each expert in this rank's
-    slots, in the order of the map of ``origin``, since it is in force or was last asked
-    for. A rank tells of its own slots only: a coordinator of 32 ranks would otherwise
-    hear of every expert 32 times.
+    ``counts`` has, for each layer, the tokens processed by each expert in this rank's
+    slots, in the order of the map of ``origin_version``, since that map took effect or
+    since the previous request. A rank reports only its own slots; otherwise a
+    coordinator of 32 ranks would receive the counts of every expert 32 times.
     """
 
     round: int
-    origin: MapVersion
+    origin_version: MapVersion = msgspec.field(name="origin")
     counts: tuple[tuple[int, ...], ...]
 
 
 class RefusalReason(StrEnum):
-    """Why an order changed nothing."""
+    """Why a rank or its agent refused an order."""
 
     STALE_FENCE = "stale-fence"
     STALE_VERSION = "stale-version"
     RESTARTED = "restarted"
-    OTHER_BASE = "other-base"
+    BASE_MISMATCH = "other-base"
     NOT_STAGED = "not-staged"
     STEP_PASSED = "step-passed"
-    EARLIER_CHANGE = "earlier-change"
+    EARLIER_CHANGE_PENDING = "earlier-change"
     NOT_PREPARED = "not-prepared"
     ALREADY_COMMITTED = "already-committed"
-    ENGINE = "engine"
+    ENGINE_REFUSED = "engine"
 
 
-class Refused(Reply, frozen=True):
-    """The order that named ``version`` changed nothing."""
+class RefusalReply(Reply, frozen=True, tag="Refused"):
+    """The order for ``version`` was refused and had no effect."""
 
     version: MapVersion
     reason: RefusalReason
 
 
-RankOrder = Stage | Prepare | Supersede | Commit | Abort | ReadState
-AnyOrder = RankOrder | ReadLoads
-RankReply = Staged | Prepared | Held | Committed | Aborted | StateRead | Refused
-AnyReply = RankReply | LoadsRead
+RankOrder = (
+    StageOrder | PrepareOrder | SupersedeOrder | CommitOrder | AbortOrder | StateRequest
+)
+AnyOrder = RankOrder | ExpertLoadsRequest
+RankReply = (
+    StageReply
+    | PrepareReply
+    | SupersedeReply
+    | CommitReply
+    | AbortReply
+    | StateReply
+    | RefusalReply
+)
+AnyReply = RankReply | ExpertLoadsReply
 
 _ENCODER = msgspec.msgpack.Encoder()
-_ORDERS: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
-_REPLIES: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
+_ORDER_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyOrder)
+_REPLY_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(AnyReply)
 
 
 def version_of(order: AnyOrder) -> MapVersion:
-    """Return the version that ``order`` names; ``ReadState`` names none."""
+    """Return the version of ``order``, or ``NO_VERSION`` for a request."""
     match order:
-        case ReadState() | ReadLoads():
+        case StateRequest() | ExpertLoadsRequest():
             return NO_VERSION
         case _:
             return order.version
 
 
 def encode(item: AnyOrder | AnyReply) -> bytes:
-    """Return an order or reply as msgpack."""
+    """Encode an order or reply as msgpack."""
     return _ENCODER.encode(item)
 
 
-def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, BadOrder]:
+def _decode(decode: Callable[[bytes], Any], data: bytes) -> Result[Any, DecodeFailure]:
     try:
         return Ok(decode(data))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        return Error(BadOrder(str(error)))
+        return Error(DecodeFailure(str(error)))
 
 
-def decode_order(data: bytes) -> Result[AnyOrder, BadOrder]:
-    """Return the order in ``data``."""
-    return _decode(_ORDERS.decode, data)
+def decode_order(data: bytes) -> Result[AnyOrder, DecodeFailure]:
+    """Decode an order."""
+    return _decode(_ORDER_DECODER.decode, data)
 
 
-def decode_reply(data: bytes) -> Result[AnyReply, BadOrder]:
-    """Return the reply in ``data``."""
-    return _decode(_REPLIES.decode, data)
+def decode_reply(data: bytes) -> Result[AnyReply, DecodeFailure]:
+    """Decode a reply."""
+    return _decode(_REPLY_DECODER.decode, data)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -9,8 +9,8 @@
 
 from kingcupwheel.decisions.shutdown_schedule import ShutdownSchedule
 from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
-from kingcupwheel.entry.gateway import HttpServer
-from kingcupwheel.entry.servers import ServerTable
+from kingcupwheel.entry.http_server import HttpServer
+from kingcupwheel.entry.server_table import ServerTable
 from kingcupwheel.forwarding.admission import ConfigurationSnapshot
 from kingcupwheel.forwarding.application import ForwardApplication
 from kingcupwheel.forwarding.calls import ServerClient
@@ -284,7 +284,9 @@
             case ManifestObject():
                 self._membership.on_configuration(message)
             case _:
-                log.warning("message-unexpected", message=type(message).__name__)
+                log.warning(
+                    "message-unexpected", message=type(message).__struct_config__.tag
+                )
 
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -25,7 +25,7 @@
 
     from kingcupwheel.entry.dispatcher_registry import DispatcherRegistry
     from kingcupwheel.entry.placement_tickets import Reservation
-    from kingcupwheel.entry.servers import ServerTable
+    from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.forwarding.backends import Backend
     from kingcupwheel.forwarding.http_metadata import ReportedLoad
     from kingcupwheel.messages.membership import ReportedServerLoad
@@ -77,7 +77,7 @@
     def in_flight_requests(self, service: str) -> int:
         """Return the number of this entry's requests at the servers of a service."""
         with self._servers.lock:
-            return sum(one.in_flight for one in self._servers.of_group(service))
+            return sum(one.in_flight for one in self._servers.list_by_group(service))
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the server group in whose queue a service's requests wait."""
@@ -98,7 +98,7 @@
             by_address = self._claims.owners_by_address(self._listed, before, now)
             self._backends_by_address = by_address
             self._groups_by_service = _groups_by_service(by_address.values())
-        self._servers.keep(tuple(map(_instance, by_address.values())), now)
+        self._servers.set_instances(tuple(map(_instance, by_address.values())), now)
         for address, backend in by_address.items():
             known = before.get(address)
             if known is None or known.incarnation != backend.incarnation:
@@ -107,13 +107,15 @@
             self._dispatchers.place_waiting(service)
 
     def _register_incarnation(self, backend: Backend, now: float) -> None:
-        self._servers.heard(backend.address, _heartbeat(backend, _load(0, 0)), now)
+        self._servers.record_heartbeat(
+            backend.address, _heartbeat(backend, _load(0, 0)), now
+        )
         self._update_load(backend, _load(0, 0), now)
         if backend.warmup_left_s <= 0.0:
             # Placement ramps up load on a new server while its caches are cold; the
             # platform reports that this one is warm.
             with self._servers.lock:
-                server = self._servers.by_address(backend.address)
+                server = self._servers.find_by_address(backend.address)
                 if server is not None:
                     server.first_heard_at = now - _WARM_UPTIME_S
         self._dispatchers.reset_server_health(backend.service, backend.instance)
@@ -155,14 +157,14 @@
         is no sign of a failure.
         """
         agent_at = self._agent_reported_at.get(place.address, float("-inf"))
-        server = self._servers.by_address(place.address)
+        server = self._servers.find_by_address(place.address)
         if (
             now - agent_at > _AGENT_REPORT_MAX_AGE_S
             or server is None
-            or server.beat is None
+            or server.last_heartbeat is None
         ):
             return False
-        load = server.beat.load
+        load = server.last_heartbeat.load
         return load.running + load.queued >= load.capacity
 
     def mark_resting(self, place: Reservation, rest_s: float, request_id: str) -> None:
@@ -328,9 +330,9 @@
         for address, backend in tuple(self._backends_by_address.items()):
             agent_at = self._agent_reported_at.get(address, float("-inf"))
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
-                server = self._servers.by_address(address)
+                server = self._servers.find_by_address(address)
                 if server is not None:
-                    load = _load(min(server.own_in_flight, backend.places), 0)
+                    load = _load(min(server.current_in_flight, backend.places), 0)
                     self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
@@ -345,7 +347,7 @@
         load = msgspec.structs.replace(
             reported, capacity=places_at_pace(backend.places, reported.pace)
         )
-        self._servers.heard(
+        self._servers.record_heartbeat(
             backend.address, _heartbeat(backend, load, is_up=is_up), now
         )
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -12,7 +12,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from kingcupwheel.entry.gateway import HttpServer
+from kingcupwheel.entry.http_server import HttpServer
 from kingcupwheel.link.hub import MessageHub
 from kingcupwheel.lockstep.agent_client import AgentClient
 from kingcupwheel.lockstep.branch_aggregator import BranchAggregator
@@ -157,7 +157,9 @@
                 with self._lock:
                     self._hello_at_by_entry[link] = monotonic()
             case _:
-                log.warning("message-unexpected", message=type(message).__name__)
+                log.warning(
+                    "message-unexpected", message=type(message).__struct_config__.tag
+                )
 
     def _on_tick(self, now: float) -> None:
         self._branch_aggregator.on_tick(now)
--- a/src/kingcupwheel/manifest/inforce.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.assembly import Assembly
+    from kingcupwheel.manifest.assembly import AssembledManifest
     from kingcupwheel.manifest.routing import RouteMatch
     from kingcupwheel.manifest.schema import Goals
     from kingcupwheel.manifest.schema import Organisation
@@ -21,33 +21,33 @@
 
 # Hexadecimal digits of the index's digest that heartbeats name: enough to tell two
 # indexes apart, and a quarter of the bytes on every link every second.
-_TOLD_DIGITS = 16
+_HEARTBEAT_DIGEST_DIGITS = 16
 # Hexadecimal digits of a key's digest that find the candidates; the rest is compared.
-_PREFIX_DIGITS = 16
+_KEY_PREFIX_DIGITS = 16
 
 
-class InForce:
+class CompiledManifest:
     """One version of the manifest; immutable, so that any thread may read it.
 
     ``digest`` begins the SHA-256 digest of the index object: equal versions with
     different digests would mean that the platform has lost and reused a version.
     """
 
-    def __init__(self, version: int, assembly: Assembly) -> None:
+    def __init__(self, version: int, assembly: AssembledManifest) -> None:
         self._version = version
         digest = sha256(assembly.index_value).hexdigest()
-        self._digest = digest[:_TOLD_DIGITS]
+        self._digest = digest[:_HEARTBEAT_DIGEST_DIGITS]
         self._assembly = assembly
         self._groups_by_name = {group.name: group for group in assembly.core.groups}
         self._routes = RouteTable(assembly.core.routes, self._groups_by_name)
         self._organisations_by_name: dict[str, Organisation] = {}
         # One candidate for each prefix but for rare collisions: 43,000 tuples of one
         # would double what the garbage collector walks through.
-        self._candidate_by_prefix: dict[str, Organisation] = {}
-        self._further_by_prefix: dict[str, list[Organisation]] = {}
+        self._organisation_by_prefix: dict[str, Organisation] = {}
+        self._collisions_by_prefix: dict[str, list[Organisation]] = {}
         for bucket in assembly.buckets_by_digest.values():
             for organisation in bucket.organisations:
-                self._add(organisation)
+                self._add_organisation(organisation)
 
     @property
     def version(self) -> int:
@@ -60,7 +60,7 @@
         return self._digest
 
     @property
-    def assembly(self) -> Assembly:
+    def assembly(self) -> AssembledManifest:
         """The objects it was made of."""
         return self._assembly
 
@@ -84,32 +84,32 @@
         """How long the platform keeps claims and traces."""
         return self._assembly.core.retention
 
-    def organisation_of_key(self, key: str) -> Organisation | None:
+    def find_organisation_by_key(self, key: str) -> Organisation | None:
         """Return the organisation that the bearer key belongs to.
 
         The comparison takes the same time whatever digits are right, so that timing
         tells nothing of the digests held here.
         """
         digest = sha256(key.encode(errors="surrogatepass")).hexdigest()
-        prefix = digest[:_PREFIX_DIGITS]
-        first = self._candidate_by_prefix.get(prefix)
+        prefix = digest[:_KEY_PREFIX_DIGITS]
+        first = self._organisation_by_prefix.get(prefix)
         if first is None:
             return None
         found = None
-        for organisation in (first, *self._further_by_prefix.get(prefix, ())):
+        for organisation in (first, *self._collisions_by_prefix.get(prefix, ())):
             for held in organisation.key_digests:
                 if compare_digest(held, digest):
                     found = organisation
         return found
 
-    def route_for(self, host: str, path: str, method: str) -> RouteMatch:
+    def find_route(self, host: str, path: str, method: str) -> RouteMatch:
         """Return the route of a request, or why there is none."""
         return self._routes.find(host, path, method)
 
-    def _add(self, organisation: Organisation) -> None:
+    def _add_organisation(self, organisation: Organisation) -> None:
         self._organisations_by_name[organisation.name] = organisation
         for digest in organisation.key_digests:
-            prefix = digest[:_PREFIX_DIGITS]
-            first = self._candidate_by_prefix.setdefault(prefix, organisation)
+            prefix = digest[:_KEY_PREFIX_DIGITS]
+            first = self._organisation_by_prefix.setdefault(prefix, organisation)
             if first is not organisation:
-                self._further_by_prefix.setdefault(prefix, []).append(organisation)
+                self._collisions_by_prefix.setdefault(prefix, []).append(organisation)
--- a/src/kingcupwheel/manifest/submitting.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -10,13 +10,13 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.exceptions import LostRace
-from kingcupwheel.manifest.exceptions import PlatformFailed
-from kingcupwheel.manifest.exceptions import Unsettled
-from kingcupwheel.manifest.patience import Patience
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.exceptions import PlatformFailure
+from kingcupwheel.manifest.exceptions import UnknownOutcome
+from kingcupwheel.manifest.exceptions import VersionConflict
+from kingcupwheel.manifest.platform_retries import PlatformRetrier
+from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.shards import INDEX_KEY
-from kingcupwheel.manifest.shards import Index
+from kingcupwheel.manifest.shards import ManifestIndex
 from kingcupwheel.manifest.shards import decode_index
 from kingcupwheel.manifest.shards import encode_index
 from kingcupwheel.platform.errors import Conflict
@@ -29,57 +29,57 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from kingcupwheel.manifest.exceptions import BadObject
+    from kingcupwheel.manifest.exceptions import InvalidObject
     from kingcupwheel.manifest.exceptions import SubmitError
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
 
 # Tries to write one shard that another submitter is writing or removing meanwhile.
-_SHARD_TRIES = 5
+_MAX_SHARD_TRIES = 5
 
 
-class Base(NamedTuple):
+class BaseIndex(NamedTuple):
     """The index that a submission builds on; version 0 if there is none."""
 
     version: int
-    previous: Index | None
+    previous_index: ManifestIndex | None
 
 
-class Won(NamedTuple):
+class AcceptedIndex(NamedTuple):
     """The index is in force from ``version`` on, or was until a later one."""
 
     version: int
     superseded: bool
 
 
-class Submitter:
+class SubmissionWriter:
     """Carries out the steps of one submission; belongs to one thread."""
 
-    def __init__(self, client: PlatformClient, patience: Patience) -> None:
+    def __init__(self, client: PlatformClient, retrier: PlatformRetrier) -> None:
         self._client = client
-        self._patience = patience
+        self._retrier = retrier
 
-    def read_base(self) -> Result[Base, SubmitError]:
+    def read_base(self) -> Result[BaseIndex, SubmitError]:
         """Return what there is to build on."""
-        found = self._patience.insist(partial(self._client.read, INDEX_KEY))
+        found = self._retrier.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
-            return Error(PlatformFailed(describe(found.error)))
+            return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
-            return Ok(Base(0, None))
+            return Ok(BaseIndex(0, None))
         # An index that can't be decoded is replaced; it names nothing to keep.
         index = decode_index(found.ok.value)
-        return Ok(Base(found.ok.version, index.ok if index.is_ok() else None))
+        return Ok(BaseIndex(found.ok.version, index.ok if index.is_ok() else None))
 
     def write_shards(
-        self, shards_by_key: Mapping[str, bytes], previous: Index | None
+        self, shards_by_key: Mapping[str, bytes], previous_index: ManifestIndex | None
     ) -> Result[int, SubmitError]:
         """Write what ``previous`` does not name; return how many shards that were."""
-        there = set() if previous is None else set(previous.shard_keys)
+        there = set() if previous_index is None else set(previous_index.shard_keys)
         new = [key for key in shards_by_key if key not in there]
         for key in new:
             error = self._write_shard(key, shards_by_key[key])
             if error is not None:
-                return Error(PlatformFailed(describe(error)))
+                return Error(PlatformFailure(describe_platform_error(error)))
         return Ok(len(new))
 
     def _write_shard(self, key: str, value: bytes) -> PlatformError | None:
@@ -93,8 +93,10 @@
         confirmation was lost, or another since.
         """
         error: PlatformError | None = None
-        for _ in range(_SHARD_TRIES):
-            result = self._patience.insist(partial(self._client.create, key, value))
+        for _ in range(_MAX_SHARD_TRIES):
+            result = self._retrier.call_with_retries(
+                partial(self._client.create, key, value)
+            )
             if result.is_ok():
                 return None
             error = result.error
@@ -102,7 +104,7 @@
                 return error
             found = error.version
             again = partial(self._client.update, key, value, version=found)
-            result = self._patience.insist(again)
+            result = self._retrier.call_with_retries(again)
             if result.is_ok():
                 return None
             error = result.error
@@ -112,7 +114,9 @@
                 return None
         return error
 
-    def write_index(self, index: Index, base: Base) -> Result[Won, SubmitError]:
+    def write_index(
+        self, index: ManifestIndex, base: BaseIndex
+    ) -> Result[AcceptedIndex, SubmitError]:
         """Make ``index`` the one in force by one conditional update.
 
         Failure: the update takes effect and its confirmation is lost. Symptom: the
@@ -124,23 +128,25 @@
         while True:
             result = self._put_index(encode_index(index), base.version)
             if result.is_ok():
-                return Ok(Won(result.ok, superseded=False))
+                return Ok(AcceptedIndex(result.ok, superseded=False))
             match result.error:
                 case Conflict():
-                    settled = self._settle(index, base.version)
+                    settled = self._resolve_conflict(index, base.version)
                     if settled is not None:
                         return settled
                     doubt = "the platform did not answer when read back"
                 case Unavailable(_, sent):
-                    doubt = doubt or (describe(result.error) if sent else "")
+                    doubt = doubt or (
+                        describe_platform_error(result.error) if sent else ""
+                    )
                 case Rejected():
-                    return Error(PlatformFailed(describe(result.error)))
-            if not self._patience.pause(result.error):
+                    return Error(PlatformFailure(describe_platform_error(result.error)))
+            if not self._retrier.wait_before_retry(result.error):
                 if doubt:
-                    return Error(Unsettled(index.submission, doubt))
-                return Error(PlatformFailed(describe(result.error)))
+                    return Error(UnknownOutcome(index.submission_id, doubt))
+                return Error(PlatformFailure(describe_platform_error(result.error)))
 
-    def versions_of(self, keys: Iterable[str]) -> dict[str, int]:
+    def read_versions(self, keys: Iterable[str]) -> dict[str, int]:
         """Return the versions of those objects that exist and could be read."""
         version_by_key: dict[str, int] = {}
         for key in keys:
@@ -149,7 +155,7 @@
                 version_by_key[key] = found.ok.version
         return version_by_key
 
-    def remove(self, version_by_key: Mapping[str, int]) -> None:
+    def delete_unchanged(self, version_by_key: Mapping[str, int]) -> None:
         """Remove the objects that are still at these versions; failures are left.
 
         What can't be removed stays as garbage, which costs nothing but its room.
@@ -157,26 +163,28 @@
         for key, version in version_by_key.items():
             self._client.delete(key, version=version)
 
-    def _put_index(self, value: bytes, version: int) -> Result[int, PlatformError]:
-        if version == 0:
+    def _put_index(self, value: bytes, base_version: int) -> Result[int, PlatformError]:
+        if base_version == 0:
             return self._client.create(INDEX_KEY, value)
-        return self._client.update(INDEX_KEY, value, version=version)
+        return self._client.update(INDEX_KEY, value, version=base_version)
 
-    def _settle(self, index: Index, expected: int) -> Result[Won, SubmitError] | None:
+    def _resolve_conflict(
+        self, index: ManifestIndex, expected_version: int
+    ) -> Result[AcceptedIndex, SubmitError] | None:
         """Return who won, or None if that can't be read now."""
         found = self._client.read(INDEX_KEY)
-        if found.is_error() or found.ok is None or found.ok.version <= expected:
+        if found.is_error() or found.ok is None or found.ok.version <= expected_version:
             # No answer, or a stale one: the update conflicted, so there is a later one.
             return None
-        return _who_won(index, found.ok, expected)
-
-
-def _who_won(
-    index: Index, found: VersionedValue, expected: int
-) -> Result[Won, SubmitError]:
-    current: Result[Index, BadObject] = decode_index(found.value)
-    if current.is_ok() and current.ok.submission == index.submission:
-        return Ok(Won(found.version, superseded=False))
-    if current.is_ok() and index.submission in current.ok.earlier:
-        return Ok(Won(found.version, superseded=True))
-    return Error(LostRace(expected, found.version))
+        return _check_acceptance(index, found.ok, expected_version)
+
+
+def _check_acceptance(
+    index: ManifestIndex, found: VersionedValue, expected_version: int
+) -> Result[AcceptedIndex, SubmitError]:
+    current: Result[ManifestIndex, InvalidObject] = decode_index(found.value)
+    if current.is_ok() and current.ok.submission_id == index.submission_id:
+        return Ok(AcceptedIndex(found.version, superseded=False))
+    if current.is_ok() and index.submission_id in current.ok.earlier_submission_ids:
+        return Ok(AcceptedIndex(found.version, superseded=True))
+    return Error(VersionConflict(expected_version, found.version))
--- a/src/kingcupwheel/manifest/keeper.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -14,49 +14,49 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.assembly import FetchedObjects
-from kingcupwheel.manifest.assembly import assemble
-from kingcupwheel.manifest.exceptions import BadObject
-from kingcupwheel.manifest.hints import AskPeer
-from kingcupwheel.manifest.hints import Hint
-from kingcupwheel.manifest.hints import Hints
-from kingcupwheel.manifest.hints import ReadPlatform
-from kingcupwheel.manifest.holder import Holder
-from kingcupwheel.manifest.patience import describe
+from kingcupwheel.manifest.assembly import FetchedObjectCache
+from kingcupwheel.manifest.assembly import assemble_manifest
+from kingcupwheel.manifest.current_manifest import CurrentManifest
+from kingcupwheel.manifest.exceptions import InvalidObject
+from kingcupwheel.manifest.platform_retries import describe_platform_error
 from kingcupwheel.manifest.shards import INDEX_KEY
 from kingcupwheel.manifest.store import read_object
+from kingcupwheel.manifest.version_hints import PeerHint
+from kingcupwheel.manifest.version_hints import PlatformHint
+from kingcupwheel.manifest.version_hints import VersionHint
+from kingcupwheel.manifest.version_hints import VersionHints
 from kingcupwheel.messages.membership import ManifestObject
 from kingcupwheel.utils.backoff import Backoff
 
 
 if TYPE_CHECKING:
     from kingcupwheel.manifest.assembly import ObjectSource
+    from kingcupwheel.manifest.compiled_manifest import CompiledManifest
+    from kingcupwheel.manifest.current_manifest import ChangeListener
     from kingcupwheel.manifest.exceptions import FetchError
-    from kingcupwheel.manifest.holder import ChangeListener
-    from kingcupwheel.manifest.inforce import InForce
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
 
 # Asks the peer at an address for an object; the error says why there was no answer.
-FetchFromPeer = Callable[[str, str], Result[ManifestObject | None, str]]
+PeerObjectFetcher = Callable[[str, str], Result[ManifestObject | None, str]]
 
 logger = logging.getLogger("kingcupwheel.manifest")
 
 # Processes that saw the same change spread their reads of shards over this time: 370
 # entries and 1,000 agents at once would use up the platform's 2,000 reads a second.
 # It leaves most of the 7 seconds in which a change has to be in force everywhere.
-DEFAULT_SPREAD_S = 2.0
+DEFAULT_MAX_READ_DELAY_S = 2.0
 # Pauses after a failed watch. The longest bounds how long after an outage a change is
 # noticed; 1,370 processes at 2 to 4 s make about 460 calls a second meanwhile.
-_LEAST_PAUSE_S = 0.2
-_MOST_PAUSE_S = 4.0
+_MIN_WATCH_BACKOFF_S = 0.2
+_MAX_WATCH_BACKOFF_S = 4.0
 # A watch that ends without news sooner than this has not waited; the next one does.
-_LEAST_WATCH_S = 0.2
+_MIN_WATCH_S = 0.2
 # How often a process that is behind looks whether there is a new hint.
-_LOOK_EVERY_S = 0.5
+_HINT_POLL_INTERVAL_S = 0.5
 
 
-class ManifestKeeper:
+class ManifestSynchronizer:
     """Holds the manifest in force; adopts later versions only.
 
     Two ways lead to a new version: a watch on the platform, and ``heard``, which is
@@ -75,25 +75,25 @@
         self,
         client: PlatformClient,
         *,
-        fetch_from_peer: FetchFromPeer,
+        fetch_from_peer: PeerObjectFetcher,
         on_change: ChangeListener,
         with_organisations: bool = True,
         watches_platform: bool = True,
         watch_s: float = 20.0,
-        spread_s: float = DEFAULT_SPREAD_S,
+        max_read_delay_s: float = DEFAULT_MAX_READ_DELAY_S,
         random: Random | None = None,
     ) -> None:
         self._client = client
         self._fetch_from_peer = fetch_from_peer
         self._with_organisations = with_organisations
         self._watch_s = watch_s
-        self._spread_s = spread_s
+        self._max_read_delay_s = max_read_delay_s
         self._random = random or Random()
-        self._holder = Holder()
-        self._holder.subscribe(on_change)
-        self._fetched = FetchedObjects()
-        self._hinted = Condition()
-        self._hints = Hints()
+        self._current_manifest = CurrentManifest()
+        self._current_manifest.subscribe(on_change)
+        self._object_cache = FetchedObjectCache()
+        self._hint_added = Condition()
+        self._hints = VersionHints()
         self._stopping = Event()
         targets = [self._follow_peers]
         if watches_platform:
@@ -103,19 +103,19 @@
         )
 
     @property
-    def current(self) -> InForce | None:
+    def current(self) -> CompiledManifest | None:
         """The manifest in force here, None until the first one is adopted."""
-        return self._holder.current
+        return self._current_manifest.current
 
     @property
     def version(self) -> int:
         """Its version, 0 before the first one; what messages name."""
-        return self._holder.version
+        return self._current_manifest.version
 
     @property
     def digest(self) -> str:
         """Its digest, empty before the first one; what messages name."""
-        current = self._holder.current
+        current = self._current_manifest.current
         return "" if current is None else current.digest
 
     def start(self) -> None:
@@ -126,43 +126,45 @@
     def stop(self) -> None:
         """Stop following; a watch that is under way is left to run out."""
         self._stopping.set()
-        with self._hinted:
-            self._hinted.notify_all()
+        with self._hint_added:
+            self._hint_added.notify_all()
 
     def subscribe(self, listener: ChangeListener) -> None:
         """Call ``listener`` with each manifest adopted from now on.
 
         Calls come one at a time, in the order of versions, on a keeper's thread.
         """
-        self._holder.subscribe(listener)
+        self._current_manifest.subscribe(listener)
 
-    def wait(self, version: int, timeout_s: float) -> bool:
+    def wait_for_version(self, version: int, timeout_s: float) -> bool:
         """Return whether ``version`` or a later one is in force within the time."""
-        return self._holder.wait(version, timeout_s)
+        return self._current_manifest.wait_for_version(version, timeout_s)
 
-    def object_for(self, key: str) -> ManifestObject:
+    def get_object(self, key: str) -> ManifestObject:
         """Return the answer to a peer that wants this object; never blocks."""
-        return self._holder.object_for(key)
+        return self._current_manifest.get_object(key)
 
-    def heard(self, version: int, digest: str, address: str) -> None:
+    def record_peer_version(self, version: int, digest: str, address: str) -> None:
         """Note that the process at ``address`` names this version; never blocks.
 
         ``digest`` is empty if that process holds no manifest itself (an agent): it is
         not asked for objects, and its word leads to the platform.
         """
-        current = self._holder.current
+        current = self._current_manifest.current
         if current is not None and version <= current.version:
-            _warn_of_twin(current, version, digest, address)
+            _log_version_mismatch(current, version, digest, address)
             return
         if version > 0:
-            with self._hinted:
+            with self._hint_added:
                 peer = address if digest else None
-                self._hints.note(version, peer=peer, now=monotonic())
-                self._hinted.notify_all()
+                self._hints.record(version, peer=peer, now=monotonic())
+                self._hint_added.notify_all()
 
     def _follow_platform(self) -> None:
         backoff = Backoff(
-            min_s=_LEAST_PAUSE_S, max_s=_MOST_PAUSE_S, random=self._random
+            min_s=_MIN_WATCH_BACKOFF_S,
+            max_s=_MAX_WATCH_BACKOFF_S,
+            random=self._random,
         )
         while not self._stopping.is_set():
             if self._watch_once():
@@ -177,34 +179,36 @@
             INDEX_KEY, after=self.version, timeout_s=self._watch_s
         )
         if found.is_error():
-            logger.warning("Watch failed: %s.", describe(found.error))
+            logger.warning("Watch failed: %s.", describe_platform_error(found.error))
             return False
         if found.ok is None:
-            return monotonic() - begun >= _LEAST_WATCH_S
-        return self._adopt_from_platform(found.ok)
+            return monotonic() - begun >= _MIN_WATCH_S
+        return self._adopt_from_watch(found.ok)
 
-    def _adopt_from_platform(self, found: VersionedValue) -> bool:
+    def _adopt_from_watch(self, found: VersionedValue) -> bool:
         if found.version <= self.version:
             logger.warning("The platform answered old version %d.", found.version)
             return False
         if self.version > 0:
-            self._stopping.wait(self._random.uniform(0.0, self._spread_s))
-        return self._adopt(found.version, found.value, self._from_platform)
+            self._stopping.wait(self._random.uniform(0.0, self._max_read_delay_s))
+        return self._adopt(found.version, found.value, self._read_from_platform)
 
     def _follow_peers(self) -> None:
         while not self._stopping.is_set():
-            match self._next_hint():
-                case AskPeer(address, _):
+            match self._wait_for_hint():
+                case PeerHint(address, _):
                     self._adopt_from_peer(address)
-                case ReadPlatform():
-                    self._read_platform()
+                case PlatformHint():
+                    self._adopt_from_platform_read()
 
-    def _next_hint(self) -> Hint | None:
+    def _wait_for_hint(self) -> VersionHint | None:
         """Wait for a hint for a while; None if there is none or when stopping."""
-        with self._hinted:
-            hint = self._hints.take(self.version, now=monotonic())
+        with self._hint_added:
+            hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
-                self._hinted.wait(_LOOK_EVERY_S if self._hints.behind else None)
+                self._hint_added.wait(
+                    _HINT_POLL_INTERVAL_S if self._hints.is_behind else None
+                )
             return hint
 
     def _adopt_from_peer(self, address: str) -> None:
@@ -217,43 +221,45 @@
             return
 
         def from_peer(key: str) -> Result[bytes, FetchError]:
-            return self._from_peer(address, key)
+            return self._read_from_peer(address, key)
 
         self._adopt(index.version, index.value, from_peer)
 
-    def _read_platform(self) -> None:
+    def _adopt_from_platform_read(self) -> None:
         found = self._client.read(INDEX_KEY)
         if found.is_ok() and found.ok is not None and found.ok.version > self.version:
-            self._adopt(found.ok.version, found.ok.value, self._from_platform)
+            self._adopt(found.ok.version, found.ok.value, self._read_from_platform)
 
     def _adopt(self, version: int, index_value: bytes, source: ObjectSource) -> bool:
-        current = self._holder.current
-        assembly = assemble(
+        current = self._current_manifest.current
+        assembly = assemble_manifest(
             index_value,
-            self._fetched.over(source, index_value),
-            reuse=None if current is None else current.assembly,
+            self._object_cache.wrap(source, index_value),
+            previous=None if current is None else current.assembly,
             with_organisations=self._with_organisations,
         )
         if assembly.is_error():
             logger.warning("Version %d not adopted: %s.", version, assembly.error)
-            if isinstance(assembly.error, BadObject):
-                self._fetched.forget()
+            if isinstance(assembly.error, InvalidObject):
+                self._object_cache.clear()
             return False
-        self._fetched.forget()
-        self._holder.adopt(version, assembly.ok)
+        self._object_cache.clear()
+        self._current_manifest.adopt(version, assembly.ok)
         return True
 
-    def _from_platform(self, key: str) -> Result[bytes, FetchError]:
+    def _read_from_platform(self, key: str) -> Result[bytes, FetchError]:
         return read_object(self._client, key)
 
-    def _from_peer(self, address: str, key: str) -> Result[bytes, FetchError]:
+    def _read_from_peer(self, address: str, key: str) -> Result[bytes, FetchError]:
         found = self._fetch_from_peer(address, key)
         if found.is_ok() and found.ok is not None and found.ok.value is not None:
             return Ok(found.ok.value)
-        return self._from_platform(key)
+        return self._read_from_platform(key)
 
 
-def _warn_of_twin(current: InForce, version: int, digest: str, address: str) -> None:
+def _log_version_mismatch(
+    current: CompiledManifest, version: int, digest: str, address: str
+) -> None:
     """Log a peer that holds the same version with other content."""
     if version == current.version and digest not in ("", current.digest):
         logger.error("Peer %s has another version %d.", address, version)
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -9,7 +9,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.settings.checks import settings_problems
+from kingcupwheel.settings.checks import find_settings_problems
 from kingcupwheel.settings.schema import Settings
 from kingcupwheel.utils.strict_yaml import parse_yaml
 from kingcupwheel.utils.struct_validation import convert_to_type
@@ -33,10 +33,12 @@
 def parse_settings(text: str) -> Result[Settings, ValidationProblems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
     return (
-        parse_yaml(text).bind(lambda data: convert_to_type(data, Settings)).bind(_check)
+        parse_yaml(text)
+        .bind(lambda data: convert_to_type(data, Settings))
+        .bind(_check_settings)
     )
 
 
-def _check(settings: Settings) -> Result[Settings, ValidationProblems]:
-    problems = tuple(settings_problems(settings))
+def _check_settings(settings: Settings) -> Result[Settings, ValidationProblems]:
+    problems = tuple(find_settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
--- a/tests/settings/test_examples.py
+++ b/tests/settings/test_examples.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kingcupwheel.manifest.loading import load_manifest
+from kingcupwheel.manifest.loader import load_manifest
 from kingcupwheel.manifest.schema import GroupKind
 from kingcupwheel.plugins.registries import load_builtin_plugins
 from kingcupwheel.plugins.registries import placement_policies
--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -17,9 +17,9 @@
 
 import msgspec
 from tests.agent.builders import agent_settings
-from tests.agent.builders import completion
-from tests.agent.builders import dispatch_to
-from tests.agent.entry import Entry
+from tests.agent.builders import build_dispatch_for
+from tests.agent.builders import completion_body
+from tests.agent.fake_entry import FakeEntry
 from tests.agent.processes import AgentProcess
 from tests.agent.processes import StandInProcess
 
@@ -65,7 +65,7 @@
     return Usage(ticks / _TICKS_PER_S, pages * _PAGE_BYTES)
 
 
-def frames_of(entry: Entry) -> int:
+def frames_of(entry: FakeEntry) -> int:
     """Return how many frames of answers the entry received, and forget them."""
     received, entry.received = entry.received, []
     return sum(isinstance(message, ResponseData) for message in received)
@@ -85,15 +85,15 @@
     """Run ``streams`` streams and return the agent's cost."""
     engine = StandInProcess("engine", "--step-ms", str(_STEP_MS))
     agent = AgentProcess(settings_for(engine.url, streams), folder)
-    entry = Entry(agent.address)
+    entry = FakeEntry(agent.address)
     # An entry acknowledges every 128 KiB, which no stream here reaches.
-    entry.acknowledging.clear()
+    entry.is_auto_ack_on.clear()
     try:
-        beat = entry.beat()
+        beat = entry.wait_for_heartbeat()
         tokens = int((2 * _SETTLE_S + _MEASURED_S) * 1000 / _STEP_MS) * 2
         for number in range(streams):
-            body = completion(f"prompt {number}", tokens=tokens)
-            entry.send(dispatch_to(beat, f"r{number}", body=body))
+            body = completion_body(f"prompt {number}", tokens=tokens)
+            entry.send(build_dispatch_for(beat, f"r{number}", body=body))
         time.sleep(_SETTLE_S)
         frames_of(entry)
         before = usage_of(agent.pid)
