--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -27,7 +27,7 @@
 # How long the end of a non-repeatable attempt's answer is kept after its bytes were
 # freed: as long as its claim can be found.
 _CLAIMED_END_RETENTION_S = 48 * 3600.0
-# How long the bytes of such an answer are kept for a caller that sends the request again.
+# How long the bytes of such an answer are kept for a caller that repeats its request.
 _RETAINED_ANSWER_S = 3600.0
 # Memory share of one unread answer; without this bound a single stuck caller would slow
 # every other stream of this server.
