--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -121,27 +121,27 @@
         self, dispatch: Dispatch, cancellation: Cancellation
     ) -> Result[ServerAnswer, AdapterError]:
         """Send the request once; return when the answer's head has arrived."""
-        life = self._incarnation or self.state().incarnation
+        incarnation = self._incarnation or self.state().incarnation
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(connected.error)
         call = connected.ok
-        name = build_run_id(dispatch)
+        run_id = build_run_id(dispatch)
         sent = call.send(
             build_server_request(dispatch), silence_s=self._server.silence_s
         )
         if sent.is_error():
             call.close()
-            resumed = self._client.resume(name, 0, life, cancellation)
+            resumed = self._client.resume(run_id, 0, incarnation, cancellation)
             if resumed.is_error():
-                self._client.cancel(name)
+                self._client.cancel(run_id)
                 return Error(resumed.error)
             call = resumed.ok
-        if call.header(REQUEST_ID_HEADER) != name:
+        if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
-            self._client.cancel(name)
+            self._client.cancel(run_id)
             return Error(AnswerLost("answer of another request", has_server_died=False))
-        return Ok(EngineAnswer(self._client, call, name, cancellation))
+        return Ok(EngineAnswer(self._client, call, run_id, cancellation))
 
     def state(self) -> ServerState:
         """Query the engine's state on a new connection."""
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -70,8 +70,8 @@
 
     def state(self, cancellation: Cancellation) -> EngineState | None:
         """Return the engine's state, or None if it did not reply."""
-        asked = self._query_state(cancellation)
-        return asked.ok if asked.is_ok() else None
+        queried = self._query_state(cancellation)
+        return queried.ok if queried.is_ok() else None
 
     def cancel(self, run_id: str) -> None:
         """Cancel the run on the engine; best effort."""
@@ -111,15 +111,15 @@
     def _try_resume(
         self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
     ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRunning]:
-        asked = self._query_state(cancellation)
-        if asked.is_error():
-            return Error(asked.error)
-        if incarnation and asked.ok.life != incarnation:
+        queried = self._query_state(cancellation)
+        if queried.is_error():
+            return Error(queried.error)
+        if incarnation and queried.ok.life != incarnation:
             return Error(AnswerLost("server restarted", has_server_died=True))
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
-        if isinstance(opened.error, _NoAnswer) and run_id in asked.ok.running:
+        if isinstance(opened.error, _NoAnswer) and run_id in queried.ok.running:
             return Error(_StillRunning())
         return Error(opened.error)
 
--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -103,11 +103,11 @@
             # No bytes are freed until the new subscriber is added: in between, no
             # subscriber would hold the bytes that were lost on the old link.
             for link in (subscriber.link, *older_links):
-                place = (subscriber.attempt_key, link)
-                earlier = answer.subscribers.pop(place, None)
-                self._by_subscriber.pop(place, None)
-                if continue_from_ack and earlier is not None:
-                    subscriber.resume_from(earlier)
+                identity = (subscriber.attempt_key, link)
+                replaced = answer.subscribers.pop(identity, None)
+                self._by_subscriber.pop(identity, None)
+                if continue_from_ack and replaced is not None:
+                    subscriber.resume_from(replaced)
             answer.subscribers[subscriber.identity] = subscriber
             self._by_subscriber[subscriber.identity] = answer
             self._flush(answer)
@@ -116,8 +116,8 @@
     def is_known(self, key: AttemptKey) -> bool:
         """Return whether the attempt's answer, or only its end, is held."""
         with self._changed:
-            held = key in self._by_key
-            return held or self._find_ended_answer(key) is not None
+            is_buffered = key in self._by_key
+            return is_buffered or self._find_ended_answer(key) is not None
 
     def find_key(self, attempt_key: AttemptKey, link: Link) -> AttemptKey | None:
         """Return the key of the answer sent to ``link`` as ``attempt_key``, or None."""
@@ -133,14 +133,18 @@
 
     def remove_links(self, links: Iterable[Link]) -> list[AttemptKey]:
         """Remove subscribers on dead links; return the attempts left without any."""
-        gone = set(links)
-        orphans = []
+        dead_links = set(links)
+        orphaned_keys = []
         with self._changed:
-            for place in [place for place in self._by_subscriber if place[1] in gone]:
-                answer = self._remove_subscriber(place)
+            for identity in [
+                identity
+                for identity in self._by_subscriber
+                if identity[1] in dead_links
+            ]:
+                answer = self._remove_subscriber(identity)
                 if answer is not None and not answer.subscribers:
-                    orphans.append(answer.key)
-        return orphans
+                    orphaned_keys.append(answer.key)
+        return orphaned_keys
 
     def set_head(self, key: AttemptKey, head: AnswerHead) -> None:
         """Set the answer's status and headers, and send them."""
@@ -206,9 +210,9 @@
         """Return the attempts whose end was not sent yet, by link."""
         by_link: dict[Link, list[AttemptKey]] = {}
         with self._changed:
-            for (name, link), answer in self._by_subscriber.items():
-                if not answer.subscribers[(name, link)].is_end_sent:
-                    by_link.setdefault(link, []).append(name)
+            for (attempt_key, link), answer in self._by_subscriber.items():
+                if not answer.subscribers[(attempt_key, link)].is_end_sent:
+                    by_link.setdefault(link, []).append(attempt_key)
         return by_link
 
     def expire(self, *, now: float) -> None:
@@ -257,10 +261,10 @@
         if ended is None:
             return
         del self._by_key[answer.key]
-        for place in answer.subscribers:
-            self._by_subscriber.pop(place, None)
-        remembered = self._ended_claims if answer.is_retained else self._ended
-        remembered.put(answer.key, ended, now=answer.ended_at)
+        for identity in answer.subscribers:
+            self._by_subscriber.pop(identity, None)
+        ended_by_key = self._ended_claims if answer.is_retained else self._ended
+        ended_by_key.put(answer.key, ended, now=answer.ended_at)
         self._record_freed(answer.held_bytes)
 
     def _record_freed(self, count_bytes: int) -> None:
@@ -282,13 +286,13 @@
 
         Delivered answers go first, oldest first, then the acknowledged bytes of others.
         """
-        kept = [answer for answer in self._by_key.values() if answer.is_retained]
-        finished = [answer for answer in kept if answer.is_delivered]
-        for answer in sorted(finished, key=lambda answer: answer.ended_at):
+        retained = [answer for answer in self._by_key.values() if answer.is_retained]
+        delivered = [answer for answer in retained if answer.is_delivered]
+        for answer in sorted(delivered, key=lambda answer: answer.ended_at):
             if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
             self._release_answer(answer)
-        for answer in kept:
+        for answer in retained:
             if self._held_bytes + size_bytes <= self._limit_bytes:
                 return
             self._record_freed(answer.free_acked())
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -70,16 +70,16 @@
             case ResumeRequest():
                 self._handle_resume(link, message)
             case Ack():
-                name = AttemptKey(message.request_id, message.attempt)
-                self._store.acknowledge(name, link, message.offset)
+                attempt_key = AttemptKey(message.request_id, message.attempt)
+                self._store.acknowledge(attempt_key, link, message.offset)
             case CancelRequest():
                 self._handle_cancel(link, message)
             case TombstoneRequest():
                 with self._runner.lock:
-                    answer = self._runner.attempt_table.set_tombstone(
+                    reply = self._runner.attempt_table.set_tombstone(
                         message, now=monotonic()
                     )
-                self._send(link, answer)
+                self._send(link, reply)
             case _:
                 pass
 
@@ -90,7 +90,7 @@
             self._stop_attempt(key)
 
     def _handle_dispatch(self, link: Link, dispatch: Dispatch) -> None:
-        name = get_attempt_key(dispatch)
+        attempt_key = get_attempt_key(dispatch)
         with self._runner.lock:
             decision = self._runner.attempt_table.handle_dispatch(
                 dispatch, now=monotonic()
@@ -99,71 +99,76 @@
                 case StartDecision():
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
-                case QueueDecision(ahead):
-                    self._recorder.record(name.request_id, Queued(ahead))
+                case QueueDecision(ahead_count):
+                    self._recorder.record(attempt_key.request_id, Queued(ahead_count))
                     self._accept(link, dispatch, running=False)
-                case JoinDecision(key):
-                    self._join_attempt(link, dispatch, key)
+                case JoinDecision(accepted_key):
+                    self._join_attempt(link, dispatch, accepted_key)
                 case ForgottenDecision():
-                    self._send(link, _build_unknown_end(name))
+                    self._send(link, _build_unknown_end(attempt_key))
                 case RefusalDecision(_, reason):
                     note = Noted(f"Not run: {reason.value}.")
-                    self._recorder.record(name.request_id, note)
-                    self._send(link, AttemptRefused(*name, reason))
+                    self._recorder.record(attempt_key.request_id, note)
+                    self._send(link, AttemptRefused(*attempt_key, reason))
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
-        name = get_attempt_key(dispatch)
-        self._store.open(name, is_retained=dispatch.claim is not None)
-        self._send(link, AttemptAccepted(*name, running))
-        self._store.subscribe(name, Subscriber(name, link, 0, 0, dispatch.credit))
+        attempt_key = get_attempt_key(dispatch)
+        self._store.open(attempt_key, is_retained=dispatch.claim is not None)
+        self._send(link, AttemptAccepted(*attempt_key, running))
+        self._store.subscribe(
+            attempt_key, Subscriber(attempt_key, link, 0, 0, dispatch.credit)
+        )
 
-    def _join_attempt(self, link: Link, dispatch: Dispatch, key: AttemptKey) -> None:
-        name = get_attempt_key(dispatch)
+    def _join_attempt(
+        self, link: Link, dispatch: Dispatch, accepted_key: AttemptKey
+    ) -> None:
+        attempt_key = get_attempt_key(dispatch)
         self._recorder.record(
-            name.request_id, Noted(f"Joined to attempt {key.attempt} of {key[0]}.")
+            attempt_key.request_id,
+            Noted(f"Joined to attempt {accepted_key.attempt} of {accepted_key[0]}."),
         )
-        self._send(link, AttemptAccepted(*name, True))
-        subscriber = Subscriber(name, link, 0, 0, dispatch.credit)
-        replaced = self._entry_links.list_older_links(link)
+        self._send(link, AttemptAccepted(*attempt_key, True))
+        subscriber = Subscriber(attempt_key, link, 0, 0, dispatch.credit)
+        older_links = self._entry_links.list_older_links(link)
         if not self._store.subscribe(
-            key, subscriber, older_links=replaced, continue_from_ack=True
+            accepted_key, subscriber, older_links=older_links, continue_from_ack=True
         ):
-            self._send(link, _build_unknown_end(name))
+            self._send(link, _build_unknown_end(attempt_key))
 
     def _handle_resume(self, link: Link, message: ResumeRequest) -> None:
-        name = AttemptKey(message.request_id, message.attempt)
-        key = self._resolve_key(name, message.claim_id)
+        attempt_key = AttemptKey(message.request_id, message.attempt)
+        accepted_key = self._resolve_key(attempt_key, message.claim_id)
         subscriber = Subscriber(
-            name, link, message.offset, message.offset, message.credit
+            attempt_key, link, message.offset, message.offset, message.credit
         )
-        replaced = self._entry_links.list_older_links(link)
-        if self._store.subscribe(key, subscriber, older_links=replaced):
-            event = Resumed(self._name, name.attempt, message.offset, "new link")
-            self._recorder.record(name.request_id, event)
+        older_links = self._entry_links.list_older_links(link)
+        if self._store.subscribe(accepted_key, subscriber, older_links=older_links):
+            event = Resumed(self._name, attempt_key.attempt, message.offset, "new link")
+            self._recorder.record(attempt_key.request_id, event)
             return
         with self._runner.lock:
-            reason = self._runner.attempt_table.get_refusal(name)
+            reason = self._runner.attempt_table.get_refusal(attempt_key)
             incarnation = self._runner.attempt_table.incarnation
-            cancelled = self._runner.attempt_table.is_cancelled(name)
+            cancelled = self._runner.attempt_table.is_cancelled(attempt_key)
         if reason is not None:
-            self._send(link, AttemptRefused(*name, reason))
+            self._send(link, AttemptRefused(*attempt_key, reason))
         else:
-            self._send(link, AttemptUnknown(*name, incarnation, cancelled))
+            self._send(link, AttemptUnknown(*attempt_key, incarnation, cancelled))
 
-    def _resolve_key(self, name: AttemptKey, claim_id: str | None) -> AttemptKey:
-        if claim_id is None or self._store.is_known(name):
-            return name
+    def _resolve_key(self, attempt_key: AttemptKey, claim_id: str | None) -> AttemptKey:
+        if claim_id is None or self._store.is_known(attempt_key):
+            return attempt_key
         with self._runner.lock:
-            return self._runner.attempt_table.get_accepted_key(claim_id) or name
+            return self._runner.attempt_table.get_accepted_key(claim_id) or attempt_key
 
     def _handle_cancel(self, link: Link, message: CancelRequest) -> None:
-        name = AttemptKey(message.request_id, message.attempt)
-        key = self._store.find_key(name, link) or name
-        if self._store.unsubscribe(name, link):
+        attempt_key = AttemptKey(message.request_id, message.attempt)
+        accepted_key = self._store.find_key(attempt_key, link) or attempt_key
+        if self._store.unsubscribe(attempt_key, link):
             return
-        reason = self._stop_attempt(key)
-        if reason is not None:
-            self._send(link, reason)
+        refusal = self._stop_attempt(accepted_key)
+        if refusal is not None:
+            self._send(link, refusal)
 
     def _stop_attempt(self, key: AttemptKey) -> AttemptRefused | None:
         with self._runner.lock:
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -124,17 +124,19 @@
             self._server_generation += 1
             running = self._list_running_in(generation)
             fingerprints = [dispatch.fingerprint for dispatch in running]
-            life = ServerIncarnation(
+            incarnation = ServerIncarnation(
                 self._name, f"{self.attempt_table.incarnation}.{generation}"
             )
-            self.crash_table.record_crash(fingerprints, life.crash_id, now=monotonic())
+            self.crash_table.record_crash(
+                fingerprints, incarnation.crash_id, now=monotonic()
+            )
             # Reported before the attempts end: an entry that retries one of them, or
             # receives the same request again, must know of the crash by then, or the
             # request may crash one more server.
             self._on_server_crash()
             for dispatch in running:
-                deaths = self.crash_table.count_crashes(dispatch.fingerprint)
-                event = ServerDied(self._name, dispatch.fingerprint, deaths)
+                crash_count = self.crash_table.count_crashes(dispatch.fingerprint)
+                event = ServerDied(self._name, dispatch.fingerprint, crash_count)
                 self._recorder.record(dispatch.request_id, event)
         logger.warning("Server crashed; %d attempts were running.", len(running))
 
--- a/src/kingcupwheel/agent/attempt_table.py
+++ b/src/kingcupwheel/agent/attempt_table.py
@@ -122,9 +122,9 @@
 
     def set_tombstone(self, request: TombstoneRequest, *, now: float) -> TombstoneReply:
         """Refuse lower fences of the claim from now on; report the accepted attempt."""
-        ours = request.incarnation == self._incarnation
+        is_same_incarnation = request.incarnation == self._incarnation
         ran = None
-        if ours:
+        if is_same_incarnation:
             ran = self._claim_fences.set_tombstone(
                 request.claim_id, request.fence, now=now
             )
@@ -133,7 +133,7 @@
             claim_id=request.claim_id,
             fence=request.fence,
             incarnation=self._incarnation,
-            accepted=ours,
+            accepted=is_same_incarnation,
             ran=ran is not None,
             request_id=key.request_id,
             attempt=key.attempt,
@@ -184,8 +184,8 @@
     def advance(self, *, now: float) -> list[StartDecision | RefusalDecision]:
         """Start queued attempts as capacity allows; refuse the expired ones."""
         steps: list[StartDecision | RefusalDecision] = []
-        for late in self._queue.expire(now=now):
-            steps += self._refuse_accepted(late, DispatchRefusal.EXPIRED, now)
+        for expired in self._queue.expire(now=now):
+            steps += self._refuse_accepted(expired, DispatchRefusal.EXPIRED, now)
         while len(self._running) < self._capacity:
             dispatch = self._queue.pop()
             if dispatch is None:
--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -37,9 +37,9 @@
     ) -> None:
         """Record the crash for each fingerprint that was running."""
         for fingerprint in set(fingerprints):
-            known = self._by_fingerprint.pop(fingerprint, _CrashRecord((), now))
+            record = self._by_fingerprint.pop(fingerprint, _CrashRecord((), now))
             self._by_fingerprint[fingerprint] = _CrashRecord(
-                (*known.crash_ids, crash_id), now
+                (*record.crash_ids, crash_id), now
             )
         while len(self._by_fingerprint) > _MAX_FINGERPRINTS:
             del self._by_fingerprint[next(iter(self._by_fingerprint))]
@@ -48,22 +48,22 @@
         """Return the pairs of fingerprint and crash id to report in heartbeats."""
         self._expire(now)
         return tuple(
-            (fingerprint, death)
-            for fingerprint, crashed in self._by_fingerprint.items()
-            if now - crashed.last_crash_at <= HEARTBEAT_REPORT_S
-            for death in crashed.crash_ids
+            (fingerprint, crash_id)
+            for fingerprint, record in self._by_fingerprint.items()
+            if now - record.last_crash_at <= HEARTBEAT_REPORT_S
+            for crash_id in record.crash_ids
         )
 
     def _expire(self, now: float) -> None:
-        old = [
+        expired = [
             fingerprint
-            for fingerprint, crashed in self._by_fingerprint.items()
-            if now - crashed.last_crash_at > _RETENTION_S
+            for fingerprint, record in self._by_fingerprint.items()
+            if now - record.last_crash_at > _RETENTION_S
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._by_fingerprint[fingerprint]
 
     def count_crashes(self, fingerprint: str) -> int:
         """Return the number of crashes recorded for the fingerprint."""
-        crashed = self._by_fingerprint.get(fingerprint)
-        return 0 if crashed is None else len(crashed.crash_ids)
+        record = self._by_fingerprint.get(fingerprint)
+        return 0 if record is None else len(record.crash_ids)
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -226,12 +226,12 @@
                 self._handler.handle(link, message)
 
     def _on_hello(self, link: Link, hello: Hello, now: float) -> None:
-        known = link in self._entry_links.list_heartbeat_links(now=now)
+        is_known = link in self._entry_links.list_heartbeat_links(now=now)
         self._entry_links.record_hello(link, hello.name, now=now)
         self._manifest_follower.record_version(
             link, hello.manifest_version, hello.manifest_digest
         )
-        if not known:
+        if not is_known:
             self._hub.send(link, self._heartbeat_builder.build(now=now))
 
     def _build_status(self) -> StatusReply:
@@ -264,17 +264,17 @@
             self._drained.set()
 
     def _send_heartbeats(self, now: float) -> None:
-        beat = self._heartbeat_builder.build(now=now)
+        heartbeat = self._heartbeat_builder.build(now=now)
         for link in self._entry_links.list_heartbeat_links(now=now):
-            self._hub.send(link, beat)
-        for link, names in self._store.list_unfinished_by_link().items():
-            self._hub.send(link, RunningAttempts(tuple(names)))
+            self._hub.send(link, heartbeat)
+        for link, attempt_keys in self._store.list_unfinished_by_link().items():
+            self._hub.send(link, RunningAttempts(tuple(attempt_keys)))
 
     def _send_crash_heartbeat(self) -> None:
         now = monotonic()
-        beat = self._heartbeat_builder.build(now=now)
+        heartbeat = self._heartbeat_builder.build(now=now)
         for link in self._entry_links.list_heartbeat_links(now=now):
-            self._hub.send(link, beat)
+            self._hub.send(link, heartbeat)
 
     def _begin_drain(self, now: float) -> None:
         self._drain.begin(now=now)
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -38,9 +38,9 @@
         else:
             self._by_link[link] = peer._replace(last_received_at=now)
 
-    def record_hello(self, link: Link, name: str, *, now: float) -> None:
+    def record_hello(self, link: Link, entry_name: str, *, now: float) -> None:
         """Record a Hello that arrived on the link."""
-        self._by_link[link] = _EntryLink(name, now, now)
+        self._by_link[link] = _EntryLink(entry_name, now, now)
 
     def list_heartbeat_links(self, *, now: float) -> list[Link]:
         """Return the links that requested heartbeats; safe from any thread."""
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -112,7 +112,7 @@
                     timeout=max(0.0, until - monotonic())
                 )
             except Empty:
-                return Error(f"no answer in {_ENTRY_TIMEOUT_S} s")
+                return Error(f"no reply from the entry within {_ENTRY_TIMEOUT_S} s")
             if answer.key == key:
                 return Ok(answer)
 
