--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -91,9 +91,9 @@
         ``incarnation`` is the engine incarnation that started the run, empty if
         unknown.
         """
-        patience_s = self._server.silence_s * _GIVE_UP_SILENCES
-        give_up_at = monotonic() + patience_s
-        while monotonic() < give_up_at:
+        give_up_s = self._server.silence_s * _GIVE_UP_SILENCES
+        deadline = monotonic() + give_up_s
+        while monotonic() < deadline:
             if cancellation.wait(_RETRY_INTERVAL_S):
                 return Error(AnswerLost("cancelled", has_server_died=False))
             resumed = self._try_resume(run_id, offset, incarnation, cancellation)
@@ -103,7 +103,7 @@
                 case AnswerLost() as lost:
                     return Error(lost)
                 case _StillRunning():
-                    give_up_at = monotonic() + patience_s
+                    deadline = monotonic() + give_up_s
                 case _NoAnswer():
                     pass
         return Error(AnswerLost("server silent", has_server_died=False))
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -140,12 +140,12 @@
 
 def _socket_options(silence_s: float) -> list[tuple[int, int, int | bytes]]:
     idle_s = max(1, int(silence_s / 2))
-    between_s = max(1, int(silence_s / 2 / _KEEPALIVE_PROBES))
+    interval_s = max(1, int(silence_s / 2 / _KEEPALIVE_PROBES))
     return [
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, idle_s),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, between_s),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, interval_s),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
     ]
 
--- a/src/kingcupwheel/agent/answer_buffer.py
+++ b/src/kingcupwheel/agent/answer_buffer.py
@@ -184,12 +184,12 @@
 
     def _take_due_data(self, subscriber: Subscriber) -> list[Message]:
         messages: list[Message] = []
-        until = min(
+        end_offset = min(
             self.length_bytes, subscriber.acked_offset + subscriber.credit_bytes
         )
-        while subscriber.sent_offset < until:
+        while subscriber.sent_offset < end_offset:
             start = subscriber.sent_offset
-            stop = min(until, start + _MAX_FRAME_BYTES)
+            stop = min(end_offset, start + _MAX_FRAME_BYTES)
             data = bytes(
                 self._body[start - self._base_offset : stop - self._base_offset]
             )
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -105,11 +105,11 @@
             return self._wait_for_object(key)
 
     def _wait_for_object(self, key: str) -> Result[ManifestObject | None, str]:
-        until = monotonic() + _ENTRY_TIMEOUT_S
+        deadline = monotonic() + _ENTRY_TIMEOUT_S
         while True:
             try:
                 answer = self._received_objects.get(
-                    timeout=max(0.0, until - monotonic())
+                    timeout=max(0.0, deadline - monotonic())
                 )
             except Empty:
                 return Error(f"no reply from the entry within {_ENTRY_TIMEOUT_S} s")
