--- a/tests/agent/builders.py
+++ b/tests/agent/builders.py
@@ -20,7 +20,7 @@
     from kingcupwheel.messages.membership import AgentHeartbeat
 
 CREDIT = 1_000_000
-# Short, so that tests need not wait for long; each keeps its place in the order.
+# Short, so that tests are fast; in the same order as the default values.
 TIMINGS = Timings(heartbeat_s=0.2, silence_s=1.0, gone_s=2.0, token_s=3.0)
 SERVER_SILENCE_S = 0.6
 
