--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -1,4 +1,4 @@
-"""Takes the messages that reach an entry; runs on the hub's thread, never blocks."""
+"""Dispatches an entry's incoming messages; runs on the hub's thread, never blocks."""
 
 from __future__ import annotations
 
@@ -49,34 +49,34 @@
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.entry.server_table import LivenessEvent
     from kingcupwheel.link.links import Link
-    from kingcupwheel.manifest.keeper import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
     from kingcupwheel.messages.base import Message
 
 logger = logging.getLogger("kingcupwheel.entry")
 
 
 class MessageHandler:
-    """Routes messages and sends heartbeats."""
+    """Handles incoming messages and sends heartbeats."""
 
     def __init__(
         self,
         context: EntryContext,
         membership: Membership,
-        keeper: ManifestKeeper,
+        manifest_synchronizer: ManifestSynchronizer,
         manifest_fetcher: ManifestFetcher,
         burn_counter: BurnCounter,
         balancer: AllowanceBalancer,
     ) -> None:
         self._context = context
         self._membership = membership
-        self._keeper = keeper
+        self._manifest_synchronizer = manifest_synchronizer
         self._manifest_fetcher = manifest_fetcher
         self._burn_counter = burn_counter
         self._balancer = balancer
         self._last_heartbeat_at = 0.0
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take one message."""
+        """Handle one message."""
         match message, link:
             case AgentHeartbeat(), OutgoingLink(address):
                 self._on_agent_heartbeat(address, message)
@@ -116,7 +116,7 @@
             case PeerHeartbeat():
                 self._on_peer_heartbeat(link, message)
             case ManifestRequest(key):
-                send(link, self._keeper.object_for(key))
+                send(link, self._manifest_synchronizer.get_object(key))
             case ManifestObject():
                 self._manifest_fetcher.put_object(message)
             case InstancesReply(instances):
@@ -140,17 +140,21 @@
             case InstancesRequest():
                 send(link, self._build_instances_reply())
             case _:
-                logger.warning("Message %s not expected.", type(message).__name__)
+                logger.warning(
+                    "Message %s not expected.", type(message).__struct_config__.tag
+                )
 
     def _on_agent_heartbeat(self, address: str, heartbeat: AgentHeartbeat) -> None:
-        restarted = self._context.servers.record_heartbeat(
+        restart_event = self._context.servers.record_heartbeat(
             address, heartbeat, monotonic()
         )
-        if restarted is not None:
-            self._on_liveness_event(restarted)
+        if restart_event is not None:
+            self._on_liveness_event(restart_event)
         if heartbeat.crashed:
             self._context.limiter.record_crashes(heartbeat.crashed)
-        self._keeper.heard(heartbeat.manifest_version, "", address)
+        self._manifest_synchronizer.record_peer_version(
+            heartbeat.manifest_version, "", address
+        )
         self._context.dispatchers.place_waiting(heartbeat.group)
 
     def _on_peer_heartbeat(self, link: Link, heartbeat: PeerHeartbeat) -> None:
@@ -161,14 +165,15 @@
             address = link.address
         else:
             address = self._membership.find_address(heartbeat.name)
-        self._keeper.heard(
+        self._manifest_synchronizer.record_peer_version(
             heartbeat.manifest_version, heartbeat.manifest_digest, address
         )
-        # An entry that started in an outage is on nobody's list, so nobody sends it
-        # heartbeats; without an answer it would never hear of the manifest.
+        # An entry that started during a platform outage is on no entry's list of
+        # instances and gets no heartbeats. Without a reply it would never learn of the
+        # manifest.
         if (
             isinstance(link, IncomingLink)
-            and heartbeat.manifest_version < self._keeper.version
+            and heartbeat.manifest_version < self._manifest_synchronizer.version
         ):
             self._context.hub.send(link, self._build_peer_heartbeat())
 
@@ -187,14 +192,14 @@
             settings.name,
             settings.role.value,
             settings.data_centre,
-            self._keeper.version,
+            self._manifest_synchronizer.version,
             self._context.leaving.is_set(),
         )
 
     def on_tick(self, now: float) -> None:
-        """Look for silent links; send heartbeats when it is time."""
-        for finding in self._context.servers.check_liveness(now):
-            self._on_liveness_event(finding)
+        """Check the liveness of agents; send heartbeats when they are due."""
+        for event in self._context.servers.check_liveness(now):
+            self._on_liveness_event(event)
         if now - self._last_heartbeat_at >= self._context.settings.timings.heartbeat_s:
             self._last_heartbeat_at = now
             self._balancer.update_shares(now)
@@ -204,20 +209,20 @@
         inboxes = self._context.inboxes
         match event:
             case LinkSilent(address):
-                logger.warning("Link to %s is silent; opening a new one.", address)
+                logger.warning("Link to %s timed out; reconnecting.", address)
                 self._context.hub.reconnect(address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(LinkReplaced())
             case AgentTimedOut(address):
-                logger.warning("Agent at %s is gone.", address)
+                logger.warning("Agent at %s timed out; ending its attempts.", address)
                 for inbox in inboxes.list_by_address(address):
                     inbox.put(AgentGone("the server's instance does not answer"))
             case AgentRestarted(address, incarnation):
                 self._on_restarted(address, incarnation)
 
     def _on_restarted(self, address: str, incarnation: str) -> None:
-        # Only attempts of earlier lives are lost: the first heartbeat of a new life may
-        # come after a dispatch to it.
+        # Only attempts of earlier incarnations are lost. A dispatch to the new one may
+        # precede its first heartbeat.
         logger.warning("Agent at %s restarted.", address)
         for inbox in self._context.inboxes.list_by_address(address):
             if inbox.incarnation != incarnation:
@@ -230,7 +235,10 @@
 
     def _send_heartbeats(self) -> None:
         context = self._context
-        version, digest = self._keeper.version, self._keeper.digest
+        version, digest = (
+            self._manifest_synchronizer.version,
+            self._manifest_synchronizer.digest,
+        )
         leaving = context.leaving.is_set()
         name, data_centre = context.settings.name, context.settings.data_centre
         hello = Hello(name, data_centre, version, digest, leaving)
@@ -245,12 +253,12 @@
         return PeerHeartbeat(
             context.settings.name,
             context.settings.data_centre,
-            self._keeper.version,
-            self._keeper.digest,
+            self._manifest_synchronizer.version,
+            self._manifest_synchronizer.digest,
             context.leaving.is_set(),
             context.limiter.recent_crashes,
         )
 
     def announce_leaving(self) -> None:
-        """Tell agents and peers at once that this entry leaves."""
+        """Announce to agents and peers on the next tick that this entry is leaving."""
         self._last_heartbeat_at = 0.0
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -1,4 +1,4 @@
-"""Pages for operators, on an address of their own that callers are not given."""
+"""JSON pages for operators, on an address that is not published to callers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.server_table import Server
-    from kingcupwheel.manifest.keeper import ManifestKeeper
+    from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 
 OPERATOR_THREADS = 4
 _HEALTH_PATH = "/health"
@@ -26,7 +26,7 @@
 
 
 class ServerRow(TypedDict):
-    """One backend server as this entry sees it."""
+    """State of one backend server as known to this entry."""
 
     server: str
     group: str
@@ -36,7 +36,7 @@
 
 
 class StatusBody(TypedDict):
-    """How the entry is; ``manifest_version`` is 0 before the first one."""
+    """State of the entry; ``manifest_version`` is 0 before the first manifest."""
 
     name: str
     manifest_version: int
@@ -52,22 +52,22 @@
 
 
 class OperatorPages:
-    """A WSGI application: ``/health``, ``/status`` and ``/trace/ID``, read only."""
+    """Read-only WSGI application: ``/health``, ``/status`` and ``/trace/ID``."""
 
     def __init__(
         self,
         context: EntryContext,
-        keeper: ManifestKeeper,
+        manifest_synchronizer: ManifestSynchronizer,
         count_in_progress: Callable[[], int],
     ) -> None:
         self._context = context
-        self._keeper = keeper
+        self._manifest_synchronizer = manifest_synchronizer
         self._count_in_progress = count_in_progress
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one question with JSON."""
+        """Answer one request with JSON."""
         page = self._build_page(str(environ.get("PATH_INFO", "")))
         body = msgspec.json.encode(page.body)
         headers = [
@@ -89,21 +89,21 @@
         return _Page("404 Not Found", {"error": "no such page or request"})
 
     def _build_health_page(self) -> _Page:
-        """Tell whether callers should be sent here."""
-        why = ""
+        """Return the health page: 503 if callers should not use this entry."""
+        reason = ""
         if self._context.leaving.is_set():
-            why = "leaving"
-        elif self._keeper.current is None:
-            why = "no manifest in force"
-        status = "503 Service Unavailable" if why else "200 OK"
-        return _Page(status, {"healthy": not why, "why": why})
+            reason = "leaving"
+        elif self._manifest_synchronizer.current is None:
+            reason = "no manifest in force"
+        status = "503 Service Unavailable" if reason else "200 OK"
+        return _Page(status, {"healthy": not reason, "why": reason})
 
     def _build_status_body(self) -> StatusBody:
         now = monotonic()
         servers = self._context.servers.servers
         return StatusBody(
             name=self._context.settings.name,
-            manifest_version=self._keeper.version,
+            manifest_version=self._manifest_synchronizer.version,
             leaving=self._context.leaving.is_set(),
             in_progress=self._count_in_progress(),
             waiting_by_group=self._context.dispatchers.waiting_count_by_group,
--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -1,9 +1,9 @@
-"""The lease of a group's coordinator, an object on the platform.
+"""Lease of a group's coordinator, stored as an object on the platform.
 
-The lease's fence is the object's version at the time it was taken. Times are each
-process's own monotonic clock; clocks of two machines are never compared. Two holders at
-once do no harm, since ranks settle every change by its version: the lease only keeps
-coordinators from getting in each other's way.
+The fence (fencing token) is the object's version at the time the lease was acquired.
+Each process uses its own monotonic clock; clocks of two machines are never compared.
+Two holders at once are safe, because ranks order all changes by version. The lease only
+keeps coordinators from interrupting each other's changes.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 logger = logging.getLogger("kingcupwheel.expertmaps")
 
-# How much longer a watcher waits than the holder counts on, for clocks that run apart.
-_CLOCK_SLACK = 1.1
+# A watcher waits longer than the TTL by this factor, to allow for clock drift.
+_CLOCK_DRIFT_FACTOR = 1.1
 _NONCE_BYTES = 8
 
 
 class LeaseRecord(Record, frozen=True):
-    """The lease's value.
+    """Stored value of the lease.
 
     ``fence`` is 0 until the first renewal, then the version at which the lease was
-    taken. ``holder`` is empty once it was given back.
+    acquired. ``holder`` is empty after a release.
     """
 
     holder: str
@@ -49,42 +49,42 @@
     fence: int
 
 
-class Holding(NamedTuple):
-    """A lease held under ``fence``; ``until`` by the holder's monotonic clock."""
+class HeldLease(NamedTuple):
+    """Lease held under ``fence``; ``valid_until`` is the holder's monotonic time."""
 
     fence: int
     version: int
-    until: float
+    valid_until: float
 
 
-class _Attempt(NamedTuple):
+class _WriteAttempt(NamedTuple):
     nonce: str
-    started: float
+    started_at: float
     fence: int
 
 
-class _Sighting(NamedTuple):
+class _ObservedVersion(NamedTuple):
     version: int
-    since: float
+    first_seen_at: float
 
 
 def lease_key(group: str) -> str:
-    """Return the key of a group's lease."""
+    """Return the platform key of a group's lease."""
     return f"leases/{group}"
 
 
-def fence_of(found: VersionedValue | None) -> int:
-    """Return the fence of the lease as read from the platform, 0 without a lease."""
+def get_lease_fence(found: VersionedValue | None) -> int:
+    """Return the fence of the lease read from the platform, 0 if there is none."""
     if found is None:
         return 0
-    return _decode(found).fence or found.version
+    return _decode_record(found).fence or found.version
 
 
 class Lease:
-    """Takes, renews and gives back a group's lease; used by one thread.
+    """Acquires, renews and releases a group's lease; used by one thread.
 
-    Calls block for as long as the platform's client does. ``held_until`` may be read by
-    other threads.
+    Calls block for as long as the platform client does. Other threads may call
+    ``get_held_lease``.
     """
 
     def __init__(
@@ -101,107 +101,112 @@
         self._holder = holder
         self._ttl_s = ttl_s
         self._clock = clock
-        self._holding: Holding | None = None
-        self._sighting: _Sighting | None = None
-        self._attempts: list[_Attempt] = []
-
-    def holding(self, now: float) -> Holding | None:
-        """Return the lease if it is surely held at ``now``.
-
-        Failure: the holder is paused for longer than the lease runs and goes on as if
-        nothing had happened. Symptom: two coordinators give orders. Enough, because the
-        time is counted from before the write that renewed it, while a watcher counts
-        from when it saw that write, and the fence stops what slips through.
+        self._held_lease: HeldLease | None = None
+        self._observed: _ObservedVersion | None = None
+        self._attempts: list[_WriteAttempt] = []
+
+    def get_held_lease(self, now: float) -> HeldLease | None:
+        """Return the lease if it is certainly held at ``now``.
+
+        Guards against a holder that is paused for longer than the lease lasts and then
+        continues, so that two coordinators send orders. The holder counts the TTL from
+        before the write that renewed the lease, while a watcher counts from when it saw
+        that write, so the holder stops first; ranks refuse any remaining order by its
+        fence.
         """
-        holding = self._holding
-        return holding if holding is not None and now < holding.until else None
+        holding = self._held_lease
+        return holding if holding is not None and now < holding.valid_until else None
 
     def renew(self) -> None:
-        """Extend the lease if it is held."""
-        holding = self.holding(self._clock())
+        """Renew the lease if it is held."""
+        holding = self.get_held_lease(self._clock())
         if holding is None:
-            self._holding = None
+            self._held_lease = None
             return
-        self._write(holding.version, fence=holding.fence)
+        self._write_record(holding.version, fence=holding.fence)
 
-    def observe(self) -> int | None:
-        """Read the lease and take it if it has lapsed; return its fence if readable."""
+    def try_acquire(self) -> int | None:
+        """Acquire the lease if it has expired.
+
+        Returns the fence that was read, or None if the lease could not be read.
+        """
         result = self._platform.read(self._key)
         if result.is_error():
             return None
         found = result.ok
         now = self._clock()
         version = found.version if found is not None else 0
-        if self._is_own(found):
-            return fence_of(found)
-        if self._sighting is None or self._sighting.version != version:
-            self._sighting = _Sighting(version, now)
-        lapsed = now - self._sighting.since >= self._ttl_s * _CLOCK_SLACK
-        if found is None or not _decode(found).holder or lapsed:
-            self._write(version, fence=0)
-        return fence_of(found)
+        if self._adopt_own_write(found):
+            return get_lease_fence(found)
+        if self._observed is None or self._observed.version != version:
+            self._observed = _ObservedVersion(version, now)
+        lapsed = now - self._observed.first_seen_at >= self._ttl_s * _CLOCK_DRIFT_FACTOR
+        if found is None or not _decode_record(found).holder or lapsed:
+            self._write_record(version, fence=0)
+        return get_lease_fence(found)
 
     def release(self) -> None:
-        """Give the lease back, so that another process need not wait for it to lapse.
+        """Release the lease, so that another process need not wait until it expires.
 
-        The fence stays on record; the next holder's is higher, being a later version.
+        The fence remains stored. The next holder's fence is a later version of the
+        object and therefore higher.
         """
-        holding = self._holding
-        self._holding = None
+        holding = self._held_lease
+        self._held_lease = None
         self._attempts.clear()
         if holding is not None:
             record = LeaseRecord(holder="", nonce="", fence=holding.fence)
             value = msgspec.json.encode(record)
             self._platform.update(self._key, value, version=holding.version)
 
-    def _write(self, version: int, *, fence: int) -> None:
-        attempt = _Attempt(secrets.token_hex(_NONCE_BYTES), self._clock(), fence)
+    def _write_record(self, version: int, *, fence: int) -> None:
+        attempt = _WriteAttempt(secrets.token_hex(_NONCE_BYTES), self._clock(), fence)
         self._attempts = [*self._recent_attempts(), attempt]
         record = LeaseRecord(holder=self._holder, nonce=attempt.nonce, fence=fence)
-        result = self._put(msgspec.json.encode(record), version)
+        result = self._write_value(msgspec.json.encode(record), version)
         if result.is_ok():
-            self._hold(attempt, result.ok)
+            self._record_held_lease(attempt, result.ok)
             return
         match result.error:
             case Unavailable(sent=True) | Conflict():
                 self._read_back()
 
-    def _put(self, value: bytes, version: int) -> Result[int, PlatformError]:
+    def _write_value(self, value: bytes, version: int) -> Result[int, PlatformError]:
         if version:
             return self._platform.update(self._key, value, version=version)
         return self._platform.create(self._key, value)
 
     def _read_back(self) -> None:
-        """Settle a write whose confirmation may be lost, by the nonce it carries."""
+        """Find out by its nonce whether a write of unknown outcome took effect."""
         result = self._platform.read(self._key)
-        if result.is_ok() and not self._is_own(result.ok):
-            if self._holding is not None:
-                logger.warning("Lease %s passed to another process.", self._key)
-            self._holding = None
+        if result.is_ok() and not self._adopt_own_write(result.ok):
+            if self._held_lease is not None:
+                logger.warning("Lease %s is held by another process.", self._key)
+            self._held_lease = None
 
-    def _is_own(self, found: VersionedValue | None) -> bool:
+    def _adopt_own_write(self, found: VersionedValue | None) -> bool:
         if found is None:
             return False
-        nonce = _decode(found).nonce
+        nonce = _decode_record(found).nonce
         for attempt in self._recent_attempts():
             if attempt.nonce == nonce:
-                self._hold(attempt, found.version)
+                self._record_held_lease(attempt, found.version)
                 return True
         return False
 
-    def _recent_attempts(self) -> list[_Attempt]:
-        """Return the writes that, if they took effect, still give the lease."""
+    def _recent_attempts(self) -> list[_WriteAttempt]:
+        """Return the writes that hold the lease if they took effect."""
         since = self._clock() - self._ttl_s
-        return [attempt for attempt in self._attempts if attempt.started > since]
+        return [attempt for attempt in self._attempts if attempt.started_at > since]
 
-    def _hold(self, attempt: _Attempt, version: int) -> None:
-        until = attempt.started + self._ttl_s
-        self._holding = Holding(attempt.fence or version, version, until)
+    def _record_held_lease(self, attempt: _WriteAttempt, version: int) -> None:
+        until = attempt.started_at + self._ttl_s
+        self._held_lease = HeldLease(attempt.fence or version, version, until)
 
 
-def _decode(found: VersionedValue) -> LeaseRecord:
+def _decode_record(found: VersionedValue) -> LeaseRecord:
     try:
         return msgspec.json.decode(found.value, type=LeaseRecord)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        # A value that nobody here wrote: treated as held, so it has to lapse.
+        # An unreadable value counts as held by another process and has to expire.
         return LeaseRecord(holder="?", nonce="", fence=0)
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -1,4 +1,4 @@
-"""What a coordinator is doing: its phases, the events it takes, the orders it gives.
+"""Phases and events of the coordinator's state machine, and the orders it sends.
 
 Ranks are numbered from 0; tuples of answers are indexed by rank.
 """
@@ -9,61 +9,61 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.protocol import Abort
-from kingcupwheel.expertmaps.protocol import Commit
-from kingcupwheel.expertmaps.protocol import Prepare
-from kingcupwheel.expertmaps.protocol import ReadState
-from kingcupwheel.expertmaps.protocol import Stage
-from kingcupwheel.expertmaps.protocol import Supersede
+from kingcupwheel.expertmaps.protocol import AbortOrder
+from kingcupwheel.expertmaps.protocol import CommitOrder
+from kingcupwheel.expertmaps.protocol import PrepareOrder
+from kingcupwheel.expertmaps.protocol import StageOrder
+from kingcupwheel.expertmaps.protocol import StateRequest
+from kingcupwheel.expertmaps.protocol import SupersedeOrder
 
 
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.maps import ExpertMap
     from kingcupwheel.expertmaps.maps import MapVersion
-    from kingcupwheel.expertmaps.protocol import Held
+    from kingcupwheel.expertmaps.protocol import MapSchedule
     from kingcupwheel.expertmaps.protocol import RankOrder
     from kingcupwheel.expertmaps.protocol import RankReply
-    from kingcupwheel.expertmaps.protocol import Schedule
-    from kingcupwheel.expertmaps.protocol import StateRead
+    from kingcupwheel.expertmaps.protocol import StateReply
+    from kingcupwheel.expertmaps.protocol import SupersedeReply
 
 
 class LeaseTaken(NamedTuple):
-    """The process now holds the group's lease with ``fence``."""
+    """The process acquired the group's lease under ``fence``."""
 
     fence: int
     now: float
 
 
 class LeaseLost(NamedTuple):
-    """The lease is gone or may be."""
+    """The lease was lost or may have expired."""
 
 
-class Proposed(NamedTuple):
-    """The planner wants ``map`` in force."""
+class MapProposed(NamedTuple):
+    """The planner proposed ``map``."""
 
     map: ExpertMap
     now: float
 
 
-class Replied(NamedTuple):
-    """The agent of ``rank`` passed on its answer."""
+class ReplyReceived(NamedTuple):
+    """The agent of ``rank`` forwarded the rank's reply."""
 
     rank: int
     reply: RankReply
     now: float
 
 
-class Ticked(NamedTuple):
-    """Time has passed; ``now`` is monotonic, in seconds."""
+class Tick(NamedTuple):
+    """Periodic event; ``now`` is monotonic, in seconds."""
 
     now: float
 
 
-Event = LeaseTaken | LeaseLost | Proposed | Replied | Ticked
+Event = LeaseTaken | LeaseLost | MapProposed | ReplyReceived | Tick
 
 
-class Send(NamedTuple):
-    """Send ``order`` to the agent of ``rank``."""
+class OutgoingOrder(NamedTuple):
+    """Order to send to the agent of ``rank``."""
 
     rank: int
     order: RankOrder
@@ -76,47 +76,47 @@
 
 @dataclass(frozen=True)
 class Surveying:
-    """Just took the lease: reads every rank before it holds any of them."""
+    """Reads the state of every rank after a takeover, before it holds any of them."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
 class Holding:
-    """Supersedes what a predecessor, or a change cut short, left open."""
+    """Supersedes versions left open by a predecessor or an interrupted change."""
 
     version: MapVersion
-    answers: tuple[Held | None, ...]
+    answers: tuple[SupersedeReply | None, ...]
 
 
 @dataclass(frozen=True)
 class Ready:
-    """All ranks have committed the same; they are read now and then."""
+    """All ranks have committed the same version; polls their state."""
 
     round: int
-    answers: tuple[StateRead | None, ...]
+    answers: tuple[StateReply | None, ...]
 
 
 @dataclass(frozen=True)
 class Staging:
-    """Ranks load the weights of the new map, each from its turn on.
+    """Waits until all ranks have loaded the weights of the new map.
 
-    ``order`` is for all of them, ``due`` is when each rank's turn comes (monotonic),
-    ``step`` the highest heard of.
+    ``order`` is the same for all ranks, ``start_times`` is when each rank may start to
+    load (monotonic seconds), ``step`` the highest step reported.
     """
 
     version: MapVersion
     map: ExpertMap
-    order: Stage
-    due: tuple[float, ...]
+    order: StageOrder
+    start_times: tuple[float, ...]
     acked: frozenset[int]
     step: int
 
 
 @dataclass(frozen=True)
 class Preparing:
-    """Waits for every rank to promise that it stops before ``step``."""
+    """Waits until every rank has confirmed that it stops before ``step``."""
 
     version: MapVersion
     map: ExpertMap
@@ -126,21 +126,21 @@
 
 @dataclass(frozen=True)
 class Committing:
-    """The outcome is decided; ``schedule`` is what each rank will have committed.
+    """Waits until every rank has committed ``schedule``; the outcome is decided.
 
-    ``lives`` are the ranks' lives that answered a hold before this, which have to be
-    given the schedule; None if it follows no hold.
+    ``incarnations`` are those of the ranks in the preceding ``Holding`` phase, which
+    need the schedule; None if another phase preceded.
     """
 
     version: MapVersion
-    schedule: Schedule
-    lives: tuple[str, ...] | None
+    schedule: MapSchedule
+    incarnations: tuple[str, ...] | None
     acked: frozenset[int]
 
 
 @dataclass(frozen=True)
 class Aborting:
-    """Releases the ranks that may have prepared ``version``."""
+    """Waits until every rank has aborted ``version``."""
 
     version: MapVersion
     acked: frozenset[int]
@@ -151,8 +151,8 @@
 )
 
 
-def label(phase: Phase) -> tuple[str, object]:
-    """Return what stays the same while ``phase`` only collects answers."""
+def phase_key(phase: Phase) -> tuple[str, object]:
+    """Return a key that stays the same while ``phase`` only collects answers."""
     name = type(phase).__name__
     match phase:
         case Standby():
@@ -163,8 +163,8 @@
             return name, phase.version
 
 
-def answered(phase: Phase, rank: int) -> bool:
-    """Tell whether ``rank`` has answered what ``phase`` asks of it."""
+def has_answered(phase: Phase, rank: int) -> bool:
+    """Return whether ``rank`` has answered its order in ``phase``."""
     match phase:
         case Standby():
             return True
@@ -174,30 +174,30 @@
             return rank in phase.acked
 
 
-def order_of(phase: Phase, rank: int, now: float) -> RankOrder | None:
-    """Return what ``rank`` still has to be told in ``phase``, if anything."""
-    if answered(phase, rank):
+def pending_order(phase: Phase, rank: int, now: float) -> RankOrder | None:
+    """Return the order of ``phase`` that ``rank`` has not answered, if any."""
+    if has_answered(phase, rank):
         return None
     match phase:
         case Surveying(number, _):
-            return ReadState(number, whole=True)
+            return StateRequest(number, include_schedule=True)
         case Ready(number, _):
-            return ReadState(number)
+            return StateRequest(number)
         case Holding(version, _):
-            return Supersede(version)
-        case Staging(order=order, due=due):
+            return SupersedeOrder(version)
+        case Staging(order=order, start_times=due):
             return order if now >= due[rank] else None
         case Preparing(version, _, step):
-            return Prepare(version, step)
+            return PrepareOrder(version, step)
         case Committing():
-            return _commit(phase, rank)
+            return _build_commit_order(phase, rank)
         case Aborting(version):
-            return Abort(version)
+            return AbortOrder(version)
         case Standby():
             return None
 
 
-def _commit(phase: Committing, rank: int) -> Commit:
-    if phase.lives is None:
-        return Commit(phase.version, None)
-    return Commit(phase.version, phase.schedule, phase.lives[rank])
+def _build_commit_order(phase: Committing, rank: int) -> CommitOrder:
+    if phase.incarnations is None:
+        return CommitOrder(phase.version, None)
+    return CommitOrder(phase.version, phase.schedule, phase.incarnations[rank])
--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -5,24 +5,24 @@
 from typing import NamedTuple
 
 
-class LostRace(NamedTuple):
+class VersionConflict(NamedTuple):
     """Another manifest was accepted first.
 
     ``expected`` is the version the operator saw, ``found`` the one in force now, 0 if
     there is none.
     """
 
-    expected: int
-    found: int
+    expected_version: int
+    found_version: int
 
     def __str__(self) -> str:
         return (
-            f"not accepted: made for version {self.expected}, but version"
-            f" {self.found} is in force"
+            f"not accepted: made for version {self.expected_version}, but version"
+            f" {self.found_version} is in force"
         )
 
 
-class PlatformFailed(NamedTuple):
+class PlatformFailure(NamedTuple):
     """The platform could not be used; nothing was accepted."""
 
     detail: str
@@ -31,31 +31,36 @@
         return f"the platform failed: {self.detail}"
 
 
-class Unsettled(NamedTuple):
+class UnknownOutcome(NamedTuple):
     """The confirmation was lost and could not be read back in time.
 
     The manifest may be in force; ``submission`` is its id.
     """
 
-    submission: str
+    submission_id: str
     detail: str
 
     def __str__(self) -> str:
-        return f"may be accepted or not (submission {self.submission}): {self.detail}"
+        return (
+            f"may be accepted or not (submission {self.submission_id}): {self.detail}"
+        )
 
 
-class TooLarge(NamedTuple):
+class ObjectTooLarge(NamedTuple):
     """An object of the manifest is over the platform's limit; sizes in bytes."""
 
-    what: str
-    size: int
-    limit: int
+    key: str
+    size_bytes: int
+    limit_bytes: int
 
     def __str__(self) -> str:
-        return f"{self.what}: {self.size} bytes are over the limit of {self.limit}"
+        return (
+            f"{self.key}: {self.size_bytes} bytes are over the limit of"
+            f" {self.limit_bytes}"
+        )
 
 
-class BadObject(NamedTuple):
+class InvalidObject(NamedTuple):
     """A stored object is not what its key or its index says."""
 
     key: str
@@ -74,5 +79,5 @@
         return f"{self.key}: not found"
 
 
-SubmitError = LostRace | PlatformFailed | Unsettled | TooLarge
-FetchError = PlatformFailed | BadObject | MissingObject
+SubmitError = VersionConflict | PlatformFailure | UnknownOutcome | ObjectTooLarge
+FetchError = PlatformFailure | InvalidObject | MissingObject
--- a/src/kingcupwheel/manifest/loading.py
+++ b/src/kingcupwheel/manifest/loader.py
@@ -10,7 +10,7 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.manifest.checks import manifest_problems
+from kingcupwheel.manifest.checks import find_manifest_problems
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.utils.shapes import convert
 from kingcupwheel.utils.yaml import read_yaml
@@ -31,7 +31,7 @@
     Cross references are looked at once every field has the right type.
     """
     return (
-        _read(text)
+        _parse(text)
         .bind(lambda data: convert(data, Manifest))
         .bind(lambda manifest: check_manifest(manifest, placements=placements))
     )
@@ -41,11 +41,11 @@
     manifest: Manifest, *, placements: Collection[str] = ()
 ) -> Result[Manifest, Problems]:
     """Return ``manifest``, or every field whose value is out of place."""
-    problems = tuple(manifest_problems(manifest, placements))
+    problems = tuple(find_manifest_problems(manifest, placements))
     return Error(problems) if problems else Ok(manifest)
 
 
-def _read(text: str) -> Result[Any, Problems]:
+def _parse(text: str) -> Result[Any, Problems]:
     # JSON is read by a parser of its own, which is far faster than YAML's.
     if text.lstrip().startswith("{"):
         try:
--- a/src/kingcupwheel/manifest/status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -5,6 +5,8 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
@@ -19,37 +21,37 @@
     from kingcupwheel.platform.client import Instance
 
 # Processes asked at once; each takes a socket, of which a process may open about 1,000.
-_BATCH = 400
+_BATCH_SIZE = 400
 
 
-class Process(Record, frozen=True):
+class ProcessStatus(Record, frozen=True):
     """A listed process; ``version`` is None if it did not answer."""
 
     name: str
     role: str
     data_centre: str
     version: int | None
-    leaving: bool
+    is_leaving: bool = msgspec.field(name="leaving")
 
 
-class Rollout(Record, frozen=True):
+class RolloutStatus(Record, frozen=True):
     """How far version ``version`` has come.
 
     ``behind`` answered with an earlier version, ``silent`` did not answer in time.
     """
 
     version: int
-    there: tuple[Process, ...]
-    behind: tuple[Process, ...]
-    silent: tuple[Process, ...]
+    up_to_date: tuple[ProcessStatus, ...] = msgspec.field(name="there")
+    behind: tuple[ProcessStatus, ...]
+    unresponsive: tuple[ProcessStatus, ...] = msgspec.field(name="silent")
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every listed process is on the version."""
-        return not self.behind and not self.silent
+        return not self.behind and not self.unresponsive
 
 
-def ask_status(
+def query_statuses(
     instances: Iterable[Instance], timeout_s: float
 ) -> dict[str, StatusReply]:
     """Return the answers of live processes by instance name.
@@ -59,7 +61,7 @@
     """
     asker = QueryClient(timeout_s=timeout_s)
     found: dict[str, StatusReply] = {}
-    for batch in _batches(instances):
+    for batch in _split_into_batches(instances):
         address_by_process = {
             instance.name: instance.address
             for instance in batch
@@ -69,23 +71,23 @@
     return found
 
 
-def rollout(
+def build_rollout_status(
     version: int,
     instances: Iterable[Instance],
-    found_by_name: Mapping[str, StatusReply],
-) -> Rollout:
+    reply_by_name: Mapping[str, StatusReply],
+) -> RolloutStatus:
     """Sort the listed processes by whether they are on ``version``."""
-    there: list[Process] = []
-    behind: list[Process] = []
-    silent: list[Process] = []
+    there: list[ProcessStatus] = []
+    behind: list[ProcessStatus] = []
+    silent: list[ProcessStatus] = []
     for instance in sorted(instances, key=lambda each: each.name):
-        found = found_by_name.get(instance.name)
-        process = Process(
+        found = reply_by_name.get(instance.name)
+        process = ProcessStatus(
             name=instance.name,
             role=instance.role,
             data_centre=instance.data_centre,
             version=None if found is None else found.manifest_version,
-            leaving=instance.leaving or (found is not None and found.leaving),
+            is_leaving=instance.leaving or (found is not None and found.leaving),
         )
         if found is None:
             silent.append(process)
@@ -93,15 +95,15 @@
             behind.append(process)
         else:
             there.append(process)
-    return Rollout(
+    return RolloutStatus(
         version=version,
-        there=tuple(there),
+        up_to_date=tuple(there),
         behind=tuple(behind),
-        silent=tuple(silent),
+        unresponsive=tuple(silent),
     )
 
 
-def _batches(instances: Iterable[Instance]) -> Iterator[list[Instance]]:
+def _split_into_batches(instances: Iterable[Instance]) -> Iterator[list[Instance]]:
     remaining = iter(instances)
-    while batch := list(islice(remaining, _BATCH)):
+    while batch := list(islice(remaining, _BATCH_SIZE)):
         yield batch
