--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -217,7 +217,7 @@
             case StatusRequest():
                 self._hub.send(link, self._build_status())
             case ManifestRequest(key):
-                self._hub.send(link, self._manifest_follower.object_for(key))
+                self._hub.send(link, self._manifest_follower.get_object(key))
             case ManifestObject():
                 self._manifest_follower.receive_object(message)
             case MapOrder() | MapReply():
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -90,7 +90,7 @@
         if isinstance(link, IncomingLink):
             self._keeper.record_peer_version(version, digest, link.identity.hex())
 
-    def object_for(self, key: str) -> ManifestObject:
+    def get_object(self, key: str) -> ManifestObject:
         """Return the reply to an entry's request for a manifest object."""
         return self._keeper.get_object(key)
 
