--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -40,7 +40,7 @@
         self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
-        """CounterName a request that the entry refused."""
+        """Count a request that the entry refused."""
         self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._count(
             Observed(
@@ -66,7 +66,7 @@
         gaps_s: Sequence[float],
         caller_left: bool,
     ) -> None:
-        """CounterName an answer; ``gaps_s`` are the seconds between its chunks."""
+        """Count an answer; ``gaps_s`` are the seconds between its chunks."""
         if first_byte_s is not None:
             self._metrics.record_duration(TimerName.FIRST_BYTE, first_byte_s)
         if gaps_s:
