--- a/src/kingcupwheel/__init__.py
+++ b/src/kingcupwheel/__init__.py
@@ -1,4 +1,4 @@
-"""A load balancer for expert-parallel model groups that explains what it did."""
+"""A load balancer for expert-parallel model groups, with traces of every request."""
 
 from __future__ import annotations
 
--- a/src/kingcupwheel/__main__.py
+++ b/src/kingcupwheel/__main__.py
@@ -1,4 +1,4 @@
-"""Allows ``python -m kingcupwheel``."""
+"""Entry point of ``python -m kingcupwheel``."""
 
 from __future__ import annotations
 
--- a/src/kingcupwheel/__version__.py
+++ b/src/kingcupwheel/__version__.py
@@ -1,4 +1,4 @@
-"""The version of this release."""
+"""Version of the package."""
 
 from __future__ import annotations
 
--- a/src/kingcupwheel/exceptions.py
+++ b/src/kingcupwheel/exceptions.py
@@ -1,7 +1,7 @@
-"""The root of every exception raised by this package."""
+"""Base class of the exceptions raised by this package."""
 
 from __future__ import annotations
 
 
 class KingcupwheelError(Exception):
-    """Base class; each layer derives its own from it."""
+    """Base class of this package's exceptions; each layer derives its own."""
--- a/src/kingcupwheel/plugins/__init__.py
+++ b/src/kingcupwheel/plugins/__init__.py
@@ -1,3 +1,3 @@
-"""The kernel: registries that plug-ins add themselves to."""
+"""Plug-in registries, which plug-ins register themselves with."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/plugins/exceptions.py
+++ b/src/kingcupwheel/plugins/exceptions.py
@@ -6,18 +6,18 @@
 
 
 class PluginError(KingcupwheelError):
-    """Base class of this layer's errors."""
+    """Base class of the plug-in errors."""
 
 
 class DuplicatePluginError(PluginError):
-    """Two plug-ins of one kind ask for the same name."""
+    """A plug-in of the same kind is already registered under this name."""
 
     def __init__(self, kind: str, name: str) -> None:
-        super().__init__(f"two {kind} plug-ins are called {name!r}")
+        super().__init__(f"{kind} plug-in {name!r} is already registered")
 
 
 class UnknownPluginError(PluginError):
-    """No plug-in of that kind has that name."""
+    """No plug-in of this kind is registered under this name."""
 
     def __init__(self, kind: str, name: str, known: tuple[str, ...]) -> None:
-        super().__init__(f"no {kind} plug-in {name!r}; known: {', '.join(known)}")
+        super().__init__(f"unknown {kind} plug-in {name!r}; known: {', '.join(known)}")
--- a/src/kingcupwheel/plugins/registries.py
+++ b/src/kingcupwheel/plugins/registries.py
@@ -1,7 +1,7 @@
-"""The registries of the kernel, one for each kind of plug-in.
+"""The plug-in registries, one for each kind of plug-in.
 
-The modules in ``builtin`` are imported once by ``load_builtin``; each registers
-what it offers. A library user registers further ones the same way.
+``load_builtin_plugins`` imports ``BUILTIN_MODULES``; each module registers its plug-ins
+on import. A user of the library registers further plug-ins the same way.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 
 
 def load_builtin_plugins() -> None:
-    """Import every built-in plug-in module, which registers it."""
+    """Import every built-in plug-in module, which registers its plug-ins."""
     for module in BUILTIN_MODULES:
         import_module(module)
 
 
 def load_placement_policies() -> None:
-    """Import only the placement policies, for processes that need no other plug-in."""
+    """Import only the placement policies, for processes that use no other plug-in."""
     for module in PLACEMENT_MODULES:
         import_module(module)
--- a/src/kingcupwheel/plugins/registry.py
+++ b/src/kingcupwheel/plugins/registry.py
@@ -1,4 +1,4 @@
-"""Registries of plug-ins; a plug-in adds itself when its module is imported."""
+"""A registry of plug-ins; a plug-in registers itself when its module is imported."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Registry(Generic[T]):
-    """Plug-ins of one kind by name."""
+    """Plug-ins of one kind by name; ``kind`` is used in error messages."""
 
     def __init__(self, kind: str) -> None:
         self._kind = kind
@@ -25,11 +25,14 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The registered names, sorted."""
+        """Registered names, sorted."""
         return tuple(sorted(self._by_name))
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that registers a plug-in as ``name``."""
+        """Return a decorator that registers a plug-in as ``name``.
+
+        The decorator raises DuplicatePluginError if the name is taken.
+        """
 
         def add(plugin: T) -> T:
             if name in self._by_name:
@@ -40,9 +43,9 @@
         return add
 
     def get(self, name: str) -> T:
-        """Return the plug-in called ``name``.
+        """Return the plug-in registered as ``name``.
 
-        Raises UnknownPluginError with the names that exist.
+        Raises UnknownPluginError, which lists the registered names.
         """
         if name not in self._by_name:
             raise UnknownPluginError(self._kind, name, self.names)
--- a/src/kingcupwheel/utils/__init__.py
+++ b/src/kingcupwheel/utils/__init__.py
@@ -1,3 +1,3 @@
-"""Small helpers without a layer of their own."""
+"""Helpers shared by all layers."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/utils/backoff.py
+++ b/src/kingcupwheel/utils/backoff.py
@@ -1,4 +1,4 @@
-"""Growing pauses between tries, spread at random."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Backoff:
-    """Pauses in seconds that double from ``least_s`` to ``most_s``.
+    """Exponential backoff whose delays double from ``min_s`` to ``max_s`` seconds.
 
-    Each is drawn from the upper half of its step: after an outage many processes come
-    back, and equal pauses would bring them back together again and again.
+    Each delay is drawn from the upper half of its range: many processes retry after an
+    outage, and without jitter they would keep retrying at the same moments.
     """
 
     def __init__(self, *, min_s: float, max_s: float, random: Random) -> None:
@@ -23,11 +23,11 @@
         self._base_delay_s = min_s
 
     def next_delay_s(self) -> float:
-        """Return the next pause."""
-        pause_s = self._base_delay_s * self._random.uniform(0.5, 1.0)
+        """Return the next delay."""
+        delay_s = self._base_delay_s * self._random.uniform(0.5, 1.0)
         self._base_delay_s = min(self._max_s, self._base_delay_s * 2)
-        return pause_s
+        return delay_s
 
     def reset(self) -> None:
-        """Start anew after a success."""
+        """Return to the shortest delay after a success."""
         self._base_delay_s = self._min_s
--- a/src/kingcupwheel/utils/http_headers.py
+++ b/src/kingcupwheel/utils/http_headers.py
@@ -1,9 +1,9 @@
-"""Headers that no process passes on, by lower-case name."""
+"""HTTP headers that are not forwarded, in lower case."""
 
 from __future__ import annotations
 
 
-# Those of one connection: RFC 9110, 7.6.1, with the older ones still seen.
+# Headers of one connection: RFC 9110, section 7.6.1, and obsolete ones still in use.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -16,5 +16,5 @@
         "upgrade",
     }
 )
-# Those of one request message, which whoever sends it on writes anew.
+# Headers of one request message; whoever forwards the request sets its own.
 PER_REQUEST_HEADERS = frozenset({"content-length", "expect", "host"})
--- a/src/kingcupwheel/utils/integer_parsing.py
+++ b/src/kingcupwheel/utils/integer_parsing.py
@@ -1,14 +1,14 @@
-"""Numbers as others write them."""
+"""Parsing of integers in untrusted text."""
 
 from __future__ import annotations
 
 
-# More digits than any count of bytes, tokens, events or seconds has.
+# No count of bytes, tokens, events or seconds has more digits.
 _MAX_DIGITS = 18
 
 
 def parse_non_negative_int(text: str) -> int | None:
-    """Return the decimal number that ``text`` is, or None if it is none."""
+    """Return ``text`` as a decimal integer, or None if it is not one."""
     if text.isascii() and text.isdecimal() and len(text) <= _MAX_DIGITS:
         return int(text)
     return None
--- a/src/kingcupwheel/utils/range_checks.py
+++ b/src/kingcupwheel/utils/range_checks.py
@@ -1,4 +1,4 @@
-"""Range checks of numbers that an operator wrote."""
+"""Range checks of numbers in files written by operators."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class RangeChecker:
-    """Checks fields of one record under ``path``."""
+    """Checks numeric fields of ``record``, which stands at ``path`` in its file."""
 
     def __init__(self, record: object, path: str) -> None:
         self._record = record
         self._path = path
 
     def check_positive(self, *fields: str) -> Iterator[ValidationProblem]:
-        """Yield a problem for each field that is not a finite number over 0."""
+        """Yield a problem for each field that is not a finite number above 0."""
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value > 0):
                 yield self._build_problem(field, "must be more than 0")
 
     def check_non_negative(self, *fields: str) -> Iterator[ValidationProblem]:
-        """Yield a problem for each field that is not a finite number from 0."""
+        """Yield a problem for each field that is not finite and at least 0."""
         for field in fields:
             value = getattr(self._record, field)
             if not (isfinite(value) and value >= 0):
@@ -45,7 +45,7 @@
     def check_between(
         self, field: str, low: float, high: float
     ) -> Iterator[ValidationProblem]:
-        """Yield a problem if the field is not from ``low`` to ``high``."""
+        """Yield a problem if the field is below ``low`` or above ``high``."""
         if not low <= getattr(self._record, field) <= high:
             yield self._build_problem(field, f"must be from {low} to {high}")
 
--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -1,4 +1,7 @@
-"""Request ids name their entry and time, so a request is found without an index."""
+"""Request ids, which contain the entry and the arrival time.
+
+A request is therefore found by its id without an index.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,10 @@
 
 
 class RequestId(NamedTuple):
-    """The parts of a request id.
+    """A parsed request id.
 
-    ``entry`` is the entry's name, ``started_ms`` its arrival in Unix milliseconds.
+    ``entry`` is the entry's name, ``arrived_at_ms`` the arrival of the request in Unix
+    milliseconds, ``random_suffix`` makes the id unique.
     """
 
     entry: str
@@ -27,12 +31,12 @@
 
 
 def generate_request_id(entry: str, *, now: float) -> RequestId:
-    """Return a fresh id for a request that reached ``entry`` at ``now`` (Unix s)."""
+    """Return a new id of a request that reached ``entry`` at ``now`` (Unix seconds)."""
     return RequestId(entry, int(now * 1000), secrets.token_hex(_RANDOM_SUFFIX_BYTES))
 
 
 def parse_request_id(text: str) -> RequestId | None:
-    """Return the parts of ``text``, or None if it is no request id."""
+    """Return ``text`` as a request id, or None if it is not valid."""
     parts = text.rsplit(_SEPARATOR, 2)
     if len(parts) != 3 or not all(parts):
         return None
--- a/src/kingcupwheel/utils/strict_yaml.py
+++ b/src/kingcupwheel/utils/strict_yaml.py
@@ -1,4 +1,4 @@
-"""Strict reading of YAML."""
+"""YAML parser that rejects duplicate keys."""
 
 from __future__ import annotations
 
@@ -20,23 +20,26 @@
     from collections.abc import Hashable
     from collections.abc import Iterator
 
-# libyaml's parser reads a manifest of 43,000 organisations many times faster.
+# libyaml parses a manifest of 43,000 organisations many times faster.
 _SafeLoader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 class _UniqueKeyLoader(_SafeLoader):  # type: ignore[misc]  # base chosen at run time
-    """Refuses a key that stands twice; YAML's usual loaders keep the last silently."""
+    """YAML loader that rejects duplicate keys; standard loaders keep the last one."""
 
     def construct_mapping(
         self, node: yaml.MappingNode, deep: bool = False
     ) -> dict[Hashable, Any]:
-        """Return the mapping of ``node``."""
+        """Return the mapping of ``node``.
+
+        Raises ConstructorError on a duplicate key.
+        """
         seen: set[str] = set()
         for key_node, _ in node.value:
             key = key_node.value if isinstance(key_node, yaml.ScalarNode) else None
             if key is not None and key in seen:
                 raise yaml.constructor.ConstructorError(
-                    None, None, f"the key {key!r} stands twice", key_node.start_mark
+                    None, None, f"the key {key!r} is duplicated", key_node.start_mark
                 )
             if key is not None:
                 seen.add(key)
@@ -46,10 +49,11 @@
 
 @contextmanager
 def _paused_garbage_collector() -> Iterator[None]:
-    """Keep the garbage collector from walking a large tree again while it grows.
+    """Disable the garbage collector while a large tree is built.
 
-    A tree of plain data holds no cycles, so nothing is left uncollected. Parsing a
-    manifest of 43,000 organisations takes a third of the time so.
+    The collector would traverse the growing tree again and again. Plain data has no
+    reference cycles, so nothing stays uncollected. Parsing a manifest of 43,000
+    organisations takes a third of the time.
     """
     was_enabled = gc.isenabled()
     gc.disable()
@@ -61,7 +65,7 @@
 
 
 def parse_yaml(text: str) -> Result[Any, ValidationProblems]:
-    """Return the one document in ``text``, or where it is no YAML."""
+    """Parse the only document in ``text``; the error says where it is invalid."""
     try:
         with _paused_garbage_collector():
             return Ok(yaml.load(text, Loader=_UniqueKeyLoader))
--- a/src/kingcupwheel/utils/struct_validation.py
+++ b/src/kingcupwheel/utils/struct_validation.py
@@ -1,4 +1,7 @@
-"""Finds every field of the wrong type, where msgspec stops at the first."""
+"""Conversion of plain data to structs that reports every invalid field.
+
+msgspec itself stops at the first one.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 def convert_to_type(
     data: Any, expected_type: type[Any]
 ) -> Result[Any, ValidationProblems]:
-    """Return plain ``data`` as a ``kind``, or every field that doesn't fit."""
+    """Return plain ``data`` as ``expected_type``, or a problem per invalid field."""
     try:
         return Ok(msgspec.convert(data, expected_type))
     except msgspec.ValidationError as error:
@@ -52,9 +55,9 @@
     if _is_struct(expected_type) and isinstance(data, dict):
         yield from _find_struct_problems(data, expected_type, path)
     elif get_origin(expected_type) is tuple and isinstance(data, list):
-        item_kind = get_args(expected_type)[0]
+        item_type = get_args(expected_type)[0]
         for index, item in enumerate(data):
-            yield from _find_problems(item, item_kind, f"{path}[{index}]")
+            yield from _find_problems(item, item_type, f"{path}[{index}]")
     else:
         yield ValidationProblem(path, _to_yaml_terms(str(error)))
 
@@ -62,24 +65,28 @@
 def _find_struct_problems(
     data: dict[Any, Any], struct_type: type[msgspec.Struct], path: str
 ) -> Iterator[ValidationProblem]:
-    kinds_by_field = get_type_hints(struct_type)
+    type_by_field = get_type_hints(struct_type)
     for name in data:
-        if name not in kinds_by_field:
+        if name not in type_by_field:
             yield ValidationProblem(join_field_path(path, str(name)), "unknown field")
     for field in msgspec.structs.fields(struct_type):
-        where = join_field_path(path, field.name)
+        field_path = join_field_path(path, field.name)
         if field.name in data:
             yield from _find_problems(
-                data[field.name], kinds_by_field[field.name], where
+                data[field.name], type_by_field[field.name], field_path
             )
         elif field.required:
-            yield ValidationProblem(where, "missing")
+            yield ValidationProblem(field_path, "missing")
 
 
 def _to_yaml_terms(message: str) -> str:
     plain = message.replace("`", "")
-    for theirs, ours in (("object", "mapping"), ("array", "list"), ("null", "nothing")):
-        plain = plain.replace(theirs, ours)
+    for json_term, yaml_term in (
+        ("object", "mapping"),
+        ("array", "list"),
+        ("null", "nothing"),
+    ):
+        plain = plain.replace(json_term, yaml_term)
     return plain[:1].lower() + plain[1:]
 
 
@@ -90,5 +97,5 @@
 def _unwrap_optional(expected_type: Any) -> Any:
     if get_origin(expected_type) not in (Union, UnionType):
         return expected_type
-    others = [arm for arm in get_args(expected_type) if arm is not type(None)]
+    others = [member for member in get_args(expected_type) if member is not type(None)]
     return others[0] if len(others) == 1 else expected_type
--- a/src/kingcupwheel/utils/structs.py
+++ b/src/kingcupwheel/utils/structs.py
@@ -1,4 +1,4 @@
-"""The base of records that are decoded from YAML, JSON or msgpack."""
+"""Base class of structs that are decoded from YAML, JSON or msgpack."""
 
 from __future__ import annotations
 
@@ -8,4 +8,4 @@
 class StrictStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An immutable record that refuses unknown fields when decoded."""
+    """Immutable struct that rejects unknown fields when decoded."""
--- a/src/kingcupwheel/utils/text_logs.py
+++ b/src/kingcupwheel/utils/text_logs.py
@@ -1,4 +1,4 @@
-"""Logging set-up: one line each, a fixed prefix for each part, request ids last."""
+"""Text logs: one line per record, with a fixed prefix for each package."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import sys
 
 
-# The prefix that a part's log lines start with, by logger name.
+# Prefix of the messages of a package, by the name of its logger.
 PREFIX_BY_LOGGER = {
     "kingcupwheel.entry": "Entry",
     "kingcupwheel.agent": "Agent",
@@ -22,7 +22,7 @@
 
 
 class PrefixFormatter(logging.Formatter):
-    """Puts the part's prefix before each message."""
+    """Log formatter that puts the package's prefix before each message."""
 
     def __init__(self, process: str) -> None:
         super().__init__(
@@ -31,15 +31,15 @@
         self._process = process
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line."""
-        part = ".".join(record.name.split(".")[:2])
-        record.prefix = PREFIX_BY_LOGGER.get(part, "Main")
+        """Return the record as one line."""
+        package = ".".join(record.name.split(".")[:2])
+        record.prefix = PREFIX_BY_LOGGER.get(package, "Main")
         record.process_name = self._process
         return super().format(record)
 
 
 def configure_text_logs(process: str, level: str) -> None:
-    """Send log lines of ``level`` and above to standard error."""
+    """Log records of ``level`` and above to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(PrefixFormatter(process))
     root = logging.getLogger()
--- a/src/kingcupwheel/utils/urls.py
+++ b/src/kingcupwheel/utils/urls.py
@@ -1,4 +1,4 @@
-"""Checks of addresses that an operator wrote."""
+"""Checks of URLs in settings and options."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def is_http_url(text: str) -> bool:
-    """Return whether ``text`` is an http or https address with a host."""
+    """Return whether ``text`` is an HTTP or HTTPS URL with a host."""
     try:
         url = urlsplit(text)
         return url.scheme in ("http", "https") and bool(url.hostname) and url.port != 0
--- a/src/kingcupwheel/utils/validation_problems.py
+++ b/src/kingcupwheel/utils/validation_problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with one field of a file that an operator wrote."""
+"""Validation problems of files written by operators."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class ValidationProblem(NamedTuple):
-    """One thing to mend; ``path`` names the field, such as ``routes[2].group``."""
+    """A problem of one field; ``path`` names it, such as ``routes[2].group``.
+
+    ``path`` is empty if the problem concerns the whole file.
+    """
 
     path: str
     detail: str
@@ -16,7 +19,7 @@
 
 
 def join_field_path(path: str, field: str) -> str:
-    """Return the path of ``field`` within ``path``."""
+    """Return the path of ``field`` in the record at ``path``."""
     return f"{path}.{field}" if path else field
 
 
