--- a/src/kingcupwheel/claims/__init__.py
+++ b/src/kingcupwheel/claims/__init__.py
@@ -1,3 +1,3 @@
-"""Claims: at most one run of a request that may not be repeated."""
+"""Claims, which ensure that a non-idempotent request runs at most once."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/claims/claim_records.py
+++ b/src/kingcupwheel/claims/claim_records.py
@@ -1,4 +1,4 @@
-"""What a claim holds: who may run a request that may not be repeated, and where."""
+"""Claim records: which agent may run a non-idempotent request, and its outcome."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The value of ``claims/<claim_id>``, as JSON.
+    """Value stored under ``claims/<claim_id>``, encoded as JSON.
 
-    ``nonce`` names the write, so that a lost confirmation is settled by reading back.
-    ``agent``, ``address`` and ``incarnation`` name the only life of the only agent that
-    a dispatch with ``fence`` may go to. ``final`` is set once nothing can change any
-    more; ``created_at`` is in Unix seconds and dates the claim for its retention.
+    ``nonce`` identifies the write, so that a writer that got no confirmation can find
+    out by reading back whether it took effect. ``agent``, ``address`` and
+    ``incarnation`` identify the only agent process that a dispatch with ``fence`` may
+    go to. ``final_outcome`` is set when the outcome can't change any more, with its
+    ``reason``. ``created_at`` is in Unix seconds; retention counts from it.
     """
 
     organisation: str
@@ -37,7 +38,7 @@
 
 
 class StoredClaim(msgspec.Struct, frozen=True):
-    """A claim as read or written, at the platform's ``version`` of it."""
+    """A claim as last read or written, with its ``version`` on the platform."""
 
     claim_id: str
     version: int
@@ -45,11 +46,11 @@
 
 
 def compute_claim_id(organisation: str, idempotency_key: str) -> str:
-    """Return the digest that names the claim of an organisation's key."""
+    """Return the claim id of an organisation's idempotency key, a SHA-256 digest."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def build_claim_key(claim_id: str) -> str:
-    """Return the platform's key of the claim."""
+    """Return the platform key under which the claim is stored."""
     return CLAIM_KEY_PREFIX + claim_id
--- a/src/kingcupwheel/claims/claim_store.py
+++ b/src/kingcupwheel/claims/claim_store.py
@@ -1,9 +1,9 @@
-"""Claims on the platform: made once, moved by conditional update, read back if unsure.
+"""Claim store on the platform: conditional writes, confirmed by reading back.
 
-A write can take effect while the answer confirming it is lost. Every write therefore
-carries a fresh nonce: whoever does not know whether its write took effect reads the
-claim and looks for its own nonce. Without that, an entry would see its own claim as
-somebody else's and wait for a run that nobody started.
+A write can take effect while its confirmation is lost. Each write therefore carries a
+new nonce: a writer without confirmation reads the claim and compares the nonce. Without
+it, an entry would take its own claim for that of another entry and wait for a run that
+nobody started.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
     from kingcupwheel.platform.errors import PlatformError
 
 _DECODER = msgspec.json.Decoder(ClaimRecord)
-# How long a caller is asked to wait when the platform can't be reached: about as long
-# as a short outage, and well under the patience of a person at a counter.
+# Retry-After if the platform is unreachable: about the length of a short outage, and
+# well below the time that a person at a counter is willing to wait.
 _RETRY_AFTER_S = 5.0
 
 
 def generate_write_nonce() -> str:
-    """Return a name for one write."""
+    """Return a random nonce that identifies one write."""
     return secrets.token_hex(8)
 
 
 class ClaimStore:
-    """Makes, moves and reads claims; safe from any thread."""
+    """Creates, updates and reads claims; thread-safe."""
 
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
@@ -52,32 +52,32 @@
     def create(
         self, claim_id: str, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
-        """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
-        written = self._client.create(build_claim_key(claim_id), _encode(record))
-        return self._confirm_write(claim_id, record, written)
+        """Create the claim; ``ClaimConflict`` if another write created it."""
+        write_result = self._client.create(build_claim_key(claim_id), _encode(record))
+        return self._confirm_write(claim_id, record, write_result)
 
     def update(
         self, stored_claim: StoredClaim, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
-        """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
+        """Replace the claim; ``ClaimConflict`` if another write changed it."""
         key = build_claim_key(stored_claim.claim_id)
-        written = self._client.update(
+        write_result = self._client.update(
             key, _encode(record), version=stored_claim.version
         )
-        return self._confirm_write(stored_claim.claim_id, record, written)
+        return self._confirm_write(stored_claim.claim_id, record, write_result)
 
     def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnavailable]:
         """Return the claim, or None if there is none."""
-        found = self._client.read(build_claim_key(claim_id))
-        if found.is_error():
-            return Error(_to_claim_unavailable(found.error))
-        if found.ok is None:
+        result = self._client.read(build_claim_key(claim_id))
+        if result.is_error():
+            return Error(_to_claim_unavailable(result.error))
+        if result.ok is None:
             return Ok(None)
         try:
-            record = _DECODER.decode(found.ok.value)
+            record = _DECODER.decode(result.ok.value)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return Error(ClaimUnavailable(f"unreadable claim: {error}", _RETRY_AFTER_S))
-        return Ok(StoredClaim(claim_id, found.ok.version, record))
+        return Ok(StoredClaim(claim_id, result.ok.version, record))
 
     def _confirm_write(
         self,
@@ -96,13 +96,13 @@
     def _read_back(
         self, claim_id: str, record: ClaimRecord
     ) -> Result[StoredClaim, ClaimError]:
-        found = self.read(claim_id)
-        if found.is_error():
-            return Error(found.error)
-        if found.ok is not None and found.ok.record.nonce == record.nonce:
-            return Ok(found.ok)
-        if found.ok is None:
-            # A stale read, or the write is still on its way: it can't be told apart.
+        result = self.read(claim_id)
+        if result.is_error():
+            return Error(result.error)
+        if result.ok is not None and result.ok.record.nonce == record.nonce:
+            return Ok(result.ok)
+        if result.ok is None:
+            # Either the read was stale or the write has not taken effect yet.
             return Error(ClaimUnavailable("claim not confirmed", _RETRY_AFTER_S))
         return Error(ClaimConflict(claim_id))
 
--- a/src/kingcupwheel/claims/exceptions.py
+++ b/src/kingcupwheel/claims/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the claims layer."""
+"""Errors of reading and writing claims."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ClaimUnavailable(NamedTuple):
-    """The platform could not make, move or read the claim; nothing was dispatched."""
+    """The claim can't be read or written now; nothing was dispatched."""
 
     detail: str
     retry_after_s: float
 
 
 class ClaimConflict(NamedTuple):
-    """Another entry changed the claim first; read it again."""
+    """Another entry wrote the claim first; the caller has to read it again."""
 
     claim_id: str
 
--- a/src/kingcupwheel/claims/expired_claim_removal.py
+++ b/src/kingcupwheel/claims/expired_claim_removal.py
@@ -1,9 +1,9 @@
-"""Removes claims whose retention is over.
+"""Removal of claims whose retention period is over.
 
-Each entry remembers the claims it made and removes them when their time is over: one
-call a claim, without reading. An entry that was replaced has forgotten its claims, so
-that each entry also looks through a random part of all claims now and then. Removal is
-conditional on the version: a claim that was changed meanwhile stays.
+Each entry schedules the removal of the claims it created, which takes one call per
+claim and no read. A replaced entry loses its schedule, so each entry also scans a
+random shard of all claims from time to time. Removal is conditional on the version: a
+claim that was updated meanwhile stays.
 """
 
 from __future__ import annotations
@@ -33,14 +33,13 @@
 
 logger = logging.getLogger("kingcupwheel.claims")
 
-# Removals a minute of one entry: with 370 entries 37 a second, well within what the
-# platform takes beside the claims that are being made.
+# Removals of one entry per minute: 37 per second with 370 entries, which leaves the
+# platform enough capacity for the creation of claims.
 _MAX_REMOVALS_PER_ROUND = 6
 _ROUND_INTERVAL_S = 60.0
-# Claims remembered: a day of one entry's claims at three a minute; what is beyond is
-# found by looking through.
+# A day of one entry's claims at three per minute; the scans find claims beyond it.
 _MAX_SCHEDULED_REMOVALS = 5_000
-# Every so many turns one part of all claims is looked through, at most so many of it.
+# One shard is scanned every _ROUNDS_PER_SCAN rounds, up to _MAX_SCANNED_CLAIMS of it.
 _ROUNDS_PER_SCAN = 60
 _MAX_SCANNED_CLAIMS = 50
 _SHARD_COUNT = 256
@@ -53,7 +52,10 @@
 
 
 class ExpiredClaimRemover:
-    """Removes old claims in a thread of its own; ``retention_s`` is asked each time."""
+    """Removes expired claims in a background thread.
+
+    ``retention_s`` is called for each claim, since the manifest may change it.
+    """
 
     def __init__(
         self, client: PlatformClient, *, retention_s: Callable[[], float]
@@ -66,41 +68,46 @@
         self._thread = Thread(target=self._run, name="claim-retention", daemon=True)
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the background thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; what is due is left to others."""
+        """Stop the thread; the scans of other entries remove what is left."""
         self._stopping.set()
         self._thread.join()
 
     def schedule_removal(self, stored_claim: StoredClaim) -> None:
-        """Remove this claim when its time is over."""
-        due = _ScheduledRemoval(
+        """Schedule the removal of a claim; ignored if too many are scheduled."""
+        removal = _ScheduledRemoval(
             stored_claim.record.created_at, stored_claim.claim_id, stored_claim.version
         )
         with self._lock:
             if len(self._removals) < _MAX_SCHEDULED_REMOVALS:
-                heapq.heappush(self._removals, due)
+                heapq.heappush(self._removals, removal)
 
     def _run(self) -> None:
-        turn = random.randrange(_ROUNDS_PER_SCAN)
+        round_number = random.randrange(_ROUNDS_PER_SCAN)
         while not self._stopping.wait(_ROUND_INTERVAL_S):
-            turn += 1
+            round_number += 1
             self.remove_expired(time.time())
-            if turn % _ROUNDS_PER_SCAN == 0:
+            if round_number % _ROUNDS_PER_SCAN == 0:
                 self.remove_expired_in_shard(
                     random.randrange(_SHARD_COUNT), time.time()
                 )
 
     def remove_expired(self, now: float) -> int:
-        """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
+        """Remove scheduled claims that are expired at ``now`` (Unix seconds).
+
+        Removes at most ``_MAX_REMOVALS_PER_ROUND`` and returns their number.
+        """
         removed = 0
         while removed < _MAX_REMOVALS_PER_ROUND:
-            due = self._pop_expired(now)
-            if due is None:
+            removal = self._pop_expired(now)
+            if removal is None:
                 break
-            self._client.delete(build_claim_key(due.claim_id), version=due.version)
+            self._client.delete(
+                build_claim_key(removal.claim_id), version=removal.version
+            )
             removed += 1
         return removed
 
@@ -114,25 +121,28 @@
             return heapq.heappop(self._removals)
 
     def remove_expired_in_shard(self, shard: int, now: float) -> int:
-        """Remove what is over in one of the parts; return how many claims."""
-        listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{shard:02x}")
-        if listed.is_error():
+        """Remove expired claims of one shard and return their number.
+
+        ``shard`` is the first byte of the claim ids.
+        """
+        keys = self._client.keys(f"{CLAIM_KEY_PREFIX}{shard:02x}")
+        if keys.is_error():
             return 0
         removed = sum(
-            self._remove_if_expired(key, now) for key in listed.ok[:_MAX_SCANNED_CLAIMS]
+            self._remove_if_expired(key, now) for key in keys.ok[:_MAX_SCANNED_CLAIMS]
         )
         if removed:
-            logger.info("Removed %d old claims.", removed)
+            logger.info("Removed %d expired claims.", removed)
         return removed
 
     def _remove_if_expired(self, key: str, now: float) -> bool:
-        found = self._client.read(key)
-        if found.is_error() or found.ok is None:
+        result = self._client.read(key)
+        if result.is_error() or result.ok is None:
             return False
         try:
-            record = msgspec.json.decode(found.ok.value, type=ClaimRecord)
+            record = msgspec.json.decode(result.ok.value, type=ClaimRecord)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return False
         if record.created_at + self._retention_s() > now:
             return False
-        return self._client.delete(key, version=found.ok.version).is_ok()
+        return self._client.delete(key, version=result.ok.version).is_ok()
--- a/src/kingcupwheel/metrics/__init__.py
+++ b/src/kingcupwheel/metrics/__init__.py
@@ -1,3 +1,3 @@
-"""Counters and timings sent to statsd."""
+"""Counters, gauges and timers sent to statsd."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/metrics/metered_platform_client.py
+++ b/src/kingcupwheel/metrics/metered_platform_client.py
@@ -1,4 +1,4 @@
-"""A platform client that counts and times its calls."""
+"""A platform client with metrics of its calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class MeteredPlatformClient:
-    """Passes calls on to another client; see ``PlatformClient`` for what they do."""
+    """Counts and times the calls of another client; see ``PlatformClient``."""
 
     def __init__(self, client: PlatformClient, metrics: MetricsClient) -> None:
         self._client = client
@@ -49,7 +49,7 @@
         )
 
     def delete(self, key: str, *, version: int) -> Result[None, PlatformError]:
-        """Remove the object if it is at ``version``."""
+        """Delete the object if it is at ``version``."""
         return self._measure_call(
             "delete", lambda: self._client.delete(key, version=version)
         )
@@ -61,26 +61,26 @@
     def watch(
         self, key: str, *, after: int, timeout_s: float
     ) -> Result[VersionedValue | None, PlatformError]:
-        """Wait for the object to pass version ``after``; its time is not a metric."""
-        found = self._client.watch(key, after=after, timeout_s=timeout_s)
-        self._count_call("watch", found)
-        return found
+        """Wait until the object's version exceeds ``after``; not timed."""
+        result = self._client.watch(key, after=after, timeout_s=timeout_s)
+        self._count_call("watch", result)
+        return result
 
     def instances(self) -> Result[tuple[Instance, ...], PlatformError]:
-        """Return the platform's lagging list of live and leaving instances."""
+        """Return the platform's list of live and leaving instances, which may lag."""
         return self._measure_call("instances", self._client.instances)
 
     def _measure_call(
         self, operation: str, call: Callable[[], Result[T, PlatformError]]
     ) -> Result[T, PlatformError]:
-        started = monotonic()
-        found = call()
-        self._metrics.record_duration(TimerName.PLATFORM_CALL, monotonic() - started)
-        self._count_call(operation, found)
-        return found
+        started_at = monotonic()
+        result = call()
+        self._metrics.record_duration(TimerName.PLATFORM_CALL, monotonic() - started_at)
+        self._count_call(operation, result)
+        return result
 
     def _count_call(self, operation: str, result: Result[T, PlatformError]) -> None:
         self._metrics.increment(CounterName.PLATFORM_CALLS, label=operation)
-        # A conflict is an answer; someone else was first.
+        # A conflict is a valid answer: another writer was first.
         if result.is_error() and not isinstance(result.error, Conflict):
             self._metrics.increment(CounterName.PLATFORM_ERRORS, label=operation)
--- a/src/kingcupwheel/metrics/metric_names.py
+++ b/src/kingcupwheel/metrics/metric_names.py
@@ -1,7 +1,7 @@
-"""Every metric that the system sends, by kind.
+"""Names of all statsd metrics, by type.
 
-A name is sent as ``<prefix>.<process>.<name>``, with a dot and one more part where
-its description says ``by``. ``docs/operators/metrics-and-logs.md`` lists them all.
+A metric is sent as ``<prefix>.<process>.<name>``, followed by a dot and a label if its
+description says ``by``. ``docs/operators/metrics-and-logs.md`` lists all metrics.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class CounterName(StrEnum):
-    """Counters: how often something happened."""
+    """Names of counters: how often something happened."""
 
     REQUESTS = "requests"
     REFUSALS = "refusals"
@@ -29,14 +29,14 @@
 
 
 class GaugeName(StrEnum):
-    """Gauges: how much there is now."""
+    """Names of gauges: current values."""
 
     MANIFEST_VERSION = "manifest_version"
     TRACE_BYTES_WAITING = "trace.bytes_waiting"
 
 
 class TimerName(StrEnum):
-    """Timers, sent in milliseconds."""
+    """Names of timers, whose values are sent in milliseconds."""
 
     FIRST_BYTE = "first_byte"
     QUEUE_WAIT = "queue_wait"
--- a/src/kingcupwheel/metrics/statsd_client.py
+++ b/src/kingcupwheel/metrics/statsd_client.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd over UDP; sending never waits."""
+"""Statsd client over UDP whose sends never block."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 logger = logging.getLogger("kingcupwheel.metrics")
 
 _UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
-# Names come from settings and code, but a part may hold a word from outside.
+# Names come from settings and code, but a label may contain text from outside.
 _MAX_PART_LENGTH = 60
 
 
 class _NonBlockingStatsdClient(statsd.StatsClient):  # type: ignore[misc]
-    """The library's client on a socket that never waits.
+    """Statsd client on a non-blocking socket.
 
-    A full send buffer would otherwise hold up a request for its metric; the library
-    drops what can't be sent.
+    A full send buffer would otherwise delay the request that the metric belongs to; the
+    library drops metrics that can't be sent.
     """
 
     def __init__(self, host: str, port: int, prefix: str) -> None:
@@ -36,10 +36,10 @@
 
 
 class MetricsClient:
-    """Sends the metrics of one process; safe from any thread.
+    """Sends the metrics of one process; thread-safe.
 
-    Nothing is sent if ``settings.host`` is empty or can't be looked up at the start;
-    metrics are never a reason not to serve.
+    Sends nothing if ``settings.host`` is empty or can't be resolved at the start, so
+    that missing metrics never prevent a process from serving.
     """
 
     def __init__(self, settings: StatsdSettings, *, process: str) -> None:
@@ -52,10 +52,15 @@
                 settings.host, settings.port, prefix
             )
         except OSError as error:
-            logger.warning("No metrics: %s: %s.", settings.host, error)
+            logger.warning(
+                "Metrics are disabled, statsd host %s: %s.", settings.host, error
+            )
 
     def increment(self, name: CounterName, *, label: str = "", amount: int = 1) -> None:
-        """Add ``number`` to a counter; ``by`` is the part its description names."""
+        """Add ``amount`` to a counter.
+
+        ``label`` is appended to the name of a counter whose description says ``by``.
+        """
         if self._client is not None:
             self._client.incr(_build_metric_name(name, label), amount)
 
@@ -65,7 +70,7 @@
             self._client.gauge(name.value, value)
 
     def record_duration(self, name: TimerName, duration_s: float) -> None:
-        """Record a time, given in seconds."""
+        """Record a duration, given in seconds."""
         if self._client is not None:
             self._client.timing(name.value, duration_s * 1000)
 
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -1,7 +1,6 @@
-"""Metrics from the events of traces.
+"""Metrics derived from trace events.
 
-What is told of one request is what is counted of all: one place turns events into
-metrics, so that a story and a graph can't disagree.
+Traces and metrics come from the same events, so they can't contradict each other.
 """
 
 from __future__ import annotations
@@ -26,10 +25,10 @@
 
 
 class TraceEventMetrics:
-    """Counts events of one process; safe from any thread, never blocks.
+    """Counts the trace events of one process; thread-safe, never blocks.
 
-    A recorder calls it for each event. An entry's final outcomes are counted by its
-    observer, an agent's ends of attempts here.
+    A recorder calls it for each event. ``Finished`` events are counted for agents only;
+    the outcome counter of an entry counts final outcomes.
     """
 
     def __init__(self, metrics: MetricsClient, role: Role) -> None:
@@ -37,7 +36,7 @@
         self._finished_counter = CounterName.RUNS if role.value == "agent" else None
 
     def __call__(self, event: AnyEvent) -> None:
-        """Count ``event`` if it has a metric."""
+        """Update the metric of ``event``, if it has one."""
         match event:
             case Placed(waited_s=waited_s):
                 self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
