--- a/src/kingcupwheel/console/__init__.py
+++ b/src/kingcupwheel/console/__init__.py
@@ -1,3 +1,3 @@
-"""The command line."""
+"""The command-line interface."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/console/application.py
+++ b/src/kingcupwheel/console/application.py
@@ -13,14 +13,17 @@
 
 
 class _LazyGroup(click.Group):
-    """Imports a subcommand when it is used: a daemon starts without the others'."""
+    """Command group that imports a subcommand on first use.
+
+    A daemon starts without importing the modules of the other subcommands.
+    """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all subcommands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the subcommand of that name."""
+        """Import and return the subcommand, or None if there is none of that name."""
         if cmd_name not in COMMANDS:
             return None
         module = import_module(f"kingcupwheel.console.commands.{cmd_name}")
--- a/src/kingcupwheel/console/commands/__init__.py
+++ b/src/kingcupwheel/console/commands/__init__.py
@@ -1,3 +1,3 @@
-"""One module for each command."""
+"""The subcommands, one module each."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/console/commands/agent.py
+++ b/src/kingcupwheel/console/commands/agent.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel agent``."""
+"""The ``kingcupwheel agent`` command."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 @click.command("agent")
 @settings_option
 def command(path: str) -> None:
-    """Serve a backend server until SIGTERM, then finish and deliver what runs."""
+    """Run the agent of a backend server until SIGTERM, then drain it.
+
+    Requests in progress are finished and their answers delivered before it exits.
+    """
     run_daemon(path, Role.AGENT, _create_daemon)
 
 
 def _create_daemon(settings: Settings) -> Daemon:
-    # Each way loads only what it uses: a process that starts anew in the middle of a
-    # day serves a quarter of a second earlier.
+    # Imports only the daemon in use, which makes a restarted process serve a quarter of
+    # a second earlier.
     if settings.rank is not None:
         from kingcupwheel.lockstep.daemon import RankDaemon
 
--- a/src/kingcupwheel/console/commands/entry.py
+++ b/src/kingcupwheel/console/commands/entry.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel entry``."""
+"""The ``kingcupwheel entry`` command."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 @click.command("entry")
 @settings_option
 def command(path: str) -> None:
-    """Serve callers until SIGTERM, then finish what is in progress."""
+    """Run an entry, which serves callers, until SIGTERM, then drain it.
+
+    Requests in progress are finished before it exits.
+    """
     run_daemon(path, Role.ENTRY, _create_daemon)
 
 
 def _create_daemon(settings: Settings) -> Daemon:
-    # Each way loads only what it uses: a process that starts anew in the middle of a
-    # day serves a quarter of a second earlier.
+    # Imports only the daemon in use, which makes a restarted process serve a quarter of
+    # a second earlier.
     if settings.forwarding is not None:
         from kingcupwheel.forwarding.daemon import ForwardingDaemon
 
--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel manifest``."""
+"""The ``kingcupwheel manifest`` commands."""
 
 from __future__ import annotations
 
@@ -50,16 +50,16 @@
 
 @click.group("manifest")
 def command() -> None:
-    """Check and submit the manifest, and see where it is in force."""
+    """Validate, submit and show the manifest, and follow its rollout."""
 
 
 @command.command("check")
 @_file_argument
 @_json_option
 def check(file: Path, as_json: bool) -> None:
-    """Check a manifest whole and list everything that is wrong with it.
+    """Validate a manifest file and list all problems.
 
-    Exit code 0: nothing is wrong; 3: something is, one line each.
+    Exit code 0: the file is valid; 3: it is invalid, with one line per problem.
     """
     manifest = _load_manifest_or_exit(file, as_json=as_json)
     if as_json:
@@ -75,40 +75,46 @@
 @_file_argument
 @_platform_option
 @click.option(
-    "--expect", type=click.IntRange(min=0), help="The version you saw; 0 for none."
+    "--expect",
+    type=click.IntRange(min=0),
+    help="Expected current version; 0 if there is none.",
 )
 @click.option(
     "--timeout",
     "timeout_s",
     default=DEFAULT_RETRY_TIMEOUT_S,
     show_default=True,
-    help="Seconds to go on trying.",
+    help="Seconds to keep retrying.",
 )
 @_json_option
 def submit(
     file: Path, url: str, expect: int | None, timeout_s: float, as_json: bool
 ) -> None:
-    """Put a manifest in force everywhere, whole or not at all.
+    """Submit a manifest atomically to all processes.
 
-    Exit code 0: accepted; 3: the manifest is wrong; 4: another one was accepted
-    first; 5: the platform failed, nothing was accepted; 7: it can't be told now
-    whether it was accepted.
+    Exit code 0: accepted; 3: the manifest is invalid; 4: another manifest was accepted
+    first; 5: the platform failed and nothing was accepted; 7: unknown whether it was
+    accepted.
     """
     manifest = _load_manifest_or_exit(file, as_json=as_json)
     store = ManifestStore(create_platform_client(url), retry_timeout_s=timeout_s)
-    submission = secrets.token_hex(_SUBMISSION_ID_BYTES)
-    result = store.submit(manifest, submission_id=submission, expected_version=expect)
+    submission_id = secrets.token_hex(_SUBMISSION_ID_BYTES)
+    result = store.submit(
+        manifest, submission_id=submission_id, expected_version=expect
+    )
     if result.is_error():
         _exit_with_submit_error(result.error)
     accepted = result.ok
     if as_json:
         _print_json(accepted._asdict())
         return
-    since = " A later version is in force already." if accepted.superseded else ""
+    superseded_note = (
+        " A later version is in force already." if accepted.superseded else ""
+    )
     click.echo(
         f"Version {accepted.version} is accepted"
         f" (shards: {accepted.shards_written} written,"
-        f" {accepted.shards_reused} reused).{since}"
+        f" {accepted.shards_reused} reused).{superseded_note}"
     )
 
 
@@ -116,50 +122,56 @@
 @_platform_option
 @_json_option
 def show(url: str, as_json: bool) -> None:
-    """Print the manifest in force, ready to be edited and submitted.
+    """Print the manifest in force in a form that can be edited and submitted.
 
     Exit code 0: printed; 5: the platform failed; 6: there is no manifest yet.
     """
     version, assembly = _fetch_manifest_or_exit(
         ManifestStore(create_platform_client(url))
     )
-    shown = VersionedManifest(
+    versioned = VersionedManifest(
         version=version,
         submission=assembly.index_object.submission_id,
         manifest=assembly.manifest,
     )
     if as_json:
-        _print_json(shown)
+        _print_json(versioned)
     else:
-        click.echo(format_manifest(shown), nl=False)
+        click.echo(format_manifest(versioned), nl=False)
 
 
 @command.command("status")
 @_platform_option
-@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
+@click.option(
+    "--timeout",
+    "timeout_s",
+    default=2.0,
+    show_default=True,
+    help="Seconds.",
+)
 @_json_option
 def status(url: str, timeout_s: float, as_json: bool) -> None:
-    """Tell which processes are on the manifest in force, and which are not yet.
+    """Show which processes have adopted the manifest in force.
 
-    Exit code 0: all that are listed; 5: the platform failed; 6: there is no manifest
-    yet; 7: some are behind or did not answer, and are named.
+    Exit code 0: all listed processes; 5: the platform failed; 6: there is no manifest
+    yet; 7: some processes are behind or did not answer; they are listed.
     """
     client = create_platform_client(url)
     version = _fetch_version_or_exit(ManifestStore(client))
-    listed = client.instances()
-    if listed.is_error():
+    instances = client.instances()
+    if instances.is_error():
         _exit_with_message(
-            f"the list can't be read: {describe_platform_error(listed.error)}",
+            f"can't read the instance list: {describe_platform_error(instances.error)}",
             ExitCode.UNAVAILABLE,
         )
-    found = build_rollout_status(
-        version, listed.ok, query_statuses(listed.ok, timeout_s)
+    rollout = build_rollout_status(
+        version, instances.ok, query_statuses(instances.ok, timeout_s)
     )
     if as_json:
-        _print_json(found)
+        _print_json(rollout)
     else:
-        click.echo(format_rollout(found), nl=False)
-    sys.exit(ExitCode.OK if found.is_complete else ExitCode.INCOMPLETE)
+        click.echo(format_rollout(rollout), nl=False)
+    sys.exit(ExitCode.OK if rollout.is_complete else ExitCode.INCOMPLETE)
 
 
 def _load_manifest_or_exit(file: Path, *, as_json: bool) -> Manifest:
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel report``."""
+"""The ``kingcupwheel report`` commands."""
 
 from __future__ import annotations
 
@@ -25,19 +25,25 @@
 
 @click.group("report")
 def command() -> None:
-    """Report on the whole system."""
+    """Report on the system as a whole."""
 
 
 @command.command("burn")
 @click.option("--platform", "url", required=True, help="URL of the platform's service.")
 @address_option
-@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
+@click.option(
+    "--timeout",
+    "timeout_s",
+    default=2.0,
+    show_default=True,
+    help="Seconds.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.option(
     "--html",
     "html",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write a page to look at in a browser.",
+    help="Also write the report to this file as HTML.",
 )
 def burn(
     url: str,
@@ -46,9 +52,10 @@
     as_json: bool,
     html: Path | None,
 ) -> None:
-    """Tell how fast service-level budgets burn, and what burns them.
+    """Report burn rates of the service-level error budgets, and their causes.
 
-    Exit code 0: every entry answered; 7: some did not, and are named.
+    Exit code 0: every entry answered; 5: the platform's list can't be read; 7: some
+    entries did not answer; they are listed.
     """
     gathered = gather(
         create_platform_client(url),
--- a/src/kingcupwheel/console/commands/settings.py
+++ b/src/kingcupwheel/console/commands/settings.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel settings``."""
+"""The ``kingcupwheel settings`` commands."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @click.group("settings")
 def command() -> None:
-    """Look at a process's settings."""
+    """Validate the settings of a process."""
 
 
 @command.command("check")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def check(file: Path, as_json: bool) -> None:
-    """Check a settings file and list everything that is wrong with it.
+    """Validate a settings file and list all problems.
 
-    Exit code 0: nothing is wrong; 3: something is, one line each.
+    Exit code 0: the file is valid; 3: it is invalid, with one line per problem.
     """
     loaded = load_settings(file)
     if loaded.is_error():
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel trace``."""
+"""The ``kingcupwheel trace`` command."""
 
 from __future__ import annotations
 
@@ -43,12 +43,18 @@
     "logs",
     type=click.File("r", encoding="utf-8", errors="replace"),
     multiple=True,
-    help="Read structured log lines from this file instead; may be given again.",
+    help="Read JSON log lines from this file instead; can be repeated.",
 )
-@click.option("--idempotency-key", help="Find the request by this key.")
-@click.option("--organisation", help="The organisation that used the key.")
+@click.option("--idempotency-key", help="Find the request by its idempotency key.")
+@click.option("--organisation", help="Organisation of the idempotency key.")
 @address_option
-@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
+@click.option(
+    "--timeout",
+    "timeout_s",
+    default=2.0,
+    show_default=True,
+    help="Seconds.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(
     request_id: str | None,
@@ -60,46 +66,49 @@
     timeout_s: float,
     as_json: bool,
 ) -> None:
-    """Tell what became of one request, and why.
+    """Show how one request was processed, and why.
 
-    Exit code 0: the whole story; 7: parts are missing; 6: nothing was found.
+    Exit code 0: the trace is complete; 1: its events contradict each other; 5: the
+    platform can't be read; 6: nothing was found; 7: parts are missing.
     """
     if logs:
         _print_story_from_logs(request_id, logs, as_json=as_json)
     if url is None:
-        raise click.UsageError("either --platform or --logs is needed.")
+        raise click.UsageError("either --platform or --logs is required.")
     client = create_platform_client(url)
-    wanted = _resolve_request(client, request_id, idempotency_key, organisation)
-    if wanted.is_error():
-        _exit_with_find_error(wanted.error)
-    claim = wanted.ok
+    resolved = _resolve_request(client, request_id, idempotency_key, organisation)
+    if resolved.is_error():
+        _exit_with_find_error(resolved.error)
+    claim = resolved.ok
     finder = Finder(
         client,
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         agents=(claim.agent,) if claim.agent else (),
     )
-    found = finder.find(claim.request_id)
-    if found.is_error():
-        _exit_with_find_error(found.error)
-    _print_story(found.ok, as_json=as_json)
-    sys.exit(_get_exit_code(found.ok))
+    story = finder.find(claim.request_id)
+    if story.is_error():
+        _exit_with_find_error(story.error)
+    _print_story(story.ok, as_json=as_json)
+    sys.exit(_get_exit_code(story.ok))
 
 
 def _print_story_from_logs(
     request_id: str | None, logs: tuple[TextIO, ...], *, as_json: bool
 ) -> NoReturn:
     if not request_id:
-        raise click.UsageError("--logs needs a request id.")
-    found = lines.story(request_id, chain.from_iterable(logs))
+        raise click.UsageError("--logs requires a request id.")
+    log_story = lines.story(request_id, chain.from_iterable(logs))
     if as_json:
-        encoded = msgspec.json.format(msgspec.json.encode(found._asdict()), indent=2)
+        encoded = msgspec.json.format(
+            msgspec.json.encode(log_story._asdict()), indent=2
+        )
         click.echo(encoded.decode())
     else:
-        click.echo(lines.text(found))
-    if not found.lines:
+        click.echo(lines.text(log_story))
+    if not log_story.lines:
         sys.exit(ExitCode.NOT_FOUND)
-    sys.exit(ExitCode.INCOMPLETE if found.gaps else ExitCode.OK)
+    sys.exit(ExitCode.INCOMPLETE if log_story.gaps else ExitCode.OK)
 
 
 def _resolve_request(
@@ -113,7 +122,9 @@
     if idempotency_key and organisation:
         return find_claim(client, organisation, idempotency_key)
     if idempotency_key or organisation:
-        raise click.UsageError("--idempotency-key and --organisation go together.")
+        raise click.UsageError(
+            "--idempotency-key and --organisation must be given together."
+        )
     return Error(BadRequestId(""))
 
 
@@ -138,12 +149,14 @@
 def _exit_with_find_error(error: FindError) -> None:
     match error:
         case BadRequestId(text):
-            _exit_with_message(f"{text!r} is no request id.", ExitCode.USAGE)
+            _exit_with_message(f"{text!r} is not a valid request id.", ExitCode.USAGE)
         case NoClaim(key):
-            message = f"No claim is kept for key {key!r}; claims have a retention."
+            message = f"No claim found for key {key!r}; claims have a retention period."
             _exit_with_message(message, ExitCode.NOT_FOUND)
         case PlatformDown(detail):
-            _exit_with_message(f"Cannot look it up: {detail}.", ExitCode.UNAVAILABLE)
+            _exit_with_message(
+                f"Cannot read the claim or trace: {detail}.", ExitCode.UNAVAILABLE
+            )
 
 
 def _exit_with_message(message: str, code: ExitCode) -> None:
--- a/src/kingcupwheel/console/daemon_runner.py
+++ b/src/kingcupwheel/console/daemon_runner.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop."""
+"""Daemon runner: start-up, signal handling, settings reload and shutdown."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     from kingcupwheel.settings.schema import Settings
 
 
-# Names the settings file if the command line does not.
+# Environment variable with the path of the settings file, unless --settings is given.
 SETTINGS_ENV_VARIABLE = "KINGCUPWHEEL_SETTINGS"
-# How often a daemon looks whether it is to stop or to reload, in seconds.
+# Interval of checks for a stop or reload; the wake-up pipe ends the wait earlier.
 _SIGNAL_POLL_INTERVAL_S = 0.1
-# Bytes of the pipe that are read together, one for each signal.
+# The interpreter writes one byte per signal to the wake-up pipe.
 _MAX_PIPE_READ_BYTES = 512
 
 log = lines_of("process")
@@ -52,32 +52,32 @@
 
 
 class _SignalReceiver:
-    """Notes that a planned stop or a reload was asked for.
+    """Records stop requests (SIGTERM, SIGINT) and reload requests (SIGHUP).
 
-    A second signal to stop changes nothing.
+    Further stop signals have no effect.
 
-    The handler only notes a time. It runs between any two steps of the main thread, and
-    an ``Event`` whose lock that thread holds just then would wait for itself: the
-    symptom is a process that a quick second SIGTERM leaves hanging. The interpreter
-    writes to a pipe for each signal, which ends the wait at once: a planned stop has a
-    grace that is counted from its signal.
+    The handlers only set fields. A handler runs between any two steps of the main
+    thread, so setting an ``Event`` whose lock that thread holds would deadlock: a
+    second SIGTERM shortly after the first left the process hanging. The interpreter
+    writes to a pipe on each signal, which ends the wait at once, because the grace
+    period of a planned stop counts from the signal.
     """
 
     def __init__(self) -> None:
         self._stop_requested_at: float | None = None
         self._is_reload_requested = False
-        self._wakeup_fd, wakes = os.pipe()
+        self._wakeup_fd, write_fd = os.pipe()
         os.set_blocking(self._wakeup_fd, False)
-        os.set_blocking(wakes, False)
-        signal.set_wakeup_fd(wakes, warn_on_full_buffer=False)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._record_stop_request)
+        os.set_blocking(write_fd, False)
+        signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, self._record_stop_request)
         signal.signal(signal.SIGHUP, self._record_reload_request)
 
     def wait_for_stop(self, reload: Callable[[], None]) -> float:
-        """Return when a stop was asked for (monotonic), once one was.
+        """Block until a stop signal and return its time (monotonic).
 
-        Calls ``reload`` for each reload.
+        Calls ``reload`` after each reload signal.
         """
         while self._stop_requested_at is None:
             select.select([self._wakeup_fd], [], [], _SIGNAL_POLL_INTERVAL_S)
@@ -97,68 +97,75 @@
 
 
 class Daemon(Protocol):
-    """What can be started and stopped gracefully."""
+    """A process that starts, reloads its settings and stops gracefully."""
 
     def start(self) -> None:
-        """Return once it serves."""
+        """Start, and return once requests are served."""
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Return once everything in progress has ended.
+        """Stop, and return once all work in progress has ended.
 
-        ``asked_at`` is when the signal came (monotonic), now if it is not given; the
-        daemon may have been starting then.
+        ``asked_at`` is the time of the stop signal (monotonic), by default now. The
+        signal may have come before ``start`` returned.
         """
 
     def reload(self, settings: Settings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply the settings that may change at run time."""
 
 
 def run_daemon(
     path: str, role: Role, create_daemon: Callable[[Settings], Daemon]
 ) -> NoReturn:
-    """Run the daemon that the settings file describes; SIGTERM stops it gracefully.
+    """Run the daemon described by the settings file until SIGTERM or SIGINT.
 
-    A second signal changes nothing: cutting off a request in progress is never right.
+    Further stop signals have no effect, so that no request in progress is interrupted.
+    Exits with ``ExitCode.INVALID`` if the settings are invalid and with
+    ``ExitCode.FAILED`` if the daemon can't start.
     """
     settings = _load_settings_or_exit(path, role)
-    line_log = _configure_logs(settings)
-    daemon = _create_preloaded(create_daemon, settings)
-    if line_log is not None:
-        line_log.start()
-    # A crash in a library's machine code leaves nothing else to find its cause by.
+    json_log_output = _configure_logs(settings)
+    daemon = _create_daemon_or_exit(create_daemon, settings)
+    if json_log_output is not None:
+        json_log_output.start()
+    # Without the traceback, a crash in native code leaves no hint of its cause.
     faulthandler.enable()
-    told = _SignalReceiver()
+    signals = _SignalReceiver()
     try:
         daemon.start()
     except KingcupwheelError as error:
         click.echo(f"kingcupwheel: {error}", err=True)
         sys.exit(ExitCode.FAILED)
-    asked_at = told.wait_for_stop(lambda: _reload_settings(path, role, daemon))
-    daemon.stop(asked_at)
-    if line_log is not None:
-        line_log.stop()
+    stop_requested_at = signals.wait_for_stop(
+        lambda: _reload_settings(path, role, daemon)
+    )
+    daemon.stop(stop_requested_at)
+    if json_log_output is not None:
+        json_log_output.stop()
     sys.stdout.flush()
-    # Threads that wait for callers or servers must not hold up the end.
+    # Skips joining threads that still wait for callers or servers.
     os._exit(ExitCode.OK)
 
 
 def _configure_logs(settings: Settings) -> JsonLogOutput | None:
-    """Log in the way of the deployment; structured lines on the users' platform."""
+    """Set up logging: JSON lines for forwarding entries and rank agents, else text.
+
+    Returns the JSON output, or None for text logs.
+    """
     if settings.forwarding is None and settings.rank is None:
         configure_text_logs(settings.name, settings.log_level.value)
         return None
     return JsonLogOutput(settings.name, settings.log_level.value)
 
 
-def _create_preloaded(
+def _create_daemon_or_exit(
     create_daemon: Callable[[Settings], Daemon], settings: Settings
 ) -> Daemon:
-    """Make the daemon, and load what it uses, before any thread starts.
+    """Create the daemon, and import the modules it uses, before any thread starts.
 
-    Failure: a module is read from its file while a second thread runs. Symptom: on one
-    of the users' machines the process ends with a segmentation fault in that read, at
-    about one start in a hundred. The codec of host names is loaded here because the
-    HTTP server would load it later, when it looks up the address it listens on.
+    Importing a module from its file while a second thread ran crashed the process with
+    a segmentation fault in about one start in a hundred on one of the users' machines.
+    The codec of host names is imported here because the HTTP server would import it
+    later, when it resolves its listen address.
     """
     import_module("encodings.idna")
     try:
@@ -169,7 +176,7 @@
 
 
 def _reload_settings(path: str, role: Role, daemon: Daemon) -> None:
-    """Read the settings again; bad ones are reported and change nothing."""
+    """Reload the settings file; invalid settings are logged and not applied."""
     loaded = load_settings(path)
     if loaded.is_error():
         why = "; ".join(str(problem) for problem in loaded.error)
--- a/src/kingcupwheel/console/exit_codes.py
+++ b/src/kingcupwheel/console/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of every command."""
+"""Exit codes of all commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code means."""
+    """Exit code of a command; each command's help says which codes it uses."""
 
     OK = 0
     FAILED = 1
--- a/src/kingcupwheel/console/manifest_formatting.py
+++ b/src/kingcupwheel/console/manifest_formatting.py
@@ -1,4 +1,4 @@
-"""Manifests and their rollout as text for a terminal."""
+"""Formatting of manifests and their rollout status as text."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class VersionedManifest(StrictStruct, frozen=True):
-    """The manifest in force with its version and the submission it came by."""
+    """The manifest in force with its version and the id of its submission."""
 
     version: int
     submission: str
@@ -27,15 +27,15 @@
 
 
 def format_manifest(versioned: VersionedManifest) -> str:
-    """Return the manifest as YAML with its version in a comment above."""
-    # Plain lists: YAML writes tuples with a tag of its own.
+    """Return the manifest as YAML, with its version in a leading comment."""
+    # The JSON round trip turns tuples into lists; yaml would tag tuples.
     data = msgspec.json.decode(msgspec.json.encode(versioned.manifest))
     body = yaml.safe_dump(data, sort_keys=False)
     return f"# Version {versioned.version}, submission {versioned.submission}.\n{body}"
 
 
 def format_rollout(rollout: RolloutStatus) -> str:
-    """Return a sentence on the whole and a line for each process not there yet."""
+    """Return a summary line and one line per process not on the version in force."""
     processes = (
         len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
     )
@@ -43,12 +43,12 @@
         f"Version {rollout.version} is in force on {len(rollout.up_to_date)}"
         f" of {processes} listed processes."
     ]
-    lines.extend(_lines(rollout.behind))
-    lines.extend(_lines(rollout.unresponsive))
+    lines.extend(_format_processes(rollout.behind))
+    lines.extend(_format_processes(rollout.unresponsive))
     return "\n".join(lines) + "\n"
 
 
-def _lines(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
+def _format_processes(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
     for process in processes:
         leaving = ", leaving" if process.is_leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
--- a/src/kingcupwheel/console/platform_access.py
+++ b/src/kingcupwheel/console/platform_access.py
@@ -1,4 +1,4 @@
-"""How commands reach the platform's service."""
+"""Access of commands to the platform's service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 def create_platform_client(url: str, *, client: str = "http") -> PlatformClient:
     """Return a client of the platform's service at ``url``.
 
-    Raises click.BadParameter if that is no address.
+    ``client`` is the name of a platform client plug-in. Raises click.BadParameter if
+    ``url`` is not an HTTP or HTTPS URL.
     """
     if not is_http_url(url):
         message = f"{url!r} is no http:// or https:// address."
--- a/src/kingcupwheel/console/problem_reports.py
+++ b/src/kingcupwheel/console/problem_reports.py
@@ -1,4 +1,4 @@
-"""Prints what is wrong with a file."""
+"""Output of validation problems of a file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def print_problems(file: Path, problems: ValidationProblems, *, as_json: bool) -> None:
-    """Print one line for each problem on stderr, or JSON on stdout."""
+    """Print one line per problem on stderr, or a JSON report on stdout."""
     if as_json:
         lines = [_ProblemEntry(path=each.path, detail=each.detail) for each in problems]
         report = _ProblemReport(valid=not problems, problems=lines)
--- a/src/kingcupwheel/console/process_addresses.py
+++ b/src/kingcupwheel/console/process_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of processes given on the command line."""
+"""The ``--address`` option: addresses of processes given on the command line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 def parse_addresses(
     _context: click.Context, _parameter: click.Parameter, pairs: tuple[str, ...]
 ) -> dict[str, str]:
-    """Return ``NAME=IP:PORT`` pairs as addresses by process."""
+    """Parse ``NAME=IP:PORT`` pairs into addresses by process name.
+
+    Raises click.BadParameter if a pair has another form.
+    """
     address_by_process = {}
     for pair in pairs:
         process, separator, address = pair.partition("=")
@@ -24,5 +27,5 @@
     multiple=True,
     callback=parse_addresses,
     metavar="NAME=IP:PORT",
-    help="Ask this process there, as when the platform's list can't be read.",
+    help="Address of a process, for when the platform's list can't be read.",
 )
