--- a/src/kingcupwheel/manifest/__init__.py
+++ b/src/kingcupwheel/manifest/__init__.py
@@ -1,3 +1,3 @@
-"""The manifest: what operators submit and every process follows."""
+"""The manifest: configuration that operators submit and all processes apply."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/manifest/assembly.py
+++ b/src/kingcupwheel/manifest/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a manifest together from its objects, reusing what has not changed."""
+"""Assembles a manifest from its stored objects, reusing unchanged shards."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     from kingcupwheel.manifest.schema import Manifest
     from kingcupwheel.manifest.schema import Organisation
 
-# Returns an object's value by key.
+# Returns the value of the object with the given key.
 ObjectSource = Callable[[str], Result[bytes, FetchError]]
 
 
 class OrganisationBucket(NamedTuple):
-    """A decoded shard of organisations with its stored value."""
+    """A decoded shard of organisations and its stored value."""
 
     value: bytes
     organisations: tuple[Organisation, ...]
 
 
 class AssembledManifest(NamedTuple):
-    """A manifest with the objects it came from.
+    """A manifest and the objects that it was assembled from.
 
-    ``buckets_by_digest`` is empty where organisations are not wanted.
+    ``buckets_by_digest`` is empty if it was assembled without organisations.
     """
 
     index_value: bytes
@@ -52,18 +52,18 @@
 
     @property
     def manifest(self) -> Manifest:
-        """The whole manifest, organisations sorted by name."""
+        """The complete manifest, with organisations sorted by name."""
         buckets = self.buckets_by_digest.values()
         return join_shards(self.core, (bucket.organisations for bucket in buckets))
 
 
 class FetchedObjectCache:
-    """Remembers objects between tries to put one manifest together.
+    """Cache of the objects read in failed attempts to assemble one manifest.
 
-    Failure: one read of many is refused by the platform's rate limit. Symptom: each try
-    starts with the first shard again, which keeps the platform at its limit when many
-    processes start at once. What was read for one index is kept until a try succeeds or
-    another index comes; keys are digests, so it can't be out of date.
+    If an attempt that exceeds the platform's rate limit started over with the first
+    shard, many processes starting at once would keep the platform at its limit. Objects
+    are kept until an attempt succeeds or the index changes; keys are digests, so cached
+    values can't be stale.
     """
 
     def __init__(self) -> None:
@@ -71,15 +71,15 @@
         self._values_by_key: dict[str, bytes] = {}
 
     def wrap(self, source: ObjectSource, index_value: bytes) -> ObjectSource:
-        """Return ``source`` with what was fetched before for this index."""
+        """Return ``source`` with the objects cached for this index in front of it."""
         if index_value != self._index_value:
             self.clear()
             self._index_value = index_value
 
         def read(key: str) -> Result[bytes, FetchError]:
-            known = self._values_by_key.get(key)
-            if known is not None:
-                return Ok(known)
+            cached = self._values_by_key.get(key)
+            if cached is not None:
+                return Ok(cached)
             value = source(key)
             if value.is_ok():
                 self._values_by_key[key] = value.ok
@@ -88,7 +88,7 @@
         return read
 
     def clear(self) -> None:
-        """Drop what was fetched."""
+        """Remove all objects."""
         self._values_by_key.clear()
 
 
@@ -99,10 +99,10 @@
     previous: AssembledManifest | None = None,
     with_organisations: bool = True,
 ) -> Result[AssembledManifest, FetchError]:
-    """Return the manifest that ``index_value`` names.
+    """Assemble the manifest whose encoded index is ``index_value``.
 
-    Shards that ``reuse`` holds are not read again; every other is read from ``source``
-    and checked against its digest.
+    Shards that are in ``previous`` are reused; all others are read from ``source`` and
+    verified against their digests.
     """
     index = decode_index(index_value)
     if index.is_error():
@@ -110,8 +110,8 @@
     core = _load_core(index.ok, source, previous)
     if core.is_error():
         return Error(core.error)
-    wanted = index.ok.bucket_digests if with_organisations else ()
-    buckets = _load_buckets(wanted, source, previous)
+    digests = index.ok.bucket_digests if with_organisations else ()
+    buckets = _load_buckets(digests, source, previous)
     if buckets.is_error():
         return Error(buckets.error)
     return Ok(AssembledManifest(index_value, index.ok, *core.ok, buckets.ok))
@@ -134,12 +134,12 @@
 def _load_buckets(
     digests: tuple[str, ...], source: ObjectSource, previous: AssembledManifest | None
 ) -> Result[dict[str, OrganisationBucket], FetchError]:
-    held = {} if previous is None else previous.buckets_by_digest
+    previous_buckets = {} if previous is None else previous.buckets_by_digest
     buckets_by_digest: dict[str, OrganisationBucket] = {}
     for digest in digests:
-        known = held.get(digest)
-        if known is not None:
-            buckets_by_digest[digest] = known
+        bucket = previous_buckets.get(digest)
+        if bucket is not None:
+            buckets_by_digest[digest] = bucket
             continue
         value = source(shard_key(digest))
         if value.is_error():
