--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -1,4 +1,4 @@
-"""A manifest in force, compiled for lookups on the path of each request."""
+"""A manifest version compiled for the lookups of each request."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
     from kingcupwheel.manifest.schema import Retention
     from kingcupwheel.manifest.schema import ServerGroup
 
-# Hexadecimal digits of the index's digest that heartbeats name: enough to tell two
-# indexes apart, and a quarter of the bytes on every link every second.
+# Hexadecimal digits of the index's digest in heartbeats: enough to distinguish two
+# indexes, and a quarter of the bytes on every link every second.
 _HEARTBEAT_DIGEST_DIGITS = 16
-# Hexadecimal digits of a key's digest that find the candidates; the rest is compared.
+# Hexadecimal digits of a key's digest that index the candidates, whose full digests
+# are then compared.
 _KEY_PREFIX_DIGITS = 16
 
 
 class CompiledManifest:
-    """One version of the manifest; immutable, so that any thread may read it.
+    """One version of the manifest; immutable and therefore thread-safe.
 
-    ``digest`` begins the SHA-256 digest of the index object: equal versions with
-    different digests would mean that the platform has lost and reused a version.
+    ``digest`` is a prefix of the SHA-256 digest of the index object: equal versions
+    with different digests mean that the platform has lost and reused a version.
     """
 
     def __init__(self, version: int, assembly: AssembledManifest) -> None:
@@ -41,8 +42,8 @@
         self._groups_by_name = {group.name: group for group in assembly.core.groups}
         self._routes = RouteTable(assembly.core.routes, self._groups_by_name)
         self._organisations_by_name: dict[str, Organisation] = {}
-        # One candidate for each prefix but for rare collisions: 43,000 tuples of one
-        # would double what the garbage collector walks through.
+        # Almost every prefix has one candidate. A tuple for each of 43,000 prefixes
+        # would double the objects that the garbage collector traverses.
         self._organisation_by_prefix: dict[str, Organisation] = {}
         self._collisions_by_prefix: dict[str, list[Organisation]] = {}
         for bucket in assembly.buckets_by_digest.values():
@@ -51,32 +52,32 @@
 
     @property
     def version(self) -> int:
-        """The version of the index object in the platform's service."""
+        """The version of the index object on the platform."""
         return self._version
 
     @property
     def digest(self) -> str:
-        """The beginning of the index object's digest."""
+        """The prefix of the index object's digest."""
         return self._digest
 
     @property
     def assembly(self) -> AssembledManifest:
-        """The objects it was made of."""
+        """The manifest and the objects that it was compiled from."""
         return self._assembly
 
     @property
     def groups_by_name(self) -> Mapping[str, ServerGroup]:
-        """Every server group."""
+        """All server groups."""
         return self._groups_by_name
 
     @property
     def organisations_by_name(self) -> Mapping[str, Organisation]:
-        """Every organisation; empty where a process doesn't need them."""
+        """All organisations; empty if assembled without them."""
         return self._organisations_by_name
 
     @property
     def goals(self) -> Goals:
-        """The service-level goals where neither route nor organisation has its own."""
+        """The service-level goals of routes and organisations without their own."""
         return self._assembly.core.goals
 
     @property
@@ -85,25 +86,24 @@
         return self._assembly.core.retention
 
     def find_organisation_by_key(self, key: str) -> Organisation | None:
-        """Return the organisation that the bearer key belongs to.
+        """Return the organisation that the bearer key belongs to, None if unknown.
 
-        The comparison takes the same time whatever digits are right, so that timing
-        tells nothing of the digests held here.
+        Digests are compared in constant time, so that timing does not reveal them.
         """
         digest = sha256(key.encode(errors="surrogatepass")).hexdigest()
         prefix = digest[:_KEY_PREFIX_DIGITS]
         first = self._organisation_by_prefix.get(prefix)
         if first is None:
             return None
-        found = None
+        owner = None
         for organisation in (first, *self._collisions_by_prefix.get(prefix, ())):
-            for held in organisation.key_digests:
-                if compare_digest(held, digest):
-                    found = organisation
-        return found
+            for key_digest in organisation.key_digests:
+                if compare_digest(key_digest, digest):
+                    owner = organisation
+        return owner
 
     def find_route(self, host: str, path: str, method: str) -> RouteMatch:
-        """Return the route of a request, or why there is none."""
+        """Return the route of a request, or the reason why there is none."""
         return self._routes.find(host, path, method)
 
     def _add_organisation(self, organisation: Organisation) -> None:
--- a/src/kingcupwheel/manifest/current_manifest.py
+++ b/src/kingcupwheel/manifest/current_manifest.py
@@ -1,4 +1,4 @@
-"""Holds one version of the manifest and replaces it by later ones only."""
+"""The manifest version in force in a process, replaced only by later versions."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class _Snapshot(NamedTuple):
-    """A version with its objects' values, swapped as one."""
+    """A version and the values of its objects, replaced together."""
 
     manifest: CompiledManifest
     values_by_key: Mapping[str, bytes]
 
 
 class CurrentManifest:
-    """Safe from any thread; readers take no lock."""
+    """Holder of the manifest version in force; thread-safe, with lock-free reads."""
 
     def __init__(self) -> None:
         self._snapshot: _Snapshot | None = None
@@ -43,61 +43,61 @@
 
     @property
     def current(self) -> CompiledManifest | None:
-        """The version held, None before the first one."""
-        held = self._snapshot
-        return None if held is None else held.manifest
+        """The manifest in force, None before the first one."""
+        snapshot = self._snapshot
+        return None if snapshot is None else snapshot.manifest
 
     @property
     def version(self) -> int:
-        """Its number, 0 before the first one."""
-        held = self._snapshot
-        return 0 if held is None else held.manifest.version
+        """The version in force, 0 before the first one."""
+        snapshot = self._snapshot
+        return 0 if snapshot is None else snapshot.manifest.version
 
     def subscribe(self, listener: ChangeListener) -> None:
-        """Call ``listener`` with each version held from now on, in order."""
+        """Call ``listener`` with each manifest adopted from now on, in order."""
         self._listeners.append(listener)
 
     def adopt(self, version: int, assembly: AssembledManifest) -> bool:
-        """Hold ``assembly`` if it is later than what is held.
+        """Adopt ``assembly`` if its version is later than the current one.
 
-        Failure: a read of the platform answers an older version after a newer one was
-        adopted here, or two threads finish in the other order. Symptom: an accepted
-        change is undone on one process. Versions of a key only rise, so comparing them
-        under the lock that swaps is enough.
+        A platform read may return an older version after a newer one was adopted, or
+        two threads may finish out of order; adopting either would revert an accepted
+        change in this process. Versions of an object only increase, so comparing them
+        under the lock is sufficient.
         """
         if version <= self.version:
             return False
-        in_force = CompiledManifest(version, assembly)
-        held = _Snapshot(in_force, _values_by_key(assembly))
+        manifest = CompiledManifest(version, assembly)
+        snapshot = _Snapshot(manifest, _values_by_key(assembly))
         with self._swap_lock:
             if version <= self.version:
                 return False
-            self._snapshot = held
+            self._snapshot = snapshot
             with self._changed:
                 self._changed.notify_all()
-            self._notify_listeners(in_force)
-        logger.info("Version %d is in force.", version)
+            self._notify_listeners(manifest)
+        logger.info("Manifest version %d is in force.", version)
         return True
 
     def wait_for_version(self, version: int, timeout_s: float) -> bool:
-        """Return whether ``version`` or a later one is held within the time."""
+        """Wait for ``version`` or a later one; return False if it times out."""
         with self._changed:
             return self._changed.wait_for(lambda: self.version >= version, timeout_s)
 
     def get_object(self, key: str) -> ManifestObject:
-        """Return an object of the version held; ``value`` is None if it has none."""
-        held = self._snapshot
-        if held is None:
+        """Return an object of the current version; ``value`` is None if missing."""
+        snapshot = self._snapshot
+        if snapshot is None:
             return ManifestObject(key=key, version=0, value=None)
-        value = held.values_by_key.get(key)
-        return ManifestObject(key=key, version=held.manifest.version, value=value)
+        value = snapshot.values_by_key.get(key)
+        return ManifestObject(key=key, version=snapshot.manifest.version, value=value)
 
     def _notify_listeners(self, manifest: CompiledManifest) -> None:
         for listener in tuple(self._listeners):
             try:
                 listener(manifest)
             except Exception:
-                logger.exception("A listener failed.")
+                logger.exception("Manifest listener failed.")
 
 
 def _values_by_key(assembly: AssembledManifest) -> dict[str, bytes]:
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -1,4 +1,4 @@
-"""Keeps the manifest in force in a process up to date, and never takes it back."""
+"""Keeps a process on the latest manifest version; versions never decrease."""
 
 from __future__ import annotations
 
@@ -37,38 +37,41 @@
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
 
-# Asks the peer at an address for an object; the error says why there was no answer.
+# Fetches an object, by key, from the peer at an address; the error is the reason why
+# there was no response.
 PeerObjectFetcher = Callable[[str, str], Result[ManifestObject | None, str]]
 
 logger = logging.getLogger("kingcupwheel.manifest")
 
-# Processes that saw the same change spread their reads of shards over this time: 370
-# entries and 1,000 agents at once would use up the platform's 2,000 reads a second.
-# It leaves most of the 7 seconds in which a change has to be in force everywhere.
+# Processes that see the same change spread their reads of shards over this time: 370
+# entries and 1,000 agents at once would exhaust the platform's 2,000 reads per second.
+# It leaves most of the 7 seconds within which a change must be in force everywhere.
 DEFAULT_MAX_READ_DELAY_S = 2.0
-# Pauses after a failed watch. The longest bounds how long after an outage a change is
-# noticed; 1,370 processes at 2 to 4 s make about 460 calls a second meanwhile.
+# Backoff after a failed watch. The maximum bounds how long after an outage a change is
+# noticed; 1,370 processes at 2 to 4 s make about 460 calls per second in an outage.
 _MIN_WATCH_BACKOFF_S = 0.2
 _MAX_WATCH_BACKOFF_S = 4.0
-# A watch that ends without news sooner than this has not waited; the next one does.
+# A watch that returns without a change sooner than this did not wait; the next one is
+# delayed by the backoff.
 _MIN_WATCH_S = 0.2
-# How often a process that is behind looks whether there is a new hint.
+# How often a process that is behind polls for a hint that has become due.
 _HINT_POLL_INTERVAL_S = 0.5
 
 
 class ManifestSynchronizer:
-    """Holds the manifest in force; adopts later versions only.
-
-    Two ways lead to a new version: a watch on the platform, and ``heard``, which is
-    told the version that each message of another process names. Either is enough, so
-    that a process cut off from the platform, or whose watch went silent, follows its
-    peers.
-
-    ``fetch_from_peer(address, key)`` may block; it is called on the keeper's threads.
-    ``on_change`` is called as by ``subscribe``. ``with_organisations=False`` keeps
-    groups and routes only, which is all an agent needs; ``watches_platform=False``
-    leaves ``heard`` as the only way. ``watch_s`` is how long one watch waits,
-    ``spread_s`` the longest random delay before shards are read.
+    """Keeps the current manifest up to date; only later versions are adopted.
+
+    New versions are detected by a watch on the platform and by
+    ``record_peer_version``, which gets the version in each message of another process.
+    Either is sufficient: a process that is disconnected from the platform, or whose
+    watch no longer responds, follows its peers.
+
+    ``fetch_from_peer(address, key)`` may block; it is called on the synchronizer's
+    threads. ``on_change`` is a listener as of ``subscribe``. With
+    ``with_organisations=False`` only groups and routes are kept, which is all an agent
+    needs; with ``watches_platform=False`` the versions of peers are the only source.
+    ``watch_s`` is the timeout of one watch, ``max_read_delay_s`` the maximum random
+    delay before shards are read.
     """
 
     def __init__(
@@ -104,27 +107,27 @@
 
     @property
     def current(self) -> CompiledManifest | None:
-        """The manifest in force here, None until the first one is adopted."""
+        """The manifest in force in this process, None before the first one."""
         return self._current_manifest.current
 
     @property
     def version(self) -> int:
-        """Its version, 0 before the first one; what messages name."""
+        """The version in force, 0 before the first one; sent in messages."""
         return self._current_manifest.version
 
     @property
     def digest(self) -> str:
-        """Its digest, empty before the first one; what messages name."""
+        """The digest of the index, empty before the first one; sent in messages."""
         current = self._current_manifest.current
         return "" if current is None else current.digest
 
     def start(self) -> None:
-        """Start to follow the platform and the peers."""
+        """Start the threads that follow the platform and the peers."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Stop following; a watch that is under way is left to run out."""
+        """Stop the threads; a pending watch is left to time out."""
         self._stopping.set()
         with self._hint_added:
             self._hint_added.notify_all()
@@ -132,23 +135,23 @@
     def subscribe(self, listener: ChangeListener) -> None:
         """Call ``listener`` with each manifest adopted from now on.
 
-        Calls come one at a time, in the order of versions, on a keeper's thread.
+        Calls are serialized, in the order of versions, on the synchronizer's threads.
         """
         self._current_manifest.subscribe(listener)
 
     def wait_for_version(self, version: int, timeout_s: float) -> bool:
-        """Return whether ``version`` or a later one is in force within the time."""
+        """Wait for ``version`` or a later one; return False if it times out."""
         return self._current_manifest.wait_for_version(version, timeout_s)
 
     def get_object(self, key: str) -> ManifestObject:
-        """Return the answer to a peer that wants this object; never blocks."""
+        """Return the reply to a peer that requests this object; never blocks."""
         return self._current_manifest.get_object(key)
 
     def record_peer_version(self, version: int, digest: str, address: str) -> None:
-        """Note that the process at ``address`` names this version; never blocks.
+        """Record the version that the process at ``address`` reports; never blocks.
 
-        ``digest`` is empty if that process holds no manifest itself (an agent): it is
-        not asked for objects, and its word leads to the platform.
+        ``digest`` is empty if that process has no manifest to copy (an agent): objects
+        are then read from the platform instead.
         """
         current = self._current_manifest.current
         if current is not None and version <= current.version:
@@ -173,21 +176,23 @@
                 self._stopping.wait(backoff.next_s())
 
     def _watch_once(self) -> bool:
-        """Return whether to watch again at once."""
-        begun = monotonic()
+        """Run one watch; return whether to repeat it without a delay."""
+        started_at = monotonic()
         found = self._client.watch(
             INDEX_KEY, after=self.version, timeout_s=self._watch_s
         )
         if found.is_error():
-            logger.warning("Watch failed: %s.", describe_platform_error(found.error))
+            logger.warning(
+                "Manifest watch failed: %s.", describe_platform_error(found.error)
+            )
             return False
         if found.ok is None:
-            return monotonic() - begun >= _MIN_WATCH_S
+            return monotonic() - started_at >= _MIN_WATCH_S
         return self._adopt_from_watch(found.ok)
 
     def _adopt_from_watch(self, found: VersionedValue) -> bool:
         if found.version <= self.version:
-            logger.warning("The platform answered old version %d.", found.version)
+            logger.warning("Platform returned old version %d.", found.version)
             return False
         if self.version > 0:
             self._stopping.wait(self._random.uniform(0.0, self._max_read_delay_s))
@@ -202,7 +207,7 @@
                     self._adopt_from_platform_read()
 
     def _wait_for_hint(self) -> VersionHint | None:
-        """Wait for a hint for a while; None if there is none or when stopping."""
+        """Return the next hint; None if there is none yet or when stopping."""
         with self._hint_added:
             hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
@@ -214,7 +219,7 @@
     def _adopt_from_peer(self, address: str) -> None:
         found = self._fetch_from_peer(address, INDEX_KEY)
         if found.is_error():
-            logger.warning("Peer %s did not answer: %s.", address, found.error)
+            logger.warning("Peer %s did not respond: %s.", address, found.error)
             return
         index = found.ok
         if index is None or index.value is None or index.version <= self.version:
@@ -239,7 +244,7 @@
             with_organisations=self._with_organisations,
         )
         if assembly.is_error():
-            logger.warning("Version %d not adopted: %s.", version, assembly.error)
+            logger.warning("Could not adopt version %d: %s.", version, assembly.error)
             if isinstance(assembly.error, InvalidObject):
                 self._object_cache.clear()
             return False
@@ -260,6 +265,6 @@
 def _log_version_mismatch(
     current: CompiledManifest, version: int, digest: str, address: str
 ) -> None:
-    """Log a peer that holds the same version with other content."""
+    """Log an error if the peer has other content under the same version."""
     if version == current.version and digest not in ("", current.digest):
-        logger.error("Peer %s has another version %d.", address, version)
+        logger.error("Peer %s has other content in version %d.", address, version)
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -1,30 +1,31 @@
-"""Where to look for a later version of the manifest that others have named."""
+"""Hints where to read a later version of the manifest that other processes reported."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-# Peers remembered as ahead. One is enough to copy from, further ones stand in for it.
+# Peers kept as hints. One is enough to copy from; the others are fallbacks.
 _MAX_PEERS = 8
-# How long this process is behind before it reads the platform on the word of a process
-# that holds no manifest to copy. Ordinary changes arrive by the watch well within it;
-# a watch that has gone silent is noticed in time for the 7 seconds of a change.
+# How long this process is behind before it reads the platform because of a version
+# reported by a process that has no manifest to copy. The watch normally delivers
+# changes well within it, and a watch that no longer responds is detected in time for
+# the 7 seconds within which a change must be in force.
 _PLATFORM_READ_DELAY_S = 2.5
-# The least time between such reads: heartbeats name the version many times a second,
-# and in an outage the reads would add to what the platform has to refuse.
+# The minimum interval of such reads: heartbeats report the version many times a second,
+# and in an outage the reads would add to the platform's load.
 _PLATFORM_READ_INTERVAL_S = 1.0
 
 
 class PeerHint(NamedTuple):
-    """Copy ``version`` or a later one from the peer at ``address``."""
+    """The peer at ``address`` has ``version`` or a later one."""
 
     address: str
     version: int
 
 
 class PlatformHint(NamedTuple):
-    """Read the index from the platform; it is at ``version`` or a later one."""
+    """The platform has ``version`` or a later one."""
 
     version: int
 
@@ -33,10 +34,10 @@
 
 
 class VersionHints:
-    """Decides where to look; ``now`` is monotonic, in seconds.
+    """Queue of hints; ``now`` is a monotonic time in seconds.
 
-    Made for a change heard of from tens of processes a second: each peer is asked once
-    for each time that it is heard, and the platform at most once a second.
+    Bounds the reads when tens of processes per second report a change: each report of a
+    peer leads to at most one hint, and the platform is read at most once a second.
     """
 
     def __init__(self) -> None:
@@ -47,23 +48,23 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a version was named that was not in force at the last look."""
+        """Whether a reported version was not yet in force at the last ``pop_next``."""
         return self._behind_since is not None
 
     def record(self, version: int, *, peer: str | None, now: float) -> None:
-        """Note a later version; ``peer`` is an address that can be copied from."""
+        """Record a later version; ``peer`` is an address that has it to copy."""
         self._latest_version = max(self._latest_version, version)
         if self._behind_since is None:
             self._behind_since = now
         if peer is not None:
-            full = len(self._version_by_peer) >= _MAX_PEERS
-            if peer in self._version_by_peer or not full:
+            is_full = len(self._version_by_peer) >= _MAX_PEERS
+            if peer in self._version_by_peer or not is_full:
                 self._version_by_peer[peer] = version
 
     def pop_next(self, current_version: int, *, now: float) -> VersionHint | None:
-        """Return where to look next, if anywhere; peers with later versions first.
+        """Remove and return the next hint, if any; peers with later versions first.
 
-        A failed look needs no undoing: the next heartbeat brings the hint again.
+        A hint whose read failed is not put back: the next heartbeat renews it.
         """
         self._discard_outdated(current_version)
         if self._version_by_peer:
