--- a/src/kingcupwheel/manifest/exceptions.py
+++ b/src/kingcupwheel/manifest/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the manifest layer."""
+"""Errors that operations on the manifest return."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class VersionConflict(NamedTuple):
     """Another manifest was accepted first.
 
-    ``expected`` is the version the operator saw, ``found`` the one in force now, 0 if
-    there is none.
+    ``expected_version`` is the version that the submission is based on,
+    ``found_version`` the one in force, 0 if there is none.
     """
 
     expected_version: int
@@ -23,7 +23,7 @@
 
 
 class PlatformFailure(NamedTuple):
-    """The platform could not be used; nothing was accepted."""
+    """A call to the platform failed; nothing was accepted."""
 
     detail: str
 
@@ -32,9 +32,9 @@
 
 
 class UnknownOutcome(NamedTuple):
-    """The confirmation was lost and could not be read back in time.
+    """The confirmation was lost, and the index could not be read back in time.
 
-    The manifest may be in force; ``submission`` is its id.
+    The manifest may be in force.
     """
 
     submission_id: str
@@ -42,12 +42,13 @@
 
     def __str__(self) -> str:
         return (
-            f"may be accepted or not (submission {self.submission_id}): {self.detail}"
+            f"unknown whether submission {self.submission_id} was accepted:"
+            f" {self.detail}"
         )
 
 
 class ObjectTooLarge(NamedTuple):
-    """An object of the manifest is over the platform's limit; sizes in bytes."""
+    """An object of the manifest exceeds the platform's size limit."""
 
     key: str
     size_bytes: int
@@ -55,13 +56,13 @@
 
     def __str__(self) -> str:
         return (
-            f"{self.key}: {self.size_bytes} bytes are over the limit of"
+            f"{self.key}: {self.size_bytes} bytes exceed the limit of"
             f" {self.limit_bytes}"
         )
 
 
 class InvalidObject(NamedTuple):
-    """A stored object is not what its key or its index says."""
+    """A stored object is malformed or does not match its digest."""
 
     key: str
     detail: str
@@ -71,7 +72,7 @@
 
 
 class MissingObject(NamedTuple):
-    """Nobody who was asked has the object."""
+    """The object does not exist."""
 
     key: str
 
--- a/src/kingcupwheel/manifest/platform_retries.py
+++ b/src/kingcupwheel/manifest/platform_retries.py
@@ -1,4 +1,4 @@
-"""Going on with calls to the platform for a bounded time."""
+"""Retries of calls to the platform within a time limit."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class PlatformRetrier:
-    """The ``seconds`` from now on in which calls are repeated."""
+    """Retries calls until ``timeout_s`` from its creation."""
 
     def __init__(self, timeout_s: float) -> None:
         self._deadline = monotonic() + timeout_s
@@ -33,7 +33,7 @@
     def call_with_retries(
         self, call: Callable[[], Result[T, PlatformError]]
     ) -> Result[T, PlatformError]:
-        """Repeat an idempotent call until it is answered or time runs out."""
+        """Repeat an idempotent call until it gets a definite result or times out."""
         while True:
             result = call()
             if result.is_ok() or isinstance(result.error, Conflict | Rejected):
@@ -42,24 +42,24 @@
                 return result
 
     def wait_before_retry(self, error: PlatformError) -> bool:
-        """Wait as ``error`` asks; False at once if time would run out."""
-        wait_s = (
+        """Wait for the delay of ``error``; return False at once if it is too long."""
+        delay_s = (
             error.retry_after_s if isinstance(error, RateLimited) else _RETRY_DELAY_S
         )
-        if monotonic() + wait_s >= self._deadline:
+        if monotonic() + delay_s >= self._deadline:
             return False
-        sleep(wait_s)
+        sleep(delay_s)
         return True
 
 
 def describe_platform_error(error: PlatformError) -> str:
-    """Return ``error`` in a few words for an operator."""
+    """Return a short description of ``error`` for an operator."""
     match error:
         case Unavailable(detail, _):
-            return f"no answer ({detail})"
+            return f"no response ({detail})"
         case Conflict(key, version):
             return f"{key} is at version {version}"
         case RateLimited(retry_after_s):
-            return f"too many calls, again in {retry_after_s:g} s"
+            return f"rate limit exceeded, retry after {retry_after_s:g} s"
         case Rejected(status, detail):
-            return f"refused with status {status} {detail}".rstrip()
+            return f"rejected with status {status} {detail}".rstrip()
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -1,9 +1,9 @@
-"""A manifest as objects of the platform: an index and content-addressed shards.
+"""Storage format of a manifest: an index object and content-addressed shards.
 
-Values are limited to a megabyte and 43,000 organisations don't fit in one, so they are
-spread over buckets by a digest of the name: a change of one organisation rewrites one
-bucket. Groups, routes and the rest are one more shard, all that an agent needs. The
-index names each shard by its digest, therefore what an index names can't change.
+Objects are limited to a megabyte, too small for 43,000 organisations. These are hashed
+by name into buckets, so that a change of one organisation rewrites one bucket. Groups,
+routes and the rest form the core shard, which is all that an agent needs. The index
+refers to each shard by its digest, so the content of an index can't change.
 """
 
 from __future__ import annotations
@@ -38,33 +38,36 @@
 INDEX_KEY = "manifest/index"
 SHARD_PREFIX = "manifest/shards/"
 
-# The largest packed bucket. At a change of one organisation each entry reads one
-# bucket: 720 a day of this size are 1.3 KB/s of its 11 KB/s. At a change of all of
-# them, or when all start at once, each reads every bucket: 370 entries and 43,000
-# organisations are under 7,000 reads, which the platform takes in less than 4 s.
+# Size limit of a packed bucket. When one organisation changes, each entry reads one
+# bucket: 720 changes a day of this size are 1.3 KB/s of its 11 KB/s. When all of them
+# change, or all entries start at once, each entry reads every bucket: with 370 entries
+# and 43,000 organisations that is under 7,000 reads, which take the platform less than
+# 4 s.
 _MAX_BUCKET_BYTES = 160_000
-# Buckets are halved in number when the largest is below this. The gap to the limit
-# keeps their number, and with it every shard, while organisations come and go.
+# The number of buckets is halved when the largest is below this size. The gap to the
+# limit keeps the number, and thus all shards, stable while organisations are added and
+# removed.
 _BUCKET_MERGE_BYTES = _MAX_BUCKET_BYTES // 8
 _MAX_BUCKETS = 4096
-# A shard may unpack to no more than this: a damaged one must not use up the memory.
+# Size limit of an unpacked shard, so that a corrupt one can't exhaust memory.
 _MAX_UNPACKED_BYTES = 16_000_000
 _COMPRESSION_LEVEL = 6
-# Submissions that an index remembers of those before it, so that a submitter whose
-# confirmation was lost learns that it won even if others have won since.
+# Earlier submissions listed in an index, so that a submitter whose confirmation was
+# lost can tell that it was accepted even if others have been accepted since.
 _MAX_EARLIER_SUBMISSIONS = 32
-# Submissions for which replaced shards are kept. A process that read an index just
-# before it was replaced still finds its shards; at 720 changes a day that is 30 min.
+# Replaced shards are kept for this number of submissions, so that a process that read
+# an index just before it was replaced still finds its shards; at 720 changes a day that
+# is 30 min.
 _RETIRED_SHARDS_KEPT_SUBMISSIONS = 16
 
 
 class ManifestIndex(Record, frozen=True):
-    """What a manifest version consists of.
+    """Index of the shards of a manifest version, by their SHA-256 digests.
 
-    ``submission`` names the submission, ``earlier`` those before it, latest first.
-    ``core`` is the shard of groups, routes and the rest; ``organisations`` are those of
-    the buckets, whose number is a power of two. ``retired`` are the shards that each of
-    the last submissions replaced, latest first. Shards are named by SHA-256 digest.
+    ``earlier_submission_ids`` are those before it, latest first. ``core_digest`` is the
+    shard of groups, routes and the rest; the number of buckets of organisations is a
+    power of two. ``retired_digests`` are the shards that each of the last submissions
+    replaced, latest first.
     """
 
     submission_id: str = msgspec.field(name="submission")
@@ -77,12 +80,12 @@
 
     @property
     def shard_digests(self) -> tuple[str, ...]:
-        """The digests of all shards, the core's first."""
+        """The digests of all shards, that of the core first."""
         return (self.core_digest, *self.bucket_digests)
 
     @property
     def shard_keys(self) -> tuple[str, ...]:
-        """The keys of all shards, the core's first."""
+        """The keys of all shards, that of the core first."""
         return tuple(shard_key(each) for each in self.shard_digests)
 
 
@@ -96,21 +99,21 @@
 
 
 class ShardedManifest(NamedTuple):
-    """A manifest cut into objects; values are as stored, by key."""
+    """A manifest split into its index and encoded shards."""
 
     index_object: ManifestIndex
     shards_by_key: Mapping[str, bytes]
 
 
 def shard_key(digest: str) -> str:
-    """Return the key of the shard with that digest."""
+    """Return the key of the shard with this digest."""
     return SHARD_PREFIX + digest
 
 
 def shard_manifest(
     manifest: Manifest, *, submission_id: str, previous_index: ManifestIndex | None
 ) -> Result[ShardedManifest, ObjectTooLarge]:
-    """Cut ``manifest`` into shards and their index, which follows ``previous``."""
+    """Split ``manifest`` into shards and an index that succeeds ``previous_index``."""
     core = ManifestCore(
         groups=manifest.groups,
         routes=manifest.routes,
@@ -136,7 +139,7 @@
 
 
 def list_expiring_shard_keys(previous_index: ManifestIndex | None) -> tuple[str, ...]:
-    """Return the retired shards that an index which follows ``previous`` forgets."""
+    """Return the retired shards that a successor of ``previous_index`` drops."""
     if (
         previous_index is None
         or len(previous_index.retired_digests) < _RETIRED_SHARDS_KEPT_SUBMISSIONS
@@ -148,7 +151,7 @@
 def join_shards(
     core: ManifestCore, buckets: Iterable[tuple[Organisation, ...]]
 ) -> Manifest:
-    """Return the manifest that was cut; its organisations come sorted by name."""
+    """Return the manifest of the shards, with organisations sorted by name."""
     organisations = [each for bucket in buckets for each in bucket]
     return Manifest(
         organisations=_sort_by_name(organisations),
@@ -160,12 +163,12 @@
 
 
 def encode_index(index: ManifestIndex) -> bytes:
-    """Return the index object's value, which is JSON."""
+    """Return the value of the index object, which is JSON."""
     return msgspec.json.encode(index)
 
 
 def decode_index(value: bytes) -> Result[ManifestIndex, InvalidObject]:
-    """Return the index in an object's value."""
+    """Return the index in the value of an index object."""
     try:
         return Ok(msgspec.json.decode(value, type=ManifestIndex))
     except msgspec.DecodeError as error:
@@ -173,24 +176,24 @@
 
 
 def decode_core(digest: str, value: bytes) -> Result[ManifestCore, InvalidObject]:
-    """Return the core shard in ``value`` if it has that digest."""
+    """Return the decoded core shard if ``value`` matches the digest."""
     return _unpack(digest, value, ManifestCore)
 
 
 def decode_bucket(
     digest: str, value: bytes
 ) -> Result[tuple[Organisation, ...], InvalidObject]:
-    """Return the organisations in ``value`` if it has that digest."""
+    """Return the organisations of a bucket if ``value`` matches the digest."""
     return _unpack(digest, value, tuple[Organisation, ...])
 
 
 def _pack_buckets(
     organisations: tuple[Organisation, ...], previous_index: ManifestIndex | None
 ) -> list[bytes]:
-    """Return the packed buckets; their number is a power of two.
+    """Return the packed buckets, whose number is a power of two.
 
-    It starts at the previous one and changes only if a bucket is too large or all are
-    small: another number rewrites every bucket.
+    A change of the number rewrites all buckets, so the previous one is kept unless a
+    bucket is too large or all are small.
     """
     buckets = (
         1
@@ -221,7 +224,7 @@
 
 
 def _floor_power_of_two(number: int) -> int:
-    """Return the largest power of two up to ``number``, at least 1."""
+    """Return the largest power of two that is at most ``number``; at least 1."""
     return 1 << max(0, number.bit_length() - 1)
 
 
@@ -248,12 +251,12 @@
 ) -> tuple[tuple[str, ...], ...]:
     if previous_index is None:
         return ()
-    replaced = tuple(sorted(set(previous_index.shard_digests) - used_digests))
-    before = [
+    replaced_digests = tuple(sorted(set(previous_index.shard_digests) - used_digests))
+    earlier_digests = [
         tuple(digest for digest in digests if digest not in used_digests)
         for digests in previous_index.retired_digests
     ]
-    return (replaced, *before)[:_RETIRED_SHARDS_KEPT_SUBMISSIONS]
+    return (replaced_digests, *earlier_digests)[:_RETIRED_SHARDS_KEPT_SUBMISSIONS]
 
 
 def _check_sizes(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
@@ -278,13 +281,13 @@
 def _unpack(digest: str, value: bytes, content_type: Any) -> Result[Any, InvalidObject]:
     key = shard_key(digest)
     if _compute_digest(value) != digest:
-        return Error(InvalidObject(key, "its value has another digest"))
+        return Error(InvalidObject(key, "digest mismatch"))
     try:
-        unpacker = zlib.decompressobj()
-        content = unpacker.decompress(value, _MAX_UNPACKED_BYTES)
-        if unpacker.unconsumed_tail:
+        decompressor = zlib.decompressobj()
+        content = decompressor.decompress(value, _MAX_UNPACKED_BYTES)
+        if decompressor.unconsumed_tail:
             return Error(
-                InvalidObject(key, f"unpacks to over {_MAX_UNPACKED_BYTES} bytes")
+                InvalidObject(key, f"unpacked size exceeds {_MAX_UNPACKED_BYTES} bytes")
             )
         return Ok(msgspec.json.decode(content, type=content_type))
     except (zlib.error, msgspec.DecodeError) as error:
--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -1,4 +1,4 @@
-"""Submitting a manifest to the platform and reading the one in force."""
+"""Store of manifests on the platform: submission, and reading the current one."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
     from kingcupwheel.manifest.submission_writer import BaseIndex
     from kingcupwheel.platform.client import PlatformClient
 
-# How long a submission goes on trying. Operators wait at a terminal or a pipeline does;
-# past this the platform is in an outage and they are better told so.
+# How long a submission is retried while an operator or a pipeline waits. A longer
+# failure is an outage of the platform, which is better reported.
 DEFAULT_RETRY_TIMEOUT_S = 20.0
 
 
 class AcceptedSubmission(NamedTuple):
-    """A manifest that is in force from ``version`` on, until a later one.
+    """A submission that was accepted as ``version``.
 
-    ``shards_written`` and ``shards_reused`` count its shards; ``superseded`` tells that
-    a later manifest, of that version, is in force already.
+    ``shards_written`` and ``shards_reused`` count its shards. If ``superseded``, a
+    later manifest is already in force, and ``version`` is that manifest's.
     """
 
     version: int
@@ -51,7 +51,7 @@
 
 
 class ManifestStore:
-    """Manifests in the platform's service; ``patience_s`` bounds a submission."""
+    """Store of manifests; ``retry_timeout_s`` limits the retries of a submission."""
 
     def __init__(
         self,
@@ -69,16 +69,15 @@
         submission_id: str,
         expected_version: int | None = None,
     ) -> Result[AcceptedSubmission, SubmitError]:
-        """Put a checked ``manifest`` in force, whole or not at all.
+        """Put a validated ``manifest`` in force atomically.
 
-        ``submission`` is a fresh unique id. ``expected`` is the version the operator
-        saw, by default the one in force now. Shards go first and the index last, by one
-        conditional update, so that nobody ever reads half of a manifest.
+        ``submission_id`` must be new and unique. ``expected_version`` is the version
+        that the manifest is based on, by default the current one. Shards are written
+        first and the index last, by one conditional update, so that no process can read
+        a partial manifest.
         """
-        submitter = SubmissionWriter(
-            self._client, PlatformRetrier(self._retry_timeout_s)
-        )
-        base = submitter.read_base()
+        writer = SubmissionWriter(self._client, PlatformRetrier(self._retry_timeout_s))
+        base = writer.read_base()
         if base.is_error():
             return Error(base.error)
         if expected_version is not None and expected_version != base.ok.version:
@@ -88,10 +87,10 @@
         )
         if sharded.is_error():
             return Error(sharded.error)
-        return _submit(submitter, sharded.ok, base.ok)
+        return _submit(writer, sharded.ok, base.ok)
 
     def fetch(self) -> Result[tuple[int, AssembledManifest] | None, FetchError]:
-        """Return the manifest in force and its version, or None if there is none."""
+        """Return the current version and manifest, or None if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
             return Error(PlatformFailure(describe_platform_error(found.error)))
@@ -103,7 +102,7 @@
         ).map(lambda assembly: (version, assembly))
 
     def read_version(self) -> Result[int, FetchError]:
-        """Return the version in force, 0 if there is none."""
+        """Return the current version, 0 if there is none."""
         found = self._client.read(INDEX_KEY)
         if found.is_error():
             return Error(PlatformFailure(describe_platform_error(found.error)))
@@ -111,7 +110,7 @@
 
 
 def read_object(client: PlatformClient, key: str) -> Result[bytes, FetchError]:
-    """Return the value of an object that has to exist."""
+    """Return the value of an object; a missing object is an error."""
     found = client.read(key)
     if found.is_error():
         return Error(PlatformFailure(describe_platform_error(found.error)))
@@ -121,22 +120,23 @@
 def _submit(
     writer: SubmissionWriter, sharded: ShardedManifest, base: BaseIndex
 ) -> Result[AcceptedSubmission, SubmitError]:
-    written = writer.write_shards(sharded.shards_by_key, base.previous_index)
-    if written.is_error():
-        return Error(written.error)
-    # Versions are read before the update: that it succeeds proves that no submission
-    # came between, so whoever uses one of these shards again raises its version later.
+    written_count = writer.write_shards(sharded.shards_by_key, base.previous_index)
+    if written_count.is_error():
+        return Error(written_count.error)
+    # Versions are read before the update, whose success proves that no submission was
+    # accepted meanwhile. A submitter that reuses one of these shards therefore raises
+    # its version afterwards, and the conditional delete fails.
     expiring = writer.read_versions(list_expiring_shard_keys(base.previous_index))
-    won = writer.write_index(sharded.index_object, base)
-    if won.is_error():
-        return Error(won.error)
+    accepted = writer.write_index(sharded.index_object, base)
+    if accepted.is_error():
+        return Error(accepted.error)
     writer.delete_unchanged(expiring)
     return Ok(
         AcceptedSubmission(
-            version=won.ok.version,
+            version=accepted.ok.version,
             submission=sharded.index_object.submission_id,
-            shards_written=written.ok,
-            shards_reused=len(sharded.shards_by_key) - written.ok,
-            superseded=won.ok.superseded,
+            shards_written=written_count.ok,
+            shards_reused=len(sharded.shards_by_key) - written_count.ok,
+            superseded=accepted.ok.superseded,
         )
     )
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -1,4 +1,4 @@
-"""Writes a manifest's objects to the platform: shards first, the index last."""
+"""Writes the objects of a manifest to the platform, shards first and index last."""
 
 from __future__ import annotations
 
@@ -34,63 +34,67 @@
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.client import VersionedValue
 
-# Tries to write one shard that another submitter is writing or removing meanwhile.
+# Attempts to write one shard while other submitters write or delete it.
 _MAX_SHARD_TRIES = 5
 
 
 class BaseIndex(NamedTuple):
-    """The index that a submission builds on; version 0 if there is none."""
+    """The index that a submission is based on; version 0 if there is none."""
 
     version: int
     previous_index: ManifestIndex | None
 
 
 class AcceptedIndex(NamedTuple):
-    """The index is in force from ``version`` on, or was until a later one."""
+    """An index that was accepted.
+
+    ``version`` is its version, or the current one if it is ``superseded``.
+    """
 
     version: int
     superseded: bool
 
 
 class SubmissionWriter:
-    """Carries out the steps of one submission; belongs to one thread."""
+    """Executes the steps of one submission; not thread-safe."""
 
     def __init__(self, client: PlatformClient, retrier: PlatformRetrier) -> None:
         self._client = client
         self._retrier = retrier
 
     def read_base(self) -> Result[BaseIndex, SubmitError]:
-        """Return what there is to build on."""
+        """Read the current index."""
         found = self._retrier.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
             return Error(PlatformFailure(describe_platform_error(found.error)))
         if found.ok is None:
             return Ok(BaseIndex(0, None))
-        # An index that can't be decoded is replaced; it names nothing to keep.
+        # An invalid index is replaced; it refers to no shards that could be reused.
         index = decode_index(found.ok.value)
         return Ok(BaseIndex(found.ok.version, index.ok if index.is_ok() else None))
 
     def write_shards(
         self, shards_by_key: Mapping[str, bytes], previous_index: ManifestIndex | None
     ) -> Result[int, SubmitError]:
-        """Write what ``previous`` does not name; return how many shards that were."""
-        there = set() if previous_index is None else set(previous_index.shard_keys)
-        new = [key for key in shards_by_key if key not in there]
-        for key in new:
+        """Write the shards that ``previous_index`` lacks; return their number."""
+        existing_keys = (
+            set() if previous_index is None else set(previous_index.shard_keys)
+        )
+        new_keys = [key for key in shards_by_key if key not in existing_keys]
+        for key in new_keys:
             error = self._write_shard(key, shards_by_key[key])
             if error is not None:
                 return Error(PlatformFailure(describe_platform_error(error)))
-        return Ok(len(new))
+        return Ok(len(new_keys))
 
     def _write_shard(self, key: str, value: bytes) -> PlatformError | None:
-        """Create the shard, or write it again if it is there; None on success.
-
-        Failure: another submitter removes this shard, which it found retired, right
-        after it was found here. Symptom: an index in force names a shard that is gone.
-        Writing the same content again raises its version, and removals are conditional
-        on a version read earlier (see ``versions_of``), so the removal fails. A version
-        above the one found here says as much, whoever raised it: this submitter, whose
-        confirmation was lost, or another since.
+        """Create the shard, or rewrite it if it exists; return None on success.
+
+        An existing shard may be retired, and another submitter about to delete it; the
+        current index would then refer to a missing shard. Rewriting it raises its
+        version, so that the delete, conditional on a version read earlier (see
+        ``read_versions``), fails. A version above the one found here is as good,
+        whether raised by this submitter, whose confirmation was lost, or by another.
         """
         error: PlatformError | None = None
         for _ in range(_MAX_SHARD_TRIES):
@@ -102,52 +106,52 @@
             error = result.error
             if not isinstance(error, Conflict):
                 return error
-            found = error.version
-            again = partial(self._client.update, key, value, version=found)
+            found_version = error.version
+            again = partial(self._client.update, key, value, version=found_version)
             result = self._retrier.call_with_retries(again)
             if result.is_ok():
                 return None
             error = result.error
             if not isinstance(error, Conflict):
                 return error
-            if error.version > found:
+            if error.version > found_version:
                 return None
         return error
 
     def write_index(
         self, index: ManifestIndex, base: BaseIndex
     ) -> Result[AcceptedIndex, SubmitError]:
-        """Make ``index`` the one in force by one conditional update.
+        """Make ``index`` the current one by one conditional update.
 
-        Failure: the update takes effect and its confirmation is lost. Symptom: the
-        repeated update conflicts and the winner is told that it lost. Reading back the
-        submission id tells who won; an index names the submissions before it, so that
-        also holds when another has been accepted since.
+        If the update takes effect and its confirmation is lost, the retry conflicts
+        with it. The submission id that is read back shows whether this submission was
+        accepted; an index lists the earlier ids, so this works even if another
+        submission has been accepted since.
         """
-        doubt = ""
+        unknown_detail = ""
         while True:
             result = self._put_index(encode_index(index), base.version)
             if result.is_ok():
                 return Ok(AcceptedIndex(result.ok, superseded=False))
             match result.error:
                 case Conflict():
-                    settled = self._resolve_conflict(index, base.version)
-                    if settled is not None:
-                        return settled
-                    doubt = "the platform did not answer when read back"
+                    outcome = self._resolve_conflict(index, base.version)
+                    if outcome is not None:
+                        return outcome
+                    unknown_detail = "the platform did not return the current index"
                 case Unavailable(_, sent):
-                    doubt = doubt or (
+                    unknown_detail = unknown_detail or (
                         describe_platform_error(result.error) if sent else ""
                     )
                 case Rejected():
                     return Error(PlatformFailure(describe_platform_error(result.error)))
             if not self._retrier.wait_before_retry(result.error):
-                if doubt:
-                    return Error(UnknownOutcome(index.submission_id, doubt))
+                if unknown_detail:
+                    return Error(UnknownOutcome(index.submission_id, unknown_detail))
                 return Error(PlatformFailure(describe_platform_error(result.error)))
 
     def read_versions(self, keys: Iterable[str]) -> dict[str, int]:
-        """Return the versions of those objects that exist and could be read."""
+        """Return the versions of the objects that exist and can be read."""
         version_by_key: dict[str, int] = {}
         for key in keys:
             found = self._client.read(key)
@@ -156,9 +160,9 @@
         return version_by_key
 
     def delete_unchanged(self, version_by_key: Mapping[str, int]) -> None:
-        """Remove the objects that are still at these versions; failures are left.
+        """Delete the objects that are still at these versions; errors are ignored.
 
-        What can't be removed stays as garbage, which costs nothing but its room.
+        Objects that can't be deleted remain as garbage, which only takes up space.
         """
         for key, version in version_by_key.items():
             self._client.delete(key, version=version)
@@ -171,10 +175,10 @@
     def _resolve_conflict(
         self, index: ManifestIndex, expected_version: int
     ) -> Result[AcceptedIndex, SubmitError] | None:
-        """Return who won, or None if that can't be read now."""
+        """Return whether ``index`` was accepted, or None if it can't be read now."""
         found = self._client.read(INDEX_KEY)
         if found.is_error() or found.ok is None or found.ok.version <= expected_version:
-            # No answer, or a stale one: the update conflicted, so there is a later one.
+            # No response, or a stale one: the conflict implies a later index.
             return None
         return _check_acceptance(index, found.ok, expected_version)
 
