--- a/src/kingcupwheel/manifest/checks.py
+++ b/src/kingcupwheel/manifest/checks.py
@@ -1,6 +1,6 @@
 """Checks of a manifest's values: ranges, duplicates and cross references.
 
-Each function yields every problem it finds with the path of the field.
+Each function yields all problems that it finds, each with the path of its field.
 """
 
 from __future__ import annotations
@@ -27,13 +27,15 @@
     from kingcupwheel.manifest.schema import ServerGroup
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-NAME_RULE = "must be 1 to 64 letters, digits, '.', '_' or '-', not starting with a sign"
-# Paths that entries answer themselves.
+NAME_RULE = (
+    "must be 1 to 64 letters, digits, '.', '_' or '-', starting with a letter or digit"
+)
+# Paths that entries handle themselves.
 RESERVED_PREFIX = "/kingcupwheel/"
 LOWEST_PRIORITY = 0
 HIGHEST_PRIORITY = 9
-# Enough for a change of keys in every product of an organisation; keeps an
-# organisation's record to a few kilobytes, so that shards stay near their target size.
+# Enough to rotate the keys of every product of an organisation; limits its record to a
+# few kilobytes, so that shards stay near their target size.
 MAX_KEY_DIGESTS = 64
 
 _DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}")
@@ -44,7 +46,7 @@
 def find_manifest_problems(
     manifest: Manifest, placements: Collection[str]
 ) -> Iterator[Problem]:
-    """Yield all that is wrong; ``placements`` as for ``load_manifest``."""
+    """Yield all problems; ``placements`` is as for ``load_manifest``."""
     for field in ("organisations", "groups", "routes"):
         if not getattr(manifest, field):
             yield Problem(field, "must not be empty")
@@ -56,14 +58,17 @@
 
 
 def _check_names(path: str, names: Iterable[str]) -> Iterator[Problem]:
-    first_by_name: dict[str, int] = {}
+    index_by_name: dict[str, int] = {}
     for index, name in enumerate(names):
-        where = f"{path}[{index}].name"
+        field_path = f"{path}[{index}].name"
         if not NAME_PATTERN.fullmatch(name):
-            yield Problem(where, f"{NAME_RULE}, not {name!r}")
-        first = first_by_name.setdefault(name, index)
-        if first != index:
-            yield Problem(where, f"{name!r} is the name of {path}[{first}] already")
+            yield Problem(field_path, f"{NAME_RULE}, not {name!r}")
+        first_index = index_by_name.setdefault(name, index)
+        if first_index != index:
+            yield Problem(
+                field_path,
+                f"duplicate name {name!r}, used by {path}[{first_index}] already",
+            )
 
 
 def _check_goals(goals: Goals | None, path: str) -> Iterator[Problem]:
@@ -76,10 +81,10 @@
 
 def _check_organisations(organisations: tuple[Organisation, ...]) -> Iterator[Problem]:
     yield from _check_names("organisations", (each.name for each in organisations))
-    owner_by_digest: dict[str, str] = {}
+    path_by_digest: dict[str, str] = {}
     for index, organisation in enumerate(organisations):
         path = f"organisations[{index}]"
-        yield from _check_key_digests(organisation.key_digests, path, owner_by_digest)
+        yield from _check_key_digests(organisation.key_digests, path, path_by_digest)
         yield from Ranges(organisation.allowance, f"{path}.allowance").positive(
             "work_per_s", "burst", "concurrency"
         )
@@ -90,20 +95,22 @@
 
 
 def _check_key_digests(
-    digests: tuple[str, ...], path: str, owner_by_digest: dict[str, str]
+    digests: tuple[str, ...], path: str, path_by_digest: dict[str, str]
 ) -> Iterator[Problem]:
     if not 1 <= len(digests) <= MAX_KEY_DIGESTS:
         yield Problem(
             f"{path}.key_digests",
-            f"must hold 1 to {MAX_KEY_DIGESTS} digests, not {len(digests)}",
+            f"must contain 1 to {MAX_KEY_DIGESTS} digests, not {len(digests)}",
         )
     for index, digest in enumerate(digests):
-        where = f"{path}.key_digests[{index}]"
+        field_path = f"{path}.key_digests[{index}]"
         if not _DIGEST_PATTERN.fullmatch(digest):
-            yield Problem(where, "must be a SHA-256 digest of 64 digits 0-9a-f")
-        owner = owner_by_digest.setdefault(digest, where)
-        if owner != where:
-            yield Problem(where, f"the same digest as {owner}")
+            yield Problem(
+                field_path, "must be a SHA-256 digest of 64 hexadecimal digits 0-9a-f"
+            )
+        owner_path = path_by_digest.setdefault(digest, field_path)
+        if owner_path != field_path:
+            yield Problem(field_path, f"duplicate of {owner_path}")
 
 
 def _check_groups(
@@ -116,12 +123,12 @@
         yield from Ranges(group, path).not_negative("queue")
         if placements and group.placement not in placements:
             known = ", ".join(sorted(placements))
-            detail = f"no placement policy {group.placement!r}; known: {known}"
+            detail = f"unknown placement policy {group.placement!r}; known: {known}"
             yield Problem(f"{path}.placement", detail)
         if group.experts is None:
             continue
         if group.kind is not GroupKind.ENGINE:
-            detail = f"a group of kind {group.kind.value!r} has no experts"
+            detail = f"not allowed for a group of kind {group.kind.value!r}"
             yield Problem(f"{path}.experts", detail)
         yield from _check_expert_layout(group.experts, f"{path}.experts")
 
@@ -135,46 +142,46 @@
     if layout.slots <= 0 or layout.ranks <= 0:
         return
     if layout.ranks * layout.slots < layout.experts:
-        least = ceil(layout.experts / layout.ranks)
+        min_slots = ceil(layout.experts / layout.ranks)
         detail = (
-            f"{layout.ranks} ranks of {layout.slots} slots don't hold"
-            f" {layout.experts} experts; at least {least} slots are needed"
+            f"{layout.ranks} ranks of {layout.slots} slots can't hold"
+            f" {layout.experts} experts; at least {min_slots} slots are needed"
         )
         yield Problem(f"{path}.slots", detail)
     elif layout.slots > layout.experts:
-        detail = f"{layout.slots} slots are more than the {layout.experts} experts"
+        detail = f"{layout.slots} slots exceed the {layout.experts} experts"
         yield Problem(f"{path}.slots", detail)
 
 
 def _check_routes(
     routes: tuple[Route, ...], group_names: set[str]
 ) -> Iterator[Problem]:
-    first_by_match: dict[tuple[str, str, str], int] = {}
+    index_by_match: dict[tuple[str, str, str], int] = {}
     for index, route in enumerate(routes):
         path = f"routes[{index}]"
         yield from _check_route(route, path, group_names)
         for method in dict.fromkeys(route.methods):
             match = (route.host, route.path, method)
-            first = first_by_match.setdefault(match, index)
-            if first != index:
-                detail = f"routes[{first}] takes {method} {route.path} already"
+            first_index = index_by_match.setdefault(match, index)
+            if first_index != index:
+                detail = f"routes[{first_index}] takes {method} {route.path} already"
                 yield Problem(f"{path}.path", detail)
 
 
 def _check_route(route: Route, path: str, group_names: set[str]) -> Iterator[Problem]:
     if route.group not in group_names:
-        yield Problem(f"{path}.group", f"no group {route.group!r}")
+        yield Problem(f"{path}.group", f"unknown group {route.group!r}")
     if not _HOST_PATTERN.fullmatch(route.host):
-        yield Problem(f"{path}.host", "must be '*' or a host name in lower case")
+        yield Problem(f"{path}.host", "must be '*' or a lower-case host name")
     yield from _check_route_path(route.path, f"{path}.path")
     if not route.methods:
         yield Problem(f"{path}.methods", "must not be empty")
     for index, method in enumerate(route.methods):
         if not _METHOD_PATTERN.fullmatch(method):
-            detail = f"must be a method in capitals, not {method!r}"
+            detail = f"must be an upper-case method name, not {method!r}"
             yield Problem(f"{path}.methods[{index}]", detail)
         if method in route.methods[:index]:
-            yield Problem(f"{path}.methods[{index}]", f"{method} stands twice")
+            yield Problem(f"{path}.methods[{index}]", f"duplicate method {method}")
     yield from Ranges(route, path).positive("deadline_s")
     yield from _check_goals(route.goals, f"{path}.goals")
 
@@ -183,8 +190,10 @@
     if not value.startswith("/"):
         yield Problem(field_path, "must start with '/'")
     if "*" in value[:-1]:
-        yield Problem(field_path, "may hold '*' at its end only")
-    if any(mark in value for mark in "?# "):
-        yield Problem(field_path, "must hold no '?', '#' or space")
+        yield Problem(field_path, "may contain '*' only at the end")
+    if any(character in value for character in "?# "):
+        yield Problem(field_path, "must not contain '?', '#' or spaces")
     if value.startswith(RESERVED_PREFIX):
-        yield Problem(field_path, f"{RESERVED_PREFIX} is answered by the entry itself")
+        yield Problem(
+            field_path, f"must not start with {RESERVED_PREFIX}, which is reserved"
+        )
--- a/src/kingcupwheel/manifest/loader.py
+++ b/src/kingcupwheel/manifest/loader.py
@@ -1,4 +1,4 @@
-"""Reads a manifest as the build pipeline writes it and checks it whole."""
+"""Loads a manifest as written by the build pipeline and validates it."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 def load_manifest(
     text: str, *, placements: Collection[str] = ()
 ) -> Result[Manifest, Problems]:
-    """Return the manifest in ``text`` (YAML or JSON), or all that is wrong with it.
+    """Return the manifest in ``text`` (YAML or JSON), or all problems found.
 
-    ``placements`` are the known placement policies; none are checked if it is empty.
-    Cross references are looked at once every field has the right type.
+    ``placements`` are the known placement policies; if empty, names of policies are not
+    checked. Values and cross references are checked only if all types are correct.
     """
     return (
         _parse(text)
@@ -40,13 +40,13 @@
 def check_manifest(
     manifest: Manifest, *, placements: Collection[str] = ()
 ) -> Result[Manifest, Problems]:
-    """Return ``manifest``, or every field whose value is out of place."""
+    """Return ``manifest``, or all fields with an invalid value."""
     problems = tuple(find_manifest_problems(manifest, placements))
     return Error(problems) if problems else Ok(manifest)
 
 
 def _parse(text: str) -> Result[Any, Problems]:
-    # JSON is read by a parser of its own, which is far faster than YAML's.
+    # JSON has its own parser because it is much faster than that of YAML.
     if text.lstrip().startswith("{"):
         try:
             return Ok(msgspec.json.decode(text))
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -1,4 +1,4 @@
-"""Which processes are on the manifest in force, and which are not yet."""
+"""Rollout status of a manifest version: which processes have adopted it."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
     from kingcupwheel.platform.client import Instance
 
-# Processes asked at once; each takes a socket, of which a process may open about 1,000.
+# Processes queried at a time; each uses one of the about 1,000 sockets that a process
+# may open.
 _BATCH_SIZE = 400
 
 
 class ProcessStatus(Record, frozen=True):
-    """A listed process; ``version`` is None if it did not answer."""
+    """Manifest version of a listed process, None if it did not respond."""
 
     name: str
     role: str
@@ -35,9 +36,9 @@
 
 
 class RolloutStatus(Record, frozen=True):
-    """How far version ``version`` has come.
+    """The listed processes by whether they have adopted ``version``.
 
-    ``behind`` answered with an earlier version, ``silent`` did not answer in time.
+    Those ``behind`` reported an earlier version; those ``unresponsive`` timed out.
     """
 
     version: int
@@ -47,28 +48,28 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every listed process is on the version."""
+        """Whether all listed processes have adopted the version."""
         return not self.behind and not self.unresponsive
 
 
 def query_statuses(
     instances: Iterable[Instance], timeout_s: float
 ) -> dict[str, StatusReply]:
-    """Return the answers of live processes by instance name.
+    """Return the replies of the instances, by name.
 
-    Each batch of 400 processes takes ``timeout_s`` at most; who does not answer in that
-    time, or is listed without an address, is left out.
+    Each batch of 400 processes takes at most ``timeout_s``. Instances that do not reply
+    in time, or are listed without an address, are omitted.
     """
-    asker = QueryClient(timeout_s=timeout_s)
-    found: dict[str, StatusReply] = {}
+    client = QueryClient(timeout_s=timeout_s)
+    reply_by_name: dict[str, StatusReply] = {}
     for batch in _split_into_batches(instances):
         address_by_process = {
             instance.name: instance.address
             for instance in batch
             if instance.address.rpartition(":")[2].isdecimal()
         }
-        found |= asker.ask(address_by_process, StatusRequest(), StatusReply)
-    return found
+        reply_by_name |= client.ask(address_by_process, StatusRequest(), StatusReply)
+    return reply_by_name
 
 
 def build_rollout_status(
@@ -76,30 +77,30 @@
     instances: Iterable[Instance],
     reply_by_name: Mapping[str, StatusReply],
 ) -> RolloutStatus:
-    """Sort the listed processes by whether they are on ``version``."""
-    there: list[ProcessStatus] = []
+    """Group the listed processes by whether they have adopted ``version``."""
+    up_to_date: list[ProcessStatus] = []
     behind: list[ProcessStatus] = []
-    silent: list[ProcessStatus] = []
+    unresponsive: list[ProcessStatus] = []
     for instance in sorted(instances, key=lambda each: each.name):
-        found = reply_by_name.get(instance.name)
+        reply = reply_by_name.get(instance.name)
         process = ProcessStatus(
             name=instance.name,
             role=instance.role,
             data_centre=instance.data_centre,
-            version=None if found is None else found.manifest_version,
-            is_leaving=instance.leaving or (found is not None and found.leaving),
+            version=None if reply is None else reply.manifest_version,
+            is_leaving=instance.leaving or (reply is not None and reply.leaving),
         )
-        if found is None:
-            silent.append(process)
-        elif found.manifest_version < version:
+        if reply is None:
+            unresponsive.append(process)
+        elif reply.manifest_version < version:
             behind.append(process)
         else:
-            there.append(process)
+            up_to_date.append(process)
     return RolloutStatus(
         version=version,
-        up_to_date=tuple(there),
+        up_to_date=tuple(up_to_date),
         behind=tuple(behind),
-        unresponsive=tuple(silent),
+        unresponsive=tuple(unresponsive),
     )
 
 
--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request among a manifest's routes."""
+"""Route table: maps host, path and method of a request to a manifest's route."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class MatchedRoute(NamedTuple):
-    """The request belongs to ``group`` under the rules of ``route``."""
+    """The ``route`` that matches a request, and its server group."""
 
     route: Route
     group: ServerGroup
 
 
 class NoRoute(NamedTuple):
-    """No route has this host and path."""
+    """No route matches the host and path."""
 
 
 class MethodNotAllowed(NamedTuple):
-    """The path has a route, for the methods ``allowed`` only."""
+    """A route matches the path, but not the method."""
 
     allowed_methods: tuple[str, ...]
 
@@ -39,7 +39,7 @@
 
 
 class _HostRoutes:
-    """The routes of one host: exact paths, and prefixes with the longest first."""
+    """The routes of one host: exact paths, and prefixes in order of length."""
 
     def __init__(self) -> None:
         self._exact_by_path: dict[str, _RoutesByMethod] = {}
@@ -67,11 +67,12 @@
 
 
 class RouteTable:
-    """Routes by host and path; the most specific one decides.
+    """Routes by host and path; the most specific route applies.
 
-    A named host goes before ``*``, an exact path before a prefix, a longer prefix
-    before a shorter one. A path that is known for other methods only is no match for a
-    less specific route, so that adding a broad route opens nothing that was closed.
+    A named host takes precedence over ``*``, an exact path over a prefix and a longer
+    prefix over a shorter one. If the most specific path does not allow the method, less
+    specific routes are not tried, so that adding a broad route can't expose a method
+    that was not allowed.
     """
 
     def __init__(
@@ -85,11 +86,11 @@
             host_routes.sort_prefixes()
 
     def find(self, host: str, path: str, method: str) -> RouteMatch:
-        """Return the match; ``host`` may have a port and ``path`` a query."""
-        plain_path = path.partition("?")[0]
+        """Return the match; ``host`` may include a port and ``path`` a query."""
+        path_without_query = path.partition("?")[0]
         for name in (_host_name(host), _ANY_HOST):
             host_routes = self._by_host.get(name)
-            by_method = host_routes.find(plain_path) if host_routes else None
+            by_method = host_routes.find(path_without_query) if host_routes else None
             if by_method is not None:
                 return self._match(by_method, method)
         return NoRoute()
--- a/src/kingcupwheel/manifest/schema.py
+++ b/src/kingcupwheel/manifest/schema.py
@@ -1,7 +1,7 @@
-"""The manifest as the build pipeline writes it, and its defaults.
+"""Schema of the manifest and its defaults.
 
-Times are in seconds unless a name says milliseconds; work is counted in tokens
-(prompt tokens plus predicted answer tokens).
+Fields that end in ``_s`` are seconds, ``_ms`` milliseconds, ``_h`` hours. Work is the
+number of prompt tokens plus predicted answer tokens.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from kingcupwheel.utils.structs import Record
 
 
-# Records that a process holds by the ten thousand are kept from the garbage collector
-# (``gc=False``): its full pass over them would hold up every stream for longer than the
-# gap between tokens. They hold plain data only, so that they can't be in a cycle.
+# Records of which a process holds tens of thousands are not tracked by the garbage
+# collector (``gc=False``): a full collection would delay all streams by more than the
+# gap between tokens. They hold plain data only and thus can't form cycles.
 
 
 class GroupKind(StrEnum):
-    """What stands behind a server group."""
+    """Kind of the backend servers in a group."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Allowance(Record, frozen=True, gc=False):
-    """What an organisation may use over all entries together.
+    """Limits of an organisation, shared by all entries.
 
-    ``work_per_s`` is a rate in tokens per second with ``burst`` tokens saved up at
-    most; ``concurrency`` counts requests admitted and not yet answered.
+    ``work_per_s`` is the refill rate of a token bucket in tokens per second and
+    ``burst`` its capacity; ``concurrency`` limits the requests in progress.
     """
 
     work_per_s: float = 20_000.0
@@ -38,8 +38,8 @@
 class Goals(Record, frozen=True, gc=False):
     """Service-level goals.
 
-    ``availability`` is the share of requests with a true result, ``within`` the share
-    that has to meet ``first_token_s`` and ``token_gap_ms``.
+    ``availability`` is the share of requests that must run and get a true result,
+    ``within`` the share that must meet ``first_token_s`` and ``token_gap_ms``.
     """
 
     availability: float = 0.999
@@ -49,10 +49,10 @@
 
 
 class Organisation(Record, frozen=True, gc=False):
-    """A customer: its name, the digests of its keys and what it may use.
+    """A customer with its keys, limits and goals.
 
-    ``key_digests`` are SHA-256 digests of bearer keys in hexadecimal. ``priority`` runs
-    from 0 (lowest) to 9.
+    ``key_digests`` are hexadecimal SHA-256 digests of bearer keys. ``priority`` is from
+    0 (lowest) to 9.
     """
 
     name: str
@@ -63,11 +63,11 @@
 
 
 class ExpertLayout(Record, frozen=True):
-    """The shape of an expert-parallel group.
+    """Dimensions and rebalancing parameters of an expert-parallel group.
 
-    ``ranks`` step in lock-step; each has ``slots`` places for experts in each of
+    The ``ranks`` run in lock-step; each has ``slots`` slots for experts in each of
     ``layers`` layers of ``experts`` experts. ``skew_weight`` and ``move_cost`` weigh
-    step-time skew against moved experts; ``expert_bytes`` is the weight of one.
+    step-time skew against moved experts; ``expert_bytes`` is the size of an expert.
     """
 
     ranks: int
@@ -83,10 +83,10 @@
 class ServerGroup(Record, frozen=True):
     """Backend servers that serve the same model or application.
 
-    Its servers are found through the platform's list. ``concurrency`` is each server's
-    limit; ``queue`` how many requests an entry keeps waiting for the group;
-    ``placement`` names a placement policy plug-in. ``ignores_fences`` is True for
-    engines that take an order with an old fencing number.
+    Servers are discovered through the platform's list. ``concurrency`` is the limit of
+    each server, ``queue`` that of the requests queued at an entry for the group;
+    ``placement`` names a placement policy plug-in. ``ignores_fences`` is set for
+    engines that accept orders with an outdated fencing token.
     """
 
     name: str
@@ -101,9 +101,9 @@
 class Route(Record, frozen=True):
     """Maps a host and path to a server group.
 
-    ``host`` is a name or ``*``; ``path`` is exact, or a prefix when it ends in ``*``.
-    A request on a route with ``repeatable: false`` runs at most once and needs an
-    Idempotency-Key. ``deadline_s`` is the longest wait for the first byte.
+    ``host`` is a name or ``*``; ``path`` is exact, or a prefix if it ends in ``*``.
+    Requests of a route with ``repeatable: false`` run at most once and require an
+    Idempotency-Key. ``deadline_s`` limits the wait for the first byte.
     """
 
     path: str
@@ -123,7 +123,7 @@
 
 
 class Manifest(Record, frozen=True):
-    """Everything an operator decides, submitted whole."""
+    """The complete configuration that an operator submits."""
 
     organisations: tuple[Organisation, ...]
     groups: tuple[ServerGroup, ...]
--- a/src/kingcupwheel/settings/__init__.py
+++ b/src/kingcupwheel/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Settings of a process: read from YAML, validated, immutable."""
+"""Settings of a process: loaded from YAML, validated and immutable."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/settings/checks.py
+++ b/src/kingcupwheel/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a settings file's values."""
+"""Checks of the values in a settings file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def find_settings_problems(settings: Settings) -> Iterator[Problem]:
-    """Yield all that is wrong with the values."""
+    """Yield all problems with the values."""
     if settings.forwarding is None and settings.rank is None:
         load_builtin()
     for field in ("name", "data_centre"):
@@ -71,15 +71,15 @@
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
-        yield Problem(path, f"must be IP:port with an IP number, not {text!r}")
+        yield Problem(path, f"must be IP:port with a numeric IP address, not {text!r}")
         return
     if not port.isdecimal() or int(port) > _MAX_PORT:
-        yield Problem(path, f"has no port from 0 to {_MAX_PORT}: {text!r}")
+        yield Problem(path, f"must have a port from 0 to {_MAX_PORT}: {text!r}")
 
 
 def _check_url(text: str, path: str) -> Iterator[Problem]:
     if not is_http_url(text):
-        yield Problem(path, f"must be an http:// or https:// address, not {text!r}")
+        yield Problem(path, f"must be an http:// or https:// URL, not {text!r}")
 
 
 def _check_platform(settings: Settings) -> Iterator[Problem]:
@@ -95,15 +95,15 @@
     path: str, name: str, known: tuple[str, ...]
 ) -> Iterator[Problem]:
     if known and name not in known:
-        yield Problem(path, f"no plug-in {name!r}; known: {', '.join(known)}")
+        yield Problem(path, f"unknown plug-in {name!r}; known: {', '.join(known)}")
 
 
 def _check_timings(timings: Timings) -> Iterator[Problem]:
     yield from Ranges(timings, "timings").positive(*_list_field_names(timings))
-    # A shorter time later in the chain would replace a link, or give up an attempt,
-    # between two heartbeats of a process that is well.
-    chain = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
-    for shorter, longer in zip(chain, chain[1:], strict=False):
+    # Otherwise a link would be replaced, or an attempt given up, between two heartbeats
+    # of a healthy process.
+    increasing_fields = ("heartbeat_s", "silence_s", "gone_s", "give_up_s")
+    for shorter, longer in zip(increasing_fields, increasing_fields[1:], strict=False):
         if getattr(timings, longer) <= getattr(timings, shorter):
             yield Problem(f"timings.{longer}", f"must be longer than {shorter}")
 
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads and checks a process's settings file."""
+"""Loads and validates the settings file of a process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def load_settings(path: str | PathLike[str]) -> Result[Settings, Problems]:
-    """Return the settings in the YAML file at ``path``, or all that is wrong."""
+    """Return the settings in the YAML file at ``path``, or all problems found."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -31,7 +31,7 @@
 
 
 def parse_settings(text: str) -> Result[Settings, Problems]:
-    """Return the settings in ``text`` (YAML), or every field that is wrong."""
+    """Return the settings in ``text`` (YAML), or all problems found."""
     return (
         read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check_settings)
     )
--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -11,14 +11,14 @@
 
 
 class Role(StrEnum):
-    """What a process does."""
+    """Role of a process."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class LogLevel(StrEnum):
-    """The least severe log line that is written."""
+    """Minimum severity of log lines."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -27,9 +27,9 @@
 
 
 class PlatformSettings(Record, frozen=True):
-    """How to reach the platform's service.
+    """Connection to the platform's service.
 
-    ``client`` names a platform client plug-in; ``timeout_s`` bounds one call.
+    ``client`` names a platform client plug-in; ``timeout_s`` is the timeout of a call.
     """
 
     url: str
@@ -39,7 +39,7 @@
 
 
 class StatsdSettings(Record, frozen=True):
-    """Where metrics go (UDP); nothing is sent when ``host`` is empty."""
+    """StatsD server for metrics over UDP; nothing is sent if ``host`` is empty."""
 
     host: str = ""
     port: int = 8125
@@ -47,10 +47,10 @@
 
 
 class EntryLimits(Record, frozen=True):
-    """Bounds of an entry.
+    """Resource limits of an entry.
 
-    Over ``threads`` requests at once further ones are refused; of connections that wait
-    for their next request, those over ``connections`` are closed.
+    Requests over ``threads`` concurrent ones are refused; idle connections over
+    ``connections`` are closed.
     """
 
     body_bytes: int = 4_000_000
@@ -62,10 +62,10 @@
 
 
 class AgentLimits(Record, frozen=True):
-    """Bounds of an agent.
+    """Resource limits of an agent.
 
-    ``answers_bytes`` bounds the buffered answers not yet acknowledged; over it the
-    server's stream is read more slowly, nothing is dropped.
+    ``answers_bytes`` limits the buffered, unacknowledged answers; above it the server's
+    stream is read more slowly, and nothing is dropped.
     """
 
     concurrency: int = 16
@@ -75,15 +75,16 @@
 
 
 class Timings(Record, frozen=True):
-    """Times that bound how long a failure goes unnoticed.
-
-    ``heartbeat_s`` is the period on used links; a link silent for ``silence_s`` is
-    replaced; an agent silent for ``gone_s`` gets no new work and its attempts are
-    given up ``give_up_s`` after their last sign of life. ``token_s`` is how old a
-    dispatch's clock token may be. ``instances_s`` is how often the platform's list is
-    read, ``watch_s`` how long one watch waits. ``leave_s`` is how long a leaving entry
-    still takes new requests from callers that have not yet heard; callers are told to
-    keep an address for half of that. ``trace_batch_s`` is the period of trace batches.
+    """Intervals and timeouts of failure detection and membership.
+
+    ``heartbeat_s`` is the heartbeat interval on used links. A link without messages for
+    ``silence_s`` is replaced; an agent without messages for ``gone_s`` gets no new
+    work, and its attempts are given up ``give_up_s`` after their last sign of life.
+    ``token_s`` is the maximum age of a dispatch's clock token. ``instances_s`` is the
+    interval of reads of the platform's list, ``watch_s`` the timeout of a watch. A
+    leaving entry accepts new requests for ``leave_s``, from callers that do not know
+    yet; callers are told to cache an address for half of that. ``trace_batch_s`` is the
+    interval of trace batches.
     """
 
     heartbeat_s: float = 1.0
@@ -98,10 +99,10 @@
 
 
 class ServerSettings(Record, frozen=True):
-    """The backend server beside an agent; ``adapter`` and ``rank_api`` name plug-ins.
+    """The backend server of an agent; ``adapter`` and ``rank_api`` name plug-ins.
 
     In an expert-parallel group the server is the group's ``rank`` (from 0);
-    ``rank_url`` is where the rank takes orders about expert maps, ``url`` if empty.
+    ``rank_url`` is the URL of the rank's API for expert maps, ``url`` if empty.
     """
 
     url: str
@@ -115,16 +116,16 @@
 
 
 class ForwardingSettings(Record, frozen=True):
-    """The way straight to backend servers, on a platform with a store of objects.
-
-    ``ready`` and ``addresses`` are ``IP:port`` where the platform asks whether the
-    entry is ready and callers ask where to connect; ``metrics`` is where metrics are
-    read. ``address_keep_s`` is how long callers keep such an answer. ``revoke_ms`` is
-    within how long a key that was taken away must stop working. All entries together
-    may send ``retry_share`` of a service's requests, and ``retry_floor`` besides, once
-    more within any ``retry_window_s``. ``grace_s`` is the time that the platform leaves
-    a process between the signal to stop and its end. ``steady_ms`` after a trouble has
-    ended the platform counts on this process again.
+    """Direct forwarding to backend servers, on a platform with an object store.
+
+    ``ready``, ``addresses`` and ``metrics`` are the ``IP:port`` of the readiness probe,
+    of the discovery endpoint for callers and of the metrics endpoint.
+    ``address_keep_s`` is how long callers cache discovered addresses. A revoked key
+    must stop working within ``revoke_ms``. Within any ``retry_window_s`` all entries
+    together may retry ``retry_share`` of a service's requests, plus ``retry_floor``
+    requests. ``grace_s`` is the time between the platform's stop signal and its kill.
+    The platform expects this process to work normally again ``steady_ms`` after a
+    fault has ended.
     """
 
     ready: str
@@ -140,10 +141,10 @@
 
 
 class RankSettings(Record, frozen=True):
-    """The rank of a lock-stepped group beside an agent, on the same platform.
+    """The rank of a lock-stepped group that an agent manages, on the same platform.
 
-    ``server`` is the ``IP:port`` of the backend server, ``service`` its service;
-    ``metrics`` is where the agent's metrics are read.
+    ``server`` is the ``IP:port`` of the backend server, ``service`` its service and
+    ``metrics`` the ``IP:port`` of the agent's metrics endpoint.
     """
 
     server: str
@@ -152,14 +153,14 @@
 
 
 class Settings(Record, frozen=True):
-    """One process's settings file.
-
-    ``listen`` is ``IP:port`` of the socket for the system's own processes; ``http`` is
-    where callers connect and ``operator_http`` where operators do (entries only).
-    ``server`` and ``group`` are for agents only. ``seeds`` are addresses of some
-    entries, asked when the platform does not answer at the start. With ``forwarding``
-    an entry sends requests straight to servers, without claims and trace batches;
-    with ``rank`` an agent only keeps its group's expert maps.
+    """Settings file of a process.
+
+    ``listen`` is the ``IP:port`` for messages of other processes, ``http`` that for
+    callers and ``operator_http`` that for operators (entries only). ``server`` and
+    ``group`` are for agents only. ``seeds`` are addresses of some entries, queried if
+    the platform is unavailable at startup. With ``forwarding`` an entry sends requests
+    directly to servers, without claims and trace batches; with ``rank`` an agent only
+    maintains its group's expert maps.
     """
 
     name: str
