--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -1,4 +1,4 @@
-"""The agent: the only way to its backend server."""
+"""The agent daemon: all requests to its backend server pass through it."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.traces import TraceRequest
-from kingcupwheel.metrics.client import Metrics
-from kingcupwheel.metrics.events import EventMetrics
-from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
-from kingcupwheel.plugins.kernel import platform_clients
-from kingcupwheel.plugins.kernel import server_adapters
+from kingcupwheel.metrics.metered_platform_client import MeteredPlatformClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
+from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -51,30 +51,30 @@
 logger = logging.getLogger("kingcupwheel.agent")
 
 _INCARNATION_BYTES = 8
-# How an answer ended is known for longer than that its attempt ran: a late copy of the
-# dispatch is joined to it.
+# The end of an answer is kept for longer than the record that its attempt ran, so that
+# a late copy of the dispatch can still join it.
 _END_RETENTION_RATIO = 1.5
-# A leaving agent stays at least so many heartbeats: a dispatch sent before the entry
-# heard of the leaving still gets its ``not-run`` instead of silence.
+# A dispatch sent before the entry learned of the drain is still refused as ``not-run``
+# instead of getting no reply.
 _MIN_DRAIN_HEARTBEATS = 3.0
 
 
 class AgentDaemon:
-    """One agent; ``stop`` is a planned stop, ``close`` cuts off what runs."""
+    """Agent process; ``stop`` is a graceful stop, ``close`` aborts running attempts."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         if settings.role is not Role.AGENT:
             raise WrongRoleError(settings.role.value)
         if settings.server is None:
             raise MissingServerError
         timings = settings.timings
         self._settings = settings
-        self._metrics = Metrics(settings.statsd, process=settings.name)
+        self._metrics = MetricsClient(settings.statsd, process=settings.name)
         self._recorder = Recorder(
             settings.name,
             limit=settings.agent.traces,
-            listener=EventMetrics(self._metrics, settings.role),
+            listener=TraceEventMetrics(self._metrics, settings.role),
         )
         self._entry_links = EntryLinks(
             hello_ttl_s=timings.gone_s, silence_timeout_s=timings.give_up_s
@@ -152,12 +152,12 @@
 
     @property
     def port(self) -> int:
-        """The port of the socket for entries."""
+        """The port that entries connect to."""
         return self._hub.port
 
     @property
     def incarnation(self) -> str:
-        """The name of this life."""
+        """The random id of this run of the process."""
         return self._runner.attempt_table.incarnation
 
     def start(self) -> None:
@@ -169,28 +169,28 @@
         logger.info("Serving on port %d.", self.port)
 
     def set_concurrency(self, concurrency: int) -> None:
-        """Bound what runs at once by the settings and by the group's limit."""
+        """Limit concurrent attempts to the group's limit, or the settings' if lower."""
         limit = min(concurrency, self._settings.agent.concurrency)
         with self._runner.lock:
             self._runner.attempt_table.set_capacity(limit)
         self._runner.advance()
 
     def leave(self) -> None:
-        """Begin a planned stop: no new work, what runs goes on; may be repeated."""
+        """Begin a graceful stop: finish running attempts, refuse others; idempotent."""
         self._leave_requested.set()
 
     def wait_drained(self, timeout_s: float) -> bool:
-        """Wait until a planned stop is complete; return whether it is."""
+        """Wait until the graceful stop is complete; return whether it is."""
         return self._drained.wait(timeout_s)
 
     def reload(self, settings: Settings) -> None:
-        """Log that the settings were read again; the log level is set already."""
-        logger.info("Settings read again; log level %s.", settings.log_level.value)
+        """Log the reload; the caller has already set the log level."""
+        logger.info("Settings reloaded; log level %s.", settings.log_level.value)
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Stop gracefully: return once what ran has ended and was delivered.
+        """Stop gracefully: return once running attempts ended and were delivered.
 
-        Nothing bounds the wait but the progress of what runs.
+        The wait has no timeout; it depends only on the progress of running attempts.
         """
         self.leave()
         self._drained.wait()
@@ -198,7 +198,7 @@
         logger.info("Stopped.")
 
     def close(self) -> None:
-        """Close the sockets at once; attempts still running are cut off."""
+        """Close the sockets at once; attempts still running are aborted."""
         self._probe.stop()
         self._manifest_follower.stop()
         self._map_services.stop()
@@ -217,7 +217,7 @@
             case StatusRequest():
                 self._hub.send(link, self._build_status())
             case ManifestRequest(key):
-                self._hub.send(link, self._manifest_follower.object_for(key))
+                self._hub.send(link, self._manifest_follower.get_object(key))
             case ManifestObject():
                 self._manifest_follower.receive_object(message)
             case MapOrder() | MapReply():
@@ -226,12 +226,12 @@
                 self._handler.handle(link, message)
 
     def _on_hello(self, link: Link, hello: Hello, now: float) -> None:
-        known = link in self._entry_links.list_heartbeat_links(now=now)
+        is_known = link in self._entry_links.list_heartbeat_links(now=now)
         self._entry_links.record_hello(link, hello.name, now=now)
         self._manifest_follower.record_version(
             link, hello.manifest_version, hello.manifest_digest
         )
-        if not known:
+        if not is_known:
             self._hub.send(link, self._heartbeat_builder.build(now=now))
 
     def _build_status(self) -> StatusReply:
@@ -264,17 +264,17 @@
             self._drained.set()
 
     def _send_heartbeats(self, now: float) -> None:
-        beat = self._heartbeat_builder.build(now=now)
+        heartbeat = self._heartbeat_builder.build(now=now)
         for link in self._entry_links.list_heartbeat_links(now=now):
-            self._hub.send(link, beat)
-        for link, names in self._store.list_unfinished_by_link().items():
-            self._hub.send(link, RunningAttempts(tuple(names)))
+            self._hub.send(link, heartbeat)
+        for link, attempt_keys in self._store.list_unfinished_by_link().items():
+            self._hub.send(link, RunningAttempts(tuple(attempt_keys)))
 
     def _send_crash_heartbeat(self) -> None:
         now = monotonic()
-        beat = self._heartbeat_builder.build(now=now)
+        heartbeat = self._heartbeat_builder.build(now=now)
         for link in self._entry_links.list_heartbeat_links(now=now):
-            self._hub.send(link, beat)
+            self._hub.send(link, heartbeat)
 
     def _begin_drain(self, now: float) -> None:
         self._drain.begin(now=now)
@@ -283,7 +283,7 @@
         self._runner.report_refusals(refusals)
         self._next_heartbeat_at = now
         logger.info(
-            "Leaving, %d attempts running.",
+            "Draining; %d attempts running.",
             len(self._runner.attempt_table.running_dispatches),
         )
 
--- a/src/kingcupwheel/console/platform.py
+++ b/src/kingcupwheel/console/platform_access.py
@@ -6,8 +6,8 @@
 
 import click
 
-from kingcupwheel.plugins.kernel import load_builtin
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
 from kingcupwheel.settings.schema import PlatformSettings
 from kingcupwheel.utils.urls import is_http_url
 
@@ -16,7 +16,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 
-def open_platform(url: str, *, client: str = "http") -> PlatformClient:
+def create_platform_client(url: str, *, client: str = "http") -> PlatformClient:
     """Return a client of the platform's service at ``url``.
 
     Raises click.BadParameter if that is no address.
@@ -24,5 +24,5 @@
     if not is_http_url(url):
         message = f"{url!r} is no http:// or https:// address."
         raise click.BadParameter(message, param_hint="--platform")
-    load_builtin()
+    load_builtin_plugins()
     return platform_clients.get(client)(PlatformSettings(url=url, client=client))
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of its requests: stories, counts against goals, metrics."""
+"""Telemetry of an entry: traces, service level counts and metrics."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
-from kingcupwheel.metrics.events import EventMetrics
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -20,29 +20,29 @@
     from collections.abc import Iterable
 
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
 
 class EntryTelemetry:
-    """The recording parts of one entry, started and stopped together.
+    """Recorder, counters and trace shipper of one entry.
 
-    ``traces_retention_s`` is asked each time for how long the platform keeps traces.
+    ``traces_retention_s`` returns for how many seconds the platform keeps traces.
     """
 
     def __init__(
         self,
         settings: Settings,
         client: PlatformClient,
-        metrics: Metrics,
+        metrics: MetricsClient,
         *,
         traces_retention_s: Callable[[], float],
     ) -> None:
         self.recorder = Recorder(
             settings.name,
             limit=settings.entry.traces,
-            listener=EventMetrics(metrics, settings.role),
+            listener=TraceEventMetrics(metrics, settings.role),
         )
         self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
@@ -58,18 +58,18 @@
         )
 
     def start(self) -> None:
-        """Begin to write batches."""
+        """Start shipping batches of traces."""
         self._shipper.start()
 
     def stop(self) -> None:
-        """Write what is left and close."""
+        """Ship the remaining traces and close the metrics client."""
         self._shipper.stop()
         self._metrics.close()
 
     def set_manifest(
-        self, in_force: CompiledManifest, request_ids: Iterable[str]
+        self, manifest: CompiledManifest, request_ids: Iterable[str]
     ) -> None:
-        """Take up a new manifest, and note it in the requests under way."""
-        self.outcome_counter.set_goals(in_force)
+        """Apply a new manifest and record the change in traces of ``request_ids``."""
+        self.outcome_counter.set_goals(manifest)
         for request_id in request_ids:
-            self.recorder.record(request_id, ManifestChanged(in_force.version))
+            self.recorder.record(request_id, ManifestChanged(manifest.version))
--- a/src/kingcupwheel/manifest/loader.py
+++ b/src/kingcupwheel/manifest/loader.py
@@ -12,19 +12,19 @@
 
 from kingcupwheel.manifest.checks import find_manifest_problems
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.shapes import convert
-from kingcupwheel.utils.yaml import read_yaml
+from kingcupwheel.utils.strict_yaml import parse_yaml
+from kingcupwheel.utils.struct_validation import convert_to_type
 
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from kingcupwheel.utils.problems import Problems
+    from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 def load_manifest(
     text: str, *, placements: Collection[str] = ()
-) -> Result[Manifest, Problems]:
+) -> Result[Manifest, ValidationProblems]:
     """Return the manifest in ``text`` (YAML or JSON), or all problems found.
 
     ``placements`` are the known placement policies; if empty, names of policies are not
@@ -32,24 +32,24 @@
     """
     return (
         _parse(text)
-        .bind(lambda data: convert(data, Manifest))
+        .bind(lambda data: convert_to_type(data, Manifest))
         .bind(lambda manifest: check_manifest(manifest, placements=placements))
     )
 
 
 def check_manifest(
     manifest: Manifest, *, placements: Collection[str] = ()
-) -> Result[Manifest, Problems]:
+) -> Result[Manifest, ValidationProblems]:
     """Return ``manifest``, or all fields with an invalid value."""
     problems = tuple(find_manifest_problems(manifest, placements))
     return Error(problems) if problems else Ok(manifest)
 
 
-def _parse(text: str) -> Result[Any, Problems]:
+def _parse(text: str) -> Result[Any, ValidationProblems]:
     # JSON has its own parser because it is much faster than that of YAML.
     if text.lstrip().startswith("{"):
         try:
             return Ok(msgspec.json.decode(text))
         except msgspec.DecodeError:
-            return read_yaml(text)
-    return read_yaml(text)
+            return parse_yaml(text)
+    return parse_yaml(text)
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -10,7 +10,7 @@
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 _BATCH_SIZE = 400
 
 
-class ProcessStatus(Record, frozen=True):
+class ProcessStatus(StrictStruct, frozen=True):
     """Manifest version of a listed process, None if it did not respond."""
 
     name: str
@@ -35,7 +35,7 @@
     is_leaving: bool = msgspec.field(name="leaving")
 
 
-class RolloutStatus(Record, frozen=True):
+class RolloutStatus(StrictStruct, frozen=True):
     """The listed processes by whether they have adopted ``version``.
 
     Those ``behind`` reported an earlier version; those ``unresponsive`` timed out.
--- a/src/kingcupwheel/manifest/schema.py
+++ b/src/kingcupwheel/manifest/schema.py
@@ -8,7 +8,7 @@
 
 from enum import StrEnum
 
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 # Records of which a process holds tens of thousands are not tracked by the garbage
@@ -23,7 +23,7 @@
     SERVICE = "service"
 
 
-class Allowance(Record, frozen=True, gc=False):
+class Allowance(StrictStruct, frozen=True, gc=False):
     """Limits of an organisation, shared by all entries.
 
     ``work_per_s`` is the refill rate of a token bucket in tokens per second and
@@ -35,7 +35,7 @@
     concurrency: int = 200
 
 
-class Goals(Record, frozen=True, gc=False):
+class Goals(StrictStruct, frozen=True, gc=False):
     """Service-level goals.
 
     ``availability`` is the share of requests that must run and get a true result,
@@ -48,7 +48,7 @@
     token_gap_ms: float = 32.0
 
 
-class Organisation(Record, frozen=True, gc=False):
+class Organisation(StrictStruct, frozen=True, gc=False):
     """A customer with its keys, limits and goals.
 
     ``key_digests`` are hexadecimal SHA-256 digests of bearer keys. ``priority`` is from
@@ -62,7 +62,7 @@
     goals: Goals | None = None
 
 
-class ExpertLayout(Record, frozen=True):
+class ExpertLayout(StrictStruct, frozen=True):
     """Dimensions and rebalancing parameters of an expert-parallel group.
 
     The ``ranks`` run in lock-step; each has ``slots`` slots for experts in each of
@@ -80,7 +80,7 @@
     rebalance_every_s: float = 10.0
 
 
-class ServerGroup(Record, frozen=True):
+class ServerGroup(StrictStruct, frozen=True):
     """Backend servers that serve the same model or application.
 
     Servers are discovered through the platform's list. ``concurrency`` is the limit of
@@ -98,7 +98,7 @@
     experts: ExpertLayout | None = None
 
 
-class Route(Record, frozen=True):
+class Route(StrictStruct, frozen=True):
     """Maps a host and path to a server group.
 
     ``host`` is a name or ``*``; ``path`` is exact, or a prefix if it ends in ``*``.
@@ -115,14 +115,14 @@
     goals: Goals | None = None
 
 
-class Retention(Record, frozen=True):
+class Retention(StrictStruct, frozen=True):
     """How long the platform keeps claims and traces, in hours."""
 
     claims_h: float = 24.0
     traces_h: float = 72.0
 
 
-class Manifest(Record, frozen=True):
+class Manifest(StrictStruct, frozen=True):
     """The complete configuration that an operator submits."""
 
     organisations: tuple[Organisation, ...]
--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -28,7 +28,7 @@
 from kingcupwheel.manifest.schema import Route
 from kingcupwheel.manifest.schema import ServerGroup
 from kingcupwheel.platform.client import MAX_VALUE_BYTES
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
 _RETIRED_SHARDS_KEPT_SUBMISSIONS = 16
 
 
-class ManifestIndex(Record, frozen=True):
+class ManifestIndex(StrictStruct, frozen=True):
     """Index of the shards of a manifest version, by their SHA-256 digests.
 
     ``earlier_submission_ids`` are those before it, latest first. ``core_digest`` is the
@@ -89,7 +89,7 @@
         return tuple(shard_key(each) for each in self.shard_digests)
 
 
-class ManifestCore(Record, frozen=True):
+class ManifestCore(StrictStruct, frozen=True):
     """A manifest without its organisations."""
 
     groups: tuple[ServerGroup, ...]
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -165,15 +165,15 @@
 
     def _follow_platform(self) -> None:
         backoff = Backoff(
-            least_s=_MIN_WATCH_BACKOFF_S,
-            most_s=_MAX_WATCH_BACKOFF_S,
+            min_s=_MIN_WATCH_BACKOFF_S,
+            max_s=_MAX_WATCH_BACKOFF_S,
             random=self._random,
         )
         while not self._stopping.is_set():
             if self._watch_once():
                 backoff.reset()
             else:
-                self._stopping.wait(backoff.next_s())
+                self._stopping.wait(backoff.next_delay_s())
 
     def _watch_once(self) -> bool:
         """Run one watch; return whether to repeat it without a delay."""
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -8,8 +8,8 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import Count
-from kingcupwheel.metrics.names import Duration
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Joined
@@ -20,36 +20,36 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.settings.schema import Role
     from kingcupwheel.trace.events import AnyEvent
 
 
-class EventMetrics:
+class TraceEventMetrics:
     """Counts events of one process; safe from any thread, never blocks.
 
     A recorder calls it for each event. An entry's final outcomes are counted by its
     observer, an agent's ends of attempts here.
     """
 
-    def __init__(self, metrics: Metrics, role: Role) -> None:
+    def __init__(self, metrics: MetricsClient, role: Role) -> None:
         self._metrics = metrics
-        self._ended = Count.RUNS if role.value == "agent" else None
+        self._finished_counter = CounterName.RUNS if role.value == "agent" else None
 
     def __call__(self, event: AnyEvent) -> None:
         """Count ``event`` if it has a metric."""
         match event:
             case Placed(waited_s=waited_s):
-                self._metrics.duration(Duration.QUEUE_WAIT, waited_s)
+                self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
             case Retried():
-                self._metrics.count(Count.RETRIES)
+                self._metrics.increment(CounterName.RETRIES)
             case Resumed():
-                self._metrics.count(Count.RESUMES)
+                self._metrics.increment(CounterName.RESUMES)
             case Joined():
-                self._metrics.count(Count.JOINS)
+                self._metrics.increment(CounterName.JOINS)
             case Claimed():
-                self._metrics.count(Count.CLAIMS)
+                self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
-                self._metrics.count(Count.ATTEMPTS_LOST)
-            case Finished(outcome) if self._ended:
-                self._metrics.count(self._ended, by=outcome)
+                self._metrics.increment(CounterName.ATTEMPTS_LOST)
+            case Finished(outcome) if self._finished_counter:
+                self._metrics.increment(self._finished_counter, label=outcome)
--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -7,7 +7,7 @@
 
 from enum import StrEnum
 
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 class Role(StrEnum):
@@ -26,7 +26,7 @@
     ERROR = "error"
 
 
-class PlatformSettings(Record, frozen=True):
+class PlatformSettings(StrictStruct, frozen=True):
     """Connection to the platform's service.
 
     ``client`` names a platform client plug-in; ``timeout_s`` is the timeout of a call.
@@ -38,7 +38,7 @@
     connections: int = 8
 
 
-class StatsdSettings(Record, frozen=True):
+class StatsdSettings(StrictStruct, frozen=True):
     """StatsD server for metrics over UDP; nothing is sent if ``host`` is empty."""
 
     host: str = ""
@@ -46,7 +46,7 @@
     prefix: str = "kingcupwheel"
 
 
-class EntryLimits(Record, frozen=True):
+class EntryLimits(StrictStruct, frozen=True):
     """Resource limits of an entry.
 
     Requests over ``threads`` concurrent ones are refused; idle connections over
@@ -61,7 +61,7 @@
     traces: int = 20_000
 
 
-class AgentLimits(Record, frozen=True):
+class AgentLimits(StrictStruct, frozen=True):
     """Resource limits of an agent.
 
     ``answers_bytes`` limits the buffered, unacknowledged answers; above it the server's
@@ -74,7 +74,7 @@
     traces: int = 20_000
 
 
-class Timings(Record, frozen=True):
+class Timings(StrictStruct, frozen=True):
     """Intervals and timeouts of failure detection and membership.
 
     ``heartbeat_s`` is the heartbeat interval on used links. A link without messages for
@@ -98,7 +98,7 @@
     trace_batch_s: float = 30.0
 
 
-class ServerSettings(Record, frozen=True):
+class ServerSettings(StrictStruct, frozen=True):
     """The backend server of an agent; ``adapter`` and ``rank_api`` name plug-ins.
 
     In an expert-parallel group the server is the group's ``rank`` (from 0);
@@ -115,7 +115,7 @@
     rank_timeout_s: float = 1.0
 
 
-class ForwardingSettings(Record, frozen=True):
+class ForwardingSettings(StrictStruct, frozen=True):
     """Direct forwarding to backend servers, on a platform with an object store.
 
     ``ready``, ``addresses`` and ``metrics`` are the ``IP:port`` of the readiness probe,
@@ -140,7 +140,7 @@
     steady_ms: float = 3000.0
 
 
-class RankSettings(Record, frozen=True):
+class RankSettings(StrictStruct, frozen=True):
     """The rank of a lock-stepped group that an agent manages, on the same platform.
 
     ``server`` is the ``IP:port`` of the backend server, ``service`` its service and
@@ -152,7 +152,7 @@
     metrics: str = ""
 
 
-class Settings(Record, frozen=True):
+class Settings(StrictStruct, frozen=True):
     """Settings file of a process.
 
     ``listen`` is the ``IP:port`` for messages of other processes, ``http`` that for
--- a/src/kingcupwheel/utils/request_ids.py
+++ b/src/kingcupwheel/utils/request_ids.py
@@ -7,7 +7,7 @@
 
 
 _SEPARATOR = "."
-_SERIAL_BYTES = 5
+_RANDOM_SUFFIX_BYTES = 5
 
 
 class RequestId(NamedTuple):
@@ -17,16 +17,18 @@
     """
 
     entry: str
-    started_ms: int
-    serial: str
+    arrived_at_ms: int
+    random_suffix: str
 
     def __str__(self) -> str:
-        return _SEPARATOR.join((self.entry, f"{self.started_ms:x}", self.serial))
+        return _SEPARATOR.join(
+            (self.entry, f"{self.arrived_at_ms:x}", self.random_suffix)
+        )
 
 
-def new_request_id(entry: str, *, now: float) -> RequestId:
+def generate_request_id(entry: str, *, now: float) -> RequestId:
     """Return a fresh id for a request that reached ``entry`` at ``now`` (Unix s)."""
-    return RequestId(entry, int(now * 1000), secrets.token_hex(_SERIAL_BYTES))
+    return RequestId(entry, int(now * 1000), secrets.token_hex(_RANDOM_SUFFIX_BYTES))
 
 
 def parse_request_id(text: str) -> RequestId | None:
--- a/src/kingcupwheel/utils/yaml.py
+++ b/src/kingcupwheel/utils/strict_yaml.py
@@ -12,8 +12,8 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import Problems
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 _SafeLoader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
-class _StrictLoader(_SafeLoader):  # type: ignore[misc]  # base chosen at run time
+class _UniqueKeyLoader(_SafeLoader):  # type: ignore[misc]  # base chosen at run time
     """Refuses a key that stands twice; YAML's usual loaders keep the last silently."""
 
     def construct_mapping(
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def _collector_paused() -> Iterator[None]:
+def _paused_garbage_collector() -> Iterator[None]:
     """Keep the garbage collector from walking a large tree again while it grows.
 
     A tree of plain data holds no cycles, so nothing is left uncollected. Parsing a
@@ -60,14 +60,14 @@
             gc.enable()
 
 
-def read_yaml(text: str) -> Result[Any, Problems]:
+def parse_yaml(text: str) -> Result[Any, ValidationProblems]:
     """Return the one document in ``text``, or where it is no YAML."""
     try:
-        with _collector_paused():
-            return Ok(yaml.load(text, Loader=_StrictLoader))
+        with _paused_garbage_collector():
+            return Ok(yaml.load(text, Loader=_UniqueKeyLoader))
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
         where = f"line {mark.line + 1}" if mark else ""
-        return Error((Problem(where, f"not valid YAML: {error.problem}"),))
+        return Error((ValidationProblem(where, f"not valid YAML: {error.problem}"),))
     except (yaml.YAMLError, ValueError) as error:
-        return Error((Problem("", f"not valid YAML: {error}"),))
+        return Error((ValidationProblem("", f"not valid YAML: {error}"),))
