--- a/src/kingcupwheel/expertmaps/coordinator.py
+++ b/src/kingcupwheel/expertmaps/coordinator.py
@@ -75,7 +75,7 @@
     store_bytes_per_s: float = 50_000_000.0
 
 
-DEFAULT_TIMINGS = CoordinatorTimings()
+DEFAULT_COORDINATOR_TIMINGS = CoordinatorTimings()
 
 
 class Coordinator:
@@ -91,7 +91,7 @@
         rank_count: int,
         initial_map: ExpertMap,
         expert_bytes: int = 0,
-        timings: CoordinatorTimings = DEFAULT_TIMINGS,
+        timings: CoordinatorTimings = DEFAULT_COORDINATOR_TIMINGS,
     ) -> None:
         self._rank_count = rank_count
         self._initial_map = initial_map
--- a/src/kingcupwheel/expertmaps/service.py
+++ b/src/kingcupwheel/expertmaps/service.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.expertmaps.coordinator import DEFAULT_TIMINGS
+from kingcupwheel.expertmaps.coordinator import DEFAULT_COORDINATOR_TIMINGS
 from kingcupwheel.expertmaps.coordinator import CoordinatorTimings
 from kingcupwheel.expertmaps.coordinator_driver import CoordinatorDriver
 from kingcupwheel.expertmaps.lease import Lease
@@ -61,7 +61,7 @@
     coordinator_timeout_s: float = 5.0
     takeover_stagger_s: float = 1.0
     instances_interval_s: float = 5.0
-    coordinator: CoordinatorTimings = DEFAULT_TIMINGS
+    coordinator: CoordinatorTimings = DEFAULT_COORDINATOR_TIMINGS
 
 
 DEFAULT_SERVICE_TIMINGS = MapServiceTimings()
