--- a/src/kingcupwheel/expertmaps/maps.py
+++ b/src/kingcupwheel/expertmaps/maps.py
@@ -125,9 +125,9 @@
     return result
 
 
-def count_replicas(layer: LayerPlacement, experts: int) -> list[int]:
+def count_replicas(layer: LayerPlacement, expert_count: int) -> list[int]:
     """Return the number of replicas of each expert of a layer."""
-    counts = [0] * experts
+    counts = [0] * expert_count
     for held in layer:
         for expert in held:
             counts[expert] += 1
--- a/src/kingcupwheel/expertmaps/planner.py
+++ b/src/kingcupwheel/expertmaps/planner.py
@@ -111,7 +111,7 @@
     best_gain = 0.0
     moves = 0
     for _ in range(_MAX_CHANGES_PER_LAYER):
-        change = _best_change(editor)
+        change = _find_best_change(editor)
         if change is None:
             break
         editor.apply(change)
@@ -123,7 +123,7 @@
     return best
 
 
-def _best_change(editor: LayerEditor) -> LayerChange | None:
+def _find_best_change(editor: LayerEditor) -> LayerChange | None:
     """Return the change that lowers the maximum load most for each move, if any."""
     order = editor.ranks_by_load()
     bound = editor.max_load_bound
