--- a/src/kingcupwheel/claims/store.py
+++ b/src/kingcupwheel/claims/claim_store.py
@@ -16,11 +16,11 @@
 from expression import Ok
 from expression import Result
 
-from kingcupwheel.claims.exceptions import ClaimMoved
-from kingcupwheel.claims.exceptions import ClaimUnreachable
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import Held
-from kingcupwheel.claims.records import claim_key
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import StoredClaim
+from kingcupwheel.claims.claim_records import build_claim_key
+from kingcupwheel.claims.exceptions import ClaimConflict
+from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
@@ -38,7 +38,7 @@
 _RETRY_AFTER_S = 5.0
 
 
-def new_nonce() -> str:
+def generate_write_nonce() -> str:
     """Return a name for one write."""
     return secrets.token_hex(8)
 
@@ -49,47 +49,53 @@
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
 
-    def make(self, claim_id: str, record: ClaimRecord) -> Result[Held, ClaimError]:
+    def create(
+        self, claim_id: str, record: ClaimRecord
+    ) -> Result[StoredClaim, ClaimError]:
         """Create the claim; ``ClaimMoved`` if it exists and is not this write's."""
-        written = self._client.create(claim_key(claim_id), _encode(record))
-        return self._settle(claim_id, record, written)
+        written = self._client.create(build_claim_key(claim_id), _encode(record))
+        return self._confirm_write(claim_id, record, written)
 
-    def move(self, held: Held, record: ClaimRecord) -> Result[Held, ClaimError]:
+    def update(
+        self, stored_claim: StoredClaim, record: ClaimRecord
+    ) -> Result[StoredClaim, ClaimError]:
         """Replace the claim held; ``ClaimMoved`` if somebody else changed it."""
-        key = claim_key(held.claim_id)
-        written = self._client.update(key, _encode(record), version=held.version)
-        return self._settle(held.claim_id, record, written)
+        key = build_claim_key(stored_claim.claim_id)
+        written = self._client.update(
+            key, _encode(record), version=stored_claim.version
+        )
+        return self._confirm_write(stored_claim.claim_id, record, written)
 
-    def read(self, claim_id: str) -> Result[Held | None, ClaimUnreachable]:
+    def read(self, claim_id: str) -> Result[StoredClaim | None, ClaimUnavailable]:
         """Return the claim, or None if there is none."""
-        found = self._client.read(claim_key(claim_id))
+        found = self._client.read(build_claim_key(claim_id))
         if found.is_error():
-            return Error(_unreachable(found.error))
+            return Error(_to_claim_unavailable(found.error))
         if found.ok is None:
             return Ok(None)
         try:
             record = _DECODER.decode(found.ok.value)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            return Error(ClaimUnreachable(f"unreadable claim: {error}", _RETRY_AFTER_S))
-        return Ok(Held(claim_id, found.ok.version, record))
+            return Error(ClaimUnavailable(f"unreadable claim: {error}", _RETRY_AFTER_S))
+        return Ok(StoredClaim(claim_id, found.ok.version, record))
 
-    def _settle(
+    def _confirm_write(
         self,
         claim_id: str,
         record: ClaimRecord,
-        written: Result[int, PlatformError],
-    ) -> Result[Held, ClaimError]:
-        if written.is_ok():
-            return Ok(Held(claim_id, written.ok, record))
-        match written.error:
+        write_result: Result[int, PlatformError],
+    ) -> Result[StoredClaim, ClaimError]:
+        if write_result.is_ok():
+            return Ok(StoredClaim(claim_id, write_result.ok, record))
+        match write_result.error:
             case Conflict() | Unavailable(sent=True):
                 return self._read_back(claim_id, record)
             case error:
-                return Error(_unreachable(error))
+                return Error(_to_claim_unavailable(error))
 
     def _read_back(
         self, claim_id: str, record: ClaimRecord
-    ) -> Result[Held, ClaimError]:
+    ) -> Result[StoredClaim, ClaimError]:
         found = self.read(claim_id)
         if found.is_error():
             return Error(found.error)
@@ -97,21 +103,21 @@
             return Ok(found.ok)
         if found.ok is None:
             # A stale read, or the write is still on its way: it can't be told apart.
-            return Error(ClaimUnreachable("claim not confirmed", _RETRY_AFTER_S))
-        return Error(ClaimMoved(claim_id))
+            return Error(ClaimUnavailable("claim not confirmed", _RETRY_AFTER_S))
+        return Error(ClaimConflict(claim_id))
 
 
 def _encode(record: ClaimRecord) -> bytes:
     return msgspec.json.encode(record)
 
 
-def _unreachable(error: PlatformError) -> ClaimUnreachable:
+def _to_claim_unavailable(error: PlatformError) -> ClaimUnavailable:
     match error:
         case Unavailable(detail, _):
-            return ClaimUnreachable(detail, _RETRY_AFTER_S)
+            return ClaimUnavailable(detail, _RETRY_AFTER_S)
         case RateLimited(retry_after_s):
-            return ClaimUnreachable("platform asks for fewer calls", retry_after_s)
+            return ClaimUnavailable("platform asks for fewer calls", retry_after_s)
         case Rejected(status, detail):
-            return ClaimUnreachable(f"platform says {status}: {detail}", _RETRY_AFTER_S)
+            return ClaimUnavailable(f"platform says {status}: {detail}", _RETRY_AFTER_S)
         case Conflict(_, version):
-            return ClaimUnreachable(f"claim at version {version}", _RETRY_AFTER_S)
+            return ClaimUnavailable(f"claim at version {version}", _RETRY_AFTER_S)
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -13,9 +13,9 @@
 from kingcupwheel.burn.gathering import gather
 from kingcupwheel.burn.page import report_page
 from kingcupwheel.burn.printing import report_text
-from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import open_platform
+from kingcupwheel.console.platform_access import create_platform_client
+from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
 
 
@@ -51,7 +51,7 @@
     Exit code 0: every entry answered; 7: some did not, and are named.
     """
     gathered = gather(
-        open_platform(url),
+        create_platform_client(url),
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         now=time.time(),
@@ -62,11 +62,11 @@
     report = gathered.ok
     if html:
         html.write_text(report_page(report), encoding="utf-8")
-    _print(report, as_json=as_json)
+    _print_report(report, as_json=as_json)
     sys.exit(ExitCode.OK if report.complete else ExitCode.INCOMPLETE)
 
 
-def _print(report: BurnReport, *, as_json: bool) -> None:
+def _print_report(report: BurnReport, *, as_json: bool) -> None:
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(report), indent=2)
         click.echo(encoded.decode())
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/manifest_formatting.py
@@ -8,7 +8,7 @@
 import yaml
 
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from kingcupwheel.manifest.rollout_status import RolloutStatus
 
 
-class ManifestShown(Record, frozen=True):
+class VersionedManifest(StrictStruct, frozen=True):
     """The manifest in force with its version and the submission it came by."""
 
     version: int
@@ -26,15 +26,15 @@
     manifest: Manifest
 
 
-def manifest_text(shown: ManifestShown) -> str:
+def format_manifest(versioned: VersionedManifest) -> str:
     """Return the manifest as YAML with its version in a comment above."""
     # Plain lists: YAML writes tuples with a tag of its own.
-    data = msgspec.json.decode(msgspec.json.encode(shown.manifest))
+    data = msgspec.json.decode(msgspec.json.encode(versioned.manifest))
     body = yaml.safe_dump(data, sort_keys=False)
-    return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
+    return f"# Version {versioned.version}, submission {versioned.submission}.\n{body}"
 
 
-def rollout_text(rollout: RolloutStatus) -> str:
+def format_rollout(rollout: RolloutStatus) -> str:
     """Return a sentence on the whole and a line for each process not there yet."""
     processes = (
         len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -6,8 +6,8 @@
 from threading import Event
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.retention import ClaimRetention
-from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.claims.claim_store import ClaimStore
+from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.attempt_inboxes import InboxRegistry
@@ -29,10 +29,10 @@
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import InstancesRequest
-from kingcupwheel.metrics.client import Metrics
-from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.metrics.metered_platform_client import MeteredPlatformClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
 
 
 if TYPE_CHECKING:
@@ -53,10 +53,10 @@
     """One entry process; ``start`` returns once it accepts callers."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         self._settings = settings
         self._leaving = Event()
-        metrics = Metrics(settings.statsd, process=settings.name)
+        metrics = MetricsClient(settings.statsd, process=settings.name)
         client = MeteredPlatformClient(
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
@@ -67,7 +67,7 @@
             metrics,
             traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
         )
-        self._retention = ClaimRetention(
+        self._retention = ExpiredClaimRemover(
             client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
         )
         self._hub = MessageHub(
@@ -89,7 +89,7 @@
             leaving=self._leaving,
         )
         fetcher = ManifestFetcher(self._hub)
-        self._keeper = ManifestSynchronizer(
+        self._manifest_synchronizer = ManifestSynchronizer(
             client,
             fetch_from_peer=fetcher.fetch,
             on_change=self._on_manifest,
@@ -113,7 +113,7 @@
         self._handler = MessageHandler(
             self._context,
             self._membership,
-            self._keeper,
+            self._manifest_synchronizer,
             fetcher,
             self._telemetry.burn_counter,
             self._balancer,
@@ -135,13 +135,17 @@
             self._membership,
             address_ttl_s=self._settings.timings.leave_s / 2,
         )
-        return Application(self._context, lambda: self._keeper.current, pages)
+        return Application(
+            self._context, lambda: self._manifest_synchronizer.current, pages
+        )
 
     def _build_operator_server(self) -> HttpServer | None:
         if not self._settings.operator_http:
             return None
         pages = OperatorPages(
-            self._context, self._keeper, lambda: self._application.in_progress_count
+            self._context,
+            self._manifest_synchronizer,
+            lambda: self._application.in_progress_count,
         )
         return HttpServer(
             pages,
@@ -163,7 +167,7 @@
             self._operator_http_server.bind()
             self._operator_http_server.start()
         self._hub.start()
-        self._keeper.start()
+        self._manifest_synchronizer.start()
         self._membership.start()
         self._telemetry.start()
         self._retention.start()
@@ -193,7 +197,7 @@
         if self._operator_http_server is not None:
             self._operator_http_server.stop()
         self._membership.stop()
-        self._keeper.stop()
+        self._manifest_synchronizer.stop()
         self._retention.stop()
         self._telemetry.stop()
         self._hub.stop()
@@ -210,16 +214,16 @@
     def _on_tick(self, now: float) -> None:
         self._handler.on_tick(now)
 
-    def _on_manifest(self, in_force: CompiledManifest) -> None:
-        self._telemetry.set_manifest(in_force, self._context.inboxes.request_ids)
+    def _on_manifest(self, manifest: CompiledManifest) -> None:
+        self._telemetry.set_manifest(manifest, self._context.inboxes.request_ids)
 
     def _find_organisation(self, name: str) -> Organisation | None:
-        in_force = self._keeper.current
-        return None if in_force is None else in_force.organisations_by_name.get(name)
+        manifest = self._manifest_synchronizer.current
+        return None if manifest is None else manifest.organisations_by_name.get(name)
 
     def _get_retention(self) -> Retention:
-        in_force = self._keeper.current
-        return Retention() if in_force is None else in_force.retention
+        manifest = self._manifest_synchronizer.current
+        return Retention() if manifest is None else manifest.retention
 
     def _request_instances_from_seeds(self) -> None:
         for address in self._settings.seeds:
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
-from kingcupwheel.metrics.events import EventMetrics
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
@@ -35,14 +35,14 @@
         self,
         settings: Settings,
         client: PlatformClient,
-        metrics: Metrics,
+        metrics: MetricsClient,
         *,
         traces_retention_s: Callable[[], float],
     ) -> None:
         self.recorder = Recorder(
             settings.name,
             limit=settings.entry.traces,
-            listener=EventMetrics(metrics, settings.role),
+            listener=TraceEventMetrics(metrics, settings.role),
         )
         self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
@@ -67,9 +67,9 @@
         self._metrics.close()
 
     def set_manifest(
-        self, in_force: CompiledManifest, request_ids: Iterable[str]
+        self, manifest: CompiledManifest, request_ids: Iterable[str]
     ) -> None:
         """Apply a new manifest and record the change in traces of ``request_ids``."""
-        self.outcome_counter.set_goals(in_force)
+        self.outcome_counter.set_goals(manifest)
         for request_id in request_ids:
-            self.recorder.record(request_id, ManifestChanged(in_force.version))
+            self.recorder.record(request_id, ManifestChanged(manifest.version))
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -8,9 +8,9 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import route_name
 from kingcupwheel.burn.observed import Observed
-from kingcupwheel.metrics.names import Count
-from kingcupwheel.metrics.names import Duration
-from kingcupwheel.metrics.names import Level
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
+from kingcupwheel.metrics.metric_names import TimerName
 
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.messages.attempts import Outcome
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
 
 _CALLER_LEFT = "caller-left"
 
@@ -29,19 +29,19 @@
 class OutcomeCounter:
     """Counts final outcomes; called on request threads, never blocks."""
 
-    def __init__(self, burn_counter: BurnCounter, metrics: Metrics) -> None:
+    def __init__(self, burn_counter: BurnCounter, metrics: MetricsClient) -> None:
         self._burn_counter = burn_counter
         self._metrics = metrics
 
-    def set_goals(self, in_force: CompiledManifest) -> None:
+    def set_goals(self, manifest: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
-        self._burn_counter.adopt(build_burn_goals(in_force))
-        self._metrics.count(Count.MANIFESTS_ADOPTED)
-        self._metrics.level(Level.MANIFEST_VERSION, in_force.version)
+        self._burn_counter.adopt(build_burn_goals(manifest))
+        self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
+        self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
-        """Count a request that the entry refused."""
-        self._metrics.count(Count.REFUSALS, by=refusal.reason)
+        """CounterName a request that the entry refused."""
+        self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._count(
             Observed(
                 organisation=request.organisation.name,
@@ -66,11 +66,11 @@
         gaps_s: Sequence[float],
         caller_left: bool,
     ) -> None:
-        """Count an answer; ``gaps_s`` are the seconds between its chunks."""
+        """CounterName an answer; ``gaps_s`` are the seconds between its chunks."""
         if first_byte_s is not None:
-            self._metrics.duration(Duration.FIRST_BYTE, first_byte_s)
+            self._metrics.record_duration(TimerName.FIRST_BYTE, first_byte_s)
         if gaps_s:
-            self._metrics.duration(Duration.TOKEN_GAP, max(gaps_s))
+            self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
         self._count(
             Observed(
                 organisation=request.organisation.name,
@@ -87,23 +87,25 @@
         )
 
     def _count(self, observed: Observed) -> None:
-        self._metrics.count(Count.REQUESTS, by=observed.outcome.value)
+        self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
-            self._metrics.count(Count.CALLERS_LEFT)
+            self._metrics.increment(CounterName.CALLERS_LEFT)
         count_by_indicator = self._burn_counter.observe(observed, now=time.time())
         for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
-                self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
+                self._metrics.increment(
+                    CounterName.GOAL_MISSES, label=by, amount=count.bad
+                )
 
 
-def build_burn_goals(in_force: CompiledManifest) -> BurnGoals:
+def build_burn_goals(manifest: CompiledManifest) -> BurnGoals:
     """Return the goals set in the manifest in force."""
-    routes = in_force.assembly.core.routes
-    organisations = in_force.organisations_by_name.values()
+    routes = manifest.assembly.core.routes
+    organisations = manifest.organisations_by_name.values()
     return BurnGoals(
-        in_force.version,
-        in_force.goals,
+        manifest.version,
+        manifest.goals,
         {route_name(route): route.goals for route in routes if route.goals},
         {item.name: item.goals for item in organisations if item.goals},
     )
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -27,8 +27,8 @@
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
 from kingcupwheel.manifest.schema import GroupKind
-from kingcupwheel.utils.http_headers import HOP_BY_HOP
-from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
+from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
+from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 # which callers of one application share.
 _MAX_PREFIX_CHARACTERS = 256
 # Headers that apply to one connection or to the entry only.
-_UNFORWARDED_HEADERS = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
+_UNFORWARDED_HEADERS = HOP_BY_HOP_HEADERS | PER_REQUEST_HEADERS | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
@@ -70,14 +70,14 @@
 
 
 def authenticate_organisation(
-    headers: Mapping[str, str], in_force: CompiledManifest
+    headers: Mapping[str, str], manifest: CompiledManifest
 ) -> Result[Organisation, Refusal]:
     """Return the organisation of the API key, or a refusal."""
     authorization = headers.get("authorization", "")
     if not authorization.lower().startswith(_BEARER_PREFIX):
         return Error(API_KEY_MISSING)
     key = authorization[len(_BEARER_PREFIX) :].strip()
-    organisation = in_force.find_organisation_by_key(key)
+    organisation = manifest.find_organisation_by_key(key)
     return Error(API_KEY_UNKNOWN) if organisation is None else Ok(organisation)
 
 
@@ -97,7 +97,7 @@
 def parse_request(
     http_request: HttpRequest,
     organisation: Organisation,
-    in_force: CompiledManifest,
+    manifest: CompiledManifest,
     *,
     request_id: str,
     received_at: float,
@@ -106,7 +106,7 @@
 
     ``received_at`` is in seconds of the monotonic clock.
     """
-    route_match = _find_route(http_request, in_force)
+    route_match = _find_route(http_request, manifest)
     if isinstance(route_match, Refusal):
         return Error(route_match)
     route, group = route_match
@@ -147,23 +147,23 @@
             received_at=received_at,
             deadline_s=route.deadline_s if deadline is None else deadline,
             has_own_deadline=deadline is not None,
-            manifest_version=in_force.version,
+            manifest_version=manifest.version,
         )
     )
 
 
 def _find_route(
-    http_request: HttpRequest, in_force: CompiledManifest
+    http_request: HttpRequest, manifest: CompiledManifest
 ) -> MatchedRoute | Refusal:
-    match in_force.find_route(
+    match manifest.find_route(
         http_request.host, http_request.path, http_request.method
     ):
         case NoRoute():
             return NO_ROUTE
         case MethodNotAllowed():
             return BAD_METHOD
-        case MatchedRoute() as found:
-            return _check_idempotency_key(http_request, found) or found
+        case MatchedRoute() as route_match:
+            return _check_idempotency_key(http_request, route_match) or route_match
 
 
 def _check_idempotency_key(
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -27,7 +27,7 @@
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
-from kingcupwheel.plugins.kernel import rank_apis
+from kingcupwheel.plugins.registries import rank_apis
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/manifest/rollout_status.py
+++ b/src/kingcupwheel/manifest/rollout_status.py
@@ -10,7 +10,7 @@
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 _BATCH_SIZE = 400
 
 
-class ProcessStatus(Record, frozen=True):
+class ProcessStatus(StrictStruct, frozen=True):
     """A listed process; ``version`` is None if it did not answer."""
 
     name: str
@@ -34,7 +34,7 @@
     is_leaving: bool = msgspec.field(name="leaving")
 
 
-class RolloutStatus(Record, frozen=True):
+class RolloutStatus(StrictStruct, frozen=True):
     """How far version ``version`` has come.
 
     ``behind`` answered with an earlier version, ``silent`` did not answer in time.
--- a/src/kingcupwheel/metrics/client.py
+++ b/src/kingcupwheel/metrics/statsd_client.py
@@ -11,19 +11,19 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.metrics.names import Count
-    from kingcupwheel.metrics.names import Duration
-    from kingcupwheel.metrics.names import Level
+    from kingcupwheel.metrics.metric_names import CounterName
+    from kingcupwheel.metrics.metric_names import GaugeName
+    from kingcupwheel.metrics.metric_names import TimerName
     from kingcupwheel.settings.schema import StatsdSettings
 
 logger = logging.getLogger("kingcupwheel.metrics")
 
-_UNSAFE = re.compile(r"[^A-Za-z0-9_-]")
+_UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]")
 # Names come from settings and code, but a part may hold a word from outside.
-_LONGEST_PART = 60
+_MAX_PART_LENGTH = 60
 
 
-class _NonBlockingClient(statsd.StatsClient):  # type: ignore[misc]
+class _NonBlockingStatsdClient(statsd.StatsClient):  # type: ignore[misc]
     """The library's client on a socket that never waits.
 
     A full send buffer would otherwise hold up a request for its metric; the library
@@ -35,7 +35,7 @@
         self._sock.setblocking(False)
 
 
-class Metrics:
+class MetricsClient:
     """Sends the metrics of one process; safe from any thread.
 
     Nothing is sent if ``settings.host`` is empty or can't be looked up at the start;
@@ -46,26 +46,28 @@
         self._client: Any = None
         if not settings.host:
             return
-        prefix = f"{settings.prefix}.{_safe(process)}"
+        prefix = f"{settings.prefix}.{_sanitize(process)}"
         try:
-            self._client = _NonBlockingClient(settings.host, settings.port, prefix)
+            self._client = _NonBlockingStatsdClient(
+                settings.host, settings.port, prefix
+            )
         except OSError as error:
             logger.warning("No metrics: %s: %s.", settings.host, error)
 
-    def count(self, name: Count, *, by: str = "", number: int = 1) -> None:
+    def increment(self, name: CounterName, *, label: str = "", amount: int = 1) -> None:
         """Add ``number`` to a counter; ``by`` is the part its description names."""
         if self._client is not None:
-            self._client.incr(_name(name, by), number)
+            self._client.incr(_build_metric_name(name, label), amount)
 
-    def level(self, name: Level, value: float) -> None:
+    def set_gauge(self, name: GaugeName, value: float) -> None:
         """Set a gauge."""
         if self._client is not None:
             self._client.gauge(name.value, value)
 
-    def duration(self, name: Duration, seconds: float) -> None:
+    def record_duration(self, name: TimerName, duration_s: float) -> None:
         """Record a time, given in seconds."""
         if self._client is not None:
-            self._client.timing(name.value, seconds * 1000)
+            self._client.timing(name.value, duration_s * 1000)
 
     def close(self) -> None:
         """Close the socket."""
@@ -74,9 +76,9 @@
             self._client = None
 
 
-def _name(name: Count, by: str) -> str:
-    return f"{name.value}.{_safe(by)}" if by else name.value
+def _build_metric_name(name: CounterName, label: str) -> str:
+    return f"{name.value}.{_sanitize(label)}" if label else name.value
 
 
-def _safe(part: str) -> str:
-    return _UNSAFE.sub("_", part[:_LONGEST_PART])
+def _sanitize(part: str) -> str:
+    return _UNSAFE_CHARACTERS.sub("_", part[:_MAX_PART_LENGTH])
--- a/src/kingcupwheel/plugins/kernel.py
+++ b/src/kingcupwheel/plugins/registries.py
@@ -44,13 +44,13 @@
 )
 
 
-def load_builtin() -> None:
+def load_builtin_plugins() -> None:
     """Import every built-in plug-in module, which registers it."""
     for module in BUILTIN_MODULES:
         import_module(module)
 
 
-def load_placements() -> None:
+def load_placement_policies() -> None:
     """Import only the placement policies, for processes that need no other plug-in."""
     for module in PLACEMENT_MODULES:
         import_module(module)
--- a/src/kingcupwheel/settings/loader.py
+++ b/src/kingcupwheel/settings/loader.py
@@ -11,32 +11,34 @@
 
 from kingcupwheel.settings.checks import find_settings_problems
 from kingcupwheel.settings.schema import Settings
-from kingcupwheel.utils.problems import Problem
-from kingcupwheel.utils.problems import Problems
-from kingcupwheel.utils.shapes import convert
-from kingcupwheel.utils.yaml import read_yaml
+from kingcupwheel.utils.strict_yaml import parse_yaml
+from kingcupwheel.utils.struct_validation import convert_to_type
+from kingcupwheel.utils.validation_problems import ValidationProblem
+from kingcupwheel.utils.validation_problems import ValidationProblems
 
 
 if TYPE_CHECKING:
     from os import PathLike
 
 
-def load_settings(path: str | PathLike[str]) -> Result[Settings, Problems]:
+def load_settings(path: str | PathLike[str]) -> Result[Settings, ValidationProblems]:
     """Return the settings in the YAML file at ``path``, or all that is wrong."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Error((Problem("", f"cannot read {path}: {error}"),))
+        return Error((ValidationProblem("", f"cannot read {path}: {error}"),))
     return parse_settings(text)
 
 
-def parse_settings(text: str) -> Result[Settings, Problems]:
+def parse_settings(text: str) -> Result[Settings, ValidationProblems]:
     """Return the settings in ``text`` (YAML), or every field that is wrong."""
     return (
-        read_yaml(text).bind(lambda data: convert(data, Settings)).bind(_check_settings)
+        parse_yaml(text)
+        .bind(lambda data: convert_to_type(data, Settings))
+        .bind(_check_settings)
     )
 
 
-def _check_settings(settings: Settings) -> Result[Settings, Problems]:
+def _check_settings(settings: Settings) -> Result[Settings, ValidationProblems]:
     problems = tuple(find_settings_problems(settings))
     return Error(problems) if problems else Ok(settings)
