--- a/src/kingcupwheel/manifest/compiled_manifest.py
+++ b/src/kingcupwheel/manifest/compiled_manifest.py
@@ -31,7 +31,7 @@
     """One version of the manifest; immutable and therefore thread-safe.
 
     ``digest`` is a prefix of the SHA-256 digest of the index object: equal versions
-    with different digests mean that the platform has lost and reused a version.
+    with different digests would mean that the platform lost and reused a version.
     """
 
     def __init__(self, version: int, assembly: AssembledManifest) -> None:
@@ -92,11 +92,11 @@
         """
         digest = sha256(key.encode(errors="surrogatepass")).hexdigest()
         prefix = digest[:_KEY_PREFIX_DIGITS]
-        first = self._organisation_by_prefix.get(prefix)
-        if first is None:
+        candidate = self._organisation_by_prefix.get(prefix)
+        if candidate is None:
             return None
         owner = None
-        for organisation in (first, *self._collisions_by_prefix.get(prefix, ())):
+        for organisation in (candidate, *self._collisions_by_prefix.get(prefix, ())):
             for key_digest in organisation.key_digests:
                 if compare_digest(key_digest, digest):
                     owner = organisation
@@ -110,6 +110,6 @@
         self._organisations_by_name[organisation.name] = organisation
         for digest in organisation.key_digests:
             prefix = digest[:_KEY_PREFIX_DIGITS]
-            first = self._organisation_by_prefix.setdefault(prefix, organisation)
-            if first is not organisation:
+            candidate = self._organisation_by_prefix.setdefault(prefix, organisation)
+            if candidate is not organisation:
                 self._collisions_by_prefix.setdefault(prefix, []).append(organisation)
--- a/src/kingcupwheel/manifest/routing.py
+++ b/src/kingcupwheel/manifest/routing.py
@@ -39,7 +39,7 @@
 
 
 class _HostRoutes:
-    """The routes of one host: exact paths, and prefixes in order of length."""
+    """The routes of one host: exact paths, and prefixes with the longest first."""
 
     def __init__(self) -> None:
         self._exact_by_path: dict[str, _RoutesByMethod] = {}
@@ -53,13 +53,13 @@
             by_method[method] = route
 
     def sort_prefixes(self) -> None:
-        longest_first = sorted(self._by_prefix.items(), key=lambda each: -len(each[0]))
+        longest_first = sorted(self._by_prefix.items(), key=lambda item: -len(item[0]))
         self._by_prefix = dict(longest_first)
 
     def find(self, path: str) -> _RoutesByMethod | None:
-        exact = self._exact_by_path.get(path)
-        if exact is not None:
-            return exact
+        exact_match = self._exact_by_path.get(path)
+        if exact_match is not None:
+            return exact_match
         for prefix, by_method in self._by_prefix.items():
             if path.startswith(prefix):
                 return by_method
--- a/src/kingcupwheel/manifest/synchronizer.py
+++ b/src/kingcupwheel/manifest/synchronizer.py
@@ -207,7 +207,7 @@
                     self._adopt_from_platform_read()
 
     def _wait_for_hint(self) -> VersionHint | None:
-        """Return the next hint; None if there is none yet or when stopping."""
+        """Return the next hint; if there is none, wait for one and return None."""
         with self._hint_added:
             hint = self._hints.pop_next(self.version, now=monotonic())
             if hint is None and not self._stopping.is_set():
--- a/src/kingcupwheel/manifest/version_hints.py
+++ b/src/kingcupwheel/manifest/version_hints.py
@@ -1,4 +1,4 @@
-"""Hints where to read a later version of the manifest that other processes reported."""
+"""Hints where to read a later manifest version that other processes reported."""
 
 from __future__ import annotations
 
--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -79,7 +79,7 @@
 
     ``heartbeat_s`` is the heartbeat interval on used links. A link without messages for
     ``silence_s`` is replaced; an agent without messages for ``gone_s`` gets no new
-    work, and its attempts are given up ``give_up_s`` after their last sign of life.
+    work, and its attempts are given up ``give_up_s`` after their last liveness signal.
     ``token_s`` is the maximum age of a dispatch's clock token. ``instances_s`` is the
     interval of reads of the platform's list, ``watch_s`` the timeout of a watch. A
     leaving entry accepts new requests for ``leave_s``, from callers that do not know
