--- a/src/kingcupwheel/manifest/store.py
+++ b/src/kingcupwheel/manifest/store.py
@@ -77,7 +77,7 @@
         a partial manifest.
         """
         writer = SubmissionWriter(self._client, PlatformRetrier(self._retry_timeout_s))
-        base = writer.read_base()
+        base = writer.read_base_index()
         if base.is_error():
             return Error(base.error)
         if expected_version is not None and expected_version != base.ok.version:
--- a/src/kingcupwheel/manifest/submission_writer.py
+++ b/src/kingcupwheel/manifest/submission_writer.py
@@ -62,7 +62,7 @@
         self._client = client
         self._retrier = retrier
 
-    def read_base(self) -> Result[BaseIndex, SubmitError]:
+    def read_base_index(self) -> Result[BaseIndex, SubmitError]:
         """Read the current index."""
         found = self._retrier.call_with_retries(partial(self._client.read, INDEX_KEY))
         if found.is_error():
