--- a/src/kingcupwheel/manifest/shards.py
+++ b/src/kingcupwheel/manifest/shards.py
@@ -58,7 +58,7 @@
 # Replaced shards are kept for this number of submissions, so that a process that read
 # an index just before it was replaced still finds its shards; at 720 changes a day that
 # is 30 min.
-_RETIRED_SHARDS_KEPT_SUBMISSIONS = 16
+_MAX_RETIRED_SUBMISSIONS = 16
 
 
 class ManifestIndex(StrictStruct, frozen=True):
@@ -142,7 +142,7 @@
     """Return the retired shards that a successor of ``previous_index`` drops."""
     if (
         previous_index is None
-        or len(previous_index.retired_digests) < _RETIRED_SHARDS_KEPT_SUBMISSIONS
+        or len(previous_index.retired_digests) < _MAX_RETIRED_SUBMISSIONS
     ):
         return ()
     return tuple(shard_key(digest) for digest in previous_index.retired_digests[-1])
@@ -256,7 +256,7 @@
         tuple(digest for digest in digests if digest not in used_digests)
         for digests in previous_index.retired_digests
     ]
-    return (replaced_digests, *earlier_digests)[:_RETIRED_SHARDS_KEPT_SUBMISSIONS]
+    return (replaced_digests, *earlier_digests)[:_MAX_RETIRED_SUBMISSIONS]
 
 
 def _check_sizes(sharded: ShardedManifest) -> Result[ShardedManifest, ObjectTooLarge]:
