--- a/src/kingcupwheel/expertmaps/coordinator_decisions.py
+++ b/src/kingcupwheel/expertmaps/coordinator_decisions.py
@@ -94,13 +94,13 @@
     delay engines that are starting. So a rank starts once the ranks before it have had
     the time to load at the rate reserved for rebalancing.
     """
-    turns = []
-    due = now
+    start_times = []
+    start_time = now
     for rank in range(target_map.rank_count):
-        turns.append(due)
-        loads = sum(
+        start_times.append(start_time)
+        move_count = sum(
             len(set(new[rank]) - set(old[rank]))
             for old, new in zip(current_map.layers, target_map.layers, strict=True)
         )
-        due += loads * seconds_per_expert
-    return tuple(turns)
+        start_time += move_count * seconds_per_expert
+    return tuple(start_times)
--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -109,21 +109,25 @@
         """Return the lease if it is certainly held at ``now``.
 
         Guards against a holder that is paused for longer than the lease lasts and then
-        continues, so that two coordinators send orders. The holder counts the TTL from
+        continues, which would let two coordinators send orders. The holder counts the TTL from
         before the write that renewed the lease, while a watcher counts from when it saw
         that write, so the holder stops first; ranks refuse any remaining order by its
         fence.
         """
-        holding = self._held_lease
-        return holding if holding is not None and now < holding.valid_until else None
+        held_lease = self._held_lease
+        return (
+            held_lease
+            if held_lease is not None and now < held_lease.valid_until
+            else None
+        )
 
     def renew(self) -> None:
         """Renew the lease if it is held."""
-        holding = self.get_held_lease(self._clock())
-        if holding is None:
+        held_lease = self.get_held_lease(self._clock())
+        if held_lease is None:
             self._held_lease = None
             return
-        self._write_record(holding.version, fence=holding.fence)
+        self._write_record(held_lease.version, fence=held_lease.fence)
 
     def try_acquire(self) -> int | None:
         """Acquire the lease if it has expired.
@@ -140,8 +144,10 @@
             return get_lease_fence(found)
         if self._observed is None or self._observed.version != version:
             self._observed = _ObservedVersion(version, now)
-        lapsed = now - self._observed.first_seen_at >= self._ttl_s * _CLOCK_DRIFT_FACTOR
-        if found is None or not _decode_record(found).holder or lapsed:
+        has_expired = (
+            now - self._observed.first_seen_at >= self._ttl_s * _CLOCK_DRIFT_FACTOR
+        )
+        if found is None or not _decode_record(found).holder or has_expired:
             self._write_record(version, fence=0)
         return get_lease_fence(found)
 
@@ -151,13 +157,13 @@
         The fence remains stored. The next holder's fence is a later version of the
         object and therefore higher.
         """
-        holding = self._held_lease
+        held_lease = self._held_lease
         self._held_lease = None
         self._attempts.clear()
-        if holding is not None:
-            record = LeaseRecord(holder="", nonce="", fence=holding.fence)
+        if held_lease is not None:
+            record = LeaseRecord(holder="", nonce="", fence=held_lease.fence)
             value = msgspec.json.encode(record)
-            self._platform.update(self._key, value, version=holding.version)
+            self._platform.update(self._key, value, version=held_lease.version)
 
     def _write_record(self, version: int, *, fence: int) -> None:
         attempt = _WriteAttempt(secrets.token_hex(_NONCE_BYTES), self._clock(), fence)
@@ -200,8 +206,8 @@
         return [attempt for attempt in self._attempts if attempt.started_at > since]
 
     def _record_held_lease(self, attempt: _WriteAttempt, version: int) -> None:
-        until = attempt.started_at + self._ttl_s
-        self._held_lease = HeldLease(attempt.fence or version, version, until)
+        valid_until = attempt.started_at + self._ttl_s
+        self._held_lease = HeldLease(attempt.fence or version, version, valid_until)
 
 
 def _decode_record(found: VersionedValue) -> LeaseRecord:
--- a/src/kingcupwheel/expertmaps/load_estimate.py
+++ b/src/kingcupwheel/expertmaps/load_estimate.py
@@ -44,8 +44,8 @@
         if self.load is None:
             return LoadEstimate(shares)
         pairs = list(zip(self.load, shares, strict=True))
-        layers = tuple(_blend(old, now, new_weight) for old, now in pairs)
-        deviation = sum(_mean_square_deviation(old, now) for old, now in pairs) / len(
+        layers = tuple(_blend(old, new, new_weight) for old, new in pairs)
+        deviation = sum(_mean_square_deviation(old, new) for old, new in pairs) / len(
             pairs
         )
         variance = self.variance + new_weight * (deviation - self.variance)
--- a/src/kingcupwheel/expertmaps/phases.py
+++ b/src/kingcupwheel/expertmaps/phases.py
@@ -185,8 +185,8 @@
             return StateRequest(number)
         case Holding(version, _):
             return SupersedeOrder(version)
-        case Staging(order=order, start_times=due):
-            return order if now >= due[rank] else None
+        case Staging(order=order, start_times=start_times):
+            return order if now >= start_times[rank] else None
         case Preparing(version, _, step):
             return PrepareOrder(version, step)
         case Committing():
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -73,8 +73,10 @@
             return _Endpoint("POST", "/rank/commit")
         case AbortOrder():
             return _Endpoint("POST", "/rank/abort")
-        case StateRequest(number, whole):
-            return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
+        case StateRequest(number, include_schedule):
+            return _Endpoint(
+                "GET", f"/rank/state?round={number}&whole={int(include_schedule)}"
+            )
         case ExpertLoadsRequest(number):
             return _Endpoint("GET", f"/rank/loads?round={number}")
 
--- a/src/kingcupwheel/expertmaps/rank_state.py
+++ b/src/kingcupwheel/expertmaps/rank_state.py
@@ -93,8 +93,8 @@
             return _commit(state, order)
         case AbortOrder():
             return _abort(state, order)
-        case StateRequest(number, whole):
-            schedule = state.schedule if whole else None
+        case StateRequest(number, include_schedule):
+            schedule = state.schedule if include_schedule else None
             return state, StateReply(number, state.status, schedule)
 
 
@@ -132,8 +132,10 @@
     if state.step < state.schedule.from_step:
         # A schedule has two maps; a third has to wait until the first is unused.
         return _refuse(state, version, RefusalReason.EARLIER_CHANGE_PENDING)
-    held = state._replace(hold=StepHold(version, order.step), highest_version=version)
-    return held, PrepareReply(version)
+    new_state = state._replace(
+        hold=StepHold(version, order.step), highest_version=version
+    )
+    return new_state, PrepareReply(version)
 
 
 def _supersede(state: RankState, order: SupersedeOrder) -> OrderResult:
@@ -175,6 +177,6 @@
     # The aborted version is stored so that its prepare, if it arrives after the abort,
     # cannot hold this rank, and with it the group, forever.
     highest = max(state.highest_version, version)
-    held = state.hold is not None and state.hold.version == version
-    hold = None if held else state.hold
+    is_held = state.hold is not None and state.hold.version == version
+    hold = None if is_held else state.hold
     return state._replace(hold=hold, highest_version=highest), AbortReply(version)
