--- a/src/kingcupwheel/expertmaps/fence_guard.py
+++ b/src/kingcupwheel/expertmaps/fence_guard.py
@@ -14,20 +14,20 @@
     """
 
     def __init__(self) -> None:
-        self._fence: int | None = None
+        self._highest_fence: int | None = None
 
     @property
     def highest_fence(self) -> int | None:
         """Highest fence seen; None before the first ``raise_to``."""
-        return self._fence
+        return self._highest_fence
 
     def raise_to(self, fence: int) -> None:
         """Raise the highest fence to that read from the lease (0: no lease yet)."""
-        self._fence = max(fence, self._fence or 0)
+        self._highest_fence = max(fence, self._highest_fence or 0)
 
     def admit(self, fence: int) -> bool:
         """Return whether an order with ``fence`` is accepted; stores a higher fence."""
-        if self._fence is None or fence < self._fence:
+        if self._highest_fence is None or fence < self._highest_fence:
             return False
-        self._fence = fence
+        self._highest_fence = fence
         return True
