--- a/src/kingcupwheel/expertmaps/lease.py
+++ b/src/kingcupwheel/expertmaps/lease.py
@@ -109,10 +109,10 @@
         """Return the lease if it is certainly held at ``now``.
 
         Guards against a holder that is paused for longer than the lease lasts and then
-        continues, which would let two coordinators send orders. The holder counts the TTL from
-        before the write that renewed the lease, while a watcher counts from when it saw
-        that write, so the holder stops first; ranks refuse any remaining order by its
-        fence.
+        continues, which would let two coordinators send orders. The holder counts the
+        TTL from before the write that renewed the lease, while a watcher counts from
+        when it saw that write, so the holder stops first; ranks refuse any remaining
+        order by its fence.
         """
         held_lease = self._held_lease
         return (
