--- a/src/kingcupwheel/agent/answer_store.py
+++ b/src/kingcupwheel/agent/answer_store.py
@@ -77,7 +77,7 @@
         with self._changed:
             return sum(not answer.is_delivered for answer in self._by_key.values())
 
-    def open(self, key: AttemptKey, *, is_retained: bool) -> None:
+    def create_buffer(self, key: AttemptKey, *, is_retained: bool) -> None:
         """Create the buffer of an accepted attempt's answer."""
         with self._changed:
             self._by_key[key] = AnswerBuffer(key, is_retained=is_retained)
--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -113,7 +113,7 @@
 
     def _accept(self, link: Link, dispatch: Dispatch, *, running: bool) -> None:
         attempt_key = get_attempt_key(dispatch)
-        self._store.open(attempt_key, is_retained=dispatch.claim is not None)
+        self._store.create_buffer(attempt_key, is_retained=dispatch.claim is not None)
         self._send(link, AttemptAccepted(*attempt_key, running))
         self._store.subscribe(
             attempt_key, Subscriber(attempt_key, link, 0, 0, dispatch.credit)
