--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -87,7 +87,7 @@
     agent = AgentProcess(settings_for(engine.url, streams), folder)
     entry = FakeEntry(agent.address)
     # An entry acknowledges every 128 KiB, which no stream here reaches.
-    entry.is_auto_ack_on.clear()
+    entry.auto_ack_enabled.clear()
     try:
         beat = entry.wait_for_heartbeat()
         tokens = int((2 * _SETTLE_S + _MEASURED_S) * 1000 / _STEP_MS) * 2
