--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -51,7 +51,7 @@
     rate: float
 
 
-class _NoAnswer(NamedTuple):
+class _NoReply(NamedTuple):
     """A query was sent and no reply was received."""
 
 
@@ -104,13 +104,13 @@
                     return Error(lost)
                 case _StillRunning():
                     deadline = monotonic() + give_up_s
-                case _NoAnswer():
+                case _NoReply():
                     pass
         return Error(AnswerLost("server silent", has_server_died=False))
 
     def _try_resume(
         self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
-    ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRunning]:
+    ) -> Result[ServerCall, AnswerLost | _NoReply | _StillRunning]:
         queried = self._query_state(cancellation)
         if queried.is_error():
             return Error(queried.error)
@@ -119,13 +119,13 @@
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
-        if isinstance(opened.error, _NoAnswer) and run_id in queried.ok.running:
+        if isinstance(opened.error, _NoReply) and run_id in queried.ok.running:
             return Error(_StillRunning())
         return Error(opened.error)
 
     def _query_state(
         self, cancellation: Cancellation
-    ) -> Result[EngineState, AnswerLost | _NoAnswer]:
+    ) -> Result[EngineState, AnswerLost | _NoReply]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_classify_connect_failure(connected.error))
@@ -133,13 +133,13 @@
         try:
             silence_s = self._server.silence_s * _QUERY_TIMEOUT_SHARE
             sent = call.send(build_get_request(_STATE_PATH), silence_s=silence_s)
-            return Error(_NoAnswer()) if sent.is_error() else _read_state(call)
+            return Error(_NoReply()) if sent.is_error() else _read_state(call)
         finally:
             call.close()
 
     def _open_stream(
         self, run_id: str, offset: int, cancellation: Cancellation
-    ) -> Result[ServerCall, AnswerLost | _NoAnswer]:
+    ) -> Result[ServerCall, AnswerLost | _NoReply]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_classify_connect_failure(connected.error))
@@ -148,7 +148,7 @@
         sent = call.send(request, silence_s=self._server.silence_s)
         if sent.is_error():
             call.close()
-            return Error(_NoAnswer())
+            return Error(_NoReply())
         if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
             return Error(
@@ -157,26 +157,26 @@
         return Ok(call)
 
 
-def _read_state(call: ServerCall) -> Result[EngineState, AnswerLost | _NoAnswer]:
+def _read_state(call: ServerCall) -> Result[EngineState, AnswerLost | _NoReply]:
     body = b""
     while True:
         result = call.read()
         if result.is_error():
-            return Error(_NoAnswer())
+            return Error(_NoReply())
         if not result.ok:
             break
         body += result.ok
     if call.response.status != _HTTP_OK:
-        return Error(_NoAnswer())
+        return Error(_NoReply())
     try:
         return Ok(_STATE_DECODER.decode(body))
     except msgspec.DecodeError:
-        return Error(_NoAnswer())
+        return Error(_NoReply())
 
 
-def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoAnswer:
+def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoReply:
     return (
         AnswerLost(failure.detail, has_server_died=True)
         if failure.is_connection_refused
-        else _NoAnswer()
+        else _NoReply()
     )
--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -112,27 +112,27 @@
         """Return the heartbeat to send to all listening entries."""
         settings = self._settings
         with self._runner.lock:
-            runs = self._runner.attempt_table
+            table = self._runner.attempt_table
             return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
                 data_centre=settings.data_centre,
-                incarnation=runs.incarnation,
-                token=runs.get_token(now=now),
+                incarnation=table.incarnation,
+                token=table.get_token(now=now),
                 load=self._build_load(),
-                leaving=runs.is_leaving,
+                leaving=table.is_leaving,
                 server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
                 crashed=self._runner.crash_table.list_recent(now=now),
             )
 
     def _build_load(self) -> BackendLoad:
-        runs = self._runner.attempt_table
-        running, queued = runs.running_dispatches, runs.queued_dispatches
+        table = self._runner.attempt_table
+        running, queued = table.running_dispatches, table.queued_dispatches
         return BackendLoad(
             running=len(running),
             queued=len(queued),
-            capacity=runs.capacity,
+            capacity=table.capacity,
             work=sum(dispatch.work for dispatch in (*running, *queued)),
             rate=self._probe.state.tokens_per_s,
             age_s=self._probe.state_age_s,
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -57,7 +57,7 @@
         self._last_group: ServerGroup | None = None
         self._received_objects: SimpleQueue[ManifestObject] = SimpleQueue()
         self._fetch_lock = Lock()
-        self._keeper = ManifestSynchronizer(
+        self._synchronizer = ManifestSynchronizer(
             client,
             fetch_from_peer=self._fetch,
             on_change=self._on_change,
@@ -68,31 +68,31 @@
     @property
     def version(self) -> int:
         """The manifest version in force, 0 before the first one."""
-        return self._keeper.version
+        return self._synchronizer.version
 
     @property
     def traces_retention_s(self) -> float:
         """The platform's retention time of traces in seconds."""
-        in_force = self._keeper.current
+        in_force = self._synchronizer.current
         retention = Retention() if in_force is None else in_force.retention
         return retention.traces_h * _SECONDS_PER_HOUR
 
     def start(self) -> None:
         """Start following the manifest versions of the entries."""
-        self._keeper.start()
+        self._synchronizer.start()
 
     def stop(self) -> None:
         """Stop following the entries."""
-        self._keeper.stop()
+        self._synchronizer.stop()
 
     def record_version(self, link: Link, version: int, digest: str) -> None:
         """Record the manifest version reported on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
-            self._keeper.record_peer_version(version, digest, link.identity.hex())
+            self._synchronizer.record_peer_version(version, digest, link.identity.hex())
 
     def get_object(self, key: str) -> ManifestObject:
         """Return the reply to an entry's request for a manifest object."""
-        return self._keeper.get_object(key)
+        return self._synchronizer.get_object(key)
 
     def receive_object(self, message: ManifestObject) -> None:
         """Receive an object from an entry; called on the hub's thread."""
@@ -108,13 +108,13 @@
         deadline = monotonic() + _ENTRY_TIMEOUT_S
         while True:
             try:
-                answer = self._received_objects.get(
+                manifest_object = self._received_objects.get(
                     timeout=max(0.0, deadline - monotonic())
                 )
             except Empty:
                 return Error(f"no reply from the entry within {_ENTRY_TIMEOUT_S} s")
-            if answer.key == key:
-                return Ok(answer)
+            if manifest_object.key == key:
+                return Ok(manifest_object)
 
     def _on_change(self, in_force: CompiledManifest) -> None:
         group = in_force.groups_by_name.get(self._group)
