--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -25,7 +25,7 @@
 from kingcupwheel.agent.adapters.server_requests import REQUEST_ID_HEADER
 from kingcupwheel.agent.adapters.server_requests import build_run_id
 from kingcupwheel.agent.adapters.server_requests import build_server_request
-from kingcupwheel.plugins.kernel import server_adapters
+from kingcupwheel.plugins.registries import server_adapters
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -31,12 +31,12 @@
 from kingcupwheel.messages.membership import StatusReply
 from kingcupwheel.messages.membership import StatusRequest
 from kingcupwheel.messages.traces import TraceRequest
-from kingcupwheel.metrics.client import Metrics
-from kingcupwheel.metrics.events import EventMetrics
-from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
-from kingcupwheel.plugins.kernel import platform_clients
-from kingcupwheel.plugins.kernel import server_adapters
+from kingcupwheel.metrics.metered_platform_client import MeteredPlatformClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
+from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -63,18 +63,18 @@
     """Agent process; ``stop`` is a graceful stop, ``close`` aborts running attempts."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         if settings.role is not Role.AGENT:
             raise WrongRoleError(settings.role.value)
         if settings.server is None:
             raise MissingServerError
         timings = settings.timings
         self._settings = settings
-        self._metrics = Metrics(settings.statsd, process=settings.name)
+        self._metrics = MetricsClient(settings.statsd, process=settings.name)
         self._recorder = Recorder(
             settings.name,
             limit=settings.agent.traces,
-            listener=EventMetrics(self._metrics, settings.role),
+            listener=TraceEventMetrics(self._metrics, settings.role),
         )
         self._entry_links = EntryLinks(
             hello_ttl_s=timings.gone_s, silence_timeout_s=timings.give_up_s
--- a/src/kingcupwheel/claims/records.py
+++ b/src/kingcupwheel/claims/claim_records.py
@@ -9,7 +9,7 @@
 from kingcupwheel.messages.attempts import Outcome
 
 
-CLAIM_PREFIX = "claims/"
+CLAIM_KEY_PREFIX = "claims/"
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -32,11 +32,11 @@
     incarnation: str
     fence: int
     created_at: float
-    final: Outcome | None = None
+    final_outcome: Outcome | None = msgspec.field(default=None, name="final")
     reason: str = ""
 
 
-class Held(msgspec.Struct, frozen=True):
+class StoredClaim(msgspec.Struct, frozen=True):
     """A claim as read or written, at the platform's ``version`` of it."""
 
     claim_id: str
@@ -44,12 +44,12 @@
     record: ClaimRecord
 
 
-def claim_id_of(organisation: str, idempotency_key: str) -> str:
+def compute_claim_id(organisation: str, idempotency_key: str) -> str:
     """Return the digest that names the claim of an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def claim_key(claim_id: str) -> str:
+def build_claim_key(claim_id: str) -> str:
     """Return the platform's key of the claim."""
-    return CLAIM_PREFIX + claim_id
+    return CLAIM_KEY_PREFIX + claim_id
--- a/src/kingcupwheel/claims/exceptions.py
+++ b/src/kingcupwheel/claims/exceptions.py
@@ -5,17 +5,17 @@
 from typing import NamedTuple
 
 
-class ClaimUnreachable(NamedTuple):
+class ClaimUnavailable(NamedTuple):
     """The platform could not make, move or read the claim; nothing was dispatched."""
 
     detail: str
     retry_after_s: float
 
 
-class ClaimMoved(NamedTuple):
+class ClaimConflict(NamedTuple):
     """Another entry changed the claim first; read it again."""
 
     claim_id: str
 
 
-ClaimError = ClaimUnreachable | ClaimMoved
+ClaimError = ClaimUnavailable | ClaimConflict
--- a/src/kingcupwheel/claims/retention.py
+++ b/src/kingcupwheel/claims/expired_claim_removal.py
@@ -20,39 +20,39 @@
 
 import msgspec
 
-from kingcupwheel.claims.records import CLAIM_PREFIX
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import claim_key
+from kingcupwheel.claims.claim_records import CLAIM_KEY_PREFIX
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import build_claim_key
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.claims.records import Held
+    from kingcupwheel.claims.claim_records import StoredClaim
     from kingcupwheel.platform.client import PlatformClient
 
 logger = logging.getLogger("kingcupwheel.claims")
 
 # Removals a minute of one entry: with 370 entries 37 a second, well within what the
 # platform takes beside the claims that are being made.
-_REMOVALS_A_MINUTE = 6
-_TURN_S = 60.0
+_MAX_REMOVALS_PER_ROUND = 6
+_ROUND_INTERVAL_S = 60.0
 # Claims remembered: a day of one entry's claims at three a minute; what is beyond is
 # found by looking through.
-_REMEMBERED = 5_000
+_MAX_SCHEDULED_REMOVALS = 5_000
 # Every so many turns one part of all claims is looked through, at most so many of it.
-_TURNS_A_LOOK = 60
-_LOOKED_AT = 50
-_PARTS = 256
+_ROUNDS_PER_SCAN = 60
+_MAX_SCANNED_CLAIMS = 50
+_SHARD_COUNT = 256
 
 
-class _Due(NamedTuple):
-    at: float
+class _ScheduledRemoval(NamedTuple):
+    created_at: float
     claim_id: str
     version: int
 
 
-class ClaimRetention:
+class ExpiredClaimRemover:
     """Removes old claims in a thread of its own; ``retention_s`` is asked each time."""
 
     def __init__(
@@ -60,7 +60,7 @@
     ) -> None:
         self._client = client
         self._retention_s = retention_s
-        self._due: list[_Due] = []
+        self._removals: list[_ScheduledRemoval] = []
         self._lock = Lock()
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="claim-retention", daemon=True)
@@ -74,49 +74,58 @@
         self._stopping.set()
         self._thread.join()
 
-    def remember(self, held: Held) -> None:
+    def schedule_removal(self, stored_claim: StoredClaim) -> None:
         """Remove this claim when its time is over."""
-        due = _Due(held.record.created_at, held.claim_id, held.version)
+        due = _ScheduledRemoval(
+            stored_claim.record.created_at, stored_claim.claim_id, stored_claim.version
+        )
         with self._lock:
-            if len(self._due) < _REMEMBERED:
-                heapq.heappush(self._due, due)
+            if len(self._removals) < _MAX_SCHEDULED_REMOVALS:
+                heapq.heappush(self._removals, due)
 
     def _run(self) -> None:
-        turn = random.randrange(_TURNS_A_LOOK)
-        while not self._stopping.wait(_TURN_S):
+        turn = random.randrange(_ROUNDS_PER_SCAN)
+        while not self._stopping.wait(_ROUND_INTERVAL_S):
             turn += 1
-            self.remove_due(time.time())
-            if turn % _TURNS_A_LOOK == 0:
-                self.look_through(random.randrange(_PARTS), time.time())
+            self.remove_expired(time.time())
+            if turn % _ROUNDS_PER_SCAN == 0:
+                self.remove_expired_in_shard(
+                    random.randrange(_SHARD_COUNT), time.time()
+                )
 
-    def remove_due(self, now: float) -> int:
+    def remove_expired(self, now: float) -> int:
         """Remove some of the remembered claims that are over at ``now`` (Unix s)."""
         removed = 0
-        while removed < _REMOVALS_A_MINUTE:
-            due = self._next_due(now)
+        while removed < _MAX_REMOVALS_PER_ROUND:
+            due = self._pop_expired(now)
             if due is None:
                 break
-            self._client.delete(claim_key(due.claim_id), version=due.version)
+            self._client.delete(build_claim_key(due.claim_id), version=due.version)
             removed += 1
         return removed
 
-    def _next_due(self, now: float) -> _Due | None:
+    def _pop_expired(self, now: float) -> _ScheduledRemoval | None:
         with self._lock:
-            if not self._due or self._due[0].at + self._retention_s() > now:
+            if (
+                not self._removals
+                or self._removals[0].created_at + self._retention_s() > now
+            ):
                 return None
-            return heapq.heappop(self._due)
+            return heapq.heappop(self._removals)
 
-    def look_through(self, part: int, now: float) -> int:
+    def remove_expired_in_shard(self, shard: int, now: float) -> int:
         """Remove what is over in one of the parts; return how many claims."""
-        listed = self._client.keys(f"{CLAIM_PREFIX}{part:02x}")
+        listed = self._client.keys(f"{CLAIM_KEY_PREFIX}{shard:02x}")
         if listed.is_error():
             return 0
-        removed = sum(self._remove_if_over(key, now) for key in listed.ok[:_LOOKED_AT])
+        removed = sum(
+            self._remove_if_expired(key, now) for key in listed.ok[:_MAX_SCANNED_CLAIMS]
+        )
         if removed:
             logger.info("Removed %d old claims.", removed)
         return removed
 
-    def _remove_if_over(self, key: str, now: float) -> bool:
+    def _remove_if_expired(self, key: str, now: float) -> bool:
         found = self._client.read(key)
         if found.is_error() or found.ok is None:
             return False
--- a/src/kingcupwheel/console/commands/entry.py
+++ b/src/kingcupwheel/console/commands/entry.py
@@ -6,13 +6,13 @@
 
 import click
 
-from kingcupwheel.console.daemons import run_daemon
-from kingcupwheel.console.daemons import settings_option
+from kingcupwheel.console.daemon_runner import run_daemon
+from kingcupwheel.console.daemon_runner import settings_option
 from kingcupwheel.settings.schema import Role
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.console.daemons import Daemon
+    from kingcupwheel.console.daemon_runner import Daemon
     from kingcupwheel.settings.schema import Settings
 
 
@@ -20,10 +20,10 @@
 @settings_option
 def command(path: str) -> None:
     """Serve callers until SIGTERM, then finish what is in progress."""
-    run_daemon(path, Role.ENTRY, _make)
+    run_daemon(path, Role.ENTRY, _create_daemon)
 
 
-def _make(settings: Settings) -> Daemon:
+def _create_daemon(settings: Settings) -> Daemon:
     # Each way loads only what it uses: a process that starts anew in the middle of a
     # day serves a quarter of a second earlier.
     if settings.forwarding is not None:
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -6,8 +6,8 @@
 from threading import Event
 from typing import TYPE_CHECKING
 
-from kingcupwheel.claims.retention import ClaimRetention
-from kingcupwheel.claims.store import ClaimStore
+from kingcupwheel.claims.claim_store import ClaimStore
+from kingcupwheel.claims.expired_claim_removal import ExpiredClaimRemover
 from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
 from kingcupwheel.entry.application import Application
 from kingcupwheel.entry.attempt_inboxes import InboxRegistry
@@ -29,10 +29,10 @@
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.manifest.synchronizer import ManifestSynchronizer
 from kingcupwheel.messages.membership import InstancesRequest
-from kingcupwheel.metrics.client import Metrics
-from kingcupwheel.metrics.platform import MeteredPlatformClient
-from kingcupwheel.plugins.kernel import load_builtin
-from kingcupwheel.plugins.kernel import platform_clients
+from kingcupwheel.metrics.metered_platform_client import MeteredPlatformClient
+from kingcupwheel.metrics.statsd_client import MetricsClient
+from kingcupwheel.plugins.registries import load_builtin_plugins
+from kingcupwheel.plugins.registries import platform_clients
 
 
 if TYPE_CHECKING:
@@ -53,10 +53,10 @@
     """One entry process; ``start`` returns once it accepts callers."""
 
     def __init__(self, settings: Settings) -> None:
-        load_builtin()
+        load_builtin_plugins()
         self._settings = settings
         self._leaving = Event()
-        metrics = Metrics(settings.statsd, process=settings.name)
+        metrics = MetricsClient(settings.statsd, process=settings.name)
         client = MeteredPlatformClient(
             platform_clients.get(settings.platform.client)(settings.platform),
             metrics,
@@ -67,7 +67,7 @@
             metrics,
             traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
         )
-        self._retention = ClaimRetention(
+        self._retention = ExpiredClaimRemover(
             client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
         )
         self._hub = MessageHub(
--- a/src/kingcupwheel/utils/http_headers.py
+++ b/src/kingcupwheel/utils/http_headers.py
@@ -4,7 +4,7 @@
 
 
 # Those of one connection: RFC 9110, 7.6.1, with the older ones still seen.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -17,4 +17,4 @@
     }
 )
 # Those of one request message, which whoever sends it on writes anew.
-OF_ONE_REQUEST = frozenset({"content-length", "expect", "host"})
+PER_REQUEST_HEADERS = frozenset({"content-length", "expect", "host"})
--- a/src/kingcupwheel/utils/problems.py
+++ b/src/kingcupwheel/utils/validation_problems.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Problem(NamedTuple):
+class ValidationProblem(NamedTuple):
     """One thing to mend; ``path`` names the field, such as ``routes[2].group``."""
 
     path: str
@@ -15,9 +15,9 @@
         return f"{self.path}: {self.detail}" if self.path else self.detail
 
 
-def join_path(path: str, field: str) -> str:
+def join_field_path(path: str, field: str) -> str:
     """Return the path of ``field`` within ``path``."""
     return f"{path}.{field}" if path else field
 
 
-Problems = tuple[Problem, ...]
+ValidationProblems = tuple[ValidationProblem, ...]
