--- a/src/kingcupwheel/console/commands/manifest.py
+++ b/src/kingcupwheel/console/commands/manifest.py
@@ -142,13 +142,7 @@
 
 @command.command("status")
 @_platform_option
-@click.option(
-    "--timeout",
-    "timeout_s",
-    default=2.0,
-    show_default=True,
-    help="Seconds.",
-)
+@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
 @_json_option
 def status(url: str, timeout_s: float, as_json: bool) -> None:
     """Show which processes have adopted the manifest in force.
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -31,13 +31,7 @@
 @command.command("burn")
 @click.option("--platform", "url", required=True, help="URL of the platform's service.")
 @address_option
-@click.option(
-    "--timeout",
-    "timeout_s",
-    default=2.0,
-    show_default=True,
-    help="Seconds.",
-)
+@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.option(
     "--html",
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -48,13 +48,7 @@
 @click.option("--idempotency-key", help="Find the request by its idempotency key.")
 @click.option("--organisation", help="Organisation of the idempotency key.")
 @address_option
-@click.option(
-    "--timeout",
-    "timeout_s",
-    default=2.0,
-    show_default=True,
-    help="Seconds.",
-)
+@click.option("--timeout", "timeout_s", default=2.0, show_default=True, help="Seconds.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(
     request_id: str | None,
--- a/src/kingcupwheel/utils/strict_yaml.py
+++ b/src/kingcupwheel/utils/strict_yaml.py
@@ -71,7 +71,7 @@
             return Ok(yaml.load(text, Loader=_UniqueKeyLoader))
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
-        where = f"line {mark.line + 1}" if mark else ""
-        return Error((ValidationProblem(where, f"not valid YAML: {error.problem}"),))
+        path = f"line {mark.line + 1}" if mark else ""
+        return Error((ValidationProblem(path, f"not valid YAML: {error.problem}"),))
     except (yaml.YAMLError, ValueError) as error:
         return Error((ValidationProblem("", f"not valid YAML: {error}"),))
--- a/src/kingcupwheel/utils/text_logs.py
+++ b/src/kingcupwheel/utils/text_logs.py
@@ -1,4 +1,7 @@
-"""Text logs: one line per record, with a fixed prefix for each package."""
+"""Text logs: one line per record, with a fixed prefix for each package.
+
+Messages have request ids at their end.
+"""
 
 from __future__ import annotations
 
--- a/src/kingcupwheel/utils/validation_problems.py
+++ b/src/kingcupwheel/utils/validation_problems.py
@@ -8,7 +8,7 @@
 class ValidationProblem(NamedTuple):
     """A problem of one field; ``path`` names it, such as ``routes[2].group``.
 
-    ``path`` is empty if the problem concerns the whole file.
+    For invalid YAML, ``path`` is the line; it is empty for the file as a whole.
     """
 
     path: str
