--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -123,9 +123,9 @@
     ``address_keep_s`` is how long callers cache discovered addresses. A revoked key
     must stop working within ``revoke_ms``. Within any ``retry_window_s`` all entries
     together may retry ``retry_share`` of a service's requests, plus ``retry_floor``
-    requests. ``grace_s`` is the time between the platform's stop signal and its kill.
-    The platform expects this process to work normally again ``steady_ms`` after a
-    fault has ended.
+    requests. ``grace_s`` is the time from the platform's signal to stop until it kills
+    the process. The platform expects this process to work normally again ``steady_ms``
+    after a fault has ended.
     """
 
     ready: str
