--- a/src/kingcupwheel/manifest/schema.py
+++ b/src/kingcupwheel/manifest/schema.py
@@ -27,7 +27,8 @@
     """Limits of an organisation, shared by all entries.
 
     ``work_per_s`` is the refill rate of a token bucket in tokens per second and
-    ``burst`` its capacity; ``concurrency`` limits the requests in progress.
+    ``burst`` its capacity; ``concurrency`` limits the requests that are admitted and
+    not yet answered.
     """
 
     work_per_s: float = 20_000.0
