--- a/src/kingcupwheel/agent/heartbeat.py
+++ b/src/kingcupwheel/agent/heartbeat.py
@@ -112,27 +112,30 @@
         """Return the heartbeat to send to all listening entries."""
         settings = self._settings
         with self._runner.lock:
-            table = self._runner.attempt_table
+            attempt_table = self._runner.attempt_table
             return AgentHeartbeat(
                 name=settings.name,
                 group=settings.group,
                 data_centre=settings.data_centre,
-                incarnation=table.incarnation,
-                token=table.get_token(now=now),
+                incarnation=attempt_table.incarnation,
+                token=attempt_table.get_token(now=now),
                 load=self._build_load(),
-                leaving=table.is_leaving,
+                leaving=attempt_table.is_leaving,
                 server_up=self._probe.is_up,
                 manifest_version=self._manifest_version(),
                 crashed=self._runner.crash_table.list_recent(now=now),
             )
 
     def _build_load(self) -> BackendLoad:
-        table = self._runner.attempt_table
-        running, queued = table.running_dispatches, table.queued_dispatches
+        attempt_table = self._runner.attempt_table
+        running, queued = (
+            attempt_table.running_dispatches,
+            attempt_table.queued_dispatches,
+        )
         return BackendLoad(
             running=len(running),
             queued=len(queued),
-            capacity=table.capacity,
+            capacity=attempt_table.capacity,
             work=sum(dispatch.work for dispatch in (*running, *queued)),
             rate=self._probe.state.tokens_per_s,
             age_s=self._probe.state_age_s,
