--- a/src/kingcupwheel/settings/schema.py
+++ b/src/kingcupwheel/settings/schema.py
@@ -79,7 +79,7 @@
 
     ``heartbeat_s`` is the heartbeat interval on used links. A link without messages for
     ``silence_s`` is replaced; an agent without messages for ``gone_s`` gets no new
-    work, and its attempts are given up ``give_up_s`` after their last sign of life.
+    work, and its attempts are given up ``give_up_s`` after their last liveness signal.
     ``token_s`` is the maximum age of a dispatch's clock token. ``instances_s`` is the
     interval of reads of the platform's list, ``watch_s`` the timeout of a watch. A
     leaving entry accepts new requests for ``leave_s``, from callers that do not know
@@ -123,9 +123,9 @@
     ``address_keep_s`` is how long callers cache discovered addresses. A revoked key
     must stop working within ``revoke_ms``. Within any ``retry_window_s`` all entries
     together may retry ``retry_share`` of a service's requests, plus ``retry_floor``
-    requests. ``grace_s`` is the time between the platform's stop signal and its kill.
-    The platform expects this process to work normally again ``steady_ms`` after a
-    fault has ended.
+    requests. ``grace_s`` is the time from the platform's signal to stop until it kills
+    the process. The platform expects this process to work normally again ``steady_ms``
+    after a fault has ended.
     """
 
     ready: str
