--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -217,7 +217,7 @@
     index_bytes = len(source.value_by_key.pop(INDEX_KEY))
     sizes = [len(value) for value in source.value_by_key.values()]
     return SubmitCost(
-        writes=platform.state.calls["write"],
+        writes=platform.state.call_counts["write"],
         submit_s=submit_s,
         shards=len(sizes),
         shard_mean_bytes=sum(sizes) // len(sizes),
@@ -254,12 +254,12 @@
     changed: Manifest,
     before: AssembledManifest,
 ) -> ChangeCost:
-    writes = platform.state.calls["write"]
+    writes = platform.state.call_counts["write"]
     _submit(client, changed, "second")
     source = _CountingSource(client)
     source.assemble(reuse=before)
     return ChangeCost(
-        change_writes=platform.state.calls["write"] - writes,
+        change_writes=platform.state.call_counts["write"] - writes,
         entry_reads=len(source.value_by_key),
         entry_bytes=source.bytes,
         agent_bytes=len(source.value_by_key[INDEX_KEY]),
