--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -89,7 +89,7 @@
         )
         with fleet.group.lock:
             switch = Switch(hot=(0, 4), factor=8.0)
-            fleet.group.switch(fleet.group.ranks[0], switch)
+            fleet.group.apply_switch(fleet.group.ranks[0], switch)
         fleet.wait_until(lambda: not leader.running.is_set())
         leader.freeze_condition = lambda _: False
         if how == "kill":
