--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -12,7 +12,7 @@
 
 import click
 from tests.expertmaps.fleet import Fleet
-from tests.standins.ranks import Switch
+from tests.standins.ranks import RankSwitch
 
 from kingcupwheel.expertmaps.phases import Preparing
 from kingcupwheel.expertmaps.service import DEFAULT_SERVICE_TIMINGS
@@ -88,7 +88,7 @@
             isinstance(phase, Preparing) and bool(phase.acked)
         )
         with fleet.group.lock:
-            switch = Switch(hot=(0, 4), factor=8.0)
+            switch = RankSwitch(hot=(0, 4), factor=8.0)
             fleet.group.apply_switch(fleet.group.ranks[0], switch)
         fleet.wait_until(lambda: not leader.running.is_set())
         leader.freeze_condition = lambda _: False
