--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -13,11 +13,11 @@
 from tests.forwarding.builders import API_KEY
 from tests.forwarding.fleet import CallerResponse
 from tests.forwarding.fleet import send_request
-from tests.soak.world import SECOND_KEY
+from tests.soak.fleet import SECOND_KEY
 
 
 if TYPE_CHECKING:
-    from tests.soak.world import SoakFleet
+    from tests.soak.fleet import SoakFleet
 
 CALLER_COUNT = 4
 SEND_INTERVAL_S = 0.03
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -5,7 +5,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from tests.soak.world import HEALTHY
+from tests.soak.fleet import HEALTHY
 from tests.standins.object_store import StoreFaults
 from tests.standins.relay import RelayMode
 
@@ -14,7 +14,7 @@
     from collections.abc import Callable
     from random import Random
 
-    from tests.soak.world import SoakFleet
+    from tests.soak.fleet import SoakFleet
 
 # A pause between two faults: some overlap, some find a fleet at rest.
 MIN_PAUSE_S = 0.05
--- a/tests/soak/judging.py
+++ b/tests/soak/judging.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 from typing import Protocol
 
-from tests.soak.world import EVENT_COUNT
-from tests.soak.world import SECOND_KEY
+from tests.soak.fleet import EVENT_COUNT
+from tests.soak.fleet import SECOND_KEY
 
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 
     from tests.forwarding.fleet import CallerResponse
     from tests.soak.callers import CallRecord
-    from tests.soak.world import SoakFleet
+    from tests.soak.fleet import SoakFleet
 
 # These promise that the request has not run and never will.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
--- a/tests/soak/planned/servers.py
+++ b/tests/soak/planned/servers.py
@@ -12,7 +12,7 @@
 from threading import Lock
 from typing import Any
 
-from tests.soak.world import EVENT_COUNT
+from tests.soak.fleet import EVENT_COUNT
 from tests.standins.web import Handler
 from tests.standins.web import HttpStandIn
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -15,8 +15,8 @@
 from tests.forwarding.fleet import wait_until
 from tests.soak.callers import CallerPool
 from tests.soak.faults import FaultInjector
+from tests.soak.fleet import SoakFleet
 from tests.soak.judging import find_violations
-from tests.soak.world import SoakFleet
 
 
 if TYPE_CHECKING:
