--- a/tests/soak/planned/callers.py
+++ b/tests/soak/planned/callers.py
@@ -14,16 +14,16 @@
 
 from tests.forwarding.builders import API_KEY
 from tests.forwarding.fleet import CallerResponse
+from tests.soak.planned.fleet import MAX_WORK_S
+from tests.soak.planned.fleet import REQUEST_TIMEOUT_S
 from tests.soak.planned.servers import WORK_HEADER
-from tests.soak.planned.world import MAX_WORK_S
-from tests.soak.planned.world import REQUEST_TIMEOUT_S
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from http.client import HTTPConnection
 
-    from tests.soak.planned.world import PlannedFleet
+    from tests.soak.planned.fleet import PlannedFleet
     from tests.soak.processes import EntryProcess
 
 CALLER_COUNT = 12
--- a/tests/soak/planned/faults.py
+++ b/tests/soak/planned/faults.py
@@ -7,15 +7,15 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from tests.soak.planned.world import MAX_WORK_S
-from tests.soak.planned.world import SHUTDOWN_GRACE_S
+from tests.soak.planned.fleet import MAX_WORK_S
+from tests.soak.planned.fleet import SHUTDOWN_GRACE_S
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from random import Random
 
-    from tests.soak.planned.world import PlannedFleet
+    from tests.soak.planned.fleet import PlannedFleet
 
 # A pause between two faults: some overlap, some find a fleet at rest.
 MIN_PAUSE_S = 0.05
--- a/tests/soak/planned/judging.py
+++ b/tests/soak/planned/judging.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from tests.soak.judging import find_answer_violations
+from tests.soak.planned.fleet import REQUEST_TIMEOUT_S
+from tests.soak.planned.fleet import SHUTDOWN_GRACE_S
 from tests.soak.planned.servers import RequestOutcome
-from tests.soak.planned.world import REQUEST_TIMEOUT_S
-from tests.soak.planned.world import SHUTDOWN_GRACE_S
 
 
 if TYPE_CHECKING:
--- a/tests/soak/planned/test_judging.py
+++ b/tests/soak/planned/test_judging.py
@@ -6,6 +6,7 @@
 
 from tests.forwarding.fleet import CallerResponse
 from tests.soak.planned.callers import KeepAliveCall
+from tests.soak.planned.fleet import SHUTDOWN_GRACE_S
 from tests.soak.planned.judging import ServerEnd
 from tests.soak.planned.judging import find_backoff_violations
 from tests.soak.planned.judging import find_cut_connections
@@ -15,7 +16,6 @@
 from tests.soak.planned.records import RequestRecord
 from tests.soak.planned.servers import RequestOutcome
 from tests.soak.planned.servers import ServerRequest
-from tests.soak.planned.world import SHUTDOWN_GRACE_S
 from tests.soak.processes import ProcessRun
 
 
