--- a/tests/soak/planned/judging.py
+++ b/tests/soak/planned/judging.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from tests.soak.judging import find_answer_violations
+from tests.soak.invariants import find_answer_violations
 from tests.soak.planned.fleet import REQUEST_TIMEOUT_S
 from tests.soak.planned.fleet import SHUTDOWN_GRACE_S
 from tests.soak.planned.servers import RequestOutcome
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -16,7 +16,7 @@
 from tests.soak.callers import CallerPool
 from tests.soak.faults import FaultInjector
 from tests.soak.fleet import SoakFleet
-from tests.soak.judging import find_violations
+from tests.soak.invariants import find_violations
 
 
 if TYPE_CHECKING:
