--- a/tests/soak/planned/test_planned.py
+++ b/tests/soak/planned/test_planned.py
@@ -15,8 +15,8 @@
 from tests.soak.planned.callers import KeepAliveCallerPool
 from tests.soak.planned.faults import PlannedWorkInjector
 from tests.soak.planned.fleet import PlannedFleet
-from tests.soak.planned.judging import ServerEnd
-from tests.soak.planned.judging import find_violations
+from tests.soak.planned.invariants import ServerEnd
+from tests.soak.planned.invariants import find_violations
 from tests.soak.planned.records import join_records
 from tests.soak.planned.stalls import StallMeter
 
