--- a/tests/soak/planned/servers.py
+++ b/tests/soak/planned/servers.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from tests.soak.fleet import EVENT_COUNT
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
 
 
 SLOTS = 4
--- a/tests/standins/backend.py
+++ b/tests/standins/backend.py
@@ -10,8 +10,8 @@
 from typing import Any
 from typing import NamedTuple
 
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
 
 
 class Behaviour(NamedTuple):
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -22,12 +22,12 @@
 import click
 
 from tests.standins.counters import RunCounters
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
+from tests.standins.http_server import serve_until_terminated
 from tests.standins.tokens import DONE_EVENT
 from tests.standins.tokens import event
 from tests.standins.tokens import plain_answer
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
-from tests.standins.web import serve_until_terminated
 
 
 if TYPE_CHECKING:
--- a/tests/standins/lockstep_group.py
+++ b/tests/standins/lockstep_group.py
@@ -10,8 +10,8 @@
 from threading import Timer
 from typing import Any
 
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
 
 
 # A pass takes so long, in seconds.
--- a/tests/standins/object_store.py
+++ b/tests/standins/object_store.py
@@ -10,8 +10,8 @@
 from urllib.parse import parse_qs
 from urllib.parse import urlsplit
 
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
 
 
 # A page holds few objects, so that tests meet several.
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -17,9 +17,9 @@
 
 import click
 
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
-from tests.standins.web import serve_until_terminated
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
+from tests.standins.http_server import serve_until_terminated
 
 
 _BUFFER_BYTES = 65_536
--- a/tests/standins/service.py
+++ b/tests/standins/service.py
@@ -14,9 +14,9 @@
 import click
 
 from tests.standins.counters import RunCounters
-from tests.standins.web import Handler
-from tests.standins.web import HttpStandIn
-from tests.standins.web import serve_until_terminated
+from tests.standins.http_server import Handler
+from tests.standins.http_server import HttpStandIn
+from tests.standins.http_server import serve_until_terminated
 
 
 if TYPE_CHECKING:
