--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -13,7 +13,7 @@
 from features.world import KEY
 from features.world import RESERVATIONS
 from features.world import Load
-from tests.standins.tokens import streamed_answer
+from tests.standins.engine_answers import streamed_answer
 from tools.processes import wait_until
 
 
--- a/features/world.py
+++ b/features/world.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from tests.standins.tokens import streamed_answer
+from tests.standins.engine_answers import streamed_answer
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.caller import Unanswered
--- a/tests/agent/test_daemon.py
+++ b/tests/agent/test_daemon.py
@@ -12,9 +12,9 @@
 from kingcupwheel.trace.events import EVENTS_DECODER
 from tests.agent.builders import build_dispatch_for
 from tests.agent.builders import completion_body
+from tests.standins.engine_answers import plain_answer
+from tests.standins.engine_answers import streamed_answer
 from tests.standins.service import build_service_answer
-from tests.standins.tokens import plain_answer
-from tests.standins.tokens import streamed_answer
 
 
 if TYPE_CHECKING:
--- a/tests/agent/test_failures.py
+++ b/tests/agent/test_failures.py
@@ -17,8 +17,8 @@
 from tests.agent.builders import build_dispatch_for
 from tests.agent.builders import completion_body
 from tests.agent.fake_entry import wait_until
+from tests.standins.engine_answers import streamed_answer
 from tests.standins.relay import RelayMode
-from tests.standins.tokens import streamed_answer
 
 
 if TYPE_CHECKING:
--- a/tests/agent/test_processes.py
+++ b/tests/agent/test_processes.py
@@ -21,7 +21,7 @@
 from tests.agent.builders import completion_body
 from tests.agent.processes import AgentProcess
 from tests.agent.processes import StandInProcess
-from tests.standins.tokens import streamed_answer
+from tests.standins.engine_answers import streamed_answer
 
 
 if TYPE_CHECKING:
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -22,12 +22,12 @@
 import click
 
 from tests.standins.counters import RunCounters
+from tests.standins.engine_answers import DONE_EVENT
+from tests.standins.engine_answers import event
+from tests.standins.engine_answers import plain_answer
 from tests.standins.http_server import Handler
 from tests.standins.http_server import HttpStandIn
 from tests.standins.http_server import serve_until_terminated
-from tests.standins.tokens import DONE_EVENT
-from tests.standins.tokens import event
-from tests.standins.tokens import plain_answer
 
 
 if TYPE_CHECKING:
