--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -45,8 +45,8 @@
 logger = logging.getLogger("kingcupwheel.entry")
 
 # Interval at which a stopping entry checks for requests in progress.
-_DRAIN_CHECK_S = 0.1
-_HOUR_S = 3600.0
+_DRAIN_CHECK_INTERVAL_S = 0.1
+_S_PER_HOUR = 3600.0
 
 
 class EntryDaemon:
@@ -65,10 +65,10 @@
             settings,
             client,
             metrics,
-            traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
+            traces_retention_s=lambda: self._get_retention().traces_h * _S_PER_HOUR,
         )
         self._retention = ClaimRetention(
-            client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
+            client, retention_s=lambda: self._get_retention().claims_h * _S_PER_HOUR
         )
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
@@ -192,7 +192,7 @@
         self._wait_for_address_refresh()
         self._application.stop_accepting()
         while self._application.in_progress_count:
-            Event().wait(_DRAIN_CHECK_S)
+            Event().wait(_DRAIN_CHECK_INTERVAL_S)
         self._http_server.stop()
         if self._operator_http_server is not None:
             self._operator_http_server.stop()
--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -23,7 +23,7 @@
 # of its answer; the thread is freed afterwards.
 _SOCKET_TIMEOUT_S = 30
 # Connections waiting to be accepted; allows for a burst of reconnecting callers.
-_BACKLOG = 256
+_MAX_PENDING_CONNECTIONS = 256
 # Hard limit on a request's head; the limit reported to callers is lower.
 _MAX_HEAD_BYTES = 262_144
 
@@ -71,7 +71,7 @@
             application,
             numthreads=threads,
             server_name=name,
-            request_queue_size=_BACKLOG,
+            request_queue_size=_MAX_PENDING_CONNECTIONS,
             timeout=_SOCKET_TIMEOUT_S,
             shutdown_timeout=_SOCKET_TIMEOUT_S,
         )
