--- a/src/kingcupwheel/entry/http_server.py
+++ b/src/kingcupwheel/entry/http_server.py
@@ -52,7 +52,7 @@
 
 
 class HttpServer:
-    """Serves a WSGI application on ``listen`` (``IP:port``)."""
+    """Serves a WSGI application on ``listen`` (``IP:port``) with a pool of threads."""
 
     def __init__(
         self,
--- a/src/kingcupwheel/metrics/events.py
+++ b/src/kingcupwheel/metrics/events.py
@@ -29,7 +29,7 @@
     """Counts events of one process; safe from any thread, never blocks.
 
     A recorder calls it for each event. An entry's final outcomes are counted by its
-    observer, an agent's ends of attempts here.
+    outcome counter, an agent's ends of attempts here.
     """
 
     def __init__(self, metrics: Metrics, role: Role) -> None:
