--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -1,8 +1,7 @@
-"""Questions to an engine about a run that was sent to it before.
+"""Client for an engine's state, resume and cancel endpoints.
 
-A connection to an engine may go silent for good while new ones work. So each question
-has a new connection: whether the engine still runs a request, its stream from a byte
-on, and to stop it.
+A connection to an engine may hang forever while new ones work, so each call uses a new
+connection.
 """
 
 from __future__ import annotations
@@ -32,46 +31,50 @@
 _STATE_PATH = "/engine/state"
 _HTTP_OK = 200
 _RETRY_INTERVAL_S = 0.2
-# An engine that answers on no new connection either is stalled as a whole, not slow
-# with one request. It is asked for this many times ``silence_s`` before the answer is
-# called lost: one question alone may meet the same fault as the answer did. A question
-# gets a share of ``silence_s``.
+# An engine that replies on no new connection either is stalled as a whole, not slow
+# with one request. It is queried for this many times ``silence_s`` before the answer is
+# declared lost, because a single query may hit the same fault as the answer did. Each
+# query's timeout is a share of ``silence_s``.
 _GIVE_UP_SILENCES = 2.0
 _QUERY_TIMEOUT_SHARE = 0.5
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What ``GET /engine/state`` tells: ids that run, and tokens per second."""
+    """Body of ``GET /engine/state``.
+
+    ``life`` is the engine's incarnation, ``running`` the ids of the running requests
+    and ``rate`` the tokens per second.
+    """
 
     life: str
     running: tuple[str, ...]
     rate: float
 
 
-class _NoAnswer(NamedTuple):
-    """A question about a run went out and no answer came back."""
+class _NoReply(NamedTuple):
+    """A query was sent and no reply was received."""
 
 
 class _StillRunning(NamedTuple):
-    """The engine runs the request and has nothing to send yet."""
+    """The engine still runs the request and has nothing to send yet."""
 
 
 _STATE_DECODER = msgspec.json.Decoder(EngineState)
 
 
 class EngineClient:
-    """Asks one engine; safe from any thread."""
+    """Client of one engine; safe from any thread."""
 
     def __init__(self, server: ServerSettings) -> None:
         self._server = server
 
     def state(self, cancellation: Cancellation) -> EngineState | None:
-        """Return the engine's state, None if it did not answer."""
-        asked = self._query_state(cancellation)
-        return asked.ok if asked.is_ok() else None
+        """Return the engine's state, or None if it did not reply."""
+        queried = self._query_state(cancellation)
+        return queried.ok if queried.is_ok() else None
 
     def cancel(self, run_id: str) -> None:
-        """Have the engine stop the run called ``name``; best effort."""
+        """Cancel the run on the engine; best effort."""
         request = ServerRequest(
             "POST", f"/engine/cancel/{run_id}", {"Connection": "close"}, b""
         )
@@ -83,13 +86,14 @@
     def resume(
         self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
     ) -> Result[ServerCall, AnswerLost]:
-        """Open the stream of a run anew at ``offset``, if the engine has it still.
+        """Reopen the stream of a run at ``offset``, if the engine still has it.
 
-        ``life`` is the engine's life that the run began in, empty if not known.
+        ``incarnation`` is the engine incarnation that started the run, empty if
+        unknown.
         """
-        patience_s = self._server.silence_s * _GIVE_UP_SILENCES
-        give_up_at = monotonic() + patience_s
-        while monotonic() < give_up_at:
+        give_up_s = self._server.silence_s * _GIVE_UP_SILENCES
+        deadline = monotonic() + give_up_s
+        while monotonic() < deadline:
             if cancellation.wait(_RETRY_INTERVAL_S):
                 return Error(AnswerLost("cancelled", has_server_died=False))
             resumed = self._try_resume(run_id, offset, incarnation, cancellation)
@@ -99,29 +103,29 @@
                 case AnswerLost() as lost:
                     return Error(lost)
                 case _StillRunning():
-                    give_up_at = monotonic() + patience_s
-                case _NoAnswer():
+                    deadline = monotonic() + give_up_s
+                case _NoReply():
                     pass
         return Error(AnswerLost("server silent", has_server_died=False))
 
     def _try_resume(
         self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
-    ) -> Result[ServerCall, AnswerLost | _NoAnswer | _StillRunning]:
-        asked = self._query_state(cancellation)
-        if asked.is_error():
-            return Error(asked.error)
-        if incarnation and asked.ok.life != incarnation:
+    ) -> Result[ServerCall, AnswerLost | _NoReply | _StillRunning]:
+        queried = self._query_state(cancellation)
+        if queried.is_error():
+            return Error(queried.error)
+        if incarnation and queried.ok.life != incarnation:
             return Error(AnswerLost("server restarted", has_server_died=True))
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
-        if isinstance(opened.error, _NoAnswer) and run_id in asked.ok.running:
+        if isinstance(opened.error, _NoReply) and run_id in queried.ok.running:
             return Error(_StillRunning())
         return Error(opened.error)
 
     def _query_state(
         self, cancellation: Cancellation
-    ) -> Result[EngineState, AnswerLost | _NoAnswer]:
+    ) -> Result[EngineState, AnswerLost | _NoReply]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_classify_connect_failure(connected.error))
@@ -129,13 +133,13 @@
         try:
             silence_s = self._server.silence_s * _QUERY_TIMEOUT_SHARE
             sent = call.send(build_get_request(_STATE_PATH), silence_s=silence_s)
-            return Error(_NoAnswer()) if sent.is_error() else _read_state(call)
+            return Error(_NoReply()) if sent.is_error() else _read_state(call)
         finally:
             call.close()
 
     def _open_stream(
         self, run_id: str, offset: int, cancellation: Cancellation
-    ) -> Result[ServerCall, AnswerLost | _NoAnswer]:
+    ) -> Result[ServerCall, AnswerLost | _NoReply]:
         connected = connect(self._server, cancellation)
         if connected.is_error():
             return Error(_classify_connect_failure(connected.error))
@@ -144,7 +148,7 @@
         sent = call.send(request, silence_s=self._server.silence_s)
         if sent.is_error():
             call.close()
-            return Error(_NoAnswer())
+            return Error(_NoReply())
         if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
             return Error(
@@ -153,26 +157,26 @@
         return Ok(call)
 
 
-def _read_state(call: ServerCall) -> Result[EngineState, AnswerLost | _NoAnswer]:
+def _read_state(call: ServerCall) -> Result[EngineState, AnswerLost | _NoReply]:
     body = b""
     while True:
         result = call.read()
         if result.is_error():
-            return Error(_NoAnswer())
+            return Error(_NoReply())
         if not result.ok:
             break
         body += result.ok
     if call.response.status != _HTTP_OK:
-        return Error(_NoAnswer())
+        return Error(_NoReply())
     try:
         return Ok(_STATE_DECODER.decode(body))
     except msgspec.DecodeError:
-        return Error(_NoAnswer())
+        return Error(_NoReply())
 
 
-def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoAnswer:
+def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoReply:
     return (
         AnswerLost(failure.detail, has_server_died=True)
         if failure.is_connection_refused
-        else _NoAnswer()
+        else _NoReply()
     )
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -1,8 +1,8 @@
-"""What an agent takes from the manifest: its own group, by way of its entries.
+"""Follower of the manifest, for the agent's own server group, through its entries.
 
-An agent keeps no watch on the platform: with a thousand agents the waiting watches
-alone would use up what the platform allows. Work comes from entries only, and each of
-them names its manifest's version about every second, so that asking them is enough.
+An agent keeps no watch on the platform: with a thousand agents the open watches alone
+would exhaust the platform's limit. Requests come only from entries, each of which
+reports its manifest version about every second, so fetching from them is sufficient.
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 
 
 class ManifestFollower:
-    """The manifest as an agent sees it; ``on_group`` gets each change of its group."""
+    """Fetches new manifests from entries.
+
+    ``on_group_changed`` is called with each changed definition of the agent's group.
+    """
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         self._last_group: ServerGroup | None = None
         self._received_objects: SimpleQueue[ManifestObject] = SimpleQueue()
         self._fetch_lock = Lock()
-        self._keeper = ManifestSynchronizer(
+        self._synchronizer = ManifestSynchronizer(
             client,
             fetch_from_peer=self._fetch,
             on_change=self._on_change,
@@ -64,35 +67,35 @@
 
     @property
     def version(self) -> int:
-        """The version in force here, 0 before the first one."""
-        return self._keeper.version
+        """The manifest version in force, 0 before the first one."""
+        return self._synchronizer.version
 
     @property
     def traces_retention_s(self) -> float:
-        """How long the platform keeps traces, in seconds."""
-        in_force = self._keeper.current
+        """The platform's retention time of traces in seconds."""
+        in_force = self._synchronizer.current
         retention = Retention() if in_force is None else in_force.retention
         return retention.traces_h * _SECONDS_PER_HOUR
 
     def start(self) -> None:
-        """Follow the entries."""
-        self._keeper.start()
+        """Start following the manifest versions of the entries."""
+        self._synchronizer.start()
 
     def stop(self) -> None:
-        """Stop following."""
-        self._keeper.stop()
+        """Stop following the entries."""
+        self._synchronizer.stop()
 
     def record_version(self, link: Link, version: int, digest: str) -> None:
-        """Note the version that an entry names on ``link``; never blocks."""
+        """Record the manifest version reported on ``link``; never blocks."""
         if isinstance(link, IncomingLink):
-            self._keeper.record_peer_version(version, digest, link.identity.hex())
+            self._synchronizer.record_peer_version(version, digest, link.identity.hex())
 
-    def object_for(self, key: str) -> ManifestObject:
-        """Return what to answer an entry that asks for an object."""
-        return self._keeper.get_object(key)
+    def get_object(self, key: str) -> ManifestObject:
+        """Return the reply to an entry's request for a manifest object."""
+        return self._synchronizer.get_object(key)
 
     def receive_object(self, message: ManifestObject) -> None:
-        """Take an entry's answer; called on the hub's thread."""
+        """Receive an object from an entry; called on the hub's thread."""
         self._received_objects.put(message)
 
     def _fetch(self, address: str, key: str) -> Result[ManifestObject | None, str]:
@@ -102,16 +105,16 @@
             return self._wait_for_object(key)
 
     def _wait_for_object(self, key: str) -> Result[ManifestObject | None, str]:
-        until = monotonic() + _ENTRY_TIMEOUT_S
+        deadline = monotonic() + _ENTRY_TIMEOUT_S
         while True:
             try:
-                answer = self._received_objects.get(
-                    timeout=max(0.0, until - monotonic())
+                manifest_object = self._received_objects.get(
+                    timeout=max(0.0, deadline - monotonic())
                 )
             except Empty:
-                return Error(f"no answer in {_ENTRY_TIMEOUT_S} s")
-            if answer.key == key:
-                return Ok(answer)
+                return Error(f"no reply from the entry within {_ENTRY_TIMEOUT_S} s")
+            if manifest_object.key == key:
+                return Ok(manifest_object)
 
     def _on_change(self, in_force: CompiledManifest) -> None:
         group = in_force.groups_by_name.get(self._group)
--- a/src/kingcupwheel/claims/exceptions.py
+++ b/src/kingcupwheel/claims/exceptions.py
@@ -1,21 +1,21 @@
-"""Errors of the claims layer."""
+"""Errors of reading and writing claims."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class ClaimUnreachable(NamedTuple):
-    """The platform could not make, move or read the claim; nothing was dispatched."""
+class ClaimUnavailable(NamedTuple):
+    """The claim can't be read or written now; nothing was dispatched."""
 
     detail: str
     retry_after_s: float
 
 
-class ClaimMoved(NamedTuple):
-    """Another entry changed the claim first; read it again."""
+class ClaimConflict(NamedTuple):
+    """Another entry wrote the claim first; the caller has to read it again."""
 
     claim_id: str
 
 
-ClaimError = ClaimUnreachable | ClaimMoved
+ClaimError = ClaimUnavailable | ClaimConflict
--- a/src/kingcupwheel/console/commands/agent.py
+++ b/src/kingcupwheel/console/commands/agent.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel agent``."""
+"""The ``kingcupwheel agent`` command."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 import click
 
-from kingcupwheel.console.daemons import run_daemon
-from kingcupwheel.console.daemons import settings_option
+from kingcupwheel.console.daemon_runner import run_daemon
+from kingcupwheel.console.daemon_runner import settings_option
 from kingcupwheel.settings.schema import Role
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.console.daemons import Daemon
+    from kingcupwheel.console.daemon_runner import Daemon
     from kingcupwheel.settings.schema import Settings
 
 
 @click.command("agent")
 @settings_option
 def command(path: str) -> None:
-    """Serve a backend server until SIGTERM, then finish and deliver what runs."""
-    run_daemon(path, Role.AGENT, _make)
+    """Run the agent of a backend server until SIGTERM, then drain it.
 
+    Requests in progress are finished and their answers delivered before it exits.
+    """
+    run_daemon(path, Role.AGENT, _create_daemon)
 
-def _make(settings: Settings) -> Daemon:
-    # Each way loads only what it uses: a process that starts anew in the middle of a
-    # day serves a quarter of a second earlier.
+
+def _create_daemon(settings: Settings) -> Daemon:
+    # Imports only the daemon in use, which makes a restarted process serve a quarter of
+    # a second earlier.
     if settings.rank is not None:
         from kingcupwheel.lockstep.daemon import RankDaemon
 
--- a/src/kingcupwheel/console/commands/entry.py
+++ b/src/kingcupwheel/console/commands/entry.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel entry``."""
+"""The ``kingcupwheel entry`` command."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 import click
 
-from kingcupwheel.console.daemons import run_daemon
-from kingcupwheel.console.daemons import settings_option
+from kingcupwheel.console.daemon_runner import run_daemon
+from kingcupwheel.console.daemon_runner import settings_option
 from kingcupwheel.settings.schema import Role
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.console.daemons import Daemon
+    from kingcupwheel.console.daemon_runner import Daemon
     from kingcupwheel.settings.schema import Settings
 
 
 @click.command("entry")
 @settings_option
 def command(path: str) -> None:
-    """Serve callers until SIGTERM, then finish what is in progress."""
-    run_daemon(path, Role.ENTRY, _make)
+    """Run an entry, which serves callers, until SIGTERM, then drain it.
 
+    Requests in progress are finished before it exits.
+    """
+    run_daemon(path, Role.ENTRY, _create_daemon)
 
-def _make(settings: Settings) -> Daemon:
-    # Each way loads only what it uses: a process that starts anew in the middle of a
-    # day serves a quarter of a second earlier.
+
+def _create_daemon(settings: Settings) -> Daemon:
+    # Imports only the daemon in use, which makes a restarted process serve a quarter of
+    # a second earlier.
     if settings.forwarding is not None:
         from kingcupwheel.forwarding.daemon import ForwardingDaemon
 
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -1,4 +1,4 @@
-"""``kingcupwheel report``."""
+"""The ``kingcupwheel report`` commands."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from kingcupwheel.burn.gathering import gather
 from kingcupwheel.burn.page import report_page
 from kingcupwheel.burn.printing import report_text
-from kingcupwheel.console.addresses import address_option
 from kingcupwheel.console.exit_codes import ExitCode
-from kingcupwheel.console.platform import open_platform
+from kingcupwheel.console.platform_access import create_platform_client
+from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
 
 
@@ -25,7 +25,7 @@
 
 @click.group("report")
 def command() -> None:
-    """Report on the whole system."""
+    """Report on the system as a whole."""
 
 
 @command.command("burn")
@@ -37,7 +37,7 @@
     "--html",
     "html",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write a page to look at in a browser.",
+    help="Also write the report to this file as HTML.",
 )
 def burn(
     url: str,
@@ -46,12 +46,13 @@
     as_json: bool,
     html: Path | None,
 ) -> None:
-    """Tell how fast service-level budgets burn, and what burns them.
+    """Report burn rates of the service-level error budgets, and their causes.
 
-    Exit code 0: every entry answered; 7: some did not, and are named.
+    Exit code 0: every entry answered; 5: the platform's list can't be read; 7: some
+    entries did not answer; they are listed.
     """
     gathered = gather(
-        open_platform(url),
+        create_platform_client(url),
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
         now=time.time(),
@@ -62,11 +63,11 @@
     report = gathered.ok
     if html:
         html.write_text(report_page(report), encoding="utf-8")
-    _print(report, as_json=as_json)
+    _print_report(report, as_json=as_json)
     sys.exit(ExitCode.OK if report.complete else ExitCode.INCOMPLETE)
 
 
-def _print(report: BurnReport, *, as_json: bool) -> None:
+def _print_report(report: BurnReport, *, as_json: bool) -> None:
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(report), indent=2)
         click.echo(encoded.decode())
--- a/src/kingcupwheel/console/printing.py
+++ b/src/kingcupwheel/console/manifest_formatting.py
@@ -1,4 +1,4 @@
-"""Manifests and their rollout as text for a terminal."""
+"""Formatting of manifests and their rollout status as text."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import yaml
 
 from kingcupwheel.manifest.schema import Manifest
-from kingcupwheel.utils.structs import Record
+from kingcupwheel.utils.structs import StrictStruct
 
 
 if TYPE_CHECKING:
@@ -18,24 +18,24 @@
     from kingcupwheel.manifest.rollout_status import RolloutStatus
 
 
-class ManifestShown(Record, frozen=True):
-    """The manifest in force with its version and the submission it came by."""
+class VersionedManifest(StrictStruct, frozen=True):
+    """The manifest in force with its version and the id of its submission."""
 
     version: int
     submission: str
     manifest: Manifest
 
 
-def manifest_text(shown: ManifestShown) -> str:
-    """Return the manifest as YAML with its version in a comment above."""
-    # Plain lists: YAML writes tuples with a tag of its own.
-    data = msgspec.json.decode(msgspec.json.encode(shown.manifest))
+def format_manifest(versioned: VersionedManifest) -> str:
+    """Return the manifest as YAML, with its version in a leading comment."""
+    # The JSON round trip turns tuples into lists; yaml would tag tuples.
+    data = msgspec.json.decode(msgspec.json.encode(versioned.manifest))
     body = yaml.safe_dump(data, sort_keys=False)
-    return f"# Version {shown.version}, submission {shown.submission}.\n{body}"
+    return f"# Version {versioned.version}, submission {versioned.submission}.\n{body}"
 
 
-def rollout_text(rollout: RolloutStatus) -> str:
-    """Return a sentence on the whole and a line for each process not there yet."""
+def format_rollout(rollout: RolloutStatus) -> str:
+    """Return a summary line and one line per process not on the version in force."""
     processes = (
         len(rollout.up_to_date) + len(rollout.behind) + len(rollout.unresponsive)
     )
@@ -43,12 +43,12 @@
         f"Version {rollout.version} is in force on {len(rollout.up_to_date)}"
         f" of {processes} listed processes."
     ]
-    lines.extend(_lines(rollout.behind))
-    lines.extend(_lines(rollout.unresponsive))
+    lines.extend(_format_processes(rollout.behind))
+    lines.extend(_format_processes(rollout.unresponsive))
     return "\n".join(lines) + "\n"
 
 
-def _lines(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
+def _format_processes(processes: tuple[ProcessStatus, ...]) -> Iterator[str]:
     for process in processes:
         leaving = ", leaving" if process.is_leaving else ""
         state = "no answer" if process.version is None else f"on {process.version}"
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from kingcupwheel.claims.exceptions import ClaimMoved
-from kingcupwheel.claims.exceptions import ClaimUnreachable
-from kingcupwheel.claims.records import ClaimRecord
-from kingcupwheel.claims.records import Held
-from kingcupwheel.claims.records import claim_id_of
-from kingcupwheel.claims.store import new_nonce
+from kingcupwheel.claims.claim_records import ClaimRecord
+from kingcupwheel.claims.claim_records import StoredClaim
+from kingcupwheel.claims.claim_records import compute_claim_id
+from kingcupwheel.claims.claim_store import generate_write_nonce
+from kingcupwheel.claims.exceptions import ClaimConflict
+from kingcupwheel.claims.exceptions import ClaimUnavailable
 from kingcupwheel.entry.agent_reference import AgentReference
 from kingcupwheel.entry.answer_assembler import AttemptNeverSeen
 from kingcupwheel.entry.answer_assembler import AttemptNotStarted
@@ -71,7 +71,7 @@
 class ClaimAvailable(NamedTuple):
     """The request may run under the claim; no earlier dispatch can start now."""
 
-    held: Held
+    held: StoredClaim
 
 
 class ClaimRefused(NamedTuple):
@@ -93,14 +93,16 @@
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
         self._context = context
         self._request = request
-        self._claim_id = claim_id_of(request.organisation.name, request.idempotency_key)
+        self._claim_id = compute_claim_id(
+            request.organisation.name, request.idempotency_key
+        )
 
     @property
     def claim_id(self) -> str:
         """Digest that identifies the claim."""
         return self._claim_id
 
-    def read(self) -> Held | Refusal | None:
+    def read(self) -> StoredClaim | Refusal | None:
         """Return the claim stored by the platform, None if there is none."""
         result = self._context.claims.read(self._claim_id)
         if result.is_error():
@@ -108,33 +110,33 @@
         return result.ok
 
     def acquire(
-        self, reservation: Reservation, attempt: int, held_claim: Held | None
-    ) -> Held | ClaimChanged | Refusal:
+        self, reservation: Reservation, attempt: int, held_claim: StoredClaim | None
+    ) -> StoredClaim | ClaimChanged | Refusal:
         """Create the claim for the reserved server, or move ``held_claim`` to it."""
         record = self._build_record(reservation, attempt, held_claim)
         if held_claim is None:
-            result = self._context.claims.make(self._claim_id, record)
+            result = self._context.claims.create(self._claim_id, record)
         else:
-            result = self._context.claims.move(held_claim, record)
+            result = self._context.claims.update(held_claim, record)
         if result.is_ok():
             self._record_claim(result.ok, "made" if held_claim is None else "moved")
-            self._context.retention.remember(result.ok)
+            self._context.retention.schedule_removal(result.ok)
             return result.ok
         match result.error:
-            case ClaimMoved():
+            case ClaimConflict():
                 return ClaimChanged()
-            case ClaimUnreachable() as error:
+            case ClaimUnavailable() as error:
                 return build_claim_refusal(error)
 
     def _build_record(
-        self, reservation: Reservation, attempt: int, held_claim: Held | None
+        self, reservation: Reservation, attempt: int, held_claim: StoredClaim | None
     ) -> ClaimRecord:
         request = self._request
         return ClaimRecord(
             organisation=request.organisation.name,
             request_id=request.request_id,
             attempt=attempt,
-            nonce=new_nonce(),
+            nonce=generate_write_nonce(),
             body_digest=request.body_digest,
             entry=self._context.settings.name,
             agent=reservation.server,
@@ -147,24 +149,29 @@
         )
 
     def record_final_outcome(
-        self, held_claim: Held, outcome: Outcome, reason: str
+        self, held_claim: StoredClaim, outcome: Outcome, reason: str
     ) -> None:
         """Record the final outcome; a failure to write it is harmless.
 
         The next reader of the claim finds the same lost agent and reports the same.
         """
         record = msgspec.structs.replace(
-            held_claim.record, nonce=new_nonce(), final=outcome, reason=reason
+            held_claim.record,
+            nonce=generate_write_nonce(),
+            final_outcome=outcome,
+            reason=reason,
         )
-        self._context.claims.move(held_claim, record)
+        self._context.claims.update(held_claim, record)
 
-    def resolve(self, held_claim: Held) -> ClaimResolution:
+    def resolve(self, held_claim: StoredClaim) -> ClaimResolution:
         """Determine the state of the run under an earlier send's claim."""
         record = held_claim.record
         if record.body_digest != self._request.body_digest:
             return ClaimRefused(IDEMPOTENCY_KEY_REUSED)
-        if record.final is not None:
-            return ClaimRefused(build_earlier_send_refusal(record.final, record.reason))
+        if record.final_outcome is not None:
+            return ClaimRefused(
+                build_earlier_send_refusal(record.final_outcome, record.reason)
+            )
         self._context.recorder.record(
             self._request.request_id, Joined(record.request_id)
         )
@@ -183,7 +190,7 @@
         return resolution
 
     def _resolve_at_agent(
-        self, held_claim: Held, inbox: AttemptInbox, close: Callable[[], None]
+        self, held_claim: StoredClaim, inbox: AttemptInbox, close: Callable[[], None]
     ) -> ClaimResolution:
         reader = AnswerReader(
             inbox,
@@ -233,11 +240,15 @@
             time.sleep(_INBOX_POLL_INTERVAL_S)
         return None
 
-    def _finish_as_unknown(self, held_claim: Held, reason: str) -> ClaimResolution:
+    def _finish_as_unknown(
+        self, held_claim: StoredClaim, reason: str
+    ) -> ClaimResolution:
         self.record_final_outcome(held_claim, Outcome.UNKNOWN, reason)
         return ClaimRefused(build_earlier_send_refusal(Outcome.UNKNOWN, reason))
 
-    def _take_over(self, held_claim: Held, inbox: AttemptInbox) -> ClaimResolution:
+    def _take_over(
+        self, held_claim: StoredClaim, inbox: AttemptInbox
+    ) -> ClaimResolution:
         """Keep the earlier dispatch from starting, then make the claim available.
 
         The first entry may be paused between claim and dispatch. The claim's fence is
@@ -247,23 +258,23 @@
         """
         record = msgspec.structs.replace(
             held_claim.record,
-            nonce=new_nonce(),
+            nonce=generate_write_nonce(),
             entry=self._context.settings.name,
             fence=held_claim.record.fence + 1,
         )
-        result = self._context.claims.move(held_claim, record)
+        result = self._context.claims.update(held_claim, record)
         if result.is_error():
             match result.error:
-                case ClaimMoved():
+                case ClaimConflict():
                     return ClaimChanged()
-                case ClaimUnreachable() as error:
+                case ClaimUnavailable() as error:
                     return ClaimRefused(build_claim_refusal(error, is_claimed=True))
         updated_claim = result.ok
         self._record_claim(updated_claim, "raised the fence of")
         return self._write_tombstone(updated_claim, inbox)
 
     def _write_tombstone(
-        self, held_claim: Held, inbox: AttemptInbox
+        self, held_claim: StoredClaim, inbox: AttemptInbox
     ) -> ClaimResolution:
         record = held_claim.record
         request = TombstoneRequest(
@@ -299,6 +310,6 @@
                     return None
         return None
 
-    def _record_claim(self, held_claim: Held, detail: str) -> None:
+    def _record_claim(self, held_claim: StoredClaim, detail: str) -> None:
         event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
-from kingcupwheel.metrics.events import EventMetrics
+from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import Recorder
 from kingcupwheel.trace.shipper import BatchShipper
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.settings.schema import Settings
 
@@ -35,14 +35,14 @@
         self,
         settings: Settings,
         client: PlatformClient,
-        metrics: Metrics,
+        metrics: MetricsClient,
         *,
         traces_retention_s: Callable[[], float],
     ) -> None:
         self.recorder = Recorder(
             settings.name,
             limit=settings.entry.traces,
-            listener=EventMetrics(metrics, settings.role),
+            listener=TraceEventMetrics(metrics, settings.role),
         )
         self.burn_counter = BurnCounter(
             settings.name, BurnGoals(0, Goals(), {}, {}), now=time.time()
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -8,9 +8,9 @@
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import route_name
 from kingcupwheel.burn.observed import Observed
-from kingcupwheel.metrics.names import Count
-from kingcupwheel.metrics.names import Duration
-from kingcupwheel.metrics.names import Level
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
+from kingcupwheel.metrics.metric_names import TimerName
 
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
     from kingcupwheel.messages.attempts import Outcome
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
 
 _CALLER_LEFT = "caller-left"
 
@@ -29,19 +29,19 @@
 class OutcomeCounter:
     """Counts final outcomes; called on request threads, never blocks."""
 
-    def __init__(self, burn_counter: BurnCounter, metrics: Metrics) -> None:
+    def __init__(self, burn_counter: BurnCounter, metrics: MetricsClient) -> None:
         self._burn_counter = burn_counter
         self._metrics = metrics
 
     def set_goals(self, manifest: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
         self._burn_counter.adopt(build_burn_goals(manifest))
-        self._metrics.count(Count.MANIFESTS_ADOPTED)
-        self._metrics.level(Level.MANIFEST_VERSION, manifest.version)
+        self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
+        self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
     def count_refusal(self, request: CallerRequest, refusal: Refusal) -> None:
         """Count a request that the entry refused."""
-        self._metrics.count(Count.REFUSALS, by=refusal.reason)
+        self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._count(
             Observed(
                 organisation=request.organisation.name,
@@ -68,9 +68,9 @@
     ) -> None:
         """Count an answer; ``gaps_s`` are the seconds between its chunks."""
         if first_byte_s is not None:
-            self._metrics.duration(Duration.FIRST_BYTE, first_byte_s)
+            self._metrics.record_duration(TimerName.FIRST_BYTE, first_byte_s)
         if gaps_s:
-            self._metrics.duration(Duration.TOKEN_GAP, max(gaps_s))
+            self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
         self._count(
             Observed(
                 organisation=request.organisation.name,
@@ -87,14 +87,16 @@
         )
 
     def _count(self, observed: Observed) -> None:
-        self._metrics.count(Count.REQUESTS, by=observed.outcome.value)
+        self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
-            self._metrics.count(Count.CALLERS_LEFT)
+            self._metrics.increment(CounterName.CALLERS_LEFT)
         count_by_indicator = self._burn_counter.observe(observed, now=time.time())
         for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
-                self._metrics.count(Count.GOAL_MISSES, by=by, number=count.bad)
+                self._metrics.increment(
+                    CounterName.GOAL_MISSES, label=by, amount=count.bad
+                )
 
 
 def build_burn_goals(manifest: CompiledManifest) -> BurnGoals:
--- a/src/kingcupwheel/entry/request_parser.py
+++ b/src/kingcupwheel/entry/request_parser.py
@@ -27,8 +27,8 @@
 from kingcupwheel.manifest.routing import MethodNotAllowed
 from kingcupwheel.manifest.routing import NoRoute
 from kingcupwheel.manifest.schema import GroupKind
-from kingcupwheel.utils.http_headers import HOP_BY_HOP
-from kingcupwheel.utils.http_headers import OF_ONE_REQUEST
+from kingcupwheel.utils.http_headers import HOP_BY_HOP_HEADERS
+from kingcupwheel.utils.http_headers import PER_REQUEST_HEADERS
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 # which callers of one application share.
 _MAX_PREFIX_CHARACTERS = 256
 # Headers that apply to one connection or to the entry only.
-_UNFORWARDED_HEADERS = HOP_BY_HOP | OF_ONE_REQUEST | {"authorization"}
+_UNFORWARDED_HEADERS = HOP_BY_HOP_HEADERS | PER_REQUEST_HEADERS | {"authorization"}
 
 
 class HttpRequest(NamedTuple):
--- a/src/kingcupwheel/expertmaps/rank_api.py
+++ b/src/kingcupwheel/expertmaps/rank_api.py
@@ -27,7 +27,7 @@
 from kingcupwheel.expertmaps.protocol import StageOrder
 from kingcupwheel.expertmaps.protocol import StateRequest
 from kingcupwheel.expertmaps.protocol import SupersedeOrder
-from kingcupwheel.plugins.kernel import rank_apis
+from kingcupwheel.plugins.registries import rank_apis
 
 
 if TYPE_CHECKING:
@@ -73,8 +73,10 @@
             return _Endpoint("POST", "/rank/commit")
         case AbortOrder():
             return _Endpoint("POST", "/rank/abort")
-        case StateRequest(number, whole):
-            return _Endpoint("GET", f"/rank/state?round={number}&whole={int(whole)}")
+        case StateRequest(number, include_schedule):
+            return _Endpoint(
+                "GET", f"/rank/state?round={number}&whole={int(include_schedule)}"
+            )
         case ExpertLoadsRequest(number):
             return _Endpoint("GET", f"/rank/loads?round={number}")
 
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -10,8 +10,8 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from kingcupwheel.metrics.names import Count
-from kingcupwheel.metrics.names import Level
+from kingcupwheel.metrics.metric_names import CounterName
+from kingcupwheel.metrics.metric_names import GaugeName
 from kingcupwheel.platform.errors import Conflict
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.metrics.client import Metrics
+    from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.trace.recorder import Recorder
 
@@ -56,7 +56,7 @@
         *,
         period_s: float,
         retention_s: Callable[[], float],
-        metrics: Metrics | None = None,
+        metrics: MetricsClient | None = None,
     ) -> None:
         self._recorder = recorder
         self._client = client
@@ -159,9 +159,11 @@
     def _collect(self) -> None:
         lost = self._outbox.add(self._recorder.drain())
         if self._metrics is not None:
-            self._metrics.level(Level.TRACE_BYTES_WAITING, self._outbox.waiting_bytes)
+            self._metrics.set_gauge(
+                GaugeName.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
+            )
             if lost:
-                self._metrics.count(Count.TRACE_EVENTS_LOST, number=lost)
+                self._metrics.increment(CounterName.TRACE_EVENTS_LOST, amount=lost)
 
     def _flush(self) -> None:
         self._collect()
--- a/src/kingcupwheel/utils/structs.py
+++ b/src/kingcupwheel/utils/structs.py
@@ -1,9 +1,11 @@
-"""The base of records that are decoded from YAML, JSON or msgpack."""
+"""Base class of structs that are decoded from YAML, JSON or msgpack."""
 
 from __future__ import annotations
 
 import msgspec
 
 
-class Record(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An immutable record that refuses unknown fields when decoded."""
+class StrictStruct(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
+):
+    """Immutable struct that rejects unknown fields when decoded."""
