--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -198,7 +198,7 @@
 }
 
 
-def switched_off(name: str, root: Path = ROOT) -> dict[Path, str]:
+def apply_edits(name: str, root: Path = ROOT) -> dict[Path, str]:
     """Return the changed files by path; ValueError if a line is not there just once."""
     texts: dict[Path, str] = {}
     for edit in ABLATIONS[name]:
@@ -214,7 +214,7 @@
 
 def write_copy(name: str, folder: Path) -> Path:
     """Write the sources with one mechanism switched off; return the copy's folder."""
-    texts = switched_off(name)
+    texts = apply_edits(name)
     copy = folder / name
     copy.mkdir(parents=True)
     ignored = shutil.ignore_patterns("__pycache__")
