--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -212,7 +212,7 @@
     return texts
 
 
-def write_copy(name: str, folder: Path) -> Path:
+def write_ablated_copy(name: str, folder: Path) -> Path:
     """Write the sources with one mechanism switched off; return the copy's folder."""
     texts = apply_edits(name)
     copy = folder / name
@@ -236,7 +236,7 @@
     for name in sys.argv[2:] or ABLATIONS:
         if name not in ABLATIONS:
             raise SystemExit(f"no mechanism {name!r}; there are {', '.join(ABLATIONS)}")
-        print(write_copy(name, Path(sys.argv[1])))
+        print(write_ablated_copy(name, Path(sys.argv[1])))
 
 
 if __name__ == "__main__":
