--- a/tools/caller.py
+++ b/tools/caller.py
@@ -44,7 +44,7 @@
         return msgspec.json.decode(self.body)
 
 
-class Unanswered(NamedTuple):
+class ConnectionFailure(NamedTuple):
     """The connection failed before any answer."""
 
     detail: str
@@ -70,7 +70,7 @@
         method: str = "POST",
         idempotency_key: str = "",
         headers: dict[str, str] | None = None,
-    ) -> Reply | Unanswered:
+    ) -> Reply | ConnectionFailure:
         """Send one request and read its whole answer."""
         started = time.monotonic()
         sent = {"Authorization": f"Bearer {self._key}", **(headers or {})}
@@ -83,7 +83,7 @@
                 method, url, body=payload, headers=sent, preload_content=False
             )
         except urllib3.exceptions.HTTPError as error:
-            return Unanswered(str(error))
+            return ConnectionFailure(str(error))
         return _read(response, started)
 
     def gaps(self, address: str, path: str, body: Any) -> list[float]:
