--- a/tools/caller.py
+++ b/tools/caller.py
@@ -29,7 +29,7 @@
     headers: dict[str, str]
     body: bytes
     outcome: str
-    whole: bool
+    is_complete: bool
     first_byte_s: float
     took_s: float
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -170,7 +170,7 @@
     def _expect(self, what: str, reply: object, status: int, outcome: str) -> None:
         held = (
             isinstance(reply, Reply)
-            and reply.whole
+            and reply.is_complete
             and reply.status == status
             and reply.outcome == outcome
         )
