--- a/tools/caller.py
+++ b/tools/caller.py
@@ -31,7 +31,7 @@
     outcome: str
     is_complete: bool
     first_byte_s: float
-    took_s: float
+    duration_s: float
 
     @property
     def request_id(self) -> str:
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -114,7 +114,7 @@
     def call(_: int) -> float:
         reply = caller.call(address, _PATH, body)
         assert isinstance(reply, Reply) and reply.status == 200, reply
-        return reply.took_s * 1000
+        return reply.duration_s * 1000
 
     began = time.monotonic()
     with ThreadPoolExecutor(_CALLERS) as pool:
