--- a/tools/caller.py
+++ b/tools/caller.py
@@ -86,7 +86,7 @@
             return ConnectionFailure(str(error))
         return _read(response, started)
 
-    def gaps(self, address: str, path: str, body: Any) -> list[float]:
+    def measure_chunk_gaps(self, address: str, path: str, body: Any) -> list[float]:
         """Return the times in seconds between the chunks of a streamed answer."""
         response = self._pool.request(
             "POST",
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -172,7 +172,7 @@
 def _stream(address: str, number: int) -> list[float]:
     """Return the times between the chunks of one streamed answer, in seconds."""
     body = {"prompt": f"stream {number}", "max_tokens": _TOKENS, "stream": True}
-    return Caller(_KEY).gaps(address, _PATH, body)
+    return Caller(_KEY).measure_chunk_gaps(address, _PATH, body)
 
 
 def measure_idle(fleet: Fleet) -> dict[str, float]:
