--- a/tools/demo.py
+++ b/tools/demo.py
@@ -33,7 +33,7 @@
 class Check(NamedTuple):
     """One thing the demo expects."""
 
-    what: str
+    description: str
     held: bool
 
 
@@ -50,7 +50,7 @@
     @property
     def failed(self) -> list[str]:
         """What was not as it should be."""
-        return [check.what for check in self._checks if not check.held]
+        return [check.description for check in self._checks if not check.held]
 
     def run(self) -> None:
         """Run every step."""
