--- a/tools/demo.py
+++ b/tools/demo.py
@@ -34,7 +34,7 @@
     """One thing the demo expects."""
 
     description: str
-    held: bool
+    is_passed: bool
 
 
 class Demo:
@@ -50,7 +50,7 @@
     @property
     def failed(self) -> list[str]:
         """What was not as it should be."""
-        return [check.description for check in self._checks if not check.held]
+        return [check.description for check in self._checks if not check.is_passed]
 
     def run(self) -> None:
         """Run every step."""
