--- a/tools/demo.py
+++ b/tools/demo.py
@@ -48,7 +48,7 @@
         self._ranks: list[str] = []
 
     @property
-    def failed(self) -> list[str]:
+    def failed_checks(self) -> list[str]:
         """What was not as it should be."""
         return [check.description for check in self._checks if not check.is_passed]
 
@@ -220,8 +220,8 @@
     with Fleet({"leave_s": 2.0}) as fleet:
         demo = Demo(fleet)
         demo.run()
-    if demo.failed:
-        _say("Not as it should be: " + "; ".join(demo.failed))
+    if demo.failed_checks:
+        _say("Not as it should be: " + "; ".join(demo.failed_checks))
         sys.exit(1)
     _say("Every answer was what it should be.")
 
