--- a/tools/demo.py
+++ b/tools/demo.py
@@ -73,7 +73,7 @@
         fleet.add_agent("portal-1", "exchange-portal", kind="service")
         fleet.add_entry("entry-1")
         fleet.add_entry("entry-2")
-        submitted = fleet.submit(demo_manifest())
+        submitted = fleet.submit(build_demo_manifest())
         _say(submitted.stdout.strip() or submitted.stderr.strip())
         self._check("the manifest is accepted", submitted.returncode == 0)
         fleet.wait_ready(_KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1})
@@ -183,7 +183,7 @@
         _say(f"  {'ok' if held else 'NOT OK'}: {what}")
 
 
-def demo_manifest() -> dict[str, Any]:
+def build_demo_manifest() -> dict[str, Any]:
     """Return the agency's example cut down to the demo's processes."""
     manifest: dict[str, Any] = yaml.safe_load(_EXAMPLE.read_text())
     organisations = manifest["organisations"][:2]
