--- a/tools/features.py
+++ b/tools/features.py
@@ -26,7 +26,7 @@
 _COUNTS = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
 
 
-class Ran(NamedTuple):
+class FeatureResult(NamedTuple):
     """One feature file's result."""
 
     path: Path
@@ -43,7 +43,7 @@
         return int(found[1]), int(found[2]) + int(found[3] or 0)
 
 
-def run_file(path: Path) -> Ran:
+def run_file(path: Path) -> FeatureResult:
     """Run the scenarios of one file."""
     began = time.monotonic()
     command = [sys.executable, "-m", "behave", "--no-capture", str(path)]
@@ -61,7 +61,7 @@
         code, output = done.returncode, done.stdout
     except subprocess.TimeoutExpired as error:
         code, output = 1, f"{error.output}\nnot within {_TIMEOUT_S} s"
-    return Ran(path, code, output, time.monotonic() - began)
+    return FeatureResult(path, code, output, time.monotonic() - began)
 
 
 def main() -> None:
