--- a/tools/features.py
+++ b/tools/features.py
@@ -30,7 +30,7 @@
     """One feature file's result."""
 
     path: Path
-    code: int
+    exit_code: int
     output: str
     took_s: float
 
@@ -73,11 +73,11 @@
         for ran in pool.map(run_file, paths):
             good, bad = ran.counts
             passed += good
-            failed += bad or (ran.code != 0)
+            failed += bad or (ran.exit_code != 0)
             click.echo(
                 f"{ran.path.name}: {good} passed, {bad} failed, {ran.took_s:.0f} s"
             )
-            if ran.code:
+            if ran.exit_code:
                 click.echo(ran.output)
     click.echo(f"scenarios: {passed} passed, {failed} failed")
     sys.exit(1 if failed or not passed else 0)
