--- a/tools/features.py
+++ b/tools/features.py
@@ -32,7 +32,7 @@
     path: Path
     exit_code: int
     output: str
-    took_s: float
+    duration_s: float
 
     @property
     def counts(self) -> tuple[int, int]:
@@ -75,7 +75,7 @@
             passed += good
             failed += bad or (ran.exit_code != 0)
             click.echo(
-                f"{ran.path.name}: {good} passed, {bad} failed, {ran.took_s:.0f} s"
+                f"{ran.path.name}: {good} passed, {bad} failed, {ran.duration_s:.0f} s"
             )
             if ran.exit_code:
                 click.echo(ran.output)
