--- a/tools/features.py
+++ b/tools/features.py
@@ -35,7 +35,7 @@
     duration_s: float
 
     @property
-    def counts(self) -> tuple[int, int]:
+    def scenario_counts(self) -> tuple[int, int]:
         """Scenarios passed, and failed for whatever reason."""
         found = _COUNTS.search(self.output)
         if found is None:
@@ -71,7 +71,7 @@
     passed = failed = 0
     with ThreadPoolExecutor(_AT_A_TIME) as pool:
         for ran in pool.map(run_file, paths):
-            good, bad = ran.counts
+            good, bad = ran.scenario_counts
             passed += good
             failed += bad or (ran.exit_code != 0)
             click.echo(
