--- a/features/world.py
+++ b/features/world.py
@@ -63,7 +63,7 @@
 
     def http(self, entry: str) -> str:
         """Return where callers reach the entry."""
-        return self.fleet.entries[entry].http
+        return self.fleet.entries[entry].caller_address
 
     def start_call(
         self, name: str, entry: str, path: str, body: Any, **options: Any
@@ -144,7 +144,7 @@
             turn += 1
 
     def _call(self, entry: str, prompt: str) -> None:
-        address = self._world.fleet.entries[entry].http
+        address = self._world.fleet.entries[entry].caller_address
         body = {"prompt": prompt, "max_tokens": self._tokens, "stream": True}
         reply = self._world.caller.call(address, COMPLETIONS, body)
         if isinstance(reply, ConnectionFailure) or reply.status == 503:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -80,7 +80,7 @@
 
     def _complete(self) -> None:
         _say("A streamed completion:")
-        entry = self._fleet.entries["entry-1"].http
+        entry = self._fleet.entries["entry-1"].caller_address
         body = {"prompt": "Read tag 8130-3", "max_tokens": 12, "stream": True}
         reply = self._caller.call(entry, "/v1/completions", body)
         _print(reply)
@@ -91,7 +91,7 @@
         body = {"part": "PN-4711", "quantity": 1}
         replies = [
             self._caller.call(
-                entry.http, "/v1/reservations", body, idempotency_key="demo-1"
+                entry.caller_address, "/v1/reservations", body, idempotency_key="demo-1"
             )
             for entry in self._fleet.entries.values()
         ]
@@ -106,7 +106,7 @@
     def _burst(self) -> None:
         _say(f"A burst of {_BURST} over a small allowance:")
         caller = Caller(_SMALL_KEY)
-        entry = self._fleet.entries["entry-2"].http
+        entry = self._fleet.entries["entry-2"].caller_address
         body = {"prompt": "quote", "max_tokens": 4}
         replies = [caller.call(entry, "/v1/completions", body) for _ in range(_BURST)]
         statuses = [r.status for r in replies if isinstance(r, Reply)]
@@ -124,7 +124,7 @@
         before = self._steps()
         switch = {"hot": [0, 1], "factor": 12.0}
         self._fleet.tell(self._ranks[0], "/test/switch", switch)
-        entry = self._fleet.entries["entry-1"].http
+        entry = self._fleet.entries["entry-1"].caller_address
         body = {"prompt": "inspection", "max_tokens": 40, "stream": True}
         until = time.monotonic() + _REBALANCE_TIMEOUT_S
         whole = True
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -35,7 +35,7 @@
     """A running entry; callers connect to ``http``, operators to ``operators``."""
 
     process: Process
-    http: str
+    caller_address: str
     address: str
     operators: str
 
@@ -342,8 +342,8 @@
         caller = Caller(key)
         for entry in self.entries.values():
             wait_until(
-                lambda http=entry.http: _serves(caller, http, path, body),  # type: ignore[misc]
-                f"an answer through {entry.http}",
+                lambda http=entry.caller_address: _serves(caller, http, path, body),  # type: ignore[misc]
+                f"an answer through {entry.caller_address}",
                 START_TIMEOUT_S,
             )
 
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -130,7 +130,7 @@
     pids = [agent.process.pid for agent in fleet.agents.values()]
     before = usage(entry.process.pid), [usage(pid) for pid in pids]
     began = time.monotonic()
-    gaps = measure_gaps(entry.http, streams)
+    gaps = measure_gaps(entry.caller_address, streams)
     took_s = time.monotonic() - began
     after = usage(entry.process.pid), [usage(pid) for pid in pids]
     entry_cpu_s = after[0].cpu_s - before[0].cpu_s
@@ -192,7 +192,7 @@
     with Fleet() as fleet:
         start(fleet, step_ms=1)
         direct = measure_calls(fleet.agents["server-0"].server_address)
-        through = measure_calls(fleet.entries["entry"].http)
+        through = measure_calls(fleet.entries["entry"].caller_address)
     _print_latencies(direct, through)
     with Fleet() as fleet:
         start(fleet, step_ms=_STEP_MS)
