--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -37,7 +37,7 @@
     process: Process
     caller_address: str
     address: str
-    operators: str
+    operator_address: str
 
 
 class Agent(NamedTuple):
@@ -358,7 +358,9 @@
 
     def _knows_all(self, entry: Entry) -> bool:
         try:
-            answer = self._http.request("GET", f"http://{entry.operators}/status")
+            answer = self._http.request(
+                "GET", f"http://{entry.operator_address}/status"
+            )
         except urllib3.exceptions.HTTPError:
             return False
         status = msgspec.json.decode(answer.data)
