--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -48,7 +48,7 @@
     server: Process
     server_address: str
     kind: str
-    relay: str = ""
+    relay_control_address: str = ""
 
 
 def key_digest(key: str) -> str:
