--- a/features/judging.py
+++ b/features/judging.py
@@ -34,7 +34,7 @@
 
 
 def _check_trace(world: World, reply: Reply) -> None:
-    platform = f"http://{world.fleet.platform}"
+    platform = f"http://{world.fleet.platform_address}"
     told = world.fleet.command(
         "trace", reply.request_id, "--platform", platform, "--json"
     )
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -148,7 +148,7 @@
         return found
 
     def _explain(self) -> None:
-        platform = f"http://{self._fleet.platform}"
+        platform = f"http://{self._fleet.platform_address}"
         for request_id in self._traced:
             told = self._fleet.command("trace", request_id, "--platform", platform)
             _say(told.stdout.strip() + told.stderr.strip())
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -68,12 +68,12 @@
         self.entries: dict[str, Entry] = {}
         self.agents: dict[str, Agent] = {}
         self.stand_ins: dict[str, Process] = {}
-        self.platform = ""
+        self.platform_address = ""
 
     def __enter__(self) -> Fleet:
         """Start the platform stand-in."""
         process, address = self.start_stand_in("platform", "tests.standins.platform")
-        self.platform = address
+        self.platform_address = address
         del process
         return self
 
@@ -184,7 +184,9 @@
 
     def stored(self, key: str) -> bytes | None:
         """Return the value that the platform holds under ``key``."""
-        response = self._http.request("GET", f"http://{self.platform}/v1/objects/{key}")
+        response = self._http.request(
+            "GET", f"http://{self.platform_address}/v1/objects/{key}"
+        )
         return response.data if response.status == 200 else None
 
     def set_relay(self, control: str, mode: str) -> None:
@@ -252,7 +254,7 @@
             "role": role,
             "data_centre": data_centre,
             "listen": address,
-            "platform": {"url": f"http://{self.platform}"},
+            "platform": {"url": f"http://{self.platform_address}"},
             "timings": self._timings,
         }
 
@@ -287,15 +289,15 @@
             "http": http,
             "leaving": leaving,
         }
-        self._test("PUT", self.platform, f"/test/instances/{name}", instance)
+        self._test("PUT", self.platform_address, f"/test/instances/{name}", instance)
 
     def unlist(self, name: str) -> None:
         """Take an instance off the platform's list."""
-        self._test("DELETE", self.platform, f"/test/instances/{name}")
+        self._test("DELETE", self.platform_address, f"/test/instances/{name}")
 
     def switch(self, address: str = "", **switches: Any) -> None:
         """Set the platform stand-in's switches."""
-        self._test("PUT", address or self.platform, "/test/switches", switches)
+        self._test("PUT", address or self.platform_address, "/test/switches", switches)
 
     def _test(self, method: str, address: str, path: str, body: Any = None) -> Any:
         payload = None if body is None else msgspec.json.encode(body)
@@ -305,7 +307,9 @@
 
     def stored_keys(self) -> list[str]:
         """Return the keys of all objects that the platform holds."""
-        found: list[str] = self._test("GET", self.platform, "/v1/objects?prefix=")
+        found: list[str] = self._test(
+            "GET", self.platform_address, "/v1/objects?prefix="
+        )
         return found
 
     def runs(self, agent: str) -> Any:
@@ -320,7 +324,7 @@
             "w", suffix=".yaml", dir=self._path, delete=False
         ) as file:
             yaml.safe_dump(manifest, file)
-        platform = f"http://{self.platform}"
+        platform = f"http://{self.platform_address}"
         return self.command(
             "manifest", "submit", file.name, "--platform", platform, *options
         )
