--- a/features/world.py
+++ b/features/world.py
@@ -59,7 +59,7 @@
     def print_logs(self) -> None:
         """Show what each daemon logged last."""
         for name in (*self.fleet.entries, *self.fleet.agents):
-            print(f"--- {name}\n{self.fleet.log(name)[-2500:]}")
+            print(f"--- {name}\n{self.fleet.read_log(name)[-2500:]}")
 
     def http(self, entry: str) -> str:
         """Return where callers reach the entry."""
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -101,7 +101,7 @@
         """Where the fleet keeps its settings and logs."""
         return self._path
 
-    def log(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what a process logged."""
         return (self._path / f"{name}.log").read_text()
 
