--- a/tools/demo.py
+++ b/tools/demo.py
@@ -144,7 +144,7 @@
         self._check("the streams meanwhile are whole", whole)
 
     def _steps(self) -> dict[str, Any]:
-        found: dict[str, Any] = self._fleet.ask(self._ranks[0], "/test/steps")
+        found: dict[str, Any] = self._fleet.get_json(self._ranks[0], "/test/steps")
         return found
 
     def _explain(self) -> None:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -174,7 +174,7 @@
         self.stand_ins["ranks"] = process
         return process, [process.first_line() for _ in range(ranks)]
 
-    def ask(self, address: str, path: str) -> Any:
+    def get_json(self, address: str, path: str) -> Any:
         """Return what a stand-in answers."""
         return self._test("GET", address, path)
 
