--- a/tools/demo.py
+++ b/tools/demo.py
@@ -123,7 +123,7 @@
         _say("Two experts of one rank become popular while callers stream:")
         before = self._steps()
         switch = {"hot": [0, 1], "factor": 12.0}
-        self._fleet.tell(self._ranks[0], "/test/switch", switch)
+        self._fleet.post_json(self._ranks[0], "/test/switch", switch)
         entry = self._fleet.entries["entry-1"].caller_address
         body = {"prompt": "inspection", "max_tokens": 40, "stream": True}
         until = time.monotonic() + _REBALANCE_TIMEOUT_S
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -178,7 +178,7 @@
         """Return what a stand-in answers."""
         return self._test("GET", address, path)
 
-    def tell(self, address: str, path: str, body: Any) -> None:
+    def post_json(self, address: str, path: str, body: Any) -> None:
         """Switch something of a stand-in."""
         self._test("POST", address, path, body)
 
