--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -182,7 +182,7 @@
         """Switch something of a stand-in."""
         self._test("POST", address, path, body)
 
-    def stored(self, key: str) -> bytes | None:
+    def get_object(self, key: str) -> bytes | None:
         """Return the value that the platform holds under ``key``."""
         response = self._http.request(
             "GET", f"http://{self.platform_address}/v1/objects/{key}"
