--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -305,7 +305,7 @@
         assert response.status < 300, (path, response.status, response.data)
         return msgspec.json.decode(response.data) if response.data else None
 
-    def stored_keys(self) -> list[str]:
+    def list_object_keys(self) -> list[str]:
         """Return the keys of all objects that the platform holds."""
         found: list[str] = self._test(
             "GET", self.platform_address, "/v1/objects?prefix="
