--- a/tools/demo.py
+++ b/tools/demo.py
@@ -100,7 +100,7 @@
             self._expect("the reservation ran", reply, 200, "ran")
         bodies = {reply.body for reply in replies if isinstance(reply, Reply)}
         self._check("both sends get the same answer", len(bodies) == 1)
-        runs = self._fleet.runs("portal-1")
+        runs = self._fleet.get_run_counts("portal-1")
         self._check("it ran once", runs["by_idempotency_key"].get("demo-1") == 1)
 
     def _burst(self) -> None:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -312,7 +312,7 @@
         )
         return found
 
-    def runs(self, agent: str) -> Any:
+    def get_run_counts(self, agent: str) -> Any:
         """Return what the agent's server counts of its runs."""
         return self._test("GET", self.agents[agent].server_address, "/test/runs")
 
