--- a/features/judging.py
+++ b/features/judging.py
@@ -35,7 +35,7 @@
 
 def _check_trace(world: World, reply: Reply) -> None:
     platform = f"http://{world.fleet.platform_address}"
-    told = world.fleet.command(
+    told = world.fleet.run_command(
         "trace", reply.request_id, "--platform", platform, "--json"
     )
     assert told.returncode in (0, _INCOMPLETE), (reply, told.stdout, told.stderr)
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -31,7 +31,9 @@
 
 def _status(world: World) -> dict[str, Any]:
     platform = f"http://{world.fleet.platform_address}"
-    told = world.fleet.command("manifest", "status", "--platform", platform, "--json")
+    told = world.fleet.run_command(
+        "manifest", "status", "--platform", platform, "--json"
+    )
     found: dict[str, Any] = json.loads(told.stdout)
     return found
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -150,10 +150,10 @@
     def _explain(self) -> None:
         platform = f"http://{self._fleet.platform_address}"
         for request_id in self._traced:
-            told = self._fleet.command("trace", request_id, "--platform", platform)
+            told = self._fleet.run_command("trace", request_id, "--platform", platform)
             _say(told.stdout.strip() + told.stderr.strip())
             self._check(f"the story of {request_id} is whole", told.returncode == 0)
-        burn = self._fleet.command("report", "burn", "--platform", platform)
+        burn = self._fleet.run_command("report", "burn", "--platform", platform)
         _say(burn.stdout.strip() + burn.stderr.strip())
         self._check("the burn report is whole", burn.returncode == 0)
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -325,11 +325,11 @@
         ) as file:
             yaml.safe_dump(manifest, file)
         platform = f"http://{self.platform_address}"
-        return self.command(
+        return self.run_command(
             "manifest", "submit", file.name, "--platform", platform, *options
         )
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the command line."""
         return subprocess.run(
             [sys.executable, "-m", "kingcupwheel", *arguments],
