--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -295,7 +295,7 @@
         """Take an instance off the platform's list."""
         self._test("DELETE", self.platform_address, f"/test/instances/{name}")
 
-    def switch(self, address: str = "", **switches: Any) -> None:
+    def set_platform_faults(self, address: str = "", **switches: Any) -> None:
         """Set the platform stand-in's switches."""
         self._test("PUT", address or self.platform_address, "/test/switches", switches)
 
