--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -193,7 +193,7 @@
         """Let a relay pass, cut, freeze-open or freeze-all."""
         self._test("POST", control, "/test/mode", {"mode": mode})
 
-    def set_faults(self, agent: str, **faults: Any) -> None:
+    def set_server_faults(self, agent: str, **faults: Any) -> None:
         """Switch faults of an agent's server."""
         address = self.agents[agent].server_address
         self._test("POST", address, "/test/set", faults)
