--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -189,7 +189,7 @@
         )
         return response.data if response.status == 200 else None
 
-    def set_relay(self, control: str, mode: str) -> None:
+    def set_relay_mode(self, control: str, mode: str) -> None:
         """Let a relay pass, cut, freeze-open or freeze-all."""
         self._test("POST", control, "/test/mode", {"mode": mode})
 
