--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -67,7 +67,9 @@
         addresses = crowd.first_line().split()
         entry = fleet.add_entry("entry-1", limits={"subset": links})
         for number, address in enumerate(addresses):
-            fleet.list_instance(f"agents-{number}", "agent", "group", "dc-1", address)
+            fleet.register_instance(
+                f"agents-{number}", "agent", "group", "dc-1", address
+            )
         return _measure(entry.process, crowd, links)
 
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -151,7 +151,7 @@
             relay, listed = self.add_relay(f"{name}-relay", address)
             agent = agent._replace(relay=relay, address=listed)
         self.agents[name] = agent
-        self.list_instance(name, "agent", group, data_centre, agent.address)
+        self.register_instance(name, "agent", group, data_centre, agent.address)
         return agent
 
     def add_relay(self, name: str, target: str) -> tuple[str, str]:
@@ -237,7 +237,7 @@
         process = self._start(name, "entry", settings)
         entry = Entry(process, http, address, operators)
         self.entries[name] = entry
-        self.list_instance(name, "entry", "", data_centre, address, http)
+        self.register_instance(name, "entry", "", data_centre, address, http)
         return entry
 
     def restart_entry(self, name: str) -> Entry:
@@ -268,7 +268,7 @@
         arguments = ["kingcupwheel", role, "--settings", str(path)]
         return Process(name, arguments, self._path / f"{name}.log")
 
-    def list_instance(
+    def register_instance(
         self,
         name: str,
         role: str,
