--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -291,7 +291,7 @@
         }
         self._test("PUT", self.platform_address, f"/test/instances/{name}", instance)
 
-    def unlist(self, name: str) -> None:
+    def deregister_instance(self, name: str) -> None:
         """Take an instance off the platform's list."""
         self._test("DELETE", self.platform_address, f"/test/instances/{name}")
 
