--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -36,7 +36,7 @@
             server_settings={"rank": rank, "rank_url": f"http://{address}"},
         )
     world.fleet.add_entry("entry-1")
-    submitted = world.fleet.submit(_manifest(ranks))
+    submitted = world.fleet.submit_manifest(_manifest(ranks))
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_ready(KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1})
     wait_until(lambda: _steps(context)["steps"] > 0, "a first step", CHANGE_TIMEOUT_S)
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -48,7 +48,7 @@
         )
     for number in range(1, entries + 1):
         world.fleet.add_entry(f"entry-{number}", data_centre=f"dc-{number}")
-    submitted = world.fleet.submit(manifest())
+    submitted = world.fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_known()
 
@@ -66,7 +66,7 @@
         )
     for number in range(1, entries + 1):
         world.fleet.add_entry(f"entry-{number}")
-    submitted = world.fleet.submit(manifest())
+    submitted = world.fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
     if engines:
         world.fleet.wait_ready(KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1})
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -73,7 +73,7 @@
         fleet.add_agent("portal-1", "exchange-portal", kind="service")
         fleet.add_entry("entry-1")
         fleet.add_entry("entry-2")
-        submitted = fleet.submit(build_demo_manifest())
+        submitted = fleet.submit_manifest(build_demo_manifest())
         _say(submitted.stdout.strip() or submitted.stderr.strip())
         self._check("the manifest is accepted", submitted.returncode == 0)
         fleet.wait_ready(_KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1})
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -316,7 +316,7 @@
         """Return what the agent's server counts of its runs."""
         return self._test("GET", self.agents[agent].server_address, "/test/runs")
 
-    def submit(
+    def submit_manifest(
         self, manifest: dict[str, Any], *options: str
     ) -> subprocess.CompletedProcess[str]:
         """Submit a manifest by the command line."""
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -101,7 +101,7 @@
             limits={"concurrency": 256},
         )
     fleet.add_entry("entry", limits={"threads": 400})
-    submitted = fleet.submit(manifest())
+    submitted = fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
     fleet.wait_ready(_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
 
