--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -38,7 +38,9 @@
     world.fleet.add_entry("entry-1")
     submitted = world.fleet.submit_manifest(_manifest(ranks))
     assert submitted.returncode == 0, submitted.stderr
-    world.fleet.wait_ready(KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1})
+    world.fleet.wait_until_serving(
+        KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+    )
     wait_until(lambda: _steps(context)["steps"] > 0, "a first step", CHANGE_TIMEOUT_S)
 
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -69,7 +69,9 @@
     submitted = world.fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
     if engines:
-        world.fleet.wait_ready(KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1})
+        world.fleet.wait_until_serving(
+            KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+        )
     else:
         world.fleet.wait_known()
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -76,7 +76,9 @@
         submitted = fleet.submit_manifest(build_demo_manifest())
         _say(submitted.stdout.strip() or submitted.stderr.strip())
         self._check("the manifest is accepted", submitted.returncode == 0)
-        fleet.wait_ready(_KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1})
+        fleet.wait_until_serving(
+            _KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1}
+        )
 
     def _complete(self) -> None:
         _say("A streamed completion:")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -341,7 +341,7 @@
             check=False,
         )
 
-    def wait_ready(self, key: str, path: str, body: Any) -> None:
+    def wait_until_serving(self, key: str, path: str, body: Any) -> None:
         """Wait until every entry gets an answer of a backend server at ``path``."""
         caller = Caller(key)
         for entry in self.entries.values():
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -103,7 +103,7 @@
     fleet.add_entry("entry", limits={"threads": 400})
     submitted = fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
-    fleet.wait_ready(_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
+    fleet.wait_until_serving(_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
 
 
 def measure_calls(address: str) -> Latencies:
