--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -50,7 +50,7 @@
         world.fleet.add_entry(f"entry-{number}", data_centre=f"dc-{number}")
     submitted = world.fleet.submit_manifest(manifest())
     assert submitted.returncode == 0, submitted.stderr
-    world.fleet.wait_known()
+    world.fleet.wait_until_configured()
 
 
 def _start(
@@ -73,7 +73,7 @@
             KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
         )
     else:
-        world.fleet.wait_known()
+        world.fleet.wait_until_configured()
 
 
 @given("service {name} takes {delay_ms:d} ms for each call")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -351,7 +351,7 @@
                 START_TIMEOUT_S,
             )
 
-    def wait_known(self) -> None:
+    def wait_until_configured(self) -> None:
         """Wait until every entry has the manifest and may use every agent."""
         for name, entry in self.entries.items():
             wait_until(
