--- a/features/world.py
+++ b/features/world.py
@@ -12,7 +12,7 @@
 from tools.caller import ConnectionFailure
 from tools.caller import Reply
 from tools.fleet import Fleet
-from tools.fleet import key_digest
+from tools.fleet import compute_key_digest
 
 
 KEY = "scenario-key"
@@ -168,8 +168,8 @@
     """Return a manifest for the scenarios: one engine group, one plain service."""
     return {
         "organisations": [
-            {"name": "agency", "key_digests": [key_digest(KEY)]},
-            {"name": "other", "key_digests": [key_digest(OTHER_KEY)]},
+            {"name": "agency", "key_digests": [compute_key_digest(KEY)]},
+            {"name": "other", "key_digests": [compute_key_digest(OTHER_KEY)]},
         ],
         "groups": [
             {"name": "parts-model", "kind": "engine", "concurrency": 16},
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -18,7 +18,7 @@
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.fleet import Fleet
-from tools.fleet import key_digest
+from tools.fleet import compute_key_digest
 
 
 _EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "agencia.yaml"
@@ -189,8 +189,8 @@
     """Return the agency's example cut down to the demo's processes."""
     manifest: dict[str, Any] = yaml.safe_load(_EXAMPLE.read_text())
     organisations = manifest["organisations"][:2]
-    organisations[0]["key_digests"] = [key_digest(_KEY)]
-    organisations[1]["key_digests"] = [key_digest(_SMALL_KEY)]
+    organisations[0]["key_digests"] = [compute_key_digest(_KEY)]
+    organisations[1]["key_digests"] = [compute_key_digest(_SMALL_KEY)]
     organisations[1]["allowance"] = {
         "work_per_s": 50,
         "burst": 100,
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -51,7 +51,7 @@
     relay_control_address: str = ""
 
 
-def key_digest(key: str) -> str:
+def compute_key_digest(key: str) -> str:
     """Return what a manifest holds of a bearer key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -21,7 +21,7 @@
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.fleet import Fleet
-from tools.fleet import key_digest
+from tools.fleet import compute_key_digest
 
 
 _KEY = "measure-key"
@@ -82,7 +82,7 @@
         "organisations": [
             {
                 "name": "load",
-                "key_digests": [key_digest(_KEY)],
+                "key_digests": [compute_key_digest(_KEY)],
                 "allowance": allowance,
             }
         ],
