--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -18,7 +18,7 @@
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.processes import START_TIMEOUT_S
-from tools.processes import Ports
+from tools.processes import PortAllocator
 from tools.processes import Process
 from tools.processes import environment
 from tools.processes import wait_until
@@ -63,7 +63,7 @@
         self._folder = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
         self._path = Path(self._folder.name)
         self._timings = timings or {}
-        self._ports = Ports()
+        self._ports = PortAllocator()
         self._http = urllib3.PoolManager(retries=False, timeout=10.0)
         self.entries: dict[str, Entry] = {}
         self.agents: dict[str, Agent] = {}
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -27,7 +27,7 @@
 _BLOCK_PORTS = 100
 
 
-class Ports:
+class PortAllocator:
     """Ports of the loopback address that no other fleet on this machine is given.
 
     Failure: two fleets that each ask for a free port get the same one before either has
