--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -112,7 +112,7 @@
 
         A server that is started again needs its ``port`` of before.
         """
-        arguments = [module, "--port", str(port or self._ports.take()), *options]
+        arguments = [module, "--port", str(port or self._ports.allocate()), *options]
         process = Process(name, arguments, self._path / f"{name}.log")
         self.stand_ins[name] = process
         return process, process.first_line()
@@ -135,7 +135,7 @@
         """
         module = f"tests.standins.{kind}"
         server, server_address = self.start_stand_in(f"{name}-server", module, *options)
-        address = f"127.0.0.1:{self._ports.take()}"
+        address = f"127.0.0.1:{self._ports.allocate()}"
         settings = self._settings(name, "agent", address, data_centre)
         settings["group"] = group
         settings["server"] = {
@@ -224,15 +224,15 @@
         platform: str = "",
     ) -> Entry:
         """Start an entry and list the instance; ``platform`` may name a relay."""
-        address = f"127.0.0.1:{self._ports.take()}"
-        http = f"127.0.0.1:{self._ports.take()}"
+        address = f"127.0.0.1:{self._ports.allocate()}"
+        http = f"127.0.0.1:{self._ports.allocate()}"
         settings = self._settings(name, "entry", address, data_centre)
         settings["http"] = http
         settings["seeds"] = list(seeds)
         settings["entry"] = limits or {}
         if platform:
             settings["platform"] = {"url": f"http://{platform}"}
-        operators = f"127.0.0.1:{self._ports.take()}"
+        operators = f"127.0.0.1:{self._ports.allocate()}"
         settings["operator_http"] = operators
         process = self._start(name, "entry", settings)
         entry = Entry(process, http, address, operators)
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -51,7 +51,7 @@
             return first + 1
         raise RuntimeError("every block of ports is taken")
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Return the next port of the block that is free."""
         while True:
             port, self._next = self._next, self._next + 1
