--- a/tools/features.py
+++ b/tools/features.py
@@ -16,7 +16,7 @@
 
 import click
 
-from tools.processes import environment
+from tools.processes import build_environment
 
 
 _ROOT = Path(__file__).resolve().parent.parent
@@ -51,7 +51,7 @@
         done = subprocess.run(
             command,
             cwd=_ROOT,
-            env=environment(),
+            env=build_environment(),
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -20,7 +20,7 @@
 from tools.processes import START_TIMEOUT_S
 from tools.processes import PortAllocator
 from tools.processes import Process
-from tools.processes import environment
+from tools.processes import build_environment
 from tools.processes import wait_until
 
 
@@ -334,7 +334,7 @@
         return subprocess.run(
             [sys.executable, "-m", "kingcupwheel", *arguments],
             cwd=_ROOT,
-            env=environment(),
+            env=build_environment(),
             capture_output=True,
             text=True,
             timeout=_COMMAND_TIMEOUT_S,
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -77,7 +77,7 @@
         time.sleep(_POLL_S)
 
 
-def environment() -> dict[str, str]:
+def build_environment() -> dict[str, str]:
     """Return the environment in which this checkout's modules are found."""
     return dict(os.environ, PYTHONPATH=f"{_ROOT / 'src'}:{_ROOT}")
 
@@ -92,7 +92,7 @@
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", *arguments],
                 cwd=_ROOT,
-                env=environment(),
+                env=build_environment(),
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=errors,
