--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -30,7 +30,7 @@
     def _run(self) -> None:
         while not self._stopping.wait(_LOOK_S):
             for name, agent in list(self._world.fleet.agents.items()):
-                if not agent.server.alive:
+                if not agent.server.is_alive:
                     self.deaths += 1
                     self._world.fleet.restart_server(name, self._options)
 
--- a/features/world.py
+++ b/features/world.py
@@ -113,7 +113,7 @@
     def _runs(self, kind: str) -> dict[str, int]:
         total: dict[str, int] = {}
         for name, agent in self.fleet.agents.items():
-            if not agent.server.alive:
+            if not agent.server.is_alive:
                 continue
             for key, count in self.fleet.get_run_counts(name)[kind].items():
                 total[key] = total.get(key, 0) + count
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -105,7 +105,7 @@
         return self._popen.pid
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether the process runs, or is paused."""
         return self._popen.poll() is None
 
@@ -128,7 +128,7 @@
 
     def kill(self) -> None:
         """End the process at once (SIGKILL) and wait for that."""
-        if self.alive:
+        if self.is_alive:
             self._popen.kill()
         self._popen.wait(STOP_TIMEOUT_S)
         self._close()
