--- a/tools/processes.py
+++ b/tools/processes.py
@@ -118,7 +118,7 @@
         """Freeze the process (SIGSTOP)."""
         self._popen.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on (SIGCONT)."""
         self._popen.send_signal(signal.SIGCONT)
 
