--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -64,7 +64,7 @@
     """Measure an entry that keeps links to ``links`` stand-ins of agents."""
     with Fleet() as fleet:
         crowd = _crowd(fleet, "agents", str(links))
-        addresses = crowd.first_line().split()
+        addresses = crowd.read_first_line().split()
         entry = fleet.add_entry("entry-1", limits={"subset": links})
         for number, address in enumerate(addresses):
             fleet.register_instance(
@@ -78,7 +78,7 @@
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
         crowd = _crowd(fleet, "entries", str(links), agent.address)
-        crowd.first_line()
+        crowd.read_first_line()
         return _measure(agent.process, crowd, links)
 
 
@@ -112,7 +112,7 @@
 
 
 def _traffic(crowd: Process) -> TrafficCounts:
-    return TrafficCounts(*map(int, crowd.first_line().split()))
+    return TrafficCounts(*map(int, crowd.read_first_line().split()))
 
 
 def _latest(crowd: Process) -> TrafficCounts:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -115,7 +115,7 @@
         arguments = [module, "--port", str(port or self._ports.allocate()), *options]
         process = Process(name, arguments, self._path / f"{name}.log")
         self.stand_ins[name] = process
-        return process, process.first_line()
+        return process, process.read_first_line()
 
     def add_agent(
         self,
@@ -162,8 +162,8 @@
             self._path / f"{name}.log",
         )
         self.stand_ins[name] = process
-        relayed = process.first_line()
-        return process.first_line(), relayed
+        relayed = process.read_first_line()
+        return process.read_first_line(), relayed
 
     def start_ranks(self, ranks: int, experts: int) -> tuple[Process, list[str]]:
         """Start ranks in lock-step; return them and the address of each."""
@@ -172,7 +172,7 @@
             "ranks", ["tests.standins.ranks", *options], self._path / "ranks.log"
         )
         self.stand_ins["ranks"] = process
-        return process, [process.first_line() for _ in range(ranks)]
+        return process, [process.read_first_line() for _ in range(ranks)]
 
     def get_json(self, address: str, path: str) -> Any:
         """Return what a stand-in answers."""
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -109,7 +109,7 @@
         """Whether the process runs, or is paused."""
         return self._popen.poll() is None
 
-    def first_line(self) -> str:
+    def read_first_line(self) -> str:
         """Return the first line printed, which tells a stand-in's address."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline().decode().strip()
