--- a/tools/processes.py
+++ b/tools/processes.py
@@ -87,7 +87,7 @@
 
     def __init__(self, name: str, arguments: Sequence[str], log: Path) -> None:
         self.name = name
-        self.log = log
+        self.log_path = log
         with log.open("ab") as errors:
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", *arguments],
