--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -73,7 +73,7 @@
         rows = [_row(way.name, play(way, per_s)) for way in WAYS]
         title = f"{per_s:.0f} streams a second, a jump each 4.2 s"
         columns = ("", "on time", "pass ms", "skew", "changes", "copies")
-        click.echo(Table(title, columns, rows).markdown())
+        click.echo(Table(title, columns, rows).to_markdown())
 
 
 if __name__ == "__main__":
--- a/tools/tables.py
+++ b/tools/tables.py
@@ -17,7 +17,7 @@
     columns: Sequence[str]
     rows: Sequence[Sequence[str]]
 
-    def markdown(self) -> str:
+    def to_markdown(self) -> str:
         """Return the table under a heading."""
         rule = ["---", *("---:" for _ in self.columns[1:])]
         lines = [self.columns, rule, *self.rows]
