--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -36,7 +36,7 @@
 BYTES_PER_TOKEN = 4
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """What an agent last told: when, attempts, work (tokens) and tokens per second."""
 
     at: float
@@ -46,7 +46,7 @@
     rate: float
 
 
-NO_REPORT = Report(0.0, 0, 0, 0.0, 0.0)
+NO_REPORT = LoadReport(0.0, 0, 0, 0.0, 0.0)
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         self.retries = RetryBudget()
         self.first_token = FirstByteLatencyBound()
         self.predictor = WorkPredictor()
-        self.report_by_server: dict[str, Report] = {}
+        self.report_by_server: dict[str, LoadReport] = {}
         self.attempts_by_server: dict[str, list[Attempt]] = {
             server.name: [] for server in model.servers
         }
@@ -235,7 +235,7 @@
         self.admission.settle(request.organisation, attempt.waiting.work, 0.0, now)
         request.end = "failed"
 
-    def hear(self, server: Server, report: Report) -> None:
+    def hear(self, server: Server, report: LoadReport) -> None:
         """Take an agent's heartbeat."""
         self.report_by_server[server.name] = report
         self.own_at_report[server.name] = len(self.attempts_by_server[server.name])
@@ -250,7 +250,7 @@
                 attempt.is_lost = True
                 self.ended(attempt, now)
 
-    def _report(self, server: Server) -> Report:
+    def _report(self, server: Server) -> LoadReport:
         return self.report_by_server.get(server.name, NO_REPORT)
 
     def _candidates(self, now: float) -> dict[str, Candidate]:
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -19,7 +19,7 @@
 
 from kingcupwheel.plugins.registries import load_builtin_plugins
 from tools.entry_model import Entry
-from tools.entry_model import Report
+from tools.entry_model import LoadReport
 from tools.split_model import Split
 
 
@@ -234,7 +234,7 @@
         for number, server in enumerate(self.servers):
             if server.silent or (step + number * 7) % every:
                 continue
-            report = Report(
+            report = LoadReport(
                 self.now,
                 0 if server.reports_idle else len(server.running),
                 0 if server.reports_idle else len(server.queue),
