--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -40,7 +40,7 @@
     """What an agent last told: when, attempts, work (tokens) and tokens per second."""
 
     reported_at: float
-    running: int
+    running_count: int
     queued: int
     work: float
     rate: float
@@ -266,7 +266,7 @@
 
     def _load(self, server: Server) -> ServerLoad:
         report = self._report(server)
-        held = max(report.running + report.queued, self._own(server))
+        held = max(report.running_count + report.queued, self._own(server))
         return ServerLoad(server.name, held, server.capacity)
 
     def _own(self, server: Server) -> int:
@@ -278,7 +278,7 @@
             server.name,
             server.data_centre,
             server.capacity,
-            report.running,
+            report.running_count,
             report.queued,
             report.work,
             report.rate,
