--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -41,7 +41,7 @@
 
     reported_at: float
     running_count: int
-    queued: int
+    queued_count: int
     work: float
     rate: float
 
@@ -266,7 +266,7 @@
 
     def _load(self, server: Server) -> ServerLoad:
         report = self._report(server)
-        held = max(report.running_count + report.queued, self._own(server))
+        held = max(report.running_count + report.queued_count, self._own(server))
         return ServerLoad(server.name, held, server.capacity)
 
     def _own(self, server: Server) -> int:
@@ -279,7 +279,7 @@
             server.data_centre,
             server.capacity,
             report.running_count,
-            report.queued,
+            report.queued_count,
             report.work,
             report.rate,
             own_in_flight=self._own(server),
