--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -42,7 +42,7 @@
     reported_at: float
     running_count: int
     queued_count: int
-    work: float
+    remaining_tokens: float
     rate: float
 
 
@@ -280,7 +280,7 @@
             server.capacity,
             report.running_count,
             report.queued_count,
-            report.work,
+            report.remaining_tokens,
             report.rate,
             own_in_flight=self._own(server),
             report_age_s=now - report.reported_at,
