--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -43,7 +43,7 @@
     running_count: int
     queued_count: int
     remaining_tokens: float
-    rate: float
+    tokens_per_s: float
 
 
 NO_REPORT = LoadReport(0.0, 0, 0, 0.0, 0.0)
@@ -281,7 +281,7 @@
             report.running_count,
             report.queued_count,
             report.remaining_tokens,
-            report.rate,
+            report.tokens_per_s,
             own_in_flight=self._own(server),
             report_age_s=now - report.reported_at,
             uptime_s=now - server.started_at,
