--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Setup:
+class DecisionOptions:
     """What decides; the defaults are the product's."""
 
     policy: str = "two-choices"
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -29,7 +29,7 @@
 
     from kingcupwheel.decisions.fair_queue import QueuedRequest
     from kingcupwheel.manifest.schema import Allowance
-    from tools.entry_model import Setup
+    from tools.entry_model import DecisionOptions
 
 
 STEP_S = 0.02
@@ -153,7 +153,7 @@
 
     def __init__(
         self,
-        setup: Setup,
+        setup: DecisionOptions,
         servers: Sequence[Server],
         *,
         entries: int,
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from tools.decision_costs import cost_tables
-from tools.entry_model import Setup
+from tools.entry_model import DecisionOptions
 from tools.load_scenarios import SCENARIOS
 from tools.load_scenarios import Outcome
 from tools.load_scenarios import play
@@ -28,12 +28,12 @@
 
 SEEDS = (1, 2)
 SETUP_BY_NAME = {
-    "kingcupwheel": Setup(),
-    "least in flight": Setup(policy="least-in-flight"),
-    "round robin": Setup(policy="round-robin"),
-    "random": Setup(policy="random"),
-    "equal split": Setup(lends=False),
-    "no admission": Setup(admission=False, queue=False),
+    "kingcupwheel": DecisionOptions(),
+    "least in flight": DecisionOptions(policy="least-in-flight"),
+    "round robin": DecisionOptions(policy="round-robin"),
+    "random": DecisionOptions(policy="random"),
+    "equal split": DecisionOptions(lends=False),
+    "no admission": DecisionOptions(admission=False, queue=False),
 }
 COLUMNS = {
     "met": "calls met",
