--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -54,7 +54,7 @@
     """What decides; the defaults are the product's."""
 
     policy: str = "two-choices"
-    admission: bool = True
+    has_admission: bool = True
     queue: bool = True
     health: bool = True
     lends: bool = True
@@ -117,7 +117,7 @@
         work = self.predictor.predict(
             request.organisation, "/", request.prompt * BYTES_PER_TOKEN, None
         )
-        if self.model.setup.admission:
+        if self.model.setup.has_admission:
             decision = self.admission.admit(request.organisation, work, now)
             if isinstance(decision, LimitRefusal):
                 self.refuse(request, decision, now)
