--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -55,7 +55,7 @@
 
     policy: str = "two-choices"
     has_admission: bool = True
-    queue: bool = True
+    has_fair_queue: bool = True
     health: bool = True
     lends: bool = True
     queue_limit: int = 256
@@ -93,7 +93,7 @@
         self.model = model
         self.admission = AdmissionController()
         self.queue = FairQueue(model.setup.queue_limit)
-        if not model.setup.queue:
+        if not model.setup.has_fair_queue:
             self.queue = PlainQueue()  # type: ignore[assignment]
         self.policy = placement_policies.get(model.setup.policy)()
         self.health = GroupHealth()
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -33,7 +33,7 @@
     "round robin": DecisionOptions(policy="round-robin"),
     "random": DecisionOptions(policy="random"),
     "equal split": DecisionOptions(lends=False),
-    "no admission": DecisionOptions(has_admission=False, queue=False),
+    "no admission": DecisionOptions(has_admission=False, has_fair_queue=False),
 }
 COLUMNS = {
     "met": "calls met",
