--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -56,7 +56,7 @@
     policy: str = "two-choices"
     has_admission: bool = True
     has_fair_queue: bool = True
-    health: bool = True
+    has_health_tracking: bool = True
     lends: bool = True
     queue_limit: int = 256
 
@@ -260,7 +260,7 @@
             if now - self._report(server).reported_at <= SILENCE_TIMEOUT_S
         ]
         states = dict.fromkeys((one.name for one in heard), ServerState.HEALTHY)
-        if self.model.setup.health:
+        if self.model.setup.has_health_tracking:
             states = self.health.update_states([self._load(one) for one in heard], now)
         return {one.name: self._candidate(one, now, states[one.name]) for one in heard}
 
