--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -84,7 +84,7 @@
         return []
 
 
-class Entry:
+class ModelEntry:
     """An entry as the decisions see it, with its own view of the servers."""
 
     def __init__(self, name: str, data_centre: str, model: Model) -> None:
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -18,8 +18,8 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.plugins.registries import load_builtin_plugins
-from tools.entry_model import Entry
 from tools.entry_model import LoadReport
+from tools.entry_model import ModelEntry
 from tools.split_model import Split
 
 
@@ -76,7 +76,7 @@
 
     request: Request
     waiting: QueuedRequest
-    entry: Entry
+    entry: ModelEntry
     server: Server
     sent_at: float
     avoid: frozenset[str]
@@ -167,7 +167,7 @@
         self.server_by_name = {server.name: server for server in servers}
         centres = sorted({server.data_centre for server in servers})
         self.entries = [
-            Entry(f"entry-{number}", centres[number % len(centres)], self)
+            ModelEntry(f"entry-{number}", centres[number % len(centres)], self)
             for number in range(entries)
         ]
         self.splits = [
@@ -184,7 +184,7 @@
         self,
         request: Request,
         waiting: QueuedRequest,
-        entry: Entry,
+        entry: ModelEntry,
         server: Server,
         avoid: frozenset[str],
     ) -> Attempt:
