--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -104,7 +104,9 @@
         self.attempts_by_server: dict[str, list[Attempt]] = {
             server.name: [] for server in model.servers
         }
-        self.own_at_report = dict.fromkeys(self.attempts_by_server, 0)
+        self.own_in_flight_at_report_by_server = dict.fromkeys(
+            self.attempts_by_server, 0
+        )
         self.pending: dict[str, tuple[Request, frozenset[str]]] = {}
         self.serial = count()
         self.retry_count = 0
@@ -240,7 +242,9 @@
     def hear(self, server: Server, report: LoadReport) -> None:
         """Take an agent's heartbeat."""
         self.report_by_server[server.name] = report
-        self.own_at_report[server.name] = len(self.attempts_by_server[server.name])
+        self.own_in_flight_at_report_by_server[server.name] = len(
+            self.attempts_by_server[server.name]
+        )
         self.changed = True
 
     def drop_silent(self, now: float) -> None:
@@ -288,5 +292,5 @@
             report_age_s=now - report.reported_at,
             uptime_s=now - server.started_at,
             state=state,
-            own_in_flight_at_report=self.own_at_report[server.name],
+            own_in_flight_at_report=self.own_in_flight_at_report_by_server[server.name],
         )
