--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -107,7 +107,7 @@
         self.own_in_flight_at_report_by_server = dict.fromkeys(
             self.attempts_by_server, 0
         )
-        self.pending: dict[str, tuple[Request, frozenset[str]]] = {}
+        self.pending_by_request_id: dict[str, tuple[Request, frozenset[str]]] = {}
         self.serial = count()
         self.retry_count = 0
         self.changed = True
@@ -148,7 +148,7 @@
             self.admission.settle(request.organisation, waiting.work, 0.0, now)
             self.refuse(request, refused, now)
             return
-        self.pending[waiting.request_id] = (request, avoid)
+        self.pending_by_request_id[waiting.request_id] = (request, avoid)
         self.changed = True
         self.pump(now)
 
@@ -162,7 +162,7 @@
     def pump(self, now: float) -> None:
         """Place what waits while there is room."""
         for late in self.queue.take_expired(now):
-            request, _ = self.pending.pop(late.request_id)
+            request, _ = self.pending_by_request_id.pop(late.request_id)
             self.admission.settle(request.organisation, late.work, 0.0, now)
             request.end = "expired"
             request.refused_after_s = now - request.at
@@ -171,7 +171,7 @@
         self.changed = False
         candidates = self._candidates(now)
         while (waiting := self.queue.peek(now)) is not None:
-            request, avoid = self.pending[waiting.request_id]
+            request, avoid = self.pending_by_request_id[waiting.request_id]
             ask = PlacementRequest(
                 prefix_key=request.prefix,
                 work=waiting.work,
@@ -184,7 +184,7 @@
             if not isinstance(placed, SelectedServer):
                 return
             self.queue.pop(now)
-            del self.pending[waiting.request_id]
+            del self.pending_by_request_id[waiting.request_id]
             server = self.model.server_by_name[placed.server]
             attempt = self.model.attempt(request, waiting, self, server, avoid)
             if not avoid:
