--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -108,7 +108,7 @@
             self.attempts_by_server, 0
         )
         self.pending_by_request_id: dict[str, tuple[Request, frozenset[str]]] = {}
-        self.serial = count()
+        self.request_serial = count()
         self.retry_count = 0
         self.changed = True
         self.share_by_organisation: dict[str, Share] = {}
@@ -125,7 +125,7 @@
                 self.refuse(request, decision, now)
                 return
         waiting = QueuedRequest(
-            f"{self.name}.{next(self.serial)}",
+            f"{self.name}.{next(self.request_serial)}",
             request.organisation,
             5,
             work,
