--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -110,7 +110,7 @@
         self.pending_by_request_id: dict[str, tuple[Request, frozenset[str]]] = {}
         self.request_serial = count()
         self.retry_count = 0
-        self.changed = True
+        self.is_placement_due = True
         self.share_by_organisation: dict[str, Share] = {}
 
     def arrive(self, request: Request, now: float) -> None:
@@ -149,7 +149,7 @@
             self.refuse(request, refused, now)
             return
         self.pending_by_request_id[waiting.request_id] = (request, avoid)
-        self.changed = True
+        self.is_placement_due = True
         self.pump(now)
 
     def refuse(self, request: Request, refused: LimitRefusal, now: float) -> None:
@@ -166,9 +166,9 @@
             self.admission.settle(request.organisation, late.work, 0.0, now)
             request.end = "expired"
             request.refused_after_s = now - request.at
-        if not self.changed or self.queue.peek(now) is None:
+        if not self.is_placement_due or self.queue.peek(now) is None:
             return
-        self.changed = False
+        self.is_placement_due = False
         candidates = self._candidates(now)
         while (waiting := self.queue.peek(now)) is not None:
             request, avoid = self.pending_by_request_id[waiting.request_id]
@@ -200,7 +200,7 @@
         if attempt not in own:
             return
         own.remove(attempt)
-        self.changed = True
+        self.is_placement_due = True
         request = attempt.request
         health = self.health.get(attempt.server.name)
         if attempt.is_lost:
@@ -245,7 +245,7 @@
         self.own_in_flight_at_report_by_server[server.name] = len(
             self.attempts_by_server[server.name]
         )
-        self.changed = True
+        self.is_placement_due = True
 
     def drop_silent(self, now: float) -> None:
         """Give up attempts on servers whose agent has gone silent."""
