--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -113,7 +113,7 @@
         self.is_placement_due = True
         self.share_by_organisation: dict[str, Share] = {}
 
-    def arrive(self, request: Request, now: float) -> None:
+    def admit_request(self, request: Request, now: float) -> None:
         """Admit, queue or refuse a call."""
         request.tries += 1
         work = self.predictor.predict(
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -216,7 +216,7 @@
                     self.returned_at.append(self.now)
                 request.at = self.now
                 split = self._split_by_organisation[request.organisation]
-                split.entry_of(self.random).arrive(request, self.now)
+                split.entry_of(self.random).admit_request(request, self.now)
             for server in self.servers:
                 for attempt in server.advance(self.now):
                     attempt.entry.ended(attempt, self.now)
