--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -122,7 +122,7 @@
         if self.model.setup.has_admission:
             decision = self.admission.admit(request.organisation, work, now)
             if isinstance(decision, LimitRefusal):
-                self.refuse(request, decision, now)
+                self.refuse_request(request, decision, now)
                 return
         waiting = QueuedRequest(
             f"{self.name}.{next(self.request_serial)}",
@@ -146,13 +146,15 @@
         refused = self.queue.push(waiting, now)
         if isinstance(refused, LimitRefusal):
             self.admission.settle(request.organisation, waiting.work, 0.0, now)
-            self.refuse(request, refused, now)
+            self.refuse_request(request, refused, now)
             return
         self.pending_by_request_id[waiting.request_id] = (request, avoid)
         self.is_placement_due = True
         self.pump(now)
 
-    def refuse(self, request: Request, refused: LimitRefusal, now: float) -> None:
+    def refuse_request(
+        self, request: Request, refused: LimitRefusal, now: float
+    ) -> None:
         """Give a call up; its caller may come back when told."""
         request.end = "refused"
         request.refused_after_s = now - request.at
