--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -150,7 +150,7 @@
             return
         self.pending_by_request_id[waiting.request_id] = (request, avoid)
         self.is_placement_due = True
-        self.pump(now)
+        self.place_queued(now)
 
     def refuse_request(
         self, request: Request, refused: LimitRefusal, now: float
@@ -161,7 +161,7 @@
         if request.tries <= request.returns:
             self.model.come_back(request, now + refused.retry_after_s)
 
-    def pump(self, now: float) -> None:
+    def place_queued(self, now: float) -> None:
         """Place what waits while there is room."""
         for late in self.queue.take_expired(now):
             request, _ = self.pending_by_request_id.pop(late.request_id)
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -221,7 +221,7 @@
                 for attempt in server.advance(self.now):
                     attempt.entry.ended(attempt, self.now)
             for entry in self.entries:
-                entry.pump(self.now)
+                entry.place_queued(self.now)
 
     def _is_busy(self) -> bool:
         if self.now > MAX_RUN_S:
