--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -196,7 +196,7 @@
             state = candidates[server.name].state
             candidates[server.name] = self._candidate(server, now, state)
 
-    def ended(self, attempt: Attempt, now: float) -> None:
+    def handle_attempt_end(self, attempt: Attempt, now: float) -> None:
         """Take the end of an attempt."""
         own = self.attempts_by_server[attempt.server.name]
         if attempt not in own:
@@ -256,7 +256,7 @@
                 continue
             for attempt in list(self.attempts_by_server[server.name]):
                 attempt.is_lost = True
-                self.ended(attempt, now)
+                self.handle_attempt_end(attempt, now)
 
     def _report(self, server: Server) -> LoadReport:
         return self.report_by_server.get(server.name, NO_REPORT)
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -219,7 +219,7 @@
                 split.entry_of(self.random).admit_request(request, self.now)
             for server in self.servers:
                 for attempt in server.advance(self.now):
-                    attempt.entry.ended(attempt, self.now)
+                    attempt.entry.handle_attempt_end(attempt, self.now)
             for entry in self.entries:
                 entry.place_queued(self.now)
 
