--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -241,7 +241,7 @@
         self.admission.settle(request.organisation, attempt.waiting.work, 0.0, now)
         request.end = "failed"
 
-    def hear(self, server: Server, report: LoadReport) -> None:
+    def receive_report(self, server: Server, report: LoadReport) -> None:
         """Take an agent's heartbeat."""
         self.report_by_server[server.name] = report
         self.own_in_flight_at_report_by_server[server.name] = len(
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -242,7 +242,7 @@
                 server.tokens_per_s,
             )
             for entry in self.entries:
-                entry.hear(server, report)
+                entry.receive_report(server, report)
         if step % every == 0:
             for entry in self.entries:
                 entry.drop_silent(self.now)
