--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -249,7 +249,7 @@
         )
         self.is_placement_due = True
 
-    def drop_silent(self, now: float) -> None:
+    def fail_silent_attempts(self, now: float) -> None:
         """Give up attempts on servers whose agent has gone silent."""
         for server in self.model.servers:
             if now - self._report(server).reported_at <= SILENCE_TIMEOUT_S:
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -245,7 +245,7 @@
                 entry.receive_report(server, report)
         if step % every == 0:
             for entry in self.entries:
-                entry.drop_silent(self.now)
+                entry.fail_silent_attempts(self.now)
             if self.setup.has_allowance_lending:
                 for split in self.splits:
                     split.adjust(self.now)
