--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -33,7 +33,7 @@
 
 
 MODEL_STEP_S = 0.02
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 MAX_RUN_S = 300.0
 PREFILL_PER_TOKEN = 0.05
 CACHED_PREFIXES = 12
@@ -230,7 +230,7 @@
 
     def _report(self) -> None:
         step = round(self.now / MODEL_STEP_S)
-        every = round(REPORT_S / MODEL_STEP_S)
+        every = round(REPORT_INTERVAL_S / MODEL_STEP_S)
         for number, server in enumerate(self.servers):
             if server.silent or (step + number * 7) % every:
                 continue
