--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -35,7 +35,7 @@
 MODEL_STEP_S = 0.02
 REPORT_INTERVAL_S = 1.0
 MAX_MODEL_TIME_S = 300.0
-PREFILL_PER_TOKEN = 0.05
+PREFILL_STEPS_PER_TOKEN = 0.05
 CACHED_PREFIXES = 12
 
 
@@ -130,7 +130,7 @@
 
     def _start(self, attempt: Attempt, now: float) -> None:
         request = attempt.request
-        prefill = request.prompt * PREFILL_PER_TOKEN
+        prefill = request.prompt * PREFILL_STEPS_PER_TOKEN
         if request.prefix in self.prefixes:
             prefill *= 0.1
         if request.prefix:
