--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -28,7 +28,7 @@
     from kingcupwheel.decisions.allowance_shares import Share
     from tools.load_model import Attempt
     from tools.load_model import Model
-    from tools.load_model import Request
+    from tools.load_model import ModelRequest
     from tools.load_model import Server
 
 
@@ -107,13 +107,13 @@
         self.own_in_flight_at_report_by_server = dict.fromkeys(
             self.attempts_by_server, 0
         )
-        self.pending_by_request_id: dict[str, tuple[Request, frozenset[str]]] = {}
+        self.pending_by_request_id: dict[str, tuple[ModelRequest, frozenset[str]]] = {}
         self.request_serial = count()
         self.retry_count = 0
         self.is_placement_due = True
         self.share_by_organisation: dict[str, Share] = {}
 
-    def admit_request(self, request: Request, now: float) -> None:
+    def admit_request(self, request: ModelRequest, now: float) -> None:
         """Admit, queue or refuse a call."""
         request.tries += 1
         work = self.predictor.predict(
@@ -138,7 +138,7 @@
 
     def _push(
         self,
-        request: Request,
+        request: ModelRequest,
         waiting: QueuedRequest,
         avoid: frozenset[str],
         now: float,
@@ -153,7 +153,7 @@
         self.place_queued(now)
 
     def refuse_request(
-        self, request: Request, refused: LimitRefusal, now: float
+        self, request: ModelRequest, refused: LimitRefusal, now: float
     ) -> None:
         """Give a call up; its caller may come back when told."""
         request.end = "refused"
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Request:
+class ModelRequest:
     """One call; ``deadline_s`` bounds the wait for the first token."""
 
     at: float
@@ -74,7 +74,7 @@
 class Attempt:
     """One run of a request on a server."""
 
-    request: Request
+    request: ModelRequest
     waiting: QueuedRequest
     entry: ModelEntry
     server: Server
@@ -177,12 +177,12 @@
         self._split_by_organisation = {one.organisation: one for one in self.splits}
         self.now = 0.0
         self.returned_at: list[float] = []
-        self._coming: list[tuple[float, int, Request]] = []
+        self._coming: list[tuple[float, int, ModelRequest]] = []
         self._serial = count()
 
     def attempt(
         self,
-        request: Request,
+        request: ModelRequest,
         waiting: QueuedRequest,
         entry: ModelEntry,
         server: Server,
@@ -191,13 +191,13 @@
         """Return a new attempt that starts now."""
         return Attempt(request, waiting, entry, server, self.now, avoid)
 
-    def come_back(self, request: Request, at: float) -> None:
+    def come_back(self, request: ModelRequest, at: float) -> None:
         """Let a refused caller call again at ``at``."""
         heappush(self._coming, (at, next(self._serial), request))
 
     def run(
         self,
-        requests: Sequence[Request],
+        requests: Sequence[ModelRequest],
         until_s: float,
         events: Sequence[tuple[float, Callable[[Model], None]]] = (),
     ) -> None:
