--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -43,7 +43,7 @@
 class ModelRequest:
     """One call; ``deadline_s`` bounds the wait for the first token."""
 
-    at: float
+    arrived_at: float
     organisation: str
     prompt: int
     answer: int
@@ -67,7 +67,7 @@
         """Whether it was answered whole, and its first token came in time."""
         if self.end != "answered" or self.first_at is None:
             return False
-        return self.first_at <= self.at + self.deadline_s
+        return self.first_at <= self.arrived_at + self.deadline_s
 
 
 @dataclass(eq=False)
@@ -203,7 +203,7 @@
     ) -> None:
         """Advance to ``until_s``; ``events`` change the servers at their times."""
         for request in requests:
-            heappush(self._coming, (request.at, next(self._serial), request))
+            heappush(self._coming, (request.arrived_at, next(self._serial), request))
         due = sorted(events, key=lambda event: event[0])
         while self.now < until_s or self._is_busy():
             self.now += MODEL_STEP_S
@@ -214,7 +214,7 @@
                 _, _, request = heappop(self._coming)
                 if request.tries:
                     self.returned_at.append(self.now)
-                request.at = self.now
+                request.arrived_at = self.now
                 split = self._split_by_organisation[request.organisation]
                 split.entry_of(self.random).admit_request(request, self.now)
             for server in self.servers:
