--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -45,7 +45,7 @@
 
     arrived_at: float
     organisation: str
-    prompt: int
+    prompt_tokens: int
     answer: int
     deadline_s: float = 3.0
     prefix: str = ""
@@ -60,7 +60,7 @@
     @property
     def work(self) -> int:
         """Tokens of prompt and answer."""
-        return self.prompt + self.answer
+        return self.prompt_tokens + self.answer
 
     @property
     def met(self) -> bool:
@@ -130,7 +130,7 @@
 
     def _start(self, attempt: Attempt, now: float) -> None:
         request = attempt.request
-        prefill = request.prompt * PREFILL_STEPS_PER_TOKEN
+        prefill = request.prompt_tokens * PREFILL_STEPS_PER_TOKEN
         if request.prefix in self.prefixes:
             prefill *= 0.1
         if request.prefix:
