--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -216,13 +216,13 @@
         self.first_token_bound.record(
             begun_at - attempt.sent_at, request.prompt_tokens, begun_at
         )
-        request.gap_s = (now - begun_at) / request.answer
-        health.record_success((now - attempt.sent_at) / request.answer, now)
+        request.gap_s = (now - begun_at) / request.answer_tokens
+        health.record_success((now - attempt.sent_at) / request.answer_tokens, now)
         self.predictor.record_answer(
             request.organisation,
             "/",
             request.prompt_tokens,
-            request.answer,
+            request.answer_tokens,
             body_bytes=request.prompt_tokens * BYTES_PER_TOKEN,
         )
         self.admission.settle(
