--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -50,7 +50,7 @@
     deadline_s: float = 3.0
     prefix: str = ""
     max_caller_retries: int = 0
-    tries: int = 0
+    arrival_count: int = 0
     first_at: float | None = None
     end: str = "open"
     refused_after_s: float = 0.0
@@ -212,7 +212,7 @@
             self._report()
             while self._coming and self._coming[0][0] <= self.now:
                 _, _, request = heappop(self._coming)
-                if request.tries:
+                if request.arrival_count:
                     self.returned_at.append(self.now)
                 request.arrived_at = self.now
                 split = self._split_by_organisation[request.organisation]
