--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -156,7 +156,7 @@
         self, request: ModelRequest, refused: LimitRefusal, now: float
     ) -> None:
         """Give a call up; its caller may come back when told."""
-        request.end = "refused"
+        request.outcome = "refused"
         request.refused_after_s = now - request.arrived_at
         if request.arrival_count <= request.max_caller_retries:
             self.model.come_back(request, now + refused.retry_after_s)
@@ -166,7 +166,7 @@
         for late in self.queue.take_expired(now):
             request, _ = self.pending_by_request_id.pop(late.request_id)
             self.admission.settle(request.organisation, late.work, 0.0, now)
-            request.end = "expired"
+            request.outcome = "expired"
             request.refused_after_s = now - request.arrived_at
         if not self.is_placement_due or self.queue.peek(now) is None:
             return
@@ -209,7 +209,7 @@
             health.record_failure(now)
             self._retry(attempt, now)
             return
-        request.end = "answered"
+        request.outcome = "answered"
         request.server = attempt.server.name
         request.first_at = attempt.first_at
         begun_at = attempt.first_at or now
@@ -239,7 +239,7 @@
             self._push(request, again, avoid, now)
             return
         self.admission.settle(request.organisation, attempt.waiting.work, 0.0, now)
-        request.end = "failed"
+        request.outcome = "failed"
 
     def receive_report(self, server: Server, report: LoadReport) -> None:
         """Take an agent's heartbeat."""
