--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -216,7 +216,7 @@
         self.first_token_bound.record(
             begun_at - attempt.sent_at, request.prompt_tokens, begun_at
         )
-        request.gap_s = (now - begun_at) / request.answer_tokens
+        request.token_gap_s = (now - begun_at) / request.answer_tokens
         health.record_success((now - attempt.sent_at) / request.answer_tokens, now)
         self.predictor.record_answer(
             request.organisation,
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -54,7 +54,7 @@
     first_at: float | None = None
     outcome: str = "open"
     refused_after_s: float = 0.0
-    gap_s: float = 0.0
+    token_gap_s: float = 0.0
     server: str = ""
 
     @property
