--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -226,7 +226,7 @@
             body_bytes=request.prompt_tokens * BYTES_PER_TOKEN,
         )
         self.admission.settle(
-            request.organisation, attempt.waiting.work, request.work, now
+            request.organisation, attempt.queued_request.work, request.work, now
         )
 
     def _retry(self, attempt: Attempt, now: float) -> None:
@@ -235,10 +235,12 @@
         if not has_begun and not attempt.avoid and self.retry_budget.try_acquire(now):
             self.retry_count += 1
             avoid = attempt.avoid | {attempt.server.name}
-            again = attempt.waiting._replace(queued_at=now)
+            again = attempt.queued_request._replace(queued_at=now)
             self._push(request, again, avoid, now)
             return
-        self.admission.settle(request.organisation, attempt.waiting.work, 0.0, now)
+        self.admission.settle(
+            request.organisation, attempt.queued_request.work, 0.0, now
+        )
         request.outcome = "failed"
 
     def receive_report(self, server: Server, report: LoadReport) -> None:
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -75,7 +75,7 @@
     """One run of a request on a server."""
 
     request: ModelRequest
-    waiting: QueuedRequest
+    queued_request: QueuedRequest
     entry: ModelEntry
     server: Server
     sent_at: float
