--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -29,7 +29,7 @@
     from tools.load_model import Attempt
     from tools.load_model import Model
     from tools.load_model import ModelRequest
-    from tools.load_model import Server
+    from tools.load_model import ModelServer
 
 
 SILENCE_TIMEOUT_S = 3.0
@@ -247,7 +247,7 @@
         )
         request.outcome = "failed"
 
-    def receive_report(self, server: Server, report: LoadReport) -> None:
+    def receive_report(self, server: ModelServer, report: LoadReport) -> None:
         """Take an agent's heartbeat."""
         self.report_by_server[server.name] = report
         self.own_in_flight_at_report_by_server[server.name] = len(
@@ -264,7 +264,7 @@
                 attempt.is_lost = True
                 self.handle_attempt_end(attempt, now)
 
-    def _report(self, server: Server) -> LoadReport:
+    def _report(self, server: ModelServer) -> LoadReport:
         return self.report_by_server.get(server.name, NO_REPORT)
 
     def _candidates(self, now: float) -> dict[str, Candidate]:
@@ -278,15 +278,17 @@
             states = self.health.update_states([self._load(one) for one in heard], now)
         return {one.name: self._candidate(one, now, states[one.name]) for one in heard}
 
-    def _load(self, server: Server) -> ServerLoad:
+    def _load(self, server: ModelServer) -> ServerLoad:
         report = self._report(server)
         held = max(report.running_count + report.queued_count, self._own(server))
         return ServerLoad(server.name, held, server.capacity)
 
-    def _own(self, server: Server) -> int:
+    def _own(self, server: ModelServer) -> int:
         return len(self.attempts_by_server[server.name])
 
-    def _candidate(self, server: Server, now: float, state: ServerState) -> Candidate:
+    def _candidate(
+        self, server: ModelServer, now: float, state: ServerState
+    ) -> Candidate:
         report = self._report(server)
         return Candidate(
             server.name,
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -77,7 +77,7 @@
     request: ModelRequest
     queued_request: QueuedRequest
     entry: ModelEntry
-    server: Server
+    server: ModelServer
     sent_at: float
     excluded_servers: frozenset[str]
     first_at: float | None = None
@@ -85,7 +85,7 @@
 
 
 @dataclass(eq=False)
-class Server:
+class ModelServer:
     """A model engine; ``factor`` above 1 makes it slow."""
 
     name: str
@@ -154,7 +154,7 @@
     def __init__(
         self,
         setup: DecisionOptions,
-        servers: Sequence[Server],
+        servers: Sequence[ModelServer],
         *,
         entries: int,
         seed: int,
@@ -185,7 +185,7 @@
         request: ModelRequest,
         waiting: QueuedRequest,
         entry: ModelEntry,
-        server: Server,
+        server: ModelServer,
         avoid: frozenset[str],
     ) -> Attempt:
         """Return a new attempt that starts now."""
--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -11,7 +11,7 @@
 from kingcupwheel.manifest.schema import Allowance
 from tools.load_model import Model
 from tools.load_model import ModelRequest
-from tools.load_model import Server
+from tools.load_model import ModelServer
 
 
 if TYPE_CHECKING:
@@ -84,10 +84,10 @@
     retries: int
 
 
-def build_servers(count: int = SERVERS) -> list[Server]:
+def build_servers(count: int = SERVERS) -> list[ModelServer]:
     """Return servers spread over three data centres."""
     return [
-        Server(f"server-{number}", f"dc-{number % 3}", CAPACITY)
+        ModelServer(f"server-{number}", f"dc-{number % 3}", CAPACITY)
         for number in range(count)
     ]
 
