--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -91,7 +91,7 @@
     name: str
     data_centre: str
     capacity: int = 16
-    factor: float = 1.0
+    slowdown_factor: float = 1.0
     fails: bool = False
     silent: bool = False
     reports_idle: bool = False
@@ -106,7 +106,7 @@
     @property
     def step_s(self) -> float:
         """Duration of one engine step at the present batch."""
-        return (0.010 + 0.001 * len(self.running)) * self.factor
+        return (0.010 + 0.001 * len(self.running)) * self.slowdown_factor
 
     def advance(self, now: float) -> list[Attempt]:
         """Run for one model step; return what ended."""
--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -224,7 +224,7 @@
 
 
 def _set_slow(model: Model) -> None:
-    model.servers[0].factor = 4.0
+    model.servers[0].slowdown_factor = 4.0
 
 
 def _set_reporting_idle(model: Model) -> None:
