--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -92,7 +92,7 @@
     data_centre: str
     capacity: int = 16
     slowdown_factor: float = 1.0
-    fails: bool = False
+    is_failing: bool = False
     silent: bool = False
     reports_idle: bool = False
     started_at: float = -1000.0
@@ -112,7 +112,7 @@
         """Run for one model step; return what ended."""
         if self.silent:
             return []
-        if self.fails:
+        if self.is_failing:
             lost = [*self.queue, *(attempt for _, _, attempt in self.running)]
             for attempt in lost:
                 attempt.is_lost = True
--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -232,17 +232,17 @@
 
 
 def _set_failing(model: Model) -> None:
-    model.servers[0].fails = True
+    model.servers[0].is_failing = True
 
 
 def _set_failing_many(model: Model) -> None:
     for server in model.servers[:10]:
-        server.fails = True
+        server.is_failing = True
 
 
 def _mend(model: Model) -> None:
     for server in model.servers:
-        server.fails = False
+        server.is_failing = False
 
 
 SCENARIOS = (
