--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -94,7 +94,7 @@
     slowdown_factor: float = 1.0
     is_failing: bool = False
     is_silent: bool = False
-    reports_idle: bool = False
+    is_reporting_idle: bool = False
     started_at: float = -1000.0
     running: list[tuple[float, int, Attempt]] = field(default_factory=list)
     queue: deque[Attempt] = field(default_factory=deque)
@@ -236,9 +236,9 @@
                 continue
             report = LoadReport(
                 self.now,
-                0 if server.reports_idle else len(server.running),
-                0 if server.reports_idle else len(server.queue),
-                0.0 if server.reports_idle else server.work(),
+                0 if server.is_reporting_idle else len(server.running),
+                0 if server.is_reporting_idle else len(server.queue),
+                0.0 if server.is_reporting_idle else server.work(),
                 server.tokens_per_s,
             )
             for entry in self.entries:
--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -228,7 +228,7 @@
 
 
 def _set_reporting_idle(model: Model) -> None:
-    model.servers[0].reports_idle = True
+    model.servers[0].is_reporting_idle = True
 
 
 def _set_failing(model: Model) -> None:
