--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -100,7 +100,7 @@
     queue: deque[Attempt] = field(default_factory=deque)
     elapsed_steps: float = 0.0
     cached_prefixes: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    serial: count[int] = field(default_factory=count)
+    attempt_serial: count[int] = field(default_factory=count)
     tokens_per_s: float = 0.0
 
     @property
@@ -140,7 +140,7 @@
                 self.cached_prefixes.popitem(last=False)
         attempt.first_at = now + (prefill + 1) * self.step_s
         end = self.elapsed_steps + prefill + request.answer_tokens
-        heappush(self.running, (end, next(self.serial), attempt))
+        heappush(self.running, (end, next(self.attempt_serial), attempt))
 
     def work(self) -> float:
         """Tokens still to come."""
