--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -142,7 +142,7 @@
         end = self.elapsed_steps + prefill + request.answer_tokens
         heappush(self.running, (end, next(self.attempt_serial), attempt))
 
-    def work(self) -> float:
+    def count_remaining_tokens(self) -> float:
         """Tokens still to come."""
         left = sum(end - self.elapsed_steps for end, _, _ in self.running)
         return left + sum(attempt.request.answer_tokens for attempt in self.queue)
@@ -238,7 +238,7 @@
                 self.now,
                 0 if server.is_reporting_idle else len(server.running),
                 0 if server.is_reporting_idle else len(server.queue),
-                0.0 if server.is_reporting_idle else server.work(),
+                0.0 if server.is_reporting_idle else server.count_remaining_tokens(),
                 server.tokens_per_s,
             )
             for entry in self.entries:
