--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.decisions.allowance_shares import Share
     from tools.load_model import Attempt
-    from tools.load_model import Model
+    from tools.load_model import LoadModel
     from tools.load_model import ModelRequest
     from tools.load_model import ModelServer
 
@@ -87,7 +87,7 @@
 class ModelEntry:
     """An entry as the decisions see it, with its own view of the servers."""
 
-    def __init__(self, name: str, data_centre: str, model: Model) -> None:
+    def __init__(self, name: str, data_centre: str, model: LoadModel) -> None:
         self.name = name
         self.data_centre = data_centre
         self.model = model
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -148,7 +148,7 @@
         return left + sum(attempt.request.answer_tokens for attempt in self.queue)
 
 
-class Model:
+class LoadModel:
     """Servers, entries and callers, advanced together by ``run``."""
 
     def __init__(
@@ -199,7 +199,7 @@
         self,
         requests: Sequence[ModelRequest],
         until_s: float,
-        events: Sequence[tuple[float, Callable[[Model], None]]] = (),
+        events: Sequence[tuple[float, Callable[[LoadModel], None]]] = (),
     ) -> None:
         """Advance to ``until_s``; ``events`` change the servers at their times."""
         for request in requests:
--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.manifest.schema import Allowance
-from tools.load_model import Model
+from tools.load_model import LoadModel
 from tools.load_model import ModelRequest
 from tools.load_model import ModelServer
 
@@ -20,7 +20,7 @@
 
     from tools.entry_model import DecisionOptions
 
-    Event = tuple[float, Callable[[Model], None]]
+    Event = tuple[float, Callable[[LoadModel], None]]
 
 
 SERVERS = 16
@@ -134,9 +134,9 @@
 
 def run(
     scenario: Scenario, setup: DecisionOptions, seed: int = 1
-) -> tuple[list[ModelRequest], Model]:
+) -> tuple[list[ModelRequest], LoadModel]:
     """Run a scenario to its last answer and return its calls."""
-    model = Model(
+    model = LoadModel(
         setup,
         build_servers(),
         entries=scenario.entries,
@@ -153,7 +153,7 @@
     return judge(*run(scenario, setup, seed))
 
 
-def judge(requests: Sequence[ModelRequest], model: Model) -> Outcome:
+def judge(requests: Sequence[ModelRequest], model: LoadModel) -> Outcome:
     """Sum up what callers got."""
     answered = [one for one in requests if one.outcome == "answered"]
     ends = Counter(one.outcome for one in requests)
@@ -210,8 +210,8 @@
     return request.outcome != "refused" or request.refused_after_s > 0.1
 
 
-def _set_silent(data_centre: str, *, silent: bool) -> Callable[[Model], None]:
-    def change(model: Model) -> None:
+def _set_silent(data_centre: str, *, silent: bool) -> Callable[[LoadModel], None]:
+    def change(model: LoadModel) -> None:
         for server in model.servers:
             if server.data_centre == data_centre:
                 server.is_silent = silent
@@ -223,24 +223,24 @@
     return change
 
 
-def _set_slow(model: Model) -> None:
+def _set_slow(model: LoadModel) -> None:
     model.servers[0].slowdown_factor = 4.0
 
 
-def _set_reporting_idle(model: Model) -> None:
+def _set_reporting_idle(model: LoadModel) -> None:
     model.servers[0].is_reporting_idle = True
 
 
-def _set_failing(model: Model) -> None:
+def _set_failing(model: LoadModel) -> None:
     model.servers[0].is_failing = True
 
 
-def _set_failing_many(model: Model) -> None:
+def _set_failing_many(model: LoadModel) -> None:
     for server in model.servers[:10]:
         server.is_failing = True
 
 
-def _mend(model: Model) -> None:
+def _mend(model: LoadModel) -> None:
     for server in model.servers:
         server.is_failing = False
 
