--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -188,7 +188,7 @@
             self.queue.pop(now)
             del self.pending_by_request_id[waiting.request_id]
             server = self.model.server_by_name[placed.server]
-            attempt = self.model.attempt(request, waiting, self, server, avoid)
+            attempt = self.model.create_attempt(request, waiting, self, server, avoid)
             if not avoid:
                 self.retry_budget.record_first_attempt(now)
             self.attempts_by_server[server.name].append(attempt)
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -180,7 +180,7 @@
         self._coming: list[tuple[float, int, ModelRequest]] = []
         self._serial = count()
 
-    def attempt(
+    def create_attempt(
         self,
         request: ModelRequest,
         waiting: QueuedRequest,
