--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -34,7 +34,7 @@
 ANSWER_TOKENS = 270
 
 
-class Lengths(NamedTuple):
+class AnswerLengths(NamedTuple):
     """Mean tokens of an answer: ``long_part`` of the requests have ``long`` ones."""
 
     short: int = ANSWER_TOKENS
@@ -54,7 +54,7 @@
     load: float
     flood: float = 0.1
     burst_factor: float = 1.0
-    lengths: Lengths = Lengths()
+    lengths: AnswerLengths = AnswerLengths()
     prefixes: int = 0
     returns: int = 0
     deadline_s: float = 3.0
@@ -256,7 +256,9 @@
         0.7,
         events=((10.0, _set_reporting_idle),),
     ),
-    Scenario("long and short mixed, 80% load", 0.8, lengths=Lengths(80, 2000, 0.1)),
+    Scenario(
+        "long and short mixed, 80% load", 0.8, lengths=AnswerLengths(80, 2000, 0.1)
+    ),
     Scenario("saturation, 150% load", 1.5, returns=2),
     Scenario("saturation, 150% load, 30 s patience", 1.5, returns=2, deadline_s=30.0),
     Scenario(
