--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -37,7 +37,7 @@
 class AnswerLengths(NamedTuple):
     """Mean tokens of an answer: ``long_part`` of the requests have ``long`` ones."""
 
-    short: int = ANSWER_TOKENS
+    short_tokens: int = ANSWER_TOKENS
     long: int = ANSWER_TOKENS
     long_part: float = 0.0
 
@@ -96,7 +96,9 @@
     """Return calls with exponential gaps and lengths of up to four times the mean."""
     draw = Random(seed)
     lengths = scenario.lengths
-    mean = lengths.short + (lengths.long - lengths.short) * lengths.long_part
+    mean = (
+        lengths.short_tokens + (lengths.long - lengths.short_tokens) * lengths.long_part
+    )
     rate = scenario.load * REQUESTS_PER_S * (ANSWER_TOKENS + 20) / (mean + 20)
     requests = []
     at = 2.0
@@ -106,7 +108,7 @@
         flooding = draw.random() < scenario.flood
         organisation = FLOODING if flooding else draw.choice(ORGANISATIONS[1:])
         is_long = draw.random() < lengths.long_part
-        answer = lengths.long if is_long else lengths.short
+        answer = lengths.long if is_long else lengths.short_tokens
         prefix = f"{int(scenario.prefixes * draw.random() ** 2)}"
         requests.append(
             ModelRequest(
