--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -38,7 +38,7 @@
     """Mean tokens of an answer: ``long_part`` of the requests have ``long`` ones."""
 
     short_tokens: int = ANSWER_TOKENS
-    long: int = ANSWER_TOKENS
+    long_tokens: int = ANSWER_TOKENS
     long_part: float = 0.0
 
 
@@ -97,7 +97,8 @@
     draw = Random(seed)
     lengths = scenario.lengths
     mean = (
-        lengths.short_tokens + (lengths.long - lengths.short_tokens) * lengths.long_part
+        lengths.short_tokens
+        + (lengths.long_tokens - lengths.short_tokens) * lengths.long_part
     )
     rate = scenario.load * REQUESTS_PER_S * (ANSWER_TOKENS + 20) / (mean + 20)
     requests = []
@@ -108,7 +109,7 @@
         flooding = draw.random() < scenario.flood
         organisation = FLOODING if flooding else draw.choice(ORGANISATIONS[1:])
         is_long = draw.random() < lengths.long_part
-        answer = lengths.long if is_long else lengths.short_tokens
+        answer = lengths.long_tokens if is_long else lengths.short_tokens
         prefix = f"{int(scenario.prefixes * draw.random() ** 2)}"
         requests.append(
             ModelRequest(
