--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -39,7 +39,7 @@
 
     short_tokens: int = ANSWER_TOKENS
     long_tokens: int = ANSWER_TOKENS
-    long_part: float = 0.0
+    long_fraction: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -98,7 +98,7 @@
     lengths = scenario.lengths
     mean = (
         lengths.short_tokens
-        + (lengths.long_tokens - lengths.short_tokens) * lengths.long_part
+        + (lengths.long_tokens - lengths.short_tokens) * lengths.long_fraction
     )
     rate = scenario.load * REQUESTS_PER_S * (ANSWER_TOKENS + 20) / (mean + 20)
     requests = []
@@ -108,7 +108,7 @@
         at += draw.expovariate(rate * (scenario.burst_factor if bursting else 1.0))
         flooding = draw.random() < scenario.flood
         organisation = FLOODING if flooding else draw.choice(ORGANISATIONS[1:])
-        is_long = draw.random() < lengths.long_part
+        is_long = draw.random() < lengths.long_fraction
         answer = lengths.long_tokens if is_long else lengths.short_tokens
         prefix = f"{int(scenario.prefixes * draw.random() ** 2)}"
         requests.append(
