--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -51,7 +51,7 @@
     """
 
     name: str
-    load: float
+    load_fraction: float
     flood: float = 0.1
     burst_factor: float = 1.0
     lengths: AnswerLengths = AnswerLengths()
@@ -100,7 +100,7 @@
         lengths.short_tokens
         + (lengths.long_tokens - lengths.short_tokens) * lengths.long_fraction
     )
-    rate = scenario.load * REQUESTS_PER_S * (ANSWER_TOKENS + 20) / (mean + 20)
+    rate = scenario.load_fraction * REQUESTS_PER_S * (ANSWER_TOKENS + 20) / (mean + 20)
     requests = []
     at = 2.0
     while at < DURATION_S:
