--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -52,7 +52,7 @@
 
     name: str
     load_fraction: float
-    flood: float = 0.1
+    flood_fraction: float = 0.1
     burst_factor: float = 1.0
     lengths: AnswerLengths = AnswerLengths()
     prefixes: int = 0
@@ -106,7 +106,7 @@
     while at < DURATION_S:
         bursting = at % 15.0 > 12.0
         at += draw.expovariate(rate * (scenario.burst_factor if bursting else 1.0))
-        flooding = draw.random() < scenario.flood
+        flooding = draw.random() < scenario.flood_fraction
         organisation = FLOODING if flooding else draw.choice(ORGANISATIONS[1:])
         is_long = draw.random() < lengths.long_fraction
         answer = lengths.long_tokens if is_long else lengths.short_tokens
@@ -252,7 +252,7 @@
     Scenario("steady, 70% load", 0.7),
     Scenario("steady, 70% load, 28 entries", 0.7, entries=28),
     Scenario("bursts, 50% load, 4x for 3 s", 0.5, burst_factor=4.0),
-    Scenario("one floods, 130% load", 1.3, flood=0.6),
+    Scenario("one floods, 130% load", 1.3, flood_fraction=0.6),
     Scenario("one slow server (4x), 70% load", 0.7, events=((10.0, _set_slow),)),
     Scenario(
         "one server always reports idle, 70% load",
