--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -55,7 +55,7 @@
     flood_fraction: float = 0.1
     burst_factor: float = 1.0
     lengths: AnswerLengths = AnswerLengths()
-    prefixes: int = 0
+    prefix_count: int = 0
     returns: int = 0
     deadline_s: float = 3.0
     entries: int = 7
@@ -110,7 +110,7 @@
         organisation = FLOODING if flooding else draw.choice(ORGANISATIONS[1:])
         is_long = draw.random() < lengths.long_fraction
         answer = lengths.long_tokens if is_long else lengths.short_tokens
-        prefix = f"{int(scenario.prefixes * draw.random() ** 2)}"
+        prefix = f"{int(scenario.prefix_count * draw.random() ** 2)}"
         requests.append(
             ModelRequest(
                 at,
@@ -118,7 +118,7 @@
                 1 + int(draw.expovariate(1 / PROMPT_TOKENS)),
                 1 + min(4 * answer, int(draw.expovariate(1 / answer))),
                 scenario.deadline_s,
-                prefix if scenario.prefixes else "",
+                prefix if scenario.prefix_count else "",
                 scenario.returns,
             )
         )
@@ -278,5 +278,5 @@
         0.3,
         events=((20.0, _set_failing_many), (30.0, _mend)),
     ),
-    Scenario("40 prefixes, 70% load", 0.7, prefixes=40),
+    Scenario("40 prefixes, 70% load", 0.7, prefix_count=40),
 )
