--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -58,7 +58,7 @@
     prefix_count: int = 0
     max_caller_retries: int = 0
     deadline_s: float = 3.0
-    entries: int = 7
+    entry_count: int = 7
     events: tuple[Event, ...] = ()
 
 
@@ -142,7 +142,7 @@
     model = LoadModel(
         setup,
         build_servers(),
-        entries=scenario.entries,
+        entries=scenario.entry_count,
         seed=seed,
         allowance_by_organisation=allowances(),
     )
@@ -250,7 +250,7 @@
 
 SCENARIOS = (
     Scenario("steady, 70% load", 0.7),
-    Scenario("steady, 70% load, 28 entries", 0.7, entries=28),
+    Scenario("steady, 70% load, 28 entries", 0.7, entry_count=28),
     Scenario("bursts, 50% load, 4x for 3 s", 0.5, burst_factor=4.0),
     Scenario("one floods, 130% load", 1.3, flood_fraction=0.6),
     Scenario("one slow server (4x), 70% load", 0.7, events=((10.0, _set_slow),)),
