--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -76,7 +76,7 @@
     on_time_fraction: float
     others_on_time_fraction: float
     goodput_tokens_per_s: float
-    fairness: float
+    fairness_index: float
     first_p95_s: float
     gap_p95_ms: float
     refused: float
