--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -79,7 +79,7 @@
     fairness_index: float
     first_p95_s: float
     gap_p95_ms: float
-    refused: float
+    refused_fraction: float
     told_late: float
     retries: int
 
