--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -169,7 +169,7 @@
         _share_met(requests),
         _share_met(others),
         sum(one.work for one in requests if one.is_on_time) / DURATION_S,
-        fairness(requests),
+        compute_fairness_index(requests),
         percentile([(one.first_at or 0.0) - one.arrived_at for one in answered], 0.95),
         1000 * percentile([one.token_gap_s for one in answered], 0.95),
         ends["refused"] / len(requests),
@@ -178,7 +178,7 @@
     )
 
 
-def fairness(requests: Sequence[ModelRequest]) -> float:
+def compute_fairness_index(requests: Sequence[ModelRequest]) -> float:
     """Return Jain's index of work met over each organisation's max-min fair part."""
     wanted: Counter[str] = Counter()
     met: Counter[str] = Counter()
