--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -19,7 +19,7 @@
     from tools.entry_model import ModelEntry
 
 
-HEARTBEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 # Callers keep an address: most of an organisation's calls reach one of its entries.
 FIRST_ENTRY_FRACTION = 0.7
 
@@ -52,7 +52,7 @@
                 entry.admission.get_demand(self.organisation, now),
                 entry.share_by_organisation[self.organisation].held,
                 entry.share_by_organisation[self.organisation].wants_more,
-                HEARTBEAT_S,
+                HEARTBEAT_INTERVAL_S,
             )
             for entry in self.entries
         }
