--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -216,7 +216,7 @@
                     self.caller_retry_times.append(self.now)
                 request.arrived_at = self.now
                 split = self._split_by_organisation[request.organisation]
-                split.entry_of(self.random).admit_request(request, self.now)
+                split.choose_entry(self.random).admit_request(request, self.now)
             for server in self.servers:
                 for attempt in server.advance(self.now):
                     attempt.entry.handle_attempt_end(attempt, self.now)
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -39,7 +39,7 @@
         for entry in self.entries:
             self._hold(entry, Share(1.0 / len(self.entries)))
 
-    def entry_of(self, draw: Random) -> ModelEntry:
+    def choose_entry(self, draw: Random) -> ModelEntry:
         """Return the entry that a call reaches."""
         if draw.random() < FIRST_ENTRY_FRACTION:
             return self.entries[0]
