--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -248,4 +248,4 @@
                 entry.fail_silent_attempts(self.now)
             if self.setup.has_allowance_lending:
                 for split in self.splits:
-                    split.adjust(self.now)
+                    split.exchange_heartbeats(self.now)
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -45,7 +45,7 @@
             return self.entries[0]
         return draw.choice(self.entries)
 
-    def adjust(self, now: float) -> None:
+    def exchange_heartbeats(self, now: float) -> None:
         """Exchange a heartbeat between all entries of the set."""
         told = {
             entry.name: PeerShare(
