--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -12,7 +12,7 @@
 from tools.tables import Table
 
 
-ENTRIES = 370
+ENTRY_COUNT = 370
 SERVERS = 1_000
 SIZE = 24
 DEPARTURES = 4
@@ -44,13 +44,13 @@
         "new links when an entry leaves",
         "new links when a server leaves",
     )
-    title = f"Subsets of {SIZE}: {ENTRIES} entries before {SERVERS} servers"
+    title = f"Subsets of {SIZE}: {ENTRY_COUNT} entries before {SERVERS} servers"
     return Table(title, columns, rows)
 
 
 def _row(data_centres: int) -> tuple[str, ...]:
     fleet = Fleet(
-        _instances("entry", ENTRIES, data_centres),
+        _instances("entry", ENTRY_COUNT, data_centres),
         _instances("server", SERVERS, data_centres),
     )
     before = fleet.subsets()
