--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -13,7 +13,7 @@
 
 
 ENTRY_COUNT = 370
-SERVERS = 1_000
+SERVER_COUNT = 1_000
 SIZE = 24
 DEPARTURES = 4
 DATA_CENTRES = (1, 8)
@@ -44,14 +44,14 @@
         "new links when an entry leaves",
         "new links when a server leaves",
     )
-    title = f"Subsets of {SIZE}: {ENTRY_COUNT} entries before {SERVERS} servers"
+    title = f"Subsets of {SIZE}: {ENTRY_COUNT} entries before {SERVER_COUNT} servers"
     return Table(title, columns, rows)
 
 
 def _row(data_centres: int) -> tuple[str, ...]:
     fleet = Fleet(
         _instances("entry", ENTRY_COUNT, data_centres),
-        _instances("server", SERVERS, data_centres),
+        _instances("server", SERVER_COUNT, data_centres),
     )
     before = fleet.subsets()
     count_by_server = Counter(name for names in before.values() for name in names)
