--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -14,7 +14,7 @@
 
 ENTRY_COUNT = 370
 SERVER_COUNT = 1_000
-SIZE = 24
+SUBSET_SIZE = 24
 DEPARTURES = 4
 DATA_CENTRES = (1, 8)
 
@@ -27,7 +27,7 @@
 
     def subsets(self) -> dict[str, set[str]]:
         """Return each entry's servers."""
-        by_name = select_all_subsets(self.entries, self.servers, SIZE)
+        by_name = select_all_subsets(self.entries, self.servers, SUBSET_SIZE)
         return {name: set(servers) for name, servers in by_name.items()}
 
 
@@ -44,7 +44,9 @@
         "new links when an entry leaves",
         "new links when a server leaves",
     )
-    title = f"Subsets of {SIZE}: {ENTRY_COUNT} entries before {SERVER_COUNT} servers"
+    title = (
+        f"Subsets of {SUBSET_SIZE}: {ENTRY_COUNT} entries before {SERVER_COUNT} servers"
+    )
     return Table(title, columns, rows)
 
 
