--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -15,7 +15,7 @@
 ENTRY_COUNT = 370
 SERVER_COUNT = 1_000
 SUBSET_SIZE = 24
-DEPARTURES = 4
+DEPARTURE_COUNT = 4
 DATA_CENTRES = (1, 8)
 
 
@@ -60,11 +60,11 @@
     counts = [count_by_server[server.name] for server in fleet.servers]
     entry_moves = [
         _moved(before, fleet._replace(entries=_without(fleet.entries, number)))
-        for number in range(DEPARTURES)
+        for number in range(DEPARTURE_COUNT)
     ]
     server_moves = [
         _moved(before, fleet._replace(servers=_without(fleet.servers, number)))
-        for number in range(DEPARTURES)
+        for number in range(DEPARTURE_COUNT)
     ]
     return (
         str(data_centres),
