--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -16,7 +16,7 @@
 SERVER_COUNT = 1_000
 SUBSET_SIZE = 24
 DEPARTURE_COUNT = 4
-DATA_CENTRES = (1, 8)
+DATA_CENTRE_COUNTS = (1, 8)
 
 
 class Fleet(NamedTuple):
@@ -33,7 +33,7 @@
 
 def coverage_table() -> Table:
     """Return coverage at the target size, in one and in eight data centres."""
-    rows = [_row(count) for count in DATA_CENTRES]
+    rows = [_row(count) for count in DATA_CENTRE_COUNTS]
     columns = (
         "data centres",
         "links",
