--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -19,7 +19,7 @@
 DATA_CENTRE_COUNTS = (1, 8)
 
 
-class Fleet(NamedTuple):
+class FleetInstances(NamedTuple):
     """Entries and servers."""
 
     entries: tuple[Instance, ...]
@@ -51,7 +51,7 @@
 
 
 def _row(data_centres: int) -> tuple[str, ...]:
-    fleet = Fleet(
+    fleet = FleetInstances(
         _instances("entry", ENTRY_COUNT, data_centres),
         _instances("server", SERVER_COUNT, data_centres),
     )
@@ -89,6 +89,6 @@
     return instances[:number] + instances[number + 1 :]
 
 
-def _moved(before: dict[str, set[str]], fleet: Fleet) -> int:
+def _moved(before: dict[str, set[str]], fleet: FleetInstances) -> int:
     after = fleet.subsets()
     return sum(len(names - before[name]) for name, names in after.items())
