--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -25,7 +25,7 @@
     entries: tuple[Instance, ...]
     servers: tuple[Instance, ...]
 
-    def subsets(self) -> dict[str, set[str]]:
+    def select_subsets(self) -> dict[str, set[str]]:
         """Return each entry's servers."""
         by_name = select_all_subsets(self.entries, self.servers, SUBSET_SIZE)
         return {name: set(servers) for name, servers in by_name.items()}
@@ -55,7 +55,7 @@
         _instances("entry", ENTRY_COUNT, data_centres),
         _instances("server", SERVER_COUNT, data_centres),
     )
-    before = fleet.subsets()
+    before = fleet.select_subsets()
     count_by_server = Counter(name for names in before.values() for name in names)
     counts = [count_by_server[server.name] for server in fleet.servers]
     entry_moves = [
@@ -90,5 +90,5 @@
 
 
 def _moved(before: dict[str, set[str]], fleet: FleetInstances) -> int:
-    after = fleet.subsets()
+    after = fleet.select_subsets()
     return sum(len(names - before[name]) for name, names in after.items())
