--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -18,7 +18,7 @@
 from tools.load_scenarios import SCENARIOS
 from tools.load_scenarios import ScenarioOutcome
 from tools.load_scenarios import evaluate_scenario
-from tools.subset_coverage import coverage_table
+from tools.subset_coverage import build_coverage_table
 from tools.tables import Table
 
 
@@ -56,7 +56,7 @@
     with ProcessPoolExecutor(WORKERS) as pool:
         outcomes = dict(zip(SCENARIOS, pool.map(measure, _NUMBERS), strict=True))
     tables = [outcome_table(scenario, rows) for scenario, rows in outcomes.items()]
-    tables += [coverage_table(), *cost_tables()]
+    tables += [build_coverage_table(), *cost_tables()]
     text = "\n".join(table.to_markdown() for table in tables)
     print(text)
     if len(sys.argv) > 1:
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -31,7 +31,7 @@
         return {name: set(servers) for name, servers in by_name.items()}
 
 
-def coverage_table() -> Table:
+def build_coverage_table() -> Table:
     """Return coverage at the target size, in one and in eight data centres."""
     rows = [_row(count) for count in DATA_CENTRE_COUNTS]
     columns = (
