--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -30,7 +30,7 @@
 # Kinds of requests, each with experts that it likes.
 REQUEST_KIND_COUNT = 9
 # Part of a pass that is spent on experts.
-EXPERT_PART = 0.85
+EXPERT_TIME_FRACTION = 0.85
 # Milliseconds of a pass: by itself, for each stream that writes, and for each token of
 # a prompt that is read; about what the users' sheets say of theirs.
 PASS_MS = 18.0
@@ -187,7 +187,9 @@
             own.append(self._own_ms(rank, counts, tokens_by_kind))
         skew = self._skew(tokens_by_kind)
         mean_ms = sum(own) / len(own)
-        took_ms = (1 - EXPERT_PART) * max(own) + EXPERT_PART * mean_ms * skew
+        took_ms = (1 - EXPERT_TIME_FRACTION) * max(
+            own
+        ) + EXPERT_TIME_FRACTION * mean_ms * skew
         self._now += took_ms / 1000
         for rank in self._ranks:
             self._end_pass(rank)
