--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -33,7 +33,7 @@
 EXPERT_TIME_FRACTION = 0.85
 # Milliseconds of a pass: by itself, for each stream that writes, and for each token of
 # a prompt that is read; about what the users' sheets say of theirs.
-PASS_MS = 18.0
+BASE_PASS_MS = 18.0
 STREAM_MS = 3.6
 PROMPT_MS = 1 / 61.4
 # Tokens of a prompt that one pass reads on a rank.
@@ -198,7 +198,7 @@
     def _own_ms(
         self, rank: _Rank, counts: list[float], tokens_by_kind: list[float]
     ) -> float:
-        took_ms = PASS_MS
+        took_ms = BASE_PASS_MS
         budget = CHUNK
         for stream in rank.streams:
             if stream.unread:
