--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -34,7 +34,7 @@
 # Milliseconds of a pass: by itself, for each stream that writes, and for each token of
 # a prompt that is read; about what the users' sheets say of theirs.
 BASE_PASS_MS = 18.0
-STREAM_MS = 3.6
+STREAM_PASS_MS = 3.6
 PROMPT_MS = 1 / 61.4
 # Tokens of a prompt that one pass reads on a rank.
 CHUNK = 512
@@ -208,7 +208,7 @@
                 took_ms += read * PROMPT_MS
                 tokens = float(read)
             else:
-                took_ms += STREAM_MS
+                took_ms += STREAM_PASS_MS
                 tokens = 4.0
             tokens_by_kind[stream.kind] += tokens
             self._count(stream.kind, tokens, counts)
