--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -35,7 +35,7 @@
 # a prompt that is read; about what the users' sheets say of theirs.
 BASE_PASS_MS = 18.0
 STREAM_PASS_MS = 3.6
-PROMPT_MS = 1 / 61.4
+PROMPT_TOKEN_MS = 1 / 61.4
 # Tokens of a prompt that one pass reads on a rank.
 CHUNK = 512
 # Between two looks at the counts, and what orders of a change take beside copies, in
@@ -205,7 +205,7 @@
                 read = min(budget, stream.unread)
                 stream.unread -= read
                 budget -= read
-                took_ms += read * PROMPT_MS
+                took_ms += read * PROMPT_TOKEN_MS
                 tokens = float(read)
             else:
                 took_ms += STREAM_PASS_MS
