--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -37,7 +37,7 @@
 STREAM_PASS_MS = 3.6
 PROMPT_TOKEN_MS = 1 / 61.4
 # Tokens of a prompt that one pass reads on a rank.
-CHUNK = 512
+MAX_PROMPT_TOKENS_PER_PASS = 512
 # Between two looks at the counts, and what orders of a change take beside copies, in
 # seconds.
 COUNT_S = 0.15
@@ -199,7 +199,7 @@
         self, rank: _Rank, counts: list[float], tokens_by_kind: list[float]
     ) -> float:
         took_ms = BASE_PASS_MS
-        budget = CHUNK
+        budget = MAX_PROMPT_TOKENS_PER_PASS
         for stream in rank.streams:
             if stream.unread:
                 read = min(budget, stream.unread)
