--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -41,7 +41,7 @@
 # Between two looks at the counts, and what orders of a change take beside copies, in
 # seconds.
 COUNT_INTERVAL_S = 0.15
-ORDERS_S = 0.13
+ORDER_DELAY_S = 0.13
 
 
 class Demand(NamedTuple):
@@ -152,7 +152,7 @@
                 if plan is not None:
                     most = _most_copied(self._layers, plan.layers)
                     copying_s = most * self._shape.expert_copy_s
-                    pending = (self._now + ORDERS_S + copying_s, plan.layers)
+                    pending = (self._now + ORDER_DELAY_S + copying_s, plan.layers)
                     changes += 1
                     copies += plan.copies
         on_time = sum(not one.late for one in self._done) / max(1, len(self._done))
