--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -51,7 +51,7 @@
     ``shift`` the part of the kinds that turn to other experts in a jump.
     """
 
-    per_s: float
+    requests_per_s: float
     jump_every_s: float
     skew: float
     shift: float = 0.6
@@ -175,7 +175,7 @@
             rank.streams.append(
                 _Stream(kind, self._next_at, prompt, events, self._next_at)
             )
-            self._next_at += self._draw.expovariate(demand.per_s)
+            self._next_at += self._draw.expovariate(demand.requests_per_s)
 
     def _jump(self) -> None:
         for kind in range(REQUEST_KIND_COUNT):
