--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -53,7 +53,7 @@
 
     requests_per_s: float
     popularity_change_interval_s: float
-    skew: float
+    popularity_deviation: float
     shift: float = 0.6
     prompt: int = 850
     events: int = 24
@@ -112,7 +112,7 @@
         found = []
         for _ in range(self._shape.layer_count):
             weights = [
-                self._draw.lognormvariate(0.0, self._demand.skew)
+                self._draw.lognormvariate(0.0, self._demand.popularity_deviation)
                 for _ in range(self._shape.expert_count)
             ]
             total = sum(weights)
--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -43,7 +43,7 @@
 
 def play(way: Way, per_s: float) -> list[Outcome]:
     """Return an outcome for each seed."""
-    demand = Demand(per_s, popularity_change_interval_s=4.2, skew=1.1)
+    demand = Demand(per_s, popularity_change_interval_s=4.2, popularity_deviation=1.1)
     return [
         GroupModel(way.shape, RANKS, demand, seed=seed).play(
             SECONDS, balances=way.balances
