--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -57,7 +57,7 @@
     changed_kind_fraction: float = 0.6
     prompt_tokens: int = 850
     answer_events: int = 24
-    aim_s: float = 0.5
+    first_token_target_s: float = 0.5
     gap_s: float = 0.12
 
 
@@ -262,7 +262,9 @@
         if stream.begun:
             stream.late |= self._now - stream.last_at > self._demand.gap_s
         else:
-            stream.late |= self._now - stream.arrived_at > self._demand.aim_s
+            stream.late |= (
+                self._now - stream.arrived_at > self._demand.first_token_target_s
+            )
         stream.begun = True
         stream.last_at = self._now
         stream.left -= 1
