--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -58,7 +58,7 @@
     prompt_tokens: int = 850
     answer_events: int = 24
     first_token_target_s: float = 0.5
-    gap_s: float = 0.12
+    token_gap_target_s: float = 0.12
 
 
 class Outcome(NamedTuple):
@@ -260,7 +260,7 @@
 
     def _note_event(self, stream: _Stream) -> None:
         if stream.begun:
-            stream.late |= self._now - stream.last_at > self._demand.gap_s
+            stream.late |= self._now - stream.last_at > self._demand.token_gap_target_s
         else:
             stream.late |= (
                 self._now - stream.arrived_at > self._demand.first_token_target_s
