--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -61,7 +61,7 @@
     token_gap_target_s: float = 0.12
 
 
-class Outcome(NamedTuple):
+class GroupOutcome(NamedTuple):
     """What became of the streams, and what the maps cost."""
 
     streams: int
@@ -122,7 +122,7 @@
     def _no_counts(self) -> list[float]:
         return [0.0] * (self._shape.layer_count * self._shape.expert_count)
 
-    def play(self, seconds: float, *, balances: bool = True) -> Outcome:
+    def play(self, seconds: float, *, balances: bool = True) -> GroupOutcome:
         """Return what became of the streams that ended within ``seconds``."""
         balancer = Balancer(self._shape)
         passes = 0
@@ -156,7 +156,7 @@
                     changes += 1
                     copies += plan.copies
         on_time = sum(not one.late for one in self._done) / max(1, len(self._done))
-        return Outcome(
+        return GroupOutcome(
             len(self._done),
             on_time,
             1000 * self._now / passes,
--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -13,7 +13,7 @@
 from kingcupwheel.forwarding.configuration import EngineShape
 from tools.group_model import Demand
 from tools.group_model import GroupModel
-from tools.group_model import Outcome
+from tools.group_model import GroupOutcome
 from tools.tables import Table
 
 
@@ -41,7 +41,7 @@
 )
 
 
-def play(way: Way, per_s: float) -> list[Outcome]:
+def play(way: Way, per_s: float) -> list[GroupOutcome]:
     """Return an outcome for each seed."""
     demand = Demand(per_s, popularity_change_interval_s=4.2, popularity_deviation=1.1)
     return [
@@ -52,7 +52,7 @@
     ]
 
 
-def _row(name: str, outcomes: list[Outcome]) -> list[str]:
+def _row(name: str, outcomes: list[GroupOutcome]) -> list[str]:
     def mean(values: list[float]) -> float:
         return sum(values) / len(values)
 
