--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -64,7 +64,7 @@
 class GroupOutcome(NamedTuple):
     """What became of the streams, and what the maps cost."""
 
-    streams: int
+    stream_count: int
     on_time: float
     mean_pass_ms: float
     mean_skew: float
