--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -68,7 +68,7 @@
     on_time_fraction: float
     mean_pass_ms: float
     mean_skew: float
-    changes: int
+    map_change_count: int
     copies: int
 
 
