--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -76,7 +76,7 @@
 class _Stream:
     kind: int
     arrived_at: float
-    unread: int
+    unread_prompt_tokens: int
     left: int
     last_at: float
     late: bool = False
@@ -211,9 +211,9 @@
         took_ms = BASE_PASS_MS
         budget = MAX_PROMPT_TOKENS_PER_PASS
         for stream in rank.streams:
-            if stream.unread:
-                read = min(budget, stream.unread)
-                stream.unread -= read
+            if stream.unread_prompt_tokens:
+                read = min(budget, stream.unread_prompt_tokens)
+                stream.unread_prompt_tokens -= read
                 budget -= read
                 took_ms += read * PROMPT_TOKEN_MS
                 tokens = float(read)
@@ -251,7 +251,7 @@
     def _end_pass(self, rank: _Rank) -> None:
         going_on: list[_Stream] = []
         for stream in rank.streams:
-            if stream.unread:
+            if stream.unread_prompt_tokens:
                 going_on.append(stream)
                 continue
             self._note_event(stream)
