--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -77,7 +77,7 @@
     kind: int
     arrived_at: float
     unread_prompt_tokens: int
-    left: int
+    remaining_events: int
     last_at: float
     late: bool = False
     begun: bool = False
@@ -255,7 +255,7 @@
                 going_on.append(stream)
                 continue
             self._note_event(stream)
-            (going_on if stream.left else self._done).append(stream)
+            (going_on if stream.remaining_events else self._done).append(stream)
         rank.streams = going_on
 
     def _note_event(self, stream: _Stream) -> None:
@@ -267,7 +267,7 @@
             )
         stream.begun = True
         stream.last_at = self._now
-        stream.left -= 1
+        stream.remaining_events -= 1
 
     def _group(self) -> GroupState:
         ranks = len(self._ranks)
