--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -78,7 +78,7 @@
     arrived_at: float
     unread_prompt_tokens: int
     remaining_events: int
-    last_at: float
+    last_event_at: float
     late: bool = False
     begun: bool = False
 
@@ -260,13 +260,15 @@
 
     def _note_event(self, stream: _Stream) -> None:
         if stream.begun:
-            stream.late |= self._now - stream.last_at > self._demand.token_gap_target_s
+            stream.late |= (
+                self._now - stream.last_event_at > self._demand.token_gap_target_s
+            )
         else:
             stream.late |= (
                 self._now - stream.arrived_at > self._demand.first_token_target_s
             )
         stream.begun = True
-        stream.last_at = self._now
+        stream.last_event_at = self._now
         stream.remaining_events -= 1
 
     def _group(self) -> GroupState:
