--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -80,7 +80,7 @@
     remaining_events: int
     last_event_at: float
     is_late: bool = False
-    begun: bool = False
+    has_begun: bool = False
 
 
 @dataclass
@@ -259,7 +259,7 @@
         rank.streams = going_on
 
     def _note_event(self, stream: _Stream) -> None:
-        if stream.begun:
+        if stream.has_begun:
             stream.is_late |= (
                 self._now - stream.last_event_at > self._demand.token_gap_target_s
             )
@@ -267,7 +267,7 @@
             stream.is_late |= (
                 self._now - stream.arrived_at > self._demand.first_token_target_s
             )
-        stream.begun = True
+        stream.has_begun = True
         stream.last_event_at = self._now
         stream.remaining_events -= 1
 
