--- a/tools/group_model.py
+++ b/tools/group_model.py
@@ -122,7 +122,7 @@
     def _no_counts(self) -> list[float]:
         return [0.0] * (self._shape.layer_count * self._shape.expert_count)
 
-    def play(self, seconds: float, *, balances: bool = True) -> GroupOutcome:
+    def simulate(self, seconds: float, *, balances: bool = True) -> GroupOutcome:
         """Return what became of the streams that ended within ``seconds``."""
         balancer = Balancer(self._shape)
         passes = 0
