--- a/features/world.py
+++ b/features/world.py
@@ -33,7 +33,7 @@
     "trace_batch_s": 1.0,
 }
 
-Answered = Reply | ConnectionFailure
+CallResult = Reply | ConnectionFailure
 
 
 class World:
@@ -43,10 +43,10 @@
         self.fleet = Fleet(TIMINGS)
         self.fleet.__enter__()
         self.caller = Caller(KEY, timeout_s=ANSWER_TIMEOUT_S)
-        self.replies_by_name: dict[str, Answered] = {}
-        self.replies: list[Answered] = []
+        self.replies_by_name: dict[str, CallResult] = {}
+        self.replies: list[CallResult] = []
         self._pool = ThreadPoolExecutor(64)
-        self._pending_by_name: dict[str, Future[Answered]] = {}
+        self._pending_by_name: dict[str, Future[CallResult]] = {}
         self.load: Load | None = None
 
     def close(self) -> None:
@@ -74,19 +74,19 @@
             self.caller.call, http, path, body, **options
         )
 
-    def reply(self, name: str) -> Answered:
+    def reply(self, name: str) -> CallResult:
         """Return the reply called ``name``, waiting for it if need be."""
         if name not in self.replies_by_name:
             pending = self._pending_by_name[name]
             self.keep(name, pending.result(ANSWER_TIMEOUT_S))
         return self.replies_by_name[name]
 
-    def keep(self, name: str, reply: Answered) -> None:
+    def keep(self, name: str, reply: CallResult) -> None:
         """Remember a reply for the checks at the end."""
         self.replies_by_name[name] = reply
         self.replies.append(reply)
 
-    def replies_in(self) -> dict[str, Answered]:
+    def replies_in(self) -> dict[str, CallResult]:
         """Return the replies that have come, by name, without waiting."""
         pending = self._pending_by_name.items()
         return {name: one.result() for name, one in pending if one.done()}
@@ -130,7 +130,7 @@
         self._tokens = tokens
         self._entries = entries
         self._stopping = False
-        self.results: list[tuple[Answered, bytes]] = []
+        self.results: list[tuple[CallResult, bytes]] = []
         self._pool = ThreadPoolExecutor(streams)
         self._workers = [
             self._pool.submit(self._stream, number) for number in range(streams)
