--- a/features/world.py
+++ b/features/world.py
@@ -47,12 +47,12 @@
         self.replies: list[CallResult] = []
         self._pool = ThreadPoolExecutor(64)
         self._pending_by_name: dict[str, Future[CallResult]] = {}
-        self.load: Load | None = None
+        self.background_load: Load | None = None
 
     def close(self) -> None:
         """End callers and processes."""
-        if self.load is not None:
-            self.load.stop()
+        if self.background_load is not None:
+            self.background_load.stop()
         self.fleet.__exit__(None, None, None)
         self._pool.shutdown()
 
