--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -122,7 +122,7 @@
 
 def _status_at(world: World, entry: str, path: str) -> int:
     body = {"prompt": "hello", "max_tokens": 1}
-    reply = Caller(KEY).call(world.http(entry), path, body)
+    reply = Caller(KEY).call(world.get_caller_address(entry), path, body)
     return reply.status if isinstance(reply, Reply) else 0
 
 
--- a/features/world.py
+++ b/features/world.py
@@ -61,7 +61,7 @@
         for name in (*self.fleet.entries, *self.fleet.agents):
             print(f"--- {name}\n{self.fleet.read_log(name)[-2500:]}")
 
-    def http(self, entry: str) -> str:
+    def get_caller_address(self, entry: str) -> str:
         """Return where callers reach the entry."""
         return self.fleet.entries[entry].caller_address
 
@@ -69,7 +69,7 @@
         self, name: str, entry: str, path: str, body: Any, **options: Any
     ) -> None:
         """Start a call whose reply goes by ``name``."""
-        http = self.http(entry)
+        http = self.get_caller_address(entry)
         self._pending_by_name[name] = self._pool.submit(
             self.caller.call, http, path, body, **options
         )
