--- a/features/world.py
+++ b/features/world.py
@@ -74,7 +74,7 @@
             self.caller.call, http, path, body, **options
         )
 
-    def reply(self, name: str) -> CallResult:
+    def wait_for_reply(self, name: str) -> CallResult:
         """Return the reply called ``name``, waiting for it if need be."""
         if name not in self.replies_by_name:
             pending = self._pending_by_name[name]
@@ -94,11 +94,11 @@
     def wait_for_replies(self) -> None:
         """Wait for every call that was started."""
         for name in list(self._pending_by_name):
-            self.reply(name)
+            self.wait_for_reply(name)
 
     def answered(self, name: str) -> Reply:
         """Return the reply called ``name``, which must be an answer."""
-        reply = self.reply(name)
+        reply = self.wait_for_reply(name)
         assert isinstance(reply, Reply), reply
         return reply
 
