--- a/features/world.py
+++ b/features/world.py
@@ -78,10 +78,10 @@
         """Return the reply called ``name``, waiting for it if need be."""
         if name not in self.replies_by_name:
             pending = self._pending_by_name[name]
-            self.keep(name, pending.result(ANSWER_TIMEOUT_S))
+            self.record_reply(name, pending.result(ANSWER_TIMEOUT_S))
         return self.replies_by_name[name]
 
-    def keep(self, name: str, reply: CallResult) -> None:
+    def record_reply(self, name: str, reply: CallResult) -> None:
         """Remember a reply for the checks at the end."""
         self.replies_by_name[name] = reply
         self.replies.append(reply)
