--- a/features/world.py
+++ b/features/world.py
@@ -86,7 +86,7 @@
         self.replies_by_name[name] = reply
         self.replies.append(reply)
 
-    def replies_in(self) -> dict[str, CallResult]:
+    def get_finished_replies(self) -> dict[str, CallResult]:
         """Return the replies that have come, by name, without waiting."""
         pending = self._pending_by_name.items()
         return {name: one.result() for name, one in pending if one.done()}
