--- a/features/world.py
+++ b/features/world.py
@@ -96,7 +96,7 @@
         for name in list(self._pending_by_name):
             self.wait_for_reply(name)
 
-    def answered(self, name: str) -> Reply:
+    def require_reply(self, name: str) -> Reply:
         """Return the reply called ``name``, which must be an answer."""
         reply = self.wait_for_reply(name)
         assert isinstance(reply, Reply), reply
