--- a/features/judging.py
+++ b/features/judging.py
@@ -20,7 +20,7 @@
     by_key = world.runs_by_idempotency_key()
     doubled = {key: count for key, count in by_key.items() if count > 1}
     assert not doubled, doubled
-    by_request = world.runs_by_request_id()
+    by_request = world.count_runs_by_request_id()
     for reply in world.replies:
         if isinstance(reply, Reply) and reply.outcome == "not-run":
             assert by_request.get(reply.request_id, 0) == 0, reply
--- a/features/world.py
+++ b/features/world.py
@@ -102,7 +102,7 @@
         assert isinstance(reply, Reply), reply
         return reply
 
-    def runs_by_request_id(self) -> dict[str, int]:
+    def count_runs_by_request_id(self) -> dict[str, int]:
         """Return how often each request ran, over all backend servers alive."""
         return self._runs("by_request_id")
 
