--- a/features/judging.py
+++ b/features/judging.py
@@ -17,7 +17,7 @@
 
 def check_counters(world: World) -> None:
     """Check that no key ran twice and that every ``not-run`` is true."""
-    by_key = world.runs_by_idempotency_key()
+    by_key = world.count_runs_by_idempotency_key()
     doubled = {key: count for key, count in by_key.items() if count > 1}
     assert not doubled, doubled
     by_request = world.count_runs_by_request_id()
--- a/features/world.py
+++ b/features/world.py
@@ -106,7 +106,7 @@
         """Return how often each request ran, over all backend servers alive."""
         return self._runs("by_request_id")
 
-    def runs_by_idempotency_key(self) -> dict[str, int]:
+    def count_runs_by_idempotency_key(self) -> dict[str, int]:
         """Return how often each key ran, over all backend servers alive."""
         return self._runs("by_idempotency_key")
 
