--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -12,7 +12,7 @@
 from features.world import COMPLETIONS
 from features.world import KEY
 from features.world import RESERVATIONS
-from features.world import Load
+from features.world import BackgroundLoad
 from tests.standins.tokens import streamed_answer
 from tools.processes import wait_until
 
@@ -73,7 +73,7 @@
 def start_load(context: Any, streams: int, tokens: int) -> None:
     """Keep the fleet under load until the callers are told to stop."""
     world = context.world
-    world.load = Load(world, list(world.fleet.entries), streams, tokens)
+    world.load = BackgroundLoad(world, list(world.fleet.entries), streams, tokens)
 
 
 @when("the callers use {names} only")
--- a/features/world.py
+++ b/features/world.py
@@ -47,7 +47,7 @@
         self.replies: list[CallResult] = []
         self._pool = ThreadPoolExecutor(64)
         self._pending_by_name: dict[str, Future[CallResult]] = {}
-        self.background_load: Load | None = None
+        self.background_load: BackgroundLoad | None = None
 
     def close(self) -> None:
         """End callers and processes."""
@@ -120,7 +120,7 @@
         return total
 
 
-class Load:
+class BackgroundLoad:
     """Streams completions through some entries until it is stopped."""
 
     def __init__(
