--- a/features/world.py
+++ b/features/world.py
@@ -152,7 +152,7 @@
             time.sleep(0.05)
         self.results.append((reply, streamed_answer(prompt, self._tokens)))
 
-    def use(self, entries: list[str]) -> None:
+    def set_entries(self, entries: list[str]) -> None:
         """Call these entries from now on, as discovery tells callers."""
         self._entries = entries
 
