--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -12,7 +12,7 @@
 from behave import when
 from features.world import KEY
 from features.world import World
-from features.world import manifest
+from features.world import build_manifest
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.processes import wait_until
@@ -24,7 +24,7 @@
 
 
 def _with_path(path: str) -> dict[str, Any]:
-    changed = copy.deepcopy(manifest())
+    changed = copy.deepcopy(build_manifest())
     changed["routes"].append({"path": path, "group": "parts-model"})
     return changed
 
@@ -78,7 +78,7 @@
 @when("an operator submits a manifest without the organisation")
 def submit_without(context: Any) -> None:
     """Submit the scenarios' manifest without the callers' organisation."""
-    changed = manifest()
+    changed = build_manifest()
     del changed["organisations"][0]
     context.submitted = context.world.fleet.submit(changed)
 
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -12,7 +12,7 @@
 from features.world import COMPLETIONS
 from features.world import KEY
 from features.world import World
-from features.world import manifest
+from features.world import build_manifest
 from tools.processes import wait_until
 
 
@@ -45,7 +45,7 @@
 
 
 def _manifest(ranks: int) -> dict[str, Any]:
-    changed = manifest()
+    changed = build_manifest()
     changed["groups"][0]["experts"] = {
         "ranks": ranks,
         "experts": EXPERTS,
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -10,7 +10,7 @@
 from features.world import COMPLETIONS
 from features.world import KEY
 from features.world import World
-from features.world import manifest
+from features.world import build_manifest
 
 
 # Time for the entries to hear of a new life: a few heartbeats of TIMINGS.
@@ -48,7 +48,7 @@
         )
     for number in range(1, entries + 1):
         world.fleet.add_entry(f"entry-{number}", data_centre=f"dc-{number}")
-    submitted = world.fleet.submit_manifest(manifest())
+    submitted = world.fleet.submit_manifest(build_manifest())
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_until_configured()
 
@@ -66,7 +66,7 @@
         )
     for number in range(1, entries + 1):
         world.fleet.add_entry(f"entry-{number}")
-    submitted = world.fleet.submit_manifest(manifest())
+    submitted = world.fleet.submit_manifest(build_manifest())
     assert submitted.returncode == 0, submitted.stderr
     if engines:
         world.fleet.wait_until_serving(
--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -13,7 +13,7 @@
 from features.world import COMPLETIONS
 from features.world import KEY
 from features.world import OTHER_KEY
-from features.world import manifest
+from features.world import build_manifest
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.processes import wait_until
@@ -87,7 +87,7 @@
 def start_flood(context: Any, count: int, allowance: int) -> None:
     """Bound the first organisation, then let it send far more."""
     world = context.world
-    changed = copy.deepcopy(manifest())
+    changed = copy.deepcopy(build_manifest())
     changed["organisations"][0]["allowance"] = {"concurrency": allowance}
     assert world.fleet.submit(changed).returncode == 0
     arguments = ("manifest", "status", "--platform", f"http://{world.fleet.platform}")
--- a/features/world.py
+++ b/features/world.py
@@ -164,7 +164,7 @@
         self._pool.shutdown()
 
 
-def manifest() -> dict[str, Any]:
+def build_manifest() -> dict[str, Any]:
     """Return a manifest for the scenarios: one engine group, one plain service."""
     return {
         "organisations": [
