--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -17,7 +17,7 @@
 from tools.processes import wait_until
 
 
-SEEN_TIMEOUT_S = 20.0
+CONDITION_TIMEOUT_S = 20.0
 
 
 @when('"{name}" reserves part "{part}" at {entry} with key "{key}"')
@@ -96,7 +96,7 @@
         wait_until(
             lambda: world.runs_by_idempotency_key().get(key, 0) > 0,
             f"a run of {key}",
-            SEEN_TIMEOUT_S,
+            CONDITION_TIMEOUT_S,
         )
     except TimeoutError as error:
         raise TimeoutError(f"{error}; replies so far: {world.replies_in()}") from error
@@ -109,7 +109,7 @@
     wait_until(
         lambda: sum(fleet.runs(name)["by_request_id"].values()) >= count,
         f"{count} runs at {name}",
-        SEEN_TIMEOUT_S,
+        CONDITION_TIMEOUT_S,
     )
 
 
@@ -120,7 +120,7 @@
     wait_until(
         lambda: any(name.startswith("claims/") for name in fleet.stored_keys()),
         f"a claim of {key}",
-        SEEN_TIMEOUT_S,
+        CONDITION_TIMEOUT_S,
     )
 
 
@@ -151,7 +151,9 @@
         state = fleet.ask(fleet.agents[server].server_address, "/engine/state")
         return not busy and not status["in_progress"] and not state["running"]
 
-    wait_until(idle, f"nothing under way at {entry} and {server}", SEEN_TIMEOUT_S / 2)
+    wait_until(
+        idle, f"nothing under way at {entry} and {server}", CONDITION_TIMEOUT_S / 2
+    )
 
 
 @then('"{name}" gets the whole answer')
