--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -30,7 +30,7 @@
 @when(
     '"{name}" reserves part "{part}" at {entry} with key "{key}" within {seconds:d} s'
 )
-def start_hasty_reservation(
+def start_reservation_with_deadline(
     context: Any, name: str, part: str, entry: str, key: str, seconds: int
 ) -> None:
     """Start a request that may not be repeated, with a deadline of the caller's own."""
