--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -125,7 +125,7 @@
 
 
 @when("a caller leaves a stream of {tokens:d} tokens at {entry} after its first bytes")
-def leave_stream(context: Any, tokens: int, entry: str) -> None:
+def disconnect_from_stream(context: Any, tokens: int, entry: str) -> None:
     """Read the first bytes of a stream and close the connection."""
     body = {"prompt": "left", "max_tokens": tokens, "stream": True}
     response = urllib3.PoolManager(retries=False, timeout=20.0).request(
