--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -157,7 +157,7 @@
 
 
 @then('"{name}" gets the whole answer')
-def check_whole(context: Any, name: str) -> None:
+def check_complete(context: Any, name: str) -> None:
     """Check an answer of a backend server, marked as run."""
     reply = context.world.answered(name)
     assert reply.whole, reply
@@ -168,15 +168,15 @@
 @then('"{name}" and "{other}" get the same answer')
 def check_same(context: Any, name: str, other: str) -> None:
     """Check that a resend got the first send's answer."""
-    check_whole(context, name)
-    check_whole(context, other)
+    check_complete(context, name)
+    check_complete(context, other)
     assert context.world.answered(name).body == context.world.answered(other).body
 
 
 @then('"{name}" gets its {tokens:d} tokens')
 def check_tokens(context: Any, name: str, tokens: int) -> None:
     """Check the whole stream byte by byte."""
-    check_whole(context, name)
+    check_complete(context, name)
     expected = streamed_answer(name, tokens)
     assert context.world.answered(name).body == expected, context.world.reply(name)
 
