--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -189,7 +189,7 @@
 
 
 @then('"{name}" is told {status:d} with outcome {outcome}')
-def check_told(context: Any, name: str, status: int, outcome: str) -> None:
+def check_refusal(context: Any, name: str, status: int, outcome: str) -> None:
     """Check a refusal."""
     reply = context.world.answered(name)
     assert (reply.status, reply.outcome) == (status, outcome), reply
