--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -203,7 +203,7 @@
 
 
 @then('"{name}" is told by "{limit}"')
-def check_limit(context: Any, name: str, limit: str) -> None:
+def check_refusal_reason(context: Any, name: str, limit: str) -> None:
     """Check which bound a refusal names."""
     reply = context.world.answered(name)
     assert reply.json["error"]["reason"] == limit, reply
