--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -210,7 +210,7 @@
 
 
 @then('"{name}" is cut off and told outcome {outcome}')
-def check_cut(context: Any, name: str, outcome: str) -> None:
+def check_truncated(context: Any, name: str, outcome: str) -> None:
     """Check that a truncated answer can't be taken for a whole one.
 
     The last event tells the outcome, and the connection ends without the mark of a
