--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -18,7 +18,7 @@
 from tools.processes import wait_until
 
 
-IN_FORCE_S = 7.0
+ADOPTION_TIMEOUT_S = 7.0
 SERVED_TIMEOUT_S = 15.0
 CONFLICT = 4
 
@@ -97,7 +97,7 @@
     wait_until(
         lambda: fleet.command(*arguments).returncode == 0,
         "every process on the accepted version",
-        IN_FORCE_S,
+        ADOPTION_TIMEOUT_S,
     )
 
 
