--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -39,7 +39,7 @@
 
 
 @when("two operators submit different manifests for the version they both saw")
-def race(context: Any) -> None:
+def submit_concurrently(context: Any) -> None:
     """Submit twice at once, both for the version in force."""
     world = context.world
     seen = str(_status(world)["version"])
