--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -53,7 +53,7 @@
 
 
 @then("one is accepted and the other is told that it lost the race")
-def check_race(context: Any) -> None:
+def check_one_accepted(context: Any) -> None:
     """Check the exit codes and that the loser is told why."""
     codes = sorted(one.returncode for one in context.submissions)
     assert codes == [0, EXIT_CONFLICT], context.submissions
