--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -62,7 +62,7 @@
 
 
 @when('an operator submits a manifest in which "{path}" leads to the engines')
-def submit_path(context: Any, path: str) -> None:
+def submit_manifest_with_path(context: Any, path: str) -> None:
     """Submit the scenarios' manifest with one more route."""
     context.submitted = context.world.fleet.submit(_with_path(path))
 
