--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -68,7 +68,7 @@
 
 
 @when('an operator submits a manifest for the version seen, with path "{path}"')
-def submit_expecting(context: Any, path: str) -> None:
+def submit_manifest_for_seen_version(context: Any, path: str) -> None:
     """Submit so that a later version than the one seen would refuse it."""
     world = context.world
     seen = str(_status(world)["version"])
