--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -76,7 +76,7 @@
 
 
 @when("an operator submits a manifest without the organisation")
-def submit_without(context: Any) -> None:
+def submit_manifest_without_organisation(context: Any) -> None:
     """Submit the scenarios' manifest without the callers' organisation."""
     changed = build_manifest()
     del changed["organisations"][0]
