--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -90,7 +90,7 @@
 
 
 @then("every process is on the accepted version within 7 s")
-def check_in_force(context: Any) -> None:
+def check_adopted(context: Any) -> None:
     """Ask every process for its version by the command line."""
     fleet = context.world.fleet
     arguments = ("manifest", "status", "--platform", f"http://{fleet.platform}")
