--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -16,7 +16,7 @@
 _LOOK_S = 0.1
 
 
-class Restarter:
+class ServerRestarter:
     """Starts each dead backend server again, as the platform would."""
 
     def __init__(self, world: World, marker: str) -> None:
@@ -46,7 +46,7 @@
     world = context.world
     for name in world.fleet.agents:
         world.fleet.set_faults(name, crash_on=marker)
-    context.restarter = Restarter(world, marker)
+    context.restarter = ServerRestarter(world, marker)
 
 
 @when('"{prompt}" is sent up to {times:d} times under new keys at all entries')
