--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -23,7 +23,7 @@
         self._world = world
         self._options = ("--crash-on", marker)
         self._stopping = threading.Event()
-        self.deaths = 0
+        self.restart_count = 0
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -31,7 +31,7 @@
         while not self._stopping.wait(_LOOK_S):
             for name, agent in list(self._world.fleet.agents.items()):
                 if not agent.server.is_alive:
-                    self.deaths += 1
+                    self.restart_count += 1
                     self._world.fleet.restart_server(name, self._options)
 
     def stop(self) -> None:
