--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -41,7 +41,7 @@
 
 
 @given('every engine dies of "{marker}" and is started again')
-def make_engines_mortal(context: Any, marker: str) -> None:
+def enable_engine_crashes(context: Any, marker: str) -> None:
     """Let a body with the marker kill the engine that runs it."""
     world = context.world
     for name in world.fleet.agents:
