--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -50,7 +50,7 @@
 
 
 @when('"{prompt}" is sent up to {times:d} times under new keys at all entries')
-def send_again(context: Any, prompt: str, times: int) -> None:
+def resend_request(context: Any, prompt: str, times: int) -> None:
     """Send the same body again and again, as a stubborn caller would."""
     world = context.world
     entries = list(world.fleet.entries.values())
