--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -80,7 +80,7 @@
 
 
 @then("no load call was refused as quarantined")
-def check_not_blamed(context: Any) -> None:
+def check_load_not_quarantined(context: Any) -> None:
     """Check that bystanders were not blamed."""
     blamed = [
         reply
