--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -17,7 +17,7 @@
 
 
 GROUP = "parts-model"
-EXPERTS = 12
+EXPERT_COUNT = 12
 CHANGE_TIMEOUT_S = 60.0
 STEP_TIMEOUT_S = 30.0
 
@@ -27,7 +27,7 @@
     """Start ranks in lock-step, an agent and an engine beside each, and an entry."""
     world = World()
     context.world = world
-    process, addresses = world.fleet.start_ranks(ranks, EXPERTS)
+    process, addresses = world.fleet.start_ranks(ranks, EXPERT_COUNT)
     context.ranks = addresses
     for rank, address in enumerate(addresses):
         world.fleet.add_agent(
@@ -48,7 +48,7 @@
     changed = build_manifest()
     changed["groups"][0]["experts"] = {
         "ranks": ranks,
-        "experts": EXPERTS,
+        "experts": EXPERT_COUNT,
         "rebalance_every_s": 1.0,
         "skew_weight": 10.0,
         "move_cost": 0.01,
