--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -18,7 +18,7 @@
 
 GROUP = "parts-model"
 EXPERT_COUNT = 12
-CHANGE_TIMEOUT_S = 60.0
+MAP_CHANGE_TIMEOUT_S = 60.0
 STEP_TIMEOUT_S = 30.0
 
 
@@ -41,7 +41,9 @@
     world.fleet.wait_until_serving(
         KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
     )
-    wait_until(lambda: _steps(context)["steps"] > 0, "a first step", CHANGE_TIMEOUT_S)
+    wait_until(
+        lambda: _steps(context)["steps"] > 0, "a first step", MAP_CHANGE_TIMEOUT_S
+    )
 
 
 def _manifest(ranks: int) -> dict[str, Any]:
@@ -83,7 +85,7 @@
     wait_until(
         lambda: len(_steps(context)["steps_by_map"]) > before,
         "another map in force",
-        CHANGE_TIMEOUT_S,
+        MAP_CHANGE_TIMEOUT_S,
     )
 
 
@@ -111,7 +113,7 @@
         held = fleet.stored(f"leases/{GROUP}")
         return "" if held is None else str(msgspec.json.decode(held)["holder"])
 
-    wait_until(lambda: holder() in fleet.agents, "a lease holder", CHANGE_TIMEOUT_S)
+    wait_until(lambda: holder() in fleet.agents, "a lease holder", MAP_CHANGE_TIMEOUT_S)
     context.coordinator = holder()
     return context.coordinator
 
