--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -71,7 +71,7 @@
 
 
 @when("experts {first:d} and {second:d} become {factor:d} times as popular")
-def make_hot(context: Any, first: int, second: int, factor: int) -> None:
+def raise_popularity(context: Any, first: int, second: int, factor: int) -> None:
     """Let two experts draw most of the load."""
     context.maps_before = _steps(context)["steps_by_map"]
     switch = {"hot": [first, second], "factor": float(factor)}
