--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -79,7 +79,7 @@
 
 
 @then("the group comes to run on another map")
-def check_changed(context: Any) -> None:
+def check_map_changed(context: Any) -> None:
     """Wait until all ranks run on a map that none had before."""
     before = len(context.maps_before)
     wait_until(
