--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -99,7 +99,7 @@
 
 
 @then("no step was run on two maps")
-def check_one_map(context: Any) -> None:
+def check_no_mixed_steps(context: Any) -> None:
     """Read every rank's records."""
     found = _steps(context)
     assert not found["mixed"], found
