--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -14,7 +14,7 @@
 
 
 # Time for the entries to hear of a new life: a few heartbeats of TIMINGS.
-SETTLE_S = 1.0
+RESTART_SETTLE_S = 1.0
 
 
 @given("a fleet of {entries:d} entries, {engines:d} engines and {services:d} services")
@@ -210,7 +210,7 @@
     for name in list(world.fleet.agents):
         _replace(world.fleet.agents[name].process)
         world.fleet.restart_agent(name)
-        time.sleep(SETTLE_S)
+        time.sleep(RESTART_SETTLE_S)
 
 
 @when("each entry is replaced in turn")
