--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -77,7 +77,7 @@
 
 
 @given("service {name} takes {delay_ms:d} ms for each call")
-def slow_service(context: Any, name: str, delay_ms: int) -> None:
+def set_service_delay(context: Any, name: str, delay_ms: int) -> None:
     """Make the service slow, so that a failure hits a request that runs."""
     context.world.fleet.set_faults(name, delay_ms=delay_ms)
 
