--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -84,7 +84,7 @@
 
 @given("engine {name} takes {step_ms:d} ms for each step")
 @when("engine {name} takes {step_ms:d} ms for each step")
-def slow_engine(context: Any, name: str, step_ms: int) -> None:
+def set_step_time(context: Any, name: str, step_ms: int) -> None:
     """Set the engine's step time."""
     context.world.fleet.set_faults(name, step_ms=step_ms)
 
