--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -98,7 +98,7 @@
 
 @given("the platform loses the answers of the next {count:d} writes")
 @when("the platform loses the answers of the next {count:d} writes")
-def lose_answers(context: Any, count: int) -> None:
+def drop_write_responses(context: Any, count: int) -> None:
     """Let writes take effect without an answer."""
     context.world.fleet.switch(lose_answers=count)
 
