--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -104,7 +104,7 @@
 
 
 @when("the platform answers writes {seconds:g} s late")
-def slow_answers(context: Any, seconds: float) -> None:
+def delay_write_responses(context: Any, seconds: float) -> None:
     """Let writes take effect at once and answer late."""
     context.world.fleet.switch(slow_answer_s=seconds)
 
