--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -110,7 +110,7 @@
 
 
 @when("the platform's reads are {versions:d} versions behind")
-def stale_reads(context: Any, versions: int) -> None:
+def set_stale_reads(context: Any, versions: int) -> None:
     """Let reads answer an older version."""
     context.world.fleet.switch(stale=versions)
 
