--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -122,7 +122,7 @@
 
 
 @when("entry {name} is {deed}")
-def disturb_entry(context: Any, name: str, deed: str) -> None:
+def change_entry_process(context: Any, name: str, deed: str) -> None:
     """Kill, pause, wake, stop or restart an entry."""
     world = context.world
     if deed == "restarted":
