--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -133,7 +133,7 @@
 
 
 @when("agent {name} is {deed}")
-def disturb_agent(context: Any, name: str, deed: str) -> None:
+def change_agent_process(context: Any, name: str, deed: str) -> None:
     """Kill, pause, wake, stop or restart an agent."""
     world = context.world
     if deed == "restarted":
