--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -144,7 +144,7 @@
 
 
 @when("the server of {name} is {deed}")
-def disturb_server(context: Any, name: str, deed: str) -> None:
+def change_server_process(context: Any, name: str, deed: str) -> None:
     """Kill or restart the backend server beside an agent."""
     agent = context.world.fleet.agents[name]
     if deed == "restarted":
