--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -176,7 +176,7 @@
 
 
 @when("the list says that {name} is leaving")
-def list_leaving(context: Any, name: str) -> None:
+def mark_instance_leaving(context: Any, name: str) -> None:
     """Mark an agent's instance as leaving on the platform's list."""
     fleet = context.world.fleet
     agent = fleet.agents[name]
