--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -185,7 +185,7 @@
 
 
 @when("the open connections to the server of {name} go silent")
-def mute_server(context: Any, name: str) -> None:
+def silence_server_connections(context: Any, name: str) -> None:
     """Let the engine's open connections say nothing for good; new ones work."""
     fleet = context.world.fleet
     fleet._test("POST", fleet.agents[name].server_address, "/test/silence", {})
