--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -192,7 +192,7 @@
 
 
 @when("engine {name} crosses its answers")
-def cross_answers(context: Any, name: str) -> None:
+def swap_response_ids(context: Any, name: str) -> None:
     """Let the engine answer under another run's id."""
     context.world.fleet.set_faults(name, crossed=True)
 
