--- a/features/steps/judging.py
+++ b/features/steps/judging.py
@@ -17,7 +17,7 @@
 
 
 @then("no key ran twice and every not-run is true")
-def check_now(context: Any) -> None:
+def check_counters_now(context: Any) -> None:
     """Check the servers' own counters now; each scenario ends with the same check."""
     context.world.wait_for_replies()
     check_counters(context.world)
