--- a/features/steps/judging.py
+++ b/features/steps/judging.py
@@ -49,7 +49,7 @@
 
 
 @then("at least {percent:d} in 100 load calls are answered")
-def check_answered(context: Any, percent: int) -> None:
+def check_answered_percentage(context: Any, percent: int) -> None:
     """Check that refusals stay the exception."""
     results = context.world.load.results
     answered = [r for r, _ in results if isinstance(r, Reply) and r.status == 200]
