--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -22,7 +22,7 @@
 BODY_BY_NAME = {"5 MB": b"x" * 5_000_000}
 HEADER_BY_NAME = {"20 KB": "x" * 20_000}
 KEY_BY_NAME = {"own": KEY, "wrong": "no such key"}
-IN_FORCE_S = 7.0
+ADOPTION_TIMEOUT_S = 7.0
 
 
 @then("these requests to {entry} are refused as not-run")
@@ -92,7 +92,9 @@
     assert world.fleet.submit(changed).returncode == 0
     arguments = ("manifest", "status", "--platform", f"http://{world.fleet.platform}")
     wait_until(
-        lambda: world.fleet.command(*arguments).returncode == 0, "in force", IN_FORCE_S
+        lambda: world.fleet.command(*arguments).returncode == 0,
+        "in force",
+        ADOPTION_TIMEOUT_S,
     )
     context.pool = ThreadPoolExecutor(count)
     context.flood = [context.pool.submit(_call, world, KEY) for _ in range(count)]
