--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -55,7 +55,7 @@
 
 
 @then('its organisation reads what became of "{name}" at {entry}')
-def check_own(context: Any, name: str, entry: str) -> None:
+def check_own_request_found(context: Any, name: str, entry: str) -> None:
     """Read the request's page with the key that sent it."""
     reply = _read(context, entry, name, KEY)
     assert reply.status == 200, reply
