--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -64,7 +64,7 @@
 
 
 @then('another organisation does not find "{name}" at {entry}')
-def check_foreign(context: Any, name: str, entry: str) -> None:
+def check_foreign_request_hidden(context: Any, name: str, entry: str) -> None:
     """Read the request's page with another organisation's key."""
     assert _read(context, entry, name, OTHER_KEY).status == 404
 
