--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -70,7 +70,7 @@
 
 
 @then('operators find "{name}" at {entry} and see it healthy')
-def check_operators(context: Any, name: str, entry: str) -> None:
+def check_operator_pages(context: Any, name: str, entry: str) -> None:
     """Read the operators' pages, which need no key and have another address."""
     fleet = context.world.fleet
     operators = fleet.entries[entry].operators
