--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -84,7 +84,7 @@
     "the first organisation sends {count:d} requests at once with an allowance of "
     "{allowance:d}"
 )
-def start_flood(context: Any, count: int, allowance: int) -> None:
+def start_burst(context: Any, count: int, allowance: int) -> None:
     """Bound the first organisation, then let it send far more."""
     world = context.world
     changed = copy.deepcopy(build_manifest())
