--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -108,7 +108,7 @@
 
 
 @when("the other organisation sends {count:d} requests meanwhile")
-def send_others(context: Any, count: int) -> None:
+def send_other_requests(context: Any, count: int) -> None:
     """Send one after the other, as an ordinary caller."""
     context.others = [_call(context.world, OTHER_KEY) for _ in range(count)]
     context.flooded = [future.result() for future in context.flood]
