--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -116,7 +116,7 @@
 
 
 @then("the flood has answers and refusals, each refusal with a time to come back")
-def check_flood(context: Any) -> None:
+def check_burst_replies(context: Any) -> None:
     """Check that the allowance was used and the rest refused at once."""
     refused = [reply for reply in context.flooded if reply.status == 429]
     answered = [reply for reply in context.flooded if reply.status == 200]
