--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -127,6 +127,6 @@
 
 
 @then("all requests of the other organisation are answered")
-def check_others(context: Any) -> None:
+def check_other_requests_answered(context: Any) -> None:
     """Check that the flood cost the other organisation nothing."""
     assert {reply.status for reply in context.others} == {200}, context.others
