--- a/features/steps/tracing.py
+++ b/features/steps/tracing.py
@@ -10,7 +10,7 @@
 from tools.processes import wait_until
 
 
-BATCHES_S = 20.0
+BATCH_TIMEOUT_S = 20.0
 WHOLE = 0
 INCOMPLETE = 7
 
@@ -43,7 +43,7 @@
     wait_until(
         lambda: _story(context, name, "--timeout", "0")[0] == WHOLE,
         "the story from batches",
-        BATCHES_S,
+        BATCH_TIMEOUT_S,
     )
 
 
