--- a/features/steps/tracing.py
+++ b/features/steps/tracing.py
@@ -48,7 +48,7 @@
 
 
 @then('the story of "{name}" is whole, from batches, with outcome {outcome}')
-def check_whole(context: Any, name: str, outcome: str) -> None:
+def check_complete_trace(context: Any, name: str, outcome: str) -> None:
     """Check the outcome, the sources and that nothing is missing."""
     code, story = _story(context, name)
     assert code == EXIT_COMPLETE, story
