--- a/features/steps/tracing.py
+++ b/features/steps/tracing.py
@@ -72,7 +72,7 @@
     'the story of "{name}" by address tells outcome {outcome} and names {agent} as '
     "missing"
 )
-def check_by_address(context: Any, name: str, outcome: str, agent: str) -> None:
+def check_trace_by_address(context: Any, name: str, outcome: str, agent: str) -> None:
     """Give the entry's address by hand."""
     entry = context.world.fleet.entries["entry-1"]
     code, story = _story(context, name, "--address", f"entry-1={entry.address}")
