--- a/features/steps/tracing.py
+++ b/features/steps/tracing.py
@@ -82,7 +82,7 @@
 
 
 @then('the story by key "{key}" is that of "{name}" and one agent tells that it ran')
-def check_by_key(context: Any, key: str, name: str) -> None:
+def check_trace_by_key(context: Any, key: str, name: str) -> None:
     """Find the request by the caller's key and organisation."""
     code, story = _trace(context, "--idempotency-key", key, "--organisation", "agency")
     assert code == EXIT_INCOMPLETE, story
