--- a/features/environment.py
+++ b/features/environment.py
@@ -18,7 +18,7 @@
         return
     try:
         if scenario.status.name == "passed":
-            _judge(world)
+            _check_promises(world)
     except BaseException:
         world.print_logs()
         raise
@@ -28,7 +28,7 @@
         world.close()
 
 
-def _judge(world: Any) -> None:
+def _check_promises(world: Any) -> None:
     world.wait_for_replies()
     world.fleet.switch(outage="off", slow_answer_s=0, lose_answers=0, stale=0)
     check_counters(world)
--- a/features/steps/crashing.py
+++ b/features/steps/crashing.py
@@ -13,7 +13,7 @@
 from tools.caller import Reply
 
 
-_LOOK_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 class ServerRestarter:
@@ -28,7 +28,7 @@
         self._thread.start()
 
     def _run(self) -> None:
-        while not self._stopping.wait(_LOOK_S):
+        while not self._stopping.wait(_POLL_INTERVAL_S):
             for name, agent in list(self._world.fleet.agents.items()):
                 if not agent.server.is_alive:
                     self.restart_count += 1
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -36,17 +36,19 @@
             server_settings={"rank": rank, "rank_url": f"http://{address}"},
         )
     world.fleet.add_entry("entry-1")
-    submitted = world.fleet.submit_manifest(_manifest(ranks))
+    submitted = world.fleet.submit_manifest(_build_manifest(ranks))
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_until_serving(
         KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
     )
     wait_until(
-        lambda: _steps(context)["steps"] > 0, "a first step", MAP_CHANGE_TIMEOUT_S
+        lambda: _fetch_step_record(context)["steps"] > 0,
+        "a first step",
+        MAP_CHANGE_TIMEOUT_S,
     )
 
 
-def _manifest(ranks: int) -> dict[str, Any]:
+def _build_manifest(ranks: int) -> dict[str, Any]:
     changed = build_manifest()
     changed["groups"][0]["experts"] = {
         "ranks": ranks,
@@ -59,7 +61,7 @@
     return changed
 
 
-def _steps(context: Any) -> dict[str, Any]:
+def _fetch_step_record(context: Any) -> dict[str, Any]:
     found: dict[str, Any] = context.world.fleet.ask(context.ranks[0], "/test/steps")
     return found
 
@@ -67,13 +69,13 @@
 @given("an agent coordinates the group")
 def wait_for_coordinator(context: Any) -> None:
     """Wait until the group's lease is held."""
-    _coordinator(context)
+    _wait_for_lease_holder(context)
 
 
 @when("experts {first:d} and {second:d} become {factor:d} times as popular")
 def raise_popularity(context: Any, first: int, second: int, factor: int) -> None:
     """Let two experts draw most of the load."""
-    context.maps_before = _steps(context)["steps_by_map"]
+    context.maps_before = _fetch_step_record(context)["steps_by_map"]
     switch = {"hot": [first, second], "factor": float(factor)}
     context.world.fleet.tell(context.ranks[0], "/test/switch", switch)
 
@@ -83,7 +85,7 @@
     """Wait until all ranks run on a map that none had before."""
     before = len(context.maps_before)
     wait_until(
-        lambda: len(_steps(context)["steps_by_map"]) > before,
+        lambda: len(_fetch_step_record(context)["steps_by_map"]) > before,
         "another map in force",
         MAP_CHANGE_TIMEOUT_S,
     )
@@ -92,21 +94,23 @@
 @then("the group goes on stepping")
 def check_stepping(context: Any) -> None:
     """Wait until steps are run that were not yet when this was asked."""
-    seen = _steps(context)["steps"]
+    seen = _fetch_step_record(context)["steps"]
     wait_until(
-        lambda: _steps(context)["steps"] > seen + 5, "further steps", STEP_TIMEOUT_S
+        lambda: _fetch_step_record(context)["steps"] > seen + 5,
+        "further steps",
+        STEP_TIMEOUT_S,
     )
 
 
 @then("no step was run on two maps")
 def check_no_mixed_steps(context: Any) -> None:
     """Read every rank's records."""
-    found = _steps(context)
+    found = _fetch_step_record(context)
     assert not found["mixed"], found
     print(f"steps {found['steps']}, longest stall {found['longest_stall_s']:.2f} s")
 
 
-def _coordinator(context: Any) -> str:
+def _wait_for_lease_holder(context: Any) -> str:
     fleet = context.world.fleet
 
     def holder() -> str:
@@ -121,7 +125,9 @@
 @when("the agent that coordinates is killed")
 def kill_coordinator(context: Any) -> None:
     """Kill the holder of the group's lease."""
-    context.killed = getattr(context, "coordinator", None) or _coordinator(context)
+    context.killed = getattr(context, "coordinator", None) or _wait_for_lease_holder(
+        context
+    )
     context.world.fleet.agents[context.killed].process.kill()
 
 
@@ -134,7 +140,7 @@
 @when("the agent that coordinates is paused for {seconds:d} s")
 def pause_coordinator(context: Any, seconds: int) -> None:
     """Freeze the holder of the lease for longer than the lease runs."""
-    process = context.world.fleet.agents[_coordinator(context)].process
+    process = context.world.fleet.agents[_wait_for_lease_holder(context)].process
     process.pause()
     time.sleep(seconds)
     process.wake()
@@ -143,7 +149,7 @@
 @when("the agent that coordinates is stopped as planned")
 def stop_coordinator(context: Any) -> None:
     """Ask the holder of the lease to stop and wait until it has ended."""
-    context.killed = _coordinator(context)
+    context.killed = _wait_for_lease_holder(context)
     process = context.world.fleet.agents[context.killed].process
     process.terminate()
 
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -20,7 +20,7 @@
 @given("a fleet of {entries:d} entries, {engines:d} engines and {services:d} services")
 def start_fleet(context: Any, entries: int, engines: int, services: int) -> None:
     """Start the processes, submit the manifest, wait until all serve."""
-    _start(context, entries, engines, services, relayed=False)
+    _start_fleet(context, entries, engines, services, relayed=False)
 
 
 @given(
@@ -31,7 +31,7 @@
     context: Any, entries: int, engines: int, services: int
 ) -> None:
     """As above; entries reach agents through relays that can cut and freeze."""
-    _start(context, entries, engines, services, relayed=True)
+    _start_fleet(context, entries, engines, services, relayed=True)
 
 
 @given(
@@ -53,7 +53,7 @@
     world.fleet.wait_until_configured()
 
 
-def _start(
+def _start_fleet(
     context: Any, entries: int, engines: int, services: int, *, relayed: bool
 ) -> None:
     world = World()
@@ -129,7 +129,7 @@
         world.fleet.entries[name].process.kill()
         world.fleet.restart_entry(name)
         return
-    _disturb(world.fleet.entries[name].process, deed)
+    _apply_action(world.fleet.entries[name].process, deed)
 
 
 @when("agent {name} is {deed}")
@@ -140,7 +140,7 @@
         world.fleet.agents[name].process.kill()
         world.fleet.restart_agent(name)
         return
-    _disturb(world.fleet.agents[name].process, deed)
+    _apply_action(world.fleet.agents[name].process, deed)
 
 
 @when("the server of {name} is {deed}")
@@ -151,10 +151,10 @@
         agent.server.kill()
         context.world.fleet.restart_server(name)
         return
-    _disturb(agent.server, deed)
+    _apply_action(agent.server, deed)
 
 
-def _disturb(process: Any, deed: str) -> None:
+def _apply_action(process: Any, deed: str) -> None:
     match deed:
         case "killed":
             process.kill()
@@ -208,7 +208,7 @@
     """Stop each agent gracefully and start it anew."""
     world = context.world
     for name in list(world.fleet.agents):
-        _replace(world.fleet.agents[name].process)
+        _stop_gracefully(world.fleet.agents[name].process)
         world.fleet.restart_agent(name)
         time.sleep(RESTART_SETTLE_S)
 
@@ -227,6 +227,6 @@
         world.load.use(list(world.fleet.entries))
 
 
-def _replace(process: Any) -> None:
+def _stop_gracefully(process: Any) -> None:
     process.terminate()
     assert process.wait() == 0
--- a/features/steps/tracing.py
+++ b/features/steps/tracing.py
@@ -41,7 +41,7 @@
 def wait_for_batches(context: Any, name: str) -> None:
     """Wait until both parts can be read there; live processes are not asked."""
     wait_until(
-        lambda: _story(context, name, "--timeout", "0")[0] == EXIT_COMPLETE,
+        lambda: _fetch_trace(context, name, "--timeout", "0")[0] == EXIT_COMPLETE,
         "the story from batches",
         BATCH_TIMEOUT_S,
     )
@@ -50,7 +50,7 @@
 @then('the story of "{name}" is whole, from batches, with outcome {outcome}')
 def check_complete_trace(context: Any, name: str, outcome: str) -> None:
     """Check the outcome, the sources and that nothing is missing."""
-    code, story = _story(context, name)
+    code, story = _fetch_trace(context, name)
     assert code == EXIT_COMPLETE, story
     assert story["outcome"] == outcome, story
     assert [part["source"] for part in story["parts"]] == ["batches"] * 2, story
@@ -60,7 +60,7 @@
 @then('the story of "{name}" says that {entry} is missing and the agent\'s attempt ran')
 def check_entry_missing(context: Any, name: str, entry: str) -> None:
     """Check that the caller's outcome is left open and the reason given."""
-    code, story = _story(context, name)
+    code, story = _fetch_trace(context, name)
     assert code == EXIT_INCOMPLETE, story
     assert (story["state"], story["outcome"]) == ("outcome-missing", ""), story
     gaps = " ".join(story["gaps"])
@@ -75,7 +75,7 @@
 def check_trace_by_address(context: Any, name: str, outcome: str, agent: str) -> None:
     """Give the entry's address by hand."""
     entry = context.world.fleet.entries["entry-1"]
-    code, story = _story(context, name, "--address", f"entry-1={entry.address}")
+    code, story = _fetch_trace(context, name, "--address", f"entry-1={entry.address}")
     assert code == EXIT_INCOMPLETE, story
     assert story["outcome"] == outcome, story
     assert any(f"Part of {agent}'s account" in gap for gap in story["gaps"]), story
@@ -84,7 +84,9 @@
 @then('the story by key "{key}" is that of "{name}" and one agent tells that it ran')
 def check_trace_by_key(context: Any, key: str, name: str) -> None:
     """Find the request by the caller's key and organisation."""
-    code, story = _trace(context, "--idempotency-key", key, "--organisation", "agency")
+    code, story = _run_trace_command(
+        context, "--idempotency-key", key, "--organisation", "agency"
+    )
     assert code == EXIT_INCOMPLETE, story
     assert story["request_id"] == context.world.answered(name).request_id, story
     told = [part["process"] for part in story["parts"] if part["events"]]
@@ -93,11 +95,13 @@
     assert "its attempt ended as ran" in " ".join(story["gaps"]), story
 
 
-def _story(context: Any, name: str, *options: str) -> tuple[int, Any]:
-    return _trace(context, context.world.answered(name).request_id, *options)
+def _fetch_trace(context: Any, name: str, *options: str) -> tuple[int, Any]:
+    return _run_trace_command(
+        context, context.world.answered(name).request_id, *options
+    )
 
 
-def _trace(context: Any, *options: str) -> tuple[int, Any]:
+def _run_trace_command(context: Any, *options: str) -> tuple[int, Any]:
     fleet = context.world.fleet
     platform = f"http://{fleet.platform}"
     told = fleet.command("trace", "--platform", platform, "--json", *options)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parents[1]
 _PACKAGE = Path("src/kingcupwheel")
 # What a build and a play need.
-_COPIED = ("src", "deploy", "requirements", "pyproject.toml")
+_COPIED_PATHS = ("src", "deploy", "requirements", "pyproject.toml")
 
 
 class Edit(NamedTuple):
@@ -218,7 +218,7 @@
     copy = folder / name
     copy.mkdir(parents=True)
     ignored = shutil.ignore_patterns("__pycache__")
-    for part in _COPIED:
+    for part in _COPIED_PATHS:
         source = ROOT / part
         if source.is_dir():
             shutil.copytree(source, copy / part, ignore=ignored)
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_TIMEOUT_S = 60.0
+_READ_TIMEOUT_S = 60.0
 _OUTCOME_EVENT = b"event: kingcupwheel\ndata: "
 
 
@@ -53,7 +53,7 @@
 class Caller:
     """Calls entries with one organisation's key; safe from any thread."""
 
-    def __init__(self, key: str, *, timeout_s: float = _TIMEOUT_S) -> None:
+    def __init__(self, key: str, *, timeout_s: float = _READ_TIMEOUT_S) -> None:
         self._key = key
         self._pool = urllib3.PoolManager(
             maxsize=256,
@@ -84,7 +84,7 @@
             )
         except urllib3.exceptions.HTTPError as error:
             return ConnectionFailure(str(error))
-        return _read(response, started)
+        return _read_reply(response, started)
 
     def measure_chunk_gaps(self, address: str, path: str, body: Any) -> list[float]:
         """Return the times in seconds between the chunks of a streamed answer."""
@@ -97,7 +97,7 @@
         )
         gaps: list[float] = []
         last = 0.0
-        for _ in _parts(response):
+        for _ in _read_chunks(response):
             now = time.monotonic()
             if last:
                 gaps.append(now - last)
@@ -106,12 +106,12 @@
         return gaps
 
 
-def _read(response: urllib3.BaseHTTPResponse, started: float) -> Reply:
+def _read_reply(response: urllib3.BaseHTTPResponse, started: float) -> Reply:
     parts: list[bytes] = []
     first_at = 0.0
     whole = True
     try:
-        for part in _parts(response):
+        for part in _read_chunks(response):
             first_at = first_at or time.monotonic()
             parts.append(part)
     except (urllib3.exceptions.HTTPError, OSError):
@@ -128,7 +128,7 @@
     )
 
 
-def _parts(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def _read_chunks(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     while part := response.read1():
         yield part
 
--- a/tools/features.py
+++ b/tools/features.py
@@ -20,10 +20,10 @@
 
 
 _ROOT = Path(__file__).resolve().parent.parent
-_AT_A_TIME = 4
+_MAX_PARALLEL_FILES = 4
 # Far above what the longest file needs; a hang must not hold up CI for ever.
-_TIMEOUT_S = 1200
-_COUNTS = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
+_FILE_TIMEOUT_S = 1200
+_COUNTS_PATTERN = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
 
 
 class FeatureResult(NamedTuple):
@@ -37,7 +37,7 @@
     @property
     def scenario_counts(self) -> tuple[int, int]:
         """Scenarios passed, and failed for whatever reason."""
-        found = _COUNTS.search(self.output)
+        found = _COUNTS_PATTERN.search(self.output)
         if found is None:
             return 0, 1
         return int(found[1]), int(found[2]) + int(found[3] or 0)
@@ -55,12 +55,12 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
-            timeout=_TIMEOUT_S,
+            timeout=_FILE_TIMEOUT_S,
             check=False,
         )
         code, output = done.returncode, done.stdout
     except subprocess.TimeoutExpired as error:
-        code, output = 1, f"{error.output}\nnot within {_TIMEOUT_S} s"
+        code, output = 1, f"{error.output}\nnot within {_FILE_TIMEOUT_S} s"
     return FeatureResult(path, code, output, time.monotonic() - began)
 
 
@@ -69,7 +69,7 @@
     named = [Path(argument) for argument in sys.argv[1:]]
     paths = named or sorted((_ROOT / "features").glob("*.feature"))
     passed = failed = 0
-    with ThreadPoolExecutor(_AT_A_TIME) as pool:
+    with ThreadPoolExecutor(_MAX_PARALLEL_FILES) as pool:
         for ran in pool.map(run_file, paths):
             good, bad = ran.scenario_counts
             passed += good
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -60,8 +60,8 @@
     """Processes by name; leaving the ``with`` block ends every one of them."""
 
     def __init__(self, timings: dict[str, float] | None = None) -> None:
-        self._folder = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
-        self._path = Path(self._folder.name)
+        self._temporary_directory = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
+        self._folder_path = Path(self._temporary_directory.name)
         self._timings = timings or {}
         self._ports = PortAllocator()
         self._http = urllib3.PoolManager(retries=False, timeout=10.0)
@@ -87,7 +87,7 @@
         for process in self.processes:
             process.kill()
         self._ports.close()
-        self._folder.cleanup()
+        self._temporary_directory.cleanup()
 
     @property
     def processes(self) -> tuple[Process, ...]:
@@ -99,11 +99,11 @@
     @property
     def folder(self) -> Path:
         """Where the fleet keeps its settings and logs."""
-        return self._path
+        return self._folder_path
 
     def read_log(self, name: str) -> str:
         """Return what a process logged."""
-        return (self._path / f"{name}.log").read_text()
+        return (self._folder_path / f"{name}.log").read_text()
 
     def start_stand_in(
         self, name: str, module: str, *options: str, port: int = 0
@@ -113,7 +113,7 @@
         A server that is started again needs its ``port`` of before.
         """
         arguments = [module, "--port", str(port or self._ports.allocate()), *options]
-        process = Process(name, arguments, self._path / f"{name}.log")
+        process = Process(name, arguments, self._folder_path / f"{name}.log")
         self.stand_ins[name] = process
         return process, process.read_first_line()
 
@@ -136,7 +136,7 @@
         module = f"tests.standins.{kind}"
         server, server_address = self.start_stand_in(f"{name}-server", module, *options)
         address = f"127.0.0.1:{self._ports.allocate()}"
-        settings = self._settings(name, "agent", address, data_centre)
+        settings = self._build_settings(name, "agent", address, data_centre)
         settings["group"] = group
         settings["server"] = {
             "url": f"http://{server_address}",
@@ -145,7 +145,7 @@
             **(server_settings or {}),
         }
         settings["agent"] = limits or {}
-        process = self._start(name, "agent", settings)
+        process = self._start_daemon(name, "agent", settings)
         agent = Agent(process, address, server, server_address, kind)
         if relayed:
             relay, listed = self.add_relay(f"{name}-relay", address)
@@ -159,7 +159,7 @@
         process = Process(
             name,
             ["tests.standins.relay", "--target", target],
-            self._path / f"{name}.log",
+            self._folder_path / f"{name}.log",
         )
         self.stand_ins[name] = process
         relayed = process.read_first_line()
@@ -169,18 +169,18 @@
         """Start ranks in lock-step; return them and the address of each."""
         options = ["--ranks", str(ranks), "--experts", str(experts)]
         process = Process(
-            "ranks", ["tests.standins.ranks", *options], self._path / "ranks.log"
+            "ranks", ["tests.standins.ranks", *options], self._folder_path / "ranks.log"
         )
         self.stand_ins["ranks"] = process
         return process, [process.read_first_line() for _ in range(ranks)]
 
     def get_json(self, address: str, path: str) -> Any:
         """Return what a stand-in answers."""
-        return self._test("GET", address, path)
+        return self._call_stand_in("GET", address, path)
 
     def post_json(self, address: str, path: str, body: Any) -> None:
         """Switch something of a stand-in."""
-        self._test("POST", address, path, body)
+        self._call_stand_in("POST", address, path, body)
 
     def get_object(self, key: str) -> bytes | None:
         """Return the value that the platform holds under ``key``."""
@@ -191,17 +191,17 @@
 
     def set_relay_mode(self, control: str, mode: str) -> None:
         """Let a relay pass, cut, freeze-open or freeze-all."""
-        self._test("POST", control, "/test/mode", {"mode": mode})
+        self._call_stand_in("POST", control, "/test/mode", {"mode": mode})
 
     def set_server_faults(self, agent: str, **faults: Any) -> None:
         """Switch faults of an agent's server."""
         address = self.agents[agent].server_address
-        self._test("POST", address, "/test/set", faults)
+        self._call_stand_in("POST", address, "/test/set", faults)
 
     def restart_agent(self, name: str) -> Agent:
         """Start the agent anew with the same settings, beside the same server."""
         agent = self.agents[name]
-        process = self._start_again(name, "agent")
+        process = self._launch_daemon(name, "agent")
         self.agents[name] = agent._replace(process=process)
         return self.agents[name]
 
@@ -226,7 +226,7 @@
         """Start an entry and list the instance; ``platform`` may name a relay."""
         address = f"127.0.0.1:{self._ports.allocate()}"
         http = f"127.0.0.1:{self._ports.allocate()}"
-        settings = self._settings(name, "entry", address, data_centre)
+        settings = self._build_settings(name, "entry", address, data_centre)
         settings["http"] = http
         settings["seeds"] = list(seeds)
         settings["entry"] = limits or {}
@@ -234,7 +234,7 @@
             settings["platform"] = {"url": f"http://{platform}"}
         operators = f"127.0.0.1:{self._ports.allocate()}"
         settings["operator_http"] = operators
-        process = self._start(name, "entry", settings)
+        process = self._start_daemon(name, "entry", settings)
         entry = Entry(process, http, address, operators)
         self.entries[name] = entry
         self.register_instance(name, "entry", "", data_centre, address, http)
@@ -242,11 +242,11 @@
 
     def restart_entry(self, name: str) -> Entry:
         """Start the entry anew with the same settings."""
-        process = self._start_again(name, "entry")
+        process = self._launch_daemon(name, "entry")
         self.entries[name] = self.entries[name]._replace(process=process)
         return self.entries[name]
 
-    def _settings(
+    def _build_settings(
         self, name: str, role: str, address: str, data_centre: str
     ) -> dict[str, Any]:
         return {
@@ -258,15 +258,15 @@
             "timings": self._timings,
         }
 
-    def _start(self, name: str, role: str, settings: dict[str, Any]) -> Process:
-        path = self._path / f"{name}.yaml"
+    def _start_daemon(self, name: str, role: str, settings: dict[str, Any]) -> Process:
+        path = self._folder_path / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
-        return self._start_again(name, role)
+        return self._launch_daemon(name, role)
 
-    def _start_again(self, name: str, role: str) -> Process:
-        path = self._path / f"{name}.yaml"
+    def _launch_daemon(self, name: str, role: str) -> Process:
+        path = self._folder_path / f"{name}.yaml"
         arguments = ["kingcupwheel", role, "--settings", str(path)]
-        return Process(name, arguments, self._path / f"{name}.log")
+        return Process(name, arguments, self._folder_path / f"{name}.log")
 
     def register_instance(
         self,
@@ -289,17 +289,23 @@
             "http": http,
             "leaving": leaving,
         }
-        self._test("PUT", self.platform_address, f"/test/instances/{name}", instance)
+        self._call_stand_in(
+            "PUT", self.platform_address, f"/test/instances/{name}", instance
+        )
 
     def deregister_instance(self, name: str) -> None:
         """Take an instance off the platform's list."""
-        self._test("DELETE", self.platform_address, f"/test/instances/{name}")
+        self._call_stand_in("DELETE", self.platform_address, f"/test/instances/{name}")
 
     def set_platform_faults(self, address: str = "", **switches: Any) -> None:
         """Set the platform stand-in's switches."""
-        self._test("PUT", address or self.platform_address, "/test/switches", switches)
+        self._call_stand_in(
+            "PUT", address or self.platform_address, "/test/switches", switches
+        )
 
-    def _test(self, method: str, address: str, path: str, body: Any = None) -> Any:
+    def _call_stand_in(
+        self, method: str, address: str, path: str, body: Any = None
+    ) -> Any:
         payload = None if body is None else msgspec.json.encode(body)
         response = self._http.request(method, f"http://{address}{path}", body=payload)
         assert response.status < 300, (path, response.status, response.data)
@@ -307,21 +313,23 @@
 
     def list_object_keys(self) -> list[str]:
         """Return the keys of all objects that the platform holds."""
-        found: list[str] = self._test(
+        found: list[str] = self._call_stand_in(
             "GET", self.platform_address, "/v1/objects?prefix="
         )
         return found
 
     def get_run_counts(self, agent: str) -> Any:
         """Return what the agent's server counts of its runs."""
-        return self._test("GET", self.agents[agent].server_address, "/test/runs")
+        return self._call_stand_in(
+            "GET", self.agents[agent].server_address, "/test/runs"
+        )
 
     def submit_manifest(
         self, manifest: dict[str, Any], *options: str
     ) -> subprocess.CompletedProcess[str]:
         """Submit a manifest by the command line."""
         with tempfile.NamedTemporaryFile(
-            "w", suffix=".yaml", dir=self._path, delete=False
+            "w", suffix=".yaml", dir=self._folder_path, delete=False
         ) as file:
             yaml.safe_dump(manifest, file)
         platform = f"http://{self.platform_address}"
@@ -346,7 +354,7 @@
         caller = Caller(key)
         for entry in self.entries.values():
             wait_until(
-                lambda http=entry.caller_address: _serves(caller, http, path, body),  # type: ignore[misc]
+                lambda http=entry.caller_address: _is_serving(caller, http, path, body),  # type: ignore[misc]
                 f"an answer through {entry.caller_address}",
                 START_TIMEOUT_S,
             )
@@ -355,12 +363,12 @@
         """Wait until every entry has the manifest and may use every agent."""
         for name, entry in self.entries.items():
             wait_until(
-                lambda entry=entry: self._knows_all(entry),  # type: ignore[misc]
+                lambda entry=entry: self._is_configured(entry),  # type: ignore[misc]
                 f"the manifest and every agent at {name}",
                 START_TIMEOUT_S,
             )
 
-    def _knows_all(self, entry: Entry) -> bool:
+    def _is_configured(self, entry: Entry) -> bool:
         try:
             answer = self._http.request(
                 "GET", f"http://{entry.operator_address}/status"
@@ -372,6 +380,6 @@
         return bool(status["manifest_version"]) and in_service >= self.agents.keys()
 
 
-def _serves(caller: Caller, http: str, path: str, body: Any) -> bool:
+def _is_serving(caller: Caller, http: str, path: str, body: Any) -> bool:
     reply = caller.call(http, path, body)
     return isinstance(reply, Reply) and reply.status == 200
--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -46,7 +46,7 @@
     demand = Demand(per_s, popularity_change_interval_s=4.2, popularity_deviation=1.1)
     return [
         GroupModel(way.shape, RANKS, demand, seed=seed).simulate(
-            SECONDS, balances=way.balances
+            SECONDS, is_balanced=way.balances
         )
         for seed in SEEDS
     ]
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -18,7 +18,7 @@
     from collections.abc import Sequence
 
 _ROOT = Path(__file__).resolve().parent.parent
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 60.0
 # Below the range that the kernel gives to outgoing connections.
@@ -37,15 +37,15 @@
     """
 
     def __init__(self) -> None:
-        self._taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._next = self._take_block()
+        self._block_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._next_port = self._reserve_block()
 
-    def _take_block(self) -> int:
+    def _reserve_block(self) -> int:
         blocks = list(range(_FIRST_PORT, _LAST_PORT, _BLOCK_PORTS))
         random.shuffle(blocks)
         for first in blocks:
             try:
-                self._taken.bind(("127.0.0.1", first))
+                self._block_socket.bind(("127.0.0.1", first))
             except OSError:
                 continue
             return first + 1
@@ -54,7 +54,7 @@
     def allocate(self) -> int:
         """Return the next port of the block that is free."""
         while True:
-            port, self._next = self._next, self._next + 1
+            port, self._next_port = self._next_port, self._next_port + 1
             with socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
@@ -65,16 +65,18 @@
 
     def close(self) -> None:
         """Give the block back."""
-        self._taken.close()
+        self._block_socket.close()
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout_s: float) -> None:
+def wait_until(
+    condition: Callable[[], bool], description: str, timeout_s: float
+) -> None:
     """Wait for ``condition``; raises TimeoutError that names ``what``."""
     until = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > until:
-            raise TimeoutError(f"not within {timeout_s} s: {what}")
-        time.sleep(_POLL_S)
+            raise TimeoutError(f"not within {timeout_s} s: {description}")
+        time.sleep(_POLL_INTERVAL_S)
 
 
 def build_environment() -> dict[str, str]:
@@ -131,14 +133,14 @@
         if self.is_alive:
             self._popen.kill()
         self._popen.wait(STOP_TIMEOUT_S)
-        self._close()
+        self._close_stdout()
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Return the exit code once the process has ended."""
         code = self._popen.wait(timeout_s)
-        self._close()
+        self._close_stdout()
         return code
 
-    def _close(self) -> None:
+    def _close_stdout(self) -> None:
         if self._popen.stdout is not None:
             self._popen.stdout.close()
--- a/tools/split_model.py
+++ b/tools/split_model.py
@@ -37,7 +37,7 @@
         entry_by_name = {entry.name: entry for entry in entries}
         self.entries = [entry_by_name[name] for name in names]
         for entry in self.entries:
-            self._hold(entry, Share(1.0 / len(self.entries)))
+            self._set_share(entry, Share(1.0 / len(self.entries)))
 
     def choose_entry(self, draw: Random) -> ModelEntry:
         """Return the entry that a call reaches."""
@@ -60,9 +60,9 @@
             peers = [told[one.name] for one in self.entries if one is not entry]
             share = entry.share_by_organisation[self.organisation]
             demand = told[entry.name].demand
-            self._hold(entry, compute_next_share(share, demand, peers, now))
+            self._set_share(entry, compute_next_share(share, demand, peers, now))
 
-    def _hold(self, entry: ModelEntry, share: Share) -> None:
+    def _set_share(self, entry: ModelEntry, share: Share) -> None:
         entry.share_by_organisation[self.organisation] = share
         usable = share.usable_fraction(len(self.entries))
         entry.admission.configure(self.organisation, self.allowance, usable)
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -33,7 +33,7 @@
 
 def build_coverage_table() -> Table:
     """Return coverage at the target size, in one and in eight data centres."""
-    rows = [_row(count) for count in DATA_CENTRE_COUNTS]
+    rows = [_build_row(count) for count in DATA_CENTRE_COUNTS]
     columns = (
         "data centres",
         "links",
@@ -50,20 +50,24 @@
     return Table(title, columns, rows)
 
 
-def _row(data_centres: int) -> tuple[str, ...]:
+def _build_row(data_centres: int) -> tuple[str, ...]:
     fleet = FleetInstances(
-        _instances("entry", ENTRY_COUNT, data_centres),
-        _instances("server", SERVER_COUNT, data_centres),
+        _build_instances("entry", ENTRY_COUNT, data_centres),
+        _build_instances("server", SERVER_COUNT, data_centres),
     )
     before = fleet.select_subsets()
     count_by_server = Counter(name for names in before.values() for name in names)
     counts = [count_by_server[server.name] for server in fleet.servers]
     entry_moves = [
-        _moved(before, fleet._replace(entries=_without(fleet.entries, number)))
+        _count_new_links(
+            before, fleet._replace(entries=_remove_instance(fleet.entries, number))
+        )
         for number in range(DEPARTURE_COUNT)
     ]
     server_moves = [
-        _moved(before, fleet._replace(servers=_without(fleet.servers, number)))
+        _count_new_links(
+            before, fleet._replace(servers=_remove_instance(fleet.servers, number))
+        )
         for number in range(DEPARTURE_COUNT)
     ]
     return (
@@ -78,17 +82,21 @@
     )
 
 
-def _instances(prefix: str, count: int, data_centres: int) -> tuple[Instance, ...]:
+def _build_instances(
+    prefix: str, count: int, data_centres: int
+) -> tuple[Instance, ...]:
     return tuple(
         Instance(f"{prefix}-{number}", f"dc-{number % data_centres}")
         for number in range(count)
     )
 
 
-def _without(instances: tuple[Instance, ...], number: int) -> tuple[Instance, ...]:
+def _remove_instance(
+    instances: tuple[Instance, ...], number: int
+) -> tuple[Instance, ...]:
     return instances[:number] + instances[number + 1 :]
 
 
-def _moved(before: dict[str, set[str]], fleet: FleetInstances) -> int:
+def _count_new_links(before: dict[str, set[str]], fleet: FleetInstances) -> int:
     after = fleet.select_subsets()
     return sum(len(names - before[name]) for name, names in after.items())
