--- a/features/environment.py
+++ b/features/environment.py
@@ -30,6 +30,8 @@
 
 def _check_promises(world: Any) -> None:
     world.wait_for_replies()
-    world.fleet.switch(outage="off", slow_answer_s=0, lose_answers=0, stale=0)
+    world.fleet.set_platform_faults(
+        outage="off", slow_answer_s=0, lose_answers=0, stale=0
+    )
     check_counters(world)
     check_traces(world)
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -46,7 +46,7 @@
     with ThreadPoolExecutor(2) as pool:
         context.submissions = list(
             pool.map(
-                lambda path: world.fleet.submit(
+                lambda path: world.fleet.submit_manifest(
                     _build_manifest_with_path(path), "--expect", seen
                 ),
                 ("/v1/red", "/v1/blue"),
@@ -66,7 +66,9 @@
 @when('an operator submits a manifest in which "{path}" leads to the engines')
 def submit_manifest_with_path(context: Any, path: str) -> None:
     """Submit the scenarios' manifest with one more route."""
-    context.submitted = context.world.fleet.submit(_build_manifest_with_path(path))
+    context.submitted = context.world.fleet.submit_manifest(
+        _build_manifest_with_path(path)
+    )
 
 
 @when('an operator submits a manifest for the version seen, with path "{path}"')
@@ -74,7 +76,7 @@
     """Submit so that a later version than the one seen would refuse it."""
     world = context.world
     seen = str(_fetch_manifest_status(world)["version"])
-    context.submitted = world.fleet.submit(
+    context.submitted = world.fleet.submit_manifest(
         _build_manifest_with_path(path), "--expect", seen
     )
 
@@ -84,7 +86,7 @@
     """Submit the scenarios' manifest without the callers' organisation."""
     changed = build_manifest()
     del changed["organisations"][0]
-    context.submitted = context.world.fleet.submit(changed)
+    context.submitted = context.world.fleet.submit_manifest(changed)
 
 
 @then("the submission is accepted")
@@ -97,9 +99,9 @@
 def check_adopted(context: Any) -> None:
     """Ask every process for its version by the command line."""
     fleet = context.world.fleet
-    arguments = ("manifest", "status", "--platform", f"http://{fleet.platform}")
+    arguments = ("manifest", "status", "--platform", f"http://{fleet.platform_address}")
     wait_until(
-        lambda: fleet.command(*arguments).returncode == 0,
+        lambda: fleet.run_command(*arguments).returncode == 0,
         "every process on the accepted version",
         ADOPTION_TIMEOUT_S,
     )
@@ -134,7 +136,9 @@
 def add_relayed_entry(context: Any) -> None:
     """Start one more entry whose platform address is a relay's."""
     world = context.world
-    control, address = world.fleet.add_relay("platform-relay", world.fleet.platform)
+    control, address = world.fleet.add_relay(
+        "platform-relay", world.fleet.platform_address
+    )
     context.platform_relay = control
     world.fleet.add_entry("entry-relayed", platform=address)
     check_served(context, "/v1/completions", "entry-relayed")
@@ -143,7 +147,7 @@
 @when("the relay to the platform is set to {mode}")
 def set_platform_relay(context: Any, mode: str) -> None:
     """Cut or freeze the entry's way to the platform."""
-    context.world.fleet.set_relay(context.platform_relay, mode)
+    context.world.fleet.set_relay_mode(context.platform_relay, mode)
 
 
 @when("a fresh entry starts with {first} and {second} as seeds")
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -62,7 +62,9 @@
 
 
 def _fetch_step_record(context: Any) -> dict[str, Any]:
-    found: dict[str, Any] = context.world.fleet.ask(context.ranks[0], "/test/steps")
+    found: dict[str, Any] = context.world.fleet.get_json(
+        context.ranks[0], "/test/steps"
+    )
     return found
 
 
@@ -77,7 +79,7 @@
     """Let two experts draw most of the load."""
     context.maps_before = _fetch_step_record(context)["steps_by_map"]
     switch = {"hot": [first, second], "factor": float(factor)}
-    context.world.fleet.tell(context.ranks[0], "/test/switch", switch)
+    context.world.fleet.post_json(context.ranks[0], "/test/switch", switch)
 
 
 @then("the group comes to run on another map")
@@ -114,7 +116,7 @@
     fleet = context.world.fleet
 
     def holder() -> str:
-        held = fleet.stored(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP}")
         return "" if held is None else str(msgspec.json.decode(held)["holder"])
 
     wait_until(lambda: holder() in fleet.agents, "a lease holder", MAP_CHANGE_TIMEOUT_S)
@@ -143,7 +145,7 @@
     process = context.world.fleet.agents[_wait_for_lease_holder(context)].process
     process.pause()
     time.sleep(seconds)
-    process.wake()
+    process.resume()
 
 
 @when("the agent that coordinates is stopped as planned")
@@ -160,7 +162,7 @@
     fleet = context.world.fleet
 
     def has_successor() -> bool:
-        held = fleet.stored(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP}")
         if held is None:
             return False
         holder = str(msgspec.json.decode(held)["holder"])
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -79,40 +79,40 @@
 @given("service {name} takes {delay_ms:d} ms for each call")
 def set_service_delay(context: Any, name: str, delay_ms: int) -> None:
     """Make the service slow, so that a failure hits a request that runs."""
-    context.world.fleet.set_faults(name, delay_ms=delay_ms)
+    context.world.fleet.set_server_faults(name, delay_ms=delay_ms)
 
 
 @given("engine {name} takes {step_ms:d} ms for each step")
 @when("engine {name} takes {step_ms:d} ms for each step")
 def set_step_time(context: Any, name: str, step_ms: int) -> None:
     """Set the engine's step time."""
-    context.world.fleet.set_faults(name, step_ms=step_ms)
+    context.world.fleet.set_server_faults(name, step_ms=step_ms)
 
 
 @given("the platform is {outage}")
 @when("the platform is {outage}")
 def set_outage(context: Any, outage: str) -> None:
     """Turn an outage on (down, hang) or off (up)."""
-    context.world.fleet.switch(outage="off" if outage == "up" else outage)
+    context.world.fleet.set_platform_faults(outage="off" if outage == "up" else outage)
 
 
 @given("the platform loses the answers of the next {count:d} writes")
 @when("the platform loses the answers of the next {count:d} writes")
 def drop_write_responses(context: Any, count: int) -> None:
     """Let writes take effect without an answer."""
-    context.world.fleet.switch(lose_answers=count)
+    context.world.fleet.set_platform_faults(lose_answers=count)
 
 
 @when("the platform answers writes {seconds:g} s late")
 def delay_write_responses(context: Any, seconds: float) -> None:
     """Let writes take effect at once and answer late."""
-    context.world.fleet.switch(slow_answer_s=seconds)
+    context.world.fleet.set_platform_faults(slow_answer_s=seconds)
 
 
 @when("the platform's reads are {versions:d} versions behind")
 def set_stale_reads(context: Any, versions: int) -> None:
     """Let reads answer an older version."""
-    context.world.fleet.switch(stale=versions)
+    context.world.fleet.set_platform_faults(stale=versions)
 
 
 @when("{seconds:g} s pass")
@@ -161,7 +161,7 @@
         case "paused":
             process.pause()
         case "woken":
-            process.wake()
+            process.resume()
         case "told to stop":
             process.terminate()
         case _:
@@ -172,7 +172,7 @@
 def set_relay(context: Any, name: str, mode: str) -> None:
     """Cut or freeze what passes between the entries and an agent."""
     world = context.world
-    world.fleet.set_relay(world.fleet.agents[name].relay, mode)
+    world.fleet.set_relay_mode(world.fleet.agents[name].relay_control_address, mode)
 
 
 @when("the list says that {name} is leaving")
@@ -181,20 +181,20 @@
     fleet = context.world.fleet
     agent = fleet.agents[name]
     group = "portal" if agent.kind == "service" else "parts-model"
-    fleet.list_instance(name, "agent", group, "dc-1", agent.address, leaving=True)
+    fleet.register_instance(name, "agent", group, "dc-1", agent.address, leaving=True)
 
 
 @when("the open connections to the server of {name} go silent")
 def silence_server_connections(context: Any, name: str) -> None:
     """Let the engine's open connections say nothing for good; new ones work."""
     fleet = context.world.fleet
-    fleet._test("POST", fleet.agents[name].server_address, "/test/silence", {})
+    fleet._call_stand_in("POST", fleet.agents[name].server_address, "/test/silence", {})
 
 
 @when("engine {name} crosses its answers")
 def swap_response_ids(context: Any, name: str) -> None:
     """Let the engine answer under another run's id."""
-    context.world.fleet.set_faults(name, crossed=True)
+    context.world.fleet.set_server_faults(name, crossed=True)
 
 
 @when("agent {name} has ended")
@@ -220,11 +220,13 @@
     for name in list(world.fleet.entries):
         others = [other for other in world.fleet.entries if other != name]
         world.fleet.entries[name].process.terminate()
-        world.load.use(others)
+        world.background_load.set_entries(others)
         assert world.fleet.entries[name].process.wait() == 0
         world.fleet.restart_entry(name)
-        world.fleet.wait_ready(KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1})
-        world.load.use(list(world.fleet.entries))
+        world.fleet.wait_until_serving(
+            KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+        )
+        world.background_load.set_entries(list(world.fleet.entries))
 
 
 def _stop_gracefully(process: Any) -> None:
--- a/features/steps/judging.py
+++ b/features/steps/judging.py
@@ -12,7 +12,7 @@
 @then('key "{key}" ran {count:d} times')
 def check_runs_of_key(context: Any, key: str, count: int) -> None:
     """Compare the backend servers' own counters."""
-    runs = context.world.runs_by_idempotency_key().get(key, 0)
+    runs = context.world.count_runs_by_idempotency_key().get(key, 0)
     assert runs == count, runs
 
 
@@ -27,8 +27,8 @@
 def check_load(context: Any) -> None:
     """Check each answer of the load: nothing cut, nothing lost, nothing false."""
     world = context.world
-    results = world.load.results
-    by_request = world.runs_by_request_id()
+    results = world.background_load.results
+    by_request = world.count_runs_by_request_id()
     answered = 0
     for reply, expected in results:
         if not isinstance(reply, Reply):
@@ -51,7 +51,7 @@
 @then("at least {percent:d} in 100 load calls are answered")
 def check_answered_percentage(context: Any, percent: int) -> None:
     """Check that refusals stay the exception."""
-    results = context.world.load.results
+    results = context.world.background_load.results
     answered = [r for r, _ in results if isinstance(r, Reply) and r.status == 200]
     assert len(answered) * 100 >= percent * len(results), (len(answered), len(results))
 
@@ -60,9 +60,9 @@
 def check_not_placed(context: Any, count: int, prefix: str, server: str) -> None:
     """Look in the entry's own records where each request was placed."""
     world = context.world
-    platform = f"http://{world.fleet.platform}"
+    platform = f"http://{world.fleet.platform_address}"
     for number in range(count):
-        request_id = world.answered(f"{prefix}-{number}").request_id
-        told = world.fleet.command("trace", request_id, "--platform", platform)
+        request_id = world.require_reply(f"{prefix}-{number}").request_id
+        told = world.fleet.run_command("trace", request_id, "--platform", platform)
         assert "Placed on" in told.stdout, told
         assert f"Placed on {server} " not in told.stdout, told.stdout
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -149,7 +149,7 @@
         agent = Agent(process, address, server, server_address, kind)
         if relayed:
             relay, listed = self.add_relay(f"{name}-relay", address)
-            agent = agent._replace(relay=relay, address=listed)
+            agent = agent._replace(relay_control_address=relay, address=listed)
         self.agents[name] = agent
         self.register_instance(name, "agent", group, data_centre, agent.address)
         return agent
