--- a/features/environment.py
+++ b/features/environment.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from features.judging import check_counters
-from features.judging import check_traces
+from features.result_checks import check_counters
+from features.result_checks import check_traces
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
--- a/features/steps/judging.py
+++ b/features/steps/result_checks.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from behave import then
-from features.judging import check_counters
+from features.result_checks import check_counters
 from tools.caller import Reply
 
 
