--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -43,7 +43,7 @@
 _GB = 1e9
 
 
-def parts(slopes: Slopes) -> dict[str, str]:
+def render_parts(slopes: Slopes) -> dict[str, str]:
     """Return each computed part of the page by name."""
     return {
         "slopes": _slopes(slopes),
@@ -60,7 +60,7 @@
 
 def fill(page: str, slopes: Slopes) -> str:
     """Return ``page`` with its computed parts replaced."""
-    by_name = parts(slopes)
+    by_name = render_parts(slopes)
 
     def replaced(match: re.Match[str]) -> str:
         name = match["name"]
@@ -196,7 +196,7 @@
     if write:
         PAGE.write_text(fill(PAGE.read_text(), slopes))
     else:
-        click.echo("\n\n".join(parts(slopes).values()))
+        click.echo("\n\n".join(render_parts(slopes).values()))
 
 
 if __name__ == "__main__":
