--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -58,7 +58,7 @@
     }
 
 
-def fill(page: str, slopes: Slopes) -> str:
+def fill_page(page: str, slopes: Slopes) -> str:
     """Return ``page`` with its computed parts replaced."""
     by_name = render_parts(slopes)
 
@@ -194,7 +194,7 @@
     """Work the tables out anew."""
     slopes = load_slopes()
     if write:
-        PAGE.write_text(fill(PAGE.read_text(), slopes))
+        PAGE.write_text(fill_page(PAGE.read_text(), slopes))
     else:
         click.echo("\n\n".join(render_parts(slopes).values()))
 
