--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -36,7 +36,7 @@
     from tools.capacity_slopes import Slope
     from tools.capacity_slopes import Slopes
 
-PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
+PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
 _PART = re.compile(r"<!-- computed: (?P<name>[a-z-]+) -->\n.*?<!-- end -->", re.DOTALL)
 _MB = 1e6
 _KB = 1e3
@@ -194,7 +194,7 @@
     """Work the tables out anew."""
     slopes = load_slopes()
     if write:
-        PAGE.write_text(fill_page(PAGE.read_text(), slopes))
+        PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
     else:
         click.echo("\n\n".join(render_parts(slopes).values()))
 
