--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -14,7 +14,7 @@
 
 from tools.capacity_breaks import bad_days
 from tools.capacity_breaks import breaks
-from tools.capacity_breaks import table
+from tools.capacity_breaks import markdown_table
 from tools.capacity_model import Cost
 from tools.capacity_model import Model
 from tools.capacity_model import Role
@@ -79,7 +79,7 @@
     about = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{about}\n\n{table(head, rows)}"
+    return f"{about}\n\n{markdown_table(head, rows)}"
 
 
 def _slope(slope: Slope) -> tuple[str, ...]:
@@ -100,7 +100,7 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return table(head, [_cost(cost) for cost in (*role.costs, role.total)])
+    return markdown_table(head, [_cost(cost) for cost in (*role.costs, role.total)])
 
 
 def _cost(cost: Cost) -> tuple[str, ...]:
@@ -126,7 +126,7 @@
         for path in data_paths(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
 def _platform(slopes: Slopes) -> str:
@@ -155,7 +155,7 @@
         "Trace MB/s",
         "Traces kept",
     )
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
 def _verdicts(slopes: Slopes) -> str:
@@ -181,7 +181,7 @@
                 )
             )
     head = ("Design", "Role", "Core (2.2%)", "MB (256)", "KB/s, both ways (11)")
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
 def _against(value: float, limit: float, text: str) -> str:
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -26,7 +26,7 @@
 _KB = 1e3
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
@@ -62,7 +62,7 @@
                 f"({claims / TARGET.requests:.1%} of requests)",
             )
         )
-    return table(("Design", "Role", "Limit", "Breaks"), rows)
+    return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
 
 
 def _entry_breaks(model: Model, design: Design) -> list[tuple[str, ...]]:
@@ -134,4 +134,4 @@
             f"beside the normal ones, at most {traces_s:.0f} calls/s in all",
         ),
     ]
-    return table(("Day", "What it costs"), rows)
+    return markdown_table(("Day", "What it costs"), rows)
