--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -13,7 +13,7 @@
 import click
 
 from tools.capacity_breaks import bad_days
-from tools.capacity_breaks import breaks
+from tools.capacity_breaks import limits_table
 from tools.capacity_breaks import markdown_table
 from tools.capacity_model import Cost
 from tools.capacity_model import Model
@@ -53,7 +53,7 @@
         "data-path": _data_path(slopes),
         "platform": _platform(slopes),
         "verdicts": _verdicts(slopes),
-        "breaks": breaks(slopes),
+        "breaks": limits_table(slopes),
         "bad-days": bad_days(slopes),
     }
 
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -32,7 +32,7 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def breaks(slopes: Slopes) -> str:
+def limits_table(slopes: Slopes) -> str:
     """Return at which size each limit is passed first."""
     rows = []
     for design in DESIGNS:
