--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -12,7 +12,7 @@
 
 import click
 
-from tools.capacity_breaks import bad_days
+from tools.capacity_breaks import bad_days_table
 from tools.capacity_breaks import limits_table
 from tools.capacity_breaks import markdown_table
 from tools.capacity_model import Cost
@@ -54,7 +54,7 @@
         "platform": _platform(slopes),
         "verdicts": _verdicts(slopes),
         "breaks": limits_table(slopes),
-        "bad-days": bad_days(slopes),
+        "bad-days": bad_days_table(slopes),
     }
 
 
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -89,7 +89,7 @@
     return found
 
 
-def bad_days(slopes: Slopes) -> str:
+def bad_days_table(slopes: Slopes) -> str:
     """Return what each bad day costs."""
     by_name = slopes.by_name
     model = Model(slopes, TODAY, TARGET)
