--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -71,7 +71,7 @@
             self.hub.send(self._link, self._hello)
 
 
-def traffic_of(hubs: list[MessageHub]) -> TrafficCounts:
+def sum_traffic(hubs: list[MessageHub]) -> TrafficCounts:
     """Return what passed all hubs together."""
     seen = [hub.traffic for hub in hubs]
     return TrafficCounts(
@@ -95,7 +95,7 @@
         hubs = [EntryStandIn(name, address).hub for name in names]
     click.echo(" ".join(f"127.0.0.1:{hub.port}" for hub in hubs))
     while True:
-        click.echo(" ".join(map(str, traffic_of(hubs))))
+        click.echo(" ".join(map(str, sum_traffic(hubs))))
         time.sleep(_BEAT_S)
 
 
