--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -17,7 +17,7 @@
 from tools.capacity_breaks import markdown_table
 from tools.capacity_model import Cost
 from tools.capacity_model import Model
-from tools.capacity_model import Role
+from tools.capacity_model import RoleCosts
 from tools.capacity_slopes import load_slopes
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
@@ -69,7 +69,7 @@
     return _PART.sub(replaced, page)
 
 
-def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> Role:
+def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> RoleCosts:
     return Model(slopes, design, target).holder(renew_s=RENEW_S)
 
 
@@ -90,7 +90,7 @@
     return name, seen, f"{slope.base:.4g}", f"{slope.per:.4g}"
 
 
-def _role(role: Role) -> str:
+def _role(role: RoleCosts) -> str:
     head = (
         "Item",
         "Messages/s in, out",
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -43,7 +43,7 @@
     writes: float = 0.0
 
 
-class Role(NamedTuple):
+class RoleCosts(NamedTuple):
     """A process and its costs."""
 
     name: str
@@ -82,7 +82,7 @@
         """Entries that keep a link to one agent."""
         return self.entry_links * self._target.entries / self._target.servers
 
-    def entry(self) -> Role:
+    def entry(self) -> RoleCosts:
         """Return the costs of one entry."""
         costs = (
             self._process("entry"),
@@ -94,9 +94,9 @@
             self._traces("entry", self._target.requests / self._target.entries),
             self._burn(),
         )
-        return Role("entry", costs)
+        return RoleCosts("entry", costs)
 
-    def agent(self) -> Role:
+    def agent(self) -> RoleCosts:
         """Return the costs of one agent."""
         costs = (
             self._process("agent"),
@@ -104,9 +104,9 @@
             self._manifest("agent"),
             self._traces("agent", self._target.requests / self._target.servers),
         )
-        return Role("agent", costs)
+        return RoleCosts("agent", costs)
 
-    def holder(self, *, renew_s: float) -> Role:
+    def holder(self, *, renew_s: float) -> RoleCosts:
         """Return the costs of an agent that coordinates its group's expert map."""
         rate = self._target.ranks / self._design.poll_s
         reply = self._at("map_reply_bytes", self._target.experts)
@@ -120,7 +120,9 @@
             bytes_out=size,
             writes=1 / renew_s,
         )
-        return Role("agent that holds the lease", (*self.agent().costs, coordinating))
+        return RoleCosts(
+            "agent that holds the lease", (*self.agent().costs, coordinating)
+        )
 
     def _at(self, name: str, size: float) -> float:
         return self._slopes.by_name[name].at(size)
