--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -15,8 +15,8 @@
 from tools.capacity_breaks import bad_days_table
 from tools.capacity_breaks import limits_table
 from tools.capacity_breaks import markdown_table
+from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
-from tools.capacity_model import Model
 from tools.capacity_model import RoleCosts
 from tools.capacity_slopes import load_slopes
 from tools.capacity_target import DESIGNS
@@ -47,8 +47,8 @@
     """Return each computed part of the page by name."""
     return {
         "slopes": _slopes(slopes),
-        "entry": _role(Model(slopes, TODAY, TARGET).entry()),
-        "agent": _role(Model(slopes, TODAY, TARGET).agent()),
+        "entry": _role(CapacityModel(slopes, TODAY, TARGET).entry()),
+        "agent": _role(CapacityModel(slopes, TODAY, TARGET).agent()),
         "holder": _role(_holder(slopes, TODAY)),
         "data-path": _data_path(slopes),
         "platform": _platform(slopes),
@@ -70,7 +70,7 @@
 
 
 def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> RoleCosts:
-    return Model(slopes, design, target).holder(renew_s=RENEW_S)
+    return CapacityModel(slopes, design, target).holder(renew_s=RENEW_S)
 
 
 def _slopes(slopes: Slopes) -> str:
@@ -162,7 +162,7 @@
     rows = []
     sizes = [(SMALL, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
     for design, target in sizes:
-        model = Model(slopes, design, target)
+        model = CapacityModel(slopes, design, target)
         for role in (model.entry(), model.agent(), _holder(slopes, design, target)):
             total = role.total
             rows.append(
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.trace.outbox import OUTBOX_BYTES
-from tools.capacity_model import Model
+from tools.capacity_model import CapacityModel
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
 from tools.capacity_target import RENEW_S
@@ -36,7 +36,7 @@
     """Return at which size each limit is passed first."""
     rows = []
     for design in DESIGNS:
-        model = Model(slopes, design, TARGET)
+        model = CapacityModel(slopes, design, TARGET)
         rows += _entry_breaks(model, design)
         load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
         reads = LIMITS.reads_s / load.reads * TARGET.processes
@@ -65,7 +65,7 @@
     return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
 
 
-def _entry_breaks(model: Model, design: Design) -> list[tuple[str, ...]]:
+def _entry_breaks(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
     role = model.entry()
     links = model.entry_links
     beats = next(cost for cost in role.costs if cost.what.startswith("heartbeats on"))
@@ -92,7 +92,7 @@
 def bad_days_table(slopes: Slopes) -> str:
     """Return what each bad day costs."""
     by_name = slopes.by_name
-    model = Model(slopes, TODAY, TARGET)
+    model = CapacityModel(slopes, TODAY, TARGET)
     entry_rate = TARGET.requests / TARGET.entries
     hour_bytes = by_name["entry_batch_bytes"].per * entry_rate * 3600
     whole = by_name["manifest_bytes"].at(TARGET.organisations)
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -63,7 +63,7 @@
         return total.bytes_in + total.bytes_out
 
 
-class Model:
+class CapacityModel:
     """Works out roles for one design."""
 
     def __init__(self, slopes: Slopes, design: Design, target: Target) -> None:
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.manifest.synchronizer import DEFAULT_MAX_READ_DELAY_S
-from tools.capacity_model import Model
+from tools.capacity_model import CapacityModel
 
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
     slopes: Slopes, design: Design, target: Target, *, renew_s: float
 ) -> PlatformLoad:
     """Return the platform's load."""
-    model = Model(slopes, design, target)
+    model = CapacityModel(slopes, design, target)
     entry, agent = model.entry().total, model.agent().total
     reads = target.entries * entry.reads + target.servers * agent.reads
     batches = target.processes / design.trace_batch_s
