--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -105,7 +105,7 @@
 
 def _cost(cost: Cost) -> tuple[str, ...]:
     return (
-        cost.what,
+        cost.item,
         f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
         f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
         f"{cost.cpu:.2%}",
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -68,7 +68,7 @@
 def _entry_breaks(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
     role = model.entry()
     links = model.entry_links
-    beats = next(cost for cost in role.costs if cost.what.startswith("heartbeats on"))
+    beats = next(cost for cost in role.costs if cost.item.startswith("heartbeats on"))
     total = role.total
     found: list[tuple[str, ...]] = []
     for limit, value, beat in (
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -31,7 +31,7 @@
 class Cost(NamedTuple):
     """One item: rates are per second, memory in bytes, ``cpu`` a share of a core."""
 
-    what: str
+    item: str
     mechanism: str
     messages_in: float = 0.0
     messages_out: float = 0.0
