--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -108,7 +108,7 @@
         cost.item,
         f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
         f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
-        f"{cost.cpu:.2%}",
+        f"{cost.cpu_share:.2%}",
         f"{cost.memory / _MB:.1f}",
         f"{cost.reads:.3f}, {cost.writes:.3f}",
         cost.mechanism,
@@ -169,7 +169,9 @@
                 (
                     design.name,
                     role.name,
-                    _against(total.cpu, LIMITS.cpu_share, f"{total.cpu:.2%}"),
+                    _against(
+                        total.cpu_share, LIMITS.cpu_share, f"{total.cpu_share:.2%}"
+                    ),
                     _against(
                         total.memory, LIMITS.memory_bytes, f"{total.memory / _MB:.0f}"
                     ),
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -77,7 +77,7 @@
             role.control_bytes,
             beats.bytes_in + beats.bytes_out,
         ),
-        ("2.2% of a core", total.cpu, beats.cpu),
+        ("2.2% of a core", total.cpu_share, beats.cpu_share),
     ):
         bound = LIMITS.bytes_s if limit == "11 KB/s" else LIMITS.cpu_share
         others = value - beat
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -37,7 +37,7 @@
     messages_out: float = 0.0
     bytes_in: float = 0.0
     bytes_out: float = 0.0
-    cpu: float = 0.0
+    cpu_share: float = 0.0
     memory: float = 0.0
     reads: float = 0.0
     writes: float = 0.0
@@ -137,7 +137,7 @@
         return Cost(
             "process without links",
             "one thread a socket, no polling",
-            cpu=max(0.0, self._slopes.by_name[f"{role}_idle_cpu"].base),
+            cpu_share=max(0.0, self._slopes.by_name[f"{role}_idle_cpu"].base),
             memory=self._slopes.by_name[f"{role}_idle_rss"].base,
         )
 
@@ -160,7 +160,7 @@
             messages_out=messages_out,
             bytes_in=messages_in * (size_in + _WIRE_BYTES),
             bytes_out=messages_out * (size_out + _WIRE_BYTES),
-            cpu=per["cpu"] * links * beats,
+            cpu_share=per["cpu"] * links * beats,
             memory=per["rss"] * links,
         )
 
@@ -174,7 +174,7 @@
             messages_out=rate,
             bytes_in=size,
             bytes_out=size,
-            cpu=rate * self._per("entry_idle_cpu"),
+            cpu_share=rate * self._per("entry_idle_cpu"),
         )
 
     def _shares(self) -> Cost:
@@ -194,7 +194,7 @@
             messages_out=rate,
             bytes_in=size,
             bytes_out=size,
-            cpu=rate * self._per("entry_idle_cpu"),
+            cpu_share=rate * self._per("entry_idle_cpu"),
         )
 
     def _instances(self) -> Cost:
@@ -210,7 +210,7 @@
             "conditional reads" if design.changed_only else "whole list each time",
             bytes_in=bodies * whole + reads * _HTTP_BYTES,
             bytes_out=reads * _HTTP_BYTES,
-            cpu=bodies * cpu_ms / 1e3,
+            cpu_share=bodies * cpu_ms / 1e3,
             reads=reads,
         )
 
@@ -241,7 +241,7 @@
             "one compressed object a period, one deletion",
             bytes_in=2 * _HTTP_BYTES / period_s,
             bytes_out=batch + 2 * _HTTP_BYTES / period_s,
-            cpu=self._per(f"{role}_trace_cpu") / 1e3 * requests_s,
+            cpu_share=self._per(f"{role}_trace_cpu") / 1e3 * requests_s,
             memory=held + OUTBOX_BYTES,
             writes=2 / period_s,
         )
@@ -253,6 +253,6 @@
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
-            cpu=requests_s * self._at("burn_cpu", gaps) / 1e6,
+            cpu_share=requests_s * self._at("burn_cpu", gaps) / 1e6,
             memory=self._at("burn_bytes", 100),
         )
