--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -109,7 +109,7 @@
         f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
         f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
-        f"{cost.memory / _MB:.1f}",
+        f"{cost.memory_bytes / _MB:.1f}",
         f"{cost.reads:.3f}, {cost.writes:.3f}",
         cost.mechanism,
     )
@@ -173,7 +173,9 @@
                         total.cpu_share, LIMITS.cpu_share, f"{total.cpu_share:.2%}"
                     ),
                     _against(
-                        total.memory, LIMITS.memory_bytes, f"{total.memory / _MB:.0f}"
+                        total.memory_bytes,
+                        LIMITS.memory_bytes,
+                        f"{total.memory_bytes / _MB:.0f}",
                     ),
                     _against(
                         role.control_bytes,
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -38,7 +38,7 @@
     bytes_in: float = 0.0
     bytes_out: float = 0.0
     cpu_share: float = 0.0
-    memory: float = 0.0
+    memory_bytes: float = 0.0
     reads: float = 0.0
     writes: float = 0.0
 
@@ -138,7 +138,7 @@
             "process without links",
             "one thread a socket, no polling",
             cpu_share=max(0.0, self._slopes.by_name[f"{role}_idle_cpu"].base),
-            memory=self._slopes.by_name[f"{role}_idle_rss"].base,
+            memory_bytes=self._slopes.by_name[f"{role}_idle_rss"].base,
         )
 
     def _links(self, role: str, links: float, mechanism: str) -> Cost:
@@ -161,7 +161,7 @@
             bytes_in=messages_in * (size_in + _WIRE_BYTES),
             bytes_out=messages_out * (size_out + _WIRE_BYTES),
             cpu_share=per["cpu"] * links * beats,
-            memory=per["rss"] * links,
+            memory_bytes=per["rss"] * links,
         )
 
     def _peers(self) -> Cost:
@@ -228,7 +228,7 @@
             "index of shards by digest; a change moves one shard",
             bytes_in=changes * index_and_shard + watches * _HTTP_BYTES,
             bytes_out=watches * _HTTP_BYTES,
-            memory=memory,
+            memory_bytes=memory,
             reads=watches + changes * objects,
         )
 
@@ -242,7 +242,7 @@
             bytes_in=2 * _HTTP_BYTES / period_s,
             bytes_out=batch + 2 * _HTTP_BYTES / period_s,
             cpu_share=self._per(f"{role}_trace_cpu") / 1e3 * requests_s,
-            memory=held + OUTBOX_BYTES,
+            memory_bytes=held + OUTBOX_BYTES,
             writes=2 / period_s,
         )
 
@@ -254,5 +254,5 @@
             "burn counts",
             "counts by the minute, histograms that merge",
             cpu_share=requests_s * self._at("burn_cpu", gaps) / 1e6,
-            memory=self._at("burn_bytes", 100),
+            memory_bytes=self._at("burn_bytes", 100),
         )
