--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -178,9 +178,9 @@
                         f"{total.memory_bytes / _MB:.0f}",
                     ),
                     _against(
-                        role.control_bytes,
+                        role.control_bytes_per_s,
                         LIMITS.bytes_s,
-                        f"{role.control_bytes / _KB:.1f}",
+                        f"{role.control_bytes_per_s / _KB:.1f}",
                     ),
                 )
             )
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -74,7 +74,7 @@
     for limit, value, beat in (
         (
             "11 KB/s",
-            role.control_bytes,
+            role.control_bytes_per_s,
             beats.bytes_in + beats.bytes_out,
         ),
         ("2.2% of a core", total.cpu_share, beats.cpu_share),
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -57,7 +57,7 @@
         return Cost("**Total**", "", *sums)
 
     @property
-    def control_bytes(self) -> float:
+    def control_bytes_per_s(self) -> float:
         """Bytes a second, both ways together."""
         total = self.total
         return total.bytes_in + total.bytes_out
