--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -47,7 +47,7 @@
     """Return each computed part of the page by name."""
     return {
         "slopes": _slopes(slopes),
-        "entry": _role(CapacityModel(slopes, TODAY, TARGET).entry()),
+        "entry": _role(CapacityModel(slopes, TODAY, TARGET).entry_costs()),
         "agent": _role(CapacityModel(slopes, TODAY, TARGET).agent()),
         "holder": _role(_holder(slopes, TODAY)),
         "data-path": _data_path(slopes),
@@ -163,7 +163,11 @@
     sizes = [(SMALL, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
     for design, target in sizes:
         model = CapacityModel(slopes, design, target)
-        for role in (model.entry(), model.agent(), _holder(slopes, design, target)):
+        for role in (
+            model.entry_costs(),
+            model.agent(),
+            _holder(slopes, design, target),
+        ):
             total = role.total
             rows.append(
                 (
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -66,7 +66,7 @@
 
 
 def _entry_breaks(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
-    role = model.entry()
+    role = model.entry_costs()
     links = model.entry_links
     beats = next(cost for cost in role.costs if cost.item.startswith("heartbeats on"))
     total = role.total
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -82,7 +82,7 @@
         """Entries that keep a link to one agent."""
         return self.entry_links * self._target.entries / self._target.servers
 
-    def entry(self) -> RoleCosts:
+    def entry_costs(self) -> RoleCosts:
         """Return the costs of one entry."""
         costs = (
             self._process("entry"),
