--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -48,7 +48,7 @@
     return {
         "slopes": _slopes(slopes),
         "entry": _role(CapacityModel(slopes, TODAY, TARGET).entry_costs()),
-        "agent": _role(CapacityModel(slopes, TODAY, TARGET).agent()),
+        "agent": _role(CapacityModel(slopes, TODAY, TARGET).agent_costs()),
         "holder": _role(_holder(slopes, TODAY)),
         "data-path": _data_path(slopes),
         "platform": _platform(slopes),
@@ -165,7 +165,7 @@
         model = CapacityModel(slopes, design, target)
         for role in (
             model.entry_costs(),
-            model.agent(),
+            model.agent_costs(),
             _holder(slopes, design, target),
         ):
             total = role.total
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -96,7 +96,7 @@
         )
         return RoleCosts("entry", costs)
 
-    def agent(self) -> RoleCosts:
+    def agent_costs(self) -> RoleCosts:
         """Return the costs of one agent."""
         costs = (
             self._process("agent"),
@@ -121,7 +121,7 @@
             writes=1 / renew_s,
         )
         return RoleCosts(
-            "agent that holds the lease", (*self.agent().costs, coordinating)
+            "agent that holds the lease", (*self.agent_costs().costs, coordinating)
         )
 
     def _at(self, name: str, size: float) -> float:
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -69,7 +69,7 @@
 ) -> PlatformLoad:
     """Return the platform's load."""
     model = CapacityModel(slopes, design, target)
-    entry, agent = model.entry_costs().total, model.agent().total
+    entry, agent = model.entry_costs().total, model.agent_costs().total
     reads = target.entries * entry.reads + target.servers * agent.reads
     batches = target.processes / design.trace_batch_s
     a_request = sum(
