--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -70,7 +70,7 @@
 
 
 def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> RoleCosts:
-    return CapacityModel(slopes, design, target).holder(renew_s=RENEW_S)
+    return CapacityModel(slopes, design, target).lease_holder_costs(renew_s=RENEW_S)
 
 
 def _slopes(slopes: Slopes) -> str:
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -106,7 +106,7 @@
         )
         return RoleCosts("agent", costs)
 
-    def holder(self, *, renew_s: float) -> RoleCosts:
+    def lease_holder_costs(self, *, renew_s: float) -> RoleCosts:
         """Return the costs of an agent that coordinates its group's expert map."""
         rate = self._target.ranks / self._design.poll_s
         reply = self._at("map_reply_bytes", self._target.experts)
