--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -48,7 +48,7 @@
 _ORGANISATIONS = (1000, 10_000, 43_000)
 
 
-def beat_bytes() -> list[Point]:
+def heartbeat_bytes() -> list[Point]:
     """Return the size of a heartbeat by the number of suspects it names."""
     load = BackendLoad(12, 3, 16, 5400.5, 2300.25, 0.75)
     return [
