--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -79,7 +79,7 @@
     return [Point(size, _size(hello)) for size in (0, 1)]
 
 
-def peer_beat_bytes() -> list[Point]:
+def peer_heartbeat_bytes() -> list[Point]:
     """Return the size of a peer's heartbeat by the suspects it names."""
     return [
         Point(
