--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -94,7 +94,7 @@
     ]
 
 
-def share_bytes() -> list[Point]:
+def share_heartbeat_bytes() -> list[Point]:
     """Return the size of what an entry tells another by the organisations named."""
     return [
         Point(
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -91,7 +91,7 @@
     Probe("organisations_bytes", "bytes", "organisations", probes.organisation_memory),
     Probe("shard_bytes", "bytes", "organisations", probes.shard_bytes),
     Probe("manifest_bytes", "bytes", "organisations", probes.manifest_bytes),
-    Probe("share_bytes", "bytes", "organisations", probes.share_bytes),
+    Probe("share_bytes", "bytes", "organisations", probes.share_heartbeat_bytes),
     Probe("map_reply_bytes", "bytes", "experts", probes.map_reply_bytes),
 )
 
