--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -115,7 +115,7 @@
     ]
 
 
-def instance_bytes() -> list[Point]:
+def instance_list_bytes() -> list[Point]:
     """Return the size of the platform's list by its instances."""
     return [Point(n, len(instance_list(n))) for n in (100, 400, 1370)]
 
