--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -120,7 +120,7 @@
     return [Point(n, len(instance_list(n))) for n in (100, 400, 1370)]
 
 
-def instance_cpu() -> list[Point]:
+def instance_list_cpu() -> list[Point]:
     """Return the milliseconds of decoding the platform's list by its instances."""
     points = []
     for count in (100, 400, 1370):
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -58,7 +58,7 @@
     Probe("hello_bytes", "bytes", "none", probes.hello_bytes),
     Probe("peer_beat_bytes", "bytes", "suspects named", probes.peer_heartbeat_bytes),
     Probe("instance_list_bytes", "bytes", "instances", probes.instance_list_bytes),
-    Probe("instance_list_cpu", "ms", "instances", probes.instance_cpu),
+    Probe("instance_list_cpu", "ms", "instances", probes.instance_list_cpu),
     Probe(
         "entry_recorder_bytes",
         "bytes",
