--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -29,7 +29,7 @@
 _FRESH_S = 0.05
 
 
-class Use(NamedTuple):
+class ProcessUsage(NamedTuple):
     """Processor time spent so far in seconds, and resident memory in bytes."""
 
     cpu_s: float
@@ -52,12 +52,12 @@
     bytes_out: float
 
 
-def use_of(pid: int) -> Use:
+def use_of(pid: int) -> ProcessUsage:
     """Return what the process with ``pid`` has used; for own children only."""
     text = Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_UTIME]) + int(fields[_STIME])
-    return Use(ticks / _TICKS_PER_S, int(fields[_RSS]) * _PAGE_BYTES)
+    return ProcessUsage(ticks / _TICKS_PER_S, int(fields[_RSS]) * _PAGE_BYTES)
 
 
 def entry_idle(links: int) -> Idle:
