--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -52,7 +52,7 @@
     bytes_out: float
 
 
-def use_of(pid: int) -> ProcessUsage:
+def read_usage(pid: int) -> ProcessUsage:
     """Return what the process with ``pid`` has used; for own children only."""
     text = Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
@@ -95,9 +95,13 @@
 def _measure(process: Process, crowd: Process, links: int) -> Idle:
     wait_until(lambda: _traffic(crowd).messages_in >= 2 * links, "heartbeats", _START_S)
     time.sleep(_SETTLE_S)
-    first, seen, start = use_of(process.pid), _latest(crowd), time.monotonic()
+    first, seen, start = read_usage(process.pid), _latest(crowd), time.monotonic()
     time.sleep(_WINDOW_S)
-    last, later, took_s = use_of(process.pid), _latest(crowd), time.monotonic() - start
+    last, later, took_s = (
+        read_usage(process.pid),
+        _latest(crowd),
+        time.monotonic() - start,
+    )
     return Idle(
         links,
         (last.cpu_s - first.cpu_s) / took_s,
