--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -36,7 +36,7 @@
     rss_bytes: int
 
 
-class Idle(NamedTuple):
+class IdleUsage(NamedTuple):
     """What a process spends on ``links`` links while nobody calls.
 
     ``cpu_share`` is a share of one core; rates are per second over all links, as
@@ -60,7 +60,7 @@
     return ProcessUsage(ticks / _TICKS_PER_S, int(fields[_RSS]) * _PAGE_BYTES)
 
 
-def entry_idle(links: int) -> Idle:
+def entry_idle(links: int) -> IdleUsage:
     """Measure an entry that keeps links to ``links`` stand-ins of agents."""
     with Fleet() as fleet:
         crowd = _crowd(fleet, "agents", str(links))
@@ -71,7 +71,7 @@
         return _measure(entry.process, crowd, links)
 
 
-def agent_idle(links: int) -> Idle:
+def agent_idle(links: int) -> IdleUsage:
     """Measure an agent that ``links`` stand-ins of entries talk to."""
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
@@ -80,7 +80,9 @@
         return _measure(agent.process, crowd, links)
 
 
-def points(idles: list[Idle], value: Callable[[Idle], float]) -> tuple[Point, ...]:
+def points(
+    idles: list[IdleUsage], value: Callable[[IdleUsage], float]
+) -> tuple[Point, ...]:
     """Return one figure of each measurement by its links."""
     return tuple(Point(idle.links, value(idle)) for idle in idles)
 
@@ -92,7 +94,7 @@
     return crowd
 
 
-def _measure(process: Process, crowd: Process, links: int) -> Idle:
+def _measure(process: Process, crowd: Process, links: int) -> IdleUsage:
     wait_until(lambda: _traffic(crowd).messages_in >= 2 * links, "heartbeats", _START_S)
     time.sleep(_SETTLE_S)
     first, seen, start = read_usage(process.pid), _latest(crowd), time.monotonic()
@@ -102,7 +104,7 @@
         _latest(crowd),
         time.monotonic() - start,
     )
-    return Idle(
+    return IdleUsage(
         links,
         (last.cpu_s - first.cpu_s) / took_s,
         last.rss_bytes,
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -17,7 +17,7 @@
 import click
 
 from tools import capacity_probes as probes
-from tools.capacity_processes import Idle
+from tools.capacity_processes import IdleUsage
 from tools.capacity_processes import agent_idle
 from tools.capacity_processes import entry_idle
 from tools.capacity_processes import points
@@ -101,7 +101,7 @@
 
     name: str
     unit: str
-    value: Callable[[Idle], float]
+    value: Callable[[IdleUsage], float]
 
 
 IDLE_FIGURES = (
