--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -60,7 +60,7 @@
     return ProcessUsage(ticks / _TICKS_PER_S, int(fields[_RSS]) * _PAGE_BYTES)
 
 
-def entry_idle(links: int) -> IdleUsage:
+def measure_idle_entry(links: int) -> IdleUsage:
     """Measure an entry that keeps links to ``links`` stand-ins of agents."""
     with Fleet() as fleet:
         crowd = _crowd(fleet, "agents", str(links))
