--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -71,7 +71,7 @@
         return _measure(entry.process, crowd, links)
 
 
-def agent_idle(links: int) -> IdleUsage:
+def measure_idle_agent(links: int) -> IdleUsage:
     """Measure an agent that ``links`` stand-ins of entries talk to."""
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
