--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -80,7 +80,7 @@
         return _measure(agent.process, crowd, links)
 
 
-def points(
+def points_by_links(
     idles: list[IdleUsage], value: Callable[[IdleUsage], float]
 ) -> tuple[Point, ...]:
     """Return one figure of each measurement by its links."""
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -20,7 +20,7 @@
 from tools.capacity_processes import IdleUsage
 from tools.capacity_processes import measure_idle_agent
 from tools.capacity_processes import measure_idle_entry
-from tools.capacity_processes import points
+from tools.capacity_processes import points_by_links
 from tools.capacity_slopes import Point
 from tools.capacity_slopes import Slope
 from tools.capacity_slopes import Slopes
@@ -138,7 +138,7 @@
                 figure.unit,
                 "links",
                 _PROCESSES,
-                points(idles, figure.value),
+                points_by_links(idles, figure.value),
             )
             for figure in IDLE_FIGURES
         ]
