--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -25,7 +25,7 @@
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.batches import make_parts
 from kingcupwheel.trace.recorder import Recorder
-from tools.capacity_samples import PROCESS
+from tools.capacity_samples import PROCESS_NAME
 from tools.capacity_samples import TOKENS
 from tools.capacity_samples import burn_counter
 from tools.capacity_samples import cut_manifest
@@ -56,7 +56,7 @@
             count,
             _size(
                 AgentHeartbeat(
-                    PROCESS,
+                    PROCESS_NAME,
                     "parts-model",
                     "curitiba-north",
                     "a1b2c3d4e5f60718",
@@ -75,7 +75,7 @@
 
 def hello_bytes() -> list[Point]:
     """Return the size of a Hello, which names nothing that varies."""
-    hello = Hello(PROCESS, "curitiba-north", 720, _DIGEST, False)
+    hello = Hello(PROCESS_NAME, "curitiba-north", 720, _DIGEST, False)
     return [Point(size, _size(hello)) for size in (0, 1)]
 
 
@@ -86,7 +86,7 @@
             count,
             _size(
                 PeerHeartbeat(
-                    PROCESS, "curitiba-north", 720, _DIGEST, False, suspects(count)
+                    PROCESS_NAME, "curitiba-north", 720, _DIGEST, False, suspects(count)
                 )
             ),
         )
@@ -101,7 +101,7 @@
             count,
             _size(
                 ShareHeartbeat(
-                    PROCESS,
+                    PROCESS_NAME,
                     12345.678901,
                     12344.567891,
                     tuple(
@@ -135,7 +135,7 @@
     for count in (2000, 10_000):
         gc.collect()
         tracemalloc.start()
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = Recorder(PROCESS_NAME, limit=count)
         record_requests(recorder, process, count)
         recorder.drain()
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
@@ -150,7 +150,7 @@
     for count in (100, 300, 1000):
 
         def run(count: int = count) -> None:
-            recorder = Recorder(PROCESS, limit=count)
+            recorder = Recorder(PROCESS_NAME, limit=count)
             record_requests(recorder, process, count)
             make_parts(recorder.drain().encoded)
 
@@ -162,7 +162,7 @@
     """Return the compressed size of a batch by the requests in it."""
     points = []
     for count in (100, 300, 1000):
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = Recorder(PROCESS_NAME, limit=count)
         record_requests(recorder, process, count)
         parts = make_parts(recorder.drain().encoded)
         points.append(Point(count, sum(len(part.packed) for part in parts)))
@@ -173,7 +173,7 @@
     """Return the microseconds to count one request by its gaps between tokens."""
     points = []
     for gaps in (0, TOKENS, 2 * TOKENS):
-        counter = BurnCounter(PROCESS, BurnGoals(1, Goals(), {}, {}), now=0.0)
+        counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, {}), now=0.0)
         observed = observed_request(
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
         )
@@ -240,7 +240,7 @@
     return [
         Point(
             experts,
-            _size(MapReply("parts-model", 41, 7, PROCESS, 3, bytes(2 * experts))),
+            _size(MapReply("parts-model", 41, 7, PROCESS_NAME, 3, bytes(2 * experts))),
         )
         for experts in (32, 128)
     ]
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -35,7 +35,7 @@
     from kingcupwheel.trace.events import AnyEvent
     from kingcupwheel.trace.recorder import Recorder
 
-PROCESS = "entry-curitiba-north-017"
+PROCESS_NAME = "entry-curitiba-north-017"
 TOKENS = 270
 
 
@@ -44,7 +44,7 @@
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
     for number in range(count):
-        wanted = str(generate_request_id(PROCESS, now=1_800_000_000 + number / 9))
+        wanted = str(generate_request_id(PROCESS_NAME, now=1_800_000_000 + number / 9))
         server = f"agent-curitiba-north-{random.randrange(1000):04d}"
         agent = _agent_events(server, random)
         for event in _entry_events(server, random) if process == "entry" else agent:
@@ -99,7 +99,7 @@
 def burn_counter(organisations: int) -> BurnCounter:
     """Return counts of as many organisations with goals of their own."""
     own = {f"organisation-{number}": Goals() for number in range(organisations)}
-    counter = BurnCounter(PROCESS, BurnGoals(1, Goals(), {}, own), now=0.0)
+    counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
     gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS))
     for number in range(organisations):
         observed = observed_request(gaps_s)._replace(
