--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -26,7 +26,7 @@
 from kingcupwheel.trace.batches import make_parts
 from kingcupwheel.trace.recorder import Recorder
 from tools.capacity_samples import PROCESS_NAME
-from tools.capacity_samples import TOKENS
+from tools.capacity_samples import TOKENS_PER_RESPONSE
 from tools.capacity_samples import burn_counter
 from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import instance_list
@@ -172,7 +172,7 @@
 def burn_cpu() -> list[Point]:
     """Return the microseconds to count one request by its gaps between tokens."""
     points = []
-    for gaps in (0, TOKENS, 2 * TOKENS):
+    for gaps in (0, TOKENS_PER_RESPONSE, 2 * TOKENS_PER_RESPONSE):
         counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, {}), now=0.0)
         observed = observed_request(
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -36,7 +36,7 @@
     from kingcupwheel.trace.recorder import Recorder
 
 PROCESS_NAME = "entry-curitiba-north-017"
-TOKENS = 270
+TOKENS_PER_RESPONSE = 270
 
 
 def record_requests(recorder: Recorder, process: str, count: int) -> None:
@@ -100,7 +100,7 @@
     """Return counts of as many organisations with goals of their own."""
     own = {f"organisation-{number}": Goals() for number in range(organisations)}
     counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
-    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS))
+    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS_PER_RESPONSE))
     for number in range(organisations):
         observed = observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
