--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -27,10 +27,10 @@
 from kingcupwheel.trace.recorder import Recorder
 from tools.capacity_samples import PROCESS_NAME
 from tools.capacity_samples import TOKENS_PER_RESPONSE
+from tools.capacity_samples import build_observed_request
 from tools.capacity_samples import burn_counter
 from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import instance_list
-from tools.capacity_samples import observed_request
 from tools.capacity_samples import organisation
 from tools.capacity_samples import record_requests
 from tools.capacity_samples import suspects
@@ -174,7 +174,7 @@
     points = []
     for gaps in (0, TOKENS_PER_RESPONSE, 2 * TOKENS_PER_RESPONSE):
         counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, {}), now=0.0)
-        observed = observed_request(
+        observed = build_observed_request(
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
         )
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -81,7 +81,7 @@
     )
 
 
-def observed_request(gaps_s: tuple[float, ...]) -> Observed:
+def build_observed_request(gaps_s: tuple[float, ...]) -> Observed:
     """Return an answered request with these gaps between tokens."""
     return Observed(
         organisation="organisation-31415",
@@ -102,7 +102,7 @@
     counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
     gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS_PER_RESPONSE))
     for number in range(organisations):
-        observed = observed_request(gaps_s)._replace(
+        observed = build_observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
         )
         counter.observe(observed, now=1.0)
