--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -27,8 +27,8 @@
 from kingcupwheel.trace.recorder import Recorder
 from tools.capacity_samples import PROCESS_NAME
 from tools.capacity_samples import TOKENS_PER_RESPONSE
+from tools.capacity_samples import build_burn_counter
 from tools.capacity_samples import build_observed_request
-from tools.capacity_samples import burn_counter
 from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import instance_list
 from tools.capacity_samples import organisation
@@ -187,7 +187,9 @@
 
 def burn_part_bytes() -> list[Point]:
     """Return the size of one entry's answer by organisations with own goals."""
-    return [Point(n, len(burn_counter(n).found(now=1.0).part)) for n in (1, 20, 100)]
+    return [
+        Point(n, len(build_burn_counter(n).found(now=1.0).part)) for n in (1, 20, 100)
+    ]
 
 
 def burn_memory() -> list[Point]:
@@ -196,7 +198,7 @@
     for count in (1, 20, 100):
         gc.collect()
         tracemalloc.start()
-        counter = burn_counter(count)
+        counter = build_burn_counter(count)
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
         del counter
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -96,7 +96,7 @@
     )
 
 
-def burn_counter(organisations: int) -> BurnCounter:
+def build_burn_counter(organisations: int) -> BurnCounter:
     """Return counts of as many organisations with goals of their own."""
     own = {f"organisation-{number}": Goals() for number in range(organisations)}
     counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
