--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -29,9 +29,9 @@
 from tools.capacity_samples import TOKENS_PER_RESPONSE
 from tools.capacity_samples import build_burn_counter
 from tools.capacity_samples import build_observed_request
+from tools.capacity_samples import build_organisation
 from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import instance_list
-from tools.capacity_samples import organisation
 from tools.capacity_samples import record_requests
 from tools.capacity_samples import suspects
 from tools.capacity_slopes import Point
@@ -209,7 +209,9 @@
     """Return the memory of decoded organisations by their number."""
     points = []
     for count in _ORGANISATIONS:
-        encoded = msgspec.json.encode(tuple(organisation(n) for n in range(count)))
+        encoded = msgspec.json.encode(
+            tuple(build_organisation(n) for n in range(count))
+        )
         gc.collect()
         tracemalloc.start()
         decoded = msgspec.json.decode(encoded, type=tuple[Organisation, ...])
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -109,7 +109,7 @@
     return counter
 
 
-def organisation(number: int) -> Organisation:
+def build_organisation(number: int) -> Organisation:
     """Return an organisation with two keys."""
     return Organisation(
         name=f"organisation-{number}",
@@ -144,7 +144,7 @@
 def cut_manifest(organisations: int) -> tuple[int, list[int]]:
     """Return the bytes of the index and of each shard."""
     manifest = Manifest(
-        organisations=tuple(organisation(n) for n in range(organisations)),
+        organisations=tuple(build_organisation(n) for n in range(organisations)),
         groups=(ServerGroup(name="parts-model"),),
         routes=(Route(path="/v1/completions", group="parts-model"),),
     )
