--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -31,7 +31,7 @@
 from tools.capacity_samples import build_observed_request
 from tools.capacity_samples import build_organisation
 from tools.capacity_samples import cut_manifest
-from tools.capacity_samples import instance_list
+from tools.capacity_samples import encode_instance_list
 from tools.capacity_samples import record_requests
 from tools.capacity_samples import suspects
 from tools.capacity_slopes import Point
@@ -117,14 +117,14 @@
 
 def instance_list_bytes() -> list[Point]:
     """Return the size of the platform's list by its instances."""
-    return [Point(n, len(instance_list(n))) for n in (100, 400, 1370)]
+    return [Point(n, len(encode_instance_list(n))) for n in (100, 400, 1370)]
 
 
 def instance_list_cpu() -> list[Point]:
     """Return the milliseconds of decoding the platform's list by its instances."""
     points = []
     for count in (100, 400, 1370):
-        encoded = instance_list(count)
+        encoded = encode_instance_list(count)
         points.append(Point(count, 1e3 * _cpu_s(lambda e=encoded: _decode(e), 20)))  # type: ignore[misc]
     return points
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -119,7 +119,7 @@
     )
 
 
-def instance_list(count: int) -> bytes:
+def encode_instance_list(count: int) -> bytes:
     """Return the platform's list as it travels."""
     instances = [
         Instance(
