--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -30,10 +30,10 @@
 from tools.capacity_samples import build_burn_counter
 from tools.capacity_samples import build_observed_request
 from tools.capacity_samples import build_organisation
+from tools.capacity_samples import build_suspects
 from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import encode_instance_list
 from tools.capacity_samples import record_requests
-from tools.capacity_samples import suspects
 from tools.capacity_slopes import Point
 
 
@@ -65,7 +65,7 @@
                     False,
                     True,
                     720,
-                    suspects(count),
+                    build_suspects(count),
                 )
             ),
         )
@@ -86,7 +86,12 @@
             count,
             _size(
                 PeerHeartbeat(
-                    PROCESS_NAME, "curitiba-north", 720, _DIGEST, False, suspects(count)
+                    PROCESS_NAME,
+                    "curitiba-north",
+                    720,
+                    _DIGEST,
+                    False,
+                    build_suspects(count),
                 )
             ),
         )
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -136,7 +136,7 @@
     return msgspec.json.encode(instances)
 
 
-def suspects(count: int) -> tuple[tuple[str, int], ...]:
+def build_suspects(count: int) -> tuple[tuple[str, int], ...]:
     """Return fingerprints with their deaths."""
     return tuple((f"{number:032x}", 1) for number in range(count))
 
