--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -31,8 +31,8 @@
 from tools.capacity_samples import build_observed_request
 from tools.capacity_samples import build_organisation
 from tools.capacity_samples import build_suspects
-from tools.capacity_samples import cut_manifest
 from tools.capacity_samples import encode_instance_list
+from tools.capacity_samples import measure_sharded_manifest
 from tools.capacity_samples import record_requests
 from tools.capacity_slopes import Point
 
@@ -230,7 +230,7 @@
     """Return the bytes of the index and one shard, by organisations."""
     points = []
     for count in _ORGANISATIONS:
-        index, shards = cut_manifest(count)
+        index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + max(shards)))
     return points
 
@@ -239,7 +239,7 @@
     """Return the bytes of the index and all shards, by organisations."""
     points = []
     for count in _ORGANISATIONS:
-        index, shards = cut_manifest(count)
+        index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + sum(shards)))
     return points
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -141,7 +141,7 @@
     return tuple((f"{number:032x}", 1) for number in range(count))
 
 
-def cut_manifest(organisations: int) -> tuple[int, list[int]]:
+def measure_sharded_manifest(organisations: int) -> tuple[int, list[int]]:
     """Return the bytes of the index and of each shard."""
     manifest = Manifest(
         organisations=tuple(build_organisation(n) for n in range(organisations)),
