--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -84,7 +84,7 @@
 
 def _slope(slope: Slope) -> tuple[str, ...]:
     name = f"`{slope.name}` ({slope.unit} by {slope.size_unit})"
-    if not slope.measured:
+    if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
     seen = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
     return name, seen, f"{slope.base:.4g}", f"{slope.per:.4g}"
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -31,7 +31,7 @@
     points: tuple[Point, ...] = ()
 
     @property
-    def measured(self) -> bool:
+    def is_measured(self) -> bool:
         """True if there are two sizes at least."""
         return len({point.size for point in self.points}) > 1
 
