--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -94,7 +94,7 @@
     by_name = slopes.by_name
     model = CapacityModel(slopes, TODAY, TARGET)
     entry_rate = TARGET.requests / TARGET.entries
-    hour_bytes = by_name["entry_batch_bytes"].per * entry_rate * 3600
+    hour_bytes = by_name["entry_batch_bytes"].gradient * entry_rate * 3600
     whole = by_name["manifest_bytes"].at(TARGET.organisations)
     listed = by_name["instance_list_bytes"].at(TARGET.processes)
     left = 1 - 1 / TARGET.data_centres
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -131,7 +131,7 @@
         return self._slopes.by_name[name].base
 
     def _per(self, name: str) -> float:
-        return self._slopes.by_name[name].per
+        return self._slopes.by_name[name].gradient
 
     def _process(self, role: str) -> Cost:
         return Cost(
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -36,7 +36,7 @@
         return len({point.size for point in self.points}) > 1
 
     @property
-    def per(self) -> float:
+    def gradient(self) -> float:
         """Growth of the value with one more of size."""
         sizes = [point.size for point in self.points]
         mean_size, mean_value = _mean(sizes), self._mean_value
@@ -47,7 +47,7 @@
     @property
     def base(self) -> float:
         """The value at size 0."""
-        return self._mean_value - self.per * _mean([p.size for p in self.points])
+        return self._mean_value - self.gradient * _mean([p.size for p in self.points])
 
     @property
     def _mean_value(self) -> float:
@@ -55,7 +55,7 @@
 
     def at(self, size: float) -> float:
         """Return the value worked out for ``size``."""
-        return self.base + self.per * size
+        return self.base + self.gradient * size
 
 
 class Slopes(msgspec.Struct, frozen=True):
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -34,7 +34,7 @@
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
         tokens = target.tokens / count
-        most = (1 - slope.base) / slope.per
+        most = (1 - slope.base) / slope.gradient
         paths.append(DataPath(role, tokens, slope.at(tokens), most))
     return tuple(paths)
 
@@ -73,7 +73,7 @@
     reads = target.entries * entry.reads + target.servers * agent.reads
     batches = target.processes / design.trace_batch_s
     a_request = sum(
-        slopes.by_name[f"{role}_batch_bytes"].per for role in ("entry", "agent")
+        slopes.by_name[f"{role}_batch_bytes"].gradient for role in ("entry", "agent")
     )
     kept_s = Retention().traces_h * 3600
     return PlatformLoad(
