--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -87,7 +87,7 @@
     if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
     seen = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
-    return name, seen, f"{slope.base:.4g}", f"{slope.gradient:.4g}"
+    return name, seen, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
 
 
 def _role(role: RoleCosts) -> str:
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -128,7 +128,7 @@
         return self._slopes.by_name[name].at(size)
 
     def _base(self, name: str) -> float:
-        return self._slopes.by_name[name].base
+        return self._slopes.by_name[name].intercept
 
     def _per(self, name: str) -> float:
         return self._slopes.by_name[name].gradient
@@ -137,8 +137,8 @@
         return Cost(
             "process without links",
             "one thread a socket, no polling",
-            cpu_share=max(0.0, self._slopes.by_name[f"{role}_idle_cpu"].base),
-            memory_bytes=self._slopes.by_name[f"{role}_idle_rss"].base,
+            cpu_share=max(0.0, self._slopes.by_name[f"{role}_idle_cpu"].intercept),
+            memory_bytes=self._slopes.by_name[f"{role}_idle_rss"].intercept,
         )
 
     def _links(self, role: str, links: float, mechanism: str) -> Cost:
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -45,7 +45,7 @@
         return above / below
 
     @property
-    def base(self) -> float:
+    def intercept(self) -> float:
         """The value at size 0."""
         return self._mean_value - self.gradient * _mean([p.size for p in self.points])
 
@@ -55,7 +55,7 @@
 
     def at(self, size: float) -> float:
         """Return the value worked out for ``size``."""
-        return self.base + self.gradient * size
+        return self.intercept + self.gradient * size
 
 
 class Slopes(msgspec.Struct, frozen=True):
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -34,7 +34,7 @@
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
         tokens = target.tokens / count
-        most = (1 - slope.base) / slope.gradient
+        most = (1 - slope.intercept) / slope.gradient
         paths.append(DataPath(role, tokens, slope.at(tokens), most))
     return tuple(paths)
 
