--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -95,8 +95,8 @@
     model = CapacityModel(slopes, TODAY, TARGET)
     entry_rate = TARGET.requests / TARGET.entries
     hour_bytes = by_name["entry_batch_bytes"].gradient * entry_rate * 3600
-    whole = by_name["manifest_bytes"].at(TARGET.organisations)
-    listed = by_name["instance_list_bytes"].at(TARGET.processes)
+    whole = by_name["manifest_bytes"].value_at(TARGET.organisations)
+    listed = by_name["instance_list_bytes"].value_at(TARGET.processes)
     left = 1 - 1 / TARGET.data_centres
     calls_s = TARGET.processes / 3
     lists_s = TARGET.entries / TODAY.instances_s
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -125,7 +125,7 @@
         )
 
     def _at(self, name: str, size: float) -> float:
-        return self._slopes.by_name[name].at(size)
+        return self._slopes.by_name[name].value_at(size)
 
     def _base(self, name: str) -> float:
         return self._slopes.by_name[name].intercept
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -53,7 +53,7 @@
     def _mean_value(self) -> float:
         return _mean([point.value for point in self.points])
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value worked out for ``size``."""
         return self.intercept + self.gradient * size
 
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -35,7 +35,7 @@
         slope = slopes.by_name[f"{role}_stream_cpu"]
         tokens = target.tokens / count
         most = (1 - slope.intercept) / slope.gradient
-        paths.append(DataPath(role, tokens, slope.at(tokens), most))
+        paths.append(DataPath(role, tokens, slope.value_at(tokens), most))
     return tuple(paths)
 
 
