--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -140,7 +140,7 @@
                 f"{load.reads:.0f}",
                 f"{load.change_reads:.0f}",
                 f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
-                f"{claims:.0f} ({claims / TARGET.requests:.1%} of requests)",
+                f"{claims:.0f} ({claims / TARGET.requests_per_s:.1%} of requests)",
                 f"{load.trace_bytes / _MB:.2f}",
                 f"{load.kept_bytes / _GB:.0f} GB in {load.kept_objects / _MB:.1f} "
                 f"million objects",
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -59,7 +59,7 @@
                 "platform",
                 "300 writes/s",
                 f"at {claims:.0f} claims a second "
-                f"({claims / TARGET.requests:.1%} of requests)",
+                f"({claims / TARGET.requests_per_s:.1%} of requests)",
             )
         )
     return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
@@ -93,7 +93,7 @@
     """Return what each bad day costs."""
     by_name = slopes.by_name
     model = CapacityModel(slopes, TODAY, TARGET)
-    entry_rate = TARGET.requests / TARGET.entries
+    entry_rate = TARGET.requests_per_s / TARGET.entries
     hour_bytes = by_name["entry_batch_bytes"].gradient * entry_rate * 3600
     whole = by_name["manifest_bytes"].value_at(TARGET.organisations)
     listed = by_name["instance_list_bytes"].value_at(TARGET.processes)
@@ -101,7 +101,7 @@
     calls_s = TARGET.processes / 3
     lists_s = TARGET.entries / TODAY.instances_s
     traces_s = TARGET.processes * 3 / TODAY.trace_batch_s
-    stream_s = TARGET.tokens / TARGET.requests * 0.032
+    stream_s = TARGET.tokens / TARGET.requests_per_s * 0.032
     rows = [
         (
             f"{TARGET.restarts_a_day} restarts a day",
@@ -111,10 +111,10 @@
         ),
         (
             "a data centre lost",
-            f"{TARGET.requests / TARGET.data_centres:.0f} requests/s move over; each "
+            f"{TARGET.requests_per_s / TARGET.data_centres:.0f} requests/s move over; each "
             f"entry left carries {1 / left:.2f} times its requests and keeps "
             f"{model.entry_links:.0f} links; about "
-            f"{TARGET.requests / TARGET.data_centres * stream_s:.0f} streams were open "
+            f"{TARGET.requests_per_s / TARGET.data_centres * stream_s:.0f} streams were open "
             f"there",
         ),
         (
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -91,7 +91,7 @@
             self._shares(),
             self._instances(),
             self._manifest("entry"),
-            self._traces("entry", self._target.requests / self._target.entries),
+            self._traces("entry", self._target.requests_per_s / self._target.entries),
             self._burn(),
         )
         return RoleCosts("entry", costs)
@@ -102,7 +102,7 @@
             self._process("agent"),
             self._links("agent", self.agent_links, "answers the Hello of its entries"),
             self._manifest("agent"),
-            self._traces("agent", self._target.requests / self._target.servers),
+            self._traces("agent", self._target.requests_per_s / self._target.servers),
         )
         return RoleCosts("agent", costs)
 
@@ -248,8 +248,8 @@
 
     def _burn(self) -> Cost:
         target = self._target
-        requests_s = target.requests / target.entries
-        gaps = target.tokens / target.requests
+        requests_s = target.requests_per_s / target.entries
+        gaps = target.tokens / target.requests_per_s
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -14,7 +14,7 @@
 
     entries: int = 370
     servers: int = 1000
-    requests: float = 3200.0
+    requests_per_s: float = 3200.0
     tokens: float = 860_000.0
     organisations: int = 43_000
     models: int = 5
@@ -92,7 +92,12 @@
 )
 # The sizes of today, each entry as busy as at the target.
 SMALL_TARGET = Target(
-    entries=7, servers=19, requests=60.0, tokens=16_000.0, organisations=10, ranks=16
+    entries=7,
+    servers=19,
+    requests_per_s=60.0,
+    tokens=16_000.0,
+    organisations=10,
+    ranks=16,
 )
 SMALL = Design("as it is, today's sizes", server_groups=2, shared=10)
 DESIGNS = (TODAY, RANKED, STRETCHED)
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -82,7 +82,7 @@
         change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
         lease_writes=target.groups / renew_s,
-        trace_bytes=target.requests * a_request,
-        kept_bytes=target.requests * a_request * kept_s,
+        trace_bytes=target.requests_per_s * a_request,
+        kept_bytes=target.requests_per_s * a_request * kept_s,
         kept_objects=batches * kept_s,
     )
