--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -101,7 +101,7 @@
     calls_s = TARGET.processes / 3
     lists_s = TARGET.entries / TODAY.instances_s
     traces_s = TARGET.processes * 3 / TODAY.trace_batch_s
-    stream_s = TARGET.tokens / TARGET.requests_per_s * 0.032
+    stream_s = TARGET.tokens_per_s / TARGET.requests_per_s * 0.032
     rows = [
         (
             f"{TARGET.restarts_a_day} restarts a day",
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -249,7 +249,7 @@
     def _burn(self) -> Cost:
         target = self._target
         requests_s = target.requests_per_s / target.entries
-        gaps = target.tokens / target.requests_per_s
+        gaps = target.tokens_per_s / target.requests_per_s
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -15,7 +15,7 @@
     entries: int = 370
     servers: int = 1000
     requests_per_s: float = 3200.0
-    tokens: float = 860_000.0
+    tokens_per_s: float = 860_000.0
     organisations: int = 43_000
     models: int = 5
     ranks: int = 32
@@ -88,14 +88,14 @@
     changed_only=True,
     poll_s=6.0,
     # Allowances over one entry's part of the peak; the rest need not be split.
-    shared=int(TARGET.tokens / ENTRY_WORK_PER_S),
+    shared=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
 )
 # The sizes of today, each entry as busy as at the target.
 SMALL_TARGET = Target(
     entries=7,
     servers=19,
     requests_per_s=60.0,
-    tokens=16_000.0,
+    tokens_per_s=16_000.0,
     organisations=10,
     ranks=16,
 )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -33,7 +33,7 @@
     paths = []
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
-        tokens = target.tokens / count
+        tokens = target.tokens_per_s / count
         most = (1 - slope.intercept) / slope.gradient
         paths.append(DataPath(role, tokens, slope.value_at(tokens), most))
     return tuple(paths)
