--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -216,7 +216,7 @@
 
     def _manifest(self, role: str) -> Cost:
         target = self._target
-        changes = target.changes_a_day / _DAY_S
+        changes = target.changes_per_day / _DAY_S
         watches = 1 / self._design.watch_s
         objects = _CHANGED_OBJECTS if role == "entry" else 1
         index_and_shard = self._at("shard_bytes", target.organisations)
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -21,7 +21,7 @@
     ranks: int = 32
     experts: int = 128
     data_centres: int = 8
-    changes_a_day: int = 720
+    changes_per_day: int = 720
     restarts_a_day: int = 79
 
     @property
