--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -104,10 +104,10 @@
     stream_s = TARGET.tokens_per_s / TARGET.requests_per_s * 0.032
     rows = [
         (
-            f"{TARGET.restarts_a_day} restarts a day",
+            f"{TARGET.restarts_per_day} restarts a day",
             f"an entry reads {whole / _MB:.1f} MB of manifest and a list of "
             f"{listed / _KB:.0f} KB at its start: on average "
-            f"{TARGET.restarts_a_day * (whole + listed) / _DAY_S:.0f} bytes/s",
+            f"{TARGET.restarts_per_day * (whole + listed) / _DAY_S:.0f} bytes/s",
         ),
         (
             "a data centre lost",
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -203,7 +203,7 @@
         whole = self._at("instance_list_bytes", target.processes)
         cpu_ms = self._at("instance_list_cpu", target.processes)
         # Each restart takes an instance off the list and puts one on.
-        changes = 2 * target.restarts_a_day / _DAY_S
+        changes = 2 * target.restarts_per_day / _DAY_S
         bodies = min(reads, changes) if design.changed_only else reads
         return Cost(
             "the platform's list of instances",
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -22,7 +22,7 @@
     experts: int = 128
     data_centres: int = 8
     changes_per_day: int = 720
-    restarts_a_day: int = 79
+    restarts_per_day: int = 79
 
     @property
     def processes(self) -> int:
