--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -183,7 +183,7 @@
                     ),
                     _against(
                         role.control_bytes_per_s,
-                        LIMITS.bytes_s,
+                        LIMITS.bytes_per_s,
                         f"{role.control_bytes_per_s / _KB:.1f}",
                     ),
                 )
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -79,7 +79,7 @@
         ),
         ("2.2% of a core", total.cpu_share, beats.cpu_share),
     ):
-        bound = LIMITS.bytes_s if limit == "11 KB/s" else LIMITS.cpu_share
+        bound = LIMITS.bytes_per_s if limit == "11 KB/s" else LIMITS.cpu_share
         others = value - beat
         most = (bound - others) / (beat / links)
         text = f"at {most:.0f} links; it keeps {links:.0f}"
