--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -133,7 +133,7 @@
     rows = []
     for design in DESIGNS:
         load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
-        claims = load.claims(LIMITS.writes_s)
+        claims = load.claims(LIMITS.writes_per_s)
         rows.append(
             (
                 design.name,
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -44,7 +44,7 @@
     cpu_share: float = 0.022
     memory_bytes: float = 256e6
     bytes_per_s: float = 11e3
-    writes_s: float = 300.0
+    writes_per_s: float = 300.0
     reads_s: float = 2000.0
 
 
