--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -39,8 +39,8 @@
         model = CapacityModel(slopes, design, TARGET)
         rows += _entry_breaks(model, design)
         load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
-        reads = LIMITS.reads_s / load.reads * TARGET.processes
-        at_change = LIMITS.reads_s / load.change_reads * TARGET.processes
+        reads = LIMITS.reads_per_s / load.reads * TARGET.processes
+        at_change = LIMITS.reads_per_s / load.change_reads * TARGET.processes
         claims = load.claims(LIMITS.writes_per_s)
         rows.append(
             (design.name, "platform", "2,000 reads/s", f"at {reads:.0f} processes")
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -45,7 +45,7 @@
     memory_bytes: float = 256e6
     bytes_per_s: float = 11e3
     writes_per_s: float = 300.0
-    reads_s: float = 2000.0
+    reads_per_s: float = 2000.0
 
 
 # One in so many organisations in use is taken to be short of an equal share at some
