--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -50,7 +50,7 @@
 
 # One in so many organisations in use is taken to be short of an equal share at some
 # entry, so that shares are told of it. An assumption: no traffic of that size was seen.
-SHORT_OF_ALLOWANCE = 10
+ORGANISATIONS_PER_SHORT_ONE = 10
 
 
 class Design(NamedTuple):
@@ -72,7 +72,7 @@
     traces: int = EntryLimits().traces
     changed_only: bool = True
     poll_s: float = 2.0
-    shared: int = Target().organisations // SHORT_OF_ALLOWANCE
+    shared: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
 
 
 TARGET = Target()
