--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -235,7 +235,7 @@
     def _traces(self, role: str, requests_s: float) -> Cost:
         period_s = self._design.trace_batch_s
         batch = self._per(f"{role}_batch_bytes") * requests_s
-        held = self._per(f"{role}_recorder_bytes") * self._design.traces
+        held = self._per(f"{role}_recorder_bytes") * self._design.trace_limit
         return Cost(
             "trace",
             "one compressed object a period, one deletion",
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -69,7 +69,7 @@
     instances_s: float = Timings().instances_s
     watch_s: float = Timings().watch_s
     trace_batch_s: float = Timings().trace_batch_s
-    traces: int = EntryLimits().traces
+    trace_limit: int = EntryLimits().traces
     changed_only: bool = True
     poll_s: float = 2.0
     shared: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
