--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -204,10 +204,12 @@
         cpu_ms = self._at("instance_list_cpu", target.processes)
         # Each restart takes an instance off the list and puts one on.
         changes = 2 * target.restarts_per_day / _DAY_S
-        bodies = min(reads, changes) if design.changed_only else reads
+        bodies = min(reads, changes) if design.has_conditional_reads else reads
         return Cost(
             "the platform's list of instances",
-            "conditional reads" if design.changed_only else "whole list each time",
+            "conditional reads"
+            if design.has_conditional_reads
+            else "whole list each time",
             bytes_in=bodies * whole + reads * _HTTP_BYTES,
             bytes_out=reads * _HTTP_BYTES,
             cpu_share=bodies * cpu_ms / 1e3,
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -70,7 +70,7 @@
     watch_s: float = Timings().watch_s
     trace_batch_s: float = Timings().trace_batch_s
     trace_limit: int = EntryLimits().traces
-    changed_only: bool = True
+    has_conditional_reads: bool = True
     poll_s: float = 2.0
     shared: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
 
@@ -85,7 +85,7 @@
     server_groups=TARGET.models,
     heartbeat_s=6.0,
     instances_s=5.0,
-    changed_only=True,
+    has_conditional_reads=True,
     poll_s=6.0,
     # Allowances over one entry's part of the peak; the rest need not be split.
     shared=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
