--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -179,7 +179,7 @@
 
     def _shares(self) -> Cost:
         entries, beats = self._target.entries, 1 / self._design.heartbeat_s
-        here = self._design.shared * MIN_ENTRIES / entries
+        here = self._design.shared_organisations * MIN_ENTRIES / entries
         others = max(1, entries - 1)
         # Organisations fall on pairs of entries at random; some share a pair.
         met = others * (1 - exp(-here * (MIN_ENTRIES - 1) / others))
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -72,7 +72,7 @@
     trace_limit: int = EntryLimits().traces
     has_conditional_reads: bool = True
     poll_s: float = 2.0
-    shared: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
+    shared_organisations: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
 
 
 TARGET = Target()
@@ -88,7 +88,7 @@
     has_conditional_reads=True,
     poll_s=6.0,
     # Allowances over one entry's part of the peak; the rest need not be split.
-    shared=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
+    shared_organisations=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
 )
 # The sizes of today, each entry as busy as at the target.
 SMALL_TARGET = Target(
@@ -99,7 +99,7 @@
     organisations=10,
     ranks=16,
 )
-SMALL = Design("as it is, today's sizes", server_groups=2, shared=10)
+SMALL = Design("as it is, today's sizes", server_groups=2, shared_organisations=10)
 DESIGNS = (TODAY, RANKED, STRETCHED)
 # Renewals of a lease, as designed; not a measurement.
 RENEW_S = 3.0
