--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -19,13 +19,13 @@
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
 from tools.capacity_slopes import load_slopes
+from tools.capacity_target import CURRENT_DESIGN
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
 from tools.capacity_target import RENEW_S
 from tools.capacity_target import SMALL
 from tools.capacity_target import SMALL_TARGET
 from tools.capacity_target import TARGET
-from tools.capacity_target import TODAY
 from tools.capacity_target import Design
 from tools.capacity_target import Target
 from tools.capacity_totals import data_paths
@@ -47,9 +47,9 @@
     """Return each computed part of the page by name."""
     return {
         "slopes": _slopes(slopes),
-        "entry": _role(CapacityModel(slopes, TODAY, TARGET).entry_costs()),
-        "agent": _role(CapacityModel(slopes, TODAY, TARGET).agent_costs()),
-        "holder": _role(_holder(slopes, TODAY)),
+        "entry": _role(CapacityModel(slopes, CURRENT_DESIGN, TARGET).entry_costs()),
+        "agent": _role(CapacityModel(slopes, CURRENT_DESIGN, TARGET).agent_costs()),
+        "holder": _role(_holder(slopes, CURRENT_DESIGN)),
         "data-path": _data_path(slopes),
         "platform": _platform(slopes),
         "verdicts": _verdicts(slopes),
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -6,11 +6,11 @@
 
 from kingcupwheel.trace.outbox import OUTBOX_BYTES
 from tools.capacity_model import CapacityModel
+from tools.capacity_target import CURRENT_DESIGN
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
 from tools.capacity_target import RENEW_S
 from tools.capacity_target import TARGET
-from tools.capacity_target import TODAY
 from tools.capacity_totals import platform_load
 
 
@@ -92,15 +92,15 @@
 def bad_days_table(slopes: Slopes) -> str:
     """Return what each bad day costs."""
     by_name = slopes.by_name
-    model = CapacityModel(slopes, TODAY, TARGET)
+    model = CapacityModel(slopes, CURRENT_DESIGN, TARGET)
     entry_rate = TARGET.requests_per_s / TARGET.entries
     hour_bytes = by_name["entry_batch_bytes"].gradient * entry_rate * 3600
     whole = by_name["manifest_bytes"].value_at(TARGET.organisations)
     listed = by_name["instance_list_bytes"].value_at(TARGET.processes)
     left = 1 - 1 / TARGET.data_centres
     calls_s = TARGET.processes / 3
-    lists_s = TARGET.entries / TODAY.instances_s
-    traces_s = TARGET.processes * 3 / TODAY.trace_batch_s
+    lists_s = TARGET.entries / CURRENT_DESIGN.instances_s
+    traces_s = TARGET.processes * 3 / CURRENT_DESIGN.trace_batch_s
     stream_s = TARGET.tokens_per_s / TARGET.requests_per_s * 0.032
     rows = [
         (
