--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -82,7 +82,7 @@
     "as it is, a group an engine", server_groups=TARGET.groups
 )
 # What the page proposes and is not built; the model only works it out.
-STRETCHED = Design(
+PROPOSED_DESIGN = Design(
     "proposed",
     server_groups=TARGET.models,
     heartbeat_s=6.0,
@@ -102,6 +102,6 @@
     ranks=16,
 )
 SMALL = Design("as it is, today's sizes", server_groups=2, shared_organisations=10)
-DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, STRETCHED)
+DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, PROPOSED_DESIGN)
 # Renewals of a lease, as designed; not a measurement.
 RENEW_S = 3.0
