--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -23,7 +23,7 @@
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
 from tools.capacity_target import RENEW_S
-from tools.capacity_target import SMALL
+from tools.capacity_target import SMALL_DESIGN
 from tools.capacity_target import SMALL_TARGET
 from tools.capacity_target import TARGET
 from tools.capacity_target import Design
@@ -160,7 +160,7 @@
 
 def _verdicts(slopes: Slopes) -> str:
     rows = []
-    sizes = [(SMALL, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
+    sizes = [(SMALL_DESIGN, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
     for design, target in sizes:
         model = CapacityModel(slopes, design, target)
         for role in (
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -101,7 +101,9 @@
     organisations=10,
     ranks=16,
 )
-SMALL = Design("as it is, today's sizes", server_groups=2, shared_organisations=10)
+SMALL_DESIGN = Design(
+    "as it is, today's sizes", server_groups=2, shared_organisations=10
+)
 DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, PROPOSED_DESIGN)
 # Renewals of a lease, as designed; not a measurement.
 RENEW_S = 3.0
