--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -21,8 +21,8 @@
 from tools.capacity_slopes import load_slopes
 from tools.capacity_target import CURRENT_DESIGN
 from tools.capacity_target import DESIGNS
+from tools.capacity_target import LEASE_RENEWAL_S
 from tools.capacity_target import LIMITS
-from tools.capacity_target import RENEW_S
 from tools.capacity_target import SMALL_DESIGN
 from tools.capacity_target import SMALL_TARGET
 from tools.capacity_target import TARGET
@@ -70,7 +70,9 @@
 
 
 def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> RoleCosts:
-    return CapacityModel(slopes, design, target).lease_holder_costs(renew_s=RENEW_S)
+    return CapacityModel(slopes, design, target).lease_holder_costs(
+        renew_s=LEASE_RENEWAL_S
+    )
 
 
 def _slopes(slopes: Slopes) -> str:
@@ -132,7 +134,7 @@
 def _platform(slopes: Slopes) -> str:
     rows = []
     for design in DESIGNS:
-        load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
+        load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         claims = load.claims(LIMITS.writes_per_s)
         rows.append(
             (
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -8,8 +8,8 @@
 from tools.capacity_model import CapacityModel
 from tools.capacity_target import CURRENT_DESIGN
 from tools.capacity_target import DESIGNS
+from tools.capacity_target import LEASE_RENEWAL_S
 from tools.capacity_target import LIMITS
-from tools.capacity_target import RENEW_S
 from tools.capacity_target import TARGET
 from tools.capacity_totals import platform_load
 
@@ -38,7 +38,7 @@
     for design in DESIGNS:
         model = CapacityModel(slopes, design, TARGET)
         rows += _entry_breaks(model, design)
-        load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
+        load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         reads = LIMITS.reads_per_s / load.reads * TARGET.processes
         at_change = LIMITS.reads_per_s / load.change_reads * TARGET.processes
         claims = load.claims(LIMITS.writes_per_s)
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -106,4 +106,4 @@
 )
 DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, PROPOSED_DESIGN)
 # Renewals of a lease, as designed; not a measurement.
-RENEW_S = 3.0
+LEASE_RENEWAL_S = 3.0
