--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -16,7 +16,7 @@
     from tools.capacity_target import Target
 
 
-class DataPath(NamedTuple):
+class DataPathCost(NamedTuple):
     """What carrying the peak's tokens costs one process, beside control.
 
     ``most_tokens`` is the rate a second at which it uses a whole core.
@@ -28,14 +28,14 @@
     most_tokens: float
 
 
-def data_paths(slopes: Slopes, target: Target) -> tuple[DataPath, ...]:
+def data_paths(slopes: Slopes, target: Target) -> tuple[DataPathCost, ...]:
     """Return the data path's cost for an entry and an agent."""
     paths = []
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
         tokens = target.tokens_per_s / count
         most = (1 - slope.intercept) / slope.gradient
-        paths.append(DataPath(role, tokens, slope.value_at(tokens), most))
+        paths.append(DataPathCost(role, tokens, slope.value_at(tokens), most))
     return tuple(paths)
 
 
