--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -121,7 +121,7 @@
     rows = [
         (
             path.role,
-            f"{path.tokens:.0f}",
+            f"{path.tokens_per_s:.0f}",
             f"{path.cpu:.0%}",
             f"{path.most_tokens:.0f}",
         )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -23,7 +23,7 @@
     """
 
     role: str
-    tokens: float
+    tokens_per_s: float
     cpu: float
     most_tokens: float
 
