--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -24,7 +24,7 @@
 
     role: str
     tokens_per_s: float
-    cpu: float
+    cpu_share: float
     most_tokens: float
 
 
