--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -123,7 +123,7 @@
             path.role,
             f"{path.tokens_per_s:.0f}",
             f"{path.cpu_share:.0%}",
-            f"{path.most_tokens:.0f}",
+            f"{path.max_tokens_per_s:.0f}",
         )
         for path in data_paths(slopes, TARGET)
     ]
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -25,7 +25,7 @@
     role: str
     tokens_per_s: float
     cpu_share: float
-    most_tokens: float
+    max_tokens_per_s: float
 
 
 def data_paths(slopes: Slopes, target: Target) -> tuple[DataPathCost, ...]:
