--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -28,7 +28,7 @@
 from tools.capacity_target import TARGET
 from tools.capacity_target import Design
 from tools.capacity_target import Target
-from tools.capacity_totals import data_paths
+from tools.capacity_totals import compute_data_path_costs
 from tools.capacity_totals import platform_load
 
 
@@ -125,7 +125,7 @@
             f"{path.cpu_share:.0%}",
             f"{path.max_tokens_per_s:.0f}",
         )
-        for path in data_paths(slopes, TARGET)
+        for path in compute_data_path_costs(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
     return markdown_table(head, rows)
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -28,7 +28,7 @@
     max_tokens_per_s: float
 
 
-def data_paths(slopes: Slopes, target: Target) -> tuple[DataPathCost, ...]:
+def compute_data_path_costs(slopes: Slopes, target: Target) -> tuple[DataPathCost, ...]:
     """Return the data path's cost for an entry and an agent."""
     paths = []
     for role, count in (("entry", target.entries), ("agent", target.servers)):
