--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -135,7 +135,7 @@
     rows = []
     for design in DESIGNS:
         load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
-        claims = load.claims(LIMITS.writes_per_s)
+        claims = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (
                 design.name,
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -41,7 +41,7 @@
         load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         reads = LIMITS.reads_per_s / load.reads * TARGET.processes
         at_change = LIMITS.reads_per_s / load.change_reads * TARGET.processes
-        claims = load.claims(LIMITS.writes_per_s)
+        claims = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (design.name, "platform", "2,000 reads/s", f"at {reads:.0f} processes")
         )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -59,7 +59,7 @@
         """All writes a second."""
         return self.trace_writes + self.lease_writes
 
-    def claims(self, writes_s: float) -> float:
+    def compute_claims_per_s(self, writes_s: float) -> float:
         """Return how many claims a second fit, each made once and removed once."""
         return (writes_s - self.writes) / 2
 
