--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -29,7 +29,7 @@
 from tools.capacity_target import Design
 from tools.capacity_target import Target
 from tools.capacity_totals import compute_data_path_costs
-from tools.capacity_totals import platform_load
+from tools.capacity_totals import compute_platform_load
 
 
 if TYPE_CHECKING:
@@ -134,7 +134,7 @@
 def _platform(slopes: Slopes) -> str:
     rows = []
     for design in DESIGNS:
-        load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
+        load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         claims = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -11,7 +11,7 @@
 from tools.capacity_target import LEASE_RENEWAL_S
 from tools.capacity_target import LIMITS
 from tools.capacity_target import TARGET
-from tools.capacity_totals import platform_load
+from tools.capacity_totals import compute_platform_load
 
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     for design in DESIGNS:
         model = CapacityModel(slopes, design, TARGET)
         rows += _entry_breaks(model, design)
-        load = platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
+        load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         reads = LIMITS.reads_per_s / load.reads * TARGET.processes
         at_change = LIMITS.reads_per_s / load.change_reads * TARGET.processes
         claims = load.compute_claims_per_s(LIMITS.writes_per_s)
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -64,7 +64,7 @@
         return (writes_s - self.writes) / 2
 
 
-def platform_load(
+def compute_platform_load(
     slopes: Slopes, design: Design, target: Target, *, renew_s: float
 ) -> PlatformLoad:
     """Return the platform's load."""
