--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -33,7 +33,7 @@
 
 CANDIDATES = 24
 ORGANISATIONS = (4_300, 43_000)
-REPEATS = 1_000
+CALLS_PER_RUN = 1_000
 RUNS = 5
 
 
@@ -67,7 +67,7 @@
     return Table("Processor time of a decision", ("decision", "microseconds"), shown)
 
 
-def _microseconds(work: Callable[[], object], repeats: int = REPEATS) -> float:
+def _microseconds(work: Callable[[], object], repeats: int = CALLS_PER_RUN) -> float:
     """Return the least of some means: other work on the machine only adds."""
     return min(_mean_time(work, repeats) for _ in range(RUNS)) * 1e6
 
