--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -32,7 +32,7 @@
 
 
 CANDIDATES = 24
-ORGANISATIONS = (4_300, 43_000)
+ORGANISATION_COUNTS = (4_300, 43_000)
 CALLS_PER_RUN = 1_000
 RUNS = 5
 
@@ -148,13 +148,13 @@
 
 
 def _memory_table() -> Table:
-    sizes = [(count, _admission_bytes(count)) for count in ORGANISATIONS]
-    histories = [(count, _predictor_bytes(count)) for count in ORGANISATIONS]
+    sizes = [(count, _admission_bytes(count)) for count in ORGANISATION_COUNTS]
+    histories = [(count, _predictor_bytes(count)) for count in ORGANISATION_COUNTS]
     rows = [
         _memory_row("admission", sizes),
         _memory_row("prediction", histories),
     ]
-    sized = [f"{count:,} organisations, MB" for count in ORGANISATIONS]
+    sized = [f"{count:,} organisations, MB" for count in ORGANISATION_COUNTS]
     return Table("Memory by organisations", ("", *sized, "bytes each"), rows)
 
 
