--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -31,7 +31,7 @@
     from collections.abc import Callable
 
 
-CANDIDATES = 24
+CANDIDATE_COUNT = 24
 ORGANISATION_COUNTS = (4_300, 43_000)
 CALLS_PER_RUN = 1_000
 RUNS = 5
@@ -50,9 +50,12 @@
         ("admit and finish", _microseconds(_admission())),
         ("predict and learn", _microseconds(_prediction())),
         ("push and pop, 200 waiting of 50 organisations", _microseconds(_queue())),
-        (f"place, {CANDIDATES} candidates", _microseconds(_placement(""))),
-        (f"place by prefix, {CANDIDATES} candidates", _microseconds(_placement("p"))),
-        (f"states of {CANDIDATES} servers", _microseconds(_health())),
+        (f"place, {CANDIDATE_COUNT} candidates", _microseconds(_placement(""))),
+        (
+            f"place by prefix, {CANDIDATE_COUNT} candidates",
+            _microseconds(_placement("p")),
+        ),
+        (f"states of {CANDIDATE_COUNT} servers", _microseconds(_health())),
         ("next share, 2 peers", _microseconds(_share())),
         (
             "entries for an organisation, 370 entries",
@@ -125,7 +128,7 @@
     plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1)
     candidates = [
         replace(plain, name=f"server-{number}", running=4 + number % 8)
-        for number in range(CANDIDATES)
+        for number in range(CANDIDATE_COUNT)
     ]
     draw = Random(1)
     policy = TwoChoicesPolicy()
@@ -135,7 +138,7 @@
 
 def _health() -> Callable[[], object]:
     group = GroupHealth()
-    loads = [ServerLoad(f"server-{number}", 8, 16) for number in range(CANDIDATES)]
+    loads = [ServerLoad(f"server-{number}", 8, 16) for number in range(CANDIDATE_COUNT)]
     for load in loads:
         for _ in range(10):
             group.get(load.name).record_success(0.02, 0.0)
