--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -20,7 +20,7 @@
 _LOW_SKEW = 1.10
 
 
-def longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
+def plan_longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
     """Return the longest-processing-time-first map, whatever it takes to get there."""
     if estimate.load is None:
         return current
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -19,7 +19,7 @@
 from kingcupwheel.expertmaps.planner import plan_map
 from kingcupwheel.manifest.schema import ExpertLayout
 from tools.map_baselines import PlainHysteresis
-from tools.map_baselines import longest_first
+from tools.map_baselines import plan_longest_first
 from tools.map_popularity import Scenario
 from tools.map_popularity import Shape
 from tools.map_popularity import popularity
@@ -92,7 +92,7 @@
     """Return a fresh planner of each kind by name."""
     return {
         "never move": lambda: stay,
-        "longest first": lambda: longest_first,
+        "longest first": lambda: plan_longest_first,
         "plain hysteresis": PlainHysteresis,
         "own, agency": lambda: OwnPlanner(AGENCY.weights),
         "own, Retazo": lambda: OwnPlanner(RETAZO.weights),
