--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -63,7 +63,7 @@
     return tuple(tuple(sorted(experts)) for experts in held)
 
 
-class PlainHysteresis:
+class HysteresisPlanner:
     """Moves without regard to cost once skew is high, until it is low."""
 
     def __init__(self) -> None:
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -18,7 +18,7 @@
 from kingcupwheel.expertmaps.planner import PlanWeights
 from kingcupwheel.expertmaps.planner import plan_map
 from kingcupwheel.manifest.schema import ExpertLayout
-from tools.map_baselines import PlainHysteresis
+from tools.map_baselines import HysteresisPlanner
 from tools.map_baselines import plan_longest_first
 from tools.map_popularity import Scenario
 from tools.map_popularity import Shape
@@ -93,7 +93,7 @@
     return {
         "never move": lambda: stay,
         "longest first": lambda: plan_longest_first,
-        "plain hysteresis": PlainHysteresis,
+        "plain hysteresis": HysteresisPlanner,
         "own, agency": lambda: OwnPlanner(AGENCY.weights),
         "own, Retazo": lambda: OwnPlanner(RETAZO.weights),
         "confident, agency": lambda: ConfidentPlanner(AGENCY.weights),
