--- a/tools/map_popularity.py
+++ b/tools/map_popularity.py
@@ -43,7 +43,7 @@
     periods: int
 
 
-def popularity(scenario: Scenario, shape: Shape, *, seed: int) -> Iterator[MapLoad]:
+def generate_loads(scenario: Scenario, shape: Shape, *, seed: int) -> Iterator[MapLoad]:
     """Yield the load counted in each period; the same seed gives the same loads."""
     generator = random.Random(seed)
     layers = [
