--- a/tools/map_popularity.py
+++ b/tools/map_popularity.py
@@ -33,7 +33,7 @@
     NOISE = "noise only"
 
 
-class Shape(NamedTuple):
+class GroupShape(NamedTuple):
     """Size of the group and length of a run, in periods."""
 
     ranks: int
@@ -43,7 +43,9 @@
     periods: int
 
 
-def generate_loads(scenario: Scenario, shape: Shape, *, seed: int) -> Iterator[MapLoad]:
+def generate_loads(
+    scenario: Scenario, shape: GroupShape, *, seed: int
+) -> Iterator[MapLoad]:
     """Yield the load counted in each period; the same seed gives the same loads."""
     generator = random.Random(seed)
     layers = [
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -20,8 +20,8 @@
 from kingcupwheel.manifest.schema import ExpertLayout
 from tools.map_baselines import HysteresisPlanner
 from tools.map_baselines import plan_longest_first
+from tools.map_popularity import GroupShape
 from tools.map_popularity import Scenario
-from tools.map_popularity import Shape
 from tools.map_popularity import generate_loads
 from tools.map_trial import ConfidentPlanner
 
@@ -34,7 +34,7 @@
 
     Planner = Callable[[ExpertMap, LoadEstimate], ExpertMap]
 
-SHAPE = Shape(ranks=32, experts=128, layers=4, slots=5, periods=60)
+SHAPE = GroupShape(ranks=32, experts=128, layers=4, slots=5, periods=60)
 SEEDS = (11, 12)
 # Weight of one expert of one layer, for the column of bytes.
 EXPERT_BYTES = 20_000_000
