--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -27,7 +27,7 @@
 _WINDOW = 8
 
 
-class ConfidentPlanner:
+class ConfidenceBoundPlanner:
     """Proposes by the own planner without hysteresis, accepts by the lower bound."""
 
     def __init__(self, weights: PlanWeights) -> None:
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -23,7 +23,7 @@
 from tools.map_popularity import GroupShape
 from tools.map_popularity import Scenario
 from tools.map_popularity import generate_loads
-from tools.map_trial import ConfidentPlanner
+from tools.map_trial import ConfidenceBoundPlanner
 
 
 if TYPE_CHECKING:
@@ -96,8 +96,8 @@
         "plain hysteresis": HysteresisPlanner,
         "own, agency": lambda: OwnPlanner(AGENCY.weights),
         "own, Retazo": lambda: OwnPlanner(RETAZO.weights),
-        "confident, agency": lambda: ConfidentPlanner(AGENCY.weights),
-        "confident, Retazo": lambda: ConfidentPlanner(RETAZO.weights),
+        "confident, agency": lambda: ConfidenceBoundPlanner(AGENCY.weights),
+        "confident, Retazo": lambda: ConfidenceBoundPlanner(RETAZO.weights),
     }
 
 
