--- a/tools/measure.py
+++ b/tools/measure.py
@@ -29,7 +29,7 @@
 _HEAD = "# Measurements\n\nWritten by `make measure`; one run each unless said.\n"
 
 
-class Part(NamedTuple):
+class Measurement(NamedTuple):
     """One measurement: its title and the module that prints or writes its tables."""
 
     title: str
@@ -38,17 +38,21 @@
 
 
 PART_BY_NAME = {
-    "path": Part("The whole path", "tools.measure_path"),
-    "agent": Part("An agent's cost per frame", "tools.measure_agent"),
-    "decisions": Part("Decisions under load", "tools.measure_decisions"),
-    "maps": Part("Planning expert maps", "tools.measure_maps", writes_file=True),
-    "balancing": Part("When to change a map", "tools.measure_balancing"),
-    "groups": Part("Agreeing on expert maps", "tools.measure_groups", writes_file=True),
-    "manifest": Part("Manifests of many organisations", "tools.measure_manifest"),
+    "path": Measurement("The whole path", "tools.measure_path"),
+    "agent": Measurement("An agent's cost per frame", "tools.measure_agent"),
+    "decisions": Measurement("Decisions under load", "tools.measure_decisions"),
+    "maps": Measurement("Planning expert maps", "tools.measure_maps", writes_file=True),
+    "balancing": Measurement("When to change a map", "tools.measure_balancing"),
+    "groups": Measurement(
+        "Agreeing on expert maps", "tools.measure_groups", writes_file=True
+    ),
+    "manifest": Measurement(
+        "Manifests of many organisations", "tools.measure_manifest"
+    ),
 }
 
 
-def measure(part: Part) -> str:
+def measure(part: Measurement) -> str:
     """Return the part's tables."""
     command = [sys.executable, "-m", part.module]
     with tempfile.TemporaryDirectory() as folder:
