--- a/tools/measure.py
+++ b/tools/measure.py
@@ -52,7 +52,7 @@
 }
 
 
-def measure(part: Measurement) -> str:
+def run_measurement(part: Measurement) -> str:
     """Return the part's tables."""
     command = [sys.executable, "-m", part.module]
     with tempfile.TemporaryDirectory() as folder:
@@ -77,7 +77,7 @@
     """Return a part's section of the page, with when and on what it was measured."""
     part = MEASUREMENT_BY_NAME[name]
     load = os.getloadavg()[0]
-    tables = measure(part).strip()
+    tables = run_measurement(part).strip()
     at = datetime.now(tz=UTC).strftime("%Y-%m-%d %H:%M UTC")
     told = (
         f"`python -m {part.module}`, commit {_commit()}, {at}, "
