--- a/tools/measure.py
+++ b/tools/measure.py
@@ -73,7 +73,7 @@
         return output.read_text() if part.writes_file else done.stdout
 
 
-def section(name: str) -> str:
+def measure_section(name: str) -> str:
     """Return a part's section of the page, with when and on what it was measured."""
     part = MEASUREMENT_BY_NAME[name]
     load = os.getloadavg()[0]
@@ -121,7 +121,7 @@
     sections = kept_sections(_PAGE.read_text() if _PAGE.exists() else "")
     for name in names:
         click.echo(f"Measuring {name}.")
-        sections[name] = section(name)
+        sections[name] = measure_section(name)
         click.echo(sections[name])
     _PAGE.write_text(page_of(sections))
 
