--- a/tools/measure.py
+++ b/tools/measure.py
@@ -98,7 +98,7 @@
     return described.stdout.strip()
 
 
-def kept_sections(page: str) -> dict[str, str]:
+def parse_sections(page: str) -> dict[str, str]:
     """Return a page's sections by part; those that no part measures by their titles."""
     title_to_name = {part.title: name for name, part in MEASUREMENT_BY_NAME.items()}
     kept: dict[str, str] = {}
@@ -118,7 +118,7 @@
 def main() -> None:
     """Measure the parts named, or all."""
     names = sys.argv[1:] or list(MEASUREMENT_BY_NAME)
-    sections = kept_sections(_PAGE.read_text() if _PAGE.exists() else "")
+    sections = parse_sections(_PAGE.read_text() if _PAGE.exists() else "")
     for name in names:
         click.echo(f"Measuring {name}.")
         sections[name] = measure_section(name)
