--- a/tools/measure.py
+++ b/tools/measure.py
@@ -108,7 +108,7 @@
     return kept
 
 
-def page_of(sections: dict[str, str]) -> str:
+def build_page(sections: dict[str, str]) -> str:
     """Return the page: parts in their order, then what is written by hand."""
     names = [name for name in MEASUREMENT_BY_NAME if name in sections]
     names += [name for name in sections if name not in MEASUREMENT_BY_NAME]
@@ -123,7 +123,7 @@
         click.echo(f"Measuring {name}.")
         sections[name] = measure_section(name)
         click.echo(sections[name])
-    _PAGE.write_text(page_of(sections))
+    _PAGE.write_text(build_page(sections))
 
 
 if __name__ == "__main__":
