--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -40,7 +40,7 @@
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Usage(NamedTuple):
+class ProcessUsage(NamedTuple):
     """A process's processor time in seconds and resident memory in bytes."""
 
     cpu_s: float
@@ -56,13 +56,13 @@
     memory_bytes: int
 
 
-def usage_of(pid: int) -> Usage:
+def usage_of(pid: int) -> ProcessUsage:
     """Return the usage of a process so far."""
     folder = Path("/proc") / str(pid)
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     pages = int((folder / "statm").read_text().split()[1])
-    return Usage(ticks / _TICKS_PER_S, pages * _PAGE_BYTES)
+    return ProcessUsage(ticks / _TICKS_PER_S, pages * _PAGE_BYTES)
 
 
 def frames_of(entry: FakeEntry) -> int:
