--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -56,7 +56,7 @@
     memory_bytes: int
 
 
-def usage_of(pid: int) -> ProcessUsage:
+def read_usage(pid: int) -> ProcessUsage:
     """Return the usage of a process so far."""
     folder = Path("/proc") / str(pid)
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -96,9 +96,9 @@
             entry.send(build_dispatch_for(beat, f"r{number}", body=body))
         time.sleep(_SETTLE_S)
         frames_of(entry)
-        before = usage_of(agent.pid)
+        before = read_usage(agent.pid)
         time.sleep(_MEASURED_S)
-        after = usage_of(agent.pid)
+        after = read_usage(agent.pid)
         frames = frames_of(entry)
         return Cost(streams, frames, after.cpu_s - before.cpu_s, after.memory_bytes)
     finally:
