--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -65,7 +65,7 @@
     return ProcessUsage(ticks / _TICKS_PER_S, pages * _PAGE_BYTES)
 
 
-def frames_of(entry: FakeEntry) -> int:
+def take_frame_count(entry: FakeEntry) -> int:
     """Return how many frames of answers the entry received, and forget them."""
     received, entry.received = entry.received, []
     return sum(isinstance(message, ResponseData) for message in received)
@@ -95,11 +95,11 @@
             body = completion_body(f"prompt {number}", tokens=tokens)
             entry.send(build_dispatch_for(beat, f"r{number}", body=body))
         time.sleep(_SETTLE_S)
-        frames_of(entry)
+        take_frame_count(entry)
         before = read_usage(agent.pid)
         time.sleep(_MEASURED_S)
         after = read_usage(agent.pid)
-        frames = frames_of(entry)
+        frames = take_frame_count(entry)
         return Cost(streams, frames, after.cpu_s - before.cpu_s, after.memory_bytes)
     finally:
         entry.stop()
