--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -71,7 +71,7 @@
     return sum(isinstance(message, ResponseData) for message in received)
 
 
-def settings_for(url: str, streams: int) -> Settings:
+def build_settings(url: str, streams: int) -> Settings:
     """Return settings with production timings and room for all streams."""
     limits = AgentLimits(concurrency=max(1, streams))
     return msgspec.structs.replace(
@@ -84,7 +84,7 @@
 def measure(streams: int, folder: Path) -> Cost:
     """Run ``streams`` streams and return the agent's cost."""
     engine = StandInProcess("engine", "--step-ms", str(_STEP_MS))
-    agent = AgentProcess(settings_for(engine.url, streams), folder)
+    agent = AgentProcess(build_settings(engine.url, streams), folder)
     entry = FakeEntry(agent.address)
     # An entry acknowledges every 128 KiB, which no stream here reaches.
     entry.auto_ack_enabled.clear()
