--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -81,7 +81,7 @@
     )
 
 
-def measure(streams: int, folder: Path) -> Cost:
+def measure_streams(streams: int, folder: Path) -> Cost:
     """Run ``streams`` streams and return the agent's cost."""
     engine = StandInProcess("engine", "--step-ms", str(_STEP_MS))
     agent = AgentProcess(build_settings(engine.url, streams), folder)
@@ -115,7 +115,7 @@
     costs = []
     with tempfile.TemporaryDirectory() as folder:
         for streams in sizes:
-            cost = measure(streams, Path(folder))
+            cost = measure_streams(streams, Path(folder))
             costs.append(cost)
             per_1000 = 1e6 * cost.cpu_s / cost.frames if cost.frames else 0.0
             print(
