--- a/tools/measure_agent.py
+++ b/tools/measure_agent.py
@@ -47,7 +47,7 @@
     memory_bytes: int
 
 
-class Cost(NamedTuple):
+class StreamsCost(NamedTuple):
     """What was seen in the measured time."""
 
     streams: int
@@ -81,7 +81,7 @@
     )
 
 
-def measure_streams(streams: int, folder: Path) -> Cost:
+def measure_streams(streams: int, folder: Path) -> StreamsCost:
     """Run ``streams`` streams and return the agent's cost."""
     engine = StandInProcess("engine", "--step-ms", str(_STEP_MS))
     agent = AgentProcess(build_settings(engine.url, streams), folder)
@@ -100,7 +100,9 @@
         time.sleep(_MEASURED_S)
         after = read_usage(agent.pid)
         frames = take_frame_count(entry)
-        return Cost(streams, frames, after.cpu_s - before.cpu_s, after.memory_bytes)
+        return StreamsCost(
+            streams, frames, after.cpu_s - before.cpu_s, after.memory_bytes
+        )
     finally:
         entry.stop()
         agent.kill()
