--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -25,7 +25,7 @@
 SEEDS = (1, 2, 3)
 
 
-class Way(NamedTuple):
+class Variant(NamedTuple):
     """A way to compare: its name, the shape it is told, whether maps change at all."""
 
     name: str
@@ -34,14 +34,14 @@
 
 
 WAYS = (
-    Way("never move", SHAPE, balances=False),
+    Variant("never move", SHAPE, balances=False),
     # Without a known pause no pass counts as short, so each small gain is taken.
-    Way("every small gain", SHAPE._replace(max_event_gap_s=0.0)),
-    Way("kingcupwheel", SHAPE),
+    Variant("every small gain", SHAPE._replace(max_event_gap_s=0.0)),
+    Variant("kingcupwheel", SHAPE),
 )
 
 
-def play(way: Way, per_s: float) -> list[Outcome]:
+def play(way: Variant, per_s: float) -> list[Outcome]:
     """Return an outcome for each seed."""
     demand = Demand(per_s, jump_every_s=4.2, skew=1.1)
     return [
