--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -30,11 +30,11 @@
 
     name: str
     shape: EngineShape
-    balances: bool = True
+    is_balancing: bool = True
 
 
 WAYS = (
-    Variant("never move", SHAPE, balances=False),
+    Variant("never move", SHAPE, is_balancing=False),
     # Without a known pause no pass counts as short, so each small gain is taken.
     Variant("every small gain", SHAPE._replace(max_event_gap_s=0.0)),
     Variant("kingcupwheel", SHAPE),
@@ -46,7 +46,7 @@
     demand = Demand(per_s, jump_every_s=4.2, skew=1.1)
     return [
         GroupModel(way.shape, RANKS, demand, seed=seed).play(
-            SECONDS, balances=way.balances
+            SECONDS, balances=way.is_balancing
         )
         for seed in SEEDS
     ]
