--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -21,7 +21,7 @@
 # A copy takes 0.11 s and streams' pauses may be 0.12 s.
 SHAPE = EngineShape(4, 64, 5, 2, 0.111, max_event_gap_s=0.12)
 LOADS_PER_S = (25.0, 50.0, 75.0)
-SECONDS = 20.0
+DURATION_S = 20.0
 SEEDS = (1, 2, 3)
 
 
@@ -46,7 +46,7 @@
     demand = Demand(per_s, jump_every_s=4.2, skew=1.1)
     return [
         GroupModel(way.shape, RANKS, demand, seed=seed).play(
-            SECONDS, balances=way.is_balancing
+            DURATION_S, balances=way.is_balancing
         )
         for seed in SEEDS
     ]
