--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -54,7 +54,9 @@
 def main() -> None:
     """Print every table, and write them to the file named on the command line."""
     with ProcessPoolExecutor(WORKERS) as pool:
-        outcomes = dict(zip(SCENARIOS, pool.map(measure, _NUMBERS), strict=True))
+        outcomes = dict(
+            zip(SCENARIOS, pool.map(measure_scenario, _NUMBERS), strict=True)
+        )
     tables = [outcome_table(scenario, rows) for scenario, rows in outcomes.items()]
     tables += [coverage_table(), *cost_tables()]
     text = "\n".join(table.markdown() for table in tables)
@@ -64,7 +66,7 @@
     draw(outcomes)
 
 
-def measure(number: int) -> dict[str, Outcome]:
+def measure_scenario(number: int) -> dict[str, Outcome]:
     """Return one scenario's mean outcome over the seeds for each setup."""
     scenario = SCENARIOS[number]
     return {
