--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -63,7 +63,7 @@
     print(text)
     if len(sys.argv) > 1:
         Path(sys.argv[1]).write_text(text)
-    draw(outcomes)
+    draw_plot(outcomes)
 
 
 def measure_scenario(number: int) -> dict[str, Outcome]:
@@ -84,7 +84,7 @@
     return Table(f"Load: {scenario.name}", ("", *COLUMN_BY_FIELD.values()), rows)
 
 
-def draw(outcomes: dict[Scenario, dict[str, Outcome]]) -> None:
+def draw_plot(outcomes: dict[Scenario, dict[str, Outcome]]) -> None:
     """Draw the share of calls met, if matplotlib is installed."""
     try:
         from matplotlib import pyplot
