--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from tests.expertmaps.fleet import Agent
 
-SIZES = (8, 16, 32)
+GROUP_SIZES = (8, 16, 32)
 LAYERS = 32
 WINDOW_S = 20.0
 # A step of 20 ms keeps 32 stand-in ranks in one process from being what is measured.
@@ -116,7 +116,7 @@
         "",
         "| ranks | leader bytes/s | other agent bytes/s | platform calls/s |",
         "|---|---|---|---|",
-        *(control_row(ranks) for ranks in SIZES),
+        *(control_row(ranks) for ranks in GROUP_SIZES),
         "",
         "Longest stall when the coordinator is lost between prepare and commit:",
         "",
