--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -30,7 +30,7 @@
 LOSSES_PER_KIND = 4
 
 
-def layout(ranks: int, *, layers: int, every_s: float) -> ExpertLayout:
+def build_layout(ranks: int, *, layers: int, every_s: float) -> ExpertLayout:
     """Return a group of 4 experts and 5 slots a rank and layer."""
     return ExpertLayout(
         ranks=ranks,
@@ -53,7 +53,7 @@
 def control_row(ranks: int) -> str:
     """Return the traffic of the leader and of another agent of an idle group."""
     fleet = Fleet(
-        layout=layout(ranks, layers=LAYERS, every_s=10.0),
+        layout=build_layout(ranks, layers=LAYERS, every_s=10.0),
         timings=DEFAULT_SERVICE_TIMINGS,
         step_s=STEP_S,
     )
@@ -79,7 +79,7 @@
 def stall(how: str) -> float:
     """Lose the coordinator of a group in the middle of a change."""
     fleet = Fleet(
-        layout=layout(4, layers=2, every_s=1.0), timings=DEFAULT_SERVICE_TIMINGS
+        layout=build_layout(4, layers=2, every_s=1.0), timings=DEFAULT_SERVICE_TIMINGS
     )
     fleet.start()
     try:
