--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -42,7 +42,7 @@
     )
 
 
-def leader_of(fleet: Fleet) -> Agent:
+def wait_for_coordinator(fleet: Fleet) -> Agent:
     """Wait for a coordinator whose group steps."""
     fleet.wait_until(lambda: fleet.coordinating_agent is not None)
     fleet.wait_for_steps()
@@ -59,7 +59,7 @@
     )
     fleet.start()
     try:
-        leader = leader_of(fleet)
+        leader = wait_for_coordinator(fleet)
         other = next(agent for agent in fleet.agents if agent is not leader)
         time.sleep(WINDOW_S / 2)
         before = leader.hub.traffic, other.hub.traffic
@@ -83,7 +83,7 @@
     )
     fleet.start()
     try:
-        leader = leader_of(fleet)
+        leader = wait_for_coordinator(fleet)
         leader.freeze_condition = lambda phase: (
             isinstance(phase, Preparing) and bool(phase.acked)
         )
