--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -50,7 +50,7 @@
     return fleet.coordinating_agent
 
 
-def control_row(ranks: int) -> str:
+def measure_idle_traffic_row(ranks: int) -> str:
     """Return the traffic of the leader and of another agent of an idle group."""
     fleet = Fleet(
         layout=build_layout(ranks, layers=LAYERS, every_s=10.0),
@@ -116,7 +116,7 @@
         "",
         "| ranks | leader bytes/s | other agent bytes/s | platform calls/s |",
         "|---|---|---|---|",
-        *(control_row(ranks) for ranks in GROUP_SIZES),
+        *(measure_idle_traffic_row(ranks) for ranks in GROUP_SIZES),
         "",
         "Longest stall when the coordinator is lost between prepare and commit:",
         "",
