--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -173,7 +173,9 @@
     def assemble(self, reuse: AssembledManifest | None = None) -> AssembledManifest:
         return assemble_manifest(self(INDEX_KEY).ok, self, previous=reuse).ok
 
-    def compile_again(self, reuse: AssembledManifest | None = None) -> CompiledManifest:
+    def compile_read_objects(
+        self, reuse: AssembledManifest | None = None
+    ) -> CompiledManifest:
         def kept(key: str) -> Result[bytes, FetchError]:
             return Ok(self.value_by_key[key])
 
@@ -228,9 +230,9 @@
 
 def _measure_start(client: HttpPlatformClient, source: _CountingSource) -> StartCost:
     start_s = _start_keeper(client)
-    compile_s = _processor_s(source.compile_again)
+    compile_s = _processor_s(source.compile_read_objects)
     tracemalloc.start()
-    in_force = source.compile_again()
+    in_force = source.compile_read_objects()
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     keys = [f"key-{index}" for index in range(_LOOKUPS)]
@@ -263,7 +265,9 @@
         entry_reads=len(source.value_by_key),
         entry_bytes=source.bytes,
         agent_bytes=len(source.value_by_key[INDEX_KEY]),
-        change_compile_s=_processor_s(lambda: source.compile_again(reuse=before)),
+        change_compile_s=_processor_s(
+            lambda: source.compile_read_objects(reuse=before)
+        ),
     )
 
 
