--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -40,15 +40,15 @@
 EXPERT_BYTES = 20_000_000
 
 
-class User(NamedTuple):
+class Deployment(NamedTuple):
     """A deployment of the brief and how it weighs skew against moves."""
 
     name: str
     weights: PlanWeights
 
 
-AGENCY = User("agency", PlanWeights(skew_weight=4.0, move_cost=1.0))
-RETAZO = User("Retazo", PlanWeights(skew_weight=1.0, move_cost=4.0))
+AGENCY = Deployment("agency", PlanWeights(skew_weight=4.0, move_cost=1.0))
+RETAZO = Deployment("Retazo", PlanWeights(skew_weight=1.0, move_cost=4.0))
 
 
 class Figures(NamedTuple):
