--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -70,7 +70,7 @@
         return weights.skew_weight * (self.mean_skew - 1) + weights.move_cost * moved
 
 
-def stay(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
+def keep_map(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
     """Never move."""
     del estimate
     return current
@@ -91,7 +91,7 @@
 def planners() -> dict[str, Callable[[], Planner]]:
     """Return a fresh planner of each kind by name."""
     return {
-        "never move": lambda: stay,
+        "never move": lambda: keep_map,
         "longest first": lambda: plan_longest_first,
         "plain hysteresis": HysteresisPlanner,
         "own, agency": lambda: OwnPlanner(AGENCY.weights),
