--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -76,7 +76,7 @@
     return current
 
 
-class OwnPlanner:
+class ProductPlanner:
     """The product's planner with a user's weights."""
 
     def __init__(self, weights: PlanWeights) -> None:
@@ -94,8 +94,8 @@
         "never move": lambda: keep_map,
         "longest first": lambda: plan_longest_first,
         "plain hysteresis": HysteresisPlanner,
-        "own, agency": lambda: OwnPlanner(AGENCY.weights),
-        "own, Retazo": lambda: OwnPlanner(RETAZO.weights),
+        "own, agency": lambda: ProductPlanner(AGENCY.weights),
+        "own, Retazo": lambda: ProductPlanner(RETAZO.weights),
         "confident, agency": lambda: ConfidenceBoundPlanner(AGENCY.weights),
         "confident, Retazo": lambda: ConfidenceBoundPlanner(RETAZO.weights),
     }
