--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -51,7 +51,7 @@
 RETAZO = Deployment("Retazo", PlanWeights(skew_weight=1.0, move_cost=4.0))
 
 
-class Figures(NamedTuple):
+class PlannerFigures(NamedTuple):
     """What one planner came to; skews and milliseconds over all periods."""
 
     skews: tuple[float, ...]
@@ -101,7 +101,7 @@
     }
 
 
-def run(make: Callable[[], Planner], scenario: Scenario) -> Figures:
+def run(make: Callable[[], Planner], scenario: Scenario) -> PlannerFigures:
     """Plan after each period for the next one; the skew is the next one's own."""
     skews: list[float] = []
     plan_ms: list[float] = []
@@ -122,7 +122,7 @@
             moves += current.count_moves_to(wanted)
             wanted.validate()
             current = wanted
-    return Figures(tuple(skews), moves, tuple(plan_ms))
+    return PlannerFigures(tuple(skews), moves, tuple(plan_ms))
 
 
 def percentile(values: Sequence[float], share: float) -> float:
