--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -63,7 +63,7 @@
         """Mean step-time skew."""
         return sum(self.skews) / len(self.skews)
 
-    def weighted(self, weights: PlanWeights) -> float:
+    def weighted_cost(self, weights: PlanWeights) -> float:
         """Return the user's own cost of a period: weighted skew plus moves."""
         places = SHAPE.layers * SHAPE.experts
         moved = self.moves / len(self.skews) / places
@@ -149,8 +149,8 @@
             str(figures.moves),
             f"{figures.moves * EXPERT_BYTES / 1e9:.1f}",
             f"{mean_ms:.1f}, {max(figures.plan_ms):.1f}",
-            f"{figures.weighted(AGENCY.weights):.3f}",
-            f"{figures.weighted(RETAZO.weights):.3f}",
+            f"{figures.weighted_cost(AGENCY.weights):.3f}",
+            f"{figures.weighted_cost(RETAZO.weights):.3f}",
         )
         lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines)
