--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -101,7 +101,7 @@
     }
 
 
-def run(make: Callable[[], Planner], scenario: Scenario) -> PlannerFigures:
+def run_planner(make: Callable[[], Planner], scenario: Scenario) -> PlannerFigures:
     """Plan after each period for the next one; the skew is the next one's own."""
     skews: list[float] = []
     plan_ms: list[float] = []
@@ -140,7 +140,7 @@
         "|---|---|---|---|---|---|---|---|",
     ]
     for name, make in planner_factories().items():
-        figures = run(make, scenario)
+        figures = run_planner(make, scenario)
         mean_ms = sum(figures.plan_ms) / len(figures.plan_ms)
         cells = (
             name,
