--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -38,7 +38,7 @@
 _TICKS = os.sysconf("SC_CLK_TCK")
 
 
-class Usage(NamedTuple):
+class ProcessUsage(NamedTuple):
     """Processor seconds and resident megabytes of a process."""
 
     cpu_s: float
@@ -66,13 +66,13 @@
     entry_rss_mb: float
 
 
-def usage(pid: int) -> Usage:
+def usage(pid: int) -> ProcessUsage:
     """Return what the kernel says of a process started by this tool."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS
     status = Path(f"/proc/{pid}/status").read_text()
     rss_kb = int(status.partition("VmRSS:")[2].split()[0])
-    return Usage(cpu_s, rss_kb / 1024)
+    return ProcessUsage(cpu_s, rss_kb / 1024)
 
 
 def manifest() -> dict[str, Any]:
