--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -53,7 +53,7 @@
     p99_ms: float
 
 
-class Streams(NamedTuple):
+class StreamsRun(NamedTuple):
     """One run of concurrent streams."""
 
     streams: int
@@ -124,7 +124,7 @@
     return Latencies(_CALLS / took_s, statistics.median(times_ms), p99)
 
 
-def measure_streams(fleet: Fleet, streams: int) -> Streams:
+def measure_streams(fleet: Fleet, streams: int) -> StreamsRun:
     """Stream many answers at once at the engine's pace."""
     entry = fleet.entries["entry"]
     pids = [agent.process.pid for agent in fleet.agents.values()]
@@ -138,7 +138,7 @@
         new.cpu_s - old.cpu_s for new, old in zip(after[1], before[1], strict=True)
     )
     tokens = streams * _TOKENS
-    return Streams(
+    return StreamsRun(
         streams,
         tokens / took_s,
         _p95(gaps) * 1000,
@@ -220,7 +220,7 @@
     click.echo(f"| ratio | {ratios} |")
 
 
-def _print_streams(runs: list[Streams]) -> None:
+def _print_streams(runs: list[StreamsRun]) -> None:
     click.echo(
         f"\n| streams at {_STEP_MS} ms | tokens/s | gap p95 ms | entry core share "
         "| agent core share | entry us/token | agent us/token | entry MB |"
