--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -75,7 +75,7 @@
     return ProcessUsage(cpu_s, rss_kb / 1024)
 
 
-def manifest() -> dict[str, Any]:
+def build_manifest() -> dict[str, Any]:
     """Return a manifest that limits nothing."""
     allowance = {"work_per_s": 1e9, "burst": 1e9, "concurrency": 10_000}
     return {
@@ -101,7 +101,7 @@
             limits={"concurrency": 256},
         )
     fleet.add_entry("entry", limits={"threads": 400})
-    submitted = fleet.submit(manifest())
+    submitted = fleet.submit(build_manifest())
     assert submitted.returncode == 0, submitted.stderr
     fleet.wait_ready(_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
 
