--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -28,7 +28,7 @@
 from tools.capacity_slopes import save_slopes
 from tools.fleet import Fleet
 from tools.measure_path import measure_streams
-from tools.measure_path import start
+from tools.measure_path import start_fleet
 
 
 if TYPE_CHECKING:
@@ -148,7 +148,7 @@
 def measure_data_path() -> list[Slope]:
     """Measure an entry and two agents that carry streams."""
     with Fleet() as fleet:
-        start(fleet, step_ms=STEP_MS)
+        start_fleet(fleet, step_ms=STEP_MS)
         runs = [measure_streams(fleet, streams) for streams in STREAM_COUNTS]
     for run in runs:
         click.echo(f"  {run}")
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -91,7 +91,7 @@
     }
 
 
-def start(fleet: Fleet, step_ms: float) -> None:
+def start_fleet(fleet: Fleet, step_ms: float) -> None:
     """Start one entry before some servers."""
     for number in range(_SERVERS):
         fleet.add_agent(
@@ -190,12 +190,12 @@
 def main() -> None:
     """Print all figures of the path as Markdown."""
     with Fleet() as fleet:
-        start(fleet, step_ms=1)
+        start_fleet(fleet, step_ms=1)
         direct = measure_calls(fleet.agents["server-0"].server_address)
         through = measure_calls(fleet.entries["entry"].http)
     _print_latencies(direct, through)
     with Fleet() as fleet:
-        start(fleet, step_ms=_STEP_MS)
+        start_fleet(fleet, step_ms=_STEP_MS)
         idle = measure_idle(fleet)
         engine = fleet.agents["server-0"].server_address
         direct_gaps = measure_gaps(engine, _DIRECT_STREAMS)
