--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -37,7 +37,9 @@
     from tools.capacity_slopes import Slopes
 
 PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
-_PART = re.compile(r"<!-- computed: (?P<name>[a-z-]+) -->\n.*?<!-- end -->", re.DOTALL)
+_PART_PATTERN = re.compile(
+    r"<!-- computed: (?P<name>[a-z-]+) -->\n.*?<!-- end -->", re.DOTALL
+)
 _MB = 1e6
 _KB = 1e3
 _GB = 1e9
@@ -46,13 +48,17 @@
 def render_parts(slopes: Slopes) -> dict[str, str]:
     """Return each computed part of the page by name."""
     return {
-        "slopes": _slopes(slopes),
-        "entry": _role(CapacityModel(slopes, CURRENT_DESIGN, TARGET).entry_costs()),
-        "agent": _role(CapacityModel(slopes, CURRENT_DESIGN, TARGET).agent_costs()),
-        "holder": _role(_holder(slopes, CURRENT_DESIGN)),
-        "data-path": _data_path(slopes),
-        "platform": _platform(slopes),
-        "verdicts": _verdicts(slopes),
+        "slopes": _slopes_table(slopes),
+        "entry": _role_table(
+            CapacityModel(slopes, CURRENT_DESIGN, TARGET).entry_costs()
+        ),
+        "agent": _role_table(
+            CapacityModel(slopes, CURRENT_DESIGN, TARGET).agent_costs()
+        ),
+        "holder": _role_table(_lease_holder_costs(slopes, CURRENT_DESIGN)),
+        "data-path": _data_path_table(slopes),
+        "platform": _platform_table(slopes),
+        "verdicts": _verdicts_table(slopes),
         "breaks": limits_table(slopes),
         "bad-days": bad_days_table(slopes),
     }
@@ -66,17 +72,19 @@
         name = match["name"]
         return f"<!-- computed: {name} -->\n{by_name[name]}\n<!-- end -->"
 
-    return _PART.sub(replaced, page)
+    return _PART_PATTERN.sub(replaced, page)
 
 
-def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> RoleCosts:
+def _lease_holder_costs(
+    slopes: Slopes, design: Design, target: Target = TARGET
+) -> RoleCosts:
     return CapacityModel(slopes, design, target).lease_holder_costs(
         renew_s=LEASE_RENEWAL_S
     )
 
 
-def _slopes(slopes: Slopes) -> str:
-    rows = [_slope(slope) for slope in slopes.by_name.values()]
+def _slopes_table(slopes: Slopes) -> str:
+    rows = [_slope_row(slope) for slope in slopes.by_name.values()]
     head = ("Slope", "Measured (size: value)", "At size 0", "For each one more")
     about = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
@@ -84,7 +92,7 @@
     return f"{about}\n\n{markdown_table(head, rows)}"
 
 
-def _slope(slope: Slope) -> tuple[str, ...]:
+def _slope_row(slope: Slope) -> tuple[str, ...]:
     name = f"`{slope.name}` ({slope.unit} by {slope.size_unit})"
     if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
@@ -92,7 +100,7 @@
     return name, seen, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
 
 
-def _role(role: RoleCosts) -> str:
+def _role_table(role: RoleCosts) -> str:
     head = (
         "Item",
         "Messages/s in, out",
@@ -102,10 +110,10 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return markdown_table(head, [_cost(cost) for cost in (*role.costs, role.total)])
+    return markdown_table(head, [_cost_row(cost) for cost in (*role.costs, role.total)])
 
 
-def _cost(cost: Cost) -> tuple[str, ...]:
+def _cost_row(cost: Cost) -> tuple[str, ...]:
     return (
         cost.item,
         f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
@@ -117,7 +125,7 @@
     )
 
 
-def _data_path(slopes: Slopes) -> str:
+def _data_path_table(slopes: Slopes) -> str:
     rows = [
         (
             path.role,
@@ -131,7 +139,7 @@
     return markdown_table(head, rows)
 
 
-def _platform(slopes: Slopes) -> str:
+def _platform_table(slopes: Slopes) -> str:
     rows = []
     for design in DESIGNS:
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
@@ -160,7 +168,7 @@
     return markdown_table(head, rows)
 
 
-def _verdicts(slopes: Slopes) -> str:
+def _verdicts_table(slopes: Slopes) -> str:
     rows = []
     sizes = [(SMALL_DESIGN, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
     for design, target in sizes:
@@ -168,22 +176,22 @@
         for role in (
             model.entry_costs(),
             model.agent_costs(),
-            _holder(slopes, design, target),
+            _lease_holder_costs(slopes, design, target),
         ):
             total = role.total
             rows.append(
                 (
                     design.name,
                     role.name,
-                    _against(
+                    _mark_if_over_limit(
                         total.cpu_share, LIMITS.cpu_share, f"{total.cpu_share:.2%}"
                     ),
-                    _against(
+                    _mark_if_over_limit(
                         total.memory_bytes,
                         LIMITS.memory_bytes,
                         f"{total.memory_bytes / _MB:.0f}",
                     ),
-                    _against(
+                    _mark_if_over_limit(
                         role.control_bytes_per_s,
                         LIMITS.bytes_per_s,
                         f"{role.control_bytes_per_s / _KB:.1f}",
@@ -194,7 +202,7 @@
     return markdown_table(head, rows)
 
 
-def _against(value: float, limit: float, text: str) -> str:
+def _mark_if_over_limit(value: float, limit: float, text: str) -> str:
     return text if value <= limit else f"**{text}, over**"
 
 
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -37,7 +37,7 @@
     rows = []
     for design in DESIGNS:
         model = CapacityModel(slopes, design, TARGET)
-        rows += _entry_breaks(model, design)
+        rows += _entry_limit_rows(model, design)
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         reads = LIMITS.reads_per_s / load.reads * TARGET.processes
         at_change = LIMITS.reads_per_s / load.change_reads * TARGET.processes
@@ -65,7 +65,7 @@
     return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
 
 
-def _entry_breaks(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
+def _entry_limit_rows(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
     role = model.entry_costs()
     links = model.entry_links
     beats = next(cost for cost in role.costs if cost.item.startswith("heartbeats on"))
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -24,14 +24,14 @@
     from kingcupwheel.messages.base import Message
 
 _LISTEN = "127.0.0.1:0"
-_BEAT_S = 1.0
+_HEARTBEAT_S = 1.0
 
 
 class AgentStandIn:
     """Answers each Hello with a heartbeat."""
 
     def __init__(self, name: str, group: str) -> None:
-        self._beat = AgentHeartbeat(
+        self._heartbeat = AgentHeartbeat(
             name,
             group,
             "dc-1",
@@ -50,7 +50,7 @@
 
     def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Hello):
-            self.hub.send(link, self._beat)
+            self.hub.send(link, self._heartbeat)
 
 
 class EntryStandIn:
@@ -59,15 +59,15 @@
     def __init__(self, name: str, address: str) -> None:
         self._hello = Hello(name, "dc-1", 0, "", False)
         self._link = OutgoingLink(address, 0)
-        self._next_beat = 0.0
+        self._next_hello_at = 0.0
         self.hub = MessageHub(
             listen=_LISTEN, on_message=lambda *_: None, on_tick=self._on_tick
         )
         self.hub.start()
 
     def _on_tick(self, now: float) -> None:
-        if now >= self._next_beat:
-            self._next_beat = now + _BEAT_S
+        if now >= self._next_hello_at:
+            self._next_hello_at = now + _HEARTBEAT_S
             self.hub.send(self._link, self._hello)
 
 
@@ -96,7 +96,7 @@
     click.echo(" ".join(f"127.0.0.1:{hub.port}" for hub in hubs))
     while True:
         click.echo(" ".join(map(str, sum_traffic(hubs))))
-        time.sleep(_BEAT_S)
+        time.sleep(_HEARTBEAT_S)
 
 
 if __name__ == "__main__":
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -44,8 +44,8 @@
     from kingcupwheel.messages.base import Message
 
 _DIGEST = "0" * 64
-_MICROSECONDS = 1e6
-_ORGANISATIONS = (1000, 10_000, 43_000)
+_US_PER_S = 1e6
+_ORGANISATION_COUNTS = (1000, 10_000, 43_000)
 
 
 def heartbeat_bytes() -> list[Point]:
@@ -54,7 +54,7 @@
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 AgentHeartbeat(
                     PROCESS_NAME,
                     "parts-model",
@@ -76,7 +76,7 @@
 def hello_bytes() -> list[Point]:
     """Return the size of a Hello, which names nothing that varies."""
     hello = Hello(PROCESS_NAME, "curitiba-north", 720, _DIGEST, False)
-    return [Point(size, _size(hello)) for size in (0, 1)]
+    return [Point(size, _encoded_size(hello)) for size in (0, 1)]
 
 
 def peer_heartbeat_bytes() -> list[Point]:
@@ -84,7 +84,7 @@
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 PeerHeartbeat(
                     PROCESS_NAME,
                     "curitiba-north",
@@ -104,7 +104,7 @@
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 ShareHeartbeat(
                     PROCESS_NAME,
                     12345.678901,
@@ -130,7 +130,9 @@
     points = []
     for count in (100, 400, 1370):
         encoded = encode_instance_list(count)
-        points.append(Point(count, 1e3 * _cpu_s(lambda e=encoded: _decode(e), 20)))  # type: ignore[misc]
+        points.append(
+            Point(count, 1e3 * _least_cpu_s(lambda e=encoded: _decode_instances(e), 20))
+        )  # type: ignore[misc]
     return points
 
 
@@ -159,7 +161,7 @@
             record_requests(recorder, process, count)
             make_parts(recorder.drain().encoded)
 
-        points.append(Point(count, 1e3 * _cpu_s(run, 5)))
+        points.append(Point(count, 1e3 * _least_cpu_s(run, 5)))
     return points
 
 
@@ -186,7 +188,7 @@
         def run(counter: BurnCounter = counter, observed: Observed = observed) -> None:
             counter.observe(observed, now=1.0)
 
-        points.append(Point(gaps, _MICROSECONDS * _cpu_s(run, 300)))
+        points.append(Point(gaps, _US_PER_S * _least_cpu_s(run, 300)))
     return points
 
 
@@ -213,7 +215,7 @@
 def organisation_memory() -> list[Point]:
     """Return the memory of decoded organisations by their number."""
     points = []
-    for count in _ORGANISATIONS:
+    for count in _ORGANISATION_COUNTS:
         encoded = msgspec.json.encode(
             tuple(build_organisation(n) for n in range(count))
         )
@@ -229,7 +231,7 @@
 def shard_bytes() -> list[Point]:
     """Return the bytes of the index and one shard, by organisations."""
     points = []
-    for count in _ORGANISATIONS:
+    for count in _ORGANISATION_COUNTS:
         index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + max(shards)))
     return points
@@ -238,7 +240,7 @@
 def manifest_bytes() -> list[Point]:
     """Return the bytes of the index and all shards, by organisations."""
     points = []
-    for count in _ORGANISATIONS:
+    for count in _ORGANISATION_COUNTS:
         index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + sum(shards)))
     return points
@@ -249,22 +251,24 @@
     return [
         Point(
             experts,
-            _size(MapReply("parts-model", 41, 7, PROCESS_NAME, 3, bytes(2 * experts))),
+            _encoded_size(
+                MapReply("parts-model", 41, 7, PROCESS_NAME, 3, bytes(2 * experts))
+            ),
         )
         for experts in (32, 128)
     ]
 
 
-def _decode(encoded: bytes) -> Any:
+def _decode_instances(encoded: bytes) -> Any:
     rows = msgspec.json.decode(encoded, type=list[dict[str, Any]])
     return tuple(Instance(**row) for row in rows)
 
 
-def _size(message: Message) -> int:
+def _encoded_size(message: Message) -> int:
     return len(MsgpackCodec().encode(message))
 
 
-def _cpu_s(run: Callable[[], object], repeat: int) -> float:
+def _least_cpu_s(run: Callable[[], object], repeat: int) -> float:
     """Return the least processor time of three rounds, for one run."""
     rounds = []
     for _ in range(3):
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -22,11 +22,11 @@
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 # Fields of /proc/PID/stat after the command's closing bracket, see proc(5).
 _UTIME, _STIME, _RSS = 11, 12, 21
-_WINDOW_S = 15.0
+_MEASURED_S = 15.0
 _SETTLE_S = 5.0
-_START_S = 30.0
+_START_TIMEOUT_S = 30.0
 # A line that took longer than this to come was not waiting in the pipe.
-_FRESH_S = 0.05
+_BUFFERED_LINE_MAX_S = 0.05
 
 
 class ProcessUsage(NamedTuple):
@@ -63,21 +63,21 @@
 def measure_idle_entry(links: int) -> IdleUsage:
     """Measure an entry that keeps links to ``links`` stand-ins of agents."""
     with Fleet() as fleet:
-        crowd = _crowd(fleet, "agents", str(links))
+        crowd = _start_crowd(fleet, "agents", str(links))
         addresses = crowd.first_line().split()
         entry = fleet.add_entry("entry-1", limits={"subset": links})
         for number, address in enumerate(addresses):
             fleet.list_instance(f"agents-{number}", "agent", "group", "dc-1", address)
-        return _measure(entry.process, crowd, links)
+        return _measure_idle(entry.process, crowd, links)
 
 
 def measure_idle_agent(links: int) -> IdleUsage:
     """Measure an agent that ``links`` stand-ins of entries talk to."""
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
-        crowd = _crowd(fleet, "entries", str(links), agent.address)
+        crowd = _start_crowd(fleet, "entries", str(links), agent.address)
         crowd.first_line()
-        return _measure(agent.process, crowd, links)
+        return _measure_idle(agent.process, crowd, links)
 
 
 def points_by_links(
@@ -87,21 +87,29 @@
     return tuple(Point(idle.links, value(idle)) for idle in idles)
 
 
-def _crowd(fleet: Fleet, *arguments: str) -> Process:
+def _start_crowd(fleet: Fleet, *arguments: str) -> Process:
     log = fleet.folder / "crowd.log"
     crowd = Process("crowd", ("tools.capacity_crowd", *arguments), log)
     fleet.stand_ins["crowd"] = crowd
     return crowd
 
 
-def _measure(process: Process, crowd: Process, links: int) -> IdleUsage:
-    wait_until(lambda: _traffic(crowd).messages_in >= 2 * links, "heartbeats", _START_S)
+def _measure_idle(process: Process, crowd: Process, links: int) -> IdleUsage:
+    wait_until(
+        lambda: _read_traffic(crowd).messages_in >= 2 * links,
+        "heartbeats",
+        _START_TIMEOUT_S,
+    )
     time.sleep(_SETTLE_S)
-    first, seen, start = read_usage(process.pid), _latest(crowd), time.monotonic()
-    time.sleep(_WINDOW_S)
+    first, seen, start = (
+        read_usage(process.pid),
+        _read_latest_traffic(crowd),
+        time.monotonic(),
+    )
+    time.sleep(_MEASURED_S)
     last, later, took_s = (
         read_usage(process.pid),
-        _latest(crowd),
+        _read_latest_traffic(crowd),
         time.monotonic() - start,
     )
     return IdleUsage(
@@ -115,14 +123,14 @@
     )
 
 
-def _traffic(crowd: Process) -> TrafficCounts:
+def _read_traffic(crowd: Process) -> TrafficCounts:
     return TrafficCounts(*map(int, crowd.first_line().split()))
 
 
-def _latest(crowd: Process) -> TrafficCounts:
+def _read_latest_traffic(crowd: Process) -> TrafficCounts:
     """Return the newest line: older ones come at once, the next within a second."""
     while True:
         asked = time.monotonic()
-        traffic = _traffic(crowd)
-        if time.monotonic() - asked > _FRESH_S:
+        traffic = _read_traffic(crowd)
+        if time.monotonic() - asked > _BUFFERED_LINE_MAX_S:
             return traffic
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -47,42 +47,45 @@
     servers = tuple(Instance(f"server-{n}", f"dc-{n % 8}") for n in range(1_000))
     allowance = Allowance()
     rows = [
-        ("admit and finish", _microseconds(_admission())),
-        ("predict and learn", _microseconds(_prediction())),
-        ("push and pop, 200 waiting of 50 organisations", _microseconds(_queue())),
-        (f"place, {CANDIDATE_COUNT} candidates", _microseconds(_placement(""))),
+        ("admit and finish", _measure_us(_prepare_admission())),
+        ("predict and learn", _measure_us(_prepare_prediction())),
+        (
+            "push and pop, 200 waiting of 50 organisations",
+            _measure_us(_prepare_queue()),
+        ),
+        (f"place, {CANDIDATE_COUNT} candidates", _measure_us(_prepare_placement(""))),
         (
             f"place by prefix, {CANDIDATE_COUNT} candidates",
-            _microseconds(_placement("p")),
+            _measure_us(_prepare_placement("p")),
         ),
-        (f"states of {CANDIDATE_COUNT} servers", _microseconds(_health())),
-        ("next share, 2 peers", _microseconds(_share())),
+        (f"states of {CANDIDATE_COUNT} servers", _measure_us(_prepare_health_update())),
+        ("next share, 2 peers", _measure_us(_prepare_share_update())),
         (
             "entries for an organisation, 370 entries",
-            _microseconds(lambda: select_entries("o", entries, allowance, "dc-1"), 50),
+            _measure_us(lambda: select_entries("o", entries, allowance, "dc-1"), 50),
         ),
         (
             "subset, 370 entries, 1,000 servers, 8 data centres",
-            _microseconds(lambda: select_subset("entry-1", entries, servers, 24), 5),
+            _measure_us(lambda: select_subset("entry-1", entries, servers, 24), 5),
         ),
     ]
     shown = [(name, f"{cost:,.1f}") for name, cost in rows]
     return Table("Processor time of a decision", ("decision", "microseconds"), shown)
 
 
-def _microseconds(work: Callable[[], object], repeats: int = CALLS_PER_RUN) -> float:
+def _measure_us(work: Callable[[], object], repeats: int = CALLS_PER_RUN) -> float:
     """Return the least of some means: other work on the machine only adds."""
-    return min(_mean_time(work, repeats) for _ in range(RUNS)) * 1e6
+    return min(_measure_mean_s(work, repeats) for _ in range(RUNS)) * 1e6
 
 
-def _mean_time(work: Callable[[], object], repeats: int) -> float:
+def _measure_mean_s(work: Callable[[], object], repeats: int) -> float:
     began = process_time()
     for _ in range(repeats):
         work()
     return (process_time() - began) / repeats
 
 
-def _admission() -> Callable[[], object]:
+def _prepare_admission() -> Callable[[], object]:
     admission = AdmissionController()
     admission.configure("o", Allowance(), 0.5)
     ticks = iter(range(10**9))
@@ -95,7 +98,7 @@
     return decide
 
 
-def _prediction() -> Callable[[], object]:
+def _prepare_prediction() -> Callable[[], object]:
     predictor = WorkPredictor()
 
     def decide() -> None:
@@ -105,7 +108,7 @@
     return decide
 
 
-def _queue() -> Callable[[], object]:
+def _prepare_queue() -> Callable[[], object]:
     queue = FairQueue(512)
     serial = iter(range(10**9))
 
@@ -124,7 +127,7 @@
     return decide
 
 
-def _placement(prefix: str) -> Callable[[], object]:
+def _prepare_placement(prefix: str) -> Callable[[], object]:
     plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1)
     candidates = [
         replace(plain, name=f"server-{number}", running=4 + number % 8)
@@ -136,7 +139,7 @@
     return lambda: policy.place(candidates, ask, 0.0, draw)
 
 
-def _health() -> Callable[[], object]:
+def _prepare_health_update() -> Callable[[], object]:
     group = GroupHealth()
     loads = [ServerLoad(f"server-{number}", 8, 16) for number in range(CANDIDATE_COUNT)]
     for load in loads:
@@ -145,7 +148,7 @@
     return lambda: group.update_states(loads, 1.0)
 
 
-def _share() -> Callable[[], object]:
+def _prepare_share_update() -> Callable[[], object]:
     peers = [PeerShare(0.2, 0.3, wants_more=False, age_s=1.0)] * 2
     return lambda: compute_next_share(Share(0.3), 0.4, peers, 5.0)
 
@@ -178,7 +181,7 @@
             admission.admit(name, 100.0 + number, 1.0 + number)
         return admission
 
-    return _bytes(build)
+    return _measure_bytes(build)
 
 
 def _predictor_bytes(count: int) -> int:
@@ -190,10 +193,10 @@
             predictor.record_answer(name, "/v1", 400, answer, body_bytes=1_600 + number)
         return predictor
 
-    return _bytes(build)
+    return _measure_bytes(build)
 
 
-def _bytes(build: Callable[[], object]) -> int:
+def _measure_bytes(build: Callable[[], object]) -> int:
     tracemalloc.start()
     built = build()
     size, _ = tracemalloc.get_traced_memory()
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -16,8 +16,8 @@
     from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 
 # Plain hysteresis starts to move above the first skew and goes on to the second.
-_HIGH_SKEW = 1.25
-_LOW_SKEW = 1.10
+_START_SKEW = 1.25
+_STOP_SKEW = 1.10
 
 
 def plan_longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
@@ -25,14 +25,15 @@
     if estimate.load is None:
         return current
     layers = tuple(
-        _place(_replicas(layer, current), layer, current) for layer in estimate.load
+        _place_replicas(_count_replicas(layer, current), layer, current)
+        for layer in estimate.load
     )
     result = ExpertMap(current.expert_count, current.slots_per_rank, layers)
     result.validate()
     return result
 
 
-def _replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
+def _count_replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
     """Return replica counts: spare places go to the highest load a replica."""
     counts = [1] * len(load)
     for _ in range(shape.rank_count * shape.slots_per_rank - len(load)):
@@ -41,7 +42,9 @@
     return counts
 
 
-def _place(counts: list[int], load: LayerLoad, shape: ExpertMap) -> LayerPlacement:
+def _place_replicas(
+    counts: list[int], load: LayerLoad, shape: ExpertMap
+) -> LayerPlacement:
     held: list[list[int]] = [[] for _ in range(shape.rank_count)]
     loads = [0.0] * shape.rank_count
     shares = [
@@ -72,7 +75,7 @@
     def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
         """Return the map for the next period."""
         skew = map_skew(current, estimate.load) if estimate.load else 1.0
-        self._moving = skew > (_LOW_SKEW if self._moving else _HIGH_SKEW)
+        self._moving = skew > (_STOP_SKEW if self._moving else _START_SKEW)
         if not self._moving:
             return current
         found = plan_map(current, estimate, PlanWeights(1.0, 0.0))
--- a/tools/map_popularity.py
+++ b/tools/map_popularity.py
@@ -15,11 +15,11 @@
     from kingcupwheel.expertmaps.load_estimate import MapLoad
 
 # Spread of the experts' log popularity at the start.
-_SPREAD = 0.8
+_LOG_POPULARITY_SPREAD = 0.8
 # Step of the log popularity in a period of a season's drift.
-_DRIFT = 0.04
+_DRIFT_PER_PERIOD = 0.04
 # Scatter of one period's counts around the popularity, from the requests at hand.
-_NOISE = 0.15
+_COUNT_NOISE = 0.15
 # An inspection makes one expert in twelve this many times as popular.
 _INSPECTED_SHARE = 1 / 12
 _INSPECTED_FACTOR = 5.0
@@ -49,7 +49,7 @@
     """Yield the load counted in each period; the same seed gives the same loads."""
     generator = random.Random(seed)
     layers = [
-        [generator.gauss(0, _SPREAD) for _ in range(shape.experts)]
+        [generator.gauss(0, _LOG_POPULARITY_SPREAD) for _ in range(shape.experts)]
         for _ in range(shape.layers)
     ]
     inspected = [
@@ -63,7 +63,7 @@
             _drift(layers, generator)
         yield tuple(
             tuple(
-                math.exp(log + generator.gauss(0, _NOISE))
+                math.exp(log + generator.gauss(0, _COUNT_NOISE))
                 * (_INSPECTED_FACTOR if raised and expert in hot else 1)
                 for expert, log in enumerate(layer)
             )
@@ -73,7 +73,7 @@
 
 def _drift(layers: list[list[float]], generator: random.Random) -> None:
     # A pull back to the middle keeps the spread what it was at the start.
-    keep = math.sqrt(1 - (_DRIFT / _SPREAD) ** 2)
+    keep = math.sqrt(1 - (_DRIFT_PER_PERIOD / _LOG_POPULARITY_SPREAD) ** 2)
     for layer in layers:
         for expert, log in enumerate(layer):
-            layer[expert] = keep * log + generator.gauss(0, _DRIFT)
+            layer[expert] = keep * log + generator.gauss(0, _DRIFT_PER_PERIOD)
--- a/tools/map_trial.py
+++ b/tools/map_trial.py
@@ -24,7 +24,7 @@
 # The paper's exploration parameter; it has to exceed one half.
 _ALPHA = 0.52
 # Recent estimates that a proposed map is judged on.
-_WINDOW = 8
+_WINDOW_PERIODS = 8
 
 
 class ConfidenceBoundPlanner:
@@ -32,7 +32,7 @@
 
     def __init__(self, weights: PlanWeights) -> None:
         self._weights = weights._replace(hysteresis=1.0)
-        self._loads: deque[MapLoad] = deque(maxlen=_WINDOW)
+        self._loads: deque[MapLoad] = deque(maxlen=_WINDOW_PERIODS)
         self._periods = 0
 
     def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -36,9 +36,9 @@
 
 LINK_COUNTS = (12, 24, 48, 96)
 _COMMAND = "python -m tools.measure_capacity"
-_PARTS = f"{_COMMAND} --only parts"
-_PROCESSES = f"{_COMMAND} --only processes"
-_DATA_PATH = f"{_COMMAND} --only data-path"
+_PARTS_COMMAND = f"{_COMMAND} --only parts"
+_PROCESSES_COMMAND = f"{_COMMAND} --only processes"
+_DATA_PATH_COMMAND = f"{_COMMAND} --only data-path"
 STREAM_COUNTS = (25, 75, 150)
 STEP_MS = 32
 _MIB = 1024 * 1024
@@ -120,7 +120,9 @@
     for probe in PROBES:
         click.echo(f"  {probe.name}")
         found = tuple(probe.run())
-        slopes.append(Slope(probe.name, probe.unit, probe.size_unit, _PARTS, found))
+        slopes.append(
+            Slope(probe.name, probe.unit, probe.size_unit, _PARTS_COMMAND, found)
+        )
     return slopes
 
 
@@ -137,7 +139,7 @@
                 f"{role}_idle_{figure.name}",
                 figure.unit,
                 "links",
-                _PROCESSES,
+                _PROCESSES_COMMAND,
                 points_by_links(idles, figure.value),
             )
             for figure in IDLE_FIGURES
@@ -158,9 +160,11 @@
     memory = [Point(run.streams, run.entry_rss_mb * _MIB) for run in runs]
     share, rate = "share of a core", "tokens a second"
     return [
-        Slope("entry_stream_cpu", share, rate, _DATA_PATH, tuple(entry)),
-        Slope("agent_stream_cpu", share, rate, _DATA_PATH, tuple(agent)),
-        Slope("entry_stream_rss", "bytes", "streams", _DATA_PATH, tuple(memory)),
+        Slope("entry_stream_cpu", share, rate, _DATA_PATH_COMMAND, tuple(entry)),
+        Slope("agent_stream_cpu", share, rate, _DATA_PATH_COMMAND, tuple(agent)),
+        Slope(
+            "entry_stream_rss", "bytes", "streams", _DATA_PATH_COMMAND, tuple(memory)
+        ),
     ]
 
 
@@ -182,14 +186,14 @@
     save_slopes(
         Slopes(
             machine=f"{platform.machine()}, Python {platform.python_version()}",
-            commit=_commit(),
+            commit=_describe_commit(),
             measured_at=datetime.now(tz=UTC).strftime("%Y-%m-%d %H:%M UTC"),
             by_name=found,
         )
     )
 
 
-def _commit() -> str:
+def _describe_commit() -> str:
     described = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         capture_output=True,
