--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -12,9 +12,9 @@
 
 import click
 
-from tools.capacity_breaks import bad_days_table
-from tools.capacity_breaks import limits_table
-from tools.capacity_breaks import markdown_table
+from tools.capacity_limits import bad_days_table
+from tools.capacity_limits import limits_table
+from tools.capacity_limits import markdown_table
 from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
--- a/tools/measure_maps.py
+++ b/tools/measure_maps.py
@@ -20,10 +20,10 @@
 from kingcupwheel.manifest.schema import ExpertLayout
 from tools.map_baselines import HysteresisPlanner
 from tools.map_baselines import plan_longest_first
+from tools.map_confidence_planner import ConfidenceBoundPlanner
 from tools.map_popularity import GroupShape
 from tools.map_popularity import Scenario
 from tools.map_popularity import generate_loads
-from tools.map_trial import ConfidenceBoundPlanner
 
 
 if TYPE_CHECKING:
