--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -111,11 +111,11 @@
         ),
         (
             "a data centre lost",
-            f"{TARGET.requests_per_s / TARGET.data_centres:.0f} requests/s move over; each "
-            f"entry left carries {1 / left:.2f} times its requests and keeps "
+            f"{TARGET.requests_per_s / TARGET.data_centres:.0f} requests/s move over; "
+            f"each entry left carries {1 / left:.2f} times its requests and keeps "
             f"{model.entry_links:.0f} links; about "
-            f"{TARGET.requests_per_s / TARGET.data_centres * stream_s:.0f} streams were open "
-            f"there",
+            f"{TARGET.requests_per_s / TARGET.data_centres * stream_s:.0f} streams "
+            f"were open there",
         ),
         (
             "regions parted for an hour",
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -131,8 +131,11 @@
     for count in (100, 400, 1370):
         encoded = encode_instance_list(count)
         points.append(
-            Point(count, 1e3 * _least_cpu_s(lambda e=encoded: _decode_instances(e), 20))
-        )  # type: ignore[misc]
+            Point(
+                count,
+                1e3 * _least_cpu_s(lambda e=encoded: _decode_instances(e), 20),  # type: ignore[misc]
+            )
+        )
     return points
 
 
