--- a/src/kingcupwheel/entry/application.py
+++ b/src/kingcupwheel/entry/application.py
@@ -20,7 +20,7 @@
 from kingcupwheel.entry.request_parser import check_sizes
 from kingcupwheel.entry.request_parser import parse_request
 from kingcupwheel.entry.request_runner import RequestRunner
-from kingcupwheel.trace.events import Received
+from kingcupwheel.trace.events import RequestReceived
 
 
 if TYPE_CHECKING:
@@ -146,7 +146,7 @@
         )
 
     def _record_received(self, request: CallerRequest) -> None:
-        event = Received(
+        event = RequestReceived(
             request.method,
             request.path,
             len(request.body),
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -12,7 +12,7 @@
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Received
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.sentences import sentence
 
 
@@ -89,7 +89,8 @@
 
 def _is_sent_by(events: tuple[TraceEvent, ...], organisation: Organisation) -> bool:
     return any(
-        isinstance(one.event, Received) and one.event.organisation == organisation.name
+        isinstance(one.event, RequestReceived)
+        and one.event.organisation == organisation.name
         for one in events
     )
 
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -15,7 +15,7 @@
     """Base of all events."""
 
 
-class Received(Event, frozen=True):
+class RequestReceived(Event, frozen=True):
     """The entry read the request."""
 
     method: str
@@ -154,7 +154,7 @@
 
 
 AnyEvent = (
-    Received
+    RequestReceived
     | Joined
     | Claimed
     | Admitted
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -19,8 +19,8 @@
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Received
 from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.exceptions import BadRequestId
 from kingcupwheel.trace.reading import BatchReader
 from kingcupwheel.trace.reading import describe
@@ -257,5 +257,5 @@
     ended = any(isinstance(event.event, Finished | Refused) for event in events)
     if not whole_from_start:
         return ended
-    begun = any(isinstance(event.event, Received) for event in events)
+    begun = any(isinstance(event.event, RequestReceived) for event in events)
     return begun and any(isinstance(event.event, Finished) for event in events)
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -15,8 +15,8 @@
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import Queued
-from kingcupwheel.trace.events import Received
 from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
@@ -44,7 +44,7 @@
 
 def _arrival(event: TraceEvent) -> str | None:
     match event.event:
-        case Received() as received:
+        case RequestReceived() as received:
             return _received(received)
         case Joined(earlier):
             return f"Joined to request {earlier}, sent earlier with the same key."
@@ -59,7 +59,7 @@
     return None
 
 
-def _received(received: Received) -> str:
+def _received(received: RequestReceived) -> str:
     repeatable = "may be repeated" if received.repeatable else "runs at most once"
     return (
         f"{received.method} {received.path} arrived with {received.body_bytes:,} bytes "
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -26,7 +26,7 @@
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Received
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import Started
 from kingcupwheel.utils.request_ids import generate_request_id
 
@@ -61,7 +61,7 @@
     path = "/v1/completions"
     body_bytes = random.randrange(20_000)
     return (
-        Received(
+        RequestReceived(
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
         Admitted(random.random() * 2000),
