--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -37,7 +37,7 @@
 from kingcupwheel.messages.attempts import TombstoneReply
 from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.trace.events import Claimed
-from kingcupwheel.trace.events import Joined
+from kingcupwheel.trace.events import ResendJoined
 
 
 if TYPE_CHECKING:
@@ -173,7 +173,7 @@
                 build_earlier_send_refusal(record.final_outcome, record.reason)
             )
         self._context.recorder.record(
-            self._request.request_id, Joined(record.request_id)
+            self._request.request_id, ResendJoined(record.request_id)
         )
         inbox = self._open_inbox(record)
         if inbox is None:
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -12,8 +12,8 @@
 from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.trace.events import Claimed
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Joined
 from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
@@ -45,7 +45,7 @@
                 self._metrics.increment(CounterName.RETRIES)
             case Resumed():
                 self._metrics.increment(CounterName.RESUMES)
-            case Joined():
+            case ResendJoined():
                 self._metrics.increment(CounterName.JOINS)
             case Claimed():
                 self._metrics.increment(CounterName.CLAIMS)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -29,7 +29,7 @@
     idempotency: str = ""
 
 
-class Joined(Event, frozen=True):
+class ResendJoined(Event, frozen=True):
     """A resend was joined to an earlier request with the same idempotency key."""
 
     earlier: str
@@ -155,7 +155,7 @@
 
 AnyEvent = (
     RequestReceived
-    | Joined
+    | ResendJoined
     | Claimed
     | Admitted
     | Refused
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 from typing import TYPE_CHECKING
 
-from kingcupwheel.trace.events import Joined
+from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.story import Source
 from kingcupwheel.trace.story import State
 
@@ -69,6 +69,6 @@
         event.event.earlier: None
         for part in story.parts
         for event in part.events
-        if isinstance(event.event, Joined)
+        if isinstance(event.event, ResendJoined)
     }
     return [f"See also: kingcupwheel trace {request_id}" for request_id in earlier]
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -10,13 +10,13 @@
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
-from kingcupwheel.trace.events import Joined
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import Queued
 from kingcupwheel.trace.events import Refused
 from kingcupwheel.trace.events import RequestReceived
+from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
@@ -46,7 +46,7 @@
     match event.event:
         case RequestReceived() as received:
             return _received(received)
-        case Joined(earlier):
+        case ResendJoined(earlier):
             return f"Joined to request {earlier}, sent earlier with the same key."
         case Claimed(claim_id, fence, detail):
             return f"Claim {claim_id[:12]}: {detail} (fence {fence})."
