--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -32,7 +32,7 @@
 class ResendJoined(Event, frozen=True):
     """A resend was joined to an earlier request with the same idempotency key."""
 
-    earlier: str
+    earlier_request_id: str
 
 
 class Claimed(Event, frozen=True):
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -66,7 +66,7 @@
 
 def _see_also(story: Story) -> list[str]:
     earlier = {
-        event.event.earlier: None
+        event.event.earlier_request_id: None
         for part in story.parts
         for event in part.events
         if isinstance(event.event, ResendJoined)
