--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -36,7 +36,7 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import TombstoneReply
 from kingcupwheel.messages.attempts import TombstoneRequest
-from kingcupwheel.trace.events import Claimed
+from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import ResendJoined
 
 
@@ -311,5 +311,5 @@
         return None
 
     def _record_claim(self, held_claim: StoredClaim, detail: str) -> None:
-        event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
+        event = ClaimRecorded(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import TimerName
-from kingcupwheel.trace.events import Claimed
+from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import ResendJoined
@@ -47,7 +47,7 @@
                 self._metrics.increment(CounterName.RESUMES)
             case ResendJoined():
                 self._metrics.increment(CounterName.JOINS)
-            case Claimed():
+            case ClaimRecorded():
                 self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
                 self._metrics.increment(CounterName.ATTEMPTS_LOST)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -35,7 +35,7 @@
     earlier_request_id: str
 
 
-class Claimed(Event, frozen=True):
+class ClaimRecorded(Event, frozen=True):
     """A claim was made, found or moved on the platform; ``detail`` says which."""
 
     claim_id: str
@@ -156,7 +156,7 @@
 AnyEvent = (
     RequestReceived
     | ResendJoined
-    | Claimed
+    | ClaimRecorded
     | Admitted
     | Refused
     | Queued
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -6,7 +6,7 @@
 
 from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Claimed
+from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
@@ -48,7 +48,7 @@
             return _received(received)
         case ResendJoined(earlier):
             return f"Joined to request {earlier}, sent earlier with the same key."
-        case Claimed(claim_id, fence, detail):
+        case ClaimRecorded(claim_id, fence, detail):
             return f"Claim {claim_id[:12]}: {detail} (fence {fence})."
         case Admitted(work, detail):
             return f"Admitted; predicted work {work:,.0f} tokens{_after(detail)}."
