--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -8,10 +8,10 @@
 from typing import NamedTuple
 from typing import TypedDict
 
-from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.sentences import sentence
 
@@ -113,7 +113,7 @@
 
 def _is_visible_to_callers(one: TraceEvent) -> bool:
     # Placement and the load of servers are shown to operators only.
-    return not isinstance(one.event, Placed | Dispatched | Admitted)
+    return not isinstance(one.event, Placed | Dispatched | RequestAdmitted)
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -27,10 +27,10 @@
 from kingcupwheel.entry.retry_controller import RetryController
 from kingcupwheel.entry.retry_controller import build_wait_abandoned_refusal
 from kingcupwheel.messages.attempts import Outcome
-from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestAdmitted
 
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         predicted_work = self._context.limiter.admit(self._request)
         if isinstance(predicted_work, Refusal):
             return self._refuse(predicted_work)
-        self._record(Admitted(predicted_work))
+        self._record(RequestAdmitted(predicted_work))
         admitted = AdmittedRequest(
             self._request, predicted_work, is_suspect=quarantine_status.is_suspect
         )
@@ -262,6 +262,6 @@
 
     def _record(
         self,
-        event: Admitted | CallerLeft | Finished | Refused,
+        event: RequestAdmitted | CallerLeft | Finished | Refused,
     ) -> None:
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -43,7 +43,7 @@
     detail: str
 
 
-class Admitted(Event, frozen=True):
+class RequestAdmitted(Event, frozen=True):
     """Within the allowance; ``work`` is predicted work in tokens."""
 
     work: float
@@ -157,7 +157,7 @@
     RequestReceived
     | ResendJoined
     | ClaimRecorded
-    | Admitted
+    | RequestAdmitted
     | Refused
     | Queued
     | Placed
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Dispatched
@@ -15,6 +14,7 @@
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import Queued
 from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import Resumed
@@ -50,7 +50,7 @@
             return f"Joined to request {earlier}, sent earlier with the same key."
         case ClaimRecorded(claim_id, fence, detail):
             return f"Claim {claim_id[:12]}: {detail} (fence {fence})."
-        case Admitted(work, detail):
+        case RequestAdmitted(work, detail):
             return f"Admitted; predicted work {work:,.0f} tokens{_after(detail)}."
         case Refused() as refused:
             return _refused(refused)
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -20,12 +20,12 @@
 from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import Started
 from kingcupwheel.utils.request_ids import generate_request_id
@@ -64,7 +64,7 @@
         RequestReceived(
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
-        Admitted(random.random() * 2000),
+        RequestAdmitted(random.random() * 2000),
         Placed(server, 1, random.random(), "less loaded of two", weighed),
         Dispatched(server, 1),
         Started(server, 1),
