--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -20,7 +20,7 @@
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.entry.request_parser import HttpRequest
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.utils.request_ids import generate_request_id
 
 
@@ -109,7 +109,7 @@
     def refuse(self, refusal: Refusal) -> Iterable[bytes]:
         """Send and record the refusal of a request that has not been run."""
         record = self._context.recorder.record
-        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
+        event = RequestRefused(refusal.reason, refusal.message, refusal.retry_after_s)
         record(self.request_id, event)
         outcome = refusal.outcome.value
         record(self.request_id, Finished(outcome, refusal.status, 0, refusal.reason))
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -29,8 +29,8 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Refused
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestRefused
 
 
 if TYPE_CHECKING:
@@ -253,7 +253,7 @@
             # A caller that sends a key again must not conclude from this refusal that
             # the request has never run.
             refusal = refusal._replace(message=refusal.message + _EARLIER_SEND_NOTE)
-        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
+        event = RequestRefused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
         outcome = refusal.outcome.value
         self._record(Finished(outcome, refusal.status, 0, refusal.reason))
@@ -262,6 +262,6 @@
 
     def _record(
         self,
-        event: RequestAdmitted | CallerLeft | Finished | Refused,
+        event: RequestAdmitted | CallerLeft | Finished | RequestRefused,
     ) -> None:
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -50,7 +50,7 @@
     detail: str = ""
 
 
-class Refused(Event, frozen=True):
+class RequestRefused(Event, frozen=True):
     """Given up before it ran; ``limit`` names the bound that was reached."""
 
     limit: str
@@ -158,7 +158,7 @@
     | ResendJoined
     | ClaimRecorded
     | RequestAdmitted
-    | Refused
+    | RequestRefused
     | Queued
     | Placed
     | Dispatched
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -19,8 +19,8 @@
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Refused
 from kingcupwheel.trace.events import RequestReceived
+from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.exceptions import BadRequestId
 from kingcupwheel.trace.reading import BatchReader
 from kingcupwheel.trace.reading import describe
@@ -254,7 +254,7 @@
 
 def _ended(events: tuple[TraceEvent, ...], *, whole_from_start: bool) -> bool:
     """Tell whether the events run to the end of the request at that process."""
-    ended = any(isinstance(event.event, Finished | Refused) for event in events)
+    ended = any(isinstance(event.event, Finished | RequestRefused) for event in events)
     if not whole_from_start:
         return ended
     begun = any(isinstance(event.event, RequestReceived) for event in events)
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -13,9 +13,9 @@
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import Queued
-from kingcupwheel.trace.events import Refused
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestReceived
+from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
@@ -52,7 +52,7 @@
             return f"Claim {claim_id[:12]}: {detail} (fence {fence})."
         case RequestAdmitted(work, detail):
             return f"Admitted; predicted work {work:,.0f} tokens{_after(detail)}."
-        case Refused() as refused:
+        case RequestRefused() as refused:
             return _refused(refused)
         case ManifestChanged(version):
             return f"Manifest version {version} came into force meanwhile."
@@ -69,7 +69,7 @@
     )
 
 
-def _refused(refused: Refused) -> str:
+def _refused(refused: RequestRefused) -> str:
     back = ""
     if refused.retry_after_s:
         back = f" The caller may come back after {refused.retry_after_s:.1f} s."
