--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -26,7 +26,7 @@
 from kingcupwheel.messages.attempts import ResumeRequest
 from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.trace.events import Noted
-from kingcupwheel.trace.events import Queued
+from kingcupwheel.trace.events import RequestQueued
 from kingcupwheel.trace.events import Resumed
 
 
@@ -100,7 +100,9 @@
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
                 case QueueDecision(ahead_count):
-                    self._recorder.record(attempt_key.request_id, Queued(ahead_count))
+                    self._recorder.record(
+                        attempt_key.request_id, RequestQueued(ahead_count)
+                    )
                     self._accept(link, dispatch, running=False)
                 case JoinDecision(accepted_key):
                     self._join_attempt(link, dispatch, accepted_key)
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -21,7 +21,7 @@
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Queued
+from kingcupwheel.trace.events import RequestQueued
 
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
         result = ticket.wait(0)
         if result is None:
-            self._record(Queued(ticket.requests_ahead))
+            self._record(RequestQueued(ticket.requests_ahead))
             result = self._wait_for_reservation(ticket)
         if isinstance(result, PlacementFailure):
             return _build_placement_refusal(
@@ -177,7 +177,7 @@
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
-    def _record(self, event: Queued | Placed | Dispatched) -> None:
+    def _record(self, event: RequestQueued | Placed | Dispatched) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -58,7 +58,7 @@
     retry_after_s: float = 0.0
 
 
-class Queued(Event, frozen=True):
+class RequestQueued(Event, frozen=True):
     """Waits for a place; ``ahead`` requests are before it."""
 
     ahead: int
@@ -159,7 +159,7 @@
     | ClaimRecorded
     | RequestAdmitted
     | RequestRefused
-    | Queued
+    | RequestQueued
     | Placed
     | Dispatched
     | Started
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -12,8 +12,8 @@
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Queued
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestQueued
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.events import ResendJoined
@@ -78,7 +78,7 @@
 
 def _placement(event: TraceEvent) -> str | None:
     match event.event:
-        case Queued(ahead):
+        case RequestQueued(ahead):
             return f"Queued behind {ahead} others."
         case Placed() as placed:
             return _placed(placed)
