--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -20,7 +20,7 @@
 from kingcupwheel.messages.attempts import Dispatch
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import Dispatched
-from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestQueued
 
 
@@ -126,7 +126,7 @@
     def _record_reservation(self, reservation: Reservation) -> None:
         decision = reservation.decision
         alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
-        event = Placed(
+        event = RequestPlaced(
             reservation.server,
             self._count,
             reservation.waited_s,
@@ -177,7 +177,7 @@
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
-    def _record(self, event: RequestQueued | Placed | Dispatched) -> None:
+    def _record(self, event: RequestQueued | RequestPlaced | Dispatched) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -10,8 +10,8 @@
 
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.sentences import sentence
 
@@ -113,7 +113,7 @@
 
 def _is_visible_to_callers(one: TraceEvent) -> bool:
     # Placement and the load of servers are shown to operators only.
-    return not isinstance(one.event, Placed | Dispatched | RequestAdmitted)
+    return not isinstance(one.event, RequestPlaced | Dispatched | RequestAdmitted)
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -12,7 +12,7 @@
 from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
@@ -39,7 +39,7 @@
     def __call__(self, event: AnyEvent) -> None:
         """Count ``event`` if it has a metric."""
         match event:
-            case Placed(waited_s=waited_s):
+            case RequestPlaced(waited_s=waited_s):
                 self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
             case Retried():
                 self._metrics.increment(CounterName.RETRIES)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -71,7 +71,7 @@
     load: float
 
 
-class Placed(Event, frozen=True):
+class RequestPlaced(Event, frozen=True):
     """Given to ``server``; ``why`` is a short reason."""
 
     server: str
@@ -160,7 +160,7 @@
     | RequestAdmitted
     | RequestRefused
     | RequestQueued
-    | Placed
+    | RequestPlaced
     | Dispatched
     | Started
     | FirstByte
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -11,8 +11,8 @@
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.events import Noted
-from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestQueued
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
@@ -80,7 +80,7 @@
     match event.event:
         case RequestQueued(ahead):
             return f"Queued behind {ahead} others."
-        case Placed() as placed:
+        case RequestPlaced() as placed:
             return _placed(placed)
         case Dispatched(server, attempt):
             return f"Sent to {server} as attempt {attempt}."
@@ -89,7 +89,7 @@
     return None
 
 
-def _placed(placed: Placed) -> str:
+def _placed(placed: RequestPlaced) -> str:
     weighed = ", ".join(map(_load, placed.alternatives))
     return (
         f"Placed on {placed.server} for attempt {placed.attempt} after "
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -9,7 +9,7 @@
 
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Placed
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import TraceEvent
 from kingcupwheel.trace.merging import merge
@@ -110,7 +110,7 @@
     named = {
         event.event.server: None
         for event in events
-        if isinstance(event.event, Placed | Dispatched)
+        if isinstance(event.event, RequestPlaced | Dispatched)
     }
     return tuple(named)
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -24,8 +24,8 @@
 from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
-from kingcupwheel.trace.events import Placed
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import Started
 from kingcupwheel.utils.request_ids import generate_request_id
@@ -65,7 +65,7 @@
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
         RequestAdmitted(random.random() * 2000),
-        Placed(server, 1, random.random(), "less loaded of two", weighed),
+        RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
         Dispatched(server, 1),
         Started(server, 1),
         FirstByte(server, 1),
