--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -19,7 +19,7 @@
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
 from kingcupwheel.trace.events import Alternative
-from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestQueued
 
@@ -166,7 +166,7 @@
         )
         message = _build_dispatch(self._admitted, key, reservation, claim)
         context.hub.send(OutgoingLink(reservation.address, 0), message)
-        self._record(Dispatched(reservation.server, self._count))
+        self._record(AttemptDispatched(reservation.server, self._count))
         return AnswerReader(
             inbox,
             context.hub,
@@ -177,7 +177,7 @@
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
-    def _record(self, event: RequestQueued | RequestPlaced | Dispatched) -> None:
+    def _record(self, event: RequestQueued | RequestPlaced | AttemptDispatched) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 from typing import TypedDict
 
-from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestPlaced
@@ -113,7 +113,9 @@
 
 def _is_visible_to_callers(one: TraceEvent) -> bool:
     # Placement and the load of servers are shown to operators only.
-    return not isinstance(one.event, RequestPlaced | Dispatched | RequestAdmitted)
+    return not isinstance(
+        one.event, RequestPlaced | AttemptDispatched | RequestAdmitted
+    )
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -81,7 +81,7 @@
     alternatives: tuple[Alternative, ...] = ()
 
 
-class Dispatched(Event, frozen=True):
+class AttemptDispatched(Event, frozen=True):
     """Sent to the agent of ``server``."""
 
     server: str
@@ -161,7 +161,7 @@
     | RequestRefused
     | RequestQueued
     | RequestPlaced
-    | Dispatched
+    | AttemptDispatched
     | Started
     | FirstByte
     | Resumed
--- a/src/kingcupwheel/trace/merging.py
+++ b/src/kingcupwheel/trace/merging.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.trace.events import AnyEvent
-from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import TraceEvent
 
@@ -55,7 +55,7 @@
     """Return what another process must have recorded before ``event``."""
     attempt: int | None = getattr(event.event, "attempt", None)
     if event.process != entry:
-        return _Cause(Dispatched, attempt) if attempt is not None else None
+        return _Cause(AttemptDispatched, attempt) if attempt is not None else None
     if isinstance(event.event, FirstByte):
         return _Cause(FirstByte, event.event.attempt)
     return None
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
-from kingcupwheel.trace.events import Dispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import ManifestChanged
@@ -82,7 +82,7 @@
             return f"Queued behind {ahead} others."
         case RequestPlaced() as placed:
             return _placed(placed)
-        case Dispatched(server, attempt):
+        case AttemptDispatched(server, attempt):
             return f"Sent to {server} as attempt {attempt}."
         case Retried(attempt, why):
             return f"Attempt {attempt} came to nothing: {why}. Another follows."
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
@@ -110,7 +110,7 @@
     named = {
         event.event.server: None
         for event in events
-        if isinstance(event.event, RequestPlaced | Dispatched)
+        if isinstance(event.event, RequestPlaced | AttemptDispatched)
     }
     return tuple(named)
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -21,7 +21,7 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.events import Alternative
-from kingcupwheel.trace.events import Dispatched
+from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import RequestAdmitted
@@ -66,7 +66,7 @@
         ),
         RequestAdmitted(random.random() * 2000),
         RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
-        Dispatched(server, 1),
+        AttemptDispatched(server, 1),
         Started(server, 1),
         FirstByte(server, 1),
         Finished("ran", 200, random.randrange(20_000), "whole"),
