--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -17,11 +17,11 @@
 from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import ServerDied
-from kingcupwheel.trace.events import Started
 
 
 if TYPE_CHECKING:
@@ -157,7 +157,7 @@
         self, dispatch: Dispatch, cancellation: Cancellation, generation: int
     ) -> None:
         key = get_attempt_key(dispatch)
-        event = Started(self._name, dispatch.attempt)
+        event = AttemptForwarded(self._name, dispatch.attempt)
         self._recorder.record(key.request_id, event)
         try:
             started = self._adapter.start(dispatch, cancellation)
--- a/src/kingcupwheel/entry/answer_head_waiter.py
+++ b/src/kingcupwheel/entry/answer_head_waiter.py
@@ -14,8 +14,8 @@
 from kingcupwheel.entry.attempt_dispatcher import CALLER_POLL_INTERVAL_S
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
+from kingcupwheel.trace.events import AttemptForwarded as StartedEvent
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Started as StartedEvent
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -88,7 +88,7 @@
     attempt: int
 
 
-class Started(Event, frozen=True):
+class AttemptForwarded(Event, frozen=True):
     """The agent handed it to its server."""
 
     server: str
@@ -162,7 +162,7 @@
     | RequestQueued
     | RequestPlaced
     | AttemptDispatched
-    | Started
+    | AttemptForwarded
     | FirstByte
     | Resumed
     | Retried
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
@@ -20,7 +21,6 @@
 from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
-from kingcupwheel.trace.events import Started
 
 
 if TYPE_CHECKING:
@@ -104,7 +104,7 @@
 
 def _answer(event: TraceEvent, *, arrived: float | None) -> str | None:
     match event.event:
-        case Started(server, attempt):
+        case AttemptForwarded(server, attempt):
             return f"Handed to {server} to run (attempt {attempt})."
         case FirstByte(server, attempt):
             since = f", {event.at - arrived:.3f} s after arrival" if arrived else ""
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -22,12 +22,12 @@
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByte
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
-from kingcupwheel.trace.events import Started
 from kingcupwheel.utils.request_ids import generate_request_id
 
 
@@ -67,7 +67,7 @@
         RequestAdmitted(random.random() * 2000),
         RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
         AttemptDispatched(server, 1),
-        Started(server, 1),
+        AttemptForwarded(server, 1),
         FirstByte(server, 1),
         Finished("ran", 200, random.randrange(20_000), "whole"),
     )
@@ -75,7 +75,7 @@
 
 def _agent_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     return (
-        Started(server, 1),
+        AttemptForwarded(server, 1),
         FirstByte(server, 1),
         Finished("ran", 200, random.randrange(20_000), "whole"),
     )
