--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -19,7 +19,7 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import ServerDied
 
@@ -192,7 +192,7 @@
                     )
                     return
                 if first:
-                    event = FirstByte(self._name, key.attempt)
+                    event = FirstByteRelayed(self._name, key.attempt)
                     self._recorder.record(key.request_id, event)
                     first = False
                 self._store.append(key, chunk.ok, cancellation)
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -16,7 +16,7 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
 
 
 if TYPE_CHECKING:
@@ -160,7 +160,9 @@
         if self._first_byte_s is None:
             self._first_byte_s = now - self._admitted.request.received_at
             self._first_byte_at = now
-            self._record(FirstByte(self._reader.server, self._reader.inbox.key.attempt))
+            self._record(
+                FirstByteRelayed(self._reader.server, self._reader.inbox.key.attempt)
+            )
         else:
             self._gaps_s.append(now - self._last_chunk_at)
         self._last_chunk_at = now
@@ -228,7 +230,7 @@
             first_byte_s, len(self._admitted.request.body)
         )
 
-    def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
+    def _record(self, event: FirstByteRelayed | CallerLeft | Finished) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -95,7 +95,7 @@
     attempt: int
 
 
-class FirstByte(Event, frozen=True):
+class FirstByteRelayed(Event, frozen=True):
     """The first byte of the answer's body passed the recording process."""
 
     server: str
@@ -163,7 +163,7 @@
     | RequestPlaced
     | AttemptDispatched
     | AttemptForwarded
-    | FirstByte
+    | FirstByteRelayed
     | Resumed
     | Retried
     | ServerDied
--- a/src/kingcupwheel/trace/merging.py
+++ b/src/kingcupwheel/trace/merging.py
@@ -11,7 +11,7 @@
 
 from kingcupwheel.trace.events import AnyEvent
 from kingcupwheel.trace.events import AttemptDispatched
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import TraceEvent
 
 
@@ -56,8 +56,8 @@
     attempt: int | None = getattr(event.event, "attempt", None)
     if event.process != entry:
         return _Cause(AttemptDispatched, attempt) if attempt is not None else None
-    if isinstance(event.event, FirstByte):
-        return _Cause(FirstByte, event.event.attempt)
+    if isinstance(event.event, FirstByteRelayed):
+        return _Cause(FirstByteRelayed, event.event.attempt)
     return None
 
 
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -9,7 +9,7 @@
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import RequestAdmitted
@@ -106,7 +106,7 @@
     match event.event:
         case AttemptForwarded(server, attempt):
             return f"Handed to {server} to run (attempt {attempt})."
-        case FirstByte(server, attempt):
+        case FirstByteRelayed(server, attempt):
             since = f", {event.at - arrived:.3f} s after arrival" if arrived else ""
             return f"First byte of {server}'s answer (attempt {attempt}){since}."
         case Resumed(server, attempt, offset, why):
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -24,7 +24,7 @@
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
@@ -68,7 +68,7 @@
         RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
         AttemptDispatched(server, 1),
         AttemptForwarded(server, 1),
-        FirstByte(server, 1),
+        FirstByteRelayed(server, 1),
         Finished("ran", 200, random.randrange(20_000), "whole"),
     )
 
@@ -76,7 +76,7 @@
 def _agent_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     return (
         AttemptForwarded(server, 1),
-        FirstByte(server, 1),
+        FirstByteRelayed(server, 1),
         Finished("ran", 200, random.randrange(20_000), "whole"),
     )
 
