--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -25,9 +25,9 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import ResumeRequest
 from kingcupwheel.messages.attempts import TombstoneRequest
+from kingcupwheel.trace.events import AttemptResumed
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import RequestQueued
-from kingcupwheel.trace.events import Resumed
 
 
 if TYPE_CHECKING:
@@ -145,7 +145,9 @@
         )
         older_links = self._entry_links.list_older_links(link)
         if self._store.subscribe(accepted_key, subscriber, older_links=older_links):
-            event = Resumed(self._name, attempt_key.attempt, message.offset, "new link")
+            event = AttemptResumed(
+                self._name, attempt_key.attempt, message.offset, "new link"
+            )
             self._recorder.record(attempt_key.request_id, event)
             return
         with self._runner.lock:
--- a/src/kingcupwheel/entry/answer_reader.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -18,7 +18,7 @@
 from kingcupwheel.messages.attempts import CancelRequest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import ResumeRequest
-from kingcupwheel.trace.events import Resumed
+from kingcupwheel.trace.events import AttemptResumed
 
 
 if TYPE_CHECKING:
@@ -140,7 +140,7 @@
     def request_resume(self, *, reason: str) -> None:
         """Request the answer from the next byte on from the agent."""
         offset = self._assembler.offset
-        event = Resumed(self._server, self._inbox.key.attempt, offset, reason)
+        event = AttemptResumed(self._server, self._inbox.key.attempt, offset, reason)
         self._recorder.record(self._trace_request_id, event)
         self._send(
             ResumeRequest(*self._inbox.key, offset, FLOW_CREDIT_BYTES, self._claim_id)
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -10,11 +10,11 @@
 
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import TimerName
+from kingcupwheel.trace.events import AttemptResumed
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
 
@@ -43,7 +43,7 @@
                 self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
             case Retried():
                 self._metrics.increment(CounterName.RETRIES)
-            case Resumed():
+            case AttemptResumed():
                 self._metrics.increment(CounterName.RESUMES)
             case ResendJoined():
                 self._metrics.increment(CounterName.JOINS)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -102,7 +102,7 @@
     attempt: int
 
 
-class Resumed(Event, frozen=True):
+class AttemptResumed(Event, frozen=True):
     """Taken up again from ``offset`` over a new link; ``why`` is a short reason."""
 
     server: str
@@ -164,7 +164,7 @@
     | AttemptDispatched
     | AttemptForwarded
     | FirstByteRelayed
-    | Resumed
+    | AttemptResumed
     | Retried
     | ServerDied
     | ManifestChanged
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -6,6 +6,7 @@
 
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import AttemptForwarded
+from kingcupwheel.trace.events import AttemptResumed
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
@@ -18,7 +19,6 @@
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.events import Resumed
 from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
 
@@ -109,7 +109,7 @@
         case FirstByteRelayed(server, attempt):
             since = f", {event.at - arrived:.3f} s after arrival" if arrived else ""
             return f"First byte of {server}'s answer (attempt {attempt}){since}."
-        case Resumed(server, attempt, offset, why):
+        case AttemptResumed(server, attempt, offset, why):
             return (
                 f"Took attempt {attempt} on {server} up again at byte {offset:,}: "
                 f"{why}."
