--- a/src/kingcupwheel/entry/retry_controller.py
+++ b/src/kingcupwheel/entry/retry_controller.py
@@ -11,7 +11,7 @@
 from kingcupwheel.entry.refusals import Refusal
 from kingcupwheel.messages.attempts import DispatchRefusal as AgentRefusal
 from kingcupwheel.messages.attempts import Outcome
-from kingcupwheel.trace.events import Retried
+from kingcupwheel.trace.events import AttemptRetried
 
 
 if TYPE_CHECKING:
@@ -126,7 +126,7 @@
         return monotonic() >= self._request.deadline_at
 
     def _record_retry(self, attempts: AttemptDispatcher, reason: str) -> None:
-        event = Retried(attempts.count, reason)
+        event = AttemptRetried(attempts.count, reason)
         self._context.recorder.record(self._request.request_id, event)
 
 
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -11,11 +11,11 @@
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import TimerName
 from kingcupwheel.trace.events import AttemptResumed
+from kingcupwheel.trace.events import AttemptRetried
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
 
 
@@ -41,7 +41,7 @@
         match event:
             case RequestPlaced(waited_s=waited_s):
                 self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
-            case Retried():
+            case AttemptRetried():
                 self._metrics.increment(CounterName.RETRIES)
             case AttemptResumed():
                 self._metrics.increment(CounterName.RESUMES)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -111,7 +111,7 @@
     why: str
 
 
-class Retried(Event, frozen=True):
+class AttemptRetried(Event, frozen=True):
     """The attempt ended without a run, or may be repeated; another follows."""
 
     attempt: int
@@ -165,7 +165,7 @@
     | AttemptForwarded
     | FirstByteRelayed
     | AttemptResumed
-    | Retried
+    | AttemptRetried
     | ServerDied
     | ManifestChanged
     | CallerLeft
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -7,6 +7,7 @@
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import AttemptResumed
+from kingcupwheel.trace.events import AttemptRetried
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import Finished
@@ -19,7 +20,6 @@
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.events import Retried
 from kingcupwheel.trace.events import ServerDied
 
 
@@ -84,7 +84,7 @@
             return _placed(placed)
         case AttemptDispatched(server, attempt):
             return f"Sent to {server} as attempt {attempt}."
-        case Retried(attempt, why):
+        case AttemptRetried(attempt, why):
             return f"Attempt {attempt} came to nothing: {why}. Another follows."
     return None
 
