--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -18,9 +18,9 @@
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import AttemptForwarded
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import Noted
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import ServerDied
 
 
@@ -228,5 +228,5 @@
         length = self._store.finish(key, outcome, detail, now=now)
         with self.lock:
             self.attempt_table.finish(key, now=now)
-        event = Finished(outcome.value, status, length, detail)
+        event = RequestFinished(outcome.value, status, length, detail)
         self._recorder.record(key.request_id, event)
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -15,8 +15,8 @@
 from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByteRelayed
+from kingcupwheel.trace.events import RequestFinished
 
 
 if TYPE_CHECKING:
@@ -187,7 +187,9 @@
         self._record_server_latency(ended)
         length = self._reader.offset
         self._record(
-            Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
+            RequestFinished(
+                ended.outcome.value, self._status, length, ended.detail or "whole"
+            )
         )
         is_complete = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
@@ -230,7 +232,7 @@
             first_byte_s, len(self._admitted.request.body)
         )
 
-    def _record(self, event: FirstByteRelayed | CallerLeft | Finished) -> None:
+    def _record(self, event: FirstByteRelayed | CallerLeft | RequestFinished) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -9,8 +9,8 @@
 from typing import TypedDict
 
 from kingcupwheel.trace.events import AttemptDispatched
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.sentences import sentence
@@ -104,7 +104,7 @@
         story=[_describe(one, events) for one in events if _is_visible_to_callers(one)],
     )
     for one in events:
-        if isinstance(one.event, Finished):
+        if isinstance(one.event, RequestFinished):
             body["outcome"] = one.event.outcome
             body["status"] = one.event.status
             body["reason"] = one.event.reason
--- a/src/kingcupwheel/entry/http_exchange.py
+++ b/src/kingcupwheel/entry/http_exchange.py
@@ -19,7 +19,7 @@
 from kingcupwheel.entry.http_server import SOCKET_ENVIRON_KEY
 from kingcupwheel.entry.refusals import build_refusal_body
 from kingcupwheel.entry.request_parser import HttpRequest
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.utils.request_ids import generate_request_id
 
@@ -112,7 +112,9 @@
         event = RequestRefused(refusal.reason, refusal.message, refusal.retry_after_s)
         record(self.request_id, event)
         outcome = refusal.outcome.value
-        record(self.request_id, Finished(outcome, refusal.status, 0, refusal.reason))
+        record(
+            self.request_id, RequestFinished(outcome, refusal.status, 0, refusal.reason)
+        )
         return self._send_refusal(refusal)
 
     def _send_refusal(self, refusal: Refusal) -> Iterable[bytes]:
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -28,8 +28,8 @@
 from kingcupwheel.entry.retry_controller import build_wait_abandoned_refusal
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestRefused
 
 
@@ -256,12 +256,12 @@
         event = RequestRefused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
         outcome = refusal.outcome.value
-        self._record(Finished(outcome, refusal.status, 0, refusal.reason))
+        self._record(RequestFinished(outcome, refusal.status, 0, refusal.reason))
         self._context.outcome_counter.count_refusal(self._request, refusal)
         return RefusedAnswer(refusal)
 
     def _record(
         self,
-        event: RequestAdmitted | CallerLeft | Finished | RequestRefused,
+        event: RequestAdmitted | CallerLeft | RequestFinished | RequestRefused,
     ) -> None:
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -13,7 +13,7 @@
 from kingcupwheel.trace.events import AttemptResumed
 from kingcupwheel.trace.events import AttemptRetried
 from kingcupwheel.trace.events import ClaimRecorded
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import ServerDied
@@ -51,5 +51,5 @@
                 self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
                 self._metrics.increment(CounterName.ATTEMPTS_LOST)
-            case Finished(outcome) if self._finished_counter:
+            case RequestFinished(outcome) if self._finished_counter:
                 self._metrics.increment(self._finished_counter, label=outcome)
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -138,7 +138,7 @@
     offset: int
 
 
-class Finished(Event, frozen=True):
+class RequestFinished(Event, frozen=True):
     """The final outcome as told to the caller."""
 
     outcome: str
@@ -169,7 +169,7 @@
     | ServerDied
     | ManifestChanged
     | CallerLeft
-    | Finished
+    | RequestFinished
     | Noted
 )
 
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -18,7 +18,7 @@
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
 from kingcupwheel.trace.events import EVENTS_DECODER
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.exceptions import BadRequestId
@@ -248,14 +248,16 @@
 
 
 def _told_at(events: tuple[TraceEvent, ...]) -> float | None:
-    ends = [event.at for event in events if isinstance(event.event, Finished)]
+    ends = [event.at for event in events if isinstance(event.event, RequestFinished)]
     return ends[-1] if ends else None
 
 
 def _ended(events: tuple[TraceEvent, ...], *, whole_from_start: bool) -> bool:
     """Tell whether the events run to the end of the request at that process."""
-    ended = any(isinstance(event.event, Finished | RequestRefused) for event in events)
+    ended = any(
+        isinstance(event.event, RequestFinished | RequestRefused) for event in events
+    )
     if not whole_from_start:
         return ended
     begun = any(isinstance(event.event, RequestReceived) for event in events)
-    return begun and any(isinstance(event.event, Finished) for event in events)
+    return begun and any(isinstance(event.event, RequestFinished) for event in events)
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -15,7 +15,7 @@
 from kingcupwheel.trace.batches import events_of
 from kingcupwheel.trace.batches import hour_prefix
 from kingcupwheel.trace.batches import parse_key
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.sweeping import MARKS
 
 
@@ -75,7 +75,7 @@
             until = max(until, name.until)
             losses.extend(batch.losses)
             events.extend(found.ok)
-            if any(isinstance(event.event, Finished) for event in found.ok):
+            if any(isinstance(event.event, RequestFinished) for event in found.ok):
                 break
         else:
             if len(names) > MAX_BATCHES:
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -17,7 +17,7 @@
 
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.trace.events import EVENT_DECODER
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import TraceEvent
 from kingcupwheel.utils.request_ids import parse_request_id
 
@@ -94,7 +94,7 @@
         entry = TraceEvent(request_id, at, self._process, event)
         with self._lock:
             encoded = self._encoder.encode(entry)
-            self._keep(request_id, encoded, final=isinstance(event, Finished))
+            self._keep(request_id, encoded, final=isinstance(event, RequestFinished))
             self._queue(encoded, at)
         if self._listener is not None:
             self._listener(event)
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -10,11 +10,11 @@
 from kingcupwheel.trace.events import AttemptRetried
 from kingcupwheel.trace.events import CallerLeft
 from kingcupwheel.trace.events import ClaimRecorded
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.events import Noted
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestQueued
 from kingcupwheel.trace.events import RequestReceived
@@ -126,7 +126,7 @@
 
 def _ending(event: TraceEvent, *, final: bool) -> str | None:
     match event.event:
-        case Finished(outcome, status, length, reason):
+        case RequestFinished(outcome, status, length, reason):
             what = "Final outcome" if final else "This attempt ended as"
             code = f", status {status}" if status else ""
             return f"{what}: {outcome}{code}, {length:,} bytes{_after(reason)}."
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -23,9 +23,9 @@
 from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import AttemptForwarded
-from kingcupwheel.trace.events import Finished
 from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.utils.request_ids import generate_request_id
@@ -69,7 +69,7 @@
         AttemptDispatched(server, 1),
         AttemptForwarded(server, 1),
         FirstByteRelayed(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
@@ -77,7 +77,7 @@
     return (
         AttemptForwarded(server, 1),
         FirstByteRelayed(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
