--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -26,7 +26,7 @@
 from kingcupwheel.messages.attempts import ResumeRequest
 from kingcupwheel.messages.attempts import TombstoneRequest
 from kingcupwheel.trace.events import AttemptResumed
-from kingcupwheel.trace.events import Noted
+from kingcupwheel.trace.events import NoteAdded
 from kingcupwheel.trace.events import RequestQueued
 
 
@@ -86,7 +86,7 @@
     def handle_lost_links(self, links: Iterable[Link]) -> None:
         """Cancel the attempts that no live entry is subscribed to."""
         for key in self._store.remove_links(links):
-            self._recorder.record(key.request_id, Noted("The entry went silent."))
+            self._recorder.record(key.request_id, NoteAdded("The entry went silent."))
             self._stop_attempt(key)
 
     def _handle_dispatch(self, link: Link, dispatch: Dispatch) -> None:
@@ -109,7 +109,7 @@
                 case ForgottenDecision():
                     self._send(link, _build_unknown_end(attempt_key))
                 case RefusalDecision(_, reason):
-                    note = Noted(f"Not run: {reason.value}.")
+                    note = NoteAdded(f"Not run: {reason.value}.")
                     self._recorder.record(attempt_key.request_id, note)
                     self._send(link, AttemptRefused(*attempt_key, reason))
 
@@ -127,7 +127,9 @@
         attempt_key = get_attempt_key(dispatch)
         self._recorder.record(
             attempt_key.request_id,
-            Noted(f"Joined to attempt {accepted_key.attempt} of {accepted_key[0]}."),
+            NoteAdded(
+                f"Joined to attempt {accepted_key.attempt} of {accepted_key[0]}."
+            ),
         )
         self._send(link, AttemptAccepted(*attempt_key, True))
         subscriber = Subscriber(attempt_key, link, 0, 0, dispatch.credit)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -19,7 +19,7 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import AttemptForwarded
 from kingcupwheel.trace.events import FirstByteRelayed
-from kingcupwheel.trace.events import Noted
+from kingcupwheel.trace.events import NoteAdded
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import ServerDied
 
@@ -104,7 +104,9 @@
         """Report to the entries that accepted attempts never ran."""
         for key, reason in refusals:
             self._store.refuse(key, reason)
-            self._recorder.record(key.request_id, Noted(f"Not run: {reason.value}."))
+            self._recorder.record(
+                key.request_id, NoteAdded(f"Not run: {reason.value}.")
+            )
 
     def advance(self) -> None:
         """Start queued attempts as capacity allows; refuse the expired ones."""
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -147,7 +147,7 @@
     reason: str
 
 
-class Noted(Event, frozen=True):
+class NoteAdded(Event, frozen=True):
     """Anything else worth telling, as one sentence."""
 
     sentence: str
@@ -170,7 +170,7 @@
     | ManifestChanged
     | CallerLeft
     | RequestFinished
-    | Noted
+    | NoteAdded
 )
 
 
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -12,7 +12,7 @@
 from kingcupwheel.trace.events import ClaimRecorded
 from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import ManifestChanged
-from kingcupwheel.trace.events import Noted
+from kingcupwheel.trace.events import NoteAdded
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
@@ -130,7 +130,7 @@
             what = "Final outcome" if final else "This attempt ended as"
             code = f", status {status}" if status else ""
             return f"{what}: {outcome}{code}, {length:,} bytes{_after(reason)}."
-        case Noted(text):
+        case NoteAdded(text):
             return text if text.endswith(".") else f"{text}."
     return None
 
