--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -61,7 +61,7 @@
 class RequestQueued(Event, frozen=True):
     """Waits for a place; ``ahead`` requests are before it."""
 
-    ahead: int
+    requests_ahead: int
 
 
 class Alternative(msgspec.Struct, frozen=True):
