--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -77,7 +77,7 @@
     server: str
     attempt: int
     waited_s: float
-    why: str
+    reason: str
     alternatives: tuple[Alternative, ...] = ()
 
 
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -93,7 +93,7 @@
     weighed = ", ".join(map(_load, placed.alternatives))
     return (
         f"Placed on {placed.server} for attempt {placed.attempt} after "
-        f"{placed.waited_s:.3f} s in the queue: {placed.why or 'no reason kept'}."
+        f"{placed.waited_s:.3f} s in the queue: {placed.reason or 'no reason kept'}."
         + (f" Weighed: {weighed}." if weighed else "")
     )
 
