--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -108,7 +108,7 @@
     server: str
     attempt: int
     offset: int
-    why: str
+    reason: str
 
 
 class AttemptRetried(Event, frozen=True):
