--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -115,7 +115,7 @@
     """The attempt ended without a run, or may be repeated; another follows."""
 
     attempt: int
-    why: str
+    reason: str
 
 
 class ServerDied(Event, frozen=True):
