--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -18,8 +18,8 @@
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
-from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import ConsideredServer
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestQueued
 
@@ -125,7 +125,7 @@
 
     def _record_reservation(self, reservation: Reservation) -> None:
         decision = reservation.decision
-        alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
+        alternatives = tuple(ConsideredServer(*pair) for pair in decision.alternatives)
         event = RequestPlaced(
             reservation.server,
             self._count,
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -64,7 +64,7 @@
     requests_ahead: int
 
 
-class Alternative(msgspec.Struct, frozen=True):
+class ConsideredServer(msgspec.Struct, frozen=True):
     """A server that was weighed: its name and its load between 0 and 1."""
 
     server: str
@@ -78,7 +78,7 @@
     attempt: int
     waited_s: float
     reason: str
-    alternatives: tuple[Alternative, ...] = ()
+    alternatives: tuple[ConsideredServer, ...] = ()
 
 
 class AttemptDispatched(Event, frozen=True):
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -24,7 +24,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.trace.events import Alternative
+    from kingcupwheel.trace.events import ConsideredServer
     from kingcupwheel.trace.events import TraceEvent
 
 
@@ -98,7 +98,7 @@
     )
 
 
-def _load(alternative: Alternative) -> str:
+def _load(alternative: ConsideredServer) -> str:
     return f"{alternative.server} at {alternative.load:.0%}"
 
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -20,9 +20,9 @@
 from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.events import Alternative
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import AttemptForwarded
+from kingcupwheel.trace.events import ConsideredServer
 from kingcupwheel.trace.events import FirstByteRelayed
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestFinished
@@ -54,8 +54,8 @@
 def _entry_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     other = f"agent-ponta-grossa-{random.randrange(1000):04d}"
     weighed = (
-        Alternative(server, random.random()),
-        Alternative(other, random.random()),
+        ConsideredServer(server, random.random()),
+        ConsideredServer(other, random.random()),
     )
     organisation = f"organisation-{random.randrange(43_000)}"
     path = "/v1/completions"
