--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -78,7 +78,7 @@
     attempt: int
     waited_s: float
     reason: str
-    alternatives: tuple[ConsideredServer, ...] = ()
+    considered_servers: tuple[ConsideredServer, ...] = ()
 
 
 class AttemptDispatched(Event, frozen=True):
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -90,7 +90,7 @@
 
 
 def _placed(placed: RequestPlaced) -> str:
-    weighed = ", ".join(map(_load, placed.alternatives))
+    weighed = ", ".join(map(_load, placed.considered_servers))
     return (
         f"Placed on {placed.server} for attempt {placed.attempt} after "
         f"{placed.waited_s:.3f} s in the queue: {placed.reason or 'no reason kept'}."
