--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -178,7 +178,7 @@
     """One event with its request, time and the process that recorded it."""
 
     request_id: str
-    at: float
+    recorded_at: float
     process: str
     event: AnyEvent
 
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -248,7 +248,11 @@
 
 
 def _told_at(events: tuple[TraceEvent, ...]) -> float | None:
-    ends = [event.at for event in events if isinstance(event.event, RequestFinished)]
+    ends = [
+        event.recorded_at
+        for event in events
+        if isinstance(event.event, RequestFinished)
+    ]
     return ends[-1] if ends else None
 
 
--- a/src/kingcupwheel/trace/merging.py
+++ b/src/kingcupwheel/trace/merging.py
@@ -31,7 +31,7 @@
     merged: list[TraceEvent] = []
     while queues:
         ready = [queue for queue in queues if not _blocked(entry, queue, queues)]
-        chosen = min(ready or queues, key=lambda queue: queue[0].at)
+        chosen = min(ready or queues, key=lambda queue: queue[0].recorded_at)
         merged.append(chosen.pop(0))
         queues = [queue for queue in queues if queue]
     return merged
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -107,7 +107,11 @@
         case AttemptForwarded(server, attempt):
             return f"Handed to {server} to run (attempt {attempt})."
         case FirstByteRelayed(server, attempt):
-            since = f", {event.at - arrived:.3f} s after arrival" if arrived else ""
+            since = (
+                f", {event.recorded_at - arrived:.3f} s after arrival"
+                if arrived
+                else ""
+            )
             return f"First byte of {server}'s answer (attempt {attempt}){since}."
         case AttemptResumed(server, attempt, offset, why):
             return (
