--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -21,7 +21,7 @@
 from kingcupwheel.trace.exceptions import BadBatch
 
 
-PREFIX = "traces/"
+BATCH_KEY_PREFIX = "traces/"
 HOUR_S = 3600
 # The longest period of one batch; a reader starts this much before the request.
 MAX_PERIOD_S = 600
@@ -80,7 +80,7 @@
 
 def hour_prefix(process: str, at: float) -> str:
     """Return what the keys of the process's batches of that hour start with."""
-    return f"{PREFIX}{process}/{int(at) // HOUR_S}/"
+    return f"{BATCH_KEY_PREFIX}{process}/{int(at) // HOUR_S}/"
 
 
 def parse_key(key: str) -> BatchName | None:
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.platform.errors import Conflict
-from kingcupwheel.trace.batches import PREFIX
+from kingcupwheel.trace.batches import BATCH_KEY_PREFIX
 from kingcupwheel.trace.batches import parse_key
 
 
@@ -69,7 +69,7 @@
         return tuple(name for name in gone if heir(name, live) == self._process)
 
     def _batches(self, name: str) -> tuple[BatchName, ...]:
-        keys = self._client.keys(f"{PREFIX}{name}/")
+        keys = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
         if keys.is_error():
             return ()
         return tuple(batch for key in keys.ok if (batch := parse_key(key)))
@@ -77,6 +77,6 @@
     def _forget(self, name: str) -> None:
         """Remove the mark of a name that has no batches left."""
         mark = self._client.read(f"{MARKS}{name}")
-        left = self._client.keys(f"{PREFIX}{name}/")
+        left = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
         if mark.is_ok() and mark.ok and left.is_ok() and not left.ok:
             self._client.delete(mark.ok.key, version=mark.ok.version)
