--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -24,7 +24,7 @@
 BATCH_KEY_PREFIX = "traces/"
 HOUR_S = 3600
 # The longest period of one batch; a reader starts this much before the request.
-MAX_PERIOD_S = 600
+MAX_BATCH_PERIOD_S = 600
 # The platform holds values up to 1 MB; the difference is for the batch's other fields.
 PART_BYTES = 900_000
 # Events joined before they are compressed. They shrink several times; a part that does
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -10,7 +10,7 @@
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
 from kingcupwheel.trace.batches import HOUR_S
-from kingcupwheel.trace.batches import MAX_PERIOD_S
+from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
 from kingcupwheel.trace.batches import decode_batch
 from kingcupwheel.trace.batches import events_of
 from kingcupwheel.trace.batches import hour_prefix
@@ -90,7 +90,7 @@
         return tuple(key.removeprefix(MARKS) for key in keys)
 
     def _names(self, process: str, since: float) -> tuple[list[BatchName], str]:
-        first = int(since - MAX_PERIOD_S) // HOUR_S
+        first = int(since - MAX_BATCH_PERIOD_S) // HOUR_S
         last = int(since) // HOUR_S + 1
         names: list[BatchName] = []
         for hour in range(first, last + 1):
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -16,7 +16,7 @@
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
-from kingcupwheel.trace.batches import MAX_PERIOD_S
+from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
 from kingcupwheel.trace.outbox import DeleteBatch
 from kingcupwheel.trace.outbox import Outbox
 from kingcupwheel.trace.outbox import WriteBatch
@@ -65,7 +65,7 @@
         self._outbox = Outbox(
             recorder.process,
             life=secrets.token_hex(_LIFE_BYTES),
-            period_s=min(period_s, MAX_PERIOD_S),
+            period_s=min(period_s, MAX_BATCH_PERIOD_S),
             now=time.monotonic(),
         )
         self._stopping = Event()
