--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -26,7 +26,7 @@
 # The longest period of one batch; a reader starts this much before the request.
 MAX_BATCH_PERIOD_S = 600
 # The platform holds values up to 1 MB; the difference is for the batch's other fields.
-PART_BYTES = 900_000
+MAX_COMPRESSED_PART_BYTES = 900_000
 # Events joined before they are compressed. They shrink several times; a part that does
 # not shrink enough is halved.
 RAW_PART_BYTES = 3_000_000
@@ -96,7 +96,7 @@
 def make_parts(encoded: tuple[bytes, ...]) -> tuple[Part, ...]:
     """Return the events as compressed parts, each small enough for one object."""
     packed = _pack(encoded)
-    if len(packed) <= PART_BYTES or len(encoded) == 1:
+    if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded) == 1:
         return (Part(packed, len(encoded)),)
     middle = len(encoded) // 2
     return make_parts(encoded[:middle]) + make_parts(encoded[middle:])
