--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -29,9 +29,9 @@
 MAX_COMPRESSED_PART_BYTES = 900_000
 # Events joined before they are compressed. They shrink several times; a part that does
 # not shrink enough is halved.
-RAW_PART_BYTES = 3_000_000
+MAX_RAW_PART_BYTES = 3_000_000
 # Unpacked size that a reader accepts, so that a damaged object can't fill its memory.
-_MAX_RAW_BYTES = 2 * RAW_PART_BYTES
+_MAX_RAW_BYTES = 2 * MAX_RAW_PART_BYTES
 _COMPRESSION = 6
 
 
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.trace.batches import RAW_PART_BYTES
+from kingcupwheel.trace.batches import MAX_RAW_PART_BYTES
 from kingcupwheel.trace.batches import Batch
 from kingcupwheel.trace.batches import BatchName
 from kingcupwheel.trace.batches import Loss
@@ -199,7 +199,7 @@
         self._open_until = drained.until
         self._open.extend(drained.encoded)
         self._open_bytes += sum(map(len, drained.encoded))
-        if self._open_bytes >= RAW_PART_BYTES:
+        if self._open_bytes >= MAX_RAW_PART_BYTES:
             self._seal()
 
     def _seal(self) -> None:
