--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -41,7 +41,7 @@
     since: float
     until: float
     events: int
-    why: str
+    reason: str
 
 
 class Batch(msgspec.Struct, frozen=True):
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -241,7 +241,7 @@
         batches = "it left no batches of that time"
     lost = tuple(
         f"{process} says that it lost {loss.events} events between Unix seconds "
-        f"{loss.since:.0f} and {loss.until:.0f}: {loss.why}."
+        f"{loss.since:.0f} and {loss.until:.0f}: {loss.reason}."
         for loss in stored.losses
     )
     return (f"Part of {process}'s account may be missing: {why}, and {batches}.", *lost)
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -241,7 +241,7 @@
 
     def _lose(self, since: float, until: float, events: int, why: str) -> None:
         last = self._losses[-1] if self._losses else None
-        if last and last.why == why:
+        if last and last.reason == why:
             since, events = min(last.since, since), last.events + events
             self._losses.pop()
         self._losses.append(Loss(since, until, events, why))
