--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -40,7 +40,7 @@
 
     since: float
     until: float
-    events: int
+    event_count: int
     reason: str
 
 
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -240,7 +240,7 @@
     else:
         batches = "it left no batches of that time"
     lost = tuple(
-        f"{process} says that it lost {loss.events} events between Unix seconds "
+        f"{process} says that it lost {loss.event_count} events between Unix seconds "
         f"{loss.since:.0f} and {loss.until:.0f}: {loss.reason}."
         for loss in stored.losses
     )
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -242,6 +242,6 @@
     def _lose(self, since: float, until: float, events: int, why: str) -> None:
         last = self._losses[-1] if self._losses else None
         if last and last.reason == why:
-            since, events = min(last.since, since), last.events + events
+            since, events = min(last.since, since), last.event_count + events
             self._losses.pop()
         self._losses.append(Loss(since, until, events, why))
