--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -35,7 +35,7 @@
 _COMPRESSION = 6
 
 
-class Loss(msgspec.Struct, frozen=True):
+class EventLoss(msgspec.Struct, frozen=True):
     """Events recorded between two Unix times that no batch holds, and why."""
 
     since: float
@@ -52,7 +52,7 @@
     until: float
     events: int
     packed: bytes
-    losses: tuple[Loss, ...] = ()
+    losses: tuple[EventLoss, ...] = ()
 
 
 class BatchName(NamedTuple):
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -18,7 +18,7 @@
 from kingcupwheel.trace.batches import MAX_RAW_PART_BYTES
 from kingcupwheel.trace.batches import Batch
 from kingcupwheel.trace.batches import BatchName
-from kingcupwheel.trace.batches import Loss
+from kingcupwheel.trace.batches import EventLoss
 from kingcupwheel.trace.batches import encode_batch
 from kingcupwheel.trace.batches import make_parts
 
@@ -88,7 +88,7 @@
         self._open_until = 0.0
         self._waiting: deque[_Waiting] = deque()
         self._waiting_bytes = 0
-        self._losses: list[Loss] = []
+        self._losses: list[EventLoss] = []
         self._expiring: list[_Expiring] = []
         self._expiring_keys: set[str] = set()
 
@@ -244,4 +244,4 @@
         if last and last.reason == why:
             since, events = min(last.since, since), last.event_count + events
             self._losses.pop()
-        self._losses.append(Loss(since, until, events, why))
+        self._losses.append(EventLoss(since, until, events, why))
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -24,7 +24,7 @@
     from kingcupwheel.platform.errors import PlatformError
     from kingcupwheel.trace.batches import Batch
     from kingcupwheel.trace.batches import BatchName
-    from kingcupwheel.trace.batches import Loss
+    from kingcupwheel.trace.batches import EventLoss
     from kingcupwheel.trace.events import TraceEvent
 
 # Batches read for one process of one request: at 30 s each this is 20 minutes, past
@@ -44,7 +44,7 @@
 
     events: tuple[TraceEvent, ...]
     until: int
-    losses: tuple[Loss, ...]
+    losses: tuple[EventLoss, ...]
     trouble: str
 
 
@@ -61,7 +61,7 @@
         """
         names, trouble = self._names(process, since)
         events: list[TraceEvent] = []
-        losses: list[Loss] = []
+        losses: list[EventLoss] = []
         until = 0
         for name in names[:MAX_BATCHES]:
             batch, error = self._batch(name)
