--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -50,7 +50,7 @@
     process: str
     since: float
     until: float
-    events: int
+    event_count: int
     packed: bytes
     losses: tuple[EventLoss, ...] = ()
 
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -115,9 +115,9 @@
         while self.waiting_bytes > OUTBOX_BYTES and self._waiting:
             oldest = self._waiting.popleft().batch
             self._waiting_bytes -= len(oldest.packed)
-            lost += oldest.events
+            lost += oldest.event_count
             self._lose(
-                oldest.since, oldest.until, oldest.events, "platform out of reach"
+                oldest.since, oldest.until, oldest.event_count, "platform out of reach"
             )
         return lost
 
@@ -164,7 +164,7 @@
         """Note that the platform will never take the batch of the last call."""
         refused = self._waiting.popleft().batch
         self._waiting_bytes -= len(refused.packed)
-        self._lose(refused.since, refused.until, refused.events, why)
+        self._lose(refused.since, refused.until, refused.event_count, why)
         self._pause(now)
 
     def deleted(self, *, now: float) -> None:
@@ -232,7 +232,7 @@
             batch.process,
             batch.since,
             batch.until,
-            batch.events,
+            batch.event_count,
             batch.packed,
             tuple(self._losses),
         )
