--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -51,7 +51,7 @@
     since: float
     until: float
     event_count: int
-    packed: bytes
+    compressed_events: bytes
     losses: tuple[EventLoss, ...] = ()
 
 
@@ -120,7 +120,7 @@
 ) -> Result[tuple[TraceEvent, ...], BadBatch]:
     """Return the events of one request in the batch, in order of recording."""
     try:
-        events = _unpack(batch.packed)
+        events = _unpack(batch.compressed_events)
     except (zlib.error, msgspec.MsgspecError) as error:
         return Error(BadBatch(str(error)))
     return Ok(tuple(event for event in events if event.request_id == request_id))
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -114,7 +114,7 @@
             self._take(drained)
         while self.waiting_bytes > OUTBOX_BYTES and self._waiting:
             oldest = self._waiting.popleft().batch
-            self._waiting_bytes -= len(oldest.packed)
+            self._waiting_bytes -= len(oldest.compressed_events)
             lost += oldest.event_count
             self._lose(
                 oldest.since, oldest.until, oldest.event_count, "platform out of reach"
@@ -153,7 +153,7 @@
     def written(self, *, version: int, now: float) -> None:
         """Note that the batch of the last call is on the platform."""
         done = self._waiting.popleft()
-        self._waiting_bytes -= len(done.batch.packed)
+        self._waiting_bytes -= len(done.batch.compressed_events)
         self._remember(done.name, version=version)
         self._losses = []
         self._pause(now)
@@ -163,7 +163,7 @@
     def rejected(self, why: str, *, now: float) -> None:
         """Note that the platform will never take the batch of the last call."""
         refused = self._waiting.popleft().batch
-        self._waiting_bytes -= len(refused.packed)
+        self._waiting_bytes -= len(refused.compressed_events)
         self._lose(refused.since, refused.until, refused.event_count, why)
         self._pause(now)
 
@@ -233,7 +233,7 @@
             batch.since,
             batch.until,
             batch.event_count,
-            batch.packed,
+            batch.compressed_events,
             tuple(self._losses),
         )
         self._waiting[0] = _Waiting(name, telling)
