--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -44,7 +44,7 @@
     reason: str
 
 
-class Batch(msgspec.Struct, frozen=True):
+class TraceBatch(msgspec.Struct, frozen=True):
     """What one object holds; ``packed`` is compressed concatenated events."""
 
     process: str
@@ -102,12 +102,12 @@
     return make_parts(encoded[:middle]) + make_parts(encoded[middle:])
 
 
-def encode_batch(batch: Batch) -> bytes:
+def encode_batch(batch: TraceBatch) -> bytes:
     """Return the object's value."""
     return msgspec.msgpack.encode(batch)
 
 
-def decode_batch(value: bytes) -> Result[Batch, BadBatch]:
+def decode_batch(value: bytes) -> Result[TraceBatch, BadBatch]:
     """Return the batch in ``value``, or why it is none."""
     try:
         return Ok(_BATCH_DECODER.decode(value))
@@ -116,7 +116,7 @@
 
 
 def events_of(
-    batch: Batch, request_id: str
+    batch: TraceBatch, request_id: str
 ) -> Result[tuple[TraceEvent, ...], BadBatch]:
     """Return the events of one request in the batch, in order of recording."""
     try:
@@ -126,7 +126,9 @@
     return Ok(tuple(event for event in events if event.request_id == request_id))
 
 
-_BATCH_DECODER: msgspec.msgpack.Decoder[Batch] = msgspec.msgpack.Decoder(Batch)
+_BATCH_DECODER: msgspec.msgpack.Decoder[TraceBatch] = msgspec.msgpack.Decoder(
+    TraceBatch
+)
 
 
 def _pack(encoded: tuple[bytes, ...]) -> bytes:
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -16,9 +16,9 @@
 from typing import NamedTuple
 
 from kingcupwheel.trace.batches import MAX_RAW_PART_BYTES
-from kingcupwheel.trace.batches import Batch
 from kingcupwheel.trace.batches import BatchName
 from kingcupwheel.trace.batches import EventLoss
+from kingcupwheel.trace.batches import TraceBatch
 from kingcupwheel.trace.batches import encode_batch
 from kingcupwheel.trace.batches import make_parts
 
@@ -56,7 +56,7 @@
 
 class _Waiting(NamedTuple):
     name: BatchName
-    batch: Batch
+    batch: TraceBatch
 
 
 class _Expiring(NamedTuple):
@@ -214,7 +214,7 @@
                 self._life,
                 self._part,
             )
-            batch = Batch(
+            batch = TraceBatch(
                 self._process,
                 self._open_since,
                 self._open_until,
@@ -228,7 +228,7 @@
 
     def _write(self) -> WriteBatch:
         name, batch = self._waiting[0]
-        telling = Batch(
+        telling = TraceBatch(
             batch.process,
             batch.since,
             batch.until,
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.errors import PlatformError
-    from kingcupwheel.trace.batches import Batch
     from kingcupwheel.trace.batches import BatchName
     from kingcupwheel.trace.batches import EventLoss
+    from kingcupwheel.trace.batches import TraceBatch
     from kingcupwheel.trace.events import TraceEvent
 
 # Batches read for one process of one request: at 30 s each this is 20 minutes, past
@@ -101,7 +101,7 @@
         names = [name for name in names if name.until >= since - _CLOCK_S]
         return sorted(names, key=lambda name: (name.since, name.part)), ""
 
-    def _batch(self, name: BatchName) -> tuple[Batch | None, str]:
+    def _batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
         read = self._client.read(name.key)
         if read.is_error():
             return None, f"batch {name.key} can't be read: {describe(read.error)}"
