--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -61,13 +61,13 @@
     process: str
     since: int
     until: int
-    life: str
+    incarnation: str
     part: int
 
     @property
     def key(self) -> str:
         """The object's key."""
-        span = f"{self.since}-{self.until}-{self.life}-{self.part}"
+        span = f"{self.since}-{self.until}-{self.incarnation}-{self.part}"
         return f"{hour_prefix(self.process, self.since)}{span}"
 
 
