--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -62,12 +62,12 @@
     since: int
     until: int
     incarnation: str
-    part: int
+    part_number: int
 
     @property
     def key(self) -> str:
         """The object's key."""
-        span = f"{self.since}-{self.until}-{self.incarnation}-{self.part}"
+        span = f"{self.since}-{self.until}-{self.incarnation}-{self.part_number}"
         return f"{hour_prefix(self.process, self.since)}{span}"
 
 
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -99,7 +99,7 @@
                 return names, f"batches can't be listed: {describe(listed.error)}"
             names.extend(name for key in listed.ok if (name := parse_key(key)))
         names = [name for name in names if name.until >= since - _CLOCK_S]
-        return sorted(names, key=lambda name: (name.since, name.part)), ""
+        return sorted(names, key=lambda name: (name.since, name.part_number)), ""
 
     def _batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
         read = self._client.read(name.key)
