--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -74,7 +74,7 @@
 class Part(NamedTuple):
     """Compressed events and how many they are."""
 
-    packed: bytes
+    compressed_events: bytes
     events: int
 
 
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -219,10 +219,10 @@
                 self._open_since,
                 self._open_until,
                 part.events,
-                part.packed,
+                part.compressed_events,
             )
             self._waiting.append(_Waiting(name, batch))
-            self._waiting_bytes += len(part.packed)
+            self._waiting_bytes += len(part.compressed_events)
         self._open = []
         self._open_bytes = 0
 
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -165,7 +165,7 @@
         recorder = Recorder(PROCESS, limit=count)
         record_requests(recorder, process, count)
         parts = make_parts(recorder.drain().encoded)
-        points.append(Point(count, sum(len(part.packed) for part in parts)))
+        points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
     return points
 
 
