--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -75,7 +75,7 @@
     """Compressed events and how many they are."""
 
     compressed_events: bytes
-    events: int
+    event_count: int
 
 
 def hour_prefix(process: str, at: float) -> str:
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -218,7 +218,7 @@
                 self._process,
                 self._open_since,
                 self._open_until,
-                part.events,
+                part.event_count,
                 part.compressed_events,
             )
             self._waiting.append(_Waiting(name, batch))
