--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -71,7 +71,7 @@
         return f"{hour_prefix(self.process, self.since)}{span}"
 
 
-class Part(NamedTuple):
+class CompressedPart(NamedTuple):
     """Compressed events and how many they are."""
 
     compressed_events: bytes
@@ -93,11 +93,11 @@
         return None
 
 
-def make_parts(encoded: tuple[bytes, ...]) -> tuple[Part, ...]:
+def make_parts(encoded: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
     """Return the events as compressed parts, each small enough for one object."""
     packed = _pack(encoded)
     if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded) == 1:
-        return (Part(packed, len(encoded)),)
+        return (CompressedPart(packed, len(encoded)),)
     middle = len(encoded) // 2
     return make_parts(encoded[:middle]) + make_parts(encoded[middle:])
 
