--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -68,7 +68,7 @@
     def key(self) -> str:
         """The object's key."""
         span = f"{self.since}-{self.until}-{self.incarnation}-{self.part_number}"
-        return f"{hour_prefix(self.process, self.since)}{span}"
+        return f"{build_hour_prefix(self.process, self.since)}{span}"
 
 
 class CompressedPart(NamedTuple):
@@ -78,7 +78,7 @@
     event_count: int
 
 
-def hour_prefix(process: str, at: float) -> str:
+def build_hour_prefix(process: str, at: float) -> str:
     """Return what the keys of the process's batches of that hour start with."""
     return f"{BATCH_KEY_PREFIX}{process}/{int(at) // HOUR_S}/"
 
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -11,9 +11,9 @@
 from kingcupwheel.platform.errors import Unavailable
 from kingcupwheel.trace.batches import HOUR_S
 from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
+from kingcupwheel.trace.batches import build_hour_prefix
 from kingcupwheel.trace.batches import decode_batch
 from kingcupwheel.trace.batches import events_of
-from kingcupwheel.trace.batches import hour_prefix
 from kingcupwheel.trace.batches import parse_key
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.sweeping import MARKS
@@ -94,7 +94,7 @@
         last = int(since) // HOUR_S + 1
         names: list[BatchName] = []
         for hour in range(first, last + 1):
-            listed = self._client.keys(hour_prefix(process, hour * HOUR_S))
+            listed = self._client.keys(build_hour_prefix(process, hour * HOUR_S))
             if listed.is_error():
                 return names, f"batches can't be listed: {describe(listed.error)}"
             names.extend(name for key in listed.ok if (name := parse_key(key)))
