--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -93,13 +93,13 @@
         return None
 
 
-def make_parts(encoded: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
+def compress_events(encoded: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
     """Return the events as compressed parts, each small enough for one object."""
     packed = _pack(encoded)
     if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded) == 1:
         return (CompressedPart(packed, len(encoded)),)
     middle = len(encoded) // 2
-    return make_parts(encoded[:middle]) + make_parts(encoded[middle:])
+    return compress_events(encoded[:middle]) + compress_events(encoded[middle:])
 
 
 def encode_batch(batch: TraceBatch) -> bytes:
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -19,8 +19,8 @@
 from kingcupwheel.trace.batches import BatchName
 from kingcupwheel.trace.batches import EventLoss
 from kingcupwheel.trace.batches import TraceBatch
+from kingcupwheel.trace.batches import compress_events
 from kingcupwheel.trace.batches import encode_batch
-from kingcupwheel.trace.batches import make_parts
 
 
 if TYPE_CHECKING:
@@ -205,7 +205,7 @@
     def _seal(self) -> None:
         if not self._open:
             return
-        for part in make_parts(tuple(self._open)):
+        for part in compress_events(tuple(self._open)):
             self._part += 1
             name = BatchName(
                 self._process,
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -23,7 +23,7 @@
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.batches import make_parts
+from kingcupwheel.trace.batches import compress_events
 from kingcupwheel.trace.recorder import Recorder
 from tools.capacity_samples import PROCESS
 from tools.capacity_samples import TOKENS
@@ -152,7 +152,7 @@
         def run(count: int = count) -> None:
             recorder = Recorder(PROCESS, limit=count)
             record_requests(recorder, process, count)
-            make_parts(recorder.drain().encoded)
+            compress_events(recorder.drain().encoded)
 
         points.append(Point(count, 1e3 * _cpu_s(run, 5)))
     return points
@@ -164,7 +164,7 @@
     for count in (100, 300, 1000):
         recorder = Recorder(PROCESS, limit=count)
         record_requests(recorder, process, count)
-        parts = make_parts(recorder.drain().encoded)
+        parts = compress_events(recorder.drain().encoded)
         points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
     return points
 
