--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -115,7 +115,7 @@
         return Error(BadBatch(str(error)))
 
 
-def events_of(
+def decode_request_events(
     batch: TraceBatch, request_id: str
 ) -> Result[tuple[TraceEvent, ...], BadBatch]:
     """Return the events of one request in the batch, in order of recording."""
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -13,7 +13,7 @@
 from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
 from kingcupwheel.trace.batches import build_hour_prefix
 from kingcupwheel.trace.batches import decode_batch
-from kingcupwheel.trace.batches import events_of
+from kingcupwheel.trace.batches import decode_request_events
 from kingcupwheel.trace.batches import parse_key
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.sweeping import MARKS
@@ -68,7 +68,7 @@
             if batch is None:
                 trouble = error
                 continue
-            found = events_of(batch, request_id)
+            found = decode_request_events(batch, request_id)
             if found.is_error():
                 trouble = f"batch {name.key} is damaged: {found.error.detail}"
                 continue
