--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -19,7 +19,7 @@
 from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
 from kingcupwheel.trace import lines
-from kingcupwheel.trace.claims import ClaimView
+from kingcupwheel.trace.claims import ClaimSummary
 from kingcupwheel.trace.claims import find_claim
 from kingcupwheel.trace.exceptions import BadRequestId
 from kingcupwheel.trace.exceptions import FindError
@@ -107,9 +107,9 @@
     request_id: str | None,
     idempotency_key: str | None,
     organisation: str | None,
-) -> Result[ClaimView, FindError]:
+) -> Result[ClaimSummary, FindError]:
     if request_id:
-        return Ok(ClaimView(request_id))
+        return Ok(ClaimSummary(request_id))
     if idempotency_key and organisation:
         return find_claim(client, organisation, idempotency_key)
     if idempotency_key or organisation:
--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claims.py
@@ -20,7 +20,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 
-class ClaimView(msgspec.Struct, frozen=True):
+class ClaimSummary(msgspec.Struct, frozen=True):
     """The fields read from a claim; others are left alone.
 
     ``agent`` is the agent that the claim's request was given to, if any yet.
@@ -38,7 +38,7 @@
 
 def find_claim(
     client: PlatformClient, organisation: str, idempotency_key: str
-) -> Result[ClaimView, FindError]:
+) -> Result[ClaimSummary, FindError]:
     """Return the claim that the organisation's idempotency key made."""
     read = client.read(claim_key(organisation, idempotency_key))
     if read.is_error():
@@ -46,6 +46,6 @@
     if read.ok is None:
         return Error(NoClaim(idempotency_key))
     try:
-        return Ok(msgspec.json.decode(read.ok.value, type=ClaimView))
+        return Ok(msgspec.json.decode(read.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
         return Error(PlatformDown(f"the claim can't be read: {error}"))
