--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claims.py
@@ -30,7 +30,7 @@
     agent: str | None = None
 
 
-def claim_key(organisation: str, idempotency_key: str) -> str:
+def build_claim_key(organisation: str, idempotency_key: str) -> str:
     """Return the key of the claim's object on the platform."""
     text = f"{organisation}\0{idempotency_key}"
     return f"claims/{hashlib.sha256(text.encode()).hexdigest()}"
@@ -40,7 +40,7 @@
     client: PlatformClient, organisation: str, idempotency_key: str
 ) -> Result[ClaimSummary, FindError]:
     """Return the claim that the organisation's idempotency key made."""
-    read = client.read(claim_key(organisation, idempotency_key))
+    read = client.read(build_claim_key(organisation, idempotency_key))
     if read.is_error():
         return Error(PlatformDown(describe(read.error)))
     if read.ok is None:
