--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -18,7 +18,7 @@
 
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import TraceEvent
-from kingcupwheel.trace.exceptions import BadBatch
+from kingcupwheel.trace.exceptions import InvalidBatch
 
 
 BATCH_KEY_PREFIX = "traces/"
@@ -107,22 +107,22 @@
     return msgspec.msgpack.encode(batch)
 
 
-def decode_batch(value: bytes) -> Result[TraceBatch, BadBatch]:
+def decode_batch(value: bytes) -> Result[TraceBatch, InvalidBatch]:
     """Return the batch in ``value``, or why it is none."""
     try:
         return Ok(_BATCH_DECODER.decode(value))
     except msgspec.MsgspecError as error:
-        return Error(BadBatch(str(error)))
+        return Error(InvalidBatch(str(error)))
 
 
 def decode_request_events(
     batch: TraceBatch, request_id: str
-) -> Result[tuple[TraceEvent, ...], BadBatch]:
+) -> Result[tuple[TraceEvent, ...], InvalidBatch]:
     """Return the events of one request in the batch, in order of recording."""
     try:
         events = _unpack(batch.compressed_events)
     except (zlib.error, msgspec.MsgspecError) as error:
-        return Error(BadBatch(str(error)))
+        return Error(InvalidBatch(str(error)))
     return Ok(tuple(event for event in events if event.request_id == request_id))
 
 
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class BadBatch(NamedTuple):
+class InvalidBatch(NamedTuple):
     """An object under ``traces/`` that can't be read; ``detail`` says why."""
 
     detail: str
