--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -21,8 +21,8 @@
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimSummary
 from kingcupwheel.trace.claims import find_claim
-from kingcupwheel.trace.exceptions import BadRequestId
 from kingcupwheel.trace.exceptions import FindError
+from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.exceptions import NoClaim
 from kingcupwheel.trace.exceptions import PlatformDown
 from kingcupwheel.trace.finding import Finder
@@ -114,7 +114,7 @@
         return find_claim(client, organisation, idempotency_key)
     if idempotency_key or organisation:
         raise click.UsageError("--idempotency-key and --organisation go together.")
-    return Error(BadRequestId(""))
+    return Error(InvalidRequestId(""))
 
 
 def _print_story(story: Story, *, as_json: bool) -> None:
@@ -137,7 +137,7 @@
 
 def _exit_with_find_error(error: FindError) -> None:
     match error:
-        case BadRequestId(text):
+        case InvalidRequestId(text):
             _exit_with_message(f"{text!r} is no request id.", ExitCode.USAGE)
         case NoClaim(key):
             message = f"No claim is kept for key {key!r}; claims have a retention."
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -11,7 +11,7 @@
     detail: str
 
 
-class BadRequestId(NamedTuple):
+class InvalidRequestId(NamedTuple):
     """The text names no request."""
 
     text: str
@@ -29,4 +29,4 @@
     detail: str
 
 
-FindError = BadRequestId | NoClaim | PlatformDown
+FindError = InvalidRequestId | NoClaim | PlatformDown
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -21,7 +21,7 @@
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
-from kingcupwheel.trace.exceptions import BadRequestId
+from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.reading import BatchReader
 from kingcupwheel.trace.reading import describe
 from kingcupwheel.trace.story import Part
@@ -95,7 +95,7 @@
         """Return what can be said of the request, with what is missing."""
         parsed = parse_request_id(request_id)
         if parsed is None:
-            return Error(BadRequestId(request_id))
+            return Error(InvalidRequestId(request_id))
         directory = self._directory()
         entry = self._parts((parsed.entry,), request_id, parsed, directory)[0]
         servers = dict.fromkeys((*servers_named(entry.events), *self._agents))
