--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -21,9 +21,9 @@
 from kingcupwheel.trace import lines
 from kingcupwheel.trace.claims import ClaimSummary
 from kingcupwheel.trace.claims import find_claim
+from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import InvalidRequestId
-from kingcupwheel.trace.exceptions import NoClaim
 from kingcupwheel.trace.exceptions import PlatformDown
 from kingcupwheel.trace.finding import Finder
 from kingcupwheel.trace.printing import story_text
@@ -139,7 +139,7 @@
     match error:
         case InvalidRequestId(text):
             _exit_with_message(f"{text!r} is no request id.", ExitCode.USAGE)
-        case NoClaim(key):
+        case ClaimNotFound(key):
             message = f"No claim is kept for key {key!r}; claims have a retention."
             _exit_with_message(message, ExitCode.NOT_FOUND)
         case PlatformDown(detail):
--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claims.py
@@ -10,8 +10,8 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
-from kingcupwheel.trace.exceptions import NoClaim
 from kingcupwheel.trace.exceptions import PlatformDown
 from kingcupwheel.trace.reading import describe
 
@@ -44,7 +44,7 @@
     if read.is_error():
         return Error(PlatformDown(describe(read.error)))
     if read.ok is None:
-        return Error(NoClaim(idempotency_key))
+        return Error(ClaimNotFound(idempotency_key))
     try:
         return Ok(msgspec.json.decode(read.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -17,7 +17,7 @@
     text: str
 
 
-class NoClaim(NamedTuple):
+class ClaimNotFound(NamedTuple):
     """No claim is kept for the idempotency key; claims have a retention."""
 
     key: str
@@ -29,4 +29,4 @@
     detail: str
 
 
-FindError = InvalidRequestId | NoClaim | PlatformDown
+FindError = InvalidRequestId | ClaimNotFound | PlatformDown
