--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -24,7 +24,7 @@
 from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import InvalidRequestId
-from kingcupwheel.trace.exceptions import PlatformDown
+from kingcupwheel.trace.exceptions import PlatformUnavailable
 from kingcupwheel.trace.finding import Finder
 from kingcupwheel.trace.printing import story_text
 from kingcupwheel.trace.story import State
@@ -142,7 +142,7 @@
         case ClaimNotFound(key):
             message = f"No claim is kept for key {key!r}; claims have a retention."
             _exit_with_message(message, ExitCode.NOT_FOUND)
-        case PlatformDown(detail):
+        case PlatformUnavailable(detail):
             _exit_with_message(f"Cannot look it up: {detail}.", ExitCode.UNAVAILABLE)
 
 
--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claims.py
@@ -12,7 +12,7 @@
 
 from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
-from kingcupwheel.trace.exceptions import PlatformDown
+from kingcupwheel.trace.exceptions import PlatformUnavailable
 from kingcupwheel.trace.reading import describe
 
 
@@ -42,10 +42,10 @@
     """Return the claim that the organisation's idempotency key made."""
     read = client.read(build_claim_key(organisation, idempotency_key))
     if read.is_error():
-        return Error(PlatformDown(describe(read.error)))
+        return Error(PlatformUnavailable(describe(read.error)))
     if read.ok is None:
         return Error(ClaimNotFound(idempotency_key))
     try:
         return Ok(msgspec.json.decode(read.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
-        return Error(PlatformDown(f"the claim can't be read: {error}"))
+        return Error(PlatformUnavailable(f"the claim can't be read: {error}"))
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -23,10 +23,10 @@
     key: str
 
 
-class PlatformDown(NamedTuple):
+class PlatformUnavailable(NamedTuple):
     """The platform's service did not answer; ``detail`` says how."""
 
     detail: str
 
 
-FindError = InvalidRequestId | ClaimNotFound | PlatformDown
+FindError = InvalidRequestId | ClaimNotFound | PlatformUnavailable
