--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -132,7 +132,7 @@
         case State.CONTRADICTORY:
             return ExitCode.FAILED
         case _:
-            return ExitCode.OK if story.whole else ExitCode.INCOMPLETE
+            return ExitCode.OK if story.is_complete else ExitCode.INCOMPLETE
 
 
 def _exit_with_find_error(error: FindError) -> None:
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -79,7 +79,7 @@
     parts: tuple[Part, ...]
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """True if nothing is known to be missing."""
         return not self.gaps and self.state is not State.CONTRADICTORY
 
