--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -32,7 +32,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.trace.story import Story
+    from kingcupwheel.trace.story import RequestTimeline
 
 
 @click.command("trace")
@@ -117,7 +117,7 @@
     return Error(InvalidRequestId(""))
 
 
-def _print_story(story: Story, *, as_json: bool) -> None:
+def _print_story(story: RequestTimeline, *, as_json: bool) -> None:
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(story), indent=2)
         click.echo(encoded.decode())
@@ -125,7 +125,7 @@
         click.echo(story_text(story))
 
 
-def _get_exit_code(story: Story) -> ExitCode:
+def _get_exit_code(story: RequestTimeline) -> ExitCode:
     match story.state:
         case State.UNKNOWN:
             return ExitCode.NOT_FOUND
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -25,8 +25,8 @@
 from kingcupwheel.trace.reading import BatchReader
 from kingcupwheel.trace.reading import describe
 from kingcupwheel.trace.story import Part
+from kingcupwheel.trace.story import RequestTimeline
 from kingcupwheel.trace.story import Source
-from kingcupwheel.trace.story import Story
 from kingcupwheel.trace.story import servers_named
 from kingcupwheel.trace.story import tell
 from kingcupwheel.utils.request_ids import parse_request_id
@@ -91,7 +91,7 @@
         self._agents = tuple(agents)
         self._reader = BatchReader(client)
 
-    def find(self, request_id: str) -> Result[Story, FindError]:
+    def find(self, request_id: str) -> Result[RequestTimeline, FindError]:
         """Return what can be said of the request, with what is missing."""
         parsed = parse_request_id(request_id)
         if parsed is None:
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.trace.story import Line
     from kingcupwheel.trace.story import Part
-    from kingcupwheel.trace.story import Story
+    from kingcupwheel.trace.story import RequestTimeline
 
 _SOURCE_WORDS = {
     Source.LIVE: "answered itself",
@@ -23,7 +23,7 @@
 }
 
 
-def story_text(story: Story) -> str:
+def story_text(story: RequestTimeline) -> str:
     """Return the story in lines: what happened, the outcome, what is missing."""
     width = max((len(line.process) for line in story.lines), default=0)
     blocks = [
@@ -35,7 +35,7 @@
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
-def _sources(story: Story) -> list[str]:
+def _sources(story: RequestTimeline) -> list[str]:
     return [f"  {part.process}: {_source(part)}" for part in story.parts]
 
 
@@ -49,7 +49,7 @@
     return f"{stamp}  {line.process:<{width}}  {line.sentence}"
 
 
-def _outcome(story: Story) -> str:
+def _outcome(story: RequestTimeline) -> str:
     match story.state:
         case State.FINISHED:
             reason = f" ({story.reason})" if story.reason else ""
@@ -64,7 +64,7 @@
             return "Nothing was found of this request."
 
 
-def _see_also(story: Story) -> list[str]:
+def _see_also(story: RequestTimeline) -> list[str]:
     earlier = {
         event.event.earlier_request_id: None
         for part in story.parts
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -62,7 +62,7 @@
     sentence: str
 
 
-class Story(msgspec.Struct, frozen=True):
+class RequestTimeline(msgspec.Struct, frozen=True):
     """What became of one request.
 
     ``outcome`` is the outcome told to the caller, empty unless ``state`` is finished;
@@ -84,7 +84,7 @@
         return not self.gaps and self.state is not State.CONTRADICTORY
 
 
-def tell(request_id: str, parts: Iterable[Part]) -> Story:
+def tell(request_id: str, parts: Iterable[Part]) -> RequestTimeline:
     """Return the story that ``parts``, one for each process, make up."""
     kept = tuple(parts)
     parsed = parse_request_id(request_id)
@@ -93,7 +93,7 @@
     received = _received(events)
     endings = _endings(events, entry)
     state = _state(kept, endings, entry)
-    return Story(
+    return RequestTimeline(
         request_id=request_id,
         state=state,
         outcome=endings[0].outcome if state is State.FINISHED else "",
