--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -24,7 +24,7 @@
 from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.reading import BatchReader
 from kingcupwheel.trace.reading import describe
-from kingcupwheel.trace.story import Part
+from kingcupwheel.trace.story import ProcessTrace
 from kingcupwheel.trace.story import RequestTimeline
 from kingcupwheel.trace.story import Source
 from kingcupwheel.trace.story import servers_named
@@ -127,7 +127,7 @@
         parsed: RequestId,
         directory: _Directory,
         told_at: float | None = None,
-    ) -> tuple[Part, ...]:
+    ) -> tuple[ProcessTrace, ...]:
         found_by_process = self._ask(processes, request_id, directory)
         return tuple(
             self._part(
@@ -153,26 +153,26 @@
         request_id: str,
         parsed: RequestId,
         told_at: float | None,
-    ) -> Part:
+    ) -> ProcessTrace:
         live = _decode(found)
         if found is not None and found.complete:
-            return Part(process, Source.LIVE, live)
+            return ProcessTrace(process, Source.LIVE, live)
         since = parsed.arrived_at_ms / 1000
         stored = self._reader.read(process, request_id, since=since)
         events = _union(live, stored.events)
         source = Source.BATCHES if stored.events else Source.NOWHERE
         source = Source.LIVE if live else source
         gaps = _gaps(process, parsed.entry, found, events, stored, told_at)
-        return Part(process, source, events, gaps)
+        return ProcessTrace(process, source, events, gaps)
 
     def _guess(
         self, request_id: str, parsed: RequestId, directory: _Directory
-    ) -> tuple[Part, ...]:
+    ) -> tuple[ProcessTrace, ...]:
         """Look at large: the entry is gone and left nothing that names an agent."""
         asked = directory.agents[:MAX_GUESSED]
         found_by_process = self._ask(asked, request_id, directory)
         parts = tuple(
-            Part(process, Source.LIVE, events)
+            ProcessTrace(process, Source.LIVE, events)
             for process, found in found_by_process.items()
             if (events := _decode(found))
         )
@@ -189,11 +189,11 @@
         gap = (
             f"{unasked} agents were not asked and {unread} processes' batches not read."
         )
-        return (Part("agents", Source.NOWHERE, (), (gap,)),)
+        return (ProcessTrace("agents", Source.NOWHERE, (), (gap,)),)
 
     def _guess_batches(
         self, writers: list[str], request_id: str, parsed: RequestId
-    ) -> tuple[Part, ...]:
+    ) -> tuple[ProcessTrace, ...]:
         parts = (self._part(name, None, request_id, parsed, None) for name in writers)
         return tuple(part for part in parts if part.events)
 
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.trace.story import Line
-    from kingcupwheel.trace.story import Part
+    from kingcupwheel.trace.story import ProcessTrace
     from kingcupwheel.trace.story import RequestTimeline
 
 _SOURCE_WORDS = {
@@ -39,7 +39,7 @@
     return [f"  {part.process}: {_source(part)}" for part in story.parts]
 
 
-def _source(part: Part) -> str:
+def _source(part: ProcessTrace) -> str:
     return f"{_SOURCE_WORDS[part.source]}, {len(part.events)} events"
 
 
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -32,7 +32,7 @@
     NOWHERE = "nowhere"
 
 
-class Part(msgspec.Struct, frozen=True):
+class ProcessTrace(msgspec.Struct, frozen=True):
     """What one process recorded; ``gaps`` say what may be missing, and why."""
 
     process: str
@@ -76,7 +76,7 @@
     manifest_version: int | None
     lines: tuple[Line, ...]
     gaps: tuple[str, ...]
-    parts: tuple[Part, ...]
+    parts: tuple[ProcessTrace, ...]
 
     @property
     def is_complete(self) -> bool:
@@ -84,7 +84,7 @@
         return not self.gaps and self.state is not State.CONTRADICTORY
 
 
-def tell(request_id: str, parts: Iterable[Part]) -> RequestTimeline:
+def tell(request_id: str, parts: Iterable[ProcessTrace]) -> RequestTimeline:
     """Return the story that ``parts``, one for each process, make up."""
     kept = tuple(parts)
     parsed = parse_request_id(request_id)
@@ -134,7 +134,7 @@
 
 
 def _state(
-    parts: tuple[Part, ...], endings: list[RequestFinished], entry: str
+    parts: tuple[ProcessTrace, ...], endings: list[RequestFinished], entry: str
 ) -> State:
     if len(endings) > 1:
         return State.CONTRADICTORY
@@ -187,5 +187,5 @@
     return f"{last.process} recorded that its attempt ended as {outcome}."
 
 
-def _part_gaps(parts: tuple[Part, ...]) -> tuple[str, ...]:
+def _part_gaps(parts: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
     return tuple(gap for part in parts for gap in part.gaps)
