--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -26,7 +26,7 @@
 from kingcupwheel.trace.reading import describe
 from kingcupwheel.trace.story import ProcessTrace
 from kingcupwheel.trace.story import RequestTimeline
-from kingcupwheel.trace.story import Source
+from kingcupwheel.trace.story import TraceSource
 from kingcupwheel.trace.story import servers_named
 from kingcupwheel.trace.story import tell
 from kingcupwheel.utils.request_ids import parse_request_id
@@ -156,12 +156,12 @@
     ) -> ProcessTrace:
         live = _decode(found)
         if found is not None and found.complete:
-            return ProcessTrace(process, Source.LIVE, live)
+            return ProcessTrace(process, TraceSource.LIVE, live)
         since = parsed.arrived_at_ms / 1000
         stored = self._reader.read(process, request_id, since=since)
         events = _union(live, stored.events)
-        source = Source.BATCHES if stored.events else Source.NOWHERE
-        source = Source.LIVE if live else source
+        source = TraceSource.BATCHES if stored.events else TraceSource.NOWHERE
+        source = TraceSource.LIVE if live else source
         gaps = _gaps(process, parsed.entry, found, events, stored, told_at)
         return ProcessTrace(process, source, events, gaps)
 
@@ -172,7 +172,7 @@
         asked = directory.agents[:MAX_GUESSED]
         found_by_process = self._ask(asked, request_id, directory)
         parts = tuple(
-            ProcessTrace(process, Source.LIVE, events)
+            ProcessTrace(process, TraceSource.LIVE, events)
             for process, found in found_by_process.items()
             if (events := _decode(found))
         )
@@ -189,7 +189,7 @@
         gap = (
             f"{unasked} agents were not asked and {unread} processes' batches not read."
         )
-        return (ProcessTrace("agents", Source.NOWHERE, (), (gap,)),)
+        return (ProcessTrace("agents", TraceSource.NOWHERE, (), (gap,)),)
 
     def _guess_batches(
         self, writers: list[str], request_id: str, parsed: RequestId
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.story import Source
 from kingcupwheel.trace.story import State
+from kingcupwheel.trace.story import TraceSource
 
 
 if TYPE_CHECKING:
@@ -17,9 +17,9 @@
     from kingcupwheel.trace.story import RequestTimeline
 
 _SOURCE_WORDS = {
-    Source.LIVE: "answered itself",
-    Source.BATCHES: "gone; read from its batches",
-    Source.NOWHERE: "nothing found",
+    TraceSource.LIVE: "answered itself",
+    TraceSource.BATCHES: "gone; read from its batches",
+    TraceSource.NOWHERE: "nothing found",
 }
 
 
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -24,7 +24,7 @@
 _CLOCK_S = 0.05
 
 
-class Source(StrEnum):
+class TraceSource(StrEnum):
     """Where a part of a story came from."""
 
     LIVE = "live"
@@ -36,7 +36,7 @@
     """What one process recorded; ``gaps`` say what may be missing, and why."""
 
     process: str
-    source: Source
+    source: TraceSource
     events: tuple[TraceEvent, ...] = ()
     gaps: tuple[str, ...] = ()
 
@@ -141,7 +141,7 @@
     if endings:
         return State.FINISHED
     told = next((part for part in parts if part.process == entry), None)
-    if told and told.events and not told.gaps and told.source is Source.LIVE:
+    if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
         return State.UNDER_WAY
     if any(part.events for part in parts):
         return State.OUTCOME_MISSING
