--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -27,7 +27,7 @@
 from kingcupwheel.trace.exceptions import PlatformUnavailable
 from kingcupwheel.trace.finding import Finder
 from kingcupwheel.trace.printing import story_text
-from kingcupwheel.trace.story import State
+from kingcupwheel.trace.story import OutcomeState
 
 
 if TYPE_CHECKING:
@@ -127,9 +127,9 @@
 
 def _get_exit_code(story: RequestTimeline) -> ExitCode:
     match story.state:
-        case State.UNKNOWN:
+        case OutcomeState.UNKNOWN:
             return ExitCode.NOT_FOUND
-        case State.CONTRADICTORY:
+        case OutcomeState.CONTRADICTORY:
             return ExitCode.FAILED
         case _:
             return ExitCode.OK if story.is_complete else ExitCode.INCOMPLETE
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.story import State
+from kingcupwheel.trace.story import OutcomeState
 from kingcupwheel.trace.story import TraceSource
 
 
@@ -51,16 +51,16 @@
 
 def _outcome(story: RequestTimeline) -> str:
     match story.state:
-        case State.FINISHED:
+        case OutcomeState.FINISHED:
             reason = f" ({story.reason})" if story.reason else ""
             return f"Outcome told to the caller: {story.outcome}{reason}."
-        case State.UNDER_WAY:
+        case OutcomeState.UNDER_WAY:
             return "The request is still under way."
-        case State.OUTCOME_MISSING:
+        case OutcomeState.OUTCOME_MISSING:
             return "Outcome told to the caller: not recorded in what was found."
-        case State.CONTRADICTORY:
+        case OutcomeState.CONTRADICTORY:
             return "Outcome told to the caller: recorded more than once, a fault."
-        case State.UNKNOWN:
+        case OutcomeState.UNKNOWN:
             return "Nothing was found of this request."
 
 
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -41,7 +41,7 @@
     gaps: tuple[str, ...] = ()
 
 
-class State(StrEnum):
+class OutcomeState(StrEnum):
     """Whether the story has its end.
 
     ``CONTRADICTORY`` is a fault of the system: more than one final outcome.
@@ -70,7 +70,7 @@
     """
 
     request_id: str
-    state: State
+    state: OutcomeState
     outcome: str
     reason: str
     manifest_version: int | None
@@ -81,7 +81,7 @@
     @property
     def is_complete(self) -> bool:
         """True if nothing is known to be missing."""
-        return not self.gaps and self.state is not State.CONTRADICTORY
+        return not self.gaps and self.state is not OutcomeState.CONTRADICTORY
 
 
 def tell(request_id: str, parts: Iterable[ProcessTrace]) -> RequestTimeline:
@@ -96,8 +96,8 @@
     return RequestTimeline(
         request_id=request_id,
         state=state,
-        outcome=endings[0].outcome if state is State.FINISHED else "",
-        reason=endings[0].reason if state is State.FINISHED else "",
+        outcome=endings[0].outcome if state is OutcomeState.FINISHED else "",
+        reason=endings[0].reason if state is OutcomeState.FINISHED else "",
         manifest_version=_manifest_version(received),
         lines=_lines(events, entry, received.recorded_at if received else None),
         gaps=(*_ending_gaps(state, events, endings, entry), *_part_gaps(kept)),
@@ -135,17 +135,17 @@
 
 def _state(
     parts: tuple[ProcessTrace, ...], endings: list[RequestFinished], entry: str
-) -> State:
+) -> OutcomeState:
     if len(endings) > 1:
-        return State.CONTRADICTORY
+        return OutcomeState.CONTRADICTORY
     if endings:
-        return State.FINISHED
+        return OutcomeState.FINISHED
     told = next((part for part in parts if part.process == entry), None)
     if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
-        return State.UNDER_WAY
+        return OutcomeState.UNDER_WAY
     if any(part.events for part in parts):
-        return State.OUTCOME_MISSING
-    return State.UNKNOWN
+        return OutcomeState.OUTCOME_MISSING
+    return OutcomeState.UNKNOWN
 
 
 def _lines(
@@ -166,13 +166,16 @@
 
 
 def _ending_gaps(
-    state: State, events: list[TraceEvent], endings: list[RequestFinished], entry: str
+    state: OutcomeState,
+    events: list[TraceEvent],
+    endings: list[RequestFinished],
+    entry: str,
 ) -> tuple[str, ...]:
     match state:
-        case State.CONTRADICTORY:
+        case OutcomeState.CONTRADICTORY:
             words = " and ".join(ending.outcome for ending in endings)
             return (f"{entry} recorded {len(endings)} final outcomes: {words}.",)
-        case State.OUTCOME_MISSING:
+        case OutcomeState.OUTCOME_MISSING:
             return (f"What {entry} told the caller is missing. {_nearest(events)}",)
         case _:
             return ()
