--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -12,9 +12,9 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.trace.story import Line
     from kingcupwheel.trace.story import ProcessTrace
     from kingcupwheel.trace.story import RequestTimeline
+    from kingcupwheel.trace.story import TimelineLine
 
 _SOURCE_WORDS = {
     TraceSource.LIVE: "answered itself",
@@ -43,7 +43,7 @@
     return f"{_SOURCE_WORDS[part.source]}, {len(part.events)} events"
 
 
-def _line_text(line: Line, width: int) -> str:
+def _line_text(line: TimelineLine, width: int) -> str:
     at = datetime.fromtimestamp(line.at, tz=UTC)
     stamp = at.strftime("%Y-%m-%d %H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process:<{width}}  {line.sentence}"
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -54,7 +54,7 @@
     UNKNOWN = "unknown"
 
 
-class Line(msgspec.Struct, frozen=True):
+class TimelineLine(msgspec.Struct, frozen=True):
     """One sentence, the Unix time and the process that says so."""
 
     at: float
@@ -74,7 +74,7 @@
     outcome: str
     reason: str
     manifest_version: int | None
-    lines: tuple[Line, ...]
+    lines: tuple[TimelineLine, ...]
     gaps: tuple[str, ...]
     parts: tuple[ProcessTrace, ...]
 
@@ -150,7 +150,7 @@
 
 def _lines(
     events: list[TraceEvent], entry: str, arrived: float | None
-) -> tuple[Line, ...]:
+) -> tuple[TimelineLine, ...]:
     lines = []
     latest = 0.0
     for event in events:
@@ -161,7 +161,7 @@
                 f" (Its clock is {latest - event.recorded_at:.3f} s or more behind.)"
             )
         latest = max(latest, event.recorded_at)
-        lines.append(Line(event.recorded_at, event.process, text))
+        lines.append(TimelineLine(event.recorded_at, event.process, text))
     return tuple(lines)
 
 
