--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -27,8 +27,8 @@
 from kingcupwheel.trace.story import ProcessTrace
 from kingcupwheel.trace.story import RequestTimeline
 from kingcupwheel.trace.story import TraceSource
+from kingcupwheel.trace.story import build_timeline
 from kingcupwheel.trace.story import servers_named
-from kingcupwheel.trace.story import tell
 from kingcupwheel.utils.request_ids import parse_request_id
 
 
@@ -109,7 +109,7 @@
         if directory.trouble and any(part.gaps for part in parts):
             gaps = (directory.trouble, *entry.gaps)
             parts = (msgspec.structs.replace(entry, gaps=gaps), *agents)
-        return Ok(tell(request_id, parts))
+        return Ok(build_timeline(request_id, parts))
 
     def _directory(self) -> _Directory:
         listed = self._client.instances()
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -84,7 +84,7 @@
         return not self.gaps and self.state is not OutcomeState.CONTRADICTORY
 
 
-def tell(request_id: str, parts: Iterable[ProcessTrace]) -> RequestTimeline:
+def build_timeline(request_id: str, parts: Iterable[ProcessTrace]) -> RequestTimeline:
     """Return the story that ``parts``, one for each process, make up."""
     kept = tuple(parts)
     parsed = parse_request_id(request_id)
