--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -28,7 +28,7 @@
 from kingcupwheel.trace.story import RequestTimeline
 from kingcupwheel.trace.story import TraceSource
 from kingcupwheel.trace.story import build_timeline
-from kingcupwheel.trace.story import servers_named
+from kingcupwheel.trace.story import list_servers
 from kingcupwheel.utils.request_ids import parse_request_id
 
 
@@ -98,7 +98,7 @@
             return Error(InvalidRequestId(request_id))
         directory = self._directory()
         entry = self._parts((parsed.entry,), request_id, parsed, directory)[0]
-        servers = dict.fromkeys((*servers_named(entry.events), *self._agents))
+        servers = dict.fromkeys((*list_servers(entry.events), *self._agents))
         told_at = _told_at(entry.events)
         agents = self._parts(tuple(servers), request_id, parsed, directory, told_at)
         # An entry that answers for that time and holds nothing never gave out the id.
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -105,7 +105,7 @@
     )
 
 
-def servers_named(events: Iterable[TraceEvent]) -> tuple[str, ...]:
+def list_servers(events: Iterable[TraceEvent]) -> tuple[str, ...]:
     """Return the servers that the events name as placed on, in order."""
     named = {
         event.event.server: None
