--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -45,7 +45,7 @@
 
 # Agents asked when the entry left nothing that names them. It covers every agent of
 # today's deployments; of a larger fleet the rest is named as not asked.
-MAX_GUESSED = 128
+MAX_FALLBACK_AGENTS = 128
 # Processes whose batches are read in that case, each with some four calls to the
 # platform.
 MAX_GUESSED_WRITERS = 32
@@ -169,7 +169,7 @@
         self, request_id: str, parsed: RequestId, directory: _Directory
     ) -> tuple[ProcessTrace, ...]:
         """Look at large: the entry is gone and left nothing that names an agent."""
-        asked = directory.agents[:MAX_GUESSED]
+        asked = directory.agents[:MAX_FALLBACK_AGENTS]
         found_by_process = self._ask(asked, request_id, directory)
         parts = tuple(
             ProcessTrace(process, TraceSource.LIVE, events)
