--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -48,7 +48,7 @@
 MAX_FALLBACK_AGENTS = 128
 # Processes whose batches are read in that case, each with some four calls to the
 # platform.
-MAX_GUESSED_WRITERS = 32
+MAX_FALLBACK_WRITERS = 32
 
 
 class _Directory(NamedTuple):
@@ -181,9 +181,9 @@
         whole = {name for name, found in found_by_process.items() if found.complete}
         writers = self._reader.writers()
         left = [name for name in writers if name not in whole | {parsed.entry}]
-        parts = self._guess_batches(left[:MAX_GUESSED_WRITERS], request_id, parsed)
+        parts = self._guess_batches(left[:MAX_FALLBACK_WRITERS], request_id, parsed)
         unasked = max(0, len(directory.agents) - len(asked))
-        unread = max(0, len(left) - MAX_GUESSED_WRITERS)
+        unread = max(0, len(left) - MAX_FALLBACK_WRITERS)
         if parts or not (unasked or unread):
             return parts
         gap = (
