--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -54,7 +54,7 @@
 class _Directory(NamedTuple):
     address_by_process: dict[str, str]
     agents: tuple[str, ...]
-    trouble: str
+    problem: str
 
 
 class TraceAsker(Protocol):
@@ -106,8 +106,8 @@
         if not found and entry.gaps:
             agents = (*agents, *self._guess(request_id, parsed, directory))
         parts = (entry, *agents)
-        if directory.trouble and any(part.gaps for part in parts):
-            gaps = (directory.trouble, *entry.gaps)
+        if directory.problem and any(part.gaps for part in parts):
+            gaps = (directory.problem, *entry.gaps)
             parts = (msgspec.structs.replace(entry, gaps=gaps), *agents)
         return Ok(build_timeline(request_id, parts))
 
