--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -57,7 +57,7 @@
     problem: str
 
 
-class TraceAsker(Protocol):
+class TraceQueryClient(Protocol):
     """Asks live processes; ``link.query_client.QueryClient`` does."""
 
     def ask(
@@ -80,7 +80,7 @@
     def __init__(
         self,
         client: PlatformClient,
-        asker: TraceAsker,
+        asker: TraceQueryClient,
         *,
         address_by_process: Mapping[str, str] | None = None,
         agents: Iterable[str] = (),
