--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -25,7 +25,7 @@
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.exceptions import PlatformUnavailable
-from kingcupwheel.trace.finding import Finder
+from kingcupwheel.trace.finding import TimelineFinder
 from kingcupwheel.trace.printing import story_text
 from kingcupwheel.trace.story import OutcomeState
 
@@ -73,7 +73,7 @@
     if wanted.is_error():
         _exit_with_find_error(wanted.error)
     claim = wanted.ok
-    finder = Finder(
+    finder = TimelineFinder(
         client,
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -69,7 +69,7 @@
         """Return the answers by process, without those that did not come in time."""
 
 
-class Finder:
+class TimelineFinder:
     """Finds stories; belongs to one thread.
 
     ``address_by_process`` holds addresses given by hand, for when the platform's list
