--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -17,7 +17,7 @@
 
 # Lines of a process around a request that tell what it believed then: how long before
 # its first line, in seconds.
-BELIEFS_BEFORE_S = 5.0
+CONTEXT_BEFORE_S = 5.0
 _BELIEF_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
 _FINAL = frozenset({"finished", "refused", "cut-by-stop"})
 
@@ -84,7 +84,7 @@
     if not own:
         return LogStory(request_id, (), ())
     processes = {line.process for line in own}
-    since, until = own[0].at - BELIEFS_BEFORE_S, own[-1].at
+    since, until = own[0].at - CONTEXT_BEFORE_S, own[-1].at
     beliefs = [
         line
         for line in decoded
