--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -32,7 +32,7 @@
     fields: dict[str, Any]
 
 
-class LogStory(NamedTuple):
+class LogTimeline(NamedTuple):
     """What log lines tell of one request.
 
     ``beliefs`` are what the same processes noted just before and meanwhile.
@@ -77,12 +77,12 @@
     return LogLine(at, process, part, event, found)
 
 
-def story(request_id: str, texts: Iterable[str]) -> LogStory:
+def story(request_id: str, texts: Iterable[str]) -> LogTimeline:
     """Return what the lines tell of ``request_id``."""
     decoded = [line for line in map(decode, texts) if line is not None]
     own = sorted(_of(request_id, decoded), key=_at)
     if not own:
-        return LogStory(request_id, (), ())
+        return LogTimeline(request_id, (), ())
     processes = {line.process for line in own}
     since, until = own[0].at - CONTEXT_BEFORE_S, own[-1].at
     beliefs = [
@@ -92,7 +92,7 @@
         and line.part in _BELIEF_PARTS
         and since <= line.at <= until
     ]
-    return LogStory(request_id, tuple(own), tuple(sorted(beliefs, key=_at)))
+    return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_at)))
 
 
 def _at(line: LogLine) -> float:
@@ -108,7 +108,7 @@
             yield line
 
 
-def text(found: LogStory) -> str:
+def text(found: LogTimeline) -> str:
     """Return the story in plain sentences."""
     blocks = [
         [f"Request {found.request_id}"],
