--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -60,7 +60,7 @@
         return tuple(gaps)
 
 
-def decode(text: str) -> LogLine | None:
+def parse_line(text: str) -> LogLine | None:
     """Return the line, or None if it is none of ours.
 
     Whatever stands before the JSON object, such as a collector's own time, is skipped.
@@ -79,7 +79,7 @@
 
 def story(request_id: str, texts: Iterable[str]) -> LogTimeline:
     """Return what the lines tell of ``request_id``."""
-    decoded = [line for line in map(decode, texts) if line is not None]
+    decoded = [line for line in map(parse_line, texts) if line is not None]
     own = sorted(_of(request_id, decoded), key=_at)
     if not own:
         return LogTimeline(request_id, (), ())
