--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -91,7 +91,7 @@
 ) -> NoReturn:
     if not request_id:
         raise click.UsageError("--logs needs a request id.")
-    found = lines.story(request_id, chain.from_iterable(logs))
+    found = lines.build_log_timeline(request_id, chain.from_iterable(logs))
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(found._asdict()), indent=2)
         click.echo(encoded.decode())
--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -77,7 +77,7 @@
     return LogLine(at, process, part, event, found)
 
 
-def story(request_id: str, texts: Iterable[str]) -> LogTimeline:
+def build_log_timeline(request_id: str, texts: Iterable[str]) -> LogTimeline:
     """Return what the lines tell of ``request_id``."""
     decoded = [line for line in map(parse_line, texts) if line is not None]
     own = sorted(_of(request_id, decoded), key=_at)
