--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -96,7 +96,7 @@
         encoded = msgspec.json.format(msgspec.json.encode(found._asdict()), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(lines.text(found))
+        click.echo(lines.format_log_timeline(found))
     if not found.lines:
         sys.exit(ExitCode.NOT_FOUND)
     sys.exit(ExitCode.INCOMPLETE if found.gaps else ExitCode.OK)
--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -108,7 +108,7 @@
             yield line
 
 
-def text(found: LogTimeline) -> str:
+def format_log_timeline(found: LogTimeline) -> str:
     """Return the story in plain sentences."""
     blocks = [
         [f"Request {found.request_id}"],
