--- a/src/kingcupwheel/trace/merging.py
+++ b/src/kingcupwheel/trace/merging.py
@@ -20,7 +20,9 @@
     attempt: int
 
 
-def merge(entry: str, parts: tuple[tuple[TraceEvent, ...], ...]) -> list[TraceEvent]:
+def merge_events(
+    entry: str, parts: tuple[tuple[TraceEvent, ...], ...]
+) -> list[TraceEvent]:
     """Return all events in order; ``entry`` is the process that took the request.
 
     Each part holds the events of one process in order of recording. An event that
