--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -29,7 +29,7 @@
 
 # Events kept for one request. A request on a flapping link may be resumed without end;
 # past the bound only its final outcome is added, and the story says so.
-EVENTS_PER_REQUEST = 200
+MAX_EVENTS_PER_REQUEST = 200
 # Encoded events that wait to be put in a batch. At 10 requests a second with about
 # 1.5 KB each this is some four minutes: far more than a batch's period, so that it
 # only bites when the shipper's thread is stuck.
@@ -136,7 +136,7 @@
             story = _Story()
             self._stories_by_request_id[request_id] = story
             self._make_room()
-        if len(story.encoded) < EVENTS_PER_REQUEST or final:
+        if len(story.encoded) < MAX_EVENTS_PER_REQUEST or final:
             story.encoded.append(encoded)
         else:
             story.capped = True
