--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -33,7 +33,7 @@
 # Encoded events that wait to be put in a batch. At 10 requests a second with about
 # 1.5 KB each this is some four minutes: far more than a batch's period, so that it
 # only bites when the shipper's thread is stuck.
-UNSHIPPED_BYTES = 4_000_000
+MAX_UNSHIPPED_BYTES = 4_000_000
 
 
 class Drained(NamedTuple):
@@ -151,7 +151,7 @@
             self._since = at
         self._unshipped.append(encoded)
         self._unshipped_bytes += len(encoded)
-        while self._unshipped_bytes > UNSHIPPED_BYTES:
+        while self._unshipped_bytes > MAX_UNSHIPPED_BYTES:
             self._unshipped_bytes -= len(self._unshipped.popleft())
             self._lost += 1
 
