--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -107,7 +107,7 @@
 
         The oldest batch makes room; the loss is told in the next batch written.
         """
-        lost = drained.lost
+        lost = drained.lost_count
         if lost:
             self._lose(drained.since, drained.until, lost, "no room in memory")
         if drained.encoded:
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -46,7 +46,7 @@
     encoded: tuple[bytes, ...]
     since: float
     until: float
-    lost: int
+    lost_count: int
 
 
 class _Story:
