--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.trace.recorder import Drained
+    from kingcupwheel.trace.recorder import DrainedEvents
 
 # One batch, the deletion of one expired batch, and one more to catch up after an
 # outage. 1,370 processes with periods of 30 s then stay under 137 calls a second.
@@ -102,7 +102,7 @@
         """The earliest monotonic time of the next call."""
         return self._next_call
 
-    def add(self, drained: Drained) -> int:
+    def add(self, drained: DrainedEvents) -> int:
         """Take events from the recorder; return how many were lost for want of room.
 
         The oldest batch makes room; the loss is told in the next batch written.
@@ -193,7 +193,7 @@
     def _pause(self, now: float) -> None:
         self._next_call = now + self._gap_s
 
-    def _take(self, drained: Drained) -> None:
+    def _take(self, drained: DrainedEvents) -> None:
         if not self._open:
             self._open_since = drained.since
         self._open_until = drained.until
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -36,7 +36,7 @@
 MAX_UNSHIPPED_BYTES = 4_000_000
 
 
-class Drained(NamedTuple):
+class DrainedEvents(NamedTuple):
     """Events not yet in a batch, encoded, oldest first.
 
     ``since`` and ``until`` are Unix seconds of the first and last record call;
@@ -119,11 +119,13 @@
         payload = msgspec.msgpack.encode(events)
         return TraceReply(request_id, self._process, payload, complete)
 
-    def drain(self) -> Drained:
+    def drain(self) -> DrainedEvents:
         """Hand over the events that are not yet in a batch."""
         with self._lock:
             now = time.time()
-            drained = Drained(tuple(self._unshipped), self._since, now, self._lost)
+            drained = DrainedEvents(
+                tuple(self._unshipped), self._since, now, self._lost
+            )
             self._unshipped.clear()
             self._unshipped_bytes = 0
             self._since = now
