--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -50,11 +50,11 @@
 
 
 class _Story:
-    __slots__ = ("capped", "encoded")
+    __slots__ = ("is_truncated", "encoded")
 
     def __init__(self) -> None:
         self.encoded: list[bytes] = []
-        self.capped = False
+        self.is_truncated = False
 
 
 class Recorder:
@@ -115,7 +115,7 @@
         events = self.events(request_id)
         with self._lock:
             story = self._stories_by_request_id.get(request_id)
-            complete = self._covers(request_id) and not (story and story.capped)
+            complete = self._covers(request_id) and not (story and story.is_truncated)
         payload = msgspec.msgpack.encode(events)
         return TraceReply(request_id, self._process, payload, complete)
 
@@ -141,7 +141,7 @@
         if len(story.encoded) < MAX_EVENTS_PER_REQUEST or final:
             story.encoded.append(encoded)
         else:
-            story.capped = True
+            story.is_truncated = True
 
     def _make_room(self) -> None:
         while len(self._stories_by_request_id) > self._limit:
