--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -53,7 +53,7 @@
     __slots__ = ("is_truncated", "encoded")
 
     def __init__(self) -> None:
-        self.encoded: list[bytes] = []
+        self.encoded_events: list[bytes] = []
         self.is_truncated = False
 
 
@@ -103,7 +103,7 @@
         """Return what is held of the request, in order of recording."""
         with self._lock:
             story = self._stories_by_request_id.get(request_id)
-            encoded = tuple(story.encoded) if story else ()
+            encoded = tuple(story.encoded_events) if story else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
     def found(self, request_id: str) -> TraceReply:
@@ -138,8 +138,8 @@
             story = _Story()
             self._stories_by_request_id[request_id] = story
             self._make_room()
-        if len(story.encoded) < MAX_EVENTS_PER_REQUEST or final:
-            story.encoded.append(encoded)
+        if len(story.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
+            story.encoded_events.append(encoded)
         else:
             story.is_truncated = True
 
