--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -79,7 +79,7 @@
         self, request_id: str, organisation: Organisation
     ) -> JsonPage:
         # The page does not disclose whether an id of another organisation exists.
-        events = self._recorder.events(request_id)
+        events = self._recorder.get_events(request_id)
         if not _is_sent_by(events, organisation):
             return _build_error_page(
                 404, "no-request", "This entry knows no such request."
--- a/src/kingcupwheel/entry/operator_pages.py
+++ b/src/kingcupwheel/entry/operator_pages.py
@@ -83,7 +83,7 @@
         if path == _STATUS_PATH:
             return _Page("200 OK", self._build_status_body())
         if path.startswith(_TRACE_PATH_PREFIX):
-            events = self._context.recorder.events(path[len(_TRACE_PATH_PREFIX) :])
+            events = self._context.recorder.get_events(path[len(_TRACE_PATH_PREFIX) :])
             if events:
                 return _Page("200 OK", events)
         return _Page("404 Not Found", {"error": "no such page or request"})
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -99,7 +99,7 @@
         if self._listener is not None:
             self._listener(event)
 
-    def events(self, request_id: str) -> tuple[TraceEvent, ...]:
+    def get_events(self, request_id: str) -> tuple[TraceEvent, ...]:
         """Return what is held of the request, in order of recording."""
         with self._lock:
             story = self._stories_by_request_id.get(request_id)
@@ -112,7 +112,7 @@
         ``complete`` is False if events of the request may have been recorded by an
         earlier life of this process, pushed out by newer requests or left out.
         """
-        events = self.events(request_id)
+        events = self.get_events(request_id)
         with self._lock:
             story = self._stories_by_request_id.get(request_id)
             complete = self._covers(request_id) and not (story and story.is_truncated)
