--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -213,7 +213,7 @@
             case Hello():
                 self._on_hello(link, message, now)
             case TraceRequest(request_id):
-                self._hub.send(link, self._recorder.found(request_id))
+                self._hub.send(link, self._recorder.build_reply(request_id))
             case StatusRequest():
                 self._hub.send(link, self._build_status())
             case ManifestRequest(key):
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -132,7 +132,7 @@
         send = self._context.hub.send
         match message:
             case TraceRequest(request_id):
-                send(link, self._context.recorder.found(request_id))
+                send(link, self._context.recorder.build_reply(request_id))
             case BurnRequest():
                 send(link, self._burn_counter.found(now=time.time()))
             case StatusRequest():
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -106,7 +106,7 @@
             encoded = tuple(story.encoded_events) if story else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
-    def found(self, request_id: str) -> TraceReply:
+    def build_reply(self, request_id: str) -> TraceReply:
         """Answer ``TraceRequest``: the events held, and whether none was let go.
 
         ``complete`` is False if events of the request may have been recorded by an
