--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -39,7 +39,7 @@
     from kingcupwheel.agent.entry_links import EntryLinks
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 
 class AttemptHandler:
@@ -52,7 +52,7 @@
         runner: AttemptRunner,
         store: AnswerStore,
         entry_links: EntryLinks,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         send: Callable[[Link, Message], None],
     ) -> None:
         self._name = name
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -36,7 +36,7 @@
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.agent.crash_table import CrashTable
     from kingcupwheel.messages.attempts import Dispatch
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 logger = logging.getLogger("kingcupwheel.agent")
 
@@ -57,7 +57,7 @@
         store: AnswerStore,
         adapter: ServerAdapter,
         crash_table: CrashTable,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         on_server_crash: Callable[[], None],
     ) -> None:
         self.lock = RLock()
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -38,7 +38,7 @@
 from kingcupwheel.plugins.registries import platform_clients
 from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
-from kingcupwheel.trace.recorder import Recorder
+from kingcupwheel.trace.recorder import TraceRecorder
 from kingcupwheel.trace.shipper import BatchShipper
 
 
@@ -71,7 +71,7 @@
         timings = settings.timings
         self._settings = settings
         self._metrics = MetricsClient(settings.statsd, process=settings.name)
-        self._recorder = Recorder(
+        self._recorder = TraceRecorder(
             settings.name,
             limit=settings.agent.traces,
             listener=TraceEventMetrics(self._metrics, settings.role),
--- a/src/kingcupwheel/entry/answer_reader.py
+++ b/src/kingcupwheel/entry/answer_reader.py
@@ -26,7 +26,7 @@
     from kingcupwheel.entry.attempt_inboxes import AttemptInbox
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.messages.base import Message
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 # Unacknowledged bytes of an answer that an agent may send. Many frames of tokens fit,
 # so that acknowledgements are rare; a slow caller's answer still takes little memory.
@@ -44,7 +44,7 @@
         self,
         inbox: AttemptInbox,
         hub: MessageHub,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         *,
         trace_request_id: str,
         server: str,
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -20,7 +20,7 @@
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.trace.events import TraceEvent
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 _ENTRIES_PATH = "/kingcupwheel/v1/entries"
 _REQUESTS_PATH = "/kingcupwheel/v1/requests/"
@@ -54,7 +54,7 @@
     """Builds the pages for an organisation's callers."""
 
     def __init__(
-        self, recorder: Recorder, membership: Membership, *, address_ttl_s: float
+        self, recorder: TraceRecorder, membership: Membership, *, address_ttl_s: float
     ) -> None:
         self._recorder = recorder
         self._membership = membership
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -18,7 +18,7 @@
     from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 
 class EntryContext(NamedTuple):
@@ -32,6 +32,6 @@
     limiter: RequestLimiter
     claims: ClaimStore
     retention: ExpiredClaimRemover
-    recorder: Recorder
+    recorder: TraceRecorder
     outcome_counter: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -11,7 +11,7 @@
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
 from kingcupwheel.trace.events import ManifestChanged
-from kingcupwheel.trace.recorder import Recorder
+from kingcupwheel.trace.recorder import TraceRecorder
 from kingcupwheel.trace.shipper import BatchShipper
 
 
@@ -39,7 +39,7 @@
         *,
         traces_retention_s: Callable[[], float],
     ) -> None:
-        self.recorder = Recorder(
+        self.recorder = TraceRecorder(
             settings.name,
             limit=settings.entry.traces,
             listener=TraceEventMetrics(metrics, settings.role),
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -57,7 +57,7 @@
         self.is_truncated = False
 
 
-class Recorder:
+class TraceRecorder:
     """Keeps the events of the latest ``limit`` requests; safe from any thread.
 
     ``listener`` is called with each event, on the thread that records it.
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -28,7 +28,7 @@
 
     from kingcupwheel.metrics.statsd_client import MetricsClient
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 logger = logging.getLogger("kingcupwheel.trace")
 
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         client: PlatformClient,
         *,
         period_s: float,
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -24,7 +24,7 @@
 from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
 from kingcupwheel.trace.batches import compress_events
-from kingcupwheel.trace.recorder import Recorder
+from kingcupwheel.trace.recorder import TraceRecorder
 from tools.capacity_samples import PROCESS
 from tools.capacity_samples import TOKENS
 from tools.capacity_samples import burn_counter
@@ -135,7 +135,7 @@
     for count in (2000, 10_000):
         gc.collect()
         tracemalloc.start()
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS, limit=count)
         record_requests(recorder, process, count)
         recorder.drain()
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
@@ -150,7 +150,7 @@
     for count in (100, 300, 1000):
 
         def run(count: int = count) -> None:
-            recorder = Recorder(PROCESS, limit=count)
+            recorder = TraceRecorder(PROCESS, limit=count)
             record_requests(recorder, process, count)
             compress_events(recorder.drain().encoded)
 
@@ -162,7 +162,7 @@
     """Return the compressed size of a batch by the requests in it."""
     points = []
     for count in (100, 300, 1000):
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS, limit=count)
         record_requests(recorder, process, count)
         parts = compress_events(recorder.drain().encoded)
         points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -33,13 +33,13 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.trace.events import AnyEvent
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 PROCESS = "entry-curitiba-north-017"
 TOKENS = 270
 
 
-def record_requests(recorder: Recorder, process: str, count: int) -> None:
+def record_requests(recorder: TraceRecorder, process: str, count: int) -> None:
     """Record the events of ``count`` requests of a ``process``: entry or agent."""
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
