--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -30,7 +30,7 @@
 
 # One batch, the deletion of one expired batch, and one more to catch up after an
 # outage. 1,370 processes with periods of 30 s then stay under 137 calls a second.
-CALLS_PER_PERIOD = 3
+MAX_CALLS_PER_PERIOD = 3
 # Batches that wait for the platform, compressed, plus events not yet compressed. An
 # hour at the target rate of an entry has to fit, in a small share of its 256 MB.
 OUTBOX_BYTES = 16_000_000
@@ -75,7 +75,7 @@
     def __init__(self, process: str, *, life: str, period_s: float, now: float) -> None:
         self._process = process
         self._life = life
-        self._gap_s = period_s / CALLS_PER_PERIOD
+        self._gap_s = period_s / MAX_CALLS_PER_PERIOD
         self._period_s = period_s
         # Processes that start together, as after an outage, must not write together.
         phase = zlib.crc32(process.encode()) % _PHASES / _PHASES
