--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -33,7 +33,7 @@
 MAX_CALLS_PER_PERIOD = 3
 # Batches that wait for the platform, compressed, plus events not yet compressed. An
 # hour at the target rate of an entry has to fit, in a small share of its 256 MB.
-OUTBOX_BYTES = 16_000_000
+MAX_OUTBOX_BYTES = 16_000_000
 # Batches remembered for deletion: three days of 30 s periods. What finds no room is
 # listed again at a later sweep.
 _REMEMBERED = 10_000
@@ -112,7 +112,7 @@
             self._lose(drained.since, drained.until, lost, "no room in memory")
         if drained.encoded:
             self._take(drained)
-        while self.waiting_bytes > OUTBOX_BYTES and self._waiting:
+        while self.waiting_bytes > MAX_OUTBOX_BYTES and self._waiting:
             oldest = self._waiting.popleft().batch
             self._waiting_bytes -= len(oldest.compressed_events)
             lost += oldest.event_count
--- a/tools/capacity_breaks.py
+++ b/tools/capacity_breaks.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from kingcupwheel.trace.outbox import OUTBOX_BYTES
+from kingcupwheel.trace.outbox import MAX_OUTBOX_BYTES
 from tools.capacity_model import Model
 from tools.capacity_target import DESIGNS
 from tools.capacity_target import LIMITS
@@ -121,7 +121,7 @@
             "regions parted for an hour",
             f"the part without the platform refuses what may not be repeated; its "
             f"traces wait: {hour_bytes / _MB:.1f} MB an entry of "
-            f"{OUTBOX_BYTES / _MB:.0f} MB",
+            f"{MAX_OUTBOX_BYTES / _MB:.0f} MB",
         ),
         (
             "platform down for an hour",
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.subset_selection import MIN_ENTRIES
-from kingcupwheel.trace.outbox import OUTBOX_BYTES
+from kingcupwheel.trace.outbox import MAX_OUTBOX_BYTES
 
 
 if TYPE_CHECKING:
@@ -240,7 +240,7 @@
             bytes_in=2 * _HTTP_BYTES / period_s,
             bytes_out=batch + 2 * _HTTP_BYTES / period_s,
             cpu=self._per(f"{role}_trace_cpu") / 1e3 * requests_s,
-            memory=held + OUTBOX_BYTES,
+            memory=held + MAX_OUTBOX_BYTES,
             writes=2 / period_s,
         )
 
