--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -60,7 +60,7 @@
 
 
 class _Expiring(NamedTuple):
-    until: int
+    recorded_until: int
     key: str
     version: int
 
@@ -140,7 +140,7 @@
         if self._waiting:
             return self._write()
         oldest = self._expiring[0] if self._expiring else None
-        if oldest and oldest.until + retention_s < at:
+        if oldest and oldest.recorded_until + retention_s < at:
             return DeleteBatch(oldest.key, oldest.version)
         return None
 
