--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -93,7 +93,7 @@
         self._expiring_keys: set[str] = set()
 
     @property
-    def waiting_bytes(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes held for the platform."""
         return self._waiting_bytes + self._open_bytes
 
@@ -112,7 +112,7 @@
             self._lose(drained.since, drained.until, lost, "no room in memory")
         if drained.encoded:
             self._take(drained)
-        while self.waiting_bytes > MAX_OUTBOX_BYTES and self._waiting:
+        while self.pending_bytes > MAX_OUTBOX_BYTES and self._waiting:
             oldest = self._waiting.popleft().batch
             self._waiting_bytes -= len(oldest.compressed_events)
             lost += oldest.event_count
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -160,7 +160,7 @@
         lost = self._outbox.add(self._recorder.drain())
         if self._metrics is not None:
             self._metrics.set_gauge(
-                GaugeName.TRACE_BYTES_WAITING, self._outbox.waiting_bytes
+                GaugeName.TRACE_BYTES_WAITING, self._outbox.pending_bytes
             )
             if lost:
                 self._metrics.increment(CounterName.TRACE_EVENTS_LOST, amount=lost)
