--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -98,7 +98,7 @@
         return self._waiting_bytes + self._open_bytes
 
     @property
-    def next_call(self) -> float:
+    def next_call_at(self) -> float:
         """The earliest monotonic time of the next call."""
         return self._next_call
 
