--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -102,7 +102,7 @@
         """The earliest monotonic time of the next call."""
         return self._next_call
 
-    def add(self, drained: DrainedEvents) -> int:
+    def add_events(self, drained: DrainedEvents) -> int:
         """Take events from the recorder; return how many were lost for want of room.
 
         The oldest batch makes room; the loss is told in the next batch written.
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -157,7 +157,7 @@
         self._next_sweep = now + _SWEEP_S * random.uniform(0.8, 1.2)
 
     def _collect(self) -> None:
-        lost = self._outbox.add(self._recorder.drain())
+        lost = self._outbox.add_events(self._recorder.drain())
         if self._metrics is not None:
             self._metrics.set_gauge(
                 GaugeName.TRACE_BYTES_WAITING, self._outbox.pending_bytes
