--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -121,7 +121,7 @@
             )
         return lost
 
-    def remember(self, names: Iterable[BatchName]) -> None:
+    def schedule_deletions(self, names: Iterable[BatchName]) -> None:
         """Take over deletion of batches that other lives or processes wrote."""
         for name in names:
             self._remember(name, version=0)
