--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -126,7 +126,7 @@
         for name in names:
             self._remember(name, version=0)
 
-    def call(
+    def plan_call(
         self, *, now: float, at: float, retention_s: float
     ) -> WriteBatch | DeleteBatch | None:
         """Return the call to make now, if its time has come.
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -96,7 +96,7 @@
     def _turn(self) -> None:
         self._collect()
         now = time.monotonic()
-        call = self._outbox.call(
+        call = self._outbox.plan_call(
             now=now, at=time.time(), retention_s=self._retention_s()
         )
         match call:
