--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -144,7 +144,7 @@
             return DeleteBatch(oldest.key, oldest.version)
         return None
 
-    def flush(self) -> WriteBatch | None:
+    def plan_flush(self) -> WriteBatch | None:
         """Return the next write without regard to time, for a graceful stop."""
         if not self._waiting:
             self._seal()
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -168,6 +168,6 @@
     def _flush(self) -> None:
         self._collect()
         end = time.monotonic() + _STOP_S
-        while time.monotonic() < end and (call := self._outbox.flush()):
+        while time.monotonic() < end and (call := self._outbox.plan_flush()):
             if not self._write(call):
                 return
