--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -150,7 +150,7 @@
             self._seal()
         return self._write() if self._waiting else None
 
-    def written(self, *, version: int, now: float) -> None:
+    def confirm_write(self, *, version: int, now: float) -> None:
         """Note that the batch of the last call is on the platform."""
         done = self._waiting.popleft()
         self._waiting_bytes -= len(done.batch.compressed_events)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -117,13 +117,13 @@
         result = self._client.create(call.key, call.value)
         now = time.monotonic()
         if result.is_ok():
-            self._outbox.written(version=result.ok, now=now)
+            self._outbox.confirm_write(version=result.ok, now=now)
             return True
         match result.error:
             # The key holds a random life, so that an object found there is ours: the
             # write took effect and its confirmation was lost.
             case Conflict(_, version):
-                self._outbox.written(version=version, now=now)
+                self._outbox.confirm_write(version=version, now=now)
                 return True
             case RateLimited(retry_after_s):
                 self._outbox.failed(now=now, wait_s=retry_after_s)
