--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -160,7 +160,7 @@
         if not self._waiting:
             self._next_batch = now + self._period_s
 
-    def rejected(self, why: str, *, now: float) -> None:
+    def drop_rejected(self, why: str, *, now: float) -> None:
         """Note that the platform will never take the batch of the last call."""
         refused = self._waiting.popleft().batch
         self._waiting_bytes -= len(refused.compressed_events)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -132,7 +132,7 @@
                 self._outbox.failed(now=now)
             case Rejected(_, detail):
                 logger.error("Batch %s was refused: %s.", call.key, detail)
-                self._outbox.rejected(detail, now=now)
+                self._outbox.drop_rejected(detail, now=now)
         return False
 
     def _delete(self, call: DeleteBatch) -> None:
