--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -167,7 +167,7 @@
         self._lose(refused.since, refused.until, refused.event_count, why)
         self._pause(now)
 
-    def deleted(self, *, now: float) -> None:
+    def confirm_deletion(self, *, now: float) -> None:
         """Note that the batch of the last call is gone."""
         gone = heapq.heappop(self._expiring)
         self._expiring_keys.discard(gone.key)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -144,7 +144,7 @@
             case Conflict(_, version) if version:
                 self._outbox.found(version=version, now=now)
             case None | Conflict():
-                self._outbox.deleted(now=now)
+                self._outbox.confirm_deletion(now=now)
             case RateLimited(retry_after_s):
                 self._outbox.failed(now=now, wait_s=retry_after_s)
             case Unavailable() | Rejected():
