--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -173,7 +173,7 @@
         self._expiring_keys.discard(gone.key)
         self._pause(now)
 
-    def found(self, *, version: int, now: float) -> None:
+    def set_found_version(self, *, version: int, now: float) -> None:
         """Note the version of the batch to delete, which the refusal told."""
         oldest = self._expiring[0]
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -142,7 +142,7 @@
             # The versions of earlier lives' batches are not known; the refusal names
             # the one found, 0 if the batch is gone.
             case Conflict(_, version) if version:
-                self._outbox.found(version=version, now=now)
+                self._outbox.set_found_version(version=version, now=now)
             case None | Conflict():
                 self._outbox.confirm_deletion(now=now)
             case RateLimited(retry_after_s):
