--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -179,7 +179,7 @@
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
         self._pause(now)
 
-    def failed(self, *, now: float, wait_s: float = 0.0) -> None:
+    def postpone_call(self, *, now: float, wait_s: float = 0.0) -> None:
         """Note that the last call came to nothing; the same follows later."""
         self._pause(now)
         self._next_call = max(self._next_call, now + wait_s)
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -112,7 +112,7 @@
         # is a failed call, so that an outage is met by one call at a time.
         self._marked = self._marked or self._sweeper.mark()
         if not self._marked:
-            self._outbox.failed(now=time.monotonic())
+            self._outbox.postpone_call(now=time.monotonic())
             return False
         result = self._client.create(call.key, call.value)
         now = time.monotonic()
@@ -126,10 +126,10 @@
                 self._outbox.confirm_write(version=version, now=now)
                 return True
             case RateLimited(retry_after_s):
-                self._outbox.failed(now=now, wait_s=retry_after_s)
+                self._outbox.postpone_call(now=now, wait_s=retry_after_s)
             case Unavailable(detail):
                 logger.warning("Batch %s waits: %s.", call.key, detail)
-                self._outbox.failed(now=now)
+                self._outbox.postpone_call(now=now)
             case Rejected(_, detail):
                 logger.error("Batch %s was refused: %s.", call.key, detail)
                 self._outbox.drop_rejected(detail, now=now)
@@ -146,9 +146,9 @@
             case None | Conflict():
                 self._outbox.confirm_deletion(now=now)
             case RateLimited(retry_after_s):
-                self._outbox.failed(now=now, wait_s=retry_after_s)
+                self._outbox.postpone_call(now=now, wait_s=retry_after_s)
             case Unavailable() | Rejected():
-                self._outbox.failed(now=now)
+                self._outbox.postpone_call(now=now)
 
     def _sweep(self, now: float) -> None:
         if now < self._next_sweep:
