--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -26,7 +26,7 @@
 from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.exceptions import PlatformUnavailable
 from kingcupwheel.trace.finding import TimelineFinder
-from kingcupwheel.trace.printing import story_text
+from kingcupwheel.trace.printing import format_timeline
 from kingcupwheel.trace.story import OutcomeState
 
 
@@ -122,7 +122,7 @@
         encoded = msgspec.json.format(msgspec.json.encode(story), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(story_text(story))
+        click.echo(format_timeline(story))
 
 
 def _get_exit_code(story: RequestTimeline) -> ExitCode:
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -23,7 +23,7 @@
 }
 
 
-def story_text(story: RequestTimeline) -> str:
+def format_timeline(story: RequestTimeline) -> str:
     """Return the story in lines: what happened, the outcome, what is missing."""
     width = max((len(line.process) for line in story.lines), default=0)
     blocks = [
