--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -29,7 +29,7 @@
 
 # Batches read for one process of one request: at 30 s each this is 20 minutes, past
 # the longest answer. A bound keeps one command from reading days of batches.
-MAX_BATCHES = 40
+MAX_BATCHES_PER_REQUEST = 40
 # Clocks of two processes may differ by this much.
 _CLOCK_S = 2
 
@@ -63,7 +63,7 @@
         events: list[TraceEvent] = []
         losses: list[EventLoss] = []
         until = 0
-        for name in names[:MAX_BATCHES]:
+        for name in names[:MAX_BATCHES_PER_REQUEST]:
             batch, error = self._batch(name)
             if batch is None:
                 trouble = error
@@ -78,8 +78,8 @@
             if any(isinstance(event.event, RequestFinished) for event in found.ok):
                 break
         else:
-            if len(names) > MAX_BATCHES:
-                trouble = f"only the first {MAX_BATCHES} batches were read"
+            if len(names) > MAX_BATCHES_PER_REQUEST:
+                trouble = f"only the first {MAX_BATCHES_PER_REQUEST} batches were read"
         relevant = tuple(loss for loss in losses if loss.until >= since)
         return BatchEvents(tuple(events), until, relevant, trouble)
 
