--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -225,7 +225,11 @@
 ) -> tuple[str, ...]:
     # An agent's batches that reach past the end of the request, without a loss, hold
     # all that it recorded, even if that is nothing: a dispatch may never have come.
-    if told_at and stored.until > told_at and not (stored.losses or stored.trouble):
+    if (
+        told_at
+        and stored.covered_until > told_at
+        and not (stored.losses or stored.trouble)
+    ):
         return ()
     if _ended(events, whole_from_start=process == entry):
         return ()
@@ -235,8 +239,8 @@
         why = f"{process} does not hold all of it (restarted, or it is too long ago)"
     if stored.trouble:
         batches = stored.trouble
-    elif stored.until:
-        batches = f"its batches reach to Unix second {stored.until}"
+    elif stored.covered_until:
+        batches = f"its batches reach to Unix second {stored.covered_until}"
     else:
         batches = "it left no batches of that time"
     lost = tuple(
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -43,7 +43,7 @@
     """
 
     events: tuple[TraceEvent, ...]
-    until: int
+    covered_until: int
     losses: tuple[EventLoss, ...]
     trouble: str
 
