--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -228,7 +228,7 @@
     if (
         told_at
         and stored.covered_until > told_at
-        and not (stored.losses or stored.trouble)
+        and not (stored.losses or stored.problem)
     ):
         return ()
     if _ended(events, whole_from_start=process == entry):
@@ -237,8 +237,8 @@
         why = f"{process} does not answer"
     else:
         why = f"{process} does not hold all of it (restarted, or it is too long ago)"
-    if stored.trouble:
-        batches = stored.trouble
+    if stored.problem:
+        batches = stored.problem
     elif stored.covered_until:
         batches = f"its batches reach to Unix second {stored.covered_until}"
     else:
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -45,7 +45,7 @@
     events: tuple[TraceEvent, ...]
     covered_until: int
     losses: tuple[EventLoss, ...]
-    trouble: str
+    problem: str
 
 
 class BatchReader:
