--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -158,7 +158,7 @@
         if found is not None and found.complete:
             return ProcessTrace(process, TraceSource.LIVE, live)
         since = parsed.arrived_at_ms / 1000
-        stored = self._reader.read(process, request_id, since=since)
+        stored = self._reader.read_events(process, request_id, since=since)
         events = _union(live, stored.events)
         source = TraceSource.BATCHES if stored.events else TraceSource.NOWHERE
         source = TraceSource.LIVE if live else source
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -54,7 +54,9 @@
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
 
-    def read(self, process: str, request_id: str, *, since: float) -> BatchEvents:
+    def read_events(
+        self, process: str, request_id: str, *, since: float
+    ) -> BatchEvents:
         """Return the request's events that ``process`` wrote from ``since`` on.
 
         Reading stops with the batch that holds the end of the request there.
