--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -179,7 +179,7 @@
         if parts:
             return parts
         whole = {name for name, found in found_by_process.items() if found.complete}
-        writers = self._reader.writers()
+        writers = self._reader.list_writers()
         left = [name for name in writers if name not in whole | {parsed.entry}]
         parts = self._guess_batches(left[:MAX_FALLBACK_WRITERS], request_id, parsed)
         unasked = max(0, len(directory.agents) - len(asked))
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -85,7 +85,7 @@
         relevant = tuple(loss for loss in losses if loss.until >= since)
         return BatchEvents(tuple(events), until, relevant, trouble)
 
-    def writers(self) -> tuple[str, ...]:
+    def list_writers(self) -> tuple[str, ...]:
         """Return the processes that left batches, gone ones as well."""
         listed = self._client.keys(MARKS)
         keys = listed.ok if listed.is_ok() else ()
