--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claims.py
@@ -13,7 +13,7 @@
 from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import PlatformUnavailable
-from kingcupwheel.trace.reading import describe
+from kingcupwheel.trace.reading import describe_platform_error
 
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     """Return the claim that the organisation's idempotency key made."""
     read = client.read(build_claim_key(organisation, idempotency_key))
     if read.is_error():
-        return Error(PlatformUnavailable(describe(read.error)))
+        return Error(PlatformUnavailable(describe_platform_error(read.error)))
     if read.ok is None:
         return Error(ClaimNotFound(idempotency_key))
     try:
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -23,7 +23,7 @@
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.reading import BatchReader
-from kingcupwheel.trace.reading import describe
+from kingcupwheel.trace.reading import describe_platform_error
 from kingcupwheel.trace.story import ProcessTrace
 from kingcupwheel.trace.story import RequestTimeline
 from kingcupwheel.trace.story import TraceSource
@@ -114,7 +114,7 @@
     def _directory(self) -> _Directory:
         listed = self._client.instances()
         if listed.is_error():
-            trouble = f"The list of instances is missing: {describe(listed.error)}."
+            trouble = f"The list of instances is missing: {describe_platform_error(listed.error)}."
             return _Directory(self._given, tuple(self._given), trouble)
         address_by_process = {item.name: item.address for item in listed.ok}
         agents = tuple(item.name for item in listed.ok if item.role == "agent")
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -98,7 +98,10 @@
         for hour in range(first, last + 1):
             listed = self._client.keys(build_hour_prefix(process, hour * HOUR_S))
             if listed.is_error():
-                return names, f"batches can't be listed: {describe(listed.error)}"
+                return (
+                    names,
+                    f"batches can't be listed: {describe_platform_error(listed.error)}",
+                )
             names.extend(name for key in listed.ok if (name := parse_key(key)))
         names = [name for name in names if name.until >= since - _CLOCK_S]
         return sorted(names, key=lambda name: (name.since, name.part_number)), ""
@@ -106,7 +109,10 @@
     def _batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
         read = self._client.read(name.key)
         if read.is_error():
-            return None, f"batch {name.key} can't be read: {describe(read.error)}"
+            return (
+                None,
+                f"batch {name.key} can't be read: {describe_platform_error(read.error)}",
+            )
         if read.ok is None:
             return None, f"batch {name.key} has been deleted"
         batch = decode_batch(read.ok.value)
@@ -115,7 +121,7 @@
         return batch.ok, ""
 
 
-def describe(error: PlatformError) -> str:
+def describe_platform_error(error: PlatformError) -> str:
     """Return a platform error in a few words."""
     match error:
         case Unavailable(detail):
