--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -13,7 +13,7 @@
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
-from kingcupwheel.trace.sentences import sentence
+from kingcupwheel.trace.sentences import describe_event
 
 
 if TYPE_CHECKING:
@@ -119,7 +119,7 @@
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
-    return sentence(one, entry=one.process, arrived=events[0].recorded_at)
+    return describe_event(one, entry=one.process, arrived=events[0].recorded_at)
 
 
 def _build_error_page(status: int, reason: str, message: str) -> JsonPage:
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -28,7 +28,7 @@
     from kingcupwheel.trace.events import TraceEvent
 
 
-def sentence(event: TraceEvent, *, entry: str, arrived: float | None) -> str:
+def describe_event(event: TraceEvent, *, entry: str, arrived: float | None) -> str:
     """Return what ``event`` says in plain words.
 
     ``entry`` is the process that took the request, ``arrived`` when it did so.
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/story.py
@@ -13,7 +13,7 @@
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import TraceEvent
 from kingcupwheel.trace.merging import merge_events
-from kingcupwheel.trace.sentences import sentence
+from kingcupwheel.trace.sentences import describe_event
 from kingcupwheel.utils.request_ids import parse_request_id
 
 
@@ -155,7 +155,7 @@
     latest = 0.0
     for event in events:
         own = arrived if event.process == entry else None
-        text = sentence(event, entry=entry, arrived=own)
+        text = describe_event(event, entry=entry, arrived=own)
         if latest - event.recorded_at > _CLOCK_S:
             text += (
                 f" (Its clock is {latest - event.recorded_at:.3f} s or more behind.)"
