--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -16,7 +16,7 @@
 from kingcupwheel.trace.batches import decode_request_events
 from kingcupwheel.trace.batches import parse_key
 from kingcupwheel.trace.events import RequestFinished
-from kingcupwheel.trace.sweeping import MARKS
+from kingcupwheel.trace.sweeping import WRITER_MARKER_PREFIX
 
 
 if TYPE_CHECKING:
@@ -87,9 +87,9 @@
 
     def list_writers(self) -> tuple[str, ...]:
         """Return the processes that left batches, gone ones as well."""
-        listed = self._client.keys(MARKS)
+        listed = self._client.keys(WRITER_MARKER_PREFIX)
         keys = listed.ok if listed.is_ok() else ()
-        return tuple(key.removeprefix(MARKS) for key in keys)
+        return tuple(key.removeprefix(WRITER_MARKER_PREFIX) for key in keys)
 
     def _names(self, process: str, since: float) -> tuple[list[BatchName], str]:
         first = int(since - MAX_BATCH_PERIOD_S) // HOUR_S
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -22,7 +22,7 @@
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.trace.batches import BatchName
 
-MARKS = "trace-writers/"
+WRITER_MARKER_PREFIX = "trace-writers/"
 # Names listed in one sweep besides the own one, each with one call.
 MAX_NAMES = 8
 
@@ -41,7 +41,7 @@
 
     def mark(self) -> bool:
         """Leave the mark of this writer; return whether it stands."""
-        made = self._client.create(f"{MARKS}{self._process}", b"")
+        made = self._client.create(f"{WRITER_MARKER_PREFIX}{self._process}", b"")
         return made.is_ok() or isinstance(made.error, Conflict)
 
     def sweep(self) -> tuple[BatchName, ...]:
@@ -59,12 +59,12 @@
 
     def _inherited(self) -> tuple[str, ...]:
         listed = self._client.instances()
-        marks = self._client.keys(MARKS)
+        marks = self._client.keys(WRITER_MARKER_PREFIX)
         # Without the list every writer would seem gone.
         if listed.is_error() or marks.is_error() or not listed.ok:
             return ()
         live = {one.name for one in listed.ok} | {self._process}
-        writers = (key.removeprefix(MARKS) for key in marks.ok)
+        writers = (key.removeprefix(WRITER_MARKER_PREFIX) for key in marks.ok)
         gone = (name for name in writers if name not in live)
         return tuple(name for name in gone if heir(name, live) == self._process)
 
@@ -76,7 +76,7 @@
 
     def _forget(self, name: str) -> None:
         """Remove the mark of a name that has no batches left."""
-        mark = self._client.read(f"{MARKS}{name}")
+        mark = self._client.read(f"{WRITER_MARKER_PREFIX}{name}")
         left = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
         if mark.is_ok() and mark.ok and left.is_ok() and not left.ok:
             self._client.delete(mark.ok.key, version=mark.ok.version)
