--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -24,7 +24,7 @@
 
 WRITER_MARKER_PREFIX = "trace-writers/"
 # Names listed in one sweep besides the own one, each with one call.
-MAX_NAMES = 8
+MAX_NAMES_PER_SWEEP = 8
 
 
 def heir(gone: str, live: Iterable[str]) -> str:
@@ -50,7 +50,7 @@
         What the platform does not answer is left to the next sweep.
         """
         batches = self._batches(self._process)
-        for name in self._inherited()[:MAX_NAMES]:
+        for name in self._inherited()[:MAX_NAMES_PER_SWEEP]:
             found = self._batches(name)
             if not found:
                 self._forget(name)
