--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -27,7 +27,7 @@
 MAX_NAMES_PER_SWEEP = 8
 
 
-def heir(gone: str, live: Iterable[str]) -> str:
+def select_successor(gone: str, live: Iterable[str]) -> str:
     """Return the live process that takes over from ``gone``, the same everywhere."""
     return max(live, key=lambda name: (zlib.crc32(f"{gone}/{name}".encode()), name))
 
@@ -66,7 +66,9 @@
         live = {one.name for one in listed.ok} | {self._process}
         writers = (key.removeprefix(WRITER_MARKER_PREFIX) for key in marks.ok)
         gone = (name for name in writers if name not in live)
-        return tuple(name for name in gone if heir(name, live) == self._process)
+        return tuple(
+            name for name in gone if select_successor(name, live) == self._process
+        )
 
     def _batches(self, name: str) -> tuple[BatchName, ...]:
         keys = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
