--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -110,7 +110,7 @@
     def _write(self, call: WriteBatch) -> bool:
         # Before the first batch: one without a mark would never be swept. A failed mark
         # is a failed call, so that an outage is met by one call at a time.
-        self._marked = self._marked or self._sweeper.mark()
+        self._marked = self._marked or self._sweeper.create_marker()
         if not self._marked:
             self._outbox.postpone_call(now=time.monotonic())
             return False
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -39,7 +39,7 @@
         self._client = client
         self._process = process
 
-    def mark(self) -> bool:
+    def create_marker(self) -> bool:
         """Leave the mark of this writer; return whether it stands."""
         made = self._client.create(f"{WRITER_MARKER_PREFIX}{self._process}", b"")
         return made.is_ok() or isinstance(made.error, Conflict)
