--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -153,7 +153,7 @@
     def _sweep(self, now: float) -> None:
         if now < self._next_sweep:
             return
-        self._outbox.schedule_deletions(self._sweeper.sweep())
+        self._outbox.schedule_deletions(self._sweeper.find_batches())
         self._next_sweep = now + _SWEEP_S * random.uniform(0.8, 1.2)
 
     def _collect(self) -> None:
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -44,7 +44,7 @@
         made = self._client.create(f"{WRITER_MARKER_PREFIX}{self._process}", b"")
         return made.is_ok() or isinstance(made.error, Conflict)
 
-    def sweep(self) -> tuple[BatchName, ...]:
+    def find_batches(self) -> tuple[BatchName, ...]:
         """Return the batches of the own name and of names taken over.
 
         What the platform does not answer is left to the next sweep.
