--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -20,7 +20,7 @@
 from kingcupwheel.trace.outbox import DeleteBatch
 from kingcupwheel.trace.outbox import Outbox
 from kingcupwheel.trace.outbox import WriteBatch
-from kingcupwheel.trace.sweeping import Sweeper
+from kingcupwheel.trace.sweeping import BatchSweeper
 
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
             now=time.monotonic(),
         )
         self._stopping = Event()
-        self._sweeper = Sweeper(client, recorder.process)
+        self._sweeper = BatchSweeper(client, recorder.process)
         self._marked = False
         # Processes that start together, as after an outage, must not sweep together.
         self._next_sweep = time.monotonic() + random.uniform(0, _FIRST_SWEEP_S)
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -32,7 +32,7 @@
     return max(live, key=lambda name: (zlib.crc32(f"{gone}/{name}".encode()), name))
 
 
-class Sweeper:
+class BatchSweeper:
     """Lists batches to delete; makes about ``MAX_NAMES`` calls a sweep."""
 
     def __init__(self, client: PlatformClient, process: str) -> None:
