--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -119,7 +119,7 @@
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
-    return describe_event(one, entry=one.process, arrived=events[0].recorded_at)
+    return describe_event(one, entry=one.process, arrived_at=events[0].recorded_at)
 
 
 def _build_error_page(status: int, reason: str, message: str) -> JsonPage:
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -31,8 +31,8 @@
 # not shrink enough is halved.
 MAX_RAW_PART_BYTES = 3_000_000
 # Unpacked size that a reader accepts, so that a damaged object can't fill its memory.
-_MAX_RAW_BYTES = 2 * MAX_RAW_PART_BYTES
-_COMPRESSION = 6
+_MAX_DECOMPRESSED_BYTES = 2 * MAX_RAW_PART_BYTES
+_ZLIB_LEVEL = 6
 
 
 class EventLoss(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
 
 def compress_events(encoded: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
     """Return the events as compressed parts, each small enough for one object."""
-    packed = _pack(encoded)
+    packed = _compress(encoded)
     if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded) == 1:
         return (CompressedPart(packed, len(encoded)),)
     middle = len(encoded) // 2
@@ -120,7 +120,7 @@
 ) -> Result[tuple[TraceEvent, ...], InvalidBatch]:
     """Return the events of one request in the batch, in order of recording."""
     try:
-        events = _unpack(batch.compressed_events)
+        events = _decompress(batch.compressed_events)
     except (zlib.error, msgspec.MsgspecError) as error:
         return Error(InvalidBatch(str(error)))
     return Ok(tuple(event for event in events if event.request_id == request_id))
@@ -131,15 +131,15 @@
 )
 
 
-def _pack(encoded: tuple[bytes, ...]) -> bytes:
+def _compress(encoded: tuple[bytes, ...]) -> bytes:
     # The head of a msgpack array of 32-bit length, so that the joined items are one.
     head = b"\xdd" + len(encoded).to_bytes(4, "big")
-    return zlib.compress(head + b"".join(encoded), _COMPRESSION)
+    return zlib.compress(head + b"".join(encoded), _ZLIB_LEVEL)
 
 
-def _unpack(packed: bytes) -> tuple[TraceEvent, ...]:
+def _decompress(packed: bytes) -> tuple[TraceEvent, ...]:
     inflater = zlib.decompressobj()
-    raw = inflater.decompress(packed, _MAX_RAW_BYTES)
+    raw = inflater.decompress(packed, _MAX_DECOMPRESSED_BYTES)
     if not inflater.eof:
         raise zlib.error("the batch is cut short or too large")
     events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(raw)
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -51,7 +51,7 @@
 MAX_FALLBACK_WRITERS = 32
 
 
-class _Directory(NamedTuple):
+class _ProcessDirectory(NamedTuple):
     address_by_process: dict[str, str]
     agents: tuple[str, ...]
     problem: str
@@ -99,7 +99,7 @@
         directory = self._directory()
         entry = self._parts((parsed.entry,), request_id, parsed, directory)[0]
         servers = dict.fromkeys((*list_servers(entry.events), *self._agents))
-        told_at = _told_at(entry.events)
+        told_at = _get_finish_time(entry.events)
         agents = self._parts(tuple(servers), request_id, parsed, directory, told_at)
         # An entry that answers for that time and holds nothing never gave out the id.
         found = entry.events or any(part.events for part in agents)
@@ -111,21 +111,21 @@
             parts = (msgspec.structs.replace(entry, gaps=gaps), *agents)
         return Ok(build_timeline(request_id, parts))
 
-    def _directory(self) -> _Directory:
+    def _directory(self) -> _ProcessDirectory:
         listed = self._client.instances()
         if listed.is_error():
             trouble = f"The list of instances is missing: {describe_platform_error(listed.error)}."
-            return _Directory(self._given, tuple(self._given), trouble)
+            return _ProcessDirectory(self._given, tuple(self._given), trouble)
         address_by_process = {item.name: item.address for item in listed.ok}
         agents = tuple(item.name for item in listed.ok if item.role == "agent")
-        return _Directory(address_by_process | self._given, agents, "")
+        return _ProcessDirectory(address_by_process | self._given, agents, "")
 
     def _parts(
         self,
         processes: tuple[str, ...],
         request_id: str,
         parsed: RequestId,
-        directory: _Directory,
+        directory: _ProcessDirectory,
         told_at: float | None = None,
     ) -> tuple[ProcessTrace, ...]:
         found_by_process = self._ask(processes, request_id, directory)
@@ -137,7 +137,7 @@
         )
 
     def _ask(
-        self, processes: tuple[str, ...], request_id: str, directory: _Directory
+        self, processes: tuple[str, ...], request_id: str, directory: _ProcessDirectory
     ) -> dict[str, TraceReply]:
         addresses = {
             process: address
@@ -154,19 +154,19 @@
         parsed: RequestId,
         told_at: float | None,
     ) -> ProcessTrace:
-        live = _decode(found)
+        live = _decode_events(found)
         if found is not None and found.complete:
             return ProcessTrace(process, TraceSource.LIVE, live)
         since = parsed.arrived_at_ms / 1000
         stored = self._reader.read_events(process, request_id, since=since)
-        events = _union(live, stored.events)
+        events = _combine_events(live, stored.events)
         source = TraceSource.BATCHES if stored.events else TraceSource.NOWHERE
         source = TraceSource.LIVE if live else source
-        gaps = _gaps(process, parsed.entry, found, events, stored, told_at)
+        gaps = _describe_gaps(process, parsed.entry, found, events, stored, told_at)
         return ProcessTrace(process, source, events, gaps)
 
     def _guess(
-        self, request_id: str, parsed: RequestId, directory: _Directory
+        self, request_id: str, parsed: RequestId, directory: _ProcessDirectory
     ) -> tuple[ProcessTrace, ...]:
         """Look at large: the entry is gone and left nothing that names an agent."""
         asked = directory.agents[:MAX_FALLBACK_AGENTS]
@@ -174,7 +174,7 @@
         parts = tuple(
             ProcessTrace(process, TraceSource.LIVE, events)
             for process, found in found_by_process.items()
-            if (events := _decode(found))
+            if (events := _decode_events(found))
         )
         if parts:
             return parts
@@ -198,7 +198,7 @@
         return tuple(part for part in parts if part.events)
 
 
-def _decode(found: TraceReply | None) -> tuple[TraceEvent, ...]:
+def _decode_events(found: TraceReply | None) -> tuple[TraceEvent, ...]:
     if found is None:
         return ()
     try:
@@ -208,14 +208,14 @@
     return events
 
 
-def _union(
+def _combine_events(
     live: tuple[TraceEvent, ...], stored: tuple[TraceEvent, ...]
 ) -> tuple[TraceEvent, ...]:
     held = set(stored)
     return stored + tuple(event for event in live if event not in held)
 
 
-def _gaps(
+def _describe_gaps(
     process: str,
     entry: str,
     found: TraceReply | None,
@@ -231,7 +231,7 @@
         and not (stored.losses or stored.problem)
     ):
         return ()
-    if _ended(events, whole_from_start=process == entry):
+    if _has_end(events, whole_from_start=process == entry):
         return ()
     if found is None:
         why = f"{process} does not answer"
@@ -251,7 +251,7 @@
     return (f"Part of {process}'s account may be missing: {why}, and {batches}.", *lost)
 
 
-def _told_at(events: tuple[TraceEvent, ...]) -> float | None:
+def _get_finish_time(events: tuple[TraceEvent, ...]) -> float | None:
     ends = [
         event.recorded_at
         for event in events
@@ -260,7 +260,7 @@
     return ends[-1] if ends else None
 
 
-def _ended(events: tuple[TraceEvent, ...], *, whole_from_start: bool) -> bool:
+def _has_end(events: tuple[TraceEvent, ...], *, whole_from_start: bool) -> bool:
     """Tell whether the events run to the end of the request at that process."""
     ended = any(
         isinstance(event.event, RequestFinished | RequestRefused) for event in events
--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/lines.py
@@ -18,8 +18,8 @@
 # Lines of a process around a request that tell what it believed then: how long before
 # its first line, in seconds.
 CONTEXT_BEFORE_S = 5.0
-_BELIEF_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
-_FINAL = frozenset({"finished", "refused", "cut-by-stop"})
+_CONTEXT_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
+_FINAL_EVENTS = frozenset({"finished", "refused", "cut-by-stop"})
 
 
 class LogLine(NamedTuple):
@@ -49,7 +49,7 @@
         gaps: list[str] = []
         if not self.lines:
             return ("no line names this request; was its entry's log given?",)
-        if not events & _FINAL:
+        if not events & _FINAL_EVENTS:
             gaps.append("its end: the process died, or later lines are not here")
         if "finished" in events and "placed" not in events:
             refused = [one for one in self.lines if one.event == "finished"]
@@ -80,7 +80,7 @@
 def build_log_timeline(request_id: str, texts: Iterable[str]) -> LogTimeline:
     """Return what the lines tell of ``request_id``."""
     decoded = [line for line in map(parse_line, texts) if line is not None]
-    own = sorted(_of(request_id, decoded), key=_at)
+    own = sorted(_select_request_lines(request_id, decoded), key=_get_time)
     if not own:
         return LogTimeline(request_id, (), ())
     processes = {line.process for line in own}
@@ -89,17 +89,19 @@
         line
         for line in decoded
         if line.process in processes
-        and line.part in _BELIEF_PARTS
+        and line.part in _CONTEXT_PARTS
         and since <= line.at <= until
     ]
-    return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_at)))
+    return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_get_time)))
 
 
-def _at(line: LogLine) -> float:
+def _get_time(line: LogLine) -> float:
     return line.at
 
 
-def _of(request_id: str, lines: Iterable[LogLine]) -> Iterator[LogLine]:
+def _select_request_lines(
+    request_id: str, lines: Iterable[LogLine]
+) -> Iterator[LogLine]:
     # A name that a caller used again while it was under way got a number added.
     prefix = f"{request_id}~"
     for line in lines:
@@ -112,28 +114,28 @@
     """Return the story in plain sentences."""
     blocks = [
         [f"Request {found.request_id}"],
-        [_line_text(line, _sentence(line)) for line in found.lines],
+        [_format_line(line, _describe_line(line)) for line in found.lines],
     ]
     if found.beliefs:
-        noted = [_line_text(line, _belief(line)) for line in found.beliefs]
+        noted = [_format_line(line, _describe_fields(line)) for line in found.beliefs]
         blocks.append(["Noted there just before and meanwhile:", *noted])
     blocks.append([f"Missing: {gap}" for gap in found.gaps])
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
-def _line_text(line: LogLine, sentence: str) -> str:
+def _format_line(line: LogLine, sentence: str) -> str:
     at = datetime.fromtimestamp(line.at, tz=UTC)
     stamp = at.strftime("%H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process}  {sentence}"
 
 
-def _sentence(line: LogLine) -> str:
+def _describe_line(line: LogLine) -> str:
     get = line.fields.get
     match line.event:
         case "placed":
             return (
                 f"Placed on {get('server')} as send {get('send')} after "
-                f"{get('waited_s')} s in the queue: {get('why')}. {_version(line)}"
+                f"{get('waited_s')} s in the queue: {get('why')}. {_describe_version(line)}"
             )
         case "send-ended":
             return (
@@ -157,17 +159,17 @@
         case "refused":
             return (
                 f"Refused with status {get('status')} ({get('how')}): {get('why')} "
-                f"{_version(line)}"
+                f"{_describe_version(line)}"
             )
-    return _belief(line)
+    return _describe_fields(line)
 
 
-def _version(line: LogLine) -> str:
+def _describe_version(line: LogLine) -> str:
     version, age_s = line.fields.get("version"), line.fields.get("version_age_s")
     return f"Configuration {version}, known {age_s} s ago to be the newest."
 
 
-def _belief(line: LogLine) -> str:
+def _describe_fields(line: LogLine) -> str:
     fields = ", ".join(
         f"{name} {value}"
         for name, value in line.fields.items()
--- a/src/kingcupwheel/trace/merging.py
+++ b/src/kingcupwheel/trace/merging.py
@@ -15,13 +15,13 @@
 from kingcupwheel.trace.events import TraceEvent
 
 
-class _Cause(NamedTuple):
+class _Prerequisite(NamedTuple):
     kind: type[AnyEvent]
     attempt: int
 
 
 def merge_events(
-    entry: str, parts: tuple[tuple[TraceEvent, ...], ...]
+    entry: str, traces: tuple[tuple[TraceEvent, ...], ...]
 ) -> list[TraceEvent]:
     """Return all events in order; ``entry`` is the process that took the request.
 
@@ -29,20 +29,20 @@
     waits for one that nobody recorded is not held up; a contradiction falls back to
     time.
     """
-    queues = [list(part) for part in parts if part]
+    queues = [list(part) for part in traces if part]
     merged: list[TraceEvent] = []
     while queues:
-        ready = [queue for queue in queues if not _blocked(entry, queue, queues)]
+        ready = [queue for queue in queues if not _is_blocked(entry, queue, queues)]
         chosen = min(ready or queues, key=lambda queue: queue[0].recorded_at)
         merged.append(chosen.pop(0))
         queues = [queue for queue in queues if queue]
     return merged
 
 
-def _blocked(
+def _is_blocked(
     entry: str, queue: list[TraceEvent], queues: list[list[TraceEvent]]
 ) -> bool:
-    cause = _cause(entry, queue[0])
+    cause = _find_prerequisite(entry, queue[0])
     if cause is None:
         return False
     return any(
@@ -53,17 +53,19 @@
     )
 
 
-def _cause(entry: str, event: TraceEvent) -> _Cause | None:
+def _find_prerequisite(entry: str, event: TraceEvent) -> _Prerequisite | None:
     """Return what another process must have recorded before ``event``."""
     attempt: int | None = getattr(event.event, "attempt", None)
     if event.process != entry:
-        return _Cause(AttemptDispatched, attempt) if attempt is not None else None
+        return (
+            _Prerequisite(AttemptDispatched, attempt) if attempt is not None else None
+        )
     if isinstance(event.event, FirstByteRelayed):
-        return _Cause(FirstByteRelayed, event.event.attempt)
+        return _Prerequisite(FirstByteRelayed, event.event.attempt)
     return None
 
 
-def _matches(cause: _Cause, event: TraceEvent) -> bool:
+def _matches(cause: _Prerequisite, event: TraceEvent) -> bool:
     return (
         isinstance(event.event, cause.kind)
         and getattr(event.event, "attempt", None) == cause.attempt
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -36,8 +36,8 @@
 MAX_OUTBOX_BYTES = 16_000_000
 # Batches remembered for deletion: three days of 30 s periods. What finds no room is
 # listed again at a later sweep.
-_REMEMBERED = 10_000
-_PHASES = 1000
+_MAX_EXPIRING_BATCHES = 10_000
+_PHASE_COUNT = 1000
 
 
 class WriteBatch(NamedTuple):
@@ -54,12 +54,12 @@
     version: int
 
 
-class _Waiting(NamedTuple):
+class _PendingBatch(NamedTuple):
     name: BatchName
     batch: TraceBatch
 
 
-class _Expiring(NamedTuple):
+class _ExpiringBatch(NamedTuple):
     recorded_until: int
     key: str
     version: int
@@ -72,35 +72,37 @@
     ``now`` are monotonic seconds; ``at`` is Unix seconds.
     """
 
-    def __init__(self, process: str, *, life: str, period_s: float, now: float) -> None:
+    def __init__(
+        self, process: str, *, incarnation: str, period_s: float, now: float
+    ) -> None:
         self._process = process
-        self._life = life
-        self._gap_s = period_s / MAX_CALLS_PER_PERIOD
+        self._incarnation = incarnation
+        self._call_interval_s = period_s / MAX_CALLS_PER_PERIOD
         self._period_s = period_s
         # Processes that start together, as after an outage, must not write together.
-        phase = zlib.crc32(process.encode()) % _PHASES / _PHASES
-        self._next_call = now + phase * self._gap_s
-        self._next_batch = now + phase * period_s
-        self._part = 0
-        self._open: list[bytes] = []
+        phase = zlib.crc32(process.encode()) % _PHASE_COUNT / _PHASE_COUNT
+        self._next_call_at = now + phase * self._call_interval_s
+        self._next_batch_at = now + phase * period_s
+        self._part_number = 0
+        self._open_events: list[bytes] = []
         self._open_bytes = 0
         self._open_since = 0.0
         self._open_until = 0.0
-        self._waiting: deque[_Waiting] = deque()
-        self._waiting_bytes = 0
+        self._pending: deque[_PendingBatch] = deque()
+        self._pending_bytes = 0
         self._losses: list[EventLoss] = []
-        self._expiring: list[_Expiring] = []
+        self._expiring: list[_ExpiringBatch] = []
         self._expiring_keys: set[str] = set()
 
     @property
     def pending_bytes(self) -> int:
         """Bytes held for the platform."""
-        return self._waiting_bytes + self._open_bytes
+        return self._pending_bytes + self._open_bytes
 
     @property
     def next_call_at(self) -> float:
         """The earliest monotonic time of the next call."""
-        return self._next_call
+        return self._next_call_at
 
     def add_events(self, drained: DrainedEvents) -> int:
         """Take events from the recorder; return how many were lost for want of room.
@@ -109,14 +111,14 @@
         """
         lost = drained.lost_count
         if lost:
-            self._lose(drained.since, drained.until, lost, "no room in memory")
+            self._record_loss(drained.since, drained.until, lost, "no room in memory")
         if drained.encoded:
-            self._take(drained)
-        while self.pending_bytes > MAX_OUTBOX_BYTES and self._waiting:
-            oldest = self._waiting.popleft().batch
-            self._waiting_bytes -= len(oldest.compressed_events)
+            self._append_events(drained)
+        while self.pending_bytes > MAX_OUTBOX_BYTES and self._pending:
+            oldest = self._pending.popleft().batch
+            self._pending_bytes -= len(oldest.compressed_events)
             lost += oldest.event_count
-            self._lose(
+            self._record_loss(
                 oldest.since, oldest.until, oldest.event_count, "platform out of reach"
             )
         return lost
@@ -124,7 +126,7 @@
     def schedule_deletions(self, names: Iterable[BatchName]) -> None:
         """Take over deletion of batches that other lives or processes wrote."""
         for name in names:
-            self._remember(name, version=0)
+            self._schedule_deletion(name, version=0)
 
     def plan_call(
         self, *, now: float, at: float, retention_s: float
@@ -133,12 +135,12 @@
 
         ``settle`` has to follow before the next call.
         """
-        if now < self._next_call:
+        if now < self._next_call_at:
             return None
-        if now >= self._next_batch and not self._waiting:
-            self._seal()
-        if self._waiting:
-            return self._write()
+        if now >= self._next_batch_at and not self._pending:
+            self._close_batch()
+        if self._pending:
+            return self._build_write()
         oldest = self._expiring[0] if self._expiring else None
         if oldest and oldest.recorded_until + retention_s < at:
             return DeleteBatch(oldest.key, oldest.version)
@@ -146,73 +148,76 @@
 
     def plan_flush(self) -> WriteBatch | None:
         """Return the next write without regard to time, for a graceful stop."""
-        if not self._waiting:
-            self._seal()
-        return self._write() if self._waiting else None
+        if not self._pending:
+            self._close_batch()
+        return self._build_write() if self._pending else None
 
     def confirm_write(self, *, version: int, now: float) -> None:
         """Note that the batch of the last call is on the platform."""
-        done = self._waiting.popleft()
-        self._waiting_bytes -= len(done.batch.compressed_events)
-        self._remember(done.name, version=version)
+        done = self._pending.popleft()
+        self._pending_bytes -= len(done.batch.compressed_events)
+        self._schedule_deletion(done.name, version=version)
         self._losses = []
-        self._pause(now)
-        if not self._waiting:
-            self._next_batch = now + self._period_s
+        self._delay_next_call(now)
+        if not self._pending:
+            self._next_batch_at = now + self._period_s
 
     def drop_rejected(self, why: str, *, now: float) -> None:
         """Note that the platform will never take the batch of the last call."""
-        refused = self._waiting.popleft().batch
-        self._waiting_bytes -= len(refused.compressed_events)
-        self._lose(refused.since, refused.until, refused.event_count, why)
-        self._pause(now)
+        refused = self._pending.popleft().batch
+        self._pending_bytes -= len(refused.compressed_events)
+        self._record_loss(refused.since, refused.until, refused.event_count, why)
+        self._delay_next_call(now)
 
     def confirm_deletion(self, *, now: float) -> None:
         """Note that the batch of the last call is gone."""
         gone = heapq.heappop(self._expiring)
         self._expiring_keys.discard(gone.key)
-        self._pause(now)
+        self._delay_next_call(now)
 
     def set_found_version(self, *, version: int, now: float) -> None:
         """Note the version of the batch to delete, which the refusal told."""
         oldest = self._expiring[0]
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
-        self._pause(now)
+        self._delay_next_call(now)
 
     def postpone_call(self, *, now: float, wait_s: float = 0.0) -> None:
         """Note that the last call came to nothing; the same follows later."""
-        self._pause(now)
-        self._next_call = max(self._next_call, now + wait_s)
-
-    def _remember(self, name: BatchName, *, version: int) -> None:
-        if name.key in self._expiring_keys or len(self._expiring) >= _REMEMBERED:
+        self._delay_next_call(now)
+        self._next_call_at = max(self._next_call_at, now + wait_s)
+
+    def _schedule_deletion(self, name: BatchName, *, version: int) -> None:
+        if (
+            name.key in self._expiring_keys
+            or len(self._expiring) >= _MAX_EXPIRING_BATCHES
+        ):
             return
         self._expiring_keys.add(name.key)
-        heapq.heappush(self._expiring, _Expiring(name.until, name.key, version))
+        heapq.heappush(self._expiring, _ExpiringBatch(name.until, name.key, version))
 
-    def _pause(self, now: float) -> None:
-        self._next_call = now + self._gap_s
+    def _delay_next_call(self, now: float) -> None:
+        self._next_call_at = now + self._call_interval_s
 
-    def _take(self, drained: DrainedEvents) -> None:
-        if not self._open:
+    def _append_events(self, drained: DrainedEvents) -> None:
+        if not self._open_events:
             self._open_since = drained.since
         self._open_until = drained.until
-        self._open.extend(drained.encoded)
+        self._open_events.extend(drained.encoded)
         self._open_bytes += sum(map(len, drained.encoded))
         if self._open_bytes >= MAX_RAW_PART_BYTES:
-            self._seal()
+            self._close_batch()
 
-    def _seal(self) -> None:
-        if not self._open:
+    def _close_batch(self) -> None:
+        if not self._open_events:
             return
-        for part in compress_events(tuple(self._open)):
-            self._part += 1
+        for part in compress_events(tuple(self._open_events)):
+            self._part_number += 1
             name = BatchName(
                 self._process,
                 int(self._open_since),
                 int(self._open_until) + 1,
-                self._life,
-                self._part,
+                self._incarnation,
+                self._part_number,
             )
             batch = TraceBatch(
                 self._process,
@@ -221,13 +226,13 @@
                 part.event_count,
                 part.compressed_events,
             )
-            self._waiting.append(_Waiting(name, batch))
-            self._waiting_bytes += len(part.compressed_events)
-        self._open = []
+            self._pending.append(_PendingBatch(name, batch))
+            self._pending_bytes += len(part.compressed_events)
+        self._open_events = []
         self._open_bytes = 0
 
-    def _write(self) -> WriteBatch:
-        name, batch = self._waiting[0]
+    def _build_write(self) -> WriteBatch:
+        name, batch = self._pending[0]
         telling = TraceBatch(
             batch.process,
             batch.since,
@@ -236,10 +241,10 @@
             batch.compressed_events,
             tuple(self._losses),
         )
-        self._waiting[0] = _Waiting(name, telling)
+        self._pending[0] = _PendingBatch(name, telling)
         return WriteBatch(name.key, encode_batch(telling))
 
-    def _lose(self, since: float, until: float, events: int, why: str) -> None:
+    def _record_loss(self, since: float, until: float, events: int, why: str) -> None:
         last = self._losses[-1] if self._losses else None
         if last and last.reason == why:
             since, events = min(last.since, since), last.event_count + events
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/printing.py
@@ -16,7 +16,7 @@
     from kingcupwheel.trace.story import RequestTimeline
     from kingcupwheel.trace.story import TimelineLine
 
-_SOURCE_WORDS = {
+_SOURCE_LABELS = {
     TraceSource.LIVE: "answered itself",
     TraceSource.BATCHES: "gone; read from its batches",
     TraceSource.NOWHERE: "nothing found",
@@ -27,29 +27,29 @@
     """Return the story in lines: what happened, the outcome, what is missing."""
     width = max((len(line.process) for line in story.lines), default=0)
     blocks = [
-        [f"Request {story.request_id}", *_sources(story)],
-        [_line_text(line, width) for line in story.lines],
-        [_outcome(story), *_see_also(story)],
+        [f"Request {story.request_id}", *_format_sources(story)],
+        [_format_line(line, width) for line in story.lines],
+        [_format_outcome(story), *_format_references(story)],
         [f"Missing: {gap}" for gap in story.gaps],
     ]
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
-def _sources(story: RequestTimeline) -> list[str]:
-    return [f"  {part.process}: {_source(part)}" for part in story.parts]
+def _format_sources(story: RequestTimeline) -> list[str]:
+    return [f"  {part.process}: {_format_source(part)}" for part in story.parts]
 
 
-def _source(part: ProcessTrace) -> str:
-    return f"{_SOURCE_WORDS[part.source]}, {len(part.events)} events"
+def _format_source(part: ProcessTrace) -> str:
+    return f"{_SOURCE_LABELS[part.source]}, {len(part.events)} events"
 
 
-def _line_text(line: TimelineLine, width: int) -> str:
+def _format_line(line: TimelineLine, width: int) -> str:
     at = datetime.fromtimestamp(line.at, tz=UTC)
     stamp = at.strftime("%Y-%m-%d %H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process:<{width}}  {line.sentence}"
 
 
-def _outcome(story: RequestTimeline) -> str:
+def _format_outcome(story: RequestTimeline) -> str:
     match story.state:
         case OutcomeState.FINISHED:
             reason = f" ({story.reason})" if story.reason else ""
@@ -64,7 +64,7 @@
             return "Nothing was found of this request."
 
 
-def _see_also(story: RequestTimeline) -> list[str]:
+def _format_references(story: RequestTimeline) -> list[str]:
     earlier = {
         event.event.earlier_request_id: None
         for part in story.parts
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/reading.py
@@ -31,7 +31,7 @@
 # the longest answer. A bound keeps one command from reading days of batches.
 MAX_BATCHES_PER_REQUEST = 40
 # Clocks of two processes may differ by this much.
-_CLOCK_S = 2
+_MAX_CLOCK_SKEW_S = 2
 
 
 class BatchEvents(NamedTuple):
@@ -61,12 +61,12 @@
 
         Reading stops with the batch that holds the end of the request there.
         """
-        names, trouble = self._names(process, since)
+        names, trouble = self._list_batches(process, since)
         events: list[TraceEvent] = []
         losses: list[EventLoss] = []
         until = 0
         for name in names[:MAX_BATCHES_PER_REQUEST]:
-            batch, error = self._batch(name)
+            batch, error = self._read_batch(name)
             if batch is None:
                 trouble = error
                 continue
@@ -91,7 +91,7 @@
         keys = listed.ok if listed.is_ok() else ()
         return tuple(key.removeprefix(WRITER_MARKER_PREFIX) for key in keys)
 
-    def _names(self, process: str, since: float) -> tuple[list[BatchName], str]:
+    def _list_batches(self, process: str, since: float) -> tuple[list[BatchName], str]:
         first = int(since - MAX_BATCH_PERIOD_S) // HOUR_S
         last = int(since) // HOUR_S + 1
         names: list[BatchName] = []
@@ -103,10 +103,10 @@
                     f"batches can't be listed: {describe_platform_error(listed.error)}",
                 )
             names.extend(name for key in listed.ok if (name := parse_key(key)))
-        names = [name for name in names if name.until >= since - _CLOCK_S]
+        names = [name for name in names if name.until >= since - _MAX_CLOCK_SKEW_S]
         return sorted(names, key=lambda name: (name.since, name.part_number)), ""
 
-    def _batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
+    def _read_batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
         read = self._client.read(name.key)
         if read.is_error():
             return (
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -49,7 +49,7 @@
     lost_count: int
 
 
-class _Story:
+class _RequestEvents:
     __slots__ = ("is_truncated", "encoded")
 
     def __init__(self) -> None:
@@ -75,7 +75,7 @@
         self._listener = listener
         self._started = time.time()
         self._forgotten_ms = 0
-        self._stories_by_request_id: OrderedDict[str, _Story] = OrderedDict()
+        self._stories_by_request_id: OrderedDict[str, _RequestEvents] = OrderedDict()
         self._unshipped: deque[bytes] = deque()
         self._unshipped_bytes = 0
         self._since = self._started
@@ -135,7 +135,7 @@
     def _keep(self, request_id: str, encoded: bytes, *, final: bool) -> None:
         story = self._stories_by_request_id.get(request_id)
         if story is None:
-            story = _Story()
+            story = _RequestEvents()
             self._stories_by_request_id[request_id] = story
             self._make_room()
         if len(story.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
@@ -146,7 +146,7 @@
     def _make_room(self) -> None:
         while len(self._stories_by_request_id) > self._limit:
             oldest, _ = self._stories_by_request_id.popitem(last=False)
-            self._forgotten_ms = max(self._forgotten_ms, _started_ms(oldest))
+            self._forgotten_ms = max(self._forgotten_ms, _get_arrival_ms(oldest))
 
     def _queue(self, encoded: bytes, at: float) -> None:
         if not self._unshipped:
@@ -160,10 +160,10 @@
     def _covers(self, request_id: str) -> bool:
         # A story that was pushed out may start anew with a late event; judging by the
         # time in the id catches that too.
-        started_ms = _started_ms(request_id)
+        started_ms = _get_arrival_ms(request_id)
         return started_ms > max(int(self._started * 1000), self._forgotten_ms)
 
 
-def _started_ms(request_id: str) -> int:
+def _get_arrival_ms(request_id: str) -> int:
     parsed = parse_request_id(request_id)
     return parsed.arrived_at_ms if parsed else 0
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -28,38 +28,40 @@
     from kingcupwheel.trace.events import TraceEvent
 
 
-def describe_event(event: TraceEvent, *, entry: str, arrived: float | None) -> str:
+def describe_event(event: TraceEvent, *, entry: str, arrived_at: float | None) -> str:
     """Return what ``event`` says in plain words.
 
     ``entry`` is the process that took the request, ``arrived`` when it did so.
     """
     told = (
-        _arrival(event)
-        or _placement(event)
-        or _answer(event, arrived=arrived)
-        or _ending(event, final=event.process == entry)
+        _describe_arrival(event)
+        or _describe_placement(event)
+        or _describe_answer(event, arrived=arrived_at)
+        or _describe_end(event, final=event.process == entry)
     )
     return told or f"Recorded {type(event.event).__name__}."
 
 
-def _arrival(event: TraceEvent) -> str | None:
+def _describe_arrival(event: TraceEvent) -> str | None:
     match event.event:
         case RequestReceived() as received:
-            return _received(received)
+            return _describe_received(received)
         case ResendJoined(earlier):
             return f"Joined to request {earlier}, sent earlier with the same key."
         case ClaimRecorded(claim_id, fence, detail):
             return f"Claim {claim_id[:12]}: {detail} (fence {fence})."
         case RequestAdmitted(work, detail):
-            return f"Admitted; predicted work {work:,.0f} tokens{_after(detail)}."
+            return (
+                f"Admitted; predicted work {work:,.0f} tokens{_format_detail(detail)}."
+            )
         case RequestRefused() as refused:
-            return _refused(refused)
+            return _describe_refused(refused)
         case ManifestChanged(version):
             return f"Manifest version {version} came into force meanwhile."
     return None
 
 
-def _received(received: RequestReceived) -> str:
+def _describe_received(received: RequestReceived) -> str:
     repeatable = "may be repeated" if received.repeatable else "runs at most once"
     return (
         f"{received.method} {received.path} arrived with {received.body_bytes:,} bytes "
@@ -69,19 +71,21 @@
     )
 
 
-def _refused(refused: RequestRefused) -> str:
+def _describe_refused(refused: RequestRefused) -> str:
     back = ""
     if refused.retry_after_s:
         back = f" The caller may come back after {refused.retry_after_s:.1f} s."
-    return f"Refused by the limit {refused.limit}{_after(refused.detail)}.{back}"
+    return (
+        f"Refused by the limit {refused.limit}{_format_detail(refused.detail)}.{back}"
+    )
 
 
-def _placement(event: TraceEvent) -> str | None:
+def _describe_placement(event: TraceEvent) -> str | None:
     match event.event:
         case RequestQueued(ahead):
             return f"Queued behind {ahead} others."
         case RequestPlaced() as placed:
-            return _placed(placed)
+            return _describe_placed(placed)
         case AttemptDispatched(server, attempt):
             return f"Sent to {server} as attempt {attempt}."
         case AttemptRetried(attempt, why):
@@ -89,8 +93,8 @@
     return None
 
 
-def _placed(placed: RequestPlaced) -> str:
-    weighed = ", ".join(map(_load, placed.considered_servers))
+def _describe_placed(placed: RequestPlaced) -> str:
+    weighed = ", ".join(map(_format_load, placed.considered_servers))
     return (
         f"Placed on {placed.server} for attempt {placed.attempt} after "
         f"{placed.waited_s:.3f} s in the queue: {placed.reason or 'no reason kept'}."
@@ -98,11 +102,11 @@
     )
 
 
-def _load(alternative: ConsideredServer) -> str:
+def _format_load(alternative: ConsideredServer) -> str:
     return f"{alternative.server} at {alternative.load:.0%}"
 
 
-def _answer(event: TraceEvent, *, arrived: float | None) -> str | None:
+def _describe_answer(event: TraceEvent, *, arrived: float | None) -> str | None:
     match event.event:
         case AttemptForwarded(server, attempt):
             return f"Handed to {server} to run (attempt {attempt})."
@@ -128,16 +132,16 @@
     return None
 
 
-def _ending(event: TraceEvent, *, final: bool) -> str | None:
+def _describe_end(event: TraceEvent, *, final: bool) -> str | None:
     match event.event:
         case RequestFinished(outcome, status, length, reason):
             what = "Final outcome" if final else "This attempt ended as"
             code = f", status {status}" if status else ""
-            return f"{what}: {outcome}{code}, {length:,} bytes{_after(reason)}."
+            return f"{what}: {outcome}{code}, {length:,} bytes{_format_detail(reason)}."
         case NoteAdded(text):
             return text if text.endswith(".") else f"{text}."
     return None
 
 
-def _after(detail: str) -> str:
+def _format_detail(detail: str) -> str:
     return f": {detail.rstrip('.')}" if detail else ""
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/shipper.py
@@ -32,15 +32,15 @@
 
 logger = logging.getLogger("kingcupwheel.trace")
 
-_LIFE_BYTES = 4
-_TICK_S = 0.5
+_INCARNATION_BYTES = 4
+_POLL_INTERVAL_S = 0.5
 # Expired batches that their writers have forgotten wait this long for deletion. 1,370
 # processes then sweep every 16 s together, with about five calls each.
-_SWEEP_S = 6 * 3600.0
-_FIRST_SWEEP_S = 1800.0
+_SWEEP_INTERVAL_S = 6 * 3600.0
+_MAX_FIRST_SWEEP_DELAY_S = 1800.0
 # A graceful stop must not hang on a platform that is down: what is not written by then
 # is left to the story, which says that the batch is missing.
-_STOP_S = 3.0
+_FLUSH_TIMEOUT_S = 3.0
 
 
 class BatchShipper:
@@ -64,15 +64,17 @@
         self._metrics = metrics
         self._outbox = Outbox(
             recorder.process,
-            life=secrets.token_hex(_LIFE_BYTES),
+            incarnation=secrets.token_hex(_INCARNATION_BYTES),
             period_s=min(period_s, MAX_BATCH_PERIOD_S),
             now=time.monotonic(),
         )
-        self._stopping = Event()
+        self._stop_requested = Event()
         self._sweeper = BatchSweeper(client, recorder.process)
-        self._marked = False
+        self._is_marked = False
         # Processes that start together, as after an outage, must not sweep together.
-        self._next_sweep = time.monotonic() + random.uniform(0, _FIRST_SWEEP_S)
+        self._next_sweep_at = time.monotonic() + random.uniform(
+            0, _MAX_FIRST_SWEEP_DELAY_S
+        )
         self._thread = Thread(target=self._run, name="trace-batches", daemon=True)
 
     def start(self) -> None:
@@ -81,37 +83,37 @@
 
     def stop(self) -> None:
         """Write what waits, within a few seconds, and end the thread."""
-        self._stopping.set()
+        self._stop_requested.set()
         if self._thread.is_alive():
             self._thread.join()
         self._flush()
 
     def _run(self) -> None:
-        while not self._stopping.wait(_TICK_S):
+        while not self._stop_requested.wait(_POLL_INTERVAL_S):
             try:
-                self._turn()
+                self._run_once()
             except Exception:
                 logger.exception("Batch failed.")
 
-    def _turn(self) -> None:
-        self._collect()
+    def _run_once(self) -> None:
+        self._collect_events()
         now = time.monotonic()
         call = self._outbox.plan_call(
             now=now, at=time.time(), retention_s=self._retention_s()
         )
         match call:
             case WriteBatch():
-                self._write(call)
+                self._write_batch(call)
             case DeleteBatch():
-                self._delete(call)
+                self._delete_batch(call)
             case None:
-                self._sweep(now)
+                self._sweep_if_due(now)
 
-    def _write(self, call: WriteBatch) -> bool:
+    def _write_batch(self, call: WriteBatch) -> bool:
         # Before the first batch: one without a mark would never be swept. A failed mark
         # is a failed call, so that an outage is met by one call at a time.
-        self._marked = self._marked or self._sweeper.create_marker()
-        if not self._marked:
+        self._is_marked = self._is_marked or self._sweeper.create_marker()
+        if not self._is_marked:
             self._outbox.postpone_call(now=time.monotonic())
             return False
         result = self._client.create(call.key, call.value)
@@ -135,7 +137,7 @@
                 self._outbox.drop_rejected(detail, now=now)
         return False
 
-    def _delete(self, call: DeleteBatch) -> None:
+    def _delete_batch(self, call: DeleteBatch) -> None:
         result = self._client.delete(call.key, version=call.version)
         now = time.monotonic()
         match result.error if result.is_error() else None:
@@ -150,13 +152,13 @@
             case Unavailable() | Rejected():
                 self._outbox.postpone_call(now=now)
 
-    def _sweep(self, now: float) -> None:
-        if now < self._next_sweep:
+    def _sweep_if_due(self, now: float) -> None:
+        if now < self._next_sweep_at:
             return
         self._outbox.schedule_deletions(self._sweeper.find_batches())
-        self._next_sweep = now + _SWEEP_S * random.uniform(0.8, 1.2)
+        self._next_sweep_at = now + _SWEEP_INTERVAL_S * random.uniform(0.8, 1.2)
 
-    def _collect(self) -> None:
+    def _collect_events(self) -> None:
         lost = self._outbox.add_events(self._recorder.drain())
         if self._metrics is not None:
             self._metrics.set_gauge(
@@ -166,8 +168,8 @@
                 self._metrics.increment(CounterName.TRACE_EVENTS_LOST, amount=lost)
 
     def _flush(self) -> None:
-        self._collect()
-        end = time.monotonic() + _STOP_S
+        self._collect_events()
+        end = time.monotonic() + _FLUSH_TIMEOUT_S
         while time.monotonic() < end and (call := self._outbox.plan_flush()):
-            if not self._write(call):
+            if not self._write_batch(call):
                 return
