--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from kingcupwheel.burn.goals import BurnGoals
     from kingcupwheel.burn.observed import Observed
-    from kingcupwheel.burn.tallies import Count
+    from kingcupwheel.burn.tallies import EventCount
 
 # Scopes with goals of their own that one entry counts; 20 KB each. An entry serves a
 # small set of organisations, so that it only bites if many of them have own goals.
@@ -72,7 +72,7 @@
         with self._lock:
             self._goals = goals
 
-    def observe(self, observed: Observed, *, now: float) -> dict[Indicator, Count]:
+    def observe(self, observed: Observed, *, now: float) -> dict[Indicator, EventCount]:
         """Count a finished request and return how it met its own goals.
 
         ``now`` is Unix seconds.
@@ -99,9 +99,9 @@
                 self._uncounted,
             )
 
-    def _count(self, observed: Observed, now: float) -> dict[Indicator, Count]:
+    def _count(self, observed: Observed, now: float) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
-        own: dict[Indicator, Count] = {}
+        own: dict[Indicator, EventCount] = {}
         held = self._goals.held(
             route=observed.route, organisation=observed.organisation
         )
@@ -125,7 +125,7 @@
         return tally
 
     def _blame(
-        self, observed: Observed, counts: dict[Indicator, Count], now: float
+        self, observed: Observed, counts: dict[Indicator, EventCount], now: float
     ) -> None:
         culprits = self._slice(now)
         for indicator, count in counts.items():
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -19,7 +19,7 @@
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import CulpritCount
 from kingcupwheel.burn.tallies import MINUTE_S
-from kingcupwheel.burn.tallies import Count
+from kingcupwheel.burn.tallies import EventCount
 
 
 if TYPE_CHECKING:
@@ -177,10 +177,10 @@
     )
 
 
-def _sums(rows: Iterable[Sequence[tuple[int, int]]]) -> list[Count]:
+def _sums(rows: Iterable[Sequence[tuple[int, int]]]) -> list[EventCount]:
     columns = zip(*rows, strict=True)
     return [
-        Count(sum(total for total, _ in column), sum(bad for _, bad in column))
+        EventCount(sum(total for total, _ in column), sum(bad for _, bad in column))
         for column in columns
     ]
 
@@ -211,8 +211,8 @@
 
 
 def _plots(newest_first: Sequence[BurnPart]) -> tuple[Plot, ...]:
-    bad_by_point: defaultdict[tuple[Indicator, int], Count]
-    bad_by_point = defaultdict(lambda: Count(0, 0))
+    bad_by_point: defaultdict[tuple[Indicator, int], EventCount]
+    bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
     for part in newest_first:
         last = int(part.at // (MINUTE_S * POINT_MIN))
@@ -221,7 +221,7 @@
             first = last - len(counts.points) + 1
             for offset, pair in enumerate(counts.points):
                 key = (counts.indicator, first + offset)
-                bad_by_point[key] = bad_by_point[key].plus(Count(*pair))
+                bad_by_point[key] = bad_by_point[key].plus(EventCount(*pair))
     return tuple(
         Plot(indicator, _points(indicator, target, bad_by_point))
         for indicator, target in target_by_indicator.items()
@@ -229,7 +229,7 @@
 
 
 def _points(
-    indicator: Indicator, target: float, counts: dict[tuple[Indicator, int], Count]
+    indicator: Indicator, target: float, counts: dict[tuple[Indicator, int], EventCount]
 ) -> tuple[Point, ...]:
     numbers = sorted(number for kind, number in counts if kind is indicator)
     return tuple(
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/observed.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.burn.goals import Indicator
-from kingcupwheel.burn.tallies import Count
+from kingcupwheel.burn.tallies import EventCount
 from kingcupwheel.messages.attempts import Outcome
 
 
@@ -41,7 +41,7 @@
     caller_left: bool = False
 
 
-def judge(observed: Observed, goals: Goals) -> dict[Indicator, Count]:
+def judge(observed: Observed, goals: Goals) -> dict[Indicator, EventCount]:
     """Return what the request adds to each indicator; absent ones count nothing.
 
     A refusal for a reason of the caller's own, and a caller that left, say nothing of
@@ -50,14 +50,14 @@
     counts = {}
     if _counted(observed):
         good = observed.outcome is Outcome.RAN
-        counts[Indicator.AVAILABILITY] = Count(1, 0 if good else 1)
+        counts[Indicator.AVAILABILITY] = EventCount(1, 0 if good else 1)
     if observed.first_byte_s is not None:
         late = observed.first_byte_s > goals.first_token_s
-        counts[Indicator.FIRST_TOKEN] = Count(1, int(late))
+        counts[Indicator.FIRST_TOKEN] = EventCount(1, int(late))
     if observed.gaps_s:
         limit_s = goals.token_gap_ms / 1000
         late_gaps = sum(1 for gap_s in observed.gaps_s if gap_s > limit_s)
-        counts[Indicator.TOKEN_GAP] = Count(len(observed.gaps_s), late_gaps)
+        counts[Indicator.TOKEN_GAP] = EventCount(len(observed.gaps_s), late_gaps)
     return counts
 
 
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.tallies import Count
+    from kingcupwheel.burn.tallies import EventCount
 
 FAST_RATE = 14.4
 SLOW_RATE = 6.0
@@ -31,7 +31,7 @@
     FAST = "fast"
 
 
-def burn_rate(count: Count, target: float) -> float | None:
+def burn_rate(count: EventCount, target: float) -> float | None:
     """Return the burn rate of ``count``; None without events.
 
     A target of 1 leaves no budget: any bad event then burns without bound.
@@ -45,7 +45,7 @@
     return share / budget
 
 
-def alert_of(windows: Sequence[Count], target: float) -> Alert:
+def alert_of(windows: Sequence[EventCount], target: float) -> Alert:
     """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
     if _over(fast_short, fast_long, target, FAST_RATE):
@@ -55,7 +55,7 @@
     return Alert.NONE
 
 
-def _over(short: Count, long: Count, target: float, threshold: float) -> bool:
+def _over(short: EventCount, long: EventCount, target: float, threshold: float) -> bool:
     if short.total < FEWEST_EVENTS:
         return False
     return all((burn_rate(count, target) or 0) > threshold for count in (short, long))
--- a/src/kingcupwheel/burn/tallies.py
+++ b/src/kingcupwheel/burn/tallies.py
@@ -16,15 +16,15 @@
 _INDEX_BY_INDICATOR = {item: 2 * index for index, item in enumerate(INDICATORS)}
 
 
-class Count(NamedTuple):
+class EventCount(NamedTuple):
     """Events, and those of them that missed the goal."""
 
     total: int
     bad: int
 
-    def plus(self, other: Count) -> Count:
+    def plus(self, other: EventCount) -> EventCount:
         """Return both together."""
-        return Count(self.total + other.total, self.bad + other.bad)
+        return EventCount(self.total + other.total, self.bad + other.bad)
 
 
 class Tally:
@@ -43,7 +43,7 @@
         self._counts[base] += total
         self._counts[base + 1] += bad
 
-    def sum(self, indicator: Indicator, *, first: int, last: int) -> Count:
+    def sum(self, indicator: Indicator, *, first: int, last: int) -> EventCount:
         """Return the count from minute ``first`` to ``last``, both included."""
         offset = _INDEX_BY_INDICATOR[indicator]
         total = bad = 0
@@ -52,7 +52,7 @@
             if self._minutes[slot] == minute:
                 total += self._counts[slot * _WIDTH + offset]
                 bad += self._counts[slot * _WIDTH + offset + 1]
-        return Count(total, bad)
+        return EventCount(total, bad)
 
     def _row(self, minute: int) -> int:
         slot = minute % _MINUTES
