--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -112,7 +112,7 @@
                 self._uncounted += 1
                 continue
             for indicator, count in counts.items():
-                tally.add(minute, indicator, total=count.total, bad=count.bad)
+                tally.add_events(minute, indicator, total=count.total, bad=count.bad)
             if scope == OVERALL:
                 self._blame(observed, counts, now)
                 own = counts
--- a/src/kingcupwheel/burn/tallies.py
+++ b/src/kingcupwheel/burn/tallies.py
@@ -37,7 +37,9 @@
         self._counts = array("Q", bytes(8 * _MINUTES * _WIDTH))
         self._minutes = array("q", [-1] * _MINUTES)
 
-    def add(self, minute: int, indicator: Indicator, *, total: int, bad: int) -> None:
+    def add_events(
+        self, minute: int, indicator: Indicator, *, total: int, bad: int
+    ) -> None:
         """Count ``total`` events of which ``bad`` missed the goal."""
         base = self._row(minute) + _INDEX_BY_INDICATOR[indicator]
         self._counts[base] += total
