--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -177,7 +177,7 @@
                 indicator,
                 target(goals, indicator),
                 tuple(
-                    tally.sum(indicator, first=minute - length + 1, last=minute)
+                    tally.sum_range(indicator, first=minute - length + 1, last=minute)
                     for length in WINDOWS_MIN
                 ),
                 _points(tally, indicator, minute) if scope == OVERALL else (),
@@ -206,7 +206,7 @@
     """Return counts of five minutes each; points of all entries start alike."""
     last = minute // POINT_MIN
     return tuple(
-        tally.sum(
+        tally.sum_range(
             indicator, first=point * POINT_MIN, last=point * POINT_MIN + POINT_MIN - 1
         )
         for point in range(last - POINTS + 1, last + 1)
--- a/src/kingcupwheel/burn/tallies.py
+++ b/src/kingcupwheel/burn/tallies.py
@@ -45,7 +45,7 @@
         self._counts[base] += total
         self._counts[base + 1] += bad
 
-    def sum(self, indicator: Indicator, *, first: int, last: int) -> EventCount:
+    def sum_range(self, indicator: Indicator, *, first: int, last: int) -> EventCount:
         """Return the count from minute ``first`` to ``last``, both included."""
         offset = _INDEX_BY_INDICATOR[indicator]
         total = bad = 0
