--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -30,7 +30,7 @@
 from kingcupwheel.burn.records import IndicatorCounts
 from kingcupwheel.burn.records import ScopeCounts
 from kingcupwheel.burn.tallies import MINUTE_S
-from kingcupwheel.burn.tallies import Tally
+from kingcupwheel.burn.tallies import MinuteCounts
 from kingcupwheel.messages.traces import BurnReply
 
 
@@ -58,7 +58,7 @@
         self._process = process
         self._goals = goals
         self._since = now
-        self._tally_by_scope: dict[Scope, Tally] = {OVERALL: Tally()}
+        self._tally_by_scope: dict[Scope, MinuteCounts] = {OVERALL: MinuteCounts()}
         self._culprits_by_slice: dict[int, Counter[Culprit]] = {}
         self._histograms = TimeHistograms()
         self._uncounted = 0
@@ -118,10 +118,10 @@
                 own = counts
         return own
 
-    def _tally(self, scope: Scope) -> Tally | None:
+    def _tally(self, scope: Scope) -> MinuteCounts | None:
         tally = self._tally_by_scope.get(scope)
         if tally is None and len(self._tally_by_scope) < MAX_SCOPES:
-            tally = self._tally_by_scope[scope] = Tally()
+            tally = self._tally_by_scope[scope] = MinuteCounts()
         return tally
 
     def _blame(
@@ -169,7 +169,7 @@
         )
 
     def _indicators(
-        self, scope: Scope, tally: Tally, minute: int
+        self, scope: Scope, tally: MinuteCounts, minute: int
     ) -> tuple[IndicatorCounts, ...]:
         goals = self._goals.of(scope)
         return tuple(
@@ -201,7 +201,7 @@
 
 
 def _points(
-    tally: Tally, indicator: Indicator, minute: int
+    tally: MinuteCounts, indicator: Indicator, minute: int
 ) -> tuple[tuple[int, int], ...]:
     """Return counts of five minutes each; points of all entries start alike."""
     last = minute // POINT_MIN
--- a/src/kingcupwheel/burn/tallies.py
+++ b/src/kingcupwheel/burn/tallies.py
@@ -27,7 +27,7 @@
         return EventCount(self.total + other.total, self.bad + other.bad)
 
 
-class Tally:
+class MinuteCounts:
     """Counts of one scope; about 20 KB whatever the traffic.
 
     Minutes are Unix minutes, so that the tallies of several entries line up.
