--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from kingcupwheel.burn.goals import BurnGoals
-    from kingcupwheel.burn.observed import Observed
+    from kingcupwheel.burn.observed import FinishedRequest
     from kingcupwheel.burn.tallies import EventCount
 
 # Scopes with goals of their own that one entry counts; 20 KB each. An entry serves a
@@ -72,7 +72,9 @@
         with self._lock:
             self._goals = goals
 
-    def observe(self, observed: Observed, *, now: float) -> dict[Indicator, EventCount]:
+    def observe(
+        self, observed: FinishedRequest, *, now: float
+    ) -> dict[Indicator, EventCount]:
         """Count a finished request and return how it met its own goals.
 
         ``now`` is Unix seconds.
@@ -99,7 +101,9 @@
                 self._uncounted,
             )
 
-    def _count(self, observed: Observed, now: float) -> dict[Indicator, EventCount]:
+    def _count(
+        self, observed: FinishedRequest, now: float
+    ) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
         own: dict[Indicator, EventCount] = {}
         held = self._goals.held(
@@ -125,7 +129,7 @@
         return tally
 
     def _blame(
-        self, observed: Observed, counts: dict[Indicator, EventCount], now: float
+        self, observed: FinishedRequest, counts: dict[Indicator, EventCount], now: float
     ) -> None:
         culprits = self._slice(now)
         for indicator, count in counts.items():
@@ -153,7 +157,7 @@
                 del self._culprits_by_slice[old]
         return self._culprits_by_slice[number]
 
-    def _time(self, observed: Observed, now: float) -> None:
+    def _time(self, observed: FinishedRequest, now: float) -> None:
         group = observed.group
         if observed.first_byte_s is not None:
             times_s = (observed.first_byte_s,)
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/observed.py
@@ -20,7 +20,7 @@
 _OWN_FAULT_STATUS = 500
 
 
-class Observed(NamedTuple):
+class FinishedRequest(NamedTuple):
     """A request with its final outcome.
 
     ``route`` is ``goals.route_name``'s; ``status`` is the HTTP status told to the
@@ -41,7 +41,7 @@
     caller_left: bool = False
 
 
-def judge(observed: Observed, goals: Goals) -> dict[Indicator, EventCount]:
+def judge(observed: FinishedRequest, goals: Goals) -> dict[Indicator, EventCount]:
     """Return what the request adds to each indicator; absent ones count nothing.
 
     A refusal for a reason of the caller's own, and a caller that left, say nothing of
@@ -61,7 +61,7 @@
     return counts
 
 
-def _counted(observed: Observed) -> bool:
+def _counted(observed: FinishedRequest) -> bool:
     match observed.outcome:
         case Outcome.RAN:
             return True
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import route_name
-from kingcupwheel.burn.observed import Observed
+from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import GaugeName
 from kingcupwheel.metrics.metric_names import TimerName
@@ -43,7 +43,7 @@
         """CounterName a request that the entry refused."""
         self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._count(
-            Observed(
+            FinishedRequest(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
                 group=request.group.name,
@@ -72,7 +72,7 @@
         if gaps_s:
             self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
         self._count(
-            Observed(
+            FinishedRequest(
                 organisation=request.organisation.name,
                 route=route_name(request.route),
                 group=request.group.name,
@@ -86,7 +86,7 @@
             )
         )
 
-    def _count(self, observed: Observed) -> None:
+    def _count(self, observed: FinishedRequest) -> None:
         self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
             self._metrics.increment(CounterName.CALLERS_LEFT)
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.burn.observed import Observed
+    from kingcupwheel.burn.observed import FinishedRequest
     from kingcupwheel.messages.base import Message
 
 _DIGEST = "0" * 64
@@ -178,7 +178,9 @@
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
         )
 
-        def run(counter: BurnCounter = counter, observed: Observed = observed) -> None:
+        def run(
+            counter: BurnCounter = counter, observed: FinishedRequest = observed
+        ) -> None:
             counter.observe(observed, now=1.0)
 
         points.append(Point(gaps, _MICROSECONDS * _cpu_s(run, 300)))
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -10,7 +10,7 @@
 
 from kingcupwheel.burn.counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.observed import Observed
+from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
@@ -81,9 +81,9 @@
     )
 
 
-def observed_request(gaps_s: tuple[float, ...]) -> Observed:
+def observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
     """Return an answered request with these gaps between tokens."""
-    return Observed(
+    return FinishedRequest(
         organisation="organisation-31415",
         route="*/v1/completions",
         group="parts-model",
