--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -19,7 +19,7 @@
 from kingcupwheel.burn.goals import Scope
 from kingcupwheel.burn.goals import target
 from kingcupwheel.burn.histograms import TimeHistograms
-from kingcupwheel.burn.observed import judge
+from kingcupwheel.burn.observed import count_by_indicator
 from kingcupwheel.burn.records import POINT_MIN
 from kingcupwheel.burn.records import POINTS
 from kingcupwheel.burn.records import WINDOWS_MIN
@@ -110,7 +110,7 @@
             route=observed.route, organisation=observed.organisation
         )
         for scope, goals in held:
-            counts = judge(observed, goals)
+            counts = count_by_indicator(observed, goals)
             tally = self._tally(scope)
             if tally is None:
                 self._uncounted += 1
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/observed.py
@@ -41,7 +41,9 @@
     caller_left: bool = False
 
 
-def judge(observed: FinishedRequest, goals: Goals) -> dict[Indicator, EventCount]:
+def count_by_indicator(
+    observed: FinishedRequest, goals: Goals
+) -> dict[Indicator, EventCount]:
     """Return what the request adds to each indicator; absent ones count nothing.
 
     A refusal for a reason of the caller's own, and a caller that left, say nothing of
