--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -46,7 +46,7 @@
 OVERALL = Scope(ScopeKind.OVERALL, "")
 
 
-def route_name(route: Route) -> str:
+def build_route_name(route: Route) -> str:
     """Return the name that a route is counted under."""
     return f"{route.host}{route.path}"
 
@@ -98,7 +98,11 @@
     return BurnGoals(
         version,
         manifest.goals,
-        {route_name(route): route.goals for route in manifest.routes if route.goals},
+        {
+            build_route_name(route): route.goals
+            for route in manifest.routes
+            if route.goals
+        },
         {item.name: item.goals for item in manifest.organisations if item.goals},
     )
 
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.goals import route_name
+from kingcupwheel.burn.goals import build_route_name
 from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import GaugeName
@@ -45,7 +45,7 @@
         self._count(
             FinishedRequest(
                 organisation=request.organisation.name,
-                route=route_name(request.route),
+                route=build_route_name(request.route),
                 group=request.group.name,
                 server="",
                 outcome=refusal.outcome,
@@ -74,7 +74,7 @@
         self._count(
             FinishedRequest(
                 organisation=request.organisation.name,
-                route=route_name(request.route),
+                route=build_route_name(request.route),
                 group=request.group.name,
                 server=server,
                 outcome=outcome,
@@ -106,6 +106,6 @@
     return BurnGoals(
         manifest.version,
         manifest.goals,
-        {route_name(route): route.goals for route in routes if route.goals},
+        {build_route_name(route): route.goals for route in routes if route.goals},
         {item.name: item.goals for item in organisations if item.goals},
     )
