--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -51,7 +51,7 @@
     return f"{route.host}{route.path}"
 
 
-class Held(NamedTuple):
+class ApplicableGoals(NamedTuple):
     """A scope that counts a request, and the goals it is held to there."""
 
     scope: Scope
@@ -66,7 +66,7 @@
     by_route: dict[str, Goals]
     by_organisation: dict[str, Goals]
 
-    def held(self, *, route: str, organisation: str) -> tuple[Held, ...]:
+    def held(self, *, route: str, organisation: str) -> tuple[ApplicableGoals, ...]:
         """Return the scopes that count a request.
 
         Among all requests it is held to its own goals, the organisation's before the
@@ -74,12 +74,12 @@
         """
         of_route = self.by_route.get(route)
         of_organisation = self.by_organisation.get(organisation)
-        held = [Held(OVERALL, of_organisation or of_route or self.overall)]
+        held = [ApplicableGoals(OVERALL, of_organisation or of_route or self.overall)]
         if of_route:
-            held.append(Held(Scope(ScopeKind.ROUTE, route), of_route))
+            held.append(ApplicableGoals(Scope(ScopeKind.ROUTE, route), of_route))
         if of_organisation:
             scope = Scope(ScopeKind.ORGANISATION, organisation)
-            held.append(Held(scope, of_organisation))
+            held.append(ApplicableGoals(scope, of_organisation))
         return tuple(held)
 
     def of(self, scope: Scope) -> Goals:
