--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -106,7 +106,7 @@
     ) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
         own: dict[Indicator, EventCount] = {}
-        held = self._goals.held(
+        held = self._goals.list_applicable_goals(
             route=observed.route, organisation=observed.organisation
         )
         for scope, goals in held:
--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -66,7 +66,9 @@
     by_route: dict[str, Goals]
     by_organisation: dict[str, Goals]
 
-    def held(self, *, route: str, organisation: str) -> tuple[ApplicableGoals, ...]:
+    def list_applicable_goals(
+        self, *, route: str, organisation: str
+    ) -> tuple[ApplicableGoals, ...]:
         """Return the scopes that count a request.
 
         Among all requests it is held to its own goals, the organisation's before the
