--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -175,7 +175,7 @@
     def _indicators(
         self, scope: Scope, tally: MinuteCounts, minute: int
     ) -> tuple[IndicatorCounts, ...]:
-        goals = self._goals.of(scope)
+        goals = self._goals.get_goals(scope)
         return tuple(
             IndicatorCounts(
                 indicator,
--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -84,7 +84,7 @@
             held.append(ApplicableGoals(scope, of_organisation))
         return tuple(held)
 
-    def of(self, scope: Scope) -> Goals:
+    def get_goals(self, scope: Scope) -> Goals:
         """Return the goals whose targets the scope's burn is counted against."""
         match scope.kind:
             case ScopeKind.OVERALL:
