--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -95,7 +95,7 @@
                 return self.by_organisation.get(scope.name, self.overall)
 
 
-def goals_of(manifest: Manifest, *, version: int) -> BurnGoals:
+def build_goals(manifest: Manifest, *, version: int) -> BurnGoals:
     """Return the goals that ``manifest`` sets."""
     return BurnGoals(
         version,
