--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -17,7 +17,7 @@
 from kingcupwheel.burn.goals import OVERALL
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import Scope
-from kingcupwheel.burn.goals import target
+from kingcupwheel.burn.goals import get_target
 from kingcupwheel.burn.histograms import TimeHistograms
 from kingcupwheel.burn.observed import count_by_indicator
 from kingcupwheel.burn.records import POINT_MIN
@@ -179,7 +179,7 @@
         return tuple(
             IndicatorCounts(
                 indicator,
-                target(goals, indicator),
+                get_target(goals, indicator),
                 tuple(
                     tally.sum_range(indicator, first=minute - length + 1, last=minute)
                     for length in WINDOWS_MIN
--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -109,7 +109,7 @@
     )
 
 
-def target(goals: Goals, indicator: Indicator) -> float:
+def get_target(goals: Goals, indicator: Indicator) -> float:
     """Return the share of good events that the goals ask for."""
     if indicator is Indicator.AVAILABILITY:
         return goals.availability
