--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -20,8 +20,8 @@
 from kingcupwheel.burn.goals import get_target
 from kingcupwheel.burn.histograms import TimeHistograms
 from kingcupwheel.burn.observed import count_by_indicator
+from kingcupwheel.burn.records import POINT_COUNT
 from kingcupwheel.burn.records import POINT_MIN
-from kingcupwheel.burn.records import POINTS
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import BurnPart
 from kingcupwheel.burn.records import Culprit
@@ -213,5 +213,5 @@
         tally.sum_range(
             indicator, first=point * POINT_MIN, last=point * POINT_MIN + POINT_MIN - 1
         )
-        for point in range(last - POINTS + 1, last + 1)
+        for point in range(last - POINT_COUNT + 1, last + 1)
     )
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -15,7 +15,7 @@
 WINDOWS_MIN = (5, 60, 30, 360)
 # Length of one point of the plot, in minutes, and how many there are.
 POINT_MIN = 5
-POINTS = 72
+POINT_COUNT = 72
 
 
 class IndicatorCounts(msgspec.Struct, frozen=True, array_like=True):
