--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -21,7 +21,7 @@
 from kingcupwheel.burn.histograms import TimeHistograms
 from kingcupwheel.burn.observed import count_by_indicator
 from kingcupwheel.burn.records import POINT_COUNT
-from kingcupwheel.burn.records import POINT_MIN
+from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import BurnPart
 from kingcupwheel.burn.records import Culprit
@@ -208,10 +208,12 @@
     tally: MinuteCounts, indicator: Indicator, minute: int
 ) -> tuple[tuple[int, int], ...]:
     """Return counts of five minutes each; points of all entries start alike."""
-    last = minute // POINT_MIN
+    last = minute // POINT_LENGTH_MIN
     return tuple(
         tally.sum_range(
-            indicator, first=point * POINT_MIN, last=point * POINT_MIN + POINT_MIN - 1
+            indicator,
+            first=point * POINT_LENGTH_MIN,
+            last=point * POINT_LENGTH_MIN + POINT_LENGTH_MIN - 1,
         )
         for point in range(last - POINT_COUNT + 1, last + 1)
     )
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -15,7 +15,7 @@
 from kingcupwheel.burn.rates import Alert
 from kingcupwheel.burn.rates import alert_of
 from kingcupwheel.burn.rates import burn_rate
-from kingcupwheel.burn.records import POINT_MIN
+from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import CulpritCount
 from kingcupwheel.burn.tallies import MINUTE_S
@@ -215,7 +215,7 @@
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
     for part in newest_first:
-        last = int(part.at // (MINUTE_S * POINT_MIN))
+        last = int(part.at // (MINUTE_S * POINT_LENGTH_MIN))
         for counts in _overall(part):
             target_by_indicator.setdefault(counts.indicator, counts.target)
             first = last - len(counts.points) + 1
@@ -234,7 +234,7 @@
     numbers = sorted(number for kind, number in counts if kind is indicator)
     return tuple(
         Point(
-            number * POINT_MIN * MINUTE_S,
+            number * POINT_LENGTH_MIN * MINUTE_S,
             *counts[indicator, number],
             burn_rate(counts[indicator, number], target),
         )
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -14,7 +14,7 @@
 # multi-burn-rate alerts" of the Site Reliability Workbook, chapter 5.
 WINDOWS_MIN = (5, 60, 30, 360)
 # Length of one point of the plot, in minutes, and how many there are.
-POINT_MIN = 5
+POINT_LENGTH_MIN = 5
 POINT_COUNT = 72
 
 
