--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -24,10 +24,10 @@
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import BurnPart
-from kingcupwheel.burn.records import Culprit
 from kingcupwheel.burn.records import CulpritCount
 from kingcupwheel.burn.records import HistogramPart
 from kingcupwheel.burn.records import IndicatorCounts
+from kingcupwheel.burn.records import MissCause
 from kingcupwheel.burn.records import ScopeCounts
 from kingcupwheel.burn.tallies import MINUTE_S
 from kingcupwheel.burn.tallies import MinuteCounts
@@ -59,7 +59,7 @@
         self._goals = goals
         self._since = now
         self._tally_by_scope: dict[Scope, MinuteCounts] = {OVERALL: MinuteCounts()}
-        self._culprits_by_slice: dict[int, Counter[Culprit]] = {}
+        self._culprits_by_slice: dict[int, Counter[MissCause]] = {}
         self._histograms = TimeHistograms()
         self._uncounted = 0
         self._lock = Lock()
@@ -138,7 +138,7 @@
             reason = observed.reason
             if indicator is not Indicator.AVAILABILITY:
                 reason = "late"
-            culprit = Culprit(
+            culprit = MissCause(
                 indicator,
                 observed.organisation,
                 observed.group,
@@ -146,10 +146,10 @@
                 reason,
             )
             if culprit not in culprits and len(culprits) >= MAX_CULPRITS:
-                culprit = Culprit(indicator, OTHERS, OTHERS, OTHERS, OTHERS)
+                culprit = MissCause(indicator, OTHERS, OTHERS, OTHERS, OTHERS)
             culprits[culprit] += count.bad
 
-    def _slice(self, now: float) -> Counter[Culprit]:
+    def _slice(self, now: float) -> Counter[MissCause]:
         number = int(now // _SLICE_S)
         if number not in self._culprits_by_slice:
             self._culprits_by_slice[number] = Counter()
@@ -191,7 +191,7 @@
 
     def _worst(self, now: float) -> tuple[CulpritCount, ...]:
         self._slice(now)
-        total: Counter[Culprit] = Counter()
+        total: Counter[MissCause] = Counter()
         for culprits in self._culprits_by_slice.values():
             total.update(culprits)
         told = total.most_common(_TOLD_CULPRITS)
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -27,8 +27,8 @@
     from collections.abc import Sequence
 
     from kingcupwheel.burn.records import BurnPart
-    from kingcupwheel.burn.records import Culprit
     from kingcupwheel.burn.records import IndicatorCounts
+    from kingcupwheel.burn.records import MissCause
 
 # Culprits in a report, the worst first.
 _TOLD_CULPRITS = 20
@@ -186,7 +186,7 @@
 
 
 def _culprits(parts: Iterable[BurnPart]) -> tuple[CulpritCount, ...]:
-    total: Counter[Culprit] = Counter()
+    total: Counter[MissCause] = Counter()
     for part in parts:
         for item in part.culprits:
             total[item.culprit] += item.bad
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -40,7 +40,7 @@
     indicators: tuple[IndicatorCounts, ...]
 
 
-class Culprit(msgspec.Struct, frozen=True, array_like=True):
+class MissCause(msgspec.Struct, frozen=True, array_like=True):
     """Who and what missed a goal."""
 
     indicator: Indicator
@@ -53,7 +53,7 @@
 class CulpritCount(msgspec.Struct, frozen=True, array_like=True):
     """How many events of the last hour a culprit accounts for."""
 
-    culprit: Culprit
+    culprit: MissCause
     bad: int
 
 
