--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -24,10 +24,10 @@
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import BurnPart
-from kingcupwheel.burn.records import CulpritCount
 from kingcupwheel.burn.records import HistogramPart
 from kingcupwheel.burn.records import IndicatorCounts
 from kingcupwheel.burn.records import MissCause
+from kingcupwheel.burn.records import MissCauseCount
 from kingcupwheel.burn.records import ScopeCounts
 from kingcupwheel.burn.tallies import MINUTE_S
 from kingcupwheel.burn.tallies import MinuteCounts
@@ -189,13 +189,13 @@
             for indicator in INDICATORS
         )
 
-    def _worst(self, now: float) -> tuple[CulpritCount, ...]:
+    def _worst(self, now: float) -> tuple[MissCauseCount, ...]:
         self._slice(now)
         total: Counter[MissCause] = Counter()
         for culprits in self._culprits_by_slice.values():
             total.update(culprits)
         told = total.most_common(_TOLD_CULPRITS)
-        return tuple(CulpritCount(culprit, bad) for culprit, bad in told)
+        return tuple(MissCauseCount(culprit, bad) for culprit, bad in told)
 
     def _histogram_parts(self, now: float) -> tuple[HistogramPart, ...]:
         return tuple(
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -17,7 +17,7 @@
 from kingcupwheel.burn.rates import burn_rate
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
-from kingcupwheel.burn.records import CulpritCount
+from kingcupwheel.burn.records import MissCauseCount
 from kingcupwheel.burn.tallies import MINUTE_S
 from kingcupwheel.burn.tallies import EventCount
 
@@ -99,7 +99,7 @@
 
     at: float
     burns: tuple[Burn, ...]
-    culprits: tuple[CulpritCount, ...]
+    culprits: tuple[MissCauseCount, ...]
     times: tuple[Times, ...]
     plots: tuple[Plot, ...]
     entries: tuple[EntryState, ...]
@@ -185,13 +185,13 @@
     ]
 
 
-def _culprits(parts: Iterable[BurnPart]) -> tuple[CulpritCount, ...]:
+def _culprits(parts: Iterable[BurnPart]) -> tuple[MissCauseCount, ...]:
     total: Counter[MissCause] = Counter()
     for part in parts:
         for item in part.culprits:
             total[item.culprit] += item.bad
     worst = total.most_common(_TOLD_CULPRITS)
-    return tuple(CulpritCount(culprit, bad) for culprit, bad in worst)
+    return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
 
 
 def _times(parts: Iterable[BurnPart]) -> tuple[Times, ...]:
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -50,7 +50,7 @@
     reason: str
 
 
-class CulpritCount(msgspec.Struct, frozen=True, array_like=True):
+class MissCauseCount(msgspec.Struct, frozen=True, array_like=True):
     """How many events of the last hour a culprit accounts for."""
 
     culprit: MissCause
@@ -77,7 +77,7 @@
     since: float
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
-    culprits: tuple[CulpritCount, ...]
+    culprits: tuple[MissCauseCount, ...]
     histograms: tuple[HistogramPart, ...]
     uncounted: int = 0
 
