--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -189,7 +189,7 @@
     total: Counter[MissCause] = Counter()
     for part in parts:
         for item in part.culprits:
-            total[item.culprit] += item.bad
+            total[item.cause] += item.bad
     worst = total.most_common(_TOLD_CULPRITS)
     return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
 
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -83,11 +83,11 @@
     """Return the rows of the culprits' table."""
     return [
         (
-            item.culprit.indicator.value,
-            item.culprit.organisation,
-            item.culprit.group,
-            item.culprit.server or "-",
-            item.culprit.reason,
+            item.cause.indicator.value,
+            item.cause.organisation,
+            item.cause.group,
+            item.cause.server or "-",
+            item.cause.reason,
             str(item.bad),
         )
         for item in report.culprits
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -53,7 +53,7 @@
 class MissCauseCount(msgspec.Struct, frozen=True, array_like=True):
     """How many events of the last hour a culprit accounts for."""
 
-    culprit: MissCause
+    cause: MissCause
     bad: int
 
 
