--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -24,7 +24,7 @@
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import BurnPart
-from kingcupwheel.burn.records import HistogramPart
+from kingcupwheel.burn.records import EncodedHistogram
 from kingcupwheel.burn.records import IndicatorCounts
 from kingcupwheel.burn.records import MissCause
 from kingcupwheel.burn.records import MissCauseCount
@@ -197,9 +197,9 @@
         told = total.most_common(_TOLD_CULPRITS)
         return tuple(MissCauseCount(culprit, bad) for culprit, bad in told)
 
-    def _histogram_parts(self, now: float) -> tuple[HistogramPart, ...]:
+    def _histogram_parts(self, now: float) -> tuple[EncodedHistogram, ...]:
         return tuple(
-            HistogramPart(key.indicator, key.group, payload)
+            EncodedHistogram(key.indicator, key.group, payload)
             for key, payload in self._histograms.encoded(now=now)
         )
 
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.records import HistogramPart
+    from kingcupwheel.burn.records import EncodedHistogram
 
 UNITS_PER_S = 2000
 # Ten minutes; a longer time counts as that long.
@@ -93,7 +93,7 @@
         return payload
 
 
-def percentiles(parts: Iterable[HistogramPart]) -> dict[HistogramKey, Percentiles]:
+def percentiles(parts: Iterable[EncodedHistogram]) -> dict[HistogramKey, Percentiles]:
     """Return the percentiles of all parts together, by indicator and group."""
     merged: dict[HistogramKey, HdrHistogram] = {}
     for part in parts:
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -57,7 +57,7 @@
     bad: int
 
 
-class HistogramPart(msgspec.Struct, frozen=True, array_like=True):
+class EncodedHistogram(msgspec.Struct, frozen=True, array_like=True):
     """Times of one indicator and group; ``payload`` is an encoded HdrHistogram."""
 
     indicator: Indicator
@@ -78,7 +78,7 @@
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
     culprits: tuple[MissCauseCount, ...]
-    histograms: tuple[HistogramPart, ...]
+    histograms: tuple[EncodedHistogram, ...]
     uncounted: int = 0
 
 
