--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -23,8 +23,8 @@
 from kingcupwheel.burn.records import POINT_COUNT
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
-from kingcupwheel.burn.records import BurnPart
 from kingcupwheel.burn.records import EncodedHistogram
+from kingcupwheel.burn.records import EntryCounts
 from kingcupwheel.burn.records import IndicatorCounts
 from kingcupwheel.burn.records import MissCause
 from kingcupwheel.burn.records import MissCauseCount
@@ -87,10 +87,10 @@
         """Answer ``BurnRequest``."""
         return BurnReply(self._process, msgspec.msgpack.encode(self.part(now=now)))
 
-    def part(self, *, now: float) -> BurnPart:
+    def part(self, *, now: float) -> EntryCounts:
         """Return everything counted, as of ``now``."""
         with self._lock:
-            return BurnPart(
+            return EntryCounts(
                 self._process,
                 now,
                 self._since,
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -26,7 +26,7 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.records import BurnPart
+    from kingcupwheel.burn.records import EntryCounts
     from kingcupwheel.burn.records import IndicatorCounts
     from kingcupwheel.burn.records import MissCause
 
@@ -114,7 +114,7 @@
 
 
 def merge(
-    parts: Sequence[BurnPart],
+    parts: Sequence[EntryCounts],
     *,
     at: float,
     silent: Iterable[str] = (),
@@ -136,11 +136,11 @@
     )
 
 
-def _entry(part: BurnPart) -> EntryState:
+def _entry(part: EntryCounts) -> EntryState:
     return EntryState(part.process, part.since, part.manifest_version, part.uncounted)
 
 
-def _burns(newest_first: Sequence[BurnPart]) -> tuple[Burn, ...]:
+def _burns(newest_first: Sequence[EntryCounts]) -> tuple[Burn, ...]:
     counts_by_key: defaultdict[tuple[Scope, Indicator], list[IndicatorCounts]]
     counts_by_key = defaultdict(list)
     for part in newest_first:
@@ -185,7 +185,7 @@
     ]
 
 
-def _culprits(parts: Iterable[BurnPart]) -> tuple[MissCauseCount, ...]:
+def _culprits(parts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
     total: Counter[MissCause] = Counter()
     for part in parts:
         for item in part.culprits:
@@ -194,7 +194,7 @@
     return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
 
 
-def _times(parts: Iterable[BurnPart]) -> tuple[Times, ...]:
+def _times(parts: Iterable[EntryCounts]) -> tuple[Times, ...]:
     histograms = (histogram for part in parts for histogram in part.histograms)
     found = percentiles(histograms)
     return tuple(
@@ -210,7 +210,7 @@
     )
 
 
-def _plots(newest_first: Sequence[BurnPart]) -> tuple[Plot, ...]:
+def _plots(newest_first: Sequence[EntryCounts]) -> tuple[Plot, ...]:
     bad_by_point: defaultdict[tuple[Indicator, int], EventCount]
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
@@ -242,7 +242,7 @@
     )
 
 
-def _overall(part: BurnPart) -> Iterable[IndicatorCounts]:
+def _overall(part: EntryCounts) -> Iterable[IndicatorCounts]:
     for scope in part.scopes:
         if scope.kind is ScopeKind.OVERALL:
             yield from scope.indicators
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -65,7 +65,7 @@
     payload: bytes
 
 
-class BurnPart(msgspec.Struct, frozen=True, array_like=True):
+class EntryCounts(msgspec.Struct, frozen=True, array_like=True):
     """One entry's counts.
 
     ``at`` and ``since`` are Unix seconds: when it answered and since when it counts.
@@ -82,4 +82,4 @@
     uncounted: int = 0
 
 
-PART_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(BurnPart)
+PART_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(EntryCounts)
