--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -137,7 +137,9 @@
 
 
 def _entry(part: EntryCounts) -> EntryState:
-    return EntryState(part.process, part.since, part.manifest_version, part.uncounted)
+    return EntryState(
+        part.process, part.since, part.manifest_version, part.uncounted_requests
+    )
 
 
 def _burns(newest_first: Sequence[EntryCounts]) -> tuple[Burn, ...]:
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -79,7 +79,7 @@
     scopes: tuple[ScopeCounts, ...]
     culprits: tuple[MissCauseCount, ...]
     histograms: tuple[EncodedHistogram, ...]
-    uncounted: int = 0
+    uncounted_requests: int = 0
 
 
 PART_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(EntryCounts)
