--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -190,7 +190,7 @@
 def _culprits(parts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
     total: Counter[MissCause] = Counter()
     for part in parts:
-        for item in part.culprits:
+        for item in part.miss_causes:
             total[item.cause] += item.bad
     worst = total.most_common(_TOLD_CULPRITS)
     return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -77,7 +77,7 @@
     since: float
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
-    culprits: tuple[MissCauseCount, ...]
+    miss_causes: tuple[MissCauseCount, ...]
     histograms: tuple[EncodedHistogram, ...]
     uncounted_requests: int = 0
 
