--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -13,7 +13,7 @@
 from kingcupwheel.burn.exceptions import EntriesUnknown
 from kingcupwheel.burn.merging import BurnReport
 from kingcupwheel.burn.merging import merge
-from kingcupwheel.burn.records import PART_DECODER
+from kingcupwheel.burn.records import ENTRY_COUNTS_DECODER
 from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
 
@@ -64,7 +64,7 @@
     silent = set(addresses)
     for process, answer in answers.items():
         try:
-            parts.append(PART_DECODER.decode(answer.part))
+            parts.append(ENTRY_COUNTS_DECODER.decode(answer.part))
         except msgspec.MsgspecError:
             continue
         silent.discard(process)
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/records.py
@@ -82,4 +82,6 @@
     uncounted_requests: int = 0
 
 
-PART_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(EntryCounts)
+ENTRY_COUNTS_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(
+    EntryCounts
+)
