--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -43,7 +43,7 @@
 # small set of organisations, so that it only bites if many of them have own goals.
 MAX_SCOPES = 200
 # Culprits told apart in ten minutes; the rest is counted as one.
-MAX_CULPRITS = 200
+MAX_MISS_CAUSES = 200
 # Culprits sent in one answer, the worst first.
 _TOLD_CULPRITS = 100
 _SLICE_S = 600
@@ -145,7 +145,7 @@
                 observed.server,
                 reason,
             )
-            if culprit not in culprits and len(culprits) >= MAX_CULPRITS:
+            if culprit not in culprits and len(culprits) >= MAX_MISS_CAUSES:
                 culprit = MissCause(indicator, OTHERS, OTHERS, OTHERS, OTHERS)
             culprits[culprit] += count.bad
 
