--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -48,7 +48,7 @@
 _TOLD_CULPRITS = 100
 _SLICE_S = 600
 _SLICES = 6
-OTHERS = "others"
+OTHER_CAUSES = "others"
 
 
 class BurnCounter:
@@ -146,7 +146,9 @@
                 reason,
             )
             if culprit not in culprits and len(culprits) >= MAX_MISS_CAUSES:
-                culprit = MissCause(indicator, OTHERS, OTHERS, OTHERS, OTHERS)
+                culprit = MissCause(
+                    indicator, OTHER_CAUSES, OTHER_CAUSES, OTHER_CAUSES, OTHER_CAUSES
+                )
             culprits[culprit] += count.bad
 
     def _slice(self, now: float) -> Counter[MissCause]:
