--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -64,7 +64,7 @@
         self._uncounted = 0
         self._lock = Lock()
 
-    def adopt(self, goals: BurnGoals) -> None:
+    def set_goals(self, goals: BurnGoals) -> None:
         """Hold requests to the goals of a new manifest from now on.
 
         Counts made against earlier goals stay: they were true when they were made.
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -35,7 +35,7 @@
 
     def set_goals(self, manifest: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
-        self._burn_counter.adopt(build_burn_goals(manifest))
+        self._burn_counter.set_goals(build_burn_goals(manifest))
         self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
         self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
