--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -72,7 +72,7 @@
         with self._lock:
             self._goals = goals
 
-    def observe(
+    def count_request(
         self, observed: FinishedRequest, *, now: float
     ) -> dict[Indicator, EventCount]:
         """Count a finished request and return how it met its own goals.
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -90,7 +90,7 @@
         self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
             self._metrics.increment(CounterName.CALLERS_LEFT)
-        count_by_indicator = self._burn_counter.observe(observed, now=time.time())
+        count_by_indicator = self._burn_counter.count_request(observed, now=time.time())
         for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -181,7 +181,7 @@
         def run(
             counter: BurnCounter = counter, observed: FinishedRequest = observed
         ) -> None:
-            counter.observe(observed, now=1.0)
+            counter.count_request(observed, now=1.0)
 
         points.append(Point(gaps, _MICROSECONDS * _cpu_s(run, 300)))
     return points
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -105,7 +105,7 @@
         observed = observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
         )
-        counter.observe(observed, now=1.0)
+        counter.count_request(observed, now=1.0)
     return counter
 
 
