--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -83,7 +83,7 @@
             self._time(observed, now)
             return self._count(observed, now)
 
-    def found(self, *, now: float) -> BurnReply:
+    def build_reply(self, *, now: float) -> BurnReply:
         """Answer ``BurnRequest``."""
         return BurnReply(self._process, msgspec.msgpack.encode(self.part(now=now)))
 
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -134,7 +134,7 @@
             case TraceRequest(request_id):
                 send(link, self._context.recorder.build_reply(request_id))
             case BurnRequest():
-                send(link, self._burn_counter.found(now=time.time()))
+                send(link, self._burn_counter.build_reply(now=time.time()))
             case StatusRequest():
                 send(link, self._build_status_reply())
             case InstancesRequest():
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -189,7 +189,9 @@
 
 def burn_part_bytes() -> list[Point]:
     """Return the size of one entry's answer by organisations with own goals."""
-    return [Point(n, len(burn_counter(n).found(now=1.0).part)) for n in (1, 20, 100)]
+    return [
+        Point(n, len(burn_counter(n).build_reply(now=1.0).part)) for n in (1, 20, 100)
+    ]
 
 
 def burn_memory() -> list[Point]:
