--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -85,9 +85,11 @@
 
     def build_reply(self, *, now: float) -> BurnReply:
         """Answer ``BurnRequest``."""
-        return BurnReply(self._process, msgspec.msgpack.encode(self.part(now=now)))
+        return BurnReply(
+            self._process, msgspec.msgpack.encode(self.build_counts(now=now))
+        )
 
-    def part(self, *, now: float) -> EntryCounts:
+    def build_counts(self, *, now: float) -> EntryCounts:
         """Return everything counted, as of ``now``."""
         with self._lock:
             return EntryCounts(
