--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -25,7 +25,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 
-class BurnAsker(Protocol):
+class BurnQueryClient(Protocol):
     """Asks live processes; ``link.query_client.QueryClient`` does."""
 
     def ask(
@@ -39,7 +39,7 @@
 
 def gather(
     client: PlatformClient,
-    asker: BurnAsker,
+    asker: BurnQueryClient,
     *,
     address_by_process: Mapping[str, str],
     now: float,
