--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -37,7 +37,7 @@
         """Return the answers by process, without those that did not come in time."""
 
 
-def gather(
+def gather_report(
     client: PlatformClient,
     asker: BurnQueryClient,
     *,
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from kingcupwheel.burn.gathering import gather
+from kingcupwheel.burn.gathering import gather_report
 from kingcupwheel.burn.page import report_page
 from kingcupwheel.burn.printing import report_text
 from kingcupwheel.console.exit_codes import ExitCode
@@ -50,7 +50,7 @@
 
     Exit code 0: every entry answered; 7: some did not, and are named.
     """
-    gathered = gather(
+    gathered = gather_report(
         create_platform_client(url),
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
