--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -165,10 +165,12 @@
         group = observed.group
         if observed.first_byte_s is not None:
             times_s = (observed.first_byte_s,)
-            self._histograms.add(Indicator.FIRST_TOKEN, group, times_s, now=now)
+            self._histograms.record_times(
+                Indicator.FIRST_TOKEN, group, times_s, now=now
+            )
         if observed.gaps_s:
             gaps_s = observed.gaps_s
-            self._histograms.add(Indicator.TOKEN_GAP, group, gaps_s, now=now)
+            self._histograms.record_times(Indicator.TOKEN_GAP, group, gaps_s, now=now)
 
     def _scopes(self, minute: int) -> tuple[ScopeCounts, ...]:
         return tuple(
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -56,7 +56,7 @@
         self._current: dict[HistogramKey, HdrHistogram] = {}
         self._previous: dict[HistogramKey, HdrHistogram] = {}
 
-    def add(
+    def record_times(
         self, indicator: Indicator, group: str, times_s: Sequence[float], *, now: float
     ) -> None:
         """Record times in seconds; ``now`` is Unix seconds."""
