--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -206,7 +206,7 @@
     def _histogram_parts(self, now: float) -> tuple[EncodedHistogram, ...]:
         return tuple(
             EncodedHistogram(key.indicator, key.group, payload)
-            for key, payload in self._histograms.encoded(now=now)
+            for key, payload in self._histograms.encode(now=now)
         )
 
 
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -65,7 +65,7 @@
         for value, count in Counter(map(_units, times_s)).items():
             histogram.record_value(value, count)
 
-    def encoded(self, *, now: float) -> tuple[tuple[HistogramKey, bytes], ...]:
+    def encode(self, *, now: float) -> tuple[tuple[HistogramKey, bytes], ...]:
         """Return the histograms in the library's own compressed encoding."""
         self._turn(now)
         keys = sorted(set(self._current) | set(self._previous))
