--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -18,7 +18,7 @@
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import Scope
 from kingcupwheel.burn.goals import get_target
-from kingcupwheel.burn.histograms import TimeHistograms
+from kingcupwheel.burn.histograms import LatencyHistograms
 from kingcupwheel.burn.observed import count_by_indicator
 from kingcupwheel.burn.records import POINT_COUNT
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
@@ -60,7 +60,7 @@
         self._since = now
         self._tally_by_scope: dict[Scope, MinuteCounts] = {OVERALL: MinuteCounts()}
         self._culprits_by_slice: dict[int, Counter[MissCause]] = {}
-        self._histograms = TimeHistograms()
+        self._histograms = LatencyHistograms()
         self._uncounted = 0
         self._lock = Lock()
 
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -48,7 +48,7 @@
     p99_ms: float
 
 
-class TimeHistograms:
+class LatencyHistograms:
     """Histograms of the last half hour to hour, for a bounded number of groups."""
 
     def __init__(self) -> None:
