--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -93,7 +93,9 @@
         return payload
 
 
-def percentiles(parts: Iterable[EncodedHistogram]) -> dict[HistogramKey, Percentiles]:
+def compute_percentiles(
+    parts: Iterable[EncodedHistogram],
+) -> dict[HistogramKey, Percentiles]:
     """Return the percentiles of all parts together, by indicator and group."""
     merged: dict[HistogramKey, HdrHistogram] = {}
     for part in parts:
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -11,7 +11,7 @@
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import Scope
 from kingcupwheel.burn.goals import ScopeKind
-from kingcupwheel.burn.histograms import percentiles
+from kingcupwheel.burn.histograms import compute_percentiles
 from kingcupwheel.burn.rates import Alert
 from kingcupwheel.burn.rates import alert_of
 from kingcupwheel.burn.rates import burn_rate
@@ -198,7 +198,7 @@
 
 def _times(parts: Iterable[EntryCounts]) -> tuple[Times, ...]:
     histograms = (histogram for part in parts for histogram in part.histograms)
-    found = percentiles(histograms)
+    found = compute_percentiles(histograms)
     return tuple(
         Times(
             key.indicator,
