--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -17,7 +17,7 @@
 
     from kingcupwheel.burn.tallies import EventCount
 
-FAST_RATE = 14.4
+FAST_BURN_RATE = 14.4
 SLOW_RATE = 6.0
 # One failure of three requests at night is no reason to wake anybody.
 FEWEST_EVENTS = 20
@@ -48,7 +48,7 @@
 def alert_of(windows: Sequence[EventCount], target: float) -> Alert:
     """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
-    if _over(fast_short, fast_long, target, FAST_RATE):
+    if _over(fast_short, fast_long, target, FAST_BURN_RATE):
         return Alert.FAST
     if _over(slow_short, slow_long, target, SLOW_RATE):
         return Alert.SLOW
