--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -14,7 +14,7 @@
 from kingcupwheel.burn.printing import times
 from kingcupwheel.burn.printing import utc
 from kingcupwheel.burn.rates import FAST_BURN_RATE
-from kingcupwheel.burn.rates import SLOW_RATE
+from kingcupwheel.burn.rates import SLOW_BURN_RATE
 
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
     parts = [
         f'<svg viewBox="0 0 {_WIDTH} {_HEIGHT}" role="img" '
         'aria-label="Burn rate over time">',
-        *(_rate_mark(rate) for rate in (0.0, 1.0, SLOW_RATE, FAST_BURN_RATE)),
+        *(_rate_mark(rate) for rate in (0.0, 1.0, SLOW_BURN_RATE, FAST_BURN_RATE)),
         *_time_marks(first, last),
     ]
     for number, plot in enumerate(plots):
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -18,7 +18,7 @@
     from kingcupwheel.burn.tallies import EventCount
 
 FAST_BURN_RATE = 14.4
-SLOW_RATE = 6.0
+SLOW_BURN_RATE = 6.0
 # One failure of three requests at night is no reason to wake anybody.
 FEWEST_EVENTS = 20
 
@@ -50,7 +50,7 @@
     fast_short, fast_long, slow_short, slow_long = windows
     if _over(fast_short, fast_long, target, FAST_BURN_RATE):
         return Alert.FAST
-    if _over(slow_short, slow_long, target, SLOW_RATE):
+    if _over(slow_short, slow_long, target, SLOW_BURN_RATE):
         return Alert.SLOW
     return Alert.NONE
 
