--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -20,7 +20,7 @@
 FAST_BURN_RATE = 14.4
 SLOW_BURN_RATE = 6.0
 # One failure of three requests at night is no reason to wake anybody.
-FEWEST_EVENTS = 20
+MIN_EVENTS_FOR_ALERT = 20
 
 
 class Alert(StrEnum):
@@ -56,6 +56,6 @@
 
 
 def _over(short: EventCount, long: EventCount, target: float, threshold: float) -> bool:
-    if short.total < FEWEST_EVENTS:
+    if short.total < MIN_EVENTS_FOR_ALERT:
         return False
     return all((burn_rate(count, target) or 0) > threshold for count in (short, long))
