--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -14,7 +14,7 @@
 from kingcupwheel.burn.histograms import compute_percentiles
 from kingcupwheel.burn.rates import Alert
 from kingcupwheel.burn.rates import alert_of
-from kingcupwheel.burn.rates import burn_rate
+from kingcupwheel.burn.rates import compute_burn_rate
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import MissCauseCount
@@ -173,7 +173,7 @@
         target,
         alert_of(windows, target),
         tuple(
-            Window(minutes, *count, burn_rate(count, target))
+            Window(minutes, *count, compute_burn_rate(count, target))
             for minutes, count in zip(WINDOWS_MIN, windows, strict=True)
         ),
     )
@@ -238,7 +238,7 @@
         Point(
             number * POINT_LENGTH_MIN * MINUTE_S,
             *counts[indicator, number],
-            burn_rate(counts[indicator, number], target),
+            compute_burn_rate(counts[indicator, number], target),
         )
         for number in numbers
     )
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -31,7 +31,7 @@
     FAST = "fast"
 
 
-def burn_rate(count: EventCount, target: float) -> float | None:
+def compute_burn_rate(count: EventCount, target: float) -> float | None:
     """Return the burn rate of ``count``; None without events.
 
     A target of 1 leaves no budget: any bad event then burns without bound.
@@ -58,4 +58,6 @@
 def _over(short: EventCount, long: EventCount, target: float, threshold: float) -> bool:
     if short.total < MIN_EVENTS_FOR_ALERT:
         return False
-    return all((burn_rate(count, target) or 0) > threshold for count in (short, long))
+    return all(
+        (compute_burn_rate(count, target) or 0) > threshold for count in (short, long)
+    )
