--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -13,8 +13,8 @@
 from kingcupwheel.burn.goals import ScopeKind
 from kingcupwheel.burn.histograms import compute_percentiles
 from kingcupwheel.burn.rates import Alert
-from kingcupwheel.burn.rates import alert_of
 from kingcupwheel.burn.rates import compute_burn_rate
+from kingcupwheel.burn.rates import determine_alert
 from kingcupwheel.burn.records import POINT_LENGTH_MIN
 from kingcupwheel.burn.records import WINDOWS_MIN
 from kingcupwheel.burn.records import MissCauseCount
@@ -171,7 +171,7 @@
         scope.name,
         indicator,
         target,
-        alert_of(windows, target),
+        determine_alert(windows, target),
         tuple(
             Window(minutes, *count, compute_burn_rate(count, target))
             for minutes, count in zip(WINDOWS_MIN, windows, strict=True)
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -45,7 +45,7 @@
     return share / budget
 
 
-def alert_of(windows: Sequence[EventCount], target: float) -> Alert:
+def determine_alert(windows: Sequence[EventCount], target: float) -> Alert:
     """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
     if _over(fast_short, fast_long, target, FAST_BURN_RATE):
