--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -34,7 +34,7 @@
 _TOLD_CULPRITS = 20
 
 
-class Window(msgspec.Struct, frozen=True):
+class BurnWindow(msgspec.Struct, frozen=True):
     """Counts over the last ``minutes``; ``rate`` is None without events."""
 
     minutes: int
@@ -51,7 +51,7 @@
     indicator: Indicator
     target: float
     alert: Alert
-    windows: tuple[Window, ...]
+    windows: tuple[BurnWindow, ...]
 
 
 class Point(msgspec.Struct, frozen=True):
@@ -173,7 +173,7 @@
         target,
         determine_alert(windows, target),
         tuple(
-            Window(minutes, *count, compute_burn_rate(count, target))
+            BurnWindow(minutes, *count, compute_burn_rate(count, target))
             for minutes, count in zip(WINDOWS_MIN, windows, strict=True)
         ),
     )
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -15,7 +15,7 @@
 
     from kingcupwheel.burn.merging import Burn
     from kingcupwheel.burn.merging import BurnReport
-    from kingcupwheel.burn.merging import Window
+    from kingcupwheel.burn.merging import BurnWindow
 
 BURN_HEAD = (
     "goals of",
@@ -132,7 +132,7 @@
     return f"{burn.kind.value} {burn.name}"
 
 
-def rate_text(window: Window) -> str:
+def rate_text(window: BurnWindow) -> str:
     """Return a burn rate with its counts."""
     if window.rate is None:
         return "none"
