--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -43,7 +43,7 @@
     rate: float | None
 
 
-class Burn(msgspec.Struct, frozen=True):
+class GoalBurn(msgspec.Struct, frozen=True):
     """How one goal of one scope burns."""
 
     kind: ScopeKind
@@ -98,7 +98,7 @@
     """
 
     at: float
-    burns: tuple[Burn, ...]
+    burns: tuple[GoalBurn, ...]
     culprits: tuple[MissCauseCount, ...]
     times: tuple[Times, ...]
     plots: tuple[Plot, ...]
@@ -142,7 +142,7 @@
     )
 
 
-def _burns(newest_first: Sequence[EntryCounts]) -> tuple[Burn, ...]:
+def _burns(newest_first: Sequence[EntryCounts]) -> tuple[GoalBurn, ...]:
     counts_by_key: defaultdict[tuple[Scope, Indicator], list[IndicatorCounts]]
     counts_by_key = defaultdict(list)
     for part in newest_first:
@@ -154,7 +154,7 @@
     return tuple(sorted(burns, key=_urgency))
 
 
-def _urgency(burn: Burn) -> tuple[int, int, float]:
+def _urgency(burn: GoalBurn) -> tuple[int, int, float]:
     alerts = (Alert.FAST, Alert.SLOW, Alert.NONE)
     overall = burn.kind is not ScopeKind.OVERALL
     return overall, alerts.index(burn.alert), -(burn.windows[1].rate or 0.0)
@@ -162,11 +162,11 @@
 
 def _burn(
     scope: Scope, indicator: Indicator, all_counts: list[IndicatorCounts]
-) -> Burn:
+) -> GoalBurn:
     # Entries on an older manifest may still hold the older target; the newest counts.
     target = all_counts[0].target
     windows = _sums(counts.windows for counts in all_counts)
-    return Burn(
+    return GoalBurn(
         scope.kind,
         scope.name,
         indicator,
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.merging import Burn
     from kingcupwheel.burn.merging import BurnReport
     from kingcupwheel.burn.merging import BurnWindow
+    from kingcupwheel.burn.merging import GoalBurn
 
 BURN_HEAD = (
     "goals of",
@@ -125,7 +125,7 @@
     return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
-def scope_text(burn: Burn) -> str:
+def scope_text(burn: GoalBurn) -> str:
     """Return what the goals are for."""
     if burn.kind is ScopeKind.OVERALL:
         return "all requests"
