--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -54,7 +54,7 @@
     windows: tuple[BurnWindow, ...]
 
 
-class Point(msgspec.Struct, frozen=True):
+class BurnPoint(msgspec.Struct, frozen=True):
     """Burn over five minutes from Unix second ``at``."""
 
     at: float
@@ -67,7 +67,7 @@
     """Burn over time of all requests."""
 
     indicator: Indicator
-    points: tuple[Point, ...]
+    points: tuple[BurnPoint, ...]
 
 
 class Times(msgspec.Struct, frozen=True):
@@ -232,10 +232,10 @@
 
 def _points(
     indicator: Indicator, target: float, counts: dict[tuple[Indicator, int], EventCount]
-) -> tuple[Point, ...]:
+) -> tuple[BurnPoint, ...]:
     numbers = sorted(number for kind, number in counts if kind is indicator)
     return tuple(
-        Point(
+        BurnPoint(
             number * POINT_LENGTH_MIN * MINUTE_S,
             *counts[indicator, number],
             compute_burn_rate(counts[indicator, number], target),
