--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -63,7 +63,7 @@
     rate: float | None
 
 
-class Plot(msgspec.Struct, frozen=True):
+class BurnPlot(msgspec.Struct, frozen=True):
     """Burn over time of all requests."""
 
     indicator: Indicator
@@ -101,7 +101,7 @@
     burns: tuple[GoalBurn, ...]
     culprits: tuple[MissCauseCount, ...]
     times: tuple[Times, ...]
-    plots: tuple[Plot, ...]
+    plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
     young: tuple[str, ...]
     silent: tuple[str, ...]
@@ -212,7 +212,7 @@
     )
 
 
-def _plots(newest_first: Sequence[EntryCounts]) -> tuple[Plot, ...]:
+def _plots(newest_first: Sequence[EntryCounts]) -> tuple[BurnPlot, ...]:
     bad_by_point: defaultdict[tuple[Indicator, int], EventCount]
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
@@ -225,7 +225,7 @@
                 key = (counts.indicator, first + offset)
                 bad_by_point[key] = bad_by_point[key].plus(EventCount(*pair))
     return tuple(
-        Plot(indicator, _points(indicator, target, bad_by_point))
+        BurnPlot(indicator, _points(indicator, target, bad_by_point))
         for indicator, target in target_by_indicator.items()
     )
 
--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -21,8 +21,8 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
+    from kingcupwheel.burn.merging import BurnPlot
     from kingcupwheel.burn.merging import BurnReport
-    from kingcupwheel.burn.merging import Plot
 
 _WIDTH, _HEIGHT = 900, 300
 _LEFT, _RIGHT, _TOP, _BOTTOM = 50, 20, 20, 40
@@ -84,7 +84,7 @@
     return f'<tr class="{escape(mark)}">{inner}</tr>'
 
 
-def _plot(plots: Sequence[Plot]) -> str:
+def _plot(plots: Sequence[BurnPlot]) -> str:
     ats = [point.at for plot in plots for point in plot.points]
     if not ats:
         return "<p>No counts.</p>"
@@ -125,7 +125,7 @@
     ]
 
 
-def _line(plot: Plot, colour: str, first: float, last: float) -> str:
+def _line(plot: BurnPlot, colour: str, first: float, last: float) -> str:
     """Return a line that breaks where nothing was counted."""
     commands = []
     pen = "M"
