--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -70,7 +70,7 @@
     points: tuple[BurnPoint, ...]
 
 
-class Times(msgspec.Struct, frozen=True):
+class LatencyPercentiles(msgspec.Struct, frozen=True):
     """Percentiles in milliseconds over the last half hour to hour."""
 
     indicator: Indicator
@@ -100,7 +100,7 @@
     at: float
     burns: tuple[GoalBurn, ...]
     culprits: tuple[MissCauseCount, ...]
-    times: tuple[Times, ...]
+    times: tuple[LatencyPercentiles, ...]
     plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
     young: tuple[str, ...]
@@ -196,11 +196,11 @@
     return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
 
 
-def _times(parts: Iterable[EntryCounts]) -> tuple[Times, ...]:
+def _times(parts: Iterable[EntryCounts]) -> tuple[LatencyPercentiles, ...]:
     histograms = (histogram for part in parts for histogram in part.histograms)
     found = compute_percentiles(histograms)
     return tuple(
-        Times(
+        LatencyPercentiles(
             key.indicator,
             key.group,
             found[key].recorded,
