--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -108,7 +108,7 @@
     trouble: str = ""
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """True if every entry answered."""
         return not self.silent and not self.trouble
 
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -63,7 +63,7 @@
     if html:
         html.write_text(report_page(report), encoding="utf-8")
     _print_report(report, as_json=as_json)
-    sys.exit(ExitCode.OK if report.complete else ExitCode.INCOMPLETE)
+    sys.exit(ExitCode.OK if report.is_complete else ExitCode.INCOMPLETE)
 
 
 def _print_report(report: BurnReport, *, as_json: bool) -> None:
