--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -12,7 +12,7 @@
 
 from kingcupwheel.burn.exceptions import EntriesUnknown
 from kingcupwheel.burn.merging import BurnReport
-from kingcupwheel.burn.merging import merge
+from kingcupwheel.burn.merging import merge_counts
 from kingcupwheel.burn.records import ENTRY_COUNTS_DECODER
 from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
@@ -68,4 +68,4 @@
         except msgspec.MsgspecError:
             continue
         silent.discard(process)
-    return Ok(merge(parts, at=now, silent=sorted(silent), trouble=trouble))
+    return Ok(merge_counts(parts, at=now, silent=sorted(silent), trouble=trouble))
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -113,7 +113,7 @@
         return not self.silent and not self.trouble
 
 
-def merge(
+def merge_counts(
     parts: Sequence[EntryCounts],
     *,
     at: float,
