--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -103,7 +103,7 @@
     times: tuple[LatencyPercentiles, ...]
     plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
-    young: tuple[str, ...]
+    recently_started: tuple[str, ...]
     silent: tuple[str, ...]
     trouble: str = ""
 
@@ -130,7 +130,9 @@
         times=_times(parts),
         plots=_plots(newest_first),
         entries=tuple(_entry(part) for part in parts),
-        young=tuple(part.process for part in parts if at - part.since < longest_s),
+        recently_started=tuple(
+            part.process for part in parts if at - part.since < longest_s
+        ),
         silent=tuple(silent),
         trouble=trouble,
     )
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -53,10 +53,11 @@
         lines.append(f"INCOMPLETE: no answer from {names}; their requests are missing.")
     if report.trouble:
         lines.append(f"INCOMPLETE: {report.trouble}")
-    if report.young:
+    if report.recently_started:
         since_by_process = {entry.process: entry.since for entry in report.entries}
         young = ", ".join(
-            f"{name} (since {utc(since_by_process[name])})" for name in report.young
+            f"{name} (since {utc(since_by_process[name])})"
+            for name in report.recently_started
         )
         lines.append(f"Counting for less than six hours: {young}.")
     uncounted = sum(entry.uncounted for entry in report.entries)
