--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -104,13 +104,13 @@
     plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
     recently_started: tuple[str, ...]
-    silent: tuple[str, ...]
+    unanswered: tuple[str, ...]
     trouble: str = ""
 
     @property
     def is_complete(self) -> bool:
         """True if every entry answered."""
-        return not self.silent and not self.trouble
+        return not self.unanswered and not self.trouble
 
 
 def merge_counts(
@@ -133,7 +133,7 @@
         recently_started=tuple(
             part.process for part in parts if at - part.since < longest_s
         ),
-        silent=tuple(silent),
+        unanswered=tuple(silent),
         trouble=trouble,
     )
 
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -48,8 +48,8 @@
 def notes(report: BurnReport) -> list[str]:
     """Return what limits the figures, in sentences."""
     lines = []
-    if report.silent:
-        names = ", ".join(report.silent)
+    if report.unanswered:
+        names = ", ".join(report.unanswered)
         lines.append(f"INCOMPLETE: no answer from {names}; their requests are missing.")
     if report.trouble:
         lines.append(f"INCOMPLETE: {report.trouble}")
