--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -105,12 +105,12 @@
     entries: tuple[EntryState, ...]
     recently_started: tuple[str, ...]
     unanswered: tuple[str, ...]
-    trouble: str = ""
+    problem: str = ""
 
     @property
     def is_complete(self) -> bool:
         """True if every entry answered."""
-        return not self.unanswered and not self.trouble
+        return not self.unanswered and not self.problem
 
 
 def merge_counts(
@@ -134,7 +134,7 @@
             part.process for part in parts if at - part.since < longest_s
         ),
         unanswered=tuple(silent),
-        trouble=trouble,
+        problem=trouble,
     )
 
 
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -51,8 +51,8 @@
     if report.unanswered:
         names = ", ".join(report.unanswered)
         lines.append(f"INCOMPLETE: no answer from {names}; their requests are missing.")
-    if report.trouble:
-        lines.append(f"INCOMPLETE: {report.trouble}")
+    if report.problem:
+        lines.append(f"INCOMPLETE: {report.problem}")
     if report.recently_started:
         since_by_process = {entry.process: entry.since for entry in report.entries}
         young = ", ".join(
