--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -99,7 +99,7 @@
 
     at: float
     burns: tuple[GoalBurn, ...]
-    culprits: tuple[MissCauseCount, ...]
+    miss_causes: tuple[MissCauseCount, ...]
     times: tuple[LatencyPercentiles, ...]
     plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
@@ -126,7 +126,7 @@
     return BurnReport(
         at=at,
         burns=_burns(newest_first),
-        culprits=_culprits(parts),
+        miss_causes=_culprits(parts),
         times=_times(parts),
         plots=_plots(newest_first),
         entries=tuple(_entry(part) for part in parts),
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -91,7 +91,7 @@
             item.cause.reason,
             str(item.bad),
         )
-        for item in report.culprits
+        for item in report.miss_causes
     ]
 
 
