--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -87,7 +87,7 @@
     process: str
     since: float
     manifest_version: int
-    uncounted: int
+    uncounted_requests: int
 
 
 class BurnReport(msgspec.Struct, frozen=True):
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -60,7 +60,7 @@
             for name in report.recently_started
         )
         lines.append(f"Counting for less than six hours: {young}.")
-    uncounted = sum(entry.uncounted for entry in report.entries)
+    uncounted = sum(entry.uncounted_requests for entry in report.entries)
     if uncounted:
         lines.append(f"{uncounted} requests found no room under their own goals.")
     return lines
