--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -5,7 +5,7 @@
 from html import escape
 from typing import TYPE_CHECKING
 
-from kingcupwheel.burn.printing import BURN_HEAD
+from kingcupwheel.burn.printing import BURN_COLUMNS
 from kingcupwheel.burn.printing import CULPRIT_HEAD
 from kingcupwheel.burn.printing import TIMES_HEAD
 from kingcupwheel.burn.printing import burns
@@ -58,7 +58,7 @@
             "<h2>Burn rate over the last six hours, all requests</h2>",
             _plot(report.plots),
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
-            _table(BURN_HEAD, burns(report), marked),
+            _table(BURN_COLUMNS, burns(report), marked),
             "<h2>What burned the budgets in the last hour</h2>",
             _table(CULPRIT_HEAD, culprits(report)),
             "<h2>Times over the last half hour to hour</h2>",
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -17,7 +17,7 @@
     from kingcupwheel.burn.merging import BurnWindow
     from kingcupwheel.burn.merging import GoalBurn
 
-BURN_HEAD = (
+BURN_COLUMNS = (
     "goals of",
     "indicator",
     "target",
@@ -37,7 +37,8 @@
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(notes(report)),
-        "Burn rate (1 uses up the budget exactly):\n" + table(BURN_HEAD, burns(report)),
+        "Burn rate (1 uses up the budget exactly):\n"
+        + table(BURN_COLUMNS, burns(report)),
         "What burned the budgets in the last hour:\n"
         + table(CULPRIT_HEAD, culprits(report)),
         "Times over the last half hour to hour:\n" + table(TIMES_HEAD, times(report)),
