--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.burn.printing import BURN_COLUMNS
-from kingcupwheel.burn.printing import CULPRIT_HEAD
+from kingcupwheel.burn.printing import CAUSE_COLUMNS
 from kingcupwheel.burn.printing import TIMES_HEAD
 from kingcupwheel.burn.printing import burns
 from kingcupwheel.burn.printing import culprits
@@ -60,7 +60,7 @@
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
             _table(BURN_COLUMNS, burns(report), marked),
             "<h2>What burned the budgets in the last hour</h2>",
-            _table(CULPRIT_HEAD, culprits(report)),
+            _table(CAUSE_COLUMNS, culprits(report)),
             "<h2>Times over the last half hour to hour</h2>",
             _table(TIMES_HEAD, times(report)),
             "</body></html>",
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -27,7 +27,7 @@
     "6 h",
     "alert",
 )
-CULPRIT_HEAD = ("indicator", "organisation", "group", "server", "reason", "bad, 1 h")
+CAUSE_COLUMNS = ("indicator", "organisation", "group", "server", "reason", "bad, 1 h")
 TIMES_HEAD = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
 
 
@@ -40,7 +40,7 @@
         "Burn rate (1 uses up the budget exactly):\n"
         + table(BURN_COLUMNS, burns(report)),
         "What burned the budgets in the last hour:\n"
-        + table(CULPRIT_HEAD, culprits(report)),
+        + table(CAUSE_COLUMNS, culprits(report)),
         "Times over the last half hour to hour:\n" + table(TIMES_HEAD, times(report)),
     ]
     return "\n\n".join(block for block in blocks if block)
