--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.burn.printing import BURN_COLUMNS
 from kingcupwheel.burn.printing import CAUSE_COLUMNS
-from kingcupwheel.burn.printing import TIMES_HEAD
+from kingcupwheel.burn.printing import LATENCY_COLUMNS
 from kingcupwheel.burn.printing import burns
 from kingcupwheel.burn.printing import culprits
 from kingcupwheel.burn.printing import notes
@@ -62,7 +62,7 @@
             "<h2>What burned the budgets in the last hour</h2>",
             _table(CAUSE_COLUMNS, culprits(report)),
             "<h2>Times over the last half hour to hour</h2>",
-            _table(TIMES_HEAD, times(report)),
+            _table(LATENCY_COLUMNS, times(report)),
             "</body></html>",
         )
     )
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -28,7 +28,7 @@
     "alert",
 )
 CAUSE_COLUMNS = ("indicator", "organisation", "group", "server", "reason", "bad, 1 h")
-TIMES_HEAD = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
+LATENCY_COLUMNS = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
 
 
 def report_text(report: BurnReport) -> str:
@@ -41,7 +41,8 @@
         + table(BURN_COLUMNS, burns(report)),
         "What burned the budgets in the last hour:\n"
         + table(CAUSE_COLUMNS, culprits(report)),
-        "Times over the last half hour to hour:\n" + table(TIMES_HEAD, times(report)),
+        "Times over the last half hour to hour:\n"
+        + table(LATENCY_COLUMNS, times(report)),
     ]
     return "\n\n".join(block for block in blocks if block)
 
