--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -31,7 +31,7 @@
 LATENCY_COLUMNS = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
 
 
-def report_text(report: BurnReport) -> str:
+def format_report(report: BurnReport) -> str:
     """Return the report in lines."""
     at = f"{utc(report.at)} UTC"
     blocks = [
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -12,7 +12,7 @@
 
 from kingcupwheel.burn.gathering import gather_report
 from kingcupwheel.burn.page import report_page
-from kingcupwheel.burn.printing import report_text
+from kingcupwheel.burn.printing import format_report
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.process_addresses import address_option
@@ -71,4 +71,4 @@
         encoded = msgspec.json.format(msgspec.json.encode(report), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(report_text(report))
+        click.echo(format_report(report))
