--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -10,7 +10,7 @@
 from kingcupwheel.burn.printing import LATENCY_COLUMNS
 from kingcupwheel.burn.printing import burns
 from kingcupwheel.burn.printing import culprits
-from kingcupwheel.burn.printing import notes
+from kingcupwheel.burn.printing import list_notes
 from kingcupwheel.burn.printing import times
 from kingcupwheel.burn.printing import utc
 from kingcupwheel.burn.rates import FAST_BURN_RATE
@@ -54,7 +54,7 @@
             f"<title>{escape(title)}</title><style>{_STYLE}</style></head><body>",
             f"<h1>{escape(title)}</h1>",
             f"<p>{len(report.entries)} entries answered.</p>",
-            *(f'<p class="note">{escape(note)}</p>' for note in notes(report)),
+            *(f'<p class="note">{escape(note)}</p>' for note in list_notes(report)),
             "<h2>Burn rate over the last six hours, all requests</h2>",
             _plot(report.plots),
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -36,7 +36,7 @@
     at = f"{utc(report.at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
-        "\n".join(notes(report)),
+        "\n".join(list_notes(report)),
         "Burn rate (1 uses up the budget exactly):\n"
         + table(BURN_COLUMNS, burns(report)),
         "What burned the budgets in the last hour:\n"
@@ -47,7 +47,7 @@
     return "\n\n".join(block for block in blocks if block)
 
 
-def notes(report: BurnReport) -> list[str]:
+def list_notes(report: BurnReport) -> list[str]:
     """Return what limits the figures, in sentences."""
     lines = []
     if report.unanswered:
