--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -8,7 +8,7 @@
 from kingcupwheel.burn.printing import BURN_COLUMNS
 from kingcupwheel.burn.printing import CAUSE_COLUMNS
 from kingcupwheel.burn.printing import LATENCY_COLUMNS
-from kingcupwheel.burn.printing import burns
+from kingcupwheel.burn.printing import build_burn_rows
 from kingcupwheel.burn.printing import culprits
 from kingcupwheel.burn.printing import list_notes
 from kingcupwheel.burn.printing import times
@@ -46,7 +46,7 @@
 def report_page(report: BurnReport) -> str:
     """Return the whole page."""
     title = f"Service-level burn at {utc(report.at)} UTC"
-    marked = [row[-1] for row in burns(report)]
+    marked = [row[-1] for row in build_burn_rows(report)]
     return "\n".join(
         (
             "<!doctype html>",
@@ -58,7 +58,7 @@
             "<h2>Burn rate over the last six hours, all requests</h2>",
             _plot(report.plots),
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
-            _table(BURN_COLUMNS, burns(report), marked),
+            _table(BURN_COLUMNS, build_burn_rows(report), marked),
             "<h2>What burned the budgets in the last hour</h2>",
             _table(CAUSE_COLUMNS, culprits(report)),
             "<h2>Times over the last half hour to hour</h2>",
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -38,7 +38,7 @@
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(list_notes(report)),
         "Burn rate (1 uses up the budget exactly):\n"
-        + table(BURN_COLUMNS, burns(report)),
+        + table(BURN_COLUMNS, build_burn_rows(report)),
         "What burned the budgets in the last hour:\n"
         + table(CAUSE_COLUMNS, culprits(report)),
         "Times over the last half hour to hour:\n"
@@ -68,7 +68,7 @@
     return lines
 
 
-def burns(report: BurnReport) -> list[tuple[str, ...]]:
+def build_burn_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the burn table."""
     return [
         (
