--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -9,7 +9,7 @@
 from kingcupwheel.burn.printing import CAUSE_COLUMNS
 from kingcupwheel.burn.printing import LATENCY_COLUMNS
 from kingcupwheel.burn.printing import build_burn_rows
-from kingcupwheel.burn.printing import culprits
+from kingcupwheel.burn.printing import build_cause_rows
 from kingcupwheel.burn.printing import list_notes
 from kingcupwheel.burn.printing import times
 from kingcupwheel.burn.printing import utc
@@ -60,7 +60,7 @@
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
             _table(BURN_COLUMNS, build_burn_rows(report), marked),
             "<h2>What burned the budgets in the last hour</h2>",
-            _table(CAUSE_COLUMNS, culprits(report)),
+            _table(CAUSE_COLUMNS, build_cause_rows(report)),
             "<h2>Times over the last half hour to hour</h2>",
             _table(LATENCY_COLUMNS, times(report)),
             "</body></html>",
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -40,7 +40,7 @@
         "Burn rate (1 uses up the budget exactly):\n"
         + table(BURN_COLUMNS, build_burn_rows(report)),
         "What burned the budgets in the last hour:\n"
-        + table(CAUSE_COLUMNS, culprits(report)),
+        + table(CAUSE_COLUMNS, build_cause_rows(report)),
         "Times over the last half hour to hour:\n"
         + table(LATENCY_COLUMNS, times(report)),
     ]
@@ -82,7 +82,7 @@
     ]
 
 
-def culprits(report: BurnReport) -> list[tuple[str, ...]]:
+def build_cause_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the culprits' table."""
     return [
         (
