--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -10,8 +10,8 @@
 from kingcupwheel.burn.printing import LATENCY_COLUMNS
 from kingcupwheel.burn.printing import build_burn_rows
 from kingcupwheel.burn.printing import build_cause_rows
+from kingcupwheel.burn.printing import build_latency_rows
 from kingcupwheel.burn.printing import list_notes
-from kingcupwheel.burn.printing import times
 from kingcupwheel.burn.printing import utc
 from kingcupwheel.burn.rates import FAST_BURN_RATE
 from kingcupwheel.burn.rates import SLOW_BURN_RATE
@@ -62,7 +62,7 @@
             "<h2>What burned the budgets in the last hour</h2>",
             _table(CAUSE_COLUMNS, build_cause_rows(report)),
             "<h2>Times over the last half hour to hour</h2>",
-            _table(LATENCY_COLUMNS, times(report)),
+            _table(LATENCY_COLUMNS, build_latency_rows(report)),
             "</body></html>",
         )
     )
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -42,7 +42,7 @@
         "What burned the budgets in the last hour:\n"
         + table(CAUSE_COLUMNS, build_cause_rows(report)),
         "Times over the last half hour to hour:\n"
-        + table(LATENCY_COLUMNS, times(report)),
+        + table(LATENCY_COLUMNS, build_latency_rows(report)),
     ]
     return "\n\n".join(block for block in blocks if block)
 
@@ -97,7 +97,7 @@
     ]
 
 
-def times(report: BurnReport) -> list[tuple[str, ...]]:
+def build_latency_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the times' table."""
     return [
         (
