--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -38,11 +38,11 @@
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(list_notes(report)),
         "Burn rate (1 uses up the budget exactly):\n"
-        + table(BURN_COLUMNS, build_burn_rows(report)),
+        + format_table(BURN_COLUMNS, build_burn_rows(report)),
         "What burned the budgets in the last hour:\n"
-        + table(CAUSE_COLUMNS, build_cause_rows(report)),
+        + format_table(CAUSE_COLUMNS, build_cause_rows(report)),
         "Times over the last half hour to hour:\n"
-        + table(LATENCY_COLUMNS, build_latency_rows(report)),
+        + format_table(LATENCY_COLUMNS, build_latency_rows(report)),
     ]
     return "\n\n".join(block for block in blocks if block)
 
@@ -110,7 +110,7 @@
     ]
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """Return aligned columns, or a word if there are no rows."""
     if not rows:
         return "  nothing"
