--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -11,8 +11,8 @@
 from kingcupwheel.burn.printing import build_burn_rows
 from kingcupwheel.burn.printing import build_cause_rows
 from kingcupwheel.burn.printing import build_latency_rows
+from kingcupwheel.burn.printing import format_utc
 from kingcupwheel.burn.printing import list_notes
-from kingcupwheel.burn.printing import utc
 from kingcupwheel.burn.rates import FAST_BURN_RATE
 from kingcupwheel.burn.rates import SLOW_BURN_RATE
 
@@ -45,7 +45,7 @@
 
 def report_page(report: BurnReport) -> str:
     """Return the whole page."""
-    title = f"Service-level burn at {utc(report.at)} UTC"
+    title = f"Service-level burn at {format_utc(report.at)} UTC"
     marked = [row[-1] for row in build_burn_rows(report)]
     return "\n".join(
         (
@@ -120,7 +120,7 @@
     ats = [first + step * number for number in range(_TIME_MARKS + 1)]
     return [
         f'<text x="{_x(at, first, last):.1f}" y="{_HEIGHT - 14}" '
-        f'text-anchor="middle">{utc(at)[-5:]}</text>'
+        f'text-anchor="middle">{format_utc(at)[-5:]}</text>'
         for at in ats
     ]
 
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -33,7 +33,7 @@
 
 def format_report(report: BurnReport) -> str:
     """Return the report in lines."""
-    at = f"{utc(report.at)} UTC"
+    at = f"{format_utc(report.at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(list_notes(report)),
@@ -58,7 +58,7 @@
     if report.recently_started:
         since_by_process = {entry.process: entry.since for entry in report.entries}
         young = ", ".join(
-            f"{name} (since {utc(since_by_process[name])})"
+            f"{name} (since {format_utc(since_by_process[name])})"
             for name in report.recently_started
         )
         lines.append(f"Counting for less than six hours: {young}.")
@@ -123,7 +123,7 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def utc(at: float) -> str:
+def format_utc(at: float) -> str:
     """Return Unix seconds as a date and time."""
     return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
