--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -72,7 +72,7 @@
     """Return the rows of the burn table."""
     return [
         (
-            scope_text(burn),
+            format_scope(burn),
             burn.indicator.value,
             f"{100 * burn.target:g}%",
             *(rate_text(window) for window in burn.windows),
@@ -128,7 +128,7 @@
     return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
-def scope_text(burn: GoalBurn) -> str:
+def format_scope(burn: GoalBurn) -> str:
     """Return what the goals are for."""
     if burn.kind is ScopeKind.OVERALL:
         return "all requests"
