--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/printing.py
@@ -75,7 +75,7 @@
             format_scope(burn),
             burn.indicator.value,
             f"{100 * burn.target:g}%",
-            *(rate_text(window) for window in burn.windows),
+            *(format_rate(window) for window in burn.windows),
             "-" if burn.alert is Alert.NONE else burn.alert.value,
         )
         for burn in report.burns
@@ -135,7 +135,7 @@
     return f"{burn.kind.value} {burn.name}"
 
 
-def rate_text(window: BurnWindow) -> str:
+def format_rate(window: BurnWindow) -> str:
     """Return a burn rate with its counts."""
     if window.rate is None:
         return "none"
