--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from kingcupwheel.burn.gathering import gather_report
-from kingcupwheel.burn.page import report_page
+from kingcupwheel.burn.page import render_page
 from kingcupwheel.burn.printing import format_report
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform_access import create_platform_client
@@ -61,7 +61,7 @@
         sys.exit(ExitCode.UNAVAILABLE)
     report = gathered.ok
     if html:
-        html.write_text(report_page(report), encoding="utf-8")
+        html.write_text(render_page(report), encoding="utf-8")
     _print_report(report, as_json=as_json)
     sys.exit(ExitCode.OK if report.is_complete else ExitCode.INCOMPLETE)
 
