--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/counter.py
@@ -45,9 +45,9 @@
 # Culprits told apart in ten minutes; the rest is counted as one.
 MAX_MISS_CAUSES = 200
 # Culprits sent in one answer, the worst first.
-_TOLD_CULPRITS = 100
-_SLICE_S = 600
-_SLICES = 6
+_MAX_REPORTED_CAUSES = 100
+_CAUSE_SLICE_S = 600
+_CAUSE_SLICE_COUNT = 6
 OTHER_CAUSES = "others"
 
 
@@ -57,11 +57,11 @@
     def __init__(self, process: str, goals: BurnGoals, *, now: float) -> None:
         self._process = process
         self._goals = goals
-        self._since = now
-        self._tally_by_scope: dict[Scope, MinuteCounts] = {OVERALL: MinuteCounts()}
-        self._culprits_by_slice: dict[int, Counter[MissCause]] = {}
+        self._started_at = now
+        self._counts_by_scope: dict[Scope, MinuteCounts] = {OVERALL: MinuteCounts()}
+        self._causes_by_slice: dict[int, Counter[MissCause]] = {}
         self._histograms = LatencyHistograms()
-        self._uncounted = 0
+        self._uncounted_requests = 0
         self._lock = Lock()
 
     def set_goals(self, goals: BurnGoals) -> None:
@@ -80,8 +80,8 @@
         ``now`` is Unix seconds.
         """
         with self._lock:
-            self._time(observed, now)
-            return self._count(observed, now)
+            self._record_times(observed, now)
+            return self._count_by_scope(observed, now)
 
     def build_reply(self, *, now: float) -> BurnReply:
         """Answer ``BurnRequest``."""
@@ -95,15 +95,15 @@
             return EntryCounts(
                 self._process,
                 now,
-                self._since,
+                self._started_at,
                 self._goals.version,
-                self._scopes(int(now // MINUTE_S)),
-                self._worst(now),
-                self._histogram_parts(now),
-                self._uncounted,
+                self._build_scopes(int(now // MINUTE_S)),
+                self._list_worst_causes(now),
+                self._encode_histograms(now),
+                self._uncounted_requests,
             )
 
-    def _count(
+    def _count_by_scope(
         self, observed: FinishedRequest, now: float
     ) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
@@ -113,27 +113,27 @@
         )
         for scope, goals in held:
             counts = count_by_indicator(observed, goals)
-            tally = self._tally(scope)
+            tally = self._get_counts(scope)
             if tally is None:
-                self._uncounted += 1
+                self._uncounted_requests += 1
                 continue
             for indicator, count in counts.items():
                 tally.add_events(minute, indicator, total=count.total, bad=count.bad)
             if scope == OVERALL:
-                self._blame(observed, counts, now)
+                self._count_causes(observed, counts, now)
                 own = counts
         return own
 
-    def _tally(self, scope: Scope) -> MinuteCounts | None:
-        tally = self._tally_by_scope.get(scope)
-        if tally is None and len(self._tally_by_scope) < MAX_SCOPES:
-            tally = self._tally_by_scope[scope] = MinuteCounts()
+    def _get_counts(self, scope: Scope) -> MinuteCounts | None:
+        tally = self._counts_by_scope.get(scope)
+        if tally is None and len(self._counts_by_scope) < MAX_SCOPES:
+            tally = self._counts_by_scope[scope] = MinuteCounts()
         return tally
 
-    def _blame(
+    def _count_causes(
         self, observed: FinishedRequest, counts: dict[Indicator, EventCount], now: float
     ) -> None:
-        culprits = self._slice(now)
+        culprits = self._get_slice(now)
         for indicator, count in counts.items():
             if not count.bad:
                 continue
@@ -153,15 +153,17 @@
                 )
             culprits[culprit] += count.bad
 
-    def _slice(self, now: float) -> Counter[MissCause]:
-        number = int(now // _SLICE_S)
-        if number not in self._culprits_by_slice:
-            self._culprits_by_slice[number] = Counter()
-            for old in [n for n in self._culprits_by_slice if n <= number - _SLICES]:
-                del self._culprits_by_slice[old]
-        return self._culprits_by_slice[number]
-
-    def _time(self, observed: FinishedRequest, now: float) -> None:
+    def _get_slice(self, now: float) -> Counter[MissCause]:
+        number = int(now // _CAUSE_SLICE_S)
+        if number not in self._causes_by_slice:
+            self._causes_by_slice[number] = Counter()
+            for old in [
+                n for n in self._causes_by_slice if n <= number - _CAUSE_SLICE_COUNT
+            ]:
+                del self._causes_by_slice[old]
+        return self._causes_by_slice[number]
+
+    def _record_times(self, observed: FinishedRequest, now: float) -> None:
         group = observed.group
         if observed.first_byte_s is not None:
             times_s = (observed.first_byte_s,)
@@ -172,13 +174,15 @@
             gaps_s = observed.gaps_s
             self._histograms.record_times(Indicator.TOKEN_GAP, group, gaps_s, now=now)
 
-    def _scopes(self, minute: int) -> tuple[ScopeCounts, ...]:
+    def _build_scopes(self, minute: int) -> tuple[ScopeCounts, ...]:
         return tuple(
-            ScopeCounts(scope.kind, scope.name, self._indicators(scope, tally, minute))
-            for scope, tally in self._tally_by_scope.items()
+            ScopeCounts(
+                scope.kind, scope.name, self._build_indicators(scope, tally, minute)
+            )
+            for scope, tally in self._counts_by_scope.items()
         )
 
-    def _indicators(
+    def _build_indicators(
         self, scope: Scope, tally: MinuteCounts, minute: int
     ) -> tuple[IndicatorCounts, ...]:
         goals = self._goals.get_goals(scope)
@@ -190,27 +194,27 @@
                     tally.sum_range(indicator, first=minute - length + 1, last=minute)
                     for length in WINDOWS_MIN
                 ),
-                _points(tally, indicator, minute) if scope == OVERALL else (),
+                _build_points(tally, indicator, minute) if scope == OVERALL else (),
             )
             for indicator in INDICATORS
         )
 
-    def _worst(self, now: float) -> tuple[MissCauseCount, ...]:
-        self._slice(now)
+    def _list_worst_causes(self, now: float) -> tuple[MissCauseCount, ...]:
+        self._get_slice(now)
         total: Counter[MissCause] = Counter()
-        for culprits in self._culprits_by_slice.values():
+        for culprits in self._causes_by_slice.values():
             total.update(culprits)
-        told = total.most_common(_TOLD_CULPRITS)
+        told = total.most_common(_MAX_REPORTED_CAUSES)
         return tuple(MissCauseCount(culprit, bad) for culprit, bad in told)
 
-    def _histogram_parts(self, now: float) -> tuple[EncodedHistogram, ...]:
+    def _encode_histograms(self, now: float) -> tuple[EncodedHistogram, ...]:
         return tuple(
             EncodedHistogram(key.indicator, key.group, payload)
             for key, payload in self._histograms.encode(now=now)
         )
 
 
-def _points(
+def _build_points(
     tally: MinuteCounts, indicator: Indicator, minute: int
 ) -> tuple[tuple[int, int], ...]:
     """Return counts of five minutes each; points of all entries start alike."""
--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/gathering.py
@@ -39,7 +39,7 @@
 
 def gather_report(
     client: PlatformClient,
-    asker: BurnQueryClient,
+    query_client: BurnQueryClient,
     *,
     address_by_process: Mapping[str, str],
     now: float,
@@ -59,7 +59,7 @@
         return Error(EntriesUnknown("the platform's list can't be read"))
     else:
         trouble = "The platform's list can't be read; only entries named were asked."
-    answers = asker.ask(addresses, BurnRequest(), BurnReply)
+    answers = query_client.ask(addresses, BurnRequest(), BurnReply)
     parts = []
     silent = set(addresses)
     for process, answer in answers.items():
@@ -68,4 +68,4 @@
         except msgspec.MsgspecError:
             continue
         silent.discard(process)
-    return Ok(merge_counts(parts, at=now, silent=sorted(silent), trouble=trouble))
+    return Ok(merge_counts(parts, at=now, unanswered=sorted(silent), problem=trouble))
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/histograms.py
@@ -23,12 +23,12 @@
 
 UNITS_PER_S = 2000
 # Ten minutes; a longer time counts as that long.
-_HIGHEST = 600 * UNITS_PER_S
-_DIGITS = 2
+_MAX_UNITS = 600 * UNITS_PER_S
+_SIGNIFICANT_DIGITS = 2
 # A histogram covers the current span and the one before.
 SPAN_S = 1800
 # Models in steady use are five; groups past the bound share one histogram.
-_GROUPS = 16
+_MAX_GROUPS = 16
 OTHER_GROUPS = "other groups"
 
 
@@ -60,18 +60,18 @@
         self, indicator: Indicator, group: str, times_s: Sequence[float], *, now: float
     ) -> None:
         """Record times in seconds; ``now`` is Unix seconds."""
-        self._turn(now)
-        histogram = self._histogram(HistogramKey(indicator, group))
+        self._rotate(now)
+        histogram = self._get_histogram(HistogramKey(indicator, group))
         for value, count in Counter(map(_units, times_s)).items():
             histogram.record_value(value, count)
 
     def encode(self, *, now: float) -> tuple[tuple[HistogramKey, bytes], ...]:
         """Return the histograms in the library's own compressed encoding."""
-        self._turn(now)
+        self._rotate(now)
         keys = sorted(set(self._current) | set(self._previous))
-        return tuple((key, self._encode(key)) for key in keys)
+        return tuple((key, self._encode_histogram(key)) for key in keys)
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         span = int(now // SPAN_S)
         if span == self._span:
             return
@@ -79,13 +79,15 @@
         self._current = {}
         self._span = span
 
-    def _histogram(self, key: HistogramKey) -> HdrHistogram:
-        if key not in self._current and len(self._current) >= _GROUPS * len(Indicator):
+    def _get_histogram(self, key: HistogramKey) -> HdrHistogram:
+        if key not in self._current and len(self._current) >= _MAX_GROUPS * len(
+            Indicator
+        ):
             key = HistogramKey(key.indicator, OTHER_GROUPS)
-        return self._current.setdefault(key, _new())
+        return self._current.setdefault(key, _create_histogram())
 
-    def _encode(self, key: HistogramKey) -> bytes:
-        both = _new()
+    def _encode_histogram(self, key: HistogramKey) -> bytes:
+        both = _create_histogram()
         for histograms in (self._previous, self._current):
             if key in histograms:
                 both.add(histograms[key])
@@ -94,25 +96,25 @@
 
 
 def compute_percentiles(
-    parts: Iterable[EncodedHistogram],
+    histograms: Iterable[EncodedHistogram],
 ) -> dict[HistogramKey, Percentiles]:
     """Return the percentiles of all parts together, by indicator and group."""
     merged: dict[HistogramKey, HdrHistogram] = {}
-    for part in parts:
+    for part in histograms:
         key = HistogramKey(part.indicator, part.group)
-        merged.setdefault(key, _new()).decode_and_add(part.payload)
-    return {key: _percentiles(histogram) for key, histogram in merged.items()}
+        merged.setdefault(key, _create_histogram()).decode_and_add(part.payload)
+    return {key: _read_percentiles(histogram) for key, histogram in merged.items()}
 
 
-def _new() -> HdrHistogram:
-    return HdrHistogram(1, _HIGHEST, _DIGITS)
+def _create_histogram() -> HdrHistogram:
+    return HdrHistogram(1, _MAX_UNITS, _SIGNIFICANT_DIGITS)
 
 
 def _units(time_s: float) -> int:
-    return min(max(1, round(time_s * UNITS_PER_S)), _HIGHEST)
+    return min(max(1, round(time_s * UNITS_PER_S)), _MAX_UNITS)
 
 
-def _percentiles(histogram: HdrHistogram) -> Percentiles:
+def _read_percentiles(histogram: HdrHistogram) -> Percentiles:
     units_per_ms = UNITS_PER_S / 1000
     p50, p95, p99 = (
         histogram.get_value_at_percentile(percentile) / units_per_ms
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -31,7 +31,7 @@
     from kingcupwheel.burn.records import MissCause
 
 # Culprits in a report, the worst first.
-_TOLD_CULPRITS = 20
+_MAX_REPORTED_CAUSES = 20
 
 
 class BurnWindow(msgspec.Struct, frozen=True):
@@ -114,37 +114,37 @@
 
 
 def merge_counts(
-    parts: Sequence[EntryCounts],
+    entry_counts: Sequence[EntryCounts],
     *,
     at: float,
-    silent: Iterable[str] = (),
-    trouble: str = "",
+    unanswered: Iterable[str] = (),
+    problem: str = "",
 ) -> BurnReport:
     """Return the report of ``parts``; ``silent`` names entries that did not answer."""
-    newest_first = sorted(parts, key=lambda part: -part.manifest_version)
+    newest_first = sorted(entry_counts, key=lambda part: -part.manifest_version)
     longest_s = max(WINDOWS_MIN) * MINUTE_S
     return BurnReport(
         at=at,
-        burns=_burns(newest_first),
-        miss_causes=_culprits(parts),
-        times=_times(parts),
-        plots=_plots(newest_first),
-        entries=tuple(_entry(part) for part in parts),
+        burns=_build_burns(newest_first),
+        miss_causes=_sum_causes(entry_counts),
+        times=_build_percentiles(entry_counts),
+        plots=_build_plots(newest_first),
+        entries=tuple(_build_entry_state(part) for part in entry_counts),
         recently_started=tuple(
-            part.process for part in parts if at - part.since < longest_s
+            part.process for part in entry_counts if at - part.since < longest_s
         ),
-        unanswered=tuple(silent),
-        problem=trouble,
+        unanswered=tuple(unanswered),
+        problem=problem,
     )
 
 
-def _entry(part: EntryCounts) -> EntryState:
+def _build_entry_state(part: EntryCounts) -> EntryState:
     return EntryState(
         part.process, part.since, part.manifest_version, part.uncounted_requests
     )
 
 
-def _burns(newest_first: Sequence[EntryCounts]) -> tuple[GoalBurn, ...]:
+def _build_burns(newest_first: Sequence[EntryCounts]) -> tuple[GoalBurn, ...]:
     counts_by_key: defaultdict[tuple[Scope, Indicator], list[IndicatorCounts]]
     counts_by_key = defaultdict(list)
     for part in newest_first:
@@ -152,22 +152,22 @@
             for counts in scope.indicators:
                 key = (Scope(scope.kind, scope.name), counts.indicator)
                 counts_by_key[key].append(counts)
-    burns = (_burn(*key, counts) for key, counts in counts_by_key.items())
-    return tuple(sorted(burns, key=_urgency))
+    burns = (_build_burn(*key, counts) for key, counts in counts_by_key.items())
+    return tuple(sorted(burns, key=_get_sort_key))
 
 
-def _urgency(burn: GoalBurn) -> tuple[int, int, float]:
+def _get_sort_key(burn: GoalBurn) -> tuple[int, int, float]:
     alerts = (Alert.FAST, Alert.SLOW, Alert.NONE)
     overall = burn.kind is not ScopeKind.OVERALL
     return overall, alerts.index(burn.alert), -(burn.windows[1].rate or 0.0)
 
 
-def _burn(
+def _build_burn(
     scope: Scope, indicator: Indicator, all_counts: list[IndicatorCounts]
 ) -> GoalBurn:
     # Entries on an older manifest may still hold the older target; the newest counts.
     target = all_counts[0].target
-    windows = _sums(counts.windows for counts in all_counts)
+    windows = _sum_columns(counts.windows for counts in all_counts)
     return GoalBurn(
         scope.kind,
         scope.name,
@@ -181,7 +181,7 @@
     )
 
 
-def _sums(rows: Iterable[Sequence[tuple[int, int]]]) -> list[EventCount]:
+def _sum_columns(rows: Iterable[Sequence[tuple[int, int]]]) -> list[EventCount]:
     columns = zip(*rows, strict=True)
     return [
         EventCount(sum(total for total, _ in column), sum(bad for _, bad in column))
@@ -189,16 +189,16 @@
     ]
 
 
-def _culprits(parts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
+def _sum_causes(parts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
     total: Counter[MissCause] = Counter()
     for part in parts:
         for item in part.miss_causes:
             total[item.cause] += item.bad
-    worst = total.most_common(_TOLD_CULPRITS)
+    worst = total.most_common(_MAX_REPORTED_CAUSES)
     return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
 
 
-def _times(parts: Iterable[EntryCounts]) -> tuple[LatencyPercentiles, ...]:
+def _build_percentiles(parts: Iterable[EntryCounts]) -> tuple[LatencyPercentiles, ...]:
     histograms = (histogram for part in parts for histogram in part.histograms)
     found = compute_percentiles(histograms)
     return tuple(
@@ -214,25 +214,25 @@
     )
 
 
-def _plots(newest_first: Sequence[EntryCounts]) -> tuple[BurnPlot, ...]:
+def _build_plots(newest_first: Sequence[EntryCounts]) -> tuple[BurnPlot, ...]:
     bad_by_point: defaultdict[tuple[Indicator, int], EventCount]
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
     for part in newest_first:
         last = int(part.at // (MINUTE_S * POINT_LENGTH_MIN))
-        for counts in _overall(part):
+        for counts in _iterate_overall(part):
             target_by_indicator.setdefault(counts.indicator, counts.target)
             first = last - len(counts.points) + 1
             for offset, pair in enumerate(counts.points):
                 key = (counts.indicator, first + offset)
                 bad_by_point[key] = bad_by_point[key].plus(EventCount(*pair))
     return tuple(
-        BurnPlot(indicator, _points(indicator, target, bad_by_point))
+        BurnPlot(indicator, _build_points(indicator, target, bad_by_point))
         for indicator, target in target_by_indicator.items()
     )
 
 
-def _points(
+def _build_points(
     indicator: Indicator, target: float, counts: dict[tuple[Indicator, int], EventCount]
 ) -> tuple[BurnPoint, ...]:
     numbers = sorted(number for kind, number in counts if kind is indicator)
@@ -246,7 +246,7 @@
     )
 
 
-def _overall(part: EntryCounts) -> Iterable[IndicatorCounts]:
+def _iterate_overall(part: EntryCounts) -> Iterable[IndicatorCounts]:
     for scope in part.scopes:
         if scope.kind is ScopeKind.OVERALL:
             yield from scope.indicators
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/observed.py
@@ -17,7 +17,7 @@
 
 # From here on a status is the system's or the server's doing; below it a refusal is
 # what the caller asked for (a bad key, an allowance used up, a connection it closed).
-_OWN_FAULT_STATUS = 500
+_MIN_SERVICE_FAULT_STATUS = 500
 
 
 class FinishedRequest(NamedTuple):
@@ -50,7 +50,7 @@
     the service: they would hide an outage behind a flood of 429, or make one up.
     """
     counts = {}
-    if _counted(observed):
+    if _counts_for_availability(observed):
         good = observed.outcome is Outcome.RAN
         counts[Indicator.AVAILABILITY] = EventCount(1, 0 if good else 1)
     if observed.first_byte_s is not None:
@@ -63,11 +63,14 @@
     return counts
 
 
-def _counted(observed: FinishedRequest) -> bool:
+def _counts_for_availability(observed: FinishedRequest) -> bool:
     match observed.outcome:
         case Outcome.RAN:
             return True
         case Outcome.NOT_RUN:
-            return observed.status >= _OWN_FAULT_STATUS and not observed.caller_left
+            return (
+                observed.status >= _MIN_SERVICE_FAULT_STATUS
+                and not observed.caller_left
+            )
         case Outcome.UNKNOWN:
             return not observed.caller_left
--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/page.py
@@ -27,9 +27,9 @@
 _WIDTH, _HEIGHT = 900, 300
 _LEFT, _RIGHT, _TOP, _BOTTOM = 50, 20, 20, 40
 # Burn rates run from nothing to a thousand; past this a line runs along the top.
-_HIGHEST_RATE = 20.0
+_MAX_PLOTTED_RATE = 20.0
 _COLOURS = ("#1f5fa8", "#c4532b", "#3d8a4e")
-_TIME_MARKS = 6
+_TIME_MARK_COUNT = 6
 _STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2em auto; max-width: 960px;
   padding: 0 1em; color: #222; background: #fff; }
@@ -56,35 +56,37 @@
             f"<p>{len(report.entries)} entries answered.</p>",
             *(f'<p class="note">{escape(note)}</p>' for note in list_notes(report)),
             "<h2>Burn rate over the last six hours, all requests</h2>",
-            _plot(report.plots),
+            _render_plot(report.plots),
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
-            _table(BURN_COLUMNS, build_burn_rows(report), marked),
+            _render_table(BURN_COLUMNS, build_burn_rows(report), marked),
             "<h2>What burned the budgets in the last hour</h2>",
-            _table(CAUSE_COLUMNS, build_cause_rows(report)),
+            _render_table(CAUSE_COLUMNS, build_cause_rows(report)),
             "<h2>Times over the last half hour to hour</h2>",
-            _table(LATENCY_COLUMNS, build_latency_rows(report)),
+            _render_table(LATENCY_COLUMNS, build_latency_rows(report)),
             "</body></html>",
         )
     )
 
 
-def _table(
+def _render_table(
     head: Sequence[str], rows: Sequence[Sequence[str]], marks: Sequence[str] = ()
 ) -> str:
     if not rows:
         return "<p>Nothing.</p>"
     classes = marks or [""] * len(rows)
-    lines = [_row("th", head, "")]
-    lines += [_row("td", row, mark) for row, mark in zip(rows, classes, strict=True)]
+    lines = [_render_row("th", head, "")]
+    lines += [
+        _render_row("td", row, mark) for row, mark in zip(rows, classes, strict=True)
+    ]
     return "<table>" + "\n".join(lines) + "</table>"
 
 
-def _row(tag: str, cells: Iterable[str], mark: str) -> str:
+def _render_row(tag: str, cells: Iterable[str], mark: str) -> str:
     inner = "".join(f"<{tag}>{escape(cell)}</{tag}>" for cell in cells)
     return f'<tr class="{escape(mark)}">{inner}</tr>'
 
 
-def _plot(plots: Sequence[BurnPlot]) -> str:
+def _render_plot(plots: Sequence[BurnPlot]) -> str:
     ats = [point.at for plot in plots for point in plot.points]
     if not ats:
         return "<p>No counts.</p>"
@@ -92,12 +94,15 @@
     parts = [
         f'<svg viewBox="0 0 {_WIDTH} {_HEIGHT}" role="img" '
         'aria-label="Burn rate over time">',
-        *(_rate_mark(rate) for rate in (0.0, 1.0, SLOW_BURN_RATE, FAST_BURN_RATE)),
-        *_time_marks(first, last),
+        *(
+            _render_rate_mark(rate)
+            for rate in (0.0, 1.0, SLOW_BURN_RATE, FAST_BURN_RATE)
+        ),
+        *_render_time_marks(first, last),
     ]
     for number, plot in enumerate(plots):
         colour = _COLOURS[number % len(_COLOURS)]
-        parts.append(_line(plot, colour, first, last))
+        parts.append(_render_line(plot, colour, first, last))
         x = _LEFT + 10 + 170 * number
         parts.append(
             f'<rect x="{x}" y="4" width="12" height="12" fill="{colour}"/>'
@@ -106,8 +111,8 @@
     return "\n".join((*parts, "</svg>"))
 
 
-def _rate_mark(rate: float) -> str:
-    y = _y(rate)
+def _render_rate_mark(rate: float) -> str:
+    y = _scale_rate(rate)
     return (
         f'<line x1="{_LEFT}" x2="{_WIDTH - _RIGHT}" y1="{y:.1f}" y2="{y:.1f}" '
         f'stroke="#ccc" stroke-dasharray="4 3"/>'
@@ -115,17 +120,17 @@
     )
 
 
-def _time_marks(first: float, last: float) -> list[str]:
-    step = (last - first) / _TIME_MARKS
-    ats = [first + step * number for number in range(_TIME_MARKS + 1)]
+def _render_time_marks(first: float, last: float) -> list[str]:
+    step = (last - first) / _TIME_MARK_COUNT
+    ats = [first + step * number for number in range(_TIME_MARK_COUNT + 1)]
     return [
-        f'<text x="{_x(at, first, last):.1f}" y="{_HEIGHT - 14}" '
+        f'<text x="{_scale_time(at, first, last):.1f}" y="{_HEIGHT - 14}" '
         f'text-anchor="middle">{format_utc(at)[-5:]}</text>'
         for at in ats
     ]
 
 
-def _line(plot: BurnPlot, colour: str, first: float, last: float) -> str:
+def _render_line(plot: BurnPlot, colour: str, first: float, last: float) -> str:
     """Return a line that breaks where nothing was counted."""
     commands = []
     pen = "M"
@@ -133,7 +138,7 @@
         if point.rate is None:
             pen = "M"
             continue
-        x, y = _x(point.at, first, last), _y(point.rate)
+        x, y = _scale_time(point.at, first, last), _scale_rate(point.rate)
         # A single point between two gaps would be invisible without a length.
         commands.append(f"{pen}{x:.1f} {y:.1f}" + ("h0.1" if pen == "M" else ""))
         pen = "L"
@@ -143,11 +148,11 @@
     )
 
 
-def _x(at: float, first: float, last: float) -> float:
+def _scale_time(at: float, first: float, last: float) -> float:
     share = (at - first) / (last - first) if last > first else 0.0
     return _LEFT + share * (_WIDTH - _LEFT - _RIGHT)
 
 
-def _y(rate: float) -> float:
-    share = min(rate, _HIGHEST_RATE) / _HIGHEST_RATE
+def _scale_rate(rate: float) -> float:
+    share = min(rate, _MAX_PLOTTED_RATE) / _MAX_PLOTTED_RATE
     return _TOP + (1 - share) * (_HEIGHT - _TOP - _BOTTOM)
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/rates.py
@@ -48,14 +48,16 @@
 def determine_alert(windows: Sequence[EventCount], target: float) -> Alert:
     """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
-    if _over(fast_short, fast_long, target, FAST_BURN_RATE):
+    if _is_over_threshold(fast_short, fast_long, target, FAST_BURN_RATE):
         return Alert.FAST
-    if _over(slow_short, slow_long, target, SLOW_BURN_RATE):
+    if _is_over_threshold(slow_short, slow_long, target, SLOW_BURN_RATE):
         return Alert.SLOW
     return Alert.NONE
 
 
-def _over(short: EventCount, long: EventCount, target: float, threshold: float) -> bool:
+def _is_over_threshold(
+    short: EventCount, long: EventCount, target: float, threshold: float
+) -> bool:
     if short.total < MIN_EVENTS_FOR_ALERT:
         return False
     return all(
--- a/src/kingcupwheel/burn/tallies.py
+++ b/src/kingcupwheel/burn/tallies.py
@@ -11,8 +11,8 @@
 
 MINUTE_S = 60
 # Six hours, the longest window, and the minute under way.
-_MINUTES = 361
-_WIDTH = 2 * len(INDICATORS)
+_MINUTE_SLOTS = 361
+_SLOT_WIDTH = 2 * len(INDICATORS)
 _INDEX_BY_INDICATOR = {item: 2 * index for index, item in enumerate(INDICATORS)}
 
 
@@ -34,14 +34,14 @@
     """
 
     def __init__(self) -> None:
-        self._counts = array("Q", bytes(8 * _MINUTES * _WIDTH))
-        self._minutes = array("q", [-1] * _MINUTES)
+        self._counts = array("Q", bytes(8 * _MINUTE_SLOTS * _SLOT_WIDTH))
+        self._minutes = array("q", [-1] * _MINUTE_SLOTS)
 
     def add_events(
         self, minute: int, indicator: Indicator, *, total: int, bad: int
     ) -> None:
         """Count ``total`` events of which ``bad`` missed the goal."""
-        base = self._row(minute) + _INDEX_BY_INDICATOR[indicator]
+        base = self._get_slot_offset(minute) + _INDEX_BY_INDICATOR[indicator]
         self._counts[base] += total
         self._counts[base + 1] += bad
 
@@ -50,16 +50,16 @@
         offset = _INDEX_BY_INDICATOR[indicator]
         total = bad = 0
         for minute in range(first, last + 1):
-            slot = minute % _MINUTES
+            slot = minute % _MINUTE_SLOTS
             if self._minutes[slot] == minute:
-                total += self._counts[slot * _WIDTH + offset]
-                bad += self._counts[slot * _WIDTH + offset + 1]
+                total += self._counts[slot * _SLOT_WIDTH + offset]
+                bad += self._counts[slot * _SLOT_WIDTH + offset + 1]
         return EventCount(total, bad)
 
-    def _row(self, minute: int) -> int:
-        slot = minute % _MINUTES
-        base = slot * _WIDTH
+    def _get_slot_offset(self, minute: int) -> int:
+        slot = minute % _MINUTE_SLOTS
+        base = slot * _SLOT_WIDTH
         if self._minutes[slot] != minute:
             self._minutes[slot] = minute
-            self._counts[base : base + _WIDTH] = array("Q", bytes(8 * _WIDTH))
+            self._counts[base : base + _SLOT_WIDTH] = array("Q", bytes(8 * _SLOT_WIDTH))
         return base
