--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -73,7 +73,7 @@
         self._metrics = MetricsClient(settings.statsd, process=settings.name)
         self._recorder = TraceRecorder(
             settings.name,
-            limit=settings.agent.traces,
+            max_requests=settings.agent.traces,
             listener=TraceEventMetrics(self._metrics, settings.role),
         )
         self._entry_links = EntryLinks(
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -41,7 +41,7 @@
     ) -> None:
         self.recorder = TraceRecorder(
             settings.name,
-            limit=settings.entry.traces,
+            max_requests=settings.entry.traces,
             listener=TraceEventMetrics(metrics, settings.role),
         )
         self.burn_counter = BurnCounter(
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/finding.py
@@ -80,47 +80,51 @@
     def __init__(
         self,
         client: PlatformClient,
-        asker: TraceQueryClient,
+        query_client: TraceQueryClient,
         *,
         address_by_process: Mapping[str, str] | None = None,
         agents: Iterable[str] = (),
     ) -> None:
         self._client = client
-        self._asker = asker
-        self._given = dict(address_by_process or {})
-        self._agents = tuple(agents)
-        self._reader = BatchReader(client)
+        self._query_client = query_client
+        self._given_addresses = dict(address_by_process or {})
+        self._given_agents = tuple(agents)
+        self._batch_reader = BatchReader(client)
 
     def find(self, request_id: str) -> Result[RequestTimeline, FindError]:
         """Return what can be said of the request, with what is missing."""
         parsed = parse_request_id(request_id)
         if parsed is None:
             return Error(InvalidRequestId(request_id))
-        directory = self._directory()
-        entry = self._parts((parsed.entry,), request_id, parsed, directory)[0]
-        servers = dict.fromkeys((*list_servers(entry.events), *self._agents))
+        directory = self._read_directory()
+        entry = self._collect_traces((parsed.entry,), request_id, parsed, directory)[0]
+        servers = dict.fromkeys((*list_servers(entry.events), *self._given_agents))
         told_at = _get_finish_time(entry.events)
-        agents = self._parts(tuple(servers), request_id, parsed, directory, told_at)
+        agents = self._collect_traces(
+            tuple(servers), request_id, parsed, directory, told_at
+        )
         # An entry that answers for that time and holds nothing never gave out the id.
         found = entry.events or any(part.events for part in agents)
         if not found and entry.gaps:
-            agents = (*agents, *self._guess(request_id, parsed, directory))
+            agents = (*agents, *self._search_all_agents(request_id, parsed, directory))
         parts = (entry, *agents)
         if directory.problem and any(part.gaps for part in parts):
             gaps = (directory.problem, *entry.gaps)
             parts = (msgspec.structs.replace(entry, gaps=gaps), *agents)
         return Ok(build_timeline(request_id, parts))
 
-    def _directory(self) -> _ProcessDirectory:
+    def _read_directory(self) -> _ProcessDirectory:
         listed = self._client.instances()
         if listed.is_error():
             trouble = f"The list of instances is missing: {describe_platform_error(listed.error)}."
-            return _ProcessDirectory(self._given, tuple(self._given), trouble)
+            return _ProcessDirectory(
+                self._given_addresses, tuple(self._given_addresses), trouble
+            )
         address_by_process = {item.name: item.address for item in listed.ok}
         agents = tuple(item.name for item in listed.ok if item.role == "agent")
-        return _ProcessDirectory(address_by_process | self._given, agents, "")
+        return _ProcessDirectory(address_by_process | self._given_addresses, agents, "")
 
-    def _parts(
+    def _collect_traces(
         self,
         processes: tuple[str, ...],
         request_id: str,
@@ -128,15 +132,15 @@
         directory: _ProcessDirectory,
         told_at: float | None = None,
     ) -> tuple[ProcessTrace, ...]:
-        found_by_process = self._ask(processes, request_id, directory)
+        found_by_process = self._query_processes(processes, request_id, directory)
         return tuple(
-            self._part(
+            self._collect_trace(
                 process, found_by_process.get(process), request_id, parsed, told_at
             )
             for process in processes
         )
 
-    def _ask(
+    def _query_processes(
         self, processes: tuple[str, ...], request_id: str, directory: _ProcessDirectory
     ) -> dict[str, TraceReply]:
         addresses = {
@@ -144,9 +148,9 @@
             for process in processes
             if (address := directory.address_by_process.get(process))
         }
-        return self._asker.ask(addresses, TraceRequest(request_id), TraceReply)
+        return self._query_client.ask(addresses, TraceRequest(request_id), TraceReply)
 
-    def _part(
+    def _collect_trace(
         self,
         process: str,
         found: TraceReply | None,
@@ -158,19 +162,19 @@
         if found is not None and found.complete:
             return ProcessTrace(process, TraceSource.LIVE, live)
         since = parsed.arrived_at_ms / 1000
-        stored = self._reader.read_events(process, request_id, since=since)
+        stored = self._batch_reader.read_events(process, request_id, since=since)
         events = _combine_events(live, stored.events)
         source = TraceSource.BATCHES if stored.events else TraceSource.NOWHERE
         source = TraceSource.LIVE if live else source
         gaps = _describe_gaps(process, parsed.entry, found, events, stored, told_at)
         return ProcessTrace(process, source, events, gaps)
 
-    def _guess(
+    def _search_all_agents(
         self, request_id: str, parsed: RequestId, directory: _ProcessDirectory
     ) -> tuple[ProcessTrace, ...]:
         """Look at large: the entry is gone and left nothing that names an agent."""
         asked = directory.agents[:MAX_FALLBACK_AGENTS]
-        found_by_process = self._ask(asked, request_id, directory)
+        found_by_process = self._query_processes(asked, request_id, directory)
         parts = tuple(
             ProcessTrace(process, TraceSource.LIVE, events)
             for process, found in found_by_process.items()
@@ -179,9 +183,9 @@
         if parts:
             return parts
         whole = {name for name, found in found_by_process.items() if found.complete}
-        writers = self._reader.list_writers()
+        writers = self._batch_reader.list_writers()
         left = [name for name in writers if name not in whole | {parsed.entry}]
-        parts = self._guess_batches(left[:MAX_FALLBACK_WRITERS], request_id, parsed)
+        parts = self._search_batches(left[:MAX_FALLBACK_WRITERS], request_id, parsed)
         unasked = max(0, len(directory.agents) - len(asked))
         unread = max(0, len(left) - MAX_FALLBACK_WRITERS)
         if parts or not (unasked or unread):
@@ -191,10 +195,13 @@
         )
         return (ProcessTrace("agents", TraceSource.NOWHERE, (), (gap,)),)
 
-    def _guess_batches(
+    def _search_batches(
         self, writers: list[str], request_id: str, parsed: RequestId
     ) -> tuple[ProcessTrace, ...]:
-        parts = (self._part(name, None, request_id, parsed, None) for name in writers)
+        parts = (
+            self._collect_trace(name, None, request_id, parsed, None)
+            for name in writers
+        )
         return tuple(part for part in parts if part.events)
 
 
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -67,19 +67,19 @@
         self,
         process: str,
         *,
-        limit: int,
+        max_requests: int,
         listener: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self._process = process
-        self._limit = limit
+        self._max_requests = max_requests
         self._listener = listener
-        self._started = time.time()
-        self._forgotten_ms = 0
-        self._stories_by_request_id: OrderedDict[str, _RequestEvents] = OrderedDict()
+        self._started_at = time.time()
+        self._evicted_until_ms = 0
+        self._events_by_request_id: OrderedDict[str, _RequestEvents] = OrderedDict()
         self._unshipped: deque[bytes] = deque()
         self._unshipped_bytes = 0
-        self._since = self._started
-        self._lost = 0
+        self._unshipped_since = self._started_at
+        self._lost_count = 0
         self._encoder = msgspec.msgpack.Encoder()
         self._lock = Lock()
 
@@ -94,15 +94,17 @@
         entry = TraceEvent(request_id, at, self._process, event)
         with self._lock:
             encoded = self._encoder.encode(entry)
-            self._keep(request_id, encoded, final=isinstance(event, RequestFinished))
-            self._queue(encoded, at)
+            self._store_event(
+                request_id, encoded, final=isinstance(event, RequestFinished)
+            )
+            self._enqueue(encoded, at)
         if self._listener is not None:
             self._listener(event)
 
     def get_events(self, request_id: str) -> tuple[TraceEvent, ...]:
         """Return what is held of the request, in order of recording."""
         with self._lock:
-            story = self._stories_by_request_id.get(request_id)
+            story = self._events_by_request_id.get(request_id)
             encoded = tuple(story.encoded_events) if story else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
@@ -114,8 +116,10 @@
         """
         events = self.get_events(request_id)
         with self._lock:
-            story = self._stories_by_request_id.get(request_id)
-            complete = self._covers(request_id) and not (story and story.is_truncated)
+            story = self._events_by_request_id.get(request_id)
+            complete = self._is_covered(request_id) and not (
+                story and story.is_truncated
+            )
         payload = msgspec.msgpack.encode(events)
         return TraceReply(request_id, self._process, payload, complete)
 
@@ -124,44 +128,46 @@
         with self._lock:
             now = time.time()
             drained = DrainedEvents(
-                tuple(self._unshipped), self._since, now, self._lost
+                tuple(self._unshipped), self._unshipped_since, now, self._lost_count
             )
             self._unshipped.clear()
             self._unshipped_bytes = 0
-            self._since = now
-            self._lost = 0
+            self._unshipped_since = now
+            self._lost_count = 0
         return drained
 
-    def _keep(self, request_id: str, encoded: bytes, *, final: bool) -> None:
-        story = self._stories_by_request_id.get(request_id)
+    def _store_event(self, request_id: str, encoded: bytes, *, final: bool) -> None:
+        story = self._events_by_request_id.get(request_id)
         if story is None:
             story = _RequestEvents()
-            self._stories_by_request_id[request_id] = story
-            self._make_room()
+            self._events_by_request_id[request_id] = story
+            self._evict_oldest()
         if len(story.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
             story.encoded_events.append(encoded)
         else:
             story.is_truncated = True
 
-    def _make_room(self) -> None:
-        while len(self._stories_by_request_id) > self._limit:
-            oldest, _ = self._stories_by_request_id.popitem(last=False)
-            self._forgotten_ms = max(self._forgotten_ms, _get_arrival_ms(oldest))
+    def _evict_oldest(self) -> None:
+        while len(self._events_by_request_id) > self._max_requests:
+            oldest, _ = self._events_by_request_id.popitem(last=False)
+            self._evicted_until_ms = max(
+                self._evicted_until_ms, _get_arrival_ms(oldest)
+            )
 
-    def _queue(self, encoded: bytes, at: float) -> None:
+    def _enqueue(self, encoded: bytes, at: float) -> None:
         if not self._unshipped:
-            self._since = at
+            self._unshipped_since = at
         self._unshipped.append(encoded)
         self._unshipped_bytes += len(encoded)
         while self._unshipped_bytes > MAX_UNSHIPPED_BYTES:
             self._unshipped_bytes -= len(self._unshipped.popleft())
-            self._lost += 1
+            self._lost_count += 1
 
-    def _covers(self, request_id: str) -> bool:
+    def _is_covered(self, request_id: str) -> bool:
         # A story that was pushed out may start anew with a late event; judging by the
         # time in the id catches that too.
         started_ms = _get_arrival_ms(request_id)
-        return started_ms > max(int(self._started * 1000), self._forgotten_ms)
+        return started_ms > max(int(self._started_at * 1000), self._evicted_until_ms)
 
 
 def _get_arrival_ms(request_id: str) -> int:
--- a/src/kingcupwheel/trace/sweeping.py
+++ b/src/kingcupwheel/trace/sweeping.py
@@ -49,15 +49,15 @@
 
         What the platform does not answer is left to the next sweep.
         """
-        batches = self._batches(self._process)
-        for name in self._inherited()[:MAX_NAMES_PER_SWEEP]:
-            found = self._batches(name)
+        batches = self._list_batches(self._process)
+        for name in self._list_taken_over()[:MAX_NAMES_PER_SWEEP]:
+            found = self._list_batches(name)
             if not found:
-                self._forget(name)
+                self._delete_marker(name)
             batches += found
         return batches
 
-    def _inherited(self) -> tuple[str, ...]:
+    def _list_taken_over(self) -> tuple[str, ...]:
         listed = self._client.instances()
         marks = self._client.keys(WRITER_MARKER_PREFIX)
         # Without the list every writer would seem gone.
@@ -70,13 +70,13 @@
             name for name in gone if select_successor(name, live) == self._process
         )
 
-    def _batches(self, name: str) -> tuple[BatchName, ...]:
+    def _list_batches(self, name: str) -> tuple[BatchName, ...]:
         keys = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
         if keys.is_error():
             return ()
         return tuple(batch for key in keys.ok if (batch := parse_key(key)))
 
-    def _forget(self, name: str) -> None:
+    def _delete_marker(self, name: str) -> None:
         """Remove the mark of a name that has no batches left."""
         mark = self._client.read(f"{WRITER_MARKER_PREFIX}{name}")
         left = self._client.keys(f"{BATCH_KEY_PREFIX}{name}/")
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -135,7 +135,7 @@
     for count in (2000, 10_000):
         gc.collect()
         tracemalloc.start()
-        recorder = TraceRecorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS, max_requests=count)
         record_requests(recorder, process, count)
         recorder.drain()
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
@@ -150,7 +150,7 @@
     for count in (100, 300, 1000):
 
         def run(count: int = count) -> None:
-            recorder = TraceRecorder(PROCESS, limit=count)
+            recorder = TraceRecorder(PROCESS, max_requests=count)
             record_requests(recorder, process, count)
             compress_events(recorder.drain().encoded)
 
@@ -162,7 +162,7 @@
     """Return the compressed size of a batch by the requests in it."""
     points = []
     for count in (100, 300, 1000):
-        recorder = TraceRecorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS, max_requests=count)
         record_requests(recorder, process, count)
         parts = compress_events(recorder.drain().encoded)
         points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
