--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/merging.py
@@ -87,7 +87,7 @@
     process: str
     since: float
     manifest_version: int
-    uncounted_requests: int
+    uncounted_requests: int = msgspec.field(name="uncounted")
 
 
 class BurnReport(msgspec.Struct, frozen=True):
@@ -99,13 +99,13 @@
 
     at: float
     burns: tuple[GoalBurn, ...]
-    miss_causes: tuple[MissCauseCount, ...]
+    miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
     times: tuple[LatencyPercentiles, ...]
     plots: tuple[BurnPlot, ...]
     entries: tuple[EntryState, ...]
-    recently_started: tuple[str, ...]
-    unanswered: tuple[str, ...]
-    problem: str = ""
+    recently_started: tuple[str, ...] = msgspec.field(name="young")
+    unanswered: tuple[str, ...] = msgspec.field(name="silent")
+    problem: str = msgspec.field(default="", name="trouble")
 
     @property
     def is_complete(self) -> bool:
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -40,8 +40,8 @@
 
     since: float
     until: float
-    event_count: int
-    reason: str
+    event_count: int = msgspec.field(name="events")
+    reason: str = msgspec.field(name="why")
 
 
 class TraceBatch(msgspec.Struct, frozen=True):
@@ -50,8 +50,8 @@
     process: str
     since: float
     until: float
-    event_count: int
-    compressed_events: bytes
+    event_count: int = msgspec.field(name="events")
+    compressed_events: bytes = msgspec.field(name="packed")
     losses: tuple[EventLoss, ...] = ()
 
 
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -15,7 +15,7 @@
     """Base of all events."""
 
 
-class RequestReceived(Event, frozen=True):
+class RequestReceived(Event, frozen=True, tag="Received"):
     """The entry read the request."""
 
     method: str
@@ -29,13 +29,13 @@
     idempotency: str = ""
 
 
-class ResendJoined(Event, frozen=True):
+class ResendJoined(Event, frozen=True, tag="Joined"):
     """A resend was joined to an earlier request with the same idempotency key."""
 
-    earlier_request_id: str
+    earlier_request_id: str = msgspec.field(name="earlier")
 
 
-class ClaimRecorded(Event, frozen=True):
+class ClaimRecorded(Event, frozen=True, tag="Claimed"):
     """A claim was made, found or moved on the platform; ``detail`` says which."""
 
     claim_id: str
@@ -43,14 +43,14 @@
     detail: str
 
 
-class RequestAdmitted(Event, frozen=True):
+class RequestAdmitted(Event, frozen=True, tag="Admitted"):
     """Within the allowance; ``work`` is predicted work in tokens."""
 
     work: float
     detail: str = ""
 
 
-class RequestRefused(Event, frozen=True):
+class RequestRefused(Event, frozen=True, tag="Refused"):
     """Given up before it ran; ``limit`` names the bound that was reached."""
 
     limit: str
@@ -58,10 +58,10 @@
     retry_after_s: float = 0.0
 
 
-class RequestQueued(Event, frozen=True):
+class RequestQueued(Event, frozen=True, tag="Queued"):
     """Waits for a place; ``ahead`` requests are before it."""
 
-    requests_ahead: int
+    requests_ahead: int = msgspec.field(name="ahead")
 
 
 class ConsideredServer(msgspec.Struct, frozen=True):
@@ -71,51 +71,53 @@
     load: float
 
 
-class RequestPlaced(Event, frozen=True):
+class RequestPlaced(Event, frozen=True, tag="Placed"):
     """Given to ``server``; ``why`` is a short reason."""
 
     server: str
     attempt: int
     waited_s: float
-    reason: str
-    considered_servers: tuple[ConsideredServer, ...] = ()
+    reason: str = msgspec.field(name="why")
+    considered_servers: tuple[ConsideredServer, ...] = msgspec.field(
+        default=(), name="alternatives"
+    )
 
 
-class AttemptDispatched(Event, frozen=True):
+class AttemptDispatched(Event, frozen=True, tag="Dispatched"):
     """Sent to the agent of ``server``."""
 
     server: str
     attempt: int
 
 
-class AttemptForwarded(Event, frozen=True):
+class AttemptForwarded(Event, frozen=True, tag="Started"):
     """The agent handed it to its server."""
 
     server: str
     attempt: int
 
 
-class FirstByteRelayed(Event, frozen=True):
+class FirstByteRelayed(Event, frozen=True, tag="FirstByte"):
     """The first byte of the answer's body passed the recording process."""
 
     server: str
     attempt: int
 
 
-class AttemptResumed(Event, frozen=True):
+class AttemptResumed(Event, frozen=True, tag="Resumed"):
     """Taken up again from ``offset`` over a new link; ``why`` is a short reason."""
 
     server: str
     attempt: int
     offset: int
-    reason: str
+    reason: str = msgspec.field(name="why")
 
 
-class AttemptRetried(Event, frozen=True):
+class AttemptRetried(Event, frozen=True, tag="Retried"):
     """The attempt ended without a run, or may be repeated; another follows."""
 
     attempt: int
-    reason: str
+    reason: str = msgspec.field(name="why")
 
 
 class ServerDied(Event, frozen=True):
@@ -138,7 +140,7 @@
     offset: int
 
 
-class RequestFinished(Event, frozen=True):
+class RequestFinished(Event, frozen=True, tag="Finished"):
     """The final outcome as told to the caller."""
 
     outcome: str
@@ -147,7 +149,7 @@
     reason: str
 
 
-class NoteAdded(Event, frozen=True):
+class NoteAdded(Event, frozen=True, tag="Noted"):
     """Anything else worth telling, as one sentence."""
 
     sentence: str
@@ -178,7 +180,7 @@
     """One event with its request, time and the process that recorded it."""
 
     request_id: str
-    recorded_at: float
+    recorded_at: float = msgspec.field(name="at")
     process: str
     event: AnyEvent
 
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -50,7 +50,7 @@
 
 
 class _RequestEvents:
-    __slots__ = ("is_truncated", "encoded")
+    __slots__ = ("is_truncated", "encoded_events")
 
     def __init__(self) -> None:
         self.encoded_events: list[bytes] = []
--- a/src/kingcupwheel/trace/sentences.py
+++ b/src/kingcupwheel/trace/sentences.py
@@ -39,7 +39,7 @@
         or _describe_answer(event, arrived=arrived_at)
         or _describe_end(event, final=event.process == entry)
     )
-    return told or f"Recorded {type(event.event).__name__}."
+    return told or f"Recorded {type(event.event).__struct_config__.tag}."
 
 
 def _describe_arrival(event: TraceEvent) -> str | None:
