--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -38,8 +38,8 @@
 from kingcupwheel.plugins.registries import platform_clients
 from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
+from kingcupwheel.trace.batch_shipper import BatchShipper
 from kingcupwheel.trace.recorder import TraceRecorder
-from kingcupwheel.trace.shipper import BatchShipper
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/burn/counter.py
+++ b/src/kingcupwheel/burn/burn_counter.py
@@ -13,31 +13,31 @@
 
 import msgspec
 
+from kingcupwheel.burn.entry_counts import POINT_COUNT
+from kingcupwheel.burn.entry_counts import POINT_LENGTH_MIN
+from kingcupwheel.burn.entry_counts import WINDOWS_MIN
+from kingcupwheel.burn.entry_counts import EncodedHistogram
+from kingcupwheel.burn.entry_counts import EntryCounts
+from kingcupwheel.burn.entry_counts import IndicatorCounts
+from kingcupwheel.burn.entry_counts import MissCause
+from kingcupwheel.burn.entry_counts import MissCauseCount
+from kingcupwheel.burn.entry_counts import ScopeCounts
+from kingcupwheel.burn.finished_request import count_by_indicator
 from kingcupwheel.burn.goals import INDICATORS
 from kingcupwheel.burn.goals import OVERALL
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import Scope
 from kingcupwheel.burn.goals import get_target
-from kingcupwheel.burn.histograms import LatencyHistograms
-from kingcupwheel.burn.observed import count_by_indicator
-from kingcupwheel.burn.records import POINT_COUNT
-from kingcupwheel.burn.records import POINT_LENGTH_MIN
-from kingcupwheel.burn.records import WINDOWS_MIN
-from kingcupwheel.burn.records import EncodedHistogram
-from kingcupwheel.burn.records import EntryCounts
-from kingcupwheel.burn.records import IndicatorCounts
-from kingcupwheel.burn.records import MissCause
-from kingcupwheel.burn.records import MissCauseCount
-from kingcupwheel.burn.records import ScopeCounts
-from kingcupwheel.burn.tallies import MINUTE_S
-from kingcupwheel.burn.tallies import MinuteCounts
+from kingcupwheel.burn.latency_histograms import LatencyHistograms
+from kingcupwheel.burn.minute_counts import MINUTE_S
+from kingcupwheel.burn.minute_counts import MinuteCounts
 from kingcupwheel.messages.traces import BurnReply
 
 
 if TYPE_CHECKING:
+    from kingcupwheel.burn.finished_request import FinishedRequest
     from kingcupwheel.burn.goals import BurnGoals
-    from kingcupwheel.burn.observed import FinishedRequest
-    from kingcupwheel.burn.tallies import EventCount
+    from kingcupwheel.burn.minute_counts import EventCount
 
 # Scopes with goals of their own that one entry counts; 20 KB each. An entry serves a
 # small set of organisations, so that it only bites if many of them have own goals.
--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/burn_rates.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.tallies import EventCount
+    from kingcupwheel.burn.minute_counts import EventCount
 
 FAST_BURN_RATE = 14.4
 SLOW_BURN_RATE = 6.0
--- a/src/kingcupwheel/burn/merging.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -8,27 +8,27 @@
 
 import msgspec
 
+from kingcupwheel.burn.burn_rates import Alert
+from kingcupwheel.burn.burn_rates import compute_burn_rate
+from kingcupwheel.burn.burn_rates import determine_alert
+from kingcupwheel.burn.entry_counts import POINT_LENGTH_MIN
+from kingcupwheel.burn.entry_counts import WINDOWS_MIN
+from kingcupwheel.burn.entry_counts import MissCauseCount
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import Scope
 from kingcupwheel.burn.goals import ScopeKind
-from kingcupwheel.burn.histograms import compute_percentiles
-from kingcupwheel.burn.rates import Alert
-from kingcupwheel.burn.rates import compute_burn_rate
-from kingcupwheel.burn.rates import determine_alert
-from kingcupwheel.burn.records import POINT_LENGTH_MIN
-from kingcupwheel.burn.records import WINDOWS_MIN
-from kingcupwheel.burn.records import MissCauseCount
-from kingcupwheel.burn.tallies import MINUTE_S
-from kingcupwheel.burn.tallies import EventCount
+from kingcupwheel.burn.latency_histograms import compute_percentiles
+from kingcupwheel.burn.minute_counts import MINUTE_S
+from kingcupwheel.burn.minute_counts import EventCount
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.records import EntryCounts
-    from kingcupwheel.burn.records import IndicatorCounts
-    from kingcupwheel.burn.records import MissCause
+    from kingcupwheel.burn.entry_counts import EntryCounts
+    from kingcupwheel.burn.entry_counts import IndicatorCounts
+    from kingcupwheel.burn.entry_counts import MissCause
 
 # Culprits in a report, the worst first.
 _MAX_REPORTED_CAUSES = 20
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/finished_request.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.burn.goals import Indicator
-from kingcupwheel.burn.tallies import EventCount
+from kingcupwheel.burn.minute_counts import EventCount
 from kingcupwheel.messages.attempts import Outcome
 
 
--- a/src/kingcupwheel/burn/histograms.py
+++ b/src/kingcupwheel/burn/latency_histograms.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.records import EncodedHistogram
+    from kingcupwheel.burn.entry_counts import EncodedHistogram
 
 UNITS_PER_S = 2000
 # Ten minutes; a longer time counts as that long.
--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/report_collector.py
@@ -10,10 +10,10 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.burn.burn_report import BurnReport
+from kingcupwheel.burn.burn_report import merge_counts
+from kingcupwheel.burn.entry_counts import ENTRY_COUNTS_DECODER
 from kingcupwheel.burn.exceptions import EntriesUnknown
-from kingcupwheel.burn.merging import BurnReport
-from kingcupwheel.burn.merging import merge_counts
-from kingcupwheel.burn.records import ENTRY_COUNTS_DECODER
 from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
 
--- a/src/kingcupwheel/burn/page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -5,24 +5,24 @@
 from html import escape
 from typing import TYPE_CHECKING
 
-from kingcupwheel.burn.printing import BURN_COLUMNS
-from kingcupwheel.burn.printing import CAUSE_COLUMNS
-from kingcupwheel.burn.printing import LATENCY_COLUMNS
-from kingcupwheel.burn.printing import build_burn_rows
-from kingcupwheel.burn.printing import build_cause_rows
-from kingcupwheel.burn.printing import build_latency_rows
-from kingcupwheel.burn.printing import format_utc
-from kingcupwheel.burn.printing import list_notes
-from kingcupwheel.burn.rates import FAST_BURN_RATE
-from kingcupwheel.burn.rates import SLOW_BURN_RATE
+from kingcupwheel.burn.burn_rates import FAST_BURN_RATE
+from kingcupwheel.burn.burn_rates import SLOW_BURN_RATE
+from kingcupwheel.burn.report_text import BURN_COLUMNS
+from kingcupwheel.burn.report_text import CAUSE_COLUMNS
+from kingcupwheel.burn.report_text import LATENCY_COLUMNS
+from kingcupwheel.burn.report_text import build_burn_rows
+from kingcupwheel.burn.report_text import build_cause_rows
+from kingcupwheel.burn.report_text import build_latency_rows
+from kingcupwheel.burn.report_text import format_utc
+from kingcupwheel.burn.report_text import list_notes
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.merging import BurnPlot
-    from kingcupwheel.burn.merging import BurnReport
+    from kingcupwheel.burn.burn_report import BurnPlot
+    from kingcupwheel.burn.burn_report import BurnReport
 
 _WIDTH, _HEIGHT = 900, 300
 _LEFT, _RIGHT, _TOP, _BOTTOM = 50, 20, 20, 40
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -6,16 +6,16 @@
 from datetime import datetime
 from typing import TYPE_CHECKING
 
+from kingcupwheel.burn.burn_rates import Alert
 from kingcupwheel.burn.goals import ScopeKind
-from kingcupwheel.burn.rates import Alert
 
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.merging import BurnReport
-    from kingcupwheel.burn.merging import BurnWindow
-    from kingcupwheel.burn.merging import GoalBurn
+    from kingcupwheel.burn.burn_report import BurnReport
+    from kingcupwheel.burn.burn_report import BurnWindow
+    from kingcupwheel.burn.burn_report import GoalBurn
 
 BURN_COLUMNS = (
     "goals of",
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -10,9 +10,9 @@
 import click
 import msgspec
 
-from kingcupwheel.burn.gathering import gather_report
-from kingcupwheel.burn.page import render_page
-from kingcupwheel.burn.printing import format_report
+from kingcupwheel.burn.report_collector import gather_report
+from kingcupwheel.burn.report_page import render_page
+from kingcupwheel.burn.report_text import format_report
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.process_addresses import address_option
@@ -20,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.burn.merging import BurnReport
+    from kingcupwheel.burn.burn_report import BurnReport
 
 
 @click.group("report")
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -18,21 +18,21 @@
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
-from kingcupwheel.trace import lines
-from kingcupwheel.trace.claims import ClaimSummary
-from kingcupwheel.trace.claims import find_claim
+from kingcupwheel.trace import log_timeline
+from kingcupwheel.trace.claim_lookup import ClaimSummary
+from kingcupwheel.trace.claim_lookup import find_claim
 from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import InvalidRequestId
 from kingcupwheel.trace.exceptions import PlatformUnavailable
-from kingcupwheel.trace.finding import TimelineFinder
-from kingcupwheel.trace.printing import format_timeline
-from kingcupwheel.trace.story import OutcomeState
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline_finder import TimelineFinder
+from kingcupwheel.trace.timeline_text import format_timeline
 
 
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.trace.story import RequestTimeline
+    from kingcupwheel.trace.timeline import RequestTimeline
 
 
 @click.command("trace")
@@ -91,12 +91,12 @@
 ) -> NoReturn:
     if not request_id:
         raise click.UsageError("--logs needs a request id.")
-    found = lines.build_log_timeline(request_id, chain.from_iterable(logs))
+    found = log_timeline.build_log_timeline(request_id, chain.from_iterable(logs))
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(found._asdict()), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(lines.format_log_timeline(found))
+        click.echo(log_timeline.format_log_timeline(found))
     if not found.lines:
         sys.exit(ExitCode.NOT_FOUND)
     sys.exit(ExitCode.INCOMPLETE if found.gaps else ExitCode.OK)
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -8,12 +8,12 @@
 from typing import NamedTuple
 from typing import TypedDict
 
+from kingcupwheel.trace.event_descriptions import describe_event
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import RequestAdmitted
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
-from kingcupwheel.trace.sentences import describe_event
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/entry_telemetry.py
+++ b/src/kingcupwheel/entry/entry_telemetry.py
@@ -5,14 +5,14 @@
 import time
 from typing import TYPE_CHECKING
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.metrics.trace_event_metrics import TraceEventMetrics
+from kingcupwheel.trace.batch_shipper import BatchShipper
 from kingcupwheel.trace.events import ManifestChanged
 from kingcupwheel.trace.recorder import TraceRecorder
-from kingcupwheel.trace.shipper import BatchShipper
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -42,7 +42,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.burn.burn_counter import BurnCounter
     from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -5,9 +5,9 @@
 import time
 from typing import TYPE_CHECKING
 
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import build_route_name
-from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import GaugeName
 from kingcupwheel.metrics.metric_names import TimerName
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.burn.burn_counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
--- a/src/kingcupwheel/messages/traces.py
+++ b/src/kingcupwheel/messages/traces.py
@@ -25,7 +25,7 @@
 
 
 class BurnReply(Message, frozen=True, tag="BurnFound"):
-    """Reply to ``BurnRequest``; ``part`` is an encoded ``burn.entry_counts.EntryCounts``."""
+    """Reply to ``BurnRequest``; ``part`` is an encoded ``EntryCounts``."""
 
     process: str
     part: bytes
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/batch_reader.py
@@ -9,6 +9,7 @@
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
+from kingcupwheel.trace.batch_sweeper import WRITER_MARKER_PREFIX
 from kingcupwheel.trace.batches import HOUR_S
 from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
 from kingcupwheel.trace.batches import build_hour_prefix
@@ -16,7 +17,6 @@
 from kingcupwheel.trace.batches import decode_request_events
 from kingcupwheel.trace.batches import parse_key
 from kingcupwheel.trace.events import RequestFinished
-from kingcupwheel.trace.sweeping import WRITER_MARKER_PREFIX
 
 
 if TYPE_CHECKING:
@@ -111,7 +111,8 @@
         if read.is_error():
             return (
                 None,
-                f"batch {name.key} can't be read: {describe_platform_error(read.error)}",
+                f"batch {name.key} can't be read: "
+                f"{describe_platform_error(read.error)}",
             )
         if read.ok is None:
             return None, f"batch {name.key} has been deleted"
--- a/src/kingcupwheel/trace/shipper.py
+++ b/src/kingcupwheel/trace/batch_shipper.py
@@ -16,11 +16,11 @@
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
+from kingcupwheel.trace.batch_sweeper import BatchSweeper
 from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
 from kingcupwheel.trace.outbox import DeleteBatch
 from kingcupwheel.trace.outbox import Outbox
 from kingcupwheel.trace.outbox import WriteBatch
-from kingcupwheel.trace.sweeping import BatchSweeper
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claim_lookup.py
@@ -10,10 +10,10 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.trace.batch_reader import describe_platform_error
 from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
 from kingcupwheel.trace.exceptions import PlatformUnavailable
-from kingcupwheel.trace.reading import describe_platform_error
 
 
 if TYPE_CHECKING:
--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -135,7 +135,8 @@
         case "placed":
             return (
                 f"Placed on {get('server')} as send {get('send')} after "
-                f"{get('waited_s')} s in the queue: {get('why')}. {_describe_version(line)}"
+                f"{get('waited_s')} s in the queue: {get('why')}. "
+                f"{_describe_version(line)}"
             )
         case "send-ended":
             return (
--- a/src/kingcupwheel/trace/story.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
+from kingcupwheel.trace.event_descriptions import describe_event
+from kingcupwheel.trace.event_order import merge_events
 from kingcupwheel.trace.events import AttemptDispatched
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestPlaced
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import TraceEvent
-from kingcupwheel.trace.merging import merge_events
-from kingcupwheel.trace.sentences import describe_event
 from kingcupwheel.utils.request_ids import parse_request_id
 
 
@@ -180,7 +180,8 @@
             return (f"{entry} recorded {len(endings)} final outcomes: {words}.",)
         case OutcomeState.OUTCOME_MISSING:
             return (
-                f"What {entry} told the caller is missing. {_describe_last_attempt(events)}",
+                f"What {entry} told the caller is missing. "
+                f"{_describe_last_attempt(events)}",
             )
         case _:
             return ()
--- a/src/kingcupwheel/trace/finding.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -17,18 +17,18 @@
 
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.messages.traces import TraceRequest
+from kingcupwheel.trace.batch_reader import BatchReader
+from kingcupwheel.trace.batch_reader import describe_platform_error
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.exceptions import InvalidRequestId
-from kingcupwheel.trace.reading import BatchReader
-from kingcupwheel.trace.reading import describe_platform_error
-from kingcupwheel.trace.story import ProcessTrace
-from kingcupwheel.trace.story import RequestTimeline
-from kingcupwheel.trace.story import TraceSource
-from kingcupwheel.trace.story import build_timeline
-from kingcupwheel.trace.story import list_servers
+from kingcupwheel.trace.timeline import ProcessTrace
+from kingcupwheel.trace.timeline import RequestTimeline
+from kingcupwheel.trace.timeline import TraceSource
+from kingcupwheel.trace.timeline import build_timeline
+from kingcupwheel.trace.timeline import list_servers
 from kingcupwheel.utils.request_ids import parse_request_id
 
 
@@ -38,9 +38,9 @@
 
     from kingcupwheel.messages.base import Message
     from kingcupwheel.platform.client import PlatformClient
+    from kingcupwheel.trace.batch_reader import BatchEvents
     from kingcupwheel.trace.events import TraceEvent
     from kingcupwheel.trace.exceptions import FindError
-    from kingcupwheel.trace.reading import BatchEvents
     from kingcupwheel.utils.request_ids import RequestId
 
 # Agents asked when the entry left nothing that names them. It covers every agent of
@@ -116,9 +116,12 @@
     def _read_directory(self) -> _ProcessDirectory:
         listed = self._client.instances()
         if listed.is_error():
-            trouble = f"The list of instances is missing: {describe_platform_error(listed.error)}."
+            problem = (
+                "The list of instances is missing: "
+                f"{describe_platform_error(listed.error)}."
+            )
             return _ProcessDirectory(
-                self._given_addresses, tuple(self._given_addresses), trouble
+                self._given_addresses, tuple(self._given_addresses), problem
             )
         address_by_process = {item.name: item.address for item in listed.ok}
         agents = tuple(item.name for item in listed.ok if item.role == "agent")
--- a/src/kingcupwheel/trace/printing.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.story import OutcomeState
-from kingcupwheel.trace.story import TraceSource
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline import TraceSource
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.trace.story import ProcessTrace
-    from kingcupwheel.trace.story import RequestTimeline
-    from kingcupwheel.trace.story import TimelineLine
+    from kingcupwheel.trace.timeline import ProcessTrace
+    from kingcupwheel.trace.timeline import RequestTimeline
+    from kingcupwheel.trace.timeline import TimelineLine
 
 _SOURCE_LABELS = {
     TraceSource.LIVE: "answered itself",
--- a/tests/burn/builders.py
+++ b/tests/burn/builders.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import build_goals
-from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.entry.caller_requests import CallerRequest
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
--- a/tests/burn/test_counter.py
+++ b/tests/burn/test_burn_counter.py
@@ -5,18 +5,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kingcupwheel.burn.counter import MAX_MISS_CAUSES
-from kingcupwheel.burn.counter import MAX_SCOPES
-from kingcupwheel.burn.counter import OTHER_CAUSES
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import MAX_MISS_CAUSES
+from kingcupwheel.burn.burn_counter import MAX_SCOPES
+from kingcupwheel.burn.burn_counter import OTHER_CAUSES
+from kingcupwheel.burn.burn_counter import BurnCounter
+from kingcupwheel.burn.burn_rates import Alert
+from kingcupwheel.burn.burn_report import BurnReport
+from kingcupwheel.burn.burn_report import GoalBurn
+from kingcupwheel.burn.burn_report import merge_counts
+from kingcupwheel.burn.entry_counts import ENTRY_COUNTS_DECODER
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.burn.goals import Indicator
 from kingcupwheel.burn.goals import ScopeKind
-from kingcupwheel.burn.merging import BurnReport
-from kingcupwheel.burn.merging import GoalBurn
-from kingcupwheel.burn.merging import merge_counts
-from kingcupwheel.burn.rates import Alert
-from kingcupwheel.burn.records import ENTRY_COUNTS_DECODER
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.messages.attempts import Outcome
 from tests.burn.builders import NOW
--- a/tests/burn/test_observer.py
+++ b/tests/burn/test_outcome_counter.py
@@ -4,7 +4,7 @@
 import time
 
 from kingcupwheel.burn.goals import Indicator
-from kingcupwheel.burn.tallies import EventCount
+from kingcupwheel.burn.minute_counts import EventCount
 from kingcupwheel.entry.outcome_counter import OutcomeCounter
 from kingcupwheel.entry.refusals import API_KEY_UNKNOWN
 from kingcupwheel.entry.refusals import CALLER_LEFT
--- a/tests/burn/test_report.py
+++ b/tests/burn/test_report.py
@@ -7,9 +7,9 @@
 import pytest
 from click.testing import CliRunner
 
-from kingcupwheel.burn.merging import merge_counts
-from kingcupwheel.burn.page import render_page
-from kingcupwheel.burn.printing import format_report
+from kingcupwheel.burn.burn_report import merge_counts
+from kingcupwheel.burn.report_page import render_page
+from kingcupwheel.burn.report_text import format_report
 from kingcupwheel.console.application import main
 from kingcupwheel.console.commands import report
 from kingcupwheel.console.exit_codes import ExitCode
--- a/tests/trace/test_sweeping.py
+++ b/tests/trace/test_batch_sweeper.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 
 from kingcupwheel.platform.client import VersionedValue
+from kingcupwheel.trace.batch_sweeper import WRITER_MARKER_PREFIX
+from kingcupwheel.trace.batch_sweeper import BatchSweeper
+from kingcupwheel.trace.batch_sweeper import select_successor
 from kingcupwheel.trace.batches import BatchName
-from kingcupwheel.trace.sweeping import WRITER_MARKER_PREFIX
-from kingcupwheel.trace.sweeping import BatchSweeper
-from kingcupwheel.trace.sweeping import select_successor
 from tests.trace.builders import AGENT
 from tests.trace.builders import ENTRY
 from tests.trace.builders import START
--- a/tests/trace/test_lines.py
+++ b/tests/trace/test_log_timeline.py
@@ -6,8 +6,8 @@
 from click.testing import CliRunner
 
 from kingcupwheel.console.commands.trace import command
-from kingcupwheel.trace.lines import build_log_timeline
-from kingcupwheel.trace.lines import format_log_timeline
+from kingcupwheel.trace.log_timeline import build_log_timeline
+from kingcupwheel.trace.log_timeline import format_log_timeline
 
 
 if TYPE_CHECKING:
--- a/tests/trace/test_story.py
+++ b/tests/trace/test_timeline.py
@@ -3,16 +3,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from kingcupwheel.trace.event_order import merge_events
 from kingcupwheel.trace.events import AnyEvent
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import RequestRefused
 from kingcupwheel.trace.events import ResendJoined
-from kingcupwheel.trace.merging import merge_events
-from kingcupwheel.trace.printing import format_timeline
-from kingcupwheel.trace.story import OutcomeState
-from kingcupwheel.trace.story import ProcessTrace
-from kingcupwheel.trace.story import TraceSource
-from kingcupwheel.trace.story import build_timeline
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline import ProcessTrace
+from kingcupwheel.trace.timeline import TraceSource
+from kingcupwheel.trace.timeline import build_timeline
+from kingcupwheel.trace.timeline_text import format_timeline
 from tests.trace.builders import AGENT
 from tests.trace.builders import AGENT_EVENTS
 from tests.trace.builders import ENTRY
--- a/tests/trace/test_finding.py
+++ b/tests/trace/test_timeline_finder.py
@@ -7,15 +7,15 @@
 
 from freezegun import freeze_time
 
+from kingcupwheel.trace.batch_shipper import BatchShipper
+from kingcupwheel.trace.batch_sweeper import BatchSweeper
 from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.exceptions import InvalidRequestId
-from kingcupwheel.trace.finding import TimelineFinder
 from kingcupwheel.trace.recorder import TraceRecorder
-from kingcupwheel.trace.shipper import BatchShipper
-from kingcupwheel.trace.story import OutcomeState
-from kingcupwheel.trace.story import RequestTimeline
-from kingcupwheel.trace.story import TraceSource
-from kingcupwheel.trace.sweeping import BatchSweeper
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline import RequestTimeline
+from kingcupwheel.trace.timeline import TraceSource
+from kingcupwheel.trace.timeline_finder import TimelineFinder
 from tests.trace.builders import AGENT
 from tests.trace.builders import AGENT_EVENTS
 from tests.trace.builders import ENTRY
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Organisation
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.burn.observed import FinishedRequest
+    from kingcupwheel.burn.finished_request import FinishedRequest
     from kingcupwheel.messages.base import Message
 
 _DIGEST = "0" * 64
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.observed import FinishedRequest
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
