--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -120,7 +120,7 @@
             result = self._context.claims.update(held_claim, record)
         if result.is_ok():
             self._record_claim(result.ok, "made" if held_claim is None else "moved")
-            self._context.retention.schedule_removal(result.ok)
+            self._context.expired_claim_remover.schedule_removal(result.ok)
             return result.ok
         match result.error:
             case ClaimConflict():
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -31,7 +31,7 @@
     dispatchers: DispatcherRegistry
     limiter: RequestLimiter
     claims: ClaimStore
-    retention: ExpiredClaimRemover
+    expired_claim_remover: ExpiredClaimRemover
     recorder: Recorder
     outcome_counter: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -83,7 +83,7 @@
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
             limiter=limiter,
             claims=ClaimStore(client),
-            retention=self._retention,
+            expired_claim_remover=self._retention,
             recorder=self._telemetry.recorder,
             outcome_counter=self._telemetry.outcome_counter,
             leaving=self._leaving,
