--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -67,7 +67,7 @@
             metrics,
             traces_retention_s=lambda: self._get_retention().traces_h * _S_PER_HOUR,
         )
-        self._retention = ExpiredClaimRemover(
+        self._expired_claim_remover = ExpiredClaimRemover(
             client, retention_s=lambda: self._get_retention().claims_h * _S_PER_HOUR
         )
         self._hub = MessageHub(
@@ -83,7 +83,7 @@
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
             limiter=limiter,
             claims=ClaimStore(client),
-            expired_claim_remover=self._retention,
+            expired_claim_remover=self._expired_claim_remover,
             recorder=self._telemetry.recorder,
             outcome_counter=self._telemetry.outcome_counter,
             leaving=self._leaving,
@@ -170,7 +170,7 @@
         self._manifest_synchronizer.start()
         self._membership.start()
         self._telemetry.start()
-        self._retention.start()
+        self._expired_claim_remover.start()
         self._http_server.start()
         logger.info("Accepting callers on port %d.", self.port)
 
@@ -198,7 +198,7 @@
             self._operator_http_server.stop()
         self._membership.stop()
         self._manifest_synchronizer.stop()
-        self._retention.stop()
+        self._expired_claim_remover.stop()
         self._telemetry.stop()
         self._hub.stop()
         logger.info("Stopped.")
