--- a/src/kingcupwheel/burn/entry_counts.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -53,7 +53,7 @@
 class MissCauseCount(msgspec.Struct, frozen=True, array_like=True):
     """How many events of the last hour a culprit accounts for."""
 
-    cause: MissCause
+    cause: MissCause = msgspec.field(name="culprit")
     bad: int
 
 
@@ -77,9 +77,9 @@
     since: float
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
-    miss_causes: tuple[MissCauseCount, ...]
+    miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
     histograms: tuple[EncodedHistogram, ...]
-    uncounted_requests: int = 0
+    uncounted_requests: int = msgspec.field(default=0, name="uncounted")
 
 
 ENTRY_COUNTS_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(
