--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -17,11 +17,11 @@
 from kingcupwheel.agent.attempts import get_attempt_key
 from kingcupwheel.decisions.crash_suspects import ServerIncarnation
 from kingcupwheel.messages.attempts import Outcome
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
-from kingcupwheel.trace.events import Noted
+from kingcupwheel.trace.events import AttemptForwarded
+from kingcupwheel.trace.events import FirstByteRelayed
+from kingcupwheel.trace.events import NoteAdded
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import ServerDied
-from kingcupwheel.trace.events import Started
 
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     from kingcupwheel.agent.attempts import AttemptKey
     from kingcupwheel.agent.crash_table import CrashTable
     from kingcupwheel.messages.attempts import Dispatch
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 logger = logging.getLogger("kingcupwheel.agent")
 
@@ -57,7 +57,7 @@
         store: AnswerStore,
         adapter: ServerAdapter,
         crash_table: CrashTable,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         on_server_crash: Callable[[], None],
     ) -> None:
         self.lock = RLock()
@@ -104,7 +104,9 @@
         """Report to the entries that accepted attempts never ran."""
         for key, reason in refusals:
             self._store.refuse(key, reason)
-            self._recorder.record(key.request_id, Noted(f"Not run: {reason.value}."))
+            self._recorder.record(
+                key.request_id, NoteAdded(f"Not run: {reason.value}.")
+            )
 
     def advance(self) -> None:
         """Start queued attempts as capacity allows; refuse the expired ones."""
@@ -157,7 +159,7 @@
         self, dispatch: Dispatch, cancellation: Cancellation, generation: int
     ) -> None:
         key = get_attempt_key(dispatch)
-        event = Started(self._name, dispatch.attempt)
+        event = AttemptForwarded(self._name, dispatch.attempt)
         self._recorder.record(key.request_id, event)
         try:
             started = self._adapter.start(dispatch, cancellation)
@@ -192,7 +194,7 @@
                     )
                     return
                 if first:
-                    event = FirstByte(self._name, key.attempt)
+                    event = FirstByteRelayed(self._name, key.attempt)
                     self._recorder.record(key.request_id, event)
                     first = False
                 self._store.append(key, chunk.ok, cancellation)
@@ -228,5 +230,5 @@
         length = self._store.finish(key, outcome, detail, now=now)
         with self.lock:
             self.attempt_table.finish(key, now=now)
-        event = Finished(outcome.value, status, length, detail)
+        event = RequestFinished(outcome.value, status, length, detail)
         self._recorder.record(key.request_id, event)
--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -38,8 +38,8 @@
 from kingcupwheel.plugins.registries import platform_clients
 from kingcupwheel.plugins.registries import server_adapters
 from kingcupwheel.settings.schema import Role
-from kingcupwheel.trace.recorder import Recorder
-from kingcupwheel.trace.shipper import BatchShipper
+from kingcupwheel.trace.batch_shipper import BatchShipper
+from kingcupwheel.trace.recorder import TraceRecorder
 
 
 if TYPE_CHECKING:
@@ -71,9 +71,9 @@
         timings = settings.timings
         self._settings = settings
         self._metrics = MetricsClient(settings.statsd, process=settings.name)
-        self._recorder = Recorder(
+        self._recorder = TraceRecorder(
             settings.name,
-            limit=settings.agent.traces,
+            max_requests=settings.agent.traces,
             listener=TraceEventMetrics(self._metrics, settings.role),
         )
         self._entry_links = EntryLinks(
@@ -213,7 +213,7 @@
             case Hello():
                 self._on_hello(link, message, now)
             case TraceRequest(request_id):
-                self._hub.send(link, self._recorder.found(request_id))
+                self._hub.send(link, self._recorder.build_reply(request_id))
             case StatusRequest():
                 self._hub.send(link, self._build_status())
             case ManifestRequest(key):
--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -46,12 +46,12 @@
 OVERALL = Scope(ScopeKind.OVERALL, "")
 
 
-def route_name(route: Route) -> str:
+def build_route_name(route: Route) -> str:
     """Return the name that a route is counted under."""
     return f"{route.host}{route.path}"
 
 
-class Held(NamedTuple):
+class ApplicableGoals(NamedTuple):
     """A scope that counts a request, and the goals it is held to there."""
 
     scope: Scope
@@ -66,7 +66,9 @@
     by_route: dict[str, Goals]
     by_organisation: dict[str, Goals]
 
-    def held(self, *, route: str, organisation: str) -> tuple[Held, ...]:
+    def list_applicable_goals(
+        self, *, route: str, organisation: str
+    ) -> tuple[ApplicableGoals, ...]:
         """Return the scopes that count a request.
 
         Among all requests it is held to its own goals, the organisation's before the
@@ -74,15 +76,15 @@
         """
         of_route = self.by_route.get(route)
         of_organisation = self.by_organisation.get(organisation)
-        held = [Held(OVERALL, of_organisation or of_route or self.overall)]
+        held = [ApplicableGoals(OVERALL, of_organisation or of_route or self.overall)]
         if of_route:
-            held.append(Held(Scope(ScopeKind.ROUTE, route), of_route))
+            held.append(ApplicableGoals(Scope(ScopeKind.ROUTE, route), of_route))
         if of_organisation:
             scope = Scope(ScopeKind.ORGANISATION, organisation)
-            held.append(Held(scope, of_organisation))
+            held.append(ApplicableGoals(scope, of_organisation))
         return tuple(held)
 
-    def of(self, scope: Scope) -> Goals:
+    def get_goals(self, scope: Scope) -> Goals:
         """Return the goals whose targets the scope's burn is counted against."""
         match scope.kind:
             case ScopeKind.OVERALL:
@@ -93,17 +95,21 @@
                 return self.by_organisation.get(scope.name, self.overall)
 
 
-def goals_of(manifest: Manifest, *, version: int) -> BurnGoals:
+def build_goals(manifest: Manifest, *, version: int) -> BurnGoals:
     """Return the goals that ``manifest`` sets."""
     return BurnGoals(
         version,
         manifest.goals,
-        {route_name(route): route.goals for route in manifest.routes if route.goals},
+        {
+            build_route_name(route): route.goals
+            for route in manifest.routes
+            if route.goals
+        },
         {item.name: item.goals for item in manifest.organisations if item.goals},
     )
 
 
-def target(goals: Goals, indicator: Indicator) -> float:
+def get_target(goals: Goals, indicator: Indicator) -> float:
     """Return the share of good events that the goals ask for."""
     if indicator is Indicator.AVAILABILITY:
         return goals.availability
--- a/src/kingcupwheel/console/commands/report.py
+++ b/src/kingcupwheel/console/commands/report.py
@@ -10,9 +10,9 @@
 import click
 import msgspec
 
-from kingcupwheel.burn.gathering import gather
-from kingcupwheel.burn.page import report_page
-from kingcupwheel.burn.printing import report_text
+from kingcupwheel.burn.report_collector import gather_report
+from kingcupwheel.burn.report_page import render_page
+from kingcupwheel.burn.report_text import format_report
 from kingcupwheel.console.exit_codes import ExitCode
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.process_addresses import address_option
@@ -20,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.burn.merging import BurnReport
+    from kingcupwheel.burn.burn_report import BurnReport
 
 
 @click.group("report")
@@ -51,7 +51,7 @@
     Exit code 0: every entry answered; 5: the platform's list can't be read; 7: some
     entries did not answer; they are listed.
     """
-    gathered = gather(
+    gathered = gather_report(
         create_platform_client(url),
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
@@ -62,9 +62,9 @@
         sys.exit(ExitCode.UNAVAILABLE)
     report = gathered.ok
     if html:
-        html.write_text(report_page(report), encoding="utf-8")
+        html.write_text(render_page(report), encoding="utf-8")
     _print_report(report, as_json=as_json)
-    sys.exit(ExitCode.OK if report.complete else ExitCode.INCOMPLETE)
+    sys.exit(ExitCode.OK if report.is_complete else ExitCode.INCOMPLETE)
 
 
 def _print_report(report: BurnReport, *, as_json: bool) -> None:
@@ -72,4 +72,4 @@
         encoded = msgspec.json.format(msgspec.json.encode(report), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(report_text(report))
+        click.echo(format_report(report))
--- a/src/kingcupwheel/entry/answer_relay.py
+++ b/src/kingcupwheel/entry/answer_relay.py
@@ -15,8 +15,8 @@
 from kingcupwheel.entry.exceptions import AnswerTruncatedError
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
+from kingcupwheel.trace.events import FirstByteRelayed
+from kingcupwheel.trace.events import RequestFinished
 
 
 if TYPE_CHECKING:
@@ -160,7 +160,9 @@
         if self._first_byte_s is None:
             self._first_byte_s = now - self._admitted.request.received_at
             self._first_byte_at = now
-            self._record(FirstByte(self._reader.server, self._reader.inbox.key.attempt))
+            self._record(
+                FirstByteRelayed(self._reader.server, self._reader.inbox.key.attempt)
+            )
         else:
             self._gaps_s.append(now - self._last_chunk_at)
         self._last_chunk_at = now
@@ -185,7 +187,9 @@
         self._record_server_latency(ended)
         length = self._reader.offset
         self._record(
-            Finished(ended.outcome.value, self._status, length, ended.detail or "whole")
+            RequestFinished(
+                ended.outcome.value, self._status, length, ended.detail or "whole"
+            )
         )
         is_complete = ended.outcome is Outcome.RAN
         self._context.limiter.settle_run(
@@ -228,7 +232,7 @@
             first_byte_s, len(self._admitted.request.body)
         )
 
-    def _record(self, event: FirstByte | CallerLeft | Finished) -> None:
+    def _record(self, event: FirstByteRelayed | CallerLeft | RequestFinished) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/context.py
+++ b/src/kingcupwheel/entry/context.py
@@ -18,7 +18,7 @@
     from kingcupwheel.entry.server_table import ServerTable
     from kingcupwheel.link.hub import MessageHub
     from kingcupwheel.settings.schema import Settings
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 
 class EntryContext(NamedTuple):
@@ -31,7 +31,7 @@
     dispatchers: DispatcherRegistry
     limiter: RequestLimiter
     claims: ClaimStore
-    retention: ExpiredClaimRemover
-    recorder: Recorder
+    expired_claim_remover: ExpiredClaimRemover
+    recorder: TraceRecorder
     outcome_counter: OutcomeCounter
     leaving: Event
--- a/src/kingcupwheel/entry/outcome_counter.py
+++ b/src/kingcupwheel/entry/outcome_counter.py
@@ -5,9 +5,9 @@
 import time
 from typing import TYPE_CHECKING
 
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.goals import route_name
-from kingcupwheel.burn.observed import Observed
+from kingcupwheel.burn.goals import build_route_name
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import GaugeName
 from kingcupwheel.metrics.metric_names import TimerName
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.burn.burn_counter import BurnCounter
     from kingcupwheel.entry.caller_requests import CallerRequest
     from kingcupwheel.entry.refusals import Refusal
     from kingcupwheel.manifest.compiled_manifest import CompiledManifest
@@ -35,7 +35,7 @@
 
     def set_goals(self, manifest: CompiledManifest) -> None:
         """Apply the goals of this manifest to later requests."""
-        self._burn_counter.adopt(build_burn_goals(manifest))
+        self._burn_counter.set_goals(build_burn_goals(manifest))
         self._metrics.increment(CounterName.MANIFESTS_ADOPTED)
         self._metrics.set_gauge(GaugeName.MANIFEST_VERSION, manifest.version)
 
@@ -43,9 +43,9 @@
         """Count a request that the entry refused."""
         self._metrics.increment(CounterName.REFUSALS, label=refusal.reason)
         self._count(
-            Observed(
+            FinishedRequest(
                 organisation=request.organisation.name,
-                route=route_name(request.route),
+                route=build_route_name(request.route),
                 group=request.group.name,
                 server="",
                 outcome=refusal.outcome,
@@ -72,9 +72,9 @@
         if gaps_s:
             self._metrics.record_duration(TimerName.TOKEN_GAP, max(gaps_s))
         self._count(
-            Observed(
+            FinishedRequest(
                 organisation=request.organisation.name,
-                route=route_name(request.route),
+                route=build_route_name(request.route),
                 group=request.group.name,
                 server=server,
                 outcome=outcome,
@@ -86,11 +86,11 @@
             )
         )
 
-    def _count(self, observed: Observed) -> None:
+    def _count(self, observed: FinishedRequest) -> None:
         self._metrics.increment(CounterName.REQUESTS, label=observed.outcome.value)
         if observed.caller_left:
             self._metrics.increment(CounterName.CALLERS_LEFT)
-        count_by_indicator = self._burn_counter.observe(observed, now=time.time())
+        count_by_indicator = self._burn_counter.count_request(observed, now=time.time())
         for indicator, count in count_by_indicator.items():
             if count.bad:
                 by = indicator.value
@@ -106,6 +106,6 @@
     return BurnGoals(
         manifest.version,
         manifest.goals,
-        {route_name(route): route.goals for route in routes if route.goals},
+        {build_route_name(route): route.goals for route in routes if route.goals},
         {item.name: item.goals for item in organisations if item.goals},
     )
--- a/src/kingcupwheel/trace/reading.py
+++ b/src/kingcupwheel/trace/batch_reader.py
@@ -9,29 +9,29 @@
 from kingcupwheel.platform.errors import RateLimited
 from kingcupwheel.platform.errors import Rejected
 from kingcupwheel.platform.errors import Unavailable
+from kingcupwheel.trace.batch_sweeper import WRITER_MARKER_PREFIX
 from kingcupwheel.trace.batches import HOUR_S
-from kingcupwheel.trace.batches import MAX_PERIOD_S
+from kingcupwheel.trace.batches import MAX_BATCH_PERIOD_S
+from kingcupwheel.trace.batches import build_hour_prefix
 from kingcupwheel.trace.batches import decode_batch
-from kingcupwheel.trace.batches import events_of
-from kingcupwheel.trace.batches import hour_prefix
+from kingcupwheel.trace.batches import decode_request_events
 from kingcupwheel.trace.batches import parse_key
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.sweeping import MARKS
+from kingcupwheel.trace.events import RequestFinished
 
 
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
     from kingcupwheel.platform.errors import PlatformError
-    from kingcupwheel.trace.batches import Batch
     from kingcupwheel.trace.batches import BatchName
-    from kingcupwheel.trace.batches import Loss
+    from kingcupwheel.trace.batches import EventLoss
+    from kingcupwheel.trace.batches import TraceBatch
     from kingcupwheel.trace.events import TraceEvent
 
 # Batches read for one process of one request: at 30 s each this is 20 minutes, past
 # the longest answer. A bound keeps one command from reading days of batches.
-MAX_BATCHES = 40
+MAX_BATCHES_PER_REQUEST = 40
 # Clocks of two processes may differ by this much.
-_CLOCK_S = 2
+_MAX_CLOCK_SKEW_S = 2
 
 
 class BatchEvents(NamedTuple):
@@ -43,9 +43,9 @@
     """
 
     events: tuple[TraceEvent, ...]
-    until: int
-    losses: tuple[Loss, ...]
-    trouble: str
+    covered_until: int
+    losses: tuple[EventLoss, ...]
+    problem: str
 
 
 class BatchReader:
@@ -54,57 +54,66 @@
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
 
-    def read(self, process: str, request_id: str, *, since: float) -> BatchEvents:
+    def read_events(
+        self, process: str, request_id: str, *, since: float
+    ) -> BatchEvents:
         """Return the request's events that ``process`` wrote from ``since`` on.
 
         Reading stops with the batch that holds the end of the request there.
         """
-        names, trouble = self._names(process, since)
+        names, trouble = self._list_batches(process, since)
         events: list[TraceEvent] = []
-        losses: list[Loss] = []
+        losses: list[EventLoss] = []
         until = 0
-        for name in names[:MAX_BATCHES]:
-            batch, error = self._batch(name)
+        for name in names[:MAX_BATCHES_PER_REQUEST]:
+            batch, error = self._read_batch(name)
             if batch is None:
                 trouble = error
                 continue
-            found = events_of(batch, request_id)
+            found = decode_request_events(batch, request_id)
             if found.is_error():
                 trouble = f"batch {name.key} is damaged: {found.error.detail}"
                 continue
             until = max(until, name.until)
             losses.extend(batch.losses)
             events.extend(found.ok)
-            if any(isinstance(event.event, Finished) for event in found.ok):
+            if any(isinstance(event.event, RequestFinished) for event in found.ok):
                 break
         else:
-            if len(names) > MAX_BATCHES:
-                trouble = f"only the first {MAX_BATCHES} batches were read"
+            if len(names) > MAX_BATCHES_PER_REQUEST:
+                trouble = f"only the first {MAX_BATCHES_PER_REQUEST} batches were read"
         relevant = tuple(loss for loss in losses if loss.until >= since)
         return BatchEvents(tuple(events), until, relevant, trouble)
 
-    def writers(self) -> tuple[str, ...]:
+    def list_writers(self) -> tuple[str, ...]:
         """Return the processes that left batches, gone ones as well."""
-        listed = self._client.keys(MARKS)
+        listed = self._client.keys(WRITER_MARKER_PREFIX)
         keys = listed.ok if listed.is_ok() else ()
-        return tuple(key.removeprefix(MARKS) for key in keys)
+        return tuple(key.removeprefix(WRITER_MARKER_PREFIX) for key in keys)
 
-    def _names(self, process: str, since: float) -> tuple[list[BatchName], str]:
-        first = int(since - MAX_PERIOD_S) // HOUR_S
+    def _list_batches(self, process: str, since: float) -> tuple[list[BatchName], str]:
+        first = int(since - MAX_BATCH_PERIOD_S) // HOUR_S
         last = int(since) // HOUR_S + 1
         names: list[BatchName] = []
         for hour in range(first, last + 1):
-            listed = self._client.keys(hour_prefix(process, hour * HOUR_S))
+            listed = self._client.keys(build_hour_prefix(process, hour * HOUR_S))
             if listed.is_error():
-                return names, f"batches can't be listed: {describe(listed.error)}"
+                return (
+                    names,
+                    f"batches can't be listed: {describe_platform_error(listed.error)}",
+                )
             names.extend(name for key in listed.ok if (name := parse_key(key)))
-        names = [name for name in names if name.until >= since - _CLOCK_S]
-        return sorted(names, key=lambda name: (name.since, name.part)), ""
+        names = [name for name in names if name.until >= since - _MAX_CLOCK_SKEW_S]
+        return sorted(names, key=lambda name: (name.since, name.part_number)), ""
 
-    def _batch(self, name: BatchName) -> tuple[Batch | None, str]:
+    def _read_batch(self, name: BatchName) -> tuple[TraceBatch | None, str]:
         read = self._client.read(name.key)
         if read.is_error():
-            return None, f"batch {name.key} can't be read: {describe(read.error)}"
+            return (
+                None,
+                f"batch {name.key} can't be read: "
+                f"{describe_platform_error(read.error)}",
+            )
         if read.ok is None:
             return None, f"batch {name.key} has been deleted"
         batch = decode_batch(read.ok.value)
@@ -113,7 +122,7 @@
         return batch.ok, ""
 
 
-def describe(error: PlatformError) -> str:
+def describe_platform_error(error: PlatformError) -> str:
     """Return a platform error in a few words."""
     match error:
         case Unavailable(detail):
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -15,7 +15,7 @@
     """Base of all events."""
 
 
-class Received(Event, frozen=True):
+class RequestReceived(Event, frozen=True, tag="Received"):
     """The entry read the request."""
 
     method: str
@@ -29,13 +29,13 @@
     idempotency: str = ""
 
 
-class Joined(Event, frozen=True):
+class ResendJoined(Event, frozen=True, tag="Joined"):
     """A resend was joined to an earlier request with the same idempotency key."""
 
-    earlier: str
+    earlier_request_id: str = msgspec.field(name="earlier")
 
 
-class Claimed(Event, frozen=True):
+class ClaimRecorded(Event, frozen=True, tag="Claimed"):
     """A claim was made, found or moved on the platform; ``detail`` says which."""
 
     claim_id: str
@@ -43,14 +43,14 @@
     detail: str
 
 
-class Admitted(Event, frozen=True):
+class RequestAdmitted(Event, frozen=True, tag="Admitted"):
     """Within the allowance; ``work`` is predicted work in tokens."""
 
     work: float
     detail: str = ""
 
 
-class Refused(Event, frozen=True):
+class RequestRefused(Event, frozen=True, tag="Refused"):
     """Given up before it ran; ``limit`` names the bound that was reached."""
 
     limit: str
@@ -58,64 +58,66 @@
     retry_after_s: float = 0.0
 
 
-class Queued(Event, frozen=True):
+class RequestQueued(Event, frozen=True, tag="Queued"):
     """Waits for a place; ``ahead`` requests are before it."""
 
-    ahead: int
+    requests_ahead: int = msgspec.field(name="ahead")
 
 
-class Alternative(msgspec.Struct, frozen=True):
+class ConsideredServer(msgspec.Struct, frozen=True):
     """A server that was weighed: its name and its load between 0 and 1."""
 
     server: str
     load: float
 
 
-class Placed(Event, frozen=True):
+class RequestPlaced(Event, frozen=True, tag="Placed"):
     """Given to ``server``; ``why`` is a short reason."""
 
     server: str
     attempt: int
     waited_s: float
-    why: str
-    alternatives: tuple[Alternative, ...] = ()
+    reason: str = msgspec.field(name="why")
+    considered_servers: tuple[ConsideredServer, ...] = msgspec.field(
+        default=(), name="alternatives"
+    )
 
 
-class Dispatched(Event, frozen=True):
+class AttemptDispatched(Event, frozen=True, tag="Dispatched"):
     """Sent to the agent of ``server``."""
 
     server: str
     attempt: int
 
 
-class Started(Event, frozen=True):
+class AttemptForwarded(Event, frozen=True, tag="Started"):
     """The agent handed it to its server."""
 
     server: str
     attempt: int
 
 
-class FirstByte(Event, frozen=True):
+class FirstByteRelayed(Event, frozen=True, tag="FirstByte"):
     """The first byte of the answer's body passed the recording process."""
 
     server: str
     attempt: int
 
 
-class Resumed(Event, frozen=True):
+class AttemptResumed(Event, frozen=True, tag="Resumed"):
     """Taken up again from ``offset`` over a new link; ``why`` is a short reason."""
 
     server: str
     attempt: int
     offset: int
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
-class Retried(Event, frozen=True):
+class AttemptRetried(Event, frozen=True, tag="Retried"):
     """The attempt ended without a run, or may be repeated; another follows."""
 
     attempt: int
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 class ServerDied(Event, frozen=True):
@@ -138,7 +140,7 @@
     offset: int
 
 
-class Finished(Event, frozen=True):
+class RequestFinished(Event, frozen=True, tag="Finished"):
     """The final outcome as told to the caller."""
 
     outcome: str
@@ -147,30 +149,30 @@
     reason: str
 
 
-class Noted(Event, frozen=True):
+class NoteAdded(Event, frozen=True, tag="Noted"):
     """Anything else worth telling, as one sentence."""
 
     sentence: str
 
 
 AnyEvent = (
-    Received
-    | Joined
-    | Claimed
-    | Admitted
-    | Refused
-    | Queued
-    | Placed
-    | Dispatched
-    | Started
-    | FirstByte
-    | Resumed
-    | Retried
+    RequestReceived
+    | ResendJoined
+    | ClaimRecorded
+    | RequestAdmitted
+    | RequestRefused
+    | RequestQueued
+    | RequestPlaced
+    | AttemptDispatched
+    | AttemptForwarded
+    | FirstByteRelayed
+    | AttemptResumed
+    | AttemptRetried
     | ServerDied
     | ManifestChanged
     | CallerLeft
-    | Finished
-    | Noted
+    | RequestFinished
+    | NoteAdded
 )
 
 
@@ -178,7 +180,7 @@
     """One event with its request, time and the process that recorded it."""
 
     request_id: str
-    at: float
+    recorded_at: float = msgspec.field(name="at")
     process: str
     event: AnyEvent
 
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -5,28 +5,28 @@
 from typing import NamedTuple
 
 
-class BadBatch(NamedTuple):
+class InvalidBatch(NamedTuple):
     """An object under ``traces/`` that can't be read; ``detail`` says why."""
 
     detail: str
 
 
-class BadRequestId(NamedTuple):
+class InvalidRequestId(NamedTuple):
     """The text names no request."""
 
     text: str
 
 
-class NoClaim(NamedTuple):
+class ClaimNotFound(NamedTuple):
     """No claim is kept for the idempotency key; claims have a retention."""
 
     key: str
 
 
-class PlatformDown(NamedTuple):
+class PlatformUnavailable(NamedTuple):
     """The platform's service did not answer; ``detail`` says how."""
 
     detail: str
 
 
-FindError = BadRequestId | NoClaim | PlatformDown
+FindError = InvalidRequestId | ClaimNotFound | PlatformUnavailable
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.decisions.subset_selection import MIN_ENTRIES
-from kingcupwheel.trace.outbox import OUTBOX_BYTES
+from kingcupwheel.trace.outbox import MAX_OUTBOX_BYTES
 
 
 if TYPE_CHECKING:
@@ -250,7 +250,7 @@
             bytes_in=2 * _HTTP_HEADER_BYTES / period_s,
             bytes_out=batch + 2 * _HTTP_HEADER_BYTES / period_s,
             cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
-            memory_bytes=held + OUTBOX_BYTES,
+            memory_bytes=held + MAX_OUTBOX_BYTES,
             writes=2 / period_s,
         )
 
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Organisation
@@ -23,8 +23,8 @@
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.batches import make_parts
-from kingcupwheel.trace.recorder import Recorder
+from kingcupwheel.trace.batches import compress_events
+from kingcupwheel.trace.recorder import TraceRecorder
 from tools.capacity_samples import PROCESS_NAME
 from tools.capacity_samples import TOKENS_PER_RESPONSE
 from tools.capacity_samples import build_burn_counter
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.burn.observed import Observed
+    from kingcupwheel.burn.finished_request import FinishedRequest
     from kingcupwheel.messages.base import Message
 
 _DIGEST = "0" * 64
@@ -145,7 +145,7 @@
     for count in (2000, 10_000):
         gc.collect()
         tracemalloc.start()
-        recorder = Recorder(PROCESS_NAME, limit=count)
+        recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
         record_requests(recorder, process, count)
         recorder.drain()
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
@@ -160,9 +160,9 @@
     for count in (100, 300, 1000):
 
         def run(count: int = count) -> None:
-            recorder = Recorder(PROCESS_NAME, limit=count)
+            recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
             record_requests(recorder, process, count)
-            make_parts(recorder.drain().encoded)
+            compress_events(recorder.drain().encoded)
 
         points.append(Point(count, 1e3 * _least_cpu_s(run, 5)))
     return points
@@ -172,10 +172,10 @@
     """Return the compressed size of a batch by the requests in it."""
     points = []
     for count in (100, 300, 1000):
-        recorder = Recorder(PROCESS_NAME, limit=count)
+        recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
         record_requests(recorder, process, count)
-        parts = make_parts(recorder.drain().encoded)
-        points.append(Point(count, sum(len(part.packed) for part in parts)))
+        parts = compress_events(recorder.drain().encoded)
+        points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
     return points
 
 
@@ -188,8 +188,10 @@
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
         )
 
-        def run(counter: BurnCounter = counter, observed: Observed = observed) -> None:
-            counter.observe(observed, now=1.0)
+        def run(
+            counter: BurnCounter = counter, observed: FinishedRequest = observed
+        ) -> None:
+            counter.count_request(observed, now=1.0)
 
         points.append(Point(gaps, _US_PER_S * _least_cpu_s(run, 300)))
     return points
@@ -198,7 +200,8 @@
 def burn_part_bytes() -> list[Point]:
     """Return the size of one entry's answer by organisations with own goals."""
     return [
-        Point(n, len(build_burn_counter(n).found(now=1.0).part)) for n in (1, 20, 100)
+        Point(n, len(build_burn_counter(n).build_reply(now=1.0).part))
+        for n in (1, 20, 100)
     ]
 
 
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.observed import Observed
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
@@ -20,26 +20,26 @@
 from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.events import Admitted
-from kingcupwheel.trace.events import Alternative
-from kingcupwheel.trace.events import Dispatched
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
-from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Received
-from kingcupwheel.trace.events import Started
+from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import AttemptForwarded
+from kingcupwheel.trace.events import ConsideredServer
+from kingcupwheel.trace.events import FirstByteRelayed
+from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.utils.request_ids import generate_request_id
 
 
 if TYPE_CHECKING:
     from kingcupwheel.trace.events import AnyEvent
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 PROCESS_NAME = "entry-curitiba-north-017"
 TOKENS_PER_RESPONSE = 270
 
 
-def record_requests(recorder: Recorder, process: str, count: int) -> None:
+def record_requests(recorder: TraceRecorder, process: str, count: int) -> None:
     """Record the events of ``count`` requests of a ``process``: entry or agent."""
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
@@ -54,36 +54,36 @@
 def _entry_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     other = f"agent-ponta-grossa-{random.randrange(1000):04d}"
     weighed = (
-        Alternative(server, random.random()),
-        Alternative(other, random.random()),
+        ConsideredServer(server, random.random()),
+        ConsideredServer(other, random.random()),
     )
     organisation = f"organisation-{random.randrange(43_000)}"
     path = "/v1/completions"
     body_bytes = random.randrange(20_000)
     return (
-        Received(
+        RequestReceived(
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
-        Admitted(random.random() * 2000),
-        Placed(server, 1, random.random(), "less loaded of two", weighed),
-        Dispatched(server, 1),
-        Started(server, 1),
-        FirstByte(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        RequestAdmitted(random.random() * 2000),
+        RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
+        AttemptDispatched(server, 1),
+        AttemptForwarded(server, 1),
+        FirstByteRelayed(server, 1),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
 def _agent_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     return (
-        Started(server, 1),
-        FirstByte(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        AttemptForwarded(server, 1),
+        FirstByteRelayed(server, 1),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
-def build_observed_request(gaps_s: tuple[float, ...]) -> Observed:
+def build_observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
     """Return an answered request with these gaps between tokens."""
-    return Observed(
+    return FinishedRequest(
         organisation="organisation-31415",
         route="*/v1/completions",
         group="parts-model",
@@ -105,7 +105,7 @@
         observed = build_observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
         )
-        counter.observe(observed, now=1.0)
+        counter.count_request(observed, now=1.0)
     return counter
 
 
