--- a/src/kingcupwheel/agent/attempt_handler.py
+++ b/src/kingcupwheel/agent/attempt_handler.py
@@ -25,9 +25,9 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import ResumeRequest
 from kingcupwheel.messages.attempts import TombstoneRequest
-from kingcupwheel.trace.events import Noted
-from kingcupwheel.trace.events import Queued
-from kingcupwheel.trace.events import Resumed
+from kingcupwheel.trace.events import AttemptResumed
+from kingcupwheel.trace.events import NoteAdded
+from kingcupwheel.trace.events import RequestQueued
 
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     from kingcupwheel.agent.entry_links import EntryLinks
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 
 class AttemptHandler:
@@ -52,7 +52,7 @@
         runner: AttemptRunner,
         store: AnswerStore,
         entry_links: EntryLinks,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         send: Callable[[Link, Message], None],
     ) -> None:
         self._name = name
@@ -86,7 +86,7 @@
     def handle_lost_links(self, links: Iterable[Link]) -> None:
         """Cancel the attempts that no live entry is subscribed to."""
         for key in self._store.remove_links(links):
-            self._recorder.record(key.request_id, Noted("The entry went silent."))
+            self._recorder.record(key.request_id, NoteAdded("The entry went silent."))
             self._stop_attempt(key)
 
     def _handle_dispatch(self, link: Link, dispatch: Dispatch) -> None:
@@ -100,14 +100,16 @@
                     self._accept(link, dispatch, running=True)
                     self._runner.start(dispatch)
                 case QueueDecision(ahead_count):
-                    self._recorder.record(attempt_key.request_id, Queued(ahead_count))
+                    self._recorder.record(
+                        attempt_key.request_id, RequestQueued(ahead_count)
+                    )
                     self._accept(link, dispatch, running=False)
                 case JoinDecision(accepted_key):
                     self._join_attempt(link, dispatch, accepted_key)
                 case ForgottenDecision():
                     self._send(link, _build_unknown_end(attempt_key))
                 case RefusalDecision(_, reason):
-                    note = Noted(f"Not run: {reason.value}.")
+                    note = NoteAdded(f"Not run: {reason.value}.")
                     self._recorder.record(attempt_key.request_id, note)
                     self._send(link, AttemptRefused(*attempt_key, reason))
 
@@ -125,7 +127,9 @@
         attempt_key = get_attempt_key(dispatch)
         self._recorder.record(
             attempt_key.request_id,
-            Noted(f"Joined to attempt {accepted_key.attempt} of {accepted_key[0]}."),
+            NoteAdded(
+                f"Joined to attempt {accepted_key.attempt} of {accepted_key[0]}."
+            ),
         )
         self._send(link, AttemptAccepted(*attempt_key, True))
         subscriber = Subscriber(attempt_key, link, 0, 0, dispatch.credit)
@@ -143,7 +147,9 @@
         )
         older_links = self._entry_links.list_older_links(link)
         if self._store.subscribe(accepted_key, subscriber, older_links=older_links):
-            event = Resumed(self._name, attempt_key.attempt, message.offset, "new link")
+            event = AttemptResumed(
+                self._name, attempt_key.attempt, message.offset, "new link"
+            )
             self._recorder.record(attempt_key.request_id, event)
             return
         with self._runner.lock:
--- a/src/kingcupwheel/burn/gathering.py
+++ b/src/kingcupwheel/burn/report_collector.py
@@ -10,10 +10,10 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.burn.burn_report import BurnReport
+from kingcupwheel.burn.burn_report import merge_counts
+from kingcupwheel.burn.entry_counts import ENTRY_COUNTS_DECODER
 from kingcupwheel.burn.exceptions import EntriesUnknown
-from kingcupwheel.burn.merging import BurnReport
-from kingcupwheel.burn.merging import merge
-from kingcupwheel.burn.records import PART_DECODER
 from kingcupwheel.messages.traces import BurnReply
 from kingcupwheel.messages.traces import BurnRequest
 
@@ -25,7 +25,7 @@
     from kingcupwheel.platform.client import PlatformClient
 
 
-class BurnAsker(Protocol):
+class BurnQueryClient(Protocol):
     """Asks live processes; ``link.query_client.QueryClient`` does."""
 
     def ask(
@@ -37,9 +37,9 @@
         """Return the answers by process, without those that did not come in time."""
 
 
-def gather(
+def gather_report(
     client: PlatformClient,
-    asker: BurnAsker,
+    query_client: BurnQueryClient,
     *,
     address_by_process: Mapping[str, str],
     now: float,
@@ -59,13 +59,13 @@
         return Error(EntriesUnknown("the platform's list can't be read"))
     else:
         trouble = "The platform's list can't be read; only entries named were asked."
-    answers = asker.ask(addresses, BurnRequest(), BurnReply)
+    answers = query_client.ask(addresses, BurnRequest(), BurnReply)
     parts = []
     silent = set(addresses)
     for process, answer in answers.items():
         try:
-            parts.append(PART_DECODER.decode(answer.part))
+            parts.append(ENTRY_COUNTS_DECODER.decode(answer.part))
         except msgspec.MsgspecError:
             continue
         silent.discard(process)
-    return Ok(merge(parts, at=now, silent=sorted(silent), trouble=trouble))
+    return Ok(merge_counts(parts, at=now, unanswered=sorted(silent), problem=trouble))
--- a/src/kingcupwheel/burn/printing.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -6,18 +6,18 @@
 from datetime import datetime
 from typing import TYPE_CHECKING
 
+from kingcupwheel.burn.burn_rates import Alert
 from kingcupwheel.burn.goals import ScopeKind
-from kingcupwheel.burn.rates import Alert
 
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.merging import Burn
-    from kingcupwheel.burn.merging import BurnReport
-    from kingcupwheel.burn.merging import Window
+    from kingcupwheel.burn.burn_report import BurnReport
+    from kingcupwheel.burn.burn_report import BurnWindow
+    from kingcupwheel.burn.burn_report import GoalBurn
 
-BURN_HEAD = (
+BURN_COLUMNS = (
     "goals of",
     "indicator",
     "target",
@@ -27,74 +27,77 @@
     "6 h",
     "alert",
 )
-CULPRIT_HEAD = ("indicator", "organisation", "group", "server", "reason", "bad, 1 h")
-TIMES_HEAD = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
+CAUSE_COLUMNS = ("indicator", "organisation", "group", "server", "reason", "bad, 1 h")
+LATENCY_COLUMNS = ("indicator", "group", "times", "p50 ms", "p95 ms", "p99 ms")
 
 
-def report_text(report: BurnReport) -> str:
+def format_report(report: BurnReport) -> str:
     """Return the report in lines."""
-    at = f"{utc(report.at)} UTC"
+    at = f"{format_utc(report.at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
-        "\n".join(notes(report)),
-        "Burn rate (1 uses up the budget exactly):\n" + table(BURN_HEAD, burns(report)),
+        "\n".join(list_notes(report)),
+        "Burn rate (1 uses up the budget exactly):\n"
+        + format_table(BURN_COLUMNS, build_burn_rows(report)),
         "What burned the budgets in the last hour:\n"
-        + table(CULPRIT_HEAD, culprits(report)),
-        "Times over the last half hour to hour:\n" + table(TIMES_HEAD, times(report)),
+        + format_table(CAUSE_COLUMNS, build_cause_rows(report)),
+        "Times over the last half hour to hour:\n"
+        + format_table(LATENCY_COLUMNS, build_latency_rows(report)),
     ]
     return "\n\n".join(block for block in blocks if block)
 
 
-def notes(report: BurnReport) -> list[str]:
+def list_notes(report: BurnReport) -> list[str]:
     """Return what limits the figures, in sentences."""
     lines = []
-    if report.silent:
-        names = ", ".join(report.silent)
+    if report.unanswered:
+        names = ", ".join(report.unanswered)
         lines.append(f"INCOMPLETE: no answer from {names}; their requests are missing.")
-    if report.trouble:
-        lines.append(f"INCOMPLETE: {report.trouble}")
-    if report.young:
+    if report.problem:
+        lines.append(f"INCOMPLETE: {report.problem}")
+    if report.recently_started:
         since_by_process = {entry.process: entry.since for entry in report.entries}
         young = ", ".join(
-            f"{name} (since {utc(since_by_process[name])})" for name in report.young
+            f"{name} (since {format_utc(since_by_process[name])})"
+            for name in report.recently_started
         )
         lines.append(f"Counting for less than six hours: {young}.")
-    uncounted = sum(entry.uncounted for entry in report.entries)
+    uncounted = sum(entry.uncounted_requests for entry in report.entries)
     if uncounted:
         lines.append(f"{uncounted} requests found no room under their own goals.")
     return lines
 
 
-def burns(report: BurnReport) -> list[tuple[str, ...]]:
+def build_burn_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the burn table."""
     return [
         (
-            scope_text(burn),
+            format_scope(burn),
             burn.indicator.value,
             f"{100 * burn.target:g}%",
-            *(rate_text(window) for window in burn.windows),
+            *(format_rate(window) for window in burn.windows),
             "-" if burn.alert is Alert.NONE else burn.alert.value,
         )
         for burn in report.burns
     ]
 
 
-def culprits(report: BurnReport) -> list[tuple[str, ...]]:
+def build_cause_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the culprits' table."""
     return [
         (
-            item.culprit.indicator.value,
-            item.culprit.organisation,
-            item.culprit.group,
-            item.culprit.server or "-",
-            item.culprit.reason,
+            item.cause.indicator.value,
+            item.cause.organisation,
+            item.cause.group,
+            item.cause.server or "-",
+            item.cause.reason,
             str(item.bad),
         )
-        for item in report.culprits
+        for item in report.miss_causes
     ]
 
 
-def times(report: BurnReport) -> list[tuple[str, ...]]:
+def build_latency_rows(report: BurnReport) -> list[tuple[str, ...]]:
     """Return the rows of the times' table."""
     return [
         (
@@ -107,7 +110,7 @@
     ]
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """Return aligned columns, or a word if there are no rows."""
     if not rows:
         return "  nothing"
@@ -120,19 +123,19 @@
     return "\n".join(line.rstrip() for line in lines)
 
 
-def utc(at: float) -> str:
+def format_utc(at: float) -> str:
     """Return Unix seconds as a date and time."""
     return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
-def scope_text(burn: Burn) -> str:
+def format_scope(burn: GoalBurn) -> str:
     """Return what the goals are for."""
     if burn.kind is ScopeKind.OVERALL:
         return "all requests"
     return f"{burn.kind.value} {burn.name}"
 
 
-def rate_text(window: Window) -> str:
+def format_rate(window: BurnWindow) -> str:
     """Return a burn rate with its counts."""
     if window.rate is None:
         return "none"
--- a/src/kingcupwheel/console/commands/trace.py
+++ b/src/kingcupwheel/console/commands/trace.py
@@ -18,21 +18,21 @@
 from kingcupwheel.console.platform_access import create_platform_client
 from kingcupwheel.console.process_addresses import address_option
 from kingcupwheel.link.query_client import QueryClient
-from kingcupwheel.trace import lines
-from kingcupwheel.trace.claims import ClaimView
-from kingcupwheel.trace.claims import find_claim
-from kingcupwheel.trace.exceptions import BadRequestId
+from kingcupwheel.trace import log_timeline
+from kingcupwheel.trace.claim_lookup import ClaimSummary
+from kingcupwheel.trace.claim_lookup import find_claim
+from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
-from kingcupwheel.trace.exceptions import NoClaim
-from kingcupwheel.trace.exceptions import PlatformDown
-from kingcupwheel.trace.finding import Finder
-from kingcupwheel.trace.printing import story_text
-from kingcupwheel.trace.story import State
+from kingcupwheel.trace.exceptions import InvalidRequestId
+from kingcupwheel.trace.exceptions import PlatformUnavailable
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline_finder import TimelineFinder
+from kingcupwheel.trace.timeline_text import format_timeline
 
 
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
-    from kingcupwheel.trace.story import Story
+    from kingcupwheel.trace.timeline import RequestTimeline
 
 
 @click.command("trace")
@@ -74,7 +74,7 @@
     if resolved.is_error():
         _exit_with_find_error(resolved.error)
     claim = resolved.ok
-    finder = Finder(
+    finder = TimelineFinder(
         client,
         QueryClient(timeout_s=timeout_s),
         address_by_process=address_by_process,
@@ -92,14 +92,14 @@
 ) -> NoReturn:
     if not request_id:
         raise click.UsageError("--logs requires a request id.")
-    log_story = lines.story(request_id, chain.from_iterable(logs))
+    log_story = log_timeline.build_log_timeline(request_id, chain.from_iterable(logs))
     if as_json:
         encoded = msgspec.json.format(
             msgspec.json.encode(log_story._asdict()), indent=2
         )
         click.echo(encoded.decode())
     else:
-        click.echo(lines.text(log_story))
+        click.echo(log_timeline.format_log_timeline(log_story))
     if not log_story.lines:
         sys.exit(ExitCode.NOT_FOUND)
     sys.exit(ExitCode.INCOMPLETE if log_story.gaps else ExitCode.OK)
@@ -110,44 +110,44 @@
     request_id: str | None,
     idempotency_key: str | None,
     organisation: str | None,
-) -> Result[ClaimView, FindError]:
+) -> Result[ClaimSummary, FindError]:
     if request_id:
-        return Ok(ClaimView(request_id))
+        return Ok(ClaimSummary(request_id))
     if idempotency_key and organisation:
         return find_claim(client, organisation, idempotency_key)
     if idempotency_key or organisation:
         raise click.UsageError(
             "--idempotency-key and --organisation must be given together."
         )
-    return Error(BadRequestId(""))
+    return Error(InvalidRequestId(""))
 
 
-def _print_story(story: Story, *, as_json: bool) -> None:
+def _print_story(story: RequestTimeline, *, as_json: bool) -> None:
     if as_json:
         encoded = msgspec.json.format(msgspec.json.encode(story), indent=2)
         click.echo(encoded.decode())
     else:
-        click.echo(story_text(story))
+        click.echo(format_timeline(story))
 
 
-def _get_exit_code(story: Story) -> ExitCode:
+def _get_exit_code(story: RequestTimeline) -> ExitCode:
     match story.state:
-        case State.UNKNOWN:
+        case OutcomeState.UNKNOWN:
             return ExitCode.NOT_FOUND
-        case State.CONTRADICTORY:
+        case OutcomeState.CONTRADICTORY:
             return ExitCode.FAILED
         case _:
-            return ExitCode.OK if story.whole else ExitCode.INCOMPLETE
+            return ExitCode.OK if story.is_complete else ExitCode.INCOMPLETE
 
 
 def _exit_with_find_error(error: FindError) -> None:
     match error:
-        case BadRequestId(text):
+        case InvalidRequestId(text):
             _exit_with_message(f"{text!r} is not a valid request id.", ExitCode.USAGE)
-        case NoClaim(key):
+        case ClaimNotFound(key):
             message = f"No claim found for key {key!r}; claims have a retention period."
             _exit_with_message(message, ExitCode.NOT_FOUND)
-        case PlatformDown(detail):
+        case PlatformUnavailable(detail):
             _exit_with_message(
                 f"Cannot read the claim or trace: {detail}.", ExitCode.UNAVAILABLE
             )
--- a/src/kingcupwheel/entry/caller_pages.py
+++ b/src/kingcupwheel/entry/caller_pages.py
@@ -8,19 +8,19 @@
 from typing import NamedTuple
 from typing import TypedDict
 
-from kingcupwheel.trace.events import Admitted
-from kingcupwheel.trace.events import Dispatched
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Received
-from kingcupwheel.trace.sentences import sentence
+from kingcupwheel.trace.event_descriptions import describe_event
+from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import RequestReceived
 
 
 if TYPE_CHECKING:
     from kingcupwheel.entry.membership import Membership
     from kingcupwheel.manifest.schema import Organisation
     from kingcupwheel.trace.events import TraceEvent
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
 _ENTRIES_PATH = "/kingcupwheel/v1/entries"
 _REQUESTS_PATH = "/kingcupwheel/v1/requests/"
@@ -54,7 +54,7 @@
     """Builds the pages for an organisation's callers."""
 
     def __init__(
-        self, recorder: Recorder, membership: Membership, *, address_ttl_s: float
+        self, recorder: TraceRecorder, membership: Membership, *, address_ttl_s: float
     ) -> None:
         self._recorder = recorder
         self._membership = membership
@@ -79,7 +79,7 @@
         self, request_id: str, organisation: Organisation
     ) -> JsonPage:
         # The page does not disclose whether an id of another organisation exists.
-        events = self._recorder.events(request_id)
+        events = self._recorder.get_events(request_id)
         if not _is_sent_by(events, organisation):
             return _build_error_page(
                 404, "no-request", "This entry knows no such request."
@@ -89,7 +89,8 @@
 
 def _is_sent_by(events: tuple[TraceEvent, ...], organisation: Organisation) -> bool:
     return any(
-        isinstance(one.event, Received) and one.event.organisation == organisation.name
+        isinstance(one.event, RequestReceived)
+        and one.event.organisation == organisation.name
         for one in events
     )
 
@@ -103,7 +104,7 @@
         story=[_describe(one, events) for one in events if _is_visible_to_callers(one)],
     )
     for one in events:
-        if isinstance(one.event, Finished):
+        if isinstance(one.event, RequestFinished):
             body["outcome"] = one.event.outcome
             body["status"] = one.event.status
             body["reason"] = one.event.reason
@@ -112,11 +113,13 @@
 
 def _is_visible_to_callers(one: TraceEvent) -> bool:
     # Placement and the load of servers are shown to operators only.
-    return not isinstance(one.event, Placed | Dispatched | Admitted)
+    return not isinstance(
+        one.event, RequestPlaced | AttemptDispatched | RequestAdmitted
+    )
 
 
 def _describe(one: TraceEvent, events: tuple[TraceEvent, ...]) -> str:
-    return sentence(one, entry=one.process, arrived=events[0].at)
+    return describe_event(one, entry=one.process, arrived_at=events[0].recorded_at)
 
 
 def _build_error_page(status: int, reason: str, message: str) -> JsonPage:
--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -36,8 +36,8 @@
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.messages.attempts import TombstoneReply
 from kingcupwheel.messages.attempts import TombstoneRequest
-from kingcupwheel.trace.events import Claimed
-from kingcupwheel.trace.events import Joined
+from kingcupwheel.trace.events import ClaimRecorded
+from kingcupwheel.trace.events import ResendJoined
 
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
             result = self._context.claims.update(held_claim, record)
         if result.is_ok():
             self._record_claim(result.ok, "made" if held_claim is None else "moved")
-            self._context.retention.schedule_removal(result.ok)
+            self._context.expired_claim_remover.schedule_removal(result.ok)
             return result.ok
         match result.error:
             case ClaimConflict():
@@ -173,7 +173,7 @@
                 build_earlier_send_refusal(record.final_outcome, record.reason)
             )
         self._context.recorder.record(
-            self._request.request_id, Joined(record.request_id)
+            self._request.request_id, ResendJoined(record.request_id)
         )
         inbox = self._open_inbox(record)
         if inbox is None:
@@ -311,5 +311,5 @@
         return None
 
     def _record_claim(self, held_claim: StoredClaim, detail: str) -> None:
-        event = Claimed(held_claim.claim_id, held_claim.record.fence, detail)
+        event = ClaimRecorded(held_claim.claim_id, held_claim.record.fence, detail)
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -27,10 +27,10 @@
 from kingcupwheel.entry.retry_controller import RetryController
 from kingcupwheel.entry.retry_controller import build_wait_abandoned_refusal
 from kingcupwheel.messages.attempts import Outcome
-from kingcupwheel.trace.events import Admitted
 from kingcupwheel.trace.events import CallerLeft
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Refused
+from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestRefused
 
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         predicted_work = self._context.limiter.admit(self._request)
         if isinstance(predicted_work, Refusal):
             return self._refuse(predicted_work)
-        self._record(Admitted(predicted_work))
+        self._record(RequestAdmitted(predicted_work))
         admitted = AdmittedRequest(
             self._request, predicted_work, is_suspect=quarantine_status.is_suspect
         )
@@ -253,15 +253,15 @@
             # A caller that sends a key again must not conclude from this refusal that
             # the request has never run.
             refusal = refusal._replace(message=refusal.message + _EARLIER_SEND_NOTE)
-        event = Refused(refusal.reason, refusal.message, refusal.retry_after_s)
+        event = RequestRefused(refusal.reason, refusal.message, refusal.retry_after_s)
         self._record(event)
         outcome = refusal.outcome.value
-        self._record(Finished(outcome, refusal.status, 0, refusal.reason))
+        self._record(RequestFinished(outcome, refusal.status, 0, refusal.reason))
         self._context.outcome_counter.count_refusal(self._request, refusal)
         return RefusedAnswer(refusal)
 
     def _record(
         self,
-        event: Admitted | CallerLeft | Finished | Refused,
+        event: RequestAdmitted | CallerLeft | RequestFinished | RequestRefused,
     ) -> None:
         self._context.recorder.record(self._request.request_id, event)
--- a/src/kingcupwheel/metrics/trace_event_metrics.py
+++ b/src/kingcupwheel/metrics/trace_event_metrics.py
@@ -9,12 +9,12 @@
 
 from kingcupwheel.metrics.metric_names import CounterName
 from kingcupwheel.metrics.metric_names import TimerName
-from kingcupwheel.trace.events import Claimed
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import Joined
-from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Resumed
-from kingcupwheel.trace.events import Retried
+from kingcupwheel.trace.events import AttemptResumed
+from kingcupwheel.trace.events import AttemptRetried
+from kingcupwheel.trace.events import ClaimRecorded
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import ResendJoined
 from kingcupwheel.trace.events import ServerDied
 
 
@@ -38,17 +38,17 @@
     def __call__(self, event: AnyEvent) -> None:
         """Update the metric of ``event``, if it has one."""
         match event:
-            case Placed(waited_s=waited_s):
+            case RequestPlaced(waited_s=waited_s):
                 self._metrics.record_duration(TimerName.QUEUE_WAIT, waited_s)
-            case Retried():
+            case AttemptRetried():
                 self._metrics.increment(CounterName.RETRIES)
-            case Resumed():
+            case AttemptResumed():
                 self._metrics.increment(CounterName.RESUMES)
-            case Joined():
+            case ResendJoined():
                 self._metrics.increment(CounterName.JOINS)
-            case Claimed():
+            case ClaimRecorded():
                 self._metrics.increment(CounterName.CLAIMS)
             case ServerDied():
                 self._metrics.increment(CounterName.ATTEMPTS_LOST)
-            case Finished(outcome) if self._finished_counter:
+            case RequestFinished(outcome) if self._finished_counter:
                 self._metrics.increment(self._finished_counter, label=outcome)
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -15,29 +15,29 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from kingcupwheel.trace.batches import RAW_PART_BYTES
-from kingcupwheel.trace.batches import Batch
+from kingcupwheel.trace.batches import MAX_RAW_PART_BYTES
 from kingcupwheel.trace.batches import BatchName
-from kingcupwheel.trace.batches import Loss
+from kingcupwheel.trace.batches import EventLoss
+from kingcupwheel.trace.batches import TraceBatch
+from kingcupwheel.trace.batches import compress_events
 from kingcupwheel.trace.batches import encode_batch
-from kingcupwheel.trace.batches import make_parts
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from kingcupwheel.trace.recorder import Drained
+    from kingcupwheel.trace.recorder import DrainedEvents
 
 # One batch, the deletion of one expired batch, and one more to catch up after an
 # outage. 1,370 processes with periods of 30 s then stay under 137 calls a second.
-CALLS_PER_PERIOD = 3
+MAX_CALLS_PER_PERIOD = 3
 # Batches that wait for the platform, compressed, plus events not yet compressed. An
 # hour at the target rate of an entry has to fit, in a small share of its 256 MB.
-OUTBOX_BYTES = 16_000_000
+MAX_OUTBOX_BYTES = 16_000_000
 # Batches remembered for deletion: three days of 30 s periods. What finds no room is
 # listed again at a later sweep.
-_REMEMBERED = 10_000
-_PHASES = 1000
+_MAX_EXPIRING_BATCHES = 10_000
+_PHASE_COUNT = 1000
 
 
 class WriteBatch(NamedTuple):
@@ -54,13 +54,13 @@
     version: int
 
 
-class _Waiting(NamedTuple):
+class _PendingBatch(NamedTuple):
     name: BatchName
-    batch: Batch
+    batch: TraceBatch
 
 
-class _Expiring(NamedTuple):
-    until: int
+class _ExpiringBatch(NamedTuple):
+    recorded_until: int
     key: str
     version: int
 
@@ -72,176 +72,181 @@
     ``now`` are monotonic seconds; ``at`` is Unix seconds.
     """
 
-    def __init__(self, process: str, *, life: str, period_s: float, now: float) -> None:
+    def __init__(
+        self, process: str, *, incarnation: str, period_s: float, now: float
+    ) -> None:
         self._process = process
-        self._life = life
-        self._gap_s = period_s / CALLS_PER_PERIOD
+        self._incarnation = incarnation
+        self._call_interval_s = period_s / MAX_CALLS_PER_PERIOD
         self._period_s = period_s
         # Processes that start together, as after an outage, must not write together.
-        phase = zlib.crc32(process.encode()) % _PHASES / _PHASES
-        self._next_call = now + phase * self._gap_s
-        self._next_batch = now + phase * period_s
-        self._part = 0
-        self._open: list[bytes] = []
+        phase = zlib.crc32(process.encode()) % _PHASE_COUNT / _PHASE_COUNT
+        self._next_call_at = now + phase * self._call_interval_s
+        self._next_batch_at = now + phase * period_s
+        self._part_number = 0
+        self._open_events: list[bytes] = []
         self._open_bytes = 0
         self._open_since = 0.0
         self._open_until = 0.0
-        self._waiting: deque[_Waiting] = deque()
-        self._waiting_bytes = 0
-        self._losses: list[Loss] = []
-        self._expiring: list[_Expiring] = []
+        self._pending: deque[_PendingBatch] = deque()
+        self._pending_bytes = 0
+        self._losses: list[EventLoss] = []
+        self._expiring: list[_ExpiringBatch] = []
         self._expiring_keys: set[str] = set()
 
     @property
-    def waiting_bytes(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes held for the platform."""
-        return self._waiting_bytes + self._open_bytes
+        return self._pending_bytes + self._open_bytes
 
     @property
-    def next_call(self) -> float:
+    def next_call_at(self) -> float:
         """The earliest monotonic time of the next call."""
-        return self._next_call
+        return self._next_call_at
 
-    def add(self, drained: Drained) -> int:
+    def add_events(self, drained: DrainedEvents) -> int:
         """Take events from the recorder; return how many were lost for want of room.
 
         The oldest batch makes room; the loss is told in the next batch written.
         """
-        lost = drained.lost
+        lost = drained.lost_count
         if lost:
-            self._lose(drained.since, drained.until, lost, "no room in memory")
+            self._record_loss(drained.since, drained.until, lost, "no room in memory")
         if drained.encoded:
-            self._take(drained)
-        while self.waiting_bytes > OUTBOX_BYTES and self._waiting:
-            oldest = self._waiting.popleft().batch
-            self._waiting_bytes -= len(oldest.packed)
-            lost += oldest.events
-            self._lose(
-                oldest.since, oldest.until, oldest.events, "platform out of reach"
+            self._append_events(drained)
+        while self.pending_bytes > MAX_OUTBOX_BYTES and self._pending:
+            oldest = self._pending.popleft().batch
+            self._pending_bytes -= len(oldest.compressed_events)
+            lost += oldest.event_count
+            self._record_loss(
+                oldest.since, oldest.until, oldest.event_count, "platform out of reach"
             )
         return lost
 
-    def remember(self, names: Iterable[BatchName]) -> None:
+    def schedule_deletions(self, names: Iterable[BatchName]) -> None:
         """Take over deletion of batches that other lives or processes wrote."""
         for name in names:
-            self._remember(name, version=0)
+            self._schedule_deletion(name, version=0)
 
-    def call(
+    def plan_call(
         self, *, now: float, at: float, retention_s: float
     ) -> WriteBatch | DeleteBatch | None:
         """Return the call to make now, if its time has come.
 
         ``settle`` has to follow before the next call.
         """
-        if now < self._next_call:
+        if now < self._next_call_at:
             return None
-        if now >= self._next_batch and not self._waiting:
-            self._seal()
-        if self._waiting:
-            return self._write()
+        if now >= self._next_batch_at and not self._pending:
+            self._close_batch()
+        if self._pending:
+            return self._build_write()
         oldest = self._expiring[0] if self._expiring else None
-        if oldest and oldest.until + retention_s < at:
+        if oldest and oldest.recorded_until + retention_s < at:
             return DeleteBatch(oldest.key, oldest.version)
         return None
 
-    def flush(self) -> WriteBatch | None:
+    def plan_flush(self) -> WriteBatch | None:
         """Return the next write without regard to time, for a graceful stop."""
-        if not self._waiting:
-            self._seal()
-        return self._write() if self._waiting else None
+        if not self._pending:
+            self._close_batch()
+        return self._build_write() if self._pending else None
 
-    def written(self, *, version: int, now: float) -> None:
+    def confirm_write(self, *, version: int, now: float) -> None:
         """Note that the batch of the last call is on the platform."""
-        done = self._waiting.popleft()
-        self._waiting_bytes -= len(done.batch.packed)
-        self._remember(done.name, version=version)
+        done = self._pending.popleft()
+        self._pending_bytes -= len(done.batch.compressed_events)
+        self._schedule_deletion(done.name, version=version)
         self._losses = []
-        self._pause(now)
-        if not self._waiting:
-            self._next_batch = now + self._period_s
+        self._delay_next_call(now)
+        if not self._pending:
+            self._next_batch_at = now + self._period_s
 
-    def rejected(self, why: str, *, now: float) -> None:
+    def drop_rejected(self, why: str, *, now: float) -> None:
         """Note that the platform will never take the batch of the last call."""
-        refused = self._waiting.popleft().batch
-        self._waiting_bytes -= len(refused.packed)
-        self._lose(refused.since, refused.until, refused.events, why)
-        self._pause(now)
+        refused = self._pending.popleft().batch
+        self._pending_bytes -= len(refused.compressed_events)
+        self._record_loss(refused.since, refused.until, refused.event_count, why)
+        self._delay_next_call(now)
 
-    def deleted(self, *, now: float) -> None:
+    def confirm_deletion(self, *, now: float) -> None:
         """Note that the batch of the last call is gone."""
         gone = heapq.heappop(self._expiring)
         self._expiring_keys.discard(gone.key)
-        self._pause(now)
+        self._delay_next_call(now)
 
-    def found(self, *, version: int, now: float) -> None:
+    def set_found_version(self, *, version: int, now: float) -> None:
         """Note the version of the batch to delete, which the refusal told."""
         oldest = self._expiring[0]
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
-        self._pause(now)
+        self._delay_next_call(now)
 
-    def failed(self, *, now: float, wait_s: float = 0.0) -> None:
+    def postpone_call(self, *, now: float, wait_s: float = 0.0) -> None:
         """Note that the last call came to nothing; the same follows later."""
-        self._pause(now)
-        self._next_call = max(self._next_call, now + wait_s)
-
-    def _remember(self, name: BatchName, *, version: int) -> None:
-        if name.key in self._expiring_keys or len(self._expiring) >= _REMEMBERED:
+        self._delay_next_call(now)
+        self._next_call_at = max(self._next_call_at, now + wait_s)
+
+    def _schedule_deletion(self, name: BatchName, *, version: int) -> None:
+        if (
+            name.key in self._expiring_keys
+            or len(self._expiring) >= _MAX_EXPIRING_BATCHES
+        ):
             return
         self._expiring_keys.add(name.key)
-        heapq.heappush(self._expiring, _Expiring(name.until, name.key, version))
+        heapq.heappush(self._expiring, _ExpiringBatch(name.until, name.key, version))
 
-    def _pause(self, now: float) -> None:
-        self._next_call = now + self._gap_s
+    def _delay_next_call(self, now: float) -> None:
+        self._next_call_at = now + self._call_interval_s
 
-    def _take(self, drained: Drained) -> None:
-        if not self._open:
+    def _append_events(self, drained: DrainedEvents) -> None:
+        if not self._open_events:
             self._open_since = drained.since
         self._open_until = drained.until
-        self._open.extend(drained.encoded)
+        self._open_events.extend(drained.encoded)
         self._open_bytes += sum(map(len, drained.encoded))
-        if self._open_bytes >= RAW_PART_BYTES:
-            self._seal()
+        if self._open_bytes >= MAX_RAW_PART_BYTES:
+            self._close_batch()
 
-    def _seal(self) -> None:
-        if not self._open:
+    def _close_batch(self) -> None:
+        if not self._open_events:
             return
-        for part in make_parts(tuple(self._open)):
-            self._part += 1
+        for part in compress_events(tuple(self._open_events)):
+            self._part_number += 1
             name = BatchName(
                 self._process,
                 int(self._open_since),
                 int(self._open_until) + 1,
-                self._life,
-                self._part,
+                self._incarnation,
+                self._part_number,
             )
-            batch = Batch(
+            batch = TraceBatch(
                 self._process,
                 self._open_since,
                 self._open_until,
-                part.events,
-                part.packed,
+                part.event_count,
+                part.compressed_events,
             )
-            self._waiting.append(_Waiting(name, batch))
-            self._waiting_bytes += len(part.packed)
-        self._open = []
+            self._pending.append(_PendingBatch(name, batch))
+            self._pending_bytes += len(part.compressed_events)
+        self._open_events = []
         self._open_bytes = 0
 
-    def _write(self) -> WriteBatch:
-        name, batch = self._waiting[0]
-        telling = Batch(
+    def _build_write(self) -> WriteBatch:
+        name, batch = self._pending[0]
+        telling = TraceBatch(
             batch.process,
             batch.since,
             batch.until,
-            batch.events,
-            batch.packed,
+            batch.event_count,
+            batch.compressed_events,
             tuple(self._losses),
         )
-        self._waiting[0] = _Waiting(name, telling)
+        self._pending[0] = _PendingBatch(name, telling)
         return WriteBatch(name.key, encode_batch(telling))
 
-    def _lose(self, since: float, until: float, events: int, why: str) -> None:
+    def _record_loss(self, since: float, until: float, events: int, why: str) -> None:
         last = self._losses[-1] if self._losses else None
-        if last and last.why == why:
-            since, events = min(last.since, since), last.events + events
+        if last and last.reason == why:
+            since, events = min(last.since, since), last.event_count + events
             self._losses.pop()
-        self._losses.append(Loss(since, until, events, why))
+        self._losses.append(EventLoss(since, until, events, why))
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -17,7 +17,7 @@
 
 from kingcupwheel.messages.traces import TraceReply
 from kingcupwheel.trace.events import EVENT_DECODER
-from kingcupwheel.trace.events import Finished
+from kingcupwheel.trace.events import RequestFinished
 from kingcupwheel.trace.events import TraceEvent
 from kingcupwheel.utils.request_ids import parse_request_id
 
@@ -29,14 +29,14 @@
 
 # Events kept for one request. A request on a flapping link may be resumed without end;
 # past the bound only its final outcome is added, and the story says so.
-EVENTS_PER_REQUEST = 200
+MAX_EVENTS_PER_REQUEST = 200
 # Encoded events that wait to be put in a batch. At 10 requests a second with about
 # 1.5 KB each this is some four minutes: far more than a batch's period, so that it
 # only bites when the shipper's thread is stuck.
-UNSHIPPED_BYTES = 4_000_000
+MAX_UNSHIPPED_BYTES = 4_000_000
 
 
-class Drained(NamedTuple):
+class DrainedEvents(NamedTuple):
     """Events not yet in a batch, encoded, oldest first.
 
     ``since`` and ``until`` are Unix seconds of the first and last record call;
@@ -46,18 +46,18 @@
     encoded: tuple[bytes, ...]
     since: float
     until: float
-    lost: int
+    lost_count: int
 
 
-class _Story:
-    __slots__ = ("capped", "encoded")
+class _RequestEvents:
+    __slots__ = ("is_truncated", "encoded_events")
 
     def __init__(self) -> None:
-        self.encoded: list[bytes] = []
-        self.capped = False
+        self.encoded_events: list[bytes] = []
+        self.is_truncated = False
 
 
-class Recorder:
+class TraceRecorder:
     """Keeps the events of the latest ``limit`` requests; safe from any thread.
 
     ``listener`` is called with each event, on the thread that records it.
@@ -67,19 +67,19 @@
         self,
         process: str,
         *,
-        limit: int,
+        max_requests: int,
         listener: Callable[[AnyEvent], None] | None = None,
     ) -> None:
         self._process = process
-        self._limit = limit
+        self._max_requests = max_requests
         self._listener = listener
-        self._started = time.time()
-        self._forgotten_ms = 0
-        self._stories_by_request_id: OrderedDict[str, _Story] = OrderedDict()
+        self._started_at = time.time()
+        self._evicted_until_ms = 0
+        self._events_by_request_id: OrderedDict[str, _RequestEvents] = OrderedDict()
         self._unshipped: deque[bytes] = deque()
         self._unshipped_bytes = 0
-        self._since = self._started
-        self._lost = 0
+        self._unshipped_since = self._started_at
+        self._lost_count = 0
         self._encoder = msgspec.msgpack.Encoder()
         self._lock = Lock()
 
@@ -94,74 +94,82 @@
         entry = TraceEvent(request_id, at, self._process, event)
         with self._lock:
             encoded = self._encoder.encode(entry)
-            self._keep(request_id, encoded, final=isinstance(event, Finished))
-            self._queue(encoded, at)
+            self._store_event(
+                request_id, encoded, final=isinstance(event, RequestFinished)
+            )
+            self._enqueue(encoded, at)
         if self._listener is not None:
             self._listener(event)
 
-    def events(self, request_id: str) -> tuple[TraceEvent, ...]:
+    def get_events(self, request_id: str) -> tuple[TraceEvent, ...]:
         """Return what is held of the request, in order of recording."""
         with self._lock:
-            story = self._stories_by_request_id.get(request_id)
-            encoded = tuple(story.encoded) if story else ()
+            story = self._events_by_request_id.get(request_id)
+            encoded = tuple(story.encoded_events) if story else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
-    def found(self, request_id: str) -> TraceReply:
+    def build_reply(self, request_id: str) -> TraceReply:
         """Answer ``TraceRequest``: the events held, and whether none was let go.
 
         ``complete`` is False if events of the request may have been recorded by an
         earlier life of this process, pushed out by newer requests or left out.
         """
-        events = self.events(request_id)
+        events = self.get_events(request_id)
         with self._lock:
-            story = self._stories_by_request_id.get(request_id)
-            complete = self._covers(request_id) and not (story and story.capped)
+            story = self._events_by_request_id.get(request_id)
+            complete = self._is_covered(request_id) and not (
+                story and story.is_truncated
+            )
         payload = msgspec.msgpack.encode(events)
         return TraceReply(request_id, self._process, payload, complete)
 
-    def drain(self) -> Drained:
+    def drain(self) -> DrainedEvents:
         """Hand over the events that are not yet in a batch."""
         with self._lock:
             now = time.time()
-            drained = Drained(tuple(self._unshipped), self._since, now, self._lost)
+            drained = DrainedEvents(
+                tuple(self._unshipped), self._unshipped_since, now, self._lost_count
+            )
             self._unshipped.clear()
             self._unshipped_bytes = 0
-            self._since = now
-            self._lost = 0
+            self._unshipped_since = now
+            self._lost_count = 0
         return drained
 
-    def _keep(self, request_id: str, encoded: bytes, *, final: bool) -> None:
-        story = self._stories_by_request_id.get(request_id)
+    def _store_event(self, request_id: str, encoded: bytes, *, final: bool) -> None:
+        story = self._events_by_request_id.get(request_id)
         if story is None:
-            story = _Story()
-            self._stories_by_request_id[request_id] = story
-            self._make_room()
-        if len(story.encoded) < EVENTS_PER_REQUEST or final:
-            story.encoded.append(encoded)
+            story = _RequestEvents()
+            self._events_by_request_id[request_id] = story
+            self._evict_oldest()
+        if len(story.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
+            story.encoded_events.append(encoded)
         else:
-            story.capped = True
+            story.is_truncated = True
 
-    def _make_room(self) -> None:
-        while len(self._stories_by_request_id) > self._limit:
-            oldest, _ = self._stories_by_request_id.popitem(last=False)
-            self._forgotten_ms = max(self._forgotten_ms, _started_ms(oldest))
+    def _evict_oldest(self) -> None:
+        while len(self._events_by_request_id) > self._max_requests:
+            oldest, _ = self._events_by_request_id.popitem(last=False)
+            self._evicted_until_ms = max(
+                self._evicted_until_ms, _get_arrival_ms(oldest)
+            )
 
-    def _queue(self, encoded: bytes, at: float) -> None:
+    def _enqueue(self, encoded: bytes, at: float) -> None:
         if not self._unshipped:
-            self._since = at
+            self._unshipped_since = at
         self._unshipped.append(encoded)
         self._unshipped_bytes += len(encoded)
-        while self._unshipped_bytes > UNSHIPPED_BYTES:
+        while self._unshipped_bytes > MAX_UNSHIPPED_BYTES:
             self._unshipped_bytes -= len(self._unshipped.popleft())
-            self._lost += 1
+            self._lost_count += 1
 
-    def _covers(self, request_id: str) -> bool:
+    def _is_covered(self, request_id: str) -> bool:
         # A story that was pushed out may start anew with a late event; judging by the
         # time in the id catches that too.
-        started_ms = _started_ms(request_id)
-        return started_ms > max(int(self._started * 1000), self._forgotten_ms)
+        started_ms = _get_arrival_ms(request_id)
+        return started_ms > max(int(self._started_at * 1000), self._evicted_until_ms)
 
 
-def _started_ms(request_id: str) -> int:
+def _get_arrival_ms(request_id: str) -> int:
     parsed = parse_request_id(request_id)
     return parsed.arrived_at_ms if parsed else 0
--- /dev/null
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -0,0 +1,74 @@
+"""A story as text for a terminal."""
+
+from __future__ import annotations
+
+from datetime import UTC
+from datetime import datetime
+from typing import TYPE_CHECKING
+
+from kingcupwheel.trace.events import ResendJoined
+from kingcupwheel.trace.timeline import OutcomeState
+from kingcupwheel.trace.timeline import TraceSource
+
+
+if TYPE_CHECKING:
+    from kingcupwheel.trace.timeline import ProcessTrace
+    from kingcupwheel.trace.timeline import RequestTimeline
+    from kingcupwheel.trace.timeline import TimelineLine
+
+_SOURCE_LABELS = {
+    TraceSource.LIVE: "answered itself",
+    TraceSource.BATCHES: "gone; read from its batches",
+    TraceSource.NOWHERE: "nothing found",
+}
+
+
+def format_timeline(story: RequestTimeline) -> str:
+    """Return the story in lines: what happened, the outcome, what is missing."""
+    width = max((len(line.process) for line in story.lines), default=0)
+    blocks = [
+        [f"Request {story.request_id}", *_format_sources(story)],
+        [_format_line(line, width) for line in story.lines],
+        [_format_outcome(story), *_format_references(story)],
+        [f"Missing: {gap}" for gap in story.gaps],
+    ]
+    return "\n\n".join("\n".join(block) for block in blocks if block)
+
+
+def _format_sources(story: RequestTimeline) -> list[str]:
+    return [f"  {part.process}: {_format_source(part)}" for part in story.parts]
+
+
+def _format_source(part: ProcessTrace) -> str:
+    return f"{_SOURCE_LABELS[part.source]}, {len(part.events)} events"
+
+
+def _format_line(line: TimelineLine, width: int) -> str:
+    at = datetime.fromtimestamp(line.at, tz=UTC)
+    stamp = at.strftime("%Y-%m-%d %H:%M:%S.") + f"{at.microsecond // 1000:03d}"
+    return f"{stamp}  {line.process:<{width}}  {line.sentence}"
+
+
+def _format_outcome(story: RequestTimeline) -> str:
+    match story.state:
+        case OutcomeState.FINISHED:
+            reason = f" ({story.reason})" if story.reason else ""
+            return f"Outcome told to the caller: {story.outcome}{reason}."
+        case OutcomeState.UNDER_WAY:
+            return "The request is still under way."
+        case OutcomeState.OUTCOME_MISSING:
+            return "Outcome told to the caller: not recorded in what was found."
+        case OutcomeState.CONTRADICTORY:
+            return "Outcome told to the caller: recorded more than once, a fault."
+        case OutcomeState.UNKNOWN:
+            return "Nothing was found of this request."
+
+
+def _format_references(story: RequestTimeline) -> list[str]:
+    earlier = {
+        event.event.earlier_request_id: None
+        for part in story.parts
+        for event in part.events
+        if isinstance(event.event, ResendJoined)
+    }
+    return [f"See also: kingcupwheel trace {request_id}" for request_id in earlier]
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -12,85 +12,95 @@
 
 import click
 
-from tools.capacity_breaks import bad_days
-from tools.capacity_breaks import breaks
-from tools.capacity_breaks import table
+from tools.capacity_limits import bad_days_table
+from tools.capacity_limits import limits_table
+from tools.capacity_limits import markdown_table
+from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
-from tools.capacity_model import Model
-from tools.capacity_model import Role
+from tools.capacity_model import RoleCosts
 from tools.capacity_slopes import load_slopes
+from tools.capacity_target import CURRENT_DESIGN
 from tools.capacity_target import DESIGNS
+from tools.capacity_target import LEASE_RENEWAL_S
 from tools.capacity_target import LIMITS
-from tools.capacity_target import RENEW_S
-from tools.capacity_target import SMALL
+from tools.capacity_target import SMALL_DESIGN
 from tools.capacity_target import SMALL_TARGET
 from tools.capacity_target import TARGET
-from tools.capacity_target import TODAY
 from tools.capacity_target import Design
 from tools.capacity_target import Target
-from tools.capacity_totals import data_paths
-from tools.capacity_totals import platform_load
+from tools.capacity_totals import compute_data_path_costs
+from tools.capacity_totals import compute_platform_load
 
 
 if TYPE_CHECKING:
     from tools.capacity_slopes import Slope
     from tools.capacity_slopes import Slopes
 
-PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
-_PART = re.compile(r"<!-- computed: (?P<name>[a-z-]+) -->\n.*?<!-- end -->", re.DOTALL)
+PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
+_PART_PATTERN = re.compile(
+    r"<!-- computed: (?P<name>[a-z-]+) -->\n.*?<!-- end -->", re.DOTALL
+)
 _MB = 1e6
 _KB = 1e3
 _GB = 1e9
 
 
-def parts(slopes: Slopes) -> dict[str, str]:
+def render_parts(slopes: Slopes) -> dict[str, str]:
     """Return each computed part of the page by name."""
     return {
-        "slopes": _slopes(slopes),
-        "entry": _role(Model(slopes, TODAY, TARGET).entry()),
-        "agent": _role(Model(slopes, TODAY, TARGET).agent()),
-        "holder": _role(_holder(slopes, TODAY)),
-        "data-path": _data_path(slopes),
-        "platform": _platform(slopes),
-        "verdicts": _verdicts(slopes),
-        "breaks": breaks(slopes),
-        "bad-days": bad_days(slopes),
+        "slopes": _slopes_table(slopes),
+        "entry": _role_table(
+            CapacityModel(slopes, CURRENT_DESIGN, TARGET).entry_costs()
+        ),
+        "agent": _role_table(
+            CapacityModel(slopes, CURRENT_DESIGN, TARGET).agent_costs()
+        ),
+        "holder": _role_table(_lease_holder_costs(slopes, CURRENT_DESIGN)),
+        "data-path": _data_path_table(slopes),
+        "platform": _platform_table(slopes),
+        "verdicts": _verdicts_table(slopes),
+        "breaks": limits_table(slopes),
+        "bad-days": bad_days_table(slopes),
     }
 
 
-def fill(page: str, slopes: Slopes) -> str:
+def fill_page(page: str, slopes: Slopes) -> str:
     """Return ``page`` with its computed parts replaced."""
-    by_name = parts(slopes)
+    by_name = render_parts(slopes)
 
     def replaced(match: re.Match[str]) -> str:
         name = match["name"]
         return f"<!-- computed: {name} -->\n{by_name[name]}\n<!-- end -->"
 
-    return _PART.sub(replaced, page)
+    return _PART_PATTERN.sub(replaced, page)
 
 
-def _holder(slopes: Slopes, design: Design, target: Target = TARGET) -> Role:
-    return Model(slopes, design, target).holder(renew_s=RENEW_S)
+def _lease_holder_costs(
+    slopes: Slopes, design: Design, target: Target = TARGET
+) -> RoleCosts:
+    return CapacityModel(slopes, design, target).lease_holder_costs(
+        renew_s=LEASE_RENEWAL_S
+    )
 
 
-def _slopes(slopes: Slopes) -> str:
-    rows = [_slope(slope) for slope in slopes.by_name.values()]
+def _slopes_table(slopes: Slopes) -> str:
+    rows = [_slope_row(slope) for slope in slopes.by_name.values()]
     head = ("Slope", "Measured (size: value)", "At size 0", "For each one more")
     about = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{about}\n\n{table(head, rows)}"
+    return f"{about}\n\n{markdown_table(head, rows)}"
 
 
-def _slope(slope: Slope) -> tuple[str, ...]:
+def _slope_row(slope: Slope) -> tuple[str, ...]:
     name = f"`{slope.name}` ({slope.unit} by {slope.size_unit})"
-    if not slope.measured:
+    if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
     seen = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
-    return name, seen, f"{slope.base:.4g}", f"{slope.per:.4g}"
+    return name, seen, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
 
 
-def _role(role: Role) -> str:
+def _role_table(role: RoleCosts) -> str:
     head = (
         "Item",
         "Messages/s in, out",
@@ -100,47 +110,47 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return table(head, [_cost(cost) for cost in (*role.costs, role.total)])
+    return markdown_table(head, [_cost_row(cost) for cost in (*role.costs, role.total)])
 
 
-def _cost(cost: Cost) -> tuple[str, ...]:
+def _cost_row(cost: Cost) -> tuple[str, ...]:
     return (
-        cost.what,
+        cost.item,
         f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
         f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
-        f"{cost.cpu:.2%}",
-        f"{cost.memory / _MB:.1f}",
+        f"{cost.cpu_share:.2%}",
+        f"{cost.memory_bytes / _MB:.1f}",
         f"{cost.reads:.3f}, {cost.writes:.3f}",
         cost.mechanism,
     )
 
 
-def _data_path(slopes: Slopes) -> str:
+def _data_path_table(slopes: Slopes) -> str:
     rows = [
         (
             path.role,
-            f"{path.tokens:.0f}",
-            f"{path.cpu:.0%}",
-            f"{path.most_tokens:.0f}",
+            f"{path.tokens_per_s:.0f}",
+            f"{path.cpu_share:.0%}",
+            f"{path.max_tokens_per_s:.0f}",
         )
-        for path in data_paths(slopes, TARGET)
+        for path in compute_data_path_costs(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
-def _platform(slopes: Slopes) -> str:
+def _platform_table(slopes: Slopes) -> str:
     rows = []
     for design in DESIGNS:
-        load = platform_load(slopes, design, TARGET, renew_s=RENEW_S)
-        claims = load.claims(LIMITS.writes_s)
+        load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
+        claims = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (
                 design.name,
                 f"{load.reads:.0f}",
                 f"{load.change_reads:.0f}",
                 f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
-                f"{claims:.0f} ({claims / TARGET.requests:.1%} of requests)",
+                f"{claims:.0f} ({claims / TARGET.requests_per_s:.1%} of requests)",
                 f"{load.trace_bytes / _MB:.2f}",
                 f"{load.kept_bytes / _GB:.0f} GB in {load.kept_objects / _MB:.1f} "
                 f"million objects",
@@ -155,36 +165,44 @@
         "Trace MB/s",
         "Traces kept",
     )
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
-def _verdicts(slopes: Slopes) -> str:
+def _verdicts_table(slopes: Slopes) -> str:
     rows = []
-    sizes = [(SMALL, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
+    sizes = [(SMALL_DESIGN, SMALL_TARGET), *((design, TARGET) for design in DESIGNS)]
     for design, target in sizes:
-        model = Model(slopes, design, target)
-        for role in (model.entry(), model.agent(), _holder(slopes, design, target)):
+        model = CapacityModel(slopes, design, target)
+        for role in (
+            model.entry_costs(),
+            model.agent_costs(),
+            _lease_holder_costs(slopes, design, target),
+        ):
             total = role.total
             rows.append(
                 (
                     design.name,
                     role.name,
-                    _against(total.cpu, LIMITS.cpu_share, f"{total.cpu:.2%}"),
-                    _against(
-                        total.memory, LIMITS.memory_bytes, f"{total.memory / _MB:.0f}"
+                    _mark_if_over_limit(
+                        total.cpu_share, LIMITS.cpu_share, f"{total.cpu_share:.2%}"
+                    ),
+                    _mark_if_over_limit(
+                        total.memory_bytes,
+                        LIMITS.memory_bytes,
+                        f"{total.memory_bytes / _MB:.0f}",
                     ),
-                    _against(
-                        role.control_bytes,
-                        LIMITS.bytes_s,
-                        f"{role.control_bytes / _KB:.1f}",
+                    _mark_if_over_limit(
+                        role.control_bytes_per_s,
+                        LIMITS.bytes_per_s,
+                        f"{role.control_bytes_per_s / _KB:.1f}",
                     ),
                 )
             )
     head = ("Design", "Role", "Core (2.2%)", "MB (256)", "KB/s, both ways (11)")
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
-def _against(value: float, limit: float, text: str) -> str:
+def _mark_if_over_limit(value: float, limit: float, text: str) -> str:
     return text if value <= limit else f"**{text}, over**"
 
 
@@ -194,9 +212,9 @@
     """Work the tables out anew."""
     slopes = load_slopes()
     if write:
-        PAGE.write_text(fill(PAGE.read_text(), slopes))
+        PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
     else:
-        click.echo("\n\n".join(parts(slopes).values()))
+        click.echo("\n\n".join(render_parts(slopes).values()))
 
 
 if __name__ == "__main__":
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
 from kingcupwheel.burn.goals import BurnGoals
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Organisation
@@ -23,40 +23,40 @@
 from kingcupwheel.messages.membership import ShareHeartbeat
 from kingcupwheel.messages.membership import ShareReport
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.batches import make_parts
-from kingcupwheel.trace.recorder import Recorder
-from tools.capacity_samples import PROCESS
-from tools.capacity_samples import TOKENS
-from tools.capacity_samples import burn_counter
-from tools.capacity_samples import cut_manifest
-from tools.capacity_samples import instance_list
-from tools.capacity_samples import observed_request
-from tools.capacity_samples import organisation
+from kingcupwheel.trace.batches import compress_events
+from kingcupwheel.trace.recorder import TraceRecorder
+from tools.capacity_samples import PROCESS_NAME
+from tools.capacity_samples import TOKENS_PER_RESPONSE
+from tools.capacity_samples import build_burn_counter
+from tools.capacity_samples import build_observed_request
+from tools.capacity_samples import build_organisation
+from tools.capacity_samples import build_suspects
+from tools.capacity_samples import encode_instance_list
+from tools.capacity_samples import measure_sharded_manifest
 from tools.capacity_samples import record_requests
-from tools.capacity_samples import suspects
 from tools.capacity_slopes import Point
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from kingcupwheel.burn.observed import Observed
+    from kingcupwheel.burn.finished_request import FinishedRequest
     from kingcupwheel.messages.base import Message
 
 _DIGEST = "0" * 64
-_MICROSECONDS = 1e6
-_ORGANISATIONS = (1000, 10_000, 43_000)
+_US_PER_S = 1e6
+_ORGANISATION_COUNTS = (1000, 10_000, 43_000)
 
 
-def beat_bytes() -> list[Point]:
+def heartbeat_bytes() -> list[Point]:
     """Return the size of a heartbeat by the number of suspects it names."""
     load = BackendLoad(12, 3, 16, 5400.5, 2300.25, 0.75)
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 AgentHeartbeat(
-                    PROCESS,
+                    PROCESS_NAME,
                     "parts-model",
                     "curitiba-north",
                     "a1b2c3d4e5f60718",
@@ -65,7 +65,7 @@
                     False,
                     True,
                     720,
-                    suspects(count),
+                    build_suspects(count),
                 )
             ),
         )
@@ -75,18 +75,23 @@
 
 def hello_bytes() -> list[Point]:
     """Return the size of a Hello, which names nothing that varies."""
-    hello = Hello(PROCESS, "curitiba-north", 720, _DIGEST, False)
-    return [Point(size, _size(hello)) for size in (0, 1)]
+    hello = Hello(PROCESS_NAME, "curitiba-north", 720, _DIGEST, False)
+    return [Point(size, _encoded_size(hello)) for size in (0, 1)]
 
 
-def peer_beat_bytes() -> list[Point]:
+def peer_heartbeat_bytes() -> list[Point]:
     """Return the size of a peer's heartbeat by the suspects it names."""
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 PeerHeartbeat(
-                    PROCESS, "curitiba-north", 720, _DIGEST, False, suspects(count)
+                    PROCESS_NAME,
+                    "curitiba-north",
+                    720,
+                    _DIGEST,
+                    False,
+                    build_suspects(count),
                 )
             ),
         )
@@ -94,14 +99,14 @@
     ]
 
 
-def share_bytes() -> list[Point]:
+def share_heartbeat_bytes() -> list[Point]:
     """Return the size of what an entry tells another by the organisations named."""
     return [
         Point(
             count,
-            _size(
+            _encoded_size(
                 ShareHeartbeat(
-                    PROCESS,
+                    PROCESS_NAME,
                     12345.678901,
                     12344.567891,
                     tuple(
@@ -115,17 +120,22 @@
     ]
 
 
-def instance_bytes() -> list[Point]:
+def instance_list_bytes() -> list[Point]:
     """Return the size of the platform's list by its instances."""
-    return [Point(n, len(instance_list(n))) for n in (100, 400, 1370)]
+    return [Point(n, len(encode_instance_list(n))) for n in (100, 400, 1370)]
 
 
-def instance_cpu() -> list[Point]:
+def instance_list_cpu() -> list[Point]:
     """Return the milliseconds of decoding the platform's list by its instances."""
     points = []
     for count in (100, 400, 1370):
-        encoded = instance_list(count)
-        points.append(Point(count, 1e3 * _cpu_s(lambda e=encoded: _decode(e), 20)))  # type: ignore[misc]
+        encoded = encode_instance_list(count)
+        points.append(
+            Point(
+                count,
+                1e3 * _least_cpu_s(lambda e=encoded: _decode_instances(e), 20),  # type: ignore[misc]
+            )
+        )
     return points
 
 
@@ -135,7 +145,7 @@
     for count in (2000, 10_000):
         gc.collect()
         tracemalloc.start()
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
         record_requests(recorder, process, count)
         recorder.drain()
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
@@ -150,11 +160,11 @@
     for count in (100, 300, 1000):
 
         def run(count: int = count) -> None:
-            recorder = Recorder(PROCESS, limit=count)
+            recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
             record_requests(recorder, process, count)
-            make_parts(recorder.drain().encoded)
+            compress_events(recorder.drain().encoded)
 
-        points.append(Point(count, 1e3 * _cpu_s(run, 5)))
+        points.append(Point(count, 1e3 * _least_cpu_s(run, 5)))
     return points
 
 
@@ -162,32 +172,37 @@
     """Return the compressed size of a batch by the requests in it."""
     points = []
     for count in (100, 300, 1000):
-        recorder = Recorder(PROCESS, limit=count)
+        recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
         record_requests(recorder, process, count)
-        parts = make_parts(recorder.drain().encoded)
-        points.append(Point(count, sum(len(part.packed) for part in parts)))
+        parts = compress_events(recorder.drain().encoded)
+        points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
     return points
 
 
 def burn_cpu() -> list[Point]:
     """Return the microseconds to count one request by its gaps between tokens."""
     points = []
-    for gaps in (0, TOKENS, 2 * TOKENS):
-        counter = BurnCounter(PROCESS, BurnGoals(1, Goals(), {}, {}), now=0.0)
-        observed = observed_request(
+    for gaps in (0, TOKENS_PER_RESPONSE, 2 * TOKENS_PER_RESPONSE):
+        counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, {}), now=0.0)
+        observed = build_observed_request(
             tuple(0.025 + index % 20 / 1e3 for index in range(gaps))
         )
 
-        def run(counter: BurnCounter = counter, observed: Observed = observed) -> None:
-            counter.observe(observed, now=1.0)
+        def run(
+            counter: BurnCounter = counter, observed: FinishedRequest = observed
+        ) -> None:
+            counter.count_request(observed, now=1.0)
 
-        points.append(Point(gaps, _MICROSECONDS * _cpu_s(run, 300)))
+        points.append(Point(gaps, _US_PER_S * _least_cpu_s(run, 300)))
     return points
 
 
 def burn_part_bytes() -> list[Point]:
     """Return the size of one entry's answer by organisations with own goals."""
-    return [Point(n, len(burn_counter(n).found(now=1.0).part)) for n in (1, 20, 100)]
+    return [
+        Point(n, len(build_burn_counter(n).build_reply(now=1.0).part))
+        for n in (1, 20, 100)
+    ]
 
 
 def burn_memory() -> list[Point]:
@@ -196,7 +211,7 @@
     for count in (1, 20, 100):
         gc.collect()
         tracemalloc.start()
-        counter = burn_counter(count)
+        counter = build_burn_counter(count)
         points.append(Point(count, tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
         del counter
@@ -206,8 +221,10 @@
 def organisation_memory() -> list[Point]:
     """Return the memory of decoded organisations by their number."""
     points = []
-    for count in _ORGANISATIONS:
-        encoded = msgspec.json.encode(tuple(organisation(n) for n in range(count)))
+    for count in _ORGANISATION_COUNTS:
+        encoded = msgspec.json.encode(
+            tuple(build_organisation(n) for n in range(count))
+        )
         gc.collect()
         tracemalloc.start()
         decoded = msgspec.json.decode(encoded, type=tuple[Organisation, ...])
@@ -220,8 +237,8 @@
 def shard_bytes() -> list[Point]:
     """Return the bytes of the index and one shard, by organisations."""
     points = []
-    for count in _ORGANISATIONS:
-        index, shards = cut_manifest(count)
+    for count in _ORGANISATION_COUNTS:
+        index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + max(shards)))
     return points
 
@@ -229,8 +246,8 @@
 def manifest_bytes() -> list[Point]:
     """Return the bytes of the index and all shards, by organisations."""
     points = []
-    for count in _ORGANISATIONS:
-        index, shards = cut_manifest(count)
+    for count in _ORGANISATION_COUNTS:
+        index, shards = measure_sharded_manifest(count)
         points.append(Point(count, index + sum(shards)))
     return points
 
@@ -240,22 +257,24 @@
     return [
         Point(
             experts,
-            _size(MapReply("parts-model", 41, 7, PROCESS, 3, bytes(2 * experts))),
+            _encoded_size(
+                MapReply("parts-model", 41, 7, PROCESS_NAME, 3, bytes(2 * experts))
+            ),
         )
         for experts in (32, 128)
     ]
 
 
-def _decode(encoded: bytes) -> Any:
+def _decode_instances(encoded: bytes) -> Any:
     rows = msgspec.json.decode(encoded, type=list[dict[str, Any]])
     return tuple(Instance(**row) for row in rows)
 
 
-def _size(message: Message) -> int:
+def _encoded_size(message: Message) -> int:
     return len(MsgpackCodec().encode(message))
 
 
-def _cpu_s(run: Callable[[], object], repeat: int) -> float:
+def _least_cpu_s(run: Callable[[], object], repeat: int) -> float:
     """Return the least processor time of three rounds, for one run."""
     rounds = []
     for _ in range(3):
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from kingcupwheel.burn.counter import BurnCounter
+from kingcupwheel.burn.burn_counter import BurnCounter
+from kingcupwheel.burn.finished_request import FinishedRequest
 from kingcupwheel.burn.goals import BurnGoals
-from kingcupwheel.burn.observed import Observed
 from kingcupwheel.manifest.schema import Goals
 from kingcupwheel.manifest.schema import Manifest
 from kingcupwheel.manifest.schema import Organisation
@@ -20,31 +20,31 @@
 from kingcupwheel.manifest.shards import shard_manifest
 from kingcupwheel.messages.attempts import Outcome
 from kingcupwheel.platform.client import Instance
-from kingcupwheel.trace.events import Admitted
-from kingcupwheel.trace.events import Alternative
-from kingcupwheel.trace.events import Dispatched
-from kingcupwheel.trace.events import Finished
-from kingcupwheel.trace.events import FirstByte
-from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Received
-from kingcupwheel.trace.events import Started
+from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import AttemptForwarded
+from kingcupwheel.trace.events import ConsideredServer
+from kingcupwheel.trace.events import FirstByteRelayed
+from kingcupwheel.trace.events import RequestAdmitted
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import RequestReceived
 from kingcupwheel.utils.request_ids import generate_request_id
 
 
 if TYPE_CHECKING:
     from kingcupwheel.trace.events import AnyEvent
-    from kingcupwheel.trace.recorder import Recorder
+    from kingcupwheel.trace.recorder import TraceRecorder
 
-PROCESS = "entry-curitiba-north-017"
-TOKENS = 270
+PROCESS_NAME = "entry-curitiba-north-017"
+TOKENS_PER_RESPONSE = 270
 
 
-def record_requests(recorder: Recorder, process: str, count: int) -> None:
+def record_requests(recorder: TraceRecorder, process: str, count: int) -> None:
     """Record the events of ``count`` requests of a ``process``: entry or agent."""
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
     for number in range(count):
-        wanted = str(generate_request_id(PROCESS, now=1_800_000_000 + number / 9))
+        wanted = str(generate_request_id(PROCESS_NAME, now=1_800_000_000 + number / 9))
         server = f"agent-curitiba-north-{random.randrange(1000):04d}"
         agent = _agent_events(server, random)
         for event in _entry_events(server, random) if process == "entry" else agent:
@@ -54,36 +54,36 @@
 def _entry_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     other = f"agent-ponta-grossa-{random.randrange(1000):04d}"
     weighed = (
-        Alternative(server, random.random()),
-        Alternative(other, random.random()),
+        ConsideredServer(server, random.random()),
+        ConsideredServer(other, random.random()),
     )
     organisation = f"organisation-{random.randrange(43_000)}"
     path = "/v1/completions"
     body_bytes = random.randrange(20_000)
     return (
-        Received(
+        RequestReceived(
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
-        Admitted(random.random() * 2000),
-        Placed(server, 1, random.random(), "less loaded of two", weighed),
-        Dispatched(server, 1),
-        Started(server, 1),
-        FirstByte(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        RequestAdmitted(random.random() * 2000),
+        RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
+        AttemptDispatched(server, 1),
+        AttemptForwarded(server, 1),
+        FirstByteRelayed(server, 1),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
 def _agent_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     return (
-        Started(server, 1),
-        FirstByte(server, 1),
-        Finished("ran", 200, random.randrange(20_000), "whole"),
+        AttemptForwarded(server, 1),
+        FirstByteRelayed(server, 1),
+        RequestFinished("ran", 200, random.randrange(20_000), "whole"),
     )
 
 
-def observed_request(gaps_s: tuple[float, ...]) -> Observed:
+def build_observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
     """Return an answered request with these gaps between tokens."""
-    return Observed(
+    return FinishedRequest(
         organisation="organisation-31415",
         route="*/v1/completions",
         group="parts-model",
@@ -96,20 +96,20 @@
     )
 
 
-def burn_counter(organisations: int) -> BurnCounter:
+def build_burn_counter(organisations: int) -> BurnCounter:
     """Return counts of as many organisations with goals of their own."""
     own = {f"organisation-{number}": Goals() for number in range(organisations)}
-    counter = BurnCounter(PROCESS, BurnGoals(1, Goals(), {}, own), now=0.0)
-    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS))
+    counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
+    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS_PER_RESPONSE))
     for number in range(organisations):
-        observed = observed_request(gaps_s)._replace(
+        observed = build_observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
         )
-        counter.observe(observed, now=1.0)
+        counter.count_request(observed, now=1.0)
     return counter
 
 
-def organisation(number: int) -> Organisation:
+def build_organisation(number: int) -> Organisation:
     """Return an organisation with two keys."""
     return Organisation(
         name=f"organisation-{number}",
@@ -119,7 +119,7 @@
     )
 
 
-def instance_list(count: int) -> bytes:
+def encode_instance_list(count: int) -> bytes:
     """Return the platform's list as it travels."""
     instances = [
         Instance(
@@ -136,15 +136,15 @@
     return msgspec.json.encode(instances)
 
 
-def suspects(count: int) -> tuple[tuple[str, int], ...]:
+def build_suspects(count: int) -> tuple[tuple[str, int], ...]:
     """Return fingerprints with their deaths."""
     return tuple((f"{number:032x}", 1) for number in range(count))
 
 
-def cut_manifest(organisations: int) -> tuple[int, list[int]]:
+def measure_sharded_manifest(organisations: int) -> tuple[int, list[int]]:
     """Return the bytes of the index and of each shard."""
     manifest = Manifest(
-        organisations=tuple(organisation(n) for n in range(organisations)),
+        organisations=tuple(build_organisation(n) for n in range(organisations)),
         groups=(ServerGroup(name="parts-model"),),
         routes=(Route(path="/v1/completions", group="parts-model"),),
     )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -7,7 +7,7 @@
 
 from kingcupwheel.manifest.schema import Retention
 from kingcupwheel.manifest.synchronizer import DEFAULT_MAX_READ_DELAY_S
-from tools.capacity_model import Model
+from tools.capacity_model import CapacityModel
 
 
 if TYPE_CHECKING:
@@ -16,26 +16,26 @@
     from tools.capacity_target import Target
 
 
-class DataPath(NamedTuple):
+class DataPathCost(NamedTuple):
     """What carrying the peak's tokens costs one process, beside control.
 
     ``most_tokens`` is the rate a second at which it uses a whole core.
     """
 
     role: str
-    tokens: float
-    cpu: float
-    most_tokens: float
+    tokens_per_s: float
+    cpu_share: float
+    max_tokens_per_s: float
 
 
-def data_paths(slopes: Slopes, target: Target) -> tuple[DataPath, ...]:
+def compute_data_path_costs(slopes: Slopes, target: Target) -> tuple[DataPathCost, ...]:
     """Return the data path's cost for an entry and an agent."""
     paths = []
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
-        tokens = target.tokens / count
-        most = (1 - slope.base) / slope.per
-        paths.append(DataPath(role, tokens, slope.at(tokens), most))
+        tokens = target.tokens_per_s / count
+        most = (1 - slope.intercept) / slope.gradient
+        paths.append(DataPathCost(role, tokens, slope.value_at(tokens), most))
     return tuple(paths)
 
 
@@ -59,21 +59,21 @@
         """All writes a second."""
         return self.trace_writes + self.lease_writes
 
-    def claims(self, writes_s: float) -> float:
+    def compute_claims_per_s(self, writes_s: float) -> float:
         """Return how many claims a second fit, each made once and removed once."""
         return (writes_s - self.writes) / 2
 
 
-def platform_load(
+def compute_platform_load(
     slopes: Slopes, design: Design, target: Target, *, renew_s: float
 ) -> PlatformLoad:
     """Return the platform's load."""
-    model = Model(slopes, design, target)
-    entry, agent = model.entry().total, model.agent().total
+    model = CapacityModel(slopes, design, target)
+    entry, agent = model.entry_costs().total, model.agent_costs().total
     reads = target.entries * entry.reads + target.servers * agent.reads
     batches = target.processes / design.trace_batch_s
     a_request = sum(
-        slopes.by_name[f"{role}_batch_bytes"].per for role in ("entry", "agent")
+        slopes.by_name[f"{role}_batch_bytes"].gradient for role in ("entry", "agent")
     )
     kept_s = Retention().traces_h * 3600
     return PlatformLoad(
@@ -82,7 +82,7 @@
         change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
         lease_writes=target.groups / renew_s,
-        trace_bytes=target.requests * a_request,
-        kept_bytes=target.requests * a_request * kept_s,
+        trace_bytes=target.requests_per_s * a_request,
+        kept_bytes=target.requests_per_s * a_request * kept_s,
         kept_objects=batches * kept_s,
     )
--- a/tools/map_trial.py
+++ b/tools/map_confidence_planner.py
@@ -24,15 +24,15 @@
 # The paper's exploration parameter; it has to exceed one half.
 _ALPHA = 0.52
 # Recent estimates that a proposed map is judged on.
-_WINDOW = 8
+_WINDOW_PERIODS = 8
 
 
-class ConfidentPlanner:
+class ConfidenceBoundPlanner:
     """Proposes by the own planner without hysteresis, accepts by the lower bound."""
 
     def __init__(self, weights: PlanWeights) -> None:
         self._weights = weights._replace(hysteresis=1.0)
-        self._loads: deque[MapLoad] = deque(maxlen=_WINDOW)
+        self._loads: deque[MapLoad] = deque(maxlen=_WINDOW_PERIODS)
         self._periods = 0
 
     def __call__(self, current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
