--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -44,7 +44,7 @@
 
 
 def _format_line(line: TimelineLine, width: int) -> str:
-    at = datetime.fromtimestamp(line.at, tz=UTC)
+    at = datetime.fromtimestamp(line.recorded_at, tz=UTC)
     stamp = at.strftime("%Y-%m-%d %H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process:<{width}}  {line.sentence}"
 
