--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -25,7 +25,7 @@
 class LogLine(NamedTuple):
     """One decoded line: Unix seconds, who wrote it, what happened, with what."""
 
-    at: float
+    logged_at: float
     process: str
     part: str
     event: str
@@ -84,19 +84,19 @@
     if not own:
         return LogTimeline(request_id, (), ())
     processes = {line.process for line in own}
-    since, until = own[0].at - CONTEXT_BEFORE_S, own[-1].at
+    since, until = own[0].logged_at - CONTEXT_BEFORE_S, own[-1].logged_at
     beliefs = [
         line
         for line in decoded
         if line.process in processes
         and line.part in _CONTEXT_PARTS
-        and since <= line.at <= until
+        and since <= line.logged_at <= until
     ]
     return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_get_time)))
 
 
 def _get_time(line: LogLine) -> float:
-    return line.at
+    return line.logged_at
 
 
 def _select_request_lines(
@@ -124,7 +124,7 @@
 
 
 def _format_line(line: LogLine, sentence: str) -> str:
-    at = datetime.fromtimestamp(line.at, tz=UTC)
+    at = datetime.fromtimestamp(line.logged_at, tz=UTC)
     stamp = at.strftime("%H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process}  {sentence}"
 
