--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -48,7 +48,7 @@
     """
 
     FINISHED = "finished"
-    UNDER_WAY = "under-way"
+    IN_PROGRESS = "under-way"
     OUTCOME_MISSING = "outcome-missing"
     CONTRADICTORY = "contradictory"
     UNKNOWN = "unknown"
@@ -145,7 +145,7 @@
         return OutcomeState.FINISHED
     told = next((part for part in parts if part.process == entry), None)
     if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
-        return OutcomeState.UNDER_WAY
+        return OutcomeState.IN_PROGRESS
     if any(part.events for part in parts):
         return OutcomeState.OUTCOME_MISSING
     return OutcomeState.UNKNOWN
--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -54,7 +54,7 @@
         case OutcomeState.FINISHED:
             reason = f" ({story.reason})" if story.reason else ""
             return f"Outcome told to the caller: {story.outcome}{reason}."
-        case OutcomeState.UNDER_WAY:
+        case OutcomeState.IN_PROGRESS:
             return "The request is still under way."
         case OutcomeState.OUTCOME_MISSING:
             return "Outcome told to the caller: not recorded in what was found."
