--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -29,7 +29,7 @@
 
     LIVE = "live"
     BATCHES = "batches"
-    NOWHERE = "nowhere"
+    NOT_FOUND = "nowhere"
 
 
 class ProcessTrace(msgspec.Struct, frozen=True):
--- a/src/kingcupwheel/trace/timeline_finder.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -167,7 +167,7 @@
         since = parsed.arrived_at_ms / 1000
         stored = self._batch_reader.read_events(process, request_id, since=since)
         events = _combine_events(live, stored.events)
-        source = TraceSource.BATCHES if stored.events else TraceSource.NOWHERE
+        source = TraceSource.BATCHES if stored.events else TraceSource.NOT_FOUND
         source = TraceSource.LIVE if live else source
         gaps = _describe_gaps(process, parsed.entry, found, events, stored, told_at)
         return ProcessTrace(process, source, events, gaps)
@@ -196,7 +196,7 @@
         gap = (
             f"{unasked} agents were not asked and {unread} processes' batches not read."
         )
-        return (ProcessTrace("agents", TraceSource.NOWHERE, (), (gap,)),)
+        return (ProcessTrace("agents", TraceSource.NOT_FOUND, (), (gap,)),)
 
     def _search_batches(
         self, writers: list[str], request_id: str, parsed: RequestId
--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -19,7 +19,7 @@
 _SOURCE_LABELS = {
     TraceSource.LIVE: "answered itself",
     TraceSource.BATCHES: "gone; read from its batches",
-    TraceSource.NOWHERE: "nothing found",
+    TraceSource.NOT_FOUND: "nothing found",
 }
 
 
