--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -57,7 +57,7 @@
 class BurnPoint(msgspec.Struct, frozen=True):
     """Burn over five minutes from Unix second ``at``."""
 
-    at: float
+    started_at: float
     total: int
     bad: int
     rate: float | None
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -87,7 +87,7 @@
 
 
 def _render_plot(plots: Sequence[BurnPlot]) -> str:
-    ats = [point.at for plot in plots for point in plot.points]
+    ats = [point.started_at for plot in plots for point in plot.points]
     if not ats:
         return "<p>No counts.</p>"
     first, last = min(ats), max(ats)
@@ -138,7 +138,7 @@
         if point.rate is None:
             pen = "M"
             continue
-        x, y = _scale_time(point.at, first, last), _scale_rate(point.rate)
+        x, y = _scale_time(point.started_at, first, last), _scale_rate(point.rate)
         # A single point between two gaps would be invisible without a length.
         commands.append(f"{pen}{x:.1f} {y:.1f}" + ("h0.1" if pen == "M" else ""))
         pen = "L"
