--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -97,7 +97,7 @@
     ``young`` ones count for less than the longest window.
     """
 
-    at: float
+    created_at: float
     burns: tuple[GoalBurn, ...]
     miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
     times: tuple[LatencyPercentiles, ...]
@@ -124,7 +124,7 @@
     newest_first = sorted(entry_counts, key=lambda part: -part.manifest_version)
     longest_s = max(WINDOWS_MIN) * MINUTE_S
     return BurnReport(
-        at=at,
+        created_at=at,
         burns=_build_burns(newest_first),
         miss_causes=_sum_causes(entry_counts),
         times=_build_percentiles(entry_counts),
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -45,7 +45,7 @@
 
 def render_page(report: BurnReport) -> str:
     """Return the whole page."""
-    title = f"Service-level burn at {format_utc(report.at)} UTC"
+    title = f"Service-level burn at {format_utc(report.created_at)} UTC"
     marked = [row[-1] for row in build_burn_rows(report)]
     return "\n".join(
         (
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -33,7 +33,7 @@
 
 def format_report(report: BurnReport) -> str:
     """Return the report in lines."""
-    at = f"{format_utc(report.at)} UTC"
+    at = f"{format_utc(report.created_at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(list_notes(report)),
