--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -85,7 +85,7 @@
     """An entry that answered: since when it counts, in Unix seconds."""
 
     process: str
-    since: float
+    counting_since: float
     manifest_version: int
     uncounted_requests: int = msgspec.field(name="uncounted")
 
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -56,7 +56,9 @@
     if report.problem:
         lines.append(f"INCOMPLETE: {report.problem}")
     if report.recently_started:
-        since_by_process = {entry.process: entry.since for entry in report.entries}
+        since_by_process = {
+            entry.process: entry.counting_since for entry in report.entries
+        }
         young = ", ".join(
             f"{name} (since {format_utc(since_by_process[name])})"
             for name in report.recently_started
