--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -219,7 +219,7 @@
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
     for part in newest_first:
-        last = int(part.at // (MINUTE_S * POINT_LENGTH_MIN))
+        last = int(part.created_at // (MINUTE_S * POINT_LENGTH_MIN))
         for counts in _iterate_overall(part):
             target_by_indicator.setdefault(counts.indicator, counts.target)
             first = last - len(counts.points) + 1
--- a/src/kingcupwheel/burn/entry_counts.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -73,7 +73,7 @@
     """
 
     process: str
-    at: float
+    created_at: float
     since: float
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
