--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -131,7 +131,9 @@
         plots=_build_plots(newest_first),
         entries=tuple(_build_entry_state(part) for part in entry_counts),
         recently_started=tuple(
-            part.process for part in entry_counts if at - part.since < longest_s
+            part.process
+            for part in entry_counts
+            if at - part.counting_since < longest_s
         ),
         unanswered=tuple(unanswered),
         problem=problem,
@@ -140,7 +142,10 @@
 
 def _build_entry_state(part: EntryCounts) -> EntryState:
     return EntryState(
-        part.process, part.since, part.manifest_version, part.uncounted_requests
+        part.process,
+        part.counting_since,
+        part.manifest_version,
+        part.uncounted_requests,
     )
 
 
--- a/src/kingcupwheel/burn/entry_counts.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -74,7 +74,7 @@
 
     process: str
     created_at: float
-    since: float
+    counting_since: float
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
     miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
