--- a/src/kingcupwheel/burn/burn_counter.py
+++ b/src/kingcupwheel/burn/burn_counter.py
@@ -73,15 +73,15 @@
             self._goals = goals
 
     def count_request(
-        self, observed: FinishedRequest, *, now: float
+        self, finished_request: FinishedRequest, *, now: float
     ) -> dict[Indicator, EventCount]:
         """Count a finished request and return how it met its own goals.
 
         ``now`` is Unix seconds.
         """
         with self._lock:
-            self._record_times(observed, now)
-            return self._count_by_scope(observed, now)
+            self._record_times(finished_request, now)
+            return self._count_by_scope(finished_request, now)
 
     def build_reply(self, *, now: float) -> BurnReply:
         """Answer ``BurnRequest``."""
@@ -104,15 +104,15 @@
             )
 
     def _count_by_scope(
-        self, observed: FinishedRequest, now: float
+        self, finished_request: FinishedRequest, now: float
     ) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
         own: dict[Indicator, EventCount] = {}
         held = self._goals.list_applicable_goals(
-            route=observed.route, organisation=observed.organisation
+            route=finished_request.route, organisation=finished_request.organisation
         )
         for scope, goals in held:
-            counts = count_by_indicator(observed, goals)
+            counts = count_by_indicator(finished_request, goals)
             tally = self._get_counts(scope)
             if tally is None:
                 self._uncounted_requests += 1
@@ -120,7 +120,7 @@
             for indicator, count in counts.items():
                 tally.add_events(minute, indicator, total=count.total, bad=count.bad)
             if scope == OVERALL:
-                self._count_causes(observed, counts, now)
+                self._count_causes(finished_request, counts, now)
                 own = counts
         return own
 
@@ -131,20 +131,23 @@
         return tally
 
     def _count_causes(
-        self, observed: FinishedRequest, counts: dict[Indicator, EventCount], now: float
+        self,
+        finished_request: FinishedRequest,
+        counts: dict[Indicator, EventCount],
+        now: float,
     ) -> None:
         culprits = self._get_slice(now)
         for indicator, count in counts.items():
             if not count.bad:
                 continue
-            reason = observed.reason
+            reason = finished_request.reason
             if indicator is not Indicator.AVAILABILITY:
                 reason = "late"
             culprit = MissCause(
                 indicator,
-                observed.organisation,
-                observed.group,
-                observed.server,
+                finished_request.organisation,
+                finished_request.group,
+                finished_request.server,
                 reason,
             )
             if culprit not in culprits and len(culprits) >= MAX_MISS_CAUSES:
@@ -163,15 +166,15 @@
                 del self._causes_by_slice[old]
         return self._causes_by_slice[number]
 
-    def _record_times(self, observed: FinishedRequest, now: float) -> None:
-        group = observed.group
-        if observed.first_byte_s is not None:
-            times_s = (observed.first_byte_s,)
+    def _record_times(self, finished_request: FinishedRequest, now: float) -> None:
+        group = finished_request.group
+        if finished_request.first_byte_s is not None:
+            times_s = (finished_request.first_byte_s,)
             self._histograms.record_times(
                 Indicator.FIRST_TOKEN, group, times_s, now=now
             )
-        if observed.gaps_s:
-            gaps_s = observed.gaps_s
+        if finished_request.gaps_s:
+            gaps_s = finished_request.gaps_s
             self._histograms.record_times(Indicator.TOKEN_GAP, group, gaps_s, now=now)
 
     def _build_scopes(self, minute: int) -> tuple[ScopeCounts, ...]:
--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -116,7 +116,7 @@
 def merge_counts(
     entry_counts: Sequence[EntryCounts],
     *,
-    at: float,
+    created_at: float,
     unanswered: Iterable[str] = (),
     problem: str = "",
 ) -> BurnReport:
@@ -124,7 +124,7 @@
     newest_first = sorted(entry_counts, key=lambda part: -part.manifest_version)
     longest_s = max(WINDOWS_MIN) * MINUTE_S
     return BurnReport(
-        created_at=at,
+        created_at=created_at,
         burns=_build_burns(newest_first),
         miss_causes=_sum_causes(entry_counts),
         times=_build_percentiles(entry_counts),
@@ -133,7 +133,7 @@
         recently_started=tuple(
             part.process
             for part in entry_counts
-            if at - part.counting_since < longest_s
+            if created_at - part.counting_since < longest_s
         ),
         unanswered=tuple(unanswered),
         problem=problem,
--- a/src/kingcupwheel/burn/finished_request.py
+++ b/src/kingcupwheel/burn/finished_request.py
@@ -42,7 +42,7 @@
 
 
 def count_by_indicator(
-    observed: FinishedRequest, goals: Goals
+    finished_request: FinishedRequest, goals: Goals
 ) -> dict[Indicator, EventCount]:
     """Return what the request adds to each indicator; absent ones count nothing.
 
@@ -50,27 +50,29 @@
     the service: they would hide an outage behind a flood of 429, or make one up.
     """
     counts = {}
-    if _counts_for_availability(observed):
-        good = observed.outcome is Outcome.RAN
+    if _counts_for_availability(finished_request):
+        good = finished_request.outcome is Outcome.RAN
         counts[Indicator.AVAILABILITY] = EventCount(1, 0 if good else 1)
-    if observed.first_byte_s is not None:
-        late = observed.first_byte_s > goals.first_token_s
+    if finished_request.first_byte_s is not None:
+        late = finished_request.first_byte_s > goals.first_token_s
         counts[Indicator.FIRST_TOKEN] = EventCount(1, int(late))
-    if observed.gaps_s:
+    if finished_request.gaps_s:
         limit_s = goals.token_gap_ms / 1000
-        late_gaps = sum(1 for gap_s in observed.gaps_s if gap_s > limit_s)
-        counts[Indicator.TOKEN_GAP] = EventCount(len(observed.gaps_s), late_gaps)
+        late_gaps = sum(1 for gap_s in finished_request.gaps_s if gap_s > limit_s)
+        counts[Indicator.TOKEN_GAP] = EventCount(
+            len(finished_request.gaps_s), late_gaps
+        )
     return counts
 
 
-def _counts_for_availability(observed: FinishedRequest) -> bool:
-    match observed.outcome:
+def _counts_for_availability(finished_request: FinishedRequest) -> bool:
+    match finished_request.outcome:
         case Outcome.RAN:
             return True
         case Outcome.NOT_RUN:
             return (
-                observed.status >= _MIN_SERVICE_FAULT_STATUS
-                and not observed.caller_left
+                finished_request.status >= _MIN_SERVICE_FAULT_STATUS
+                and not finished_request.caller_left
             )
         case Outcome.UNKNOWN:
-            return not observed.caller_left
+            return not finished_request.caller_left
--- a/src/kingcupwheel/burn/report_collector.py
+++ b/src/kingcupwheel/burn/report_collector.py
@@ -68,4 +68,6 @@
         except msgspec.MsgspecError:
             continue
         silent.discard(process)
-    return Ok(merge_counts(parts, at=now, unanswered=sorted(silent), problem=trouble))
+    return Ok(
+        merge_counts(parts, created_at=now, unanswered=sorted(silent), problem=trouble)
+    )
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -69,21 +69,23 @@
 
 
 def _render_table(
-    head: Sequence[str], rows: Sequence[Sequence[str]], marks: Sequence[str] = ()
+    columns: Sequence[str],
+    rows: Sequence[Sequence[str]],
+    row_classes: Sequence[str] = (),
 ) -> str:
     if not rows:
         return "<p>Nothing.</p>"
-    classes = marks or [""] * len(rows)
-    lines = [_render_row("th", head, "")]
+    classes = row_classes or [""] * len(rows)
+    lines = [_render_row("th", columns, "")]
     lines += [
         _render_row("td", row, mark) for row, mark in zip(rows, classes, strict=True)
     ]
     return "<table>" + "\n".join(lines) + "</table>"
 
 
-def _render_row(tag: str, cells: Iterable[str], mark: str) -> str:
+def _render_row(tag: str, cells: Iterable[str], css_class: str) -> str:
     inner = "".join(f"<{tag}>{escape(cell)}</{tag}>" for cell in cells)
-    return f'<tr class="{escape(mark)}">{inner}</tr>'
+    return f'<tr class="{escape(css_class)}">{inner}</tr>'
 
 
 def _render_plot(plots: Sequence[BurnPlot]) -> str:
@@ -148,8 +150,8 @@
     )
 
 
-def _scale_time(at: float, first: float, last: float) -> float:
-    share = (at - first) / (last - first) if last > first else 0.0
+def _scale_time(time_s: float, first: float, last: float) -> float:
+    share = (time_s - first) / (last - first) if last > first else 0.0
     return _LEFT + share * (_WIDTH - _LEFT - _RIGHT)
 
 
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -112,22 +112,22 @@
     ]
 
 
-def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def format_table(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """Return aligned columns, or a word if there are no rows."""
     if not rows:
         return "  nothing"
-    widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
+    widths = [max(map(len, column)) for column in zip(columns, *rows, strict=True)]
     lines = [
         "  "
         + "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
-        for row in (head, *rows)
+        for row in (columns, *rows)
     ]
     return "\n".join(line.rstrip() for line in lines)
 
 
-def format_utc(at: float) -> str:
+def format_utc(time_s: float) -> str:
     """Return Unix seconds as a date and time."""
-    return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
+    return datetime.fromtimestamp(time_s, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
 def format_scope(burn: GoalBurn) -> str:
--- a/src/kingcupwheel/trace/batch_shipper.py
+++ b/src/kingcupwheel/trace/batch_shipper.py
@@ -99,7 +99,7 @@
         self._collect_events()
         now = time.monotonic()
         call = self._outbox.plan_call(
-            now=now, at=time.time(), retention_s=self._retention_s()
+            now=now, time_s=time.time(), retention_s=self._retention_s()
         )
         match call:
             case WriteBatch():
--- a/src/kingcupwheel/trace/batch_sweeper.py
+++ b/src/kingcupwheel/trace/batch_sweeper.py
@@ -27,9 +27,11 @@
 MAX_NAMES_PER_SWEEP = 8
 
 
-def select_successor(gone: str, live: Iterable[str]) -> str:
+def select_successor(gone_process: str, live: Iterable[str]) -> str:
     """Return the live process that takes over from ``gone``, the same everywhere."""
-    return max(live, key=lambda name: (zlib.crc32(f"{gone}/{name}".encode()), name))
+    return max(
+        live, key=lambda name: (zlib.crc32(f"{gone_process}/{name}".encode()), name)
+    )
 
 
 class BatchSweeper:
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -78,9 +78,9 @@
     event_count: int
 
 
-def build_hour_prefix(process: str, at: float) -> str:
+def build_hour_prefix(process: str, time_s: float) -> str:
     """Return what the keys of the process's batches of that hour start with."""
-    return f"{BATCH_KEY_PREFIX}{process}/{int(at) // HOUR_S}/"
+    return f"{BATCH_KEY_PREFIX}{process}/{int(time_s) // HOUR_S}/"
 
 
 def parse_key(key: str) -> BatchName | None:
@@ -93,13 +93,15 @@
         return None
 
 
-def compress_events(encoded: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
+def compress_events(encoded_events: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
     """Return the events as compressed parts, each small enough for one object."""
-    packed = _compress(encoded)
-    if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded) == 1:
-        return (CompressedPart(packed, len(encoded)),)
-    middle = len(encoded) // 2
-    return compress_events(encoded[:middle]) + compress_events(encoded[middle:])
+    packed = _compress(encoded_events)
+    if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded_events) == 1:
+        return (CompressedPart(packed, len(encoded_events)),)
+    middle = len(encoded_events) // 2
+    return compress_events(encoded_events[:middle]) + compress_events(
+        encoded_events[middle:]
+    )
 
 
 def encode_batch(batch: TraceBatch) -> bytes:
@@ -131,15 +133,15 @@
 )
 
 
-def _compress(encoded: tuple[bytes, ...]) -> bytes:
+def _compress(encoded_events: tuple[bytes, ...]) -> bytes:
     # The head of a msgpack array of 32-bit length, so that the joined items are one.
-    head = b"\xdd" + len(encoded).to_bytes(4, "big")
-    return zlib.compress(head + b"".join(encoded), _ZLIB_LEVEL)
+    head = b"\xdd" + len(encoded_events).to_bytes(4, "big")
+    return zlib.compress(head + b"".join(encoded_events), _ZLIB_LEVEL)
 
 
-def _decompress(packed: bytes) -> tuple[TraceEvent, ...]:
+def _decompress(compressed_events: bytes) -> tuple[TraceEvent, ...]:
     inflater = zlib.decompressobj()
-    raw = inflater.decompress(packed, _MAX_DECOMPRESSED_BYTES)
+    raw = inflater.decompress(compressed_events, _MAX_DECOMPRESSED_BYTES)
     if not inflater.eof:
         raise zlib.error("the batch is cut short or too large")
     events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(raw)
--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -110,16 +110,18 @@
             yield line
 
 
-def format_log_timeline(found: LogTimeline) -> str:
+def format_log_timeline(timeline: LogTimeline) -> str:
     """Return the story in plain sentences."""
     blocks = [
-        [f"Request {found.request_id}"],
-        [_format_line(line, _describe_line(line)) for line in found.lines],
+        [f"Request {timeline.request_id}"],
+        [_format_line(line, _describe_line(line)) for line in timeline.lines],
     ]
-    if found.beliefs:
-        noted = [_format_line(line, _describe_fields(line)) for line in found.beliefs]
+    if timeline.beliefs:
+        noted = [
+            _format_line(line, _describe_fields(line)) for line in timeline.beliefs
+        ]
         blocks.append(["Noted there just before and meanwhile:", *noted])
-    blocks.append([f"Missing: {gap}" for gap in found.gaps])
+    blocks.append([f"Missing: {gap}" for gap in timeline.gaps])
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -129,7 +129,7 @@
             self._schedule_deletion(name, version=0)
 
     def plan_call(
-        self, *, now: float, at: float, retention_s: float
+        self, *, now: float, time_s: float, retention_s: float
     ) -> WriteBatch | DeleteBatch | None:
         """Return the call to make now, if its time has come.
 
@@ -142,7 +142,7 @@
         if self._pending:
             return self._build_write()
         oldest = self._expiring[0] if self._expiring else None
-        if oldest and oldest.recorded_until + retention_s < at:
+        if oldest and oldest.recorded_until + retention_s < time_s:
             return DeleteBatch(oldest.key, oldest.version)
         return None
 
--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -137,27 +137,27 @@
 
 
 def _determine_state(
-    parts: tuple[ProcessTrace, ...], endings: list[RequestFinished], entry: str
+    traces: tuple[ProcessTrace, ...], final_outcomes: list[RequestFinished], entry: str
 ) -> OutcomeState:
-    if len(endings) > 1:
+    if len(final_outcomes) > 1:
         return OutcomeState.CONTRADICTORY
-    if endings:
+    if final_outcomes:
         return OutcomeState.FINISHED
-    told = next((part for part in parts if part.process == entry), None)
+    told = next((part for part in traces if part.process == entry), None)
     if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
         return OutcomeState.IN_PROGRESS
-    if any(part.events for part in parts):
+    if any(part.events for part in traces):
         return OutcomeState.OUTCOME_MISSING
     return OutcomeState.UNKNOWN
 
 
 def _build_lines(
-    events: list[TraceEvent], entry: str, arrived: float | None
+    events: list[TraceEvent], entry: str, arrived_at: float | None
 ) -> tuple[TimelineLine, ...]:
     lines = []
     latest = 0.0
     for event in events:
-        own = arrived if event.process == entry else None
+        own = arrived_at if event.process == entry else None
         text = describe_event(event, entry=entry, arrived_at=own)
         if latest - event.recorded_at > _MAX_CLOCK_SKEW_S:
             text += (
@@ -171,13 +171,13 @@
 def _describe_outcome_gaps(
     state: OutcomeState,
     events: list[TraceEvent],
-    endings: list[RequestFinished],
+    final_outcomes: list[RequestFinished],
     entry: str,
 ) -> tuple[str, ...]:
     match state:
         case OutcomeState.CONTRADICTORY:
-            words = " and ".join(ending.outcome for ending in endings)
-            return (f"{entry} recorded {len(endings)} final outcomes: {words}.",)
+            words = " and ".join(ending.outcome for ending in final_outcomes)
+            return (f"{entry} recorded {len(final_outcomes)} final outcomes: {words}.",)
         case OutcomeState.OUTCOME_MISSING:
             return (
                 f"What {entry} told the caller is missing. "
@@ -196,5 +196,5 @@
     return f"{last.process} recorded that its attempt ended as {outcome}."
 
 
-def _list_gaps(parts: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
-    return tuple(gap for part in parts for gap in part.gaps)
+def _list_gaps(traces: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
+    return tuple(gap for part in traces for gap in part.gaps)
--- a/src/kingcupwheel/trace/timeline_finder.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -133,12 +133,12 @@
         request_id: str,
         parsed: RequestId,
         directory: _ProcessDirectory,
-        told_at: float | None = None,
+        finished_at: float | None = None,
     ) -> tuple[ProcessTrace, ...]:
         found_by_process = self._query_processes(processes, request_id, directory)
         return tuple(
             self._collect_trace(
-                process, found_by_process.get(process), request_id, parsed, told_at
+                process, found_by_process.get(process), request_id, parsed, finished_at
             )
             for process in processes
         )
@@ -156,20 +156,20 @@
     def _collect_trace(
         self,
         process: str,
-        found: TraceReply | None,
+        reply: TraceReply | None,
         request_id: str,
         parsed: RequestId,
-        told_at: float | None,
+        finished_at: float | None,
     ) -> ProcessTrace:
-        live = _decode_events(found)
-        if found is not None and found.complete:
+        live = _decode_events(reply)
+        if reply is not None and reply.complete:
             return ProcessTrace(process, TraceSource.LIVE, live)
         since = parsed.arrived_at_ms / 1000
         stored = self._batch_reader.read_events(process, request_id, since=since)
         events = _combine_events(live, stored.events)
         source = TraceSource.BATCHES if stored.events else TraceSource.NOT_FOUND
         source = TraceSource.LIVE if live else source
-        gaps = _describe_gaps(process, parsed.entry, found, events, stored, told_at)
+        gaps = _describe_gaps(process, parsed.entry, reply, events, stored, finished_at)
         return ProcessTrace(process, source, events, gaps)
 
     def _search_all_agents(
@@ -208,11 +208,11 @@
         return tuple(part for part in parts if part.events)
 
 
-def _decode_events(found: TraceReply | None) -> tuple[TraceEvent, ...]:
-    if found is None:
+def _decode_events(reply: TraceReply | None) -> tuple[TraceEvent, ...]:
+    if reply is None:
         return ()
     try:
-        events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(found.events)
+        events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(reply.events)
     except msgspec.MsgspecError:
         return ()
     return events
@@ -228,22 +228,22 @@
 def _describe_gaps(
     process: str,
     entry: str,
-    found: TraceReply | None,
+    reply: TraceReply | None,
     events: tuple[TraceEvent, ...],
     stored: BatchEvents,
-    told_at: float | None,
+    finished_at: float | None,
 ) -> tuple[str, ...]:
     # An agent's batches that reach past the end of the request, without a loss, hold
     # all that it recorded, even if that is nothing: a dispatch may never have come.
     if (
-        told_at
-        and stored.covered_until > told_at
+        finished_at
+        and stored.covered_until > finished_at
         and not (stored.losses or stored.problem)
     ):
         return ()
-    if _has_end(events, whole_from_start=process == entry):
+    if _has_end(events, requires_start=process == entry):
         return ()
-    if found is None:
+    if reply is None:
         why = f"{process} does not answer"
     else:
         why = f"{process} does not hold all of it (restarted, or it is too long ago)"
@@ -270,12 +270,12 @@
     return ends[-1] if ends else None
 
 
-def _has_end(events: tuple[TraceEvent, ...], *, whole_from_start: bool) -> bool:
+def _has_end(events: tuple[TraceEvent, ...], *, requires_start: bool) -> bool:
     """Tell whether the events run to the end of the request at that process."""
     ended = any(
         isinstance(event.event, RequestFinished | RequestRefused) for event in events
     )
-    if not whole_from_start:
+    if not requires_start:
         return ended
     begun = any(isinstance(event.event, RequestReceived) for event in events)
     return begun and any(isinstance(event.event, RequestFinished) for event in events)
--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -23,24 +23,24 @@
 }
 
 
-def format_timeline(story: RequestTimeline) -> str:
+def format_timeline(timeline: RequestTimeline) -> str:
     """Return the story in lines: what happened, the outcome, what is missing."""
-    width = max((len(line.process) for line in story.lines), default=0)
+    width = max((len(line.process) for line in timeline.lines), default=0)
     blocks = [
-        [f"Request {story.request_id}", *_format_sources(story)],
-        [_format_line(line, width) for line in story.lines],
-        [_format_outcome(story), *_format_references(story)],
-        [f"Missing: {gap}" for gap in story.gaps],
+        [f"Request {timeline.request_id}", *_format_sources(timeline)],
+        [_format_line(line, width) for line in timeline.lines],
+        [_format_outcome(timeline), *_format_references(timeline)],
+        [f"Missing: {gap}" for gap in timeline.gaps],
     ]
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
-def _format_sources(story: RequestTimeline) -> list[str]:
-    return [f"  {part.process}: {_format_source(part)}" for part in story.parts]
+def _format_sources(timeline: RequestTimeline) -> list[str]:
+    return [f"  {part.process}: {_format_source(part)}" for part in timeline.parts]
 
 
-def _format_source(part: ProcessTrace) -> str:
-    return f"{_SOURCE_LABELS[part.source]}, {len(part.events)} events"
+def _format_source(trace: ProcessTrace) -> str:
+    return f"{_SOURCE_LABELS[trace.source]}, {len(trace.events)} events"
 
 
 def _format_line(line: TimelineLine, width: int) -> str:
@@ -49,11 +49,11 @@
     return f"{stamp}  {line.process:<{width}}  {line.sentence}"
 
 
-def _format_outcome(story: RequestTimeline) -> str:
-    match story.state:
+def _format_outcome(timeline: RequestTimeline) -> str:
+    match timeline.state:
         case OutcomeState.FINISHED:
-            reason = f" ({story.reason})" if story.reason else ""
-            return f"Outcome told to the caller: {story.outcome}{reason}."
+            reason = f" ({timeline.reason})" if timeline.reason else ""
+            return f"Outcome told to the caller: {timeline.outcome}{reason}."
         case OutcomeState.IN_PROGRESS:
             return "The request is still under way."
         case OutcomeState.OUTCOME_MISSING:
@@ -64,10 +64,10 @@
             return "Nothing was found of this request."
 
 
-def _format_references(story: RequestTimeline) -> list[str]:
+def _format_references(timeline: RequestTimeline) -> list[str]:
     earlier = {
         event.event.earlier_request_id: None
-        for part in story.parts
+        for part in timeline.parts
         for event in part.events
         if isinstance(event.event, ResendJoined)
     }
