--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -57,7 +57,7 @@
 class BurnPoint(msgspec.Struct, frozen=True):
     """Burn over five minutes from Unix second ``at``."""
 
-    started_at: float
+    started_at: float = msgspec.field(name="at")
     total: int
     bad: int
     rate: float | None
@@ -85,7 +85,7 @@
     """An entry that answered: since when it counts, in Unix seconds."""
 
     process: str
-    counting_since: float
+    counting_since: float = msgspec.field(name="since")
     manifest_version: int
     uncounted_requests: int = msgspec.field(name="uncounted")
 
@@ -97,7 +97,7 @@
     ``young`` ones count for less than the longest window.
     """
 
-    created_at: float
+    created_at: float = msgspec.field(name="at")
     burns: tuple[GoalBurn, ...]
     miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
     times: tuple[LatencyPercentiles, ...]
--- a/src/kingcupwheel/burn/entry_counts.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -73,8 +73,8 @@
     """
 
     process: str
-    created_at: float
-    counting_since: float
+    created_at: float = msgspec.field(name="at")
+    counting_since: float = msgspec.field(name="since")
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
     miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -57,7 +57,7 @@
 class TimelineLine(msgspec.Struct, frozen=True):
     """One sentence, the Unix time and the process that says so."""
 
-    recorded_at: float
+    recorded_at: float = msgspec.field(name="at")
     process: str
     sentence: str
 
