--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -35,8 +35,8 @@
     from kingcupwheel.trace.events import AnyEvent
     from kingcupwheel.trace.recorder import TraceRecorder
 
-PROCESS = "entry-curitiba-north-017"
-TOKENS = 270
+PROCESS_NAME = "entry-curitiba-north-017"
+TOKENS_PER_RESPONSE = 270
 
 
 def record_requests(recorder: TraceRecorder, process: str, count: int) -> None:
@@ -44,7 +44,7 @@
     # Names and numbers vary as they would: equal ones would compress too well.
     random = Random(7)
     for number in range(count):
-        wanted = str(generate_request_id(PROCESS, now=1_800_000_000 + number / 9))
+        wanted = str(generate_request_id(PROCESS_NAME, now=1_800_000_000 + number / 9))
         server = f"agent-curitiba-north-{random.randrange(1000):04d}"
         agent = _agent_events(server, random)
         for event in _entry_events(server, random) if process == "entry" else agent:
@@ -81,7 +81,7 @@
     )
 
 
-def observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
+def build_observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
     """Return an answered request with these gaps between tokens."""
     return FinishedRequest(
         organisation="organisation-31415",
@@ -96,20 +96,20 @@
     )
 
 
-def burn_counter(organisations: int) -> BurnCounter:
+def build_burn_counter(organisations: int) -> BurnCounter:
     """Return counts of as many organisations with goals of their own."""
     own = {f"organisation-{number}": Goals() for number in range(organisations)}
-    counter = BurnCounter(PROCESS, BurnGoals(1, Goals(), {}, own), now=0.0)
-    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS))
+    counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
+    gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS_PER_RESPONSE))
     for number in range(organisations):
-        observed = observed_request(gaps_s)._replace(
+        observed = build_observed_request(gaps_s)._replace(
             organisation=f"organisation-{number}"
         )
         counter.count_request(observed, now=1.0)
     return counter
 
 
-def organisation(number: int) -> Organisation:
+def build_organisation(number: int) -> Organisation:
     """Return an organisation with two keys."""
     return Organisation(
         name=f"organisation-{number}",
@@ -119,7 +119,7 @@
     )
 
 
-def instance_list(count: int) -> bytes:
+def encode_instance_list(count: int) -> bytes:
     """Return the platform's list as it travels."""
     instances = [
         Instance(
@@ -136,15 +136,15 @@
     return msgspec.json.encode(instances)
 
 
-def suspects(count: int) -> tuple[tuple[str, int], ...]:
+def build_suspects(count: int) -> tuple[tuple[str, int], ...]:
     """Return fingerprints with their deaths."""
     return tuple((f"{number:032x}", 1) for number in range(count))
 
 
-def cut_manifest(organisations: int) -> tuple[int, list[int]]:
+def measure_sharded_manifest(organisations: int) -> tuple[int, list[int]]:
     """Return the bytes of the index and of each shard."""
     manifest = Manifest(
-        organisations=tuple(organisation(n) for n in range(organisations)),
+        organisations=tuple(build_organisation(n) for n in range(organisations)),
         groups=(ServerGroup(name="parts-model"),),
         routes=(Route(path="/v1/completions", group="parts-model"),),
     )
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -31,12 +31,12 @@
     points: tuple[Point, ...] = ()
 
     @property
-    def measured(self) -> bool:
+    def is_measured(self) -> bool:
         """True if there are two sizes at least."""
         return len({point.size for point in self.points}) > 1
 
     @property
-    def per(self) -> float:
+    def gradient(self) -> float:
         """Growth of the value with one more of size."""
         sizes = [point.size for point in self.points]
         mean_size, mean_value = _mean(sizes), self._mean_value
@@ -45,17 +45,17 @@
         return above / below
 
     @property
-    def base(self) -> float:
+    def intercept(self) -> float:
         """The value at size 0."""
-        return self._mean_value - self.per * _mean([p.size for p in self.points])
+        return self._mean_value - self.gradient * _mean([p.size for p in self.points])
 
     @property
     def _mean_value(self) -> float:
         return _mean([point.value for point in self.points])
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value worked out for ``size``."""
-        return self.base + self.per * size
+        return self.intercept + self.gradient * size
 
 
 class Slopes(msgspec.Struct, frozen=True):
