--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -57,7 +57,7 @@
 class BurnPoint(msgspec.Struct, frozen=True):
     """Burn over five minutes from Unix second ``at``."""
 
-    at: float
+    started_at: float = msgspec.field(name="at")
     total: int
     bad: int
     rate: float | None
@@ -85,7 +85,7 @@
     """An entry that answered: since when it counts, in Unix seconds."""
 
     process: str
-    since: float
+    counting_since: float = msgspec.field(name="since")
     manifest_version: int
     uncounted_requests: int = msgspec.field(name="uncounted")
 
@@ -97,7 +97,7 @@
     ``young`` ones count for less than the longest window.
     """
 
-    at: float
+    created_at: float = msgspec.field(name="at")
     burns: tuple[GoalBurn, ...]
     miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
     times: tuple[LatencyPercentiles, ...]
@@ -116,7 +116,7 @@
 def merge_counts(
     entry_counts: Sequence[EntryCounts],
     *,
-    at: float,
+    created_at: float,
     unanswered: Iterable[str] = (),
     problem: str = "",
 ) -> BurnReport:
@@ -124,14 +124,16 @@
     newest_first = sorted(entry_counts, key=lambda part: -part.manifest_version)
     longest_s = max(WINDOWS_MIN) * MINUTE_S
     return BurnReport(
-        at=at,
+        created_at=created_at,
         burns=_build_burns(newest_first),
         miss_causes=_sum_causes(entry_counts),
         times=_build_percentiles(entry_counts),
         plots=_build_plots(newest_first),
         entries=tuple(_build_entry_state(part) for part in entry_counts),
         recently_started=tuple(
-            part.process for part in entry_counts if at - part.since < longest_s
+            part.process
+            for part in entry_counts
+            if created_at - part.counting_since < longest_s
         ),
         unanswered=tuple(unanswered),
         problem=problem,
@@ -140,7 +142,10 @@
 
 def _build_entry_state(part: EntryCounts) -> EntryState:
     return EntryState(
-        part.process, part.since, part.manifest_version, part.uncounted_requests
+        part.process,
+        part.counting_since,
+        part.manifest_version,
+        part.uncounted_requests,
     )
 
 
@@ -219,7 +224,7 @@
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
     for part in newest_first:
-        last = int(part.at // (MINUTE_S * POINT_LENGTH_MIN))
+        last = int(part.created_at // (MINUTE_S * POINT_LENGTH_MIN))
         for counts in _iterate_overall(part):
             target_by_indicator.setdefault(counts.indicator, counts.target)
             first = last - len(counts.points) + 1
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -45,7 +45,7 @@
 
 def render_page(report: BurnReport) -> str:
     """Return the whole page."""
-    title = f"Service-level burn at {format_utc(report.at)} UTC"
+    title = f"Service-level burn at {format_utc(report.created_at)} UTC"
     marked = [row[-1] for row in build_burn_rows(report)]
     return "\n".join(
         (
@@ -69,25 +69,27 @@
 
 
 def _render_table(
-    head: Sequence[str], rows: Sequence[Sequence[str]], marks: Sequence[str] = ()
+    columns: Sequence[str],
+    rows: Sequence[Sequence[str]],
+    row_classes: Sequence[str] = (),
 ) -> str:
     if not rows:
         return "<p>Nothing.</p>"
-    classes = marks or [""] * len(rows)
-    lines = [_render_row("th", head, "")]
+    classes = row_classes or [""] * len(rows)
+    lines = [_render_row("th", columns, "")]
     lines += [
         _render_row("td", row, mark) for row, mark in zip(rows, classes, strict=True)
     ]
     return "<table>" + "\n".join(lines) + "</table>"
 
 
-def _render_row(tag: str, cells: Iterable[str], mark: str) -> str:
+def _render_row(tag: str, cells: Iterable[str], css_class: str) -> str:
     inner = "".join(f"<{tag}>{escape(cell)}</{tag}>" for cell in cells)
-    return f'<tr class="{escape(mark)}">{inner}</tr>'
+    return f'<tr class="{escape(css_class)}">{inner}</tr>'
 
 
 def _render_plot(plots: Sequence[BurnPlot]) -> str:
-    ats = [point.at for plot in plots for point in plot.points]
+    ats = [point.started_at for plot in plots for point in plot.points]
     if not ats:
         return "<p>No counts.</p>"
     first, last = min(ats), max(ats)
@@ -138,7 +140,7 @@
         if point.rate is None:
             pen = "M"
             continue
-        x, y = _scale_time(point.at, first, last), _scale_rate(point.rate)
+        x, y = _scale_time(point.started_at, first, last), _scale_rate(point.rate)
         # A single point between two gaps would be invisible without a length.
         commands.append(f"{pen}{x:.1f} {y:.1f}" + ("h0.1" if pen == "M" else ""))
         pen = "L"
@@ -148,8 +150,8 @@
     )
 
 
-def _scale_time(at: float, first: float, last: float) -> float:
-    share = (at - first) / (last - first) if last > first else 0.0
+def _scale_time(time_s: float, first: float, last: float) -> float:
+    share = (time_s - first) / (last - first) if last > first else 0.0
     return _LEFT + share * (_WIDTH - _LEFT - _RIGHT)
 
 
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -33,7 +33,7 @@
 
 def format_report(report: BurnReport) -> str:
     """Return the report in lines."""
-    at = f"{format_utc(report.at)} UTC"
+    at = f"{format_utc(report.created_at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
         "\n".join(list_notes(report)),
@@ -56,7 +56,9 @@
     if report.problem:
         lines.append(f"INCOMPLETE: {report.problem}")
     if report.recently_started:
-        since_by_process = {entry.process: entry.since for entry in report.entries}
+        since_by_process = {
+            entry.process: entry.counting_since for entry in report.entries
+        }
         young = ", ".join(
             f"{name} (since {format_utc(since_by_process[name])})"
             for name in report.recently_started
@@ -110,22 +112,22 @@
     ]
 
 
-def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+def format_table(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """Return aligned columns, or a word if there are no rows."""
     if not rows:
         return "  nothing"
-    widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
+    widths = [max(map(len, column)) for column in zip(columns, *rows, strict=True)]
     lines = [
         "  "
         + "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
-        for row in (head, *rows)
+        for row in (columns, *rows)
     ]
     return "\n".join(line.rstrip() for line in lines)
 
 
-def format_utc(at: float) -> str:
+def format_utc(time_s: float) -> str:
     """Return Unix seconds as a date and time."""
-    return datetime.fromtimestamp(at, tz=UTC).strftime("%Y-%m-%d %H:%M")
+    return datetime.fromtimestamp(time_s, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
 def format_scope(burn: GoalBurn) -> str:
--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -25,7 +25,7 @@
 class LogLine(NamedTuple):
     """One decoded line: Unix seconds, who wrote it, what happened, with what."""
 
-    at: float
+    logged_at: float
     process: str
     part: str
     event: str
@@ -84,19 +84,19 @@
     if not own:
         return LogTimeline(request_id, (), ())
     processes = {line.process for line in own}
-    since, until = own[0].at - CONTEXT_BEFORE_S, own[-1].at
+    since, until = own[0].logged_at - CONTEXT_BEFORE_S, own[-1].logged_at
     beliefs = [
         line
         for line in decoded
         if line.process in processes
         and line.part in _CONTEXT_PARTS
-        and since <= line.at <= until
+        and since <= line.logged_at <= until
     ]
     return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_get_time)))
 
 
 def _get_time(line: LogLine) -> float:
-    return line.at
+    return line.logged_at
 
 
 def _select_request_lines(
@@ -110,21 +110,23 @@
             yield line
 
 
-def format_log_timeline(found: LogTimeline) -> str:
+def format_log_timeline(timeline: LogTimeline) -> str:
     """Return the story in plain sentences."""
     blocks = [
-        [f"Request {found.request_id}"],
-        [_format_line(line, _describe_line(line)) for line in found.lines],
+        [f"Request {timeline.request_id}"],
+        [_format_line(line, _describe_line(line)) for line in timeline.lines],
     ]
-    if found.beliefs:
-        noted = [_format_line(line, _describe_fields(line)) for line in found.beliefs]
+    if timeline.beliefs:
+        noted = [
+            _format_line(line, _describe_fields(line)) for line in timeline.beliefs
+        ]
         blocks.append(["Noted there just before and meanwhile:", *noted])
-    blocks.append([f"Missing: {gap}" for gap in found.gaps])
+    blocks.append([f"Missing: {gap}" for gap in timeline.gaps])
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
 def _format_line(line: LogLine, sentence: str) -> str:
-    at = datetime.fromtimestamp(line.at, tz=UTC)
+    at = datetime.fromtimestamp(line.logged_at, tz=UTC)
     stamp = at.strftime("%H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process}  {sentence}"
 
