--- a/src/kingcupwheel/burn/rates.py
+++ b/src/kingcupwheel/burn/burn_rates.py
@@ -15,12 +15,12 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from kingcupwheel.burn.tallies import Count
+    from kingcupwheel.burn.minute_counts import EventCount
 
-FAST_RATE = 14.4
-SLOW_RATE = 6.0
+FAST_BURN_RATE = 14.4
+SLOW_BURN_RATE = 6.0
 # One failure of three requests at night is no reason to wake anybody.
-FEWEST_EVENTS = 20
+MIN_EVENTS_FOR_ALERT = 20
 
 
 class Alert(StrEnum):
@@ -31,7 +31,7 @@
     FAST = "fast"
 
 
-def burn_rate(count: Count, target: float) -> float | None:
+def compute_burn_rate(count: EventCount, target: float) -> float | None:
     """Return the burn rate of ``count``; None without events.
 
     A target of 1 leaves no budget: any bad event then burns without bound.
@@ -45,17 +45,21 @@
     return share / budget
 
 
-def alert_of(windows: Sequence[Count], target: float) -> Alert:
+def determine_alert(windows: Sequence[EventCount], target: float) -> Alert:
     """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
-    if _over(fast_short, fast_long, target, FAST_RATE):
+    if _is_over_threshold(fast_short, fast_long, target, FAST_BURN_RATE):
         return Alert.FAST
-    if _over(slow_short, slow_long, target, SLOW_RATE):
+    if _is_over_threshold(slow_short, slow_long, target, SLOW_BURN_RATE):
         return Alert.SLOW
     return Alert.NONE
 
 
-def _over(short: Count, long: Count, target: float, threshold: float) -> bool:
-    if short.total < FEWEST_EVENTS:
+def _is_over_threshold(
+    short: EventCount, long: EventCount, target: float, threshold: float
+) -> bool:
+    if short.total < MIN_EVENTS_FOR_ALERT:
         return False
-    return all((burn_rate(count, target) or 0) > threshold for count in (short, long))
+    return all(
+        (compute_burn_rate(count, target) or 0) > threshold for count in (short, long)
+    )
--- a/src/kingcupwheel/burn/records.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -14,8 +14,8 @@
 # multi-burn-rate alerts" of the Site Reliability Workbook, chapter 5.
 WINDOWS_MIN = (5, 60, 30, 360)
 # Length of one point of the plot, in minutes, and how many there are.
-POINT_MIN = 5
-POINTS = 72
+POINT_LENGTH_MIN = 5
+POINT_COUNT = 72
 
 
 class IndicatorCounts(msgspec.Struct, frozen=True, array_like=True):
@@ -40,7 +40,7 @@
     indicators: tuple[IndicatorCounts, ...]
 
 
-class Culprit(msgspec.Struct, frozen=True, array_like=True):
+class MissCause(msgspec.Struct, frozen=True, array_like=True):
     """Who and what missed a goal."""
 
     indicator: Indicator
@@ -50,14 +50,14 @@
     reason: str
 
 
-class CulpritCount(msgspec.Struct, frozen=True, array_like=True):
+class MissCauseCount(msgspec.Struct, frozen=True, array_like=True):
     """How many events of the last hour a culprit accounts for."""
 
-    culprit: Culprit
+    cause: MissCause = msgspec.field(name="culprit")
     bad: int
 
 
-class HistogramPart(msgspec.Struct, frozen=True, array_like=True):
+class EncodedHistogram(msgspec.Struct, frozen=True, array_like=True):
     """Times of one indicator and group; ``payload`` is an encoded HdrHistogram."""
 
     indicator: Indicator
@@ -65,7 +65,7 @@
     payload: bytes
 
 
-class BurnPart(msgspec.Struct, frozen=True, array_like=True):
+class EntryCounts(msgspec.Struct, frozen=True, array_like=True):
     """One entry's counts.
 
     ``at`` and ``since`` are Unix seconds: when it answered and since when it counts.
@@ -73,13 +73,15 @@
     """
 
     process: str
-    at: float
-    since: float
+    created_at: float = msgspec.field(name="at")
+    counting_since: float = msgspec.field(name="since")
     manifest_version: int
     scopes: tuple[ScopeCounts, ...]
-    culprits: tuple[CulpritCount, ...]
-    histograms: tuple[HistogramPart, ...]
-    uncounted: int = 0
+    miss_causes: tuple[MissCauseCount, ...] = msgspec.field(name="culprits")
+    histograms: tuple[EncodedHistogram, ...]
+    uncounted_requests: int = msgspec.field(default=0, name="uncounted")
 
 
-PART_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(BurnPart)
+ENTRY_COUNTS_DECODER: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(
+    EntryCounts
+)
--- a/src/kingcupwheel/burn/observed.py
+++ b/src/kingcupwheel/burn/finished_request.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from kingcupwheel.burn.goals import Indicator
-from kingcupwheel.burn.tallies import Count
+from kingcupwheel.burn.minute_counts import EventCount
 from kingcupwheel.messages.attempts import Outcome
 
 
@@ -17,10 +17,10 @@
 
 # From here on a status is the system's or the server's doing; below it a refusal is
 # what the caller asked for (a bad key, an allowance used up, a connection it closed).
-_OWN_FAULT_STATUS = 500
+_MIN_SERVICE_FAULT_STATUS = 500
 
 
-class Observed(NamedTuple):
+class FinishedRequest(NamedTuple):
     """A request with its final outcome.
 
     ``route`` is ``goals.route_name``'s; ``status`` is the HTTP status told to the
@@ -41,31 +41,38 @@
     caller_left: bool = False
 
 
-def judge(observed: Observed, goals: Goals) -> dict[Indicator, Count]:
+def count_by_indicator(
+    finished_request: FinishedRequest, goals: Goals
+) -> dict[Indicator, EventCount]:
     """Return what the request adds to each indicator; absent ones count nothing.
 
     A refusal for a reason of the caller's own, and a caller that left, say nothing of
     the service: they would hide an outage behind a flood of 429, or make one up.
     """
     counts = {}
-    if _counted(observed):
-        good = observed.outcome is Outcome.RAN
-        counts[Indicator.AVAILABILITY] = Count(1, 0 if good else 1)
-    if observed.first_byte_s is not None:
-        late = observed.first_byte_s > goals.first_token_s
-        counts[Indicator.FIRST_TOKEN] = Count(1, int(late))
-    if observed.gaps_s:
+    if _counts_for_availability(finished_request):
+        good = finished_request.outcome is Outcome.RAN
+        counts[Indicator.AVAILABILITY] = EventCount(1, 0 if good else 1)
+    if finished_request.first_byte_s is not None:
+        late = finished_request.first_byte_s > goals.first_token_s
+        counts[Indicator.FIRST_TOKEN] = EventCount(1, int(late))
+    if finished_request.gaps_s:
         limit_s = goals.token_gap_ms / 1000
-        late_gaps = sum(1 for gap_s in observed.gaps_s if gap_s > limit_s)
-        counts[Indicator.TOKEN_GAP] = Count(len(observed.gaps_s), late_gaps)
+        late_gaps = sum(1 for gap_s in finished_request.gaps_s if gap_s > limit_s)
+        counts[Indicator.TOKEN_GAP] = EventCount(
+            len(finished_request.gaps_s), late_gaps
+        )
     return counts
 
 
-def _counted(observed: Observed) -> bool:
-    match observed.outcome:
+def _counts_for_availability(finished_request: FinishedRequest) -> bool:
+    match finished_request.outcome:
         case Outcome.RAN:
             return True
         case Outcome.NOT_RUN:
-            return observed.status >= _OWN_FAULT_STATUS and not observed.caller_left
+            return (
+                finished_request.status >= _MIN_SERVICE_FAULT_STATUS
+                and not finished_request.caller_left
+            )
         case Outcome.UNKNOWN:
-            return not observed.caller_left
+            return not finished_request.caller_left
--- a/src/kingcupwheel/entry/attempt_dispatcher.py
+++ b/src/kingcupwheel/entry/attempt_dispatcher.py
@@ -18,10 +18,10 @@
 from kingcupwheel.link.links import OutgoingLink
 from kingcupwheel.messages.attempts import ClaimRef
 from kingcupwheel.messages.attempts import Dispatch
-from kingcupwheel.trace.events import Alternative
-from kingcupwheel.trace.events import Dispatched
-from kingcupwheel.trace.events import Placed
-from kingcupwheel.trace.events import Queued
+from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import ConsideredServer
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import RequestQueued
 
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
             return Refusal(503, ticket.limit, ticket.detail, ticket.retry_after_s)
         result = ticket.wait(0)
         if result is None:
-            self._record(Queued(ticket.requests_ahead))
+            self._record(RequestQueued(ticket.requests_ahead))
             result = self._wait_for_reservation(ticket)
         if isinstance(result, PlacementFailure):
             return _build_placement_refusal(
@@ -125,8 +125,8 @@
 
     def _record_reservation(self, reservation: Reservation) -> None:
         decision = reservation.decision
-        alternatives = tuple(Alternative(*pair) for pair in decision.alternatives)
-        event = Placed(
+        alternatives = tuple(ConsideredServer(*pair) for pair in decision.alternatives)
+        event = RequestPlaced(
             reservation.server,
             self._count,
             reservation.waited_s,
@@ -166,7 +166,7 @@
         )
         message = _build_dispatch(self._admitted, key, reservation, claim)
         context.hub.send(OutgoingLink(reservation.address, 0), message)
-        self._record(Dispatched(reservation.server, self._count))
+        self._record(AttemptDispatched(reservation.server, self._count))
         return AnswerReader(
             inbox,
             context.hub,
@@ -177,7 +177,7 @@
             silence_timeout_s=context.settings.timings.silence_s,
         )
 
-    def _record(self, event: Queued | Placed | Dispatched) -> None:
+    def _record(self, event: RequestQueued | RequestPlaced | AttemptDispatched) -> None:
         self._context.recorder.record(self._admitted.request.request_id, event)
 
 
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -45,8 +45,8 @@
 logger = logging.getLogger("kingcupwheel.entry")
 
 # Interval at which a stopping entry checks for requests in progress.
-_DRAIN_CHECK_S = 0.1
-_HOUR_S = 3600.0
+_DRAIN_CHECK_INTERVAL_S = 0.1
+_S_PER_HOUR = 3600.0
 
 
 class EntryDaemon:
@@ -65,10 +65,10 @@
             settings,
             client,
             metrics,
-            traces_retention_s=lambda: self._get_retention().traces_h * _HOUR_S,
+            traces_retention_s=lambda: self._get_retention().traces_h * _S_PER_HOUR,
         )
-        self._retention = ExpiredClaimRemover(
-            client, retention_s=lambda: self._get_retention().claims_h * _HOUR_S
+        self._expired_claim_remover = ExpiredClaimRemover(
+            client, retention_s=lambda: self._get_retention().claims_h * _S_PER_HOUR
         )
         self._hub = MessageHub(
             listen=settings.listen, on_message=self._on_message, on_tick=self._on_tick
@@ -83,7 +83,7 @@
             dispatchers=DispatcherRegistry(servers, data_centre=settings.data_centre),
             limiter=limiter,
             claims=ClaimStore(client),
-            retention=self._retention,
+            expired_claim_remover=self._expired_claim_remover,
             recorder=self._telemetry.recorder,
             outcome_counter=self._telemetry.outcome_counter,
             leaving=self._leaving,
@@ -170,7 +170,7 @@
         self._manifest_synchronizer.start()
         self._membership.start()
         self._telemetry.start()
-        self._retention.start()
+        self._expired_claim_remover.start()
         self._http_server.start()
         logger.info("Accepting callers on port %d.", self.port)
 
@@ -192,13 +192,13 @@
         self._wait_for_address_refresh()
         self._application.stop_accepting()
         while self._application.in_progress_count:
-            Event().wait(_DRAIN_CHECK_S)
+            Event().wait(_DRAIN_CHECK_INTERVAL_S)
         self._http_server.stop()
         if self._operator_http_server is not None:
             self._operator_http_server.stop()
         self._membership.stop()
         self._manifest_synchronizer.stop()
-        self._retention.stop()
+        self._expired_claim_remover.stop()
         self._telemetry.stop()
         self._hub.stop()
         logger.info("Stopped.")
--- a/src/kingcupwheel/entry/message_handler.py
+++ b/src/kingcupwheel/entry/message_handler.py
@@ -42,7 +42,7 @@
 
 
 if TYPE_CHECKING:
-    from kingcupwheel.burn.counter import BurnCounter
+    from kingcupwheel.burn.burn_counter import BurnCounter
     from kingcupwheel.entry.allowance_balancer import AllowanceBalancer
     from kingcupwheel.entry.context import EntryContext
     from kingcupwheel.entry.manifest_fetcher import ManifestFetcher
@@ -132,9 +132,9 @@
         send = self._context.hub.send
         match message:
             case TraceRequest(request_id):
-                send(link, self._context.recorder.found(request_id))
+                send(link, self._context.recorder.build_reply(request_id))
             case BurnRequest():
-                send(link, self._burn_counter.found(now=time.time()))
+                send(link, self._burn_counter.build_reply(now=time.time()))
             case StatusRequest():
                 send(link, self._build_status_reply())
             case InstancesRequest():
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -18,41 +18,41 @@
 
 from kingcupwheel.trace.events import EVENTS_DECODER
 from kingcupwheel.trace.events import TraceEvent
-from kingcupwheel.trace.exceptions import BadBatch
+from kingcupwheel.trace.exceptions import InvalidBatch
 
 
-PREFIX = "traces/"
+BATCH_KEY_PREFIX = "traces/"
 HOUR_S = 3600
 # The longest period of one batch; a reader starts this much before the request.
-MAX_PERIOD_S = 600
+MAX_BATCH_PERIOD_S = 600
 # The platform holds values up to 1 MB; the difference is for the batch's other fields.
-PART_BYTES = 900_000
+MAX_COMPRESSED_PART_BYTES = 900_000
 # Events joined before they are compressed. They shrink several times; a part that does
 # not shrink enough is halved.
-RAW_PART_BYTES = 3_000_000
+MAX_RAW_PART_BYTES = 3_000_000
 # Unpacked size that a reader accepts, so that a damaged object can't fill its memory.
-_MAX_RAW_BYTES = 2 * RAW_PART_BYTES
-_COMPRESSION = 6
+_MAX_DECOMPRESSED_BYTES = 2 * MAX_RAW_PART_BYTES
+_ZLIB_LEVEL = 6
 
 
-class Loss(msgspec.Struct, frozen=True):
+class EventLoss(msgspec.Struct, frozen=True):
     """Events recorded between two Unix times that no batch holds, and why."""
 
     since: float
     until: float
-    events: int
-    why: str
+    event_count: int = msgspec.field(name="events")
+    reason: str = msgspec.field(name="why")
 
 
-class Batch(msgspec.Struct, frozen=True):
+class TraceBatch(msgspec.Struct, frozen=True):
     """What one object holds; ``packed`` is compressed concatenated events."""
 
     process: str
     since: float
     until: float
-    events: int
-    packed: bytes
-    losses: tuple[Loss, ...] = ()
+    event_count: int = msgspec.field(name="events")
+    compressed_events: bytes = msgspec.field(name="packed")
+    losses: tuple[EventLoss, ...] = ()
 
 
 class BatchName(NamedTuple):
@@ -61,26 +61,26 @@
     process: str
     since: int
     until: int
-    life: str
-    part: int
+    incarnation: str
+    part_number: int
 
     @property
     def key(self) -> str:
         """The object's key."""
-        span = f"{self.since}-{self.until}-{self.life}-{self.part}"
-        return f"{hour_prefix(self.process, self.since)}{span}"
+        span = f"{self.since}-{self.until}-{self.incarnation}-{self.part_number}"
+        return f"{build_hour_prefix(self.process, self.since)}{span}"
 
 
-class Part(NamedTuple):
+class CompressedPart(NamedTuple):
     """Compressed events and how many they are."""
 
-    packed: bytes
-    events: int
+    compressed_events: bytes
+    event_count: int
 
 
-def hour_prefix(process: str, at: float) -> str:
+def build_hour_prefix(process: str, time_s: float) -> str:
     """Return what the keys of the process's batches of that hour start with."""
-    return f"{PREFIX}{process}/{int(at) // HOUR_S}/"
+    return f"{BATCH_KEY_PREFIX}{process}/{int(time_s) // HOUR_S}/"
 
 
 def parse_key(key: str) -> BatchName | None:
@@ -93,51 +93,55 @@
         return None
 
 
-def make_parts(encoded: tuple[bytes, ...]) -> tuple[Part, ...]:
+def compress_events(encoded_events: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
     """Return the events as compressed parts, each small enough for one object."""
-    packed = _pack(encoded)
-    if len(packed) <= PART_BYTES or len(encoded) == 1:
-        return (Part(packed, len(encoded)),)
-    middle = len(encoded) // 2
-    return make_parts(encoded[:middle]) + make_parts(encoded[middle:])
+    packed = _compress(encoded_events)
+    if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded_events) == 1:
+        return (CompressedPart(packed, len(encoded_events)),)
+    middle = len(encoded_events) // 2
+    return compress_events(encoded_events[:middle]) + compress_events(
+        encoded_events[middle:]
+    )
 
 
-def encode_batch(batch: Batch) -> bytes:
+def encode_batch(batch: TraceBatch) -> bytes:
     """Return the object's value."""
     return msgspec.msgpack.encode(batch)
 
 
-def decode_batch(value: bytes) -> Result[Batch, BadBatch]:
+def decode_batch(value: bytes) -> Result[TraceBatch, InvalidBatch]:
     """Return the batch in ``value``, or why it is none."""
     try:
         return Ok(_BATCH_DECODER.decode(value))
     except msgspec.MsgspecError as error:
-        return Error(BadBatch(str(error)))
+        return Error(InvalidBatch(str(error)))
 
 
-def events_of(
-    batch: Batch, request_id: str
-) -> Result[tuple[TraceEvent, ...], BadBatch]:
+def decode_request_events(
+    batch: TraceBatch, request_id: str
+) -> Result[tuple[TraceEvent, ...], InvalidBatch]:
     """Return the events of one request in the batch, in order of recording."""
     try:
-        events = _unpack(batch.packed)
+        events = _decompress(batch.compressed_events)
     except (zlib.error, msgspec.MsgspecError) as error:
-        return Error(BadBatch(str(error)))
+        return Error(InvalidBatch(str(error)))
     return Ok(tuple(event for event in events if event.request_id == request_id))
 
 
-_BATCH_DECODER: msgspec.msgpack.Decoder[Batch] = msgspec.msgpack.Decoder(Batch)
+_BATCH_DECODER: msgspec.msgpack.Decoder[TraceBatch] = msgspec.msgpack.Decoder(
+    TraceBatch
+)
 
 
-def _pack(encoded: tuple[bytes, ...]) -> bytes:
+def _compress(encoded_events: tuple[bytes, ...]) -> bytes:
     # The head of a msgpack array of 32-bit length, so that the joined items are one.
-    head = b"\xdd" + len(encoded).to_bytes(4, "big")
-    return zlib.compress(head + b"".join(encoded), _COMPRESSION)
+    head = b"\xdd" + len(encoded_events).to_bytes(4, "big")
+    return zlib.compress(head + b"".join(encoded_events), _ZLIB_LEVEL)
 
 
-def _unpack(packed: bytes) -> tuple[TraceEvent, ...]:
+def _decompress(compressed_events: bytes) -> tuple[TraceEvent, ...]:
     inflater = zlib.decompressobj()
-    raw = inflater.decompress(packed, _MAX_RAW_BYTES)
+    raw = inflater.decompress(compressed_events, _MAX_DECOMPRESSED_BYTES)
     if not inflater.eof:
         raise zlib.error("the batch is cut short or too large")
     events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(raw)
--- a/src/kingcupwheel/trace/claims.py
+++ b/src/kingcupwheel/trace/claim_lookup.py
@@ -10,17 +10,17 @@
 from expression import Ok
 from expression import Result
 
+from kingcupwheel.trace.batch_reader import describe_platform_error
+from kingcupwheel.trace.exceptions import ClaimNotFound
 from kingcupwheel.trace.exceptions import FindError
-from kingcupwheel.trace.exceptions import NoClaim
-from kingcupwheel.trace.exceptions import PlatformDown
-from kingcupwheel.trace.reading import describe
+from kingcupwheel.trace.exceptions import PlatformUnavailable
 
 
 if TYPE_CHECKING:
     from kingcupwheel.platform.client import PlatformClient
 
 
-class ClaimView(msgspec.Struct, frozen=True):
+class ClaimSummary(msgspec.Struct, frozen=True):
     """The fields read from a claim; others are left alone.
 
     ``agent`` is the agent that the claim's request was given to, if any yet.
@@ -30,7 +30,7 @@
     agent: str | None = None
 
 
-def claim_key(organisation: str, idempotency_key: str) -> str:
+def build_claim_key(organisation: str, idempotency_key: str) -> str:
     """Return the key of the claim's object on the platform."""
     text = f"{organisation}\0{idempotency_key}"
     return f"claims/{hashlib.sha256(text.encode()).hexdigest()}"
@@ -38,14 +38,14 @@
 
 def find_claim(
     client: PlatformClient, organisation: str, idempotency_key: str
-) -> Result[ClaimView, FindError]:
+) -> Result[ClaimSummary, FindError]:
     """Return the claim that the organisation's idempotency key made."""
-    read = client.read(claim_key(organisation, idempotency_key))
+    read = client.read(build_claim_key(organisation, idempotency_key))
     if read.is_error():
-        return Error(PlatformDown(describe(read.error)))
+        return Error(PlatformUnavailable(describe_platform_error(read.error)))
     if read.ok is None:
-        return Error(NoClaim(idempotency_key))
+        return Error(ClaimNotFound(idempotency_key))
     try:
-        return Ok(msgspec.json.decode(read.ok.value, type=ClaimView))
+        return Ok(msgspec.json.decode(read.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
-        return Error(PlatformDown(f"the claim can't be read: {error}"))
+        return Error(PlatformUnavailable(f"the claim can't be read: {error}"))
--- a/src/kingcupwheel/trace/lines.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -17,22 +17,22 @@
 
 # Lines of a process around a request that tell what it believed then: how long before
 # its first line, in seconds.
-BELIEFS_BEFORE_S = 5.0
-_BELIEF_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
-_FINAL = frozenset({"finished", "refused", "cut-by-stop"})
+CONTEXT_BEFORE_S = 5.0
+_CONTEXT_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
+_FINAL_EVENTS = frozenset({"finished", "refused", "cut-by-stop"})
 
 
 class LogLine(NamedTuple):
     """One decoded line: Unix seconds, who wrote it, what happened, with what."""
 
-    at: float
+    logged_at: float
     process: str
     part: str
     event: str
     fields: dict[str, Any]
 
 
-class LogStory(NamedTuple):
+class LogTimeline(NamedTuple):
     """What log lines tell of one request.
 
     ``beliefs`` are what the same processes noted just before and meanwhile.
@@ -49,7 +49,7 @@
         gaps: list[str] = []
         if not self.lines:
             return ("no line names this request; was its entry's log given?",)
-        if not events & _FINAL:
+        if not events & _FINAL_EVENTS:
             gaps.append("its end: the process died, or later lines are not here")
         if "finished" in events and "placed" not in events:
             refused = [one for one in self.lines if one.event == "finished"]
@@ -60,7 +60,7 @@
         return tuple(gaps)
 
 
-def decode(text: str) -> LogLine | None:
+def parse_line(text: str) -> LogLine | None:
     """Return the line, or None if it is none of ours.
 
     Whatever stands before the JSON object, such as a collector's own time, is skipped.
@@ -77,29 +77,31 @@
     return LogLine(at, process, part, event, found)
 
 
-def story(request_id: str, texts: Iterable[str]) -> LogStory:
+def build_log_timeline(request_id: str, texts: Iterable[str]) -> LogTimeline:
     """Return what the lines tell of ``request_id``."""
-    decoded = [line for line in map(decode, texts) if line is not None]
-    own = sorted(_of(request_id, decoded), key=_at)
+    decoded = [line for line in map(parse_line, texts) if line is not None]
+    own = sorted(_select_request_lines(request_id, decoded), key=_get_time)
     if not own:
-        return LogStory(request_id, (), ())
+        return LogTimeline(request_id, (), ())
     processes = {line.process for line in own}
-    since, until = own[0].at - BELIEFS_BEFORE_S, own[-1].at
+    since, until = own[0].logged_at - CONTEXT_BEFORE_S, own[-1].logged_at
     beliefs = [
         line
         for line in decoded
         if line.process in processes
-        and line.part in _BELIEF_PARTS
-        and since <= line.at <= until
+        and line.part in _CONTEXT_PARTS
+        and since <= line.logged_at <= until
     ]
-    return LogStory(request_id, tuple(own), tuple(sorted(beliefs, key=_at)))
+    return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_get_time)))
 
 
-def _at(line: LogLine) -> float:
-    return line.at
+def _get_time(line: LogLine) -> float:
+    return line.logged_at
 
 
-def _of(request_id: str, lines: Iterable[LogLine]) -> Iterator[LogLine]:
+def _select_request_lines(
+    request_id: str, lines: Iterable[LogLine]
+) -> Iterator[LogLine]:
     # A name that a caller used again while it was under way got a number added.
     prefix = f"{request_id}~"
     for line in lines:
@@ -108,32 +110,35 @@
             yield line
 
 
-def text(found: LogStory) -> str:
+def format_log_timeline(timeline: LogTimeline) -> str:
     """Return the story in plain sentences."""
     blocks = [
-        [f"Request {found.request_id}"],
-        [_line_text(line, _sentence(line)) for line in found.lines],
+        [f"Request {timeline.request_id}"],
+        [_format_line(line, _describe_line(line)) for line in timeline.lines],
     ]
-    if found.beliefs:
-        noted = [_line_text(line, _belief(line)) for line in found.beliefs]
+    if timeline.beliefs:
+        noted = [
+            _format_line(line, _describe_fields(line)) for line in timeline.beliefs
+        ]
         blocks.append(["Noted there just before and meanwhile:", *noted])
-    blocks.append([f"Missing: {gap}" for gap in found.gaps])
+    blocks.append([f"Missing: {gap}" for gap in timeline.gaps])
     return "\n\n".join("\n".join(block) for block in blocks if block)
 
 
-def _line_text(line: LogLine, sentence: str) -> str:
-    at = datetime.fromtimestamp(line.at, tz=UTC)
+def _format_line(line: LogLine, sentence: str) -> str:
+    at = datetime.fromtimestamp(line.logged_at, tz=UTC)
     stamp = at.strftime("%H:%M:%S.") + f"{at.microsecond // 1000:03d}"
     return f"{stamp}  {line.process}  {sentence}"
 
 
-def _sentence(line: LogLine) -> str:
+def _describe_line(line: LogLine) -> str:
     get = line.fields.get
     match line.event:
         case "placed":
             return (
                 f"Placed on {get('server')} as send {get('send')} after "
-                f"{get('waited_s')} s in the queue: {get('why')}. {_version(line)}"
+                f"{get('waited_s')} s in the queue: {get('why')}. "
+                f"{_describe_version(line)}"
             )
         case "send-ended":
             return (
@@ -157,17 +162,17 @@
         case "refused":
             return (
                 f"Refused with status {get('status')} ({get('how')}): {get('why')} "
-                f"{_version(line)}"
+                f"{_describe_version(line)}"
             )
-    return _belief(line)
+    return _describe_fields(line)
 
 
-def _version(line: LogLine) -> str:
+def _describe_version(line: LogLine) -> str:
     version, age_s = line.fields.get("version"), line.fields.get("version_age_s")
     return f"Configuration {version}, known {age_s} s ago to be the newest."
 
 
-def _belief(line: LogLine) -> str:
+def _describe_fields(line: LogLine) -> str:
     fields = ", ".join(
         f"{name} {value}"
         for name, value in line.fields.items()
--- /dev/null
+++ b/src/kingcupwheel/trace/timeline.py
@@ -0,0 +1,200 @@
+"""The story of one request, from the parts that processes and batches hold."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from kingcupwheel.trace.event_descriptions import describe_event
+from kingcupwheel.trace.event_order import merge_events
+from kingcupwheel.trace.events import AttemptDispatched
+from kingcupwheel.trace.events import RequestFinished
+from kingcupwheel.trace.events import RequestPlaced
+from kingcupwheel.trace.events import RequestReceived
+from kingcupwheel.trace.events import TraceEvent
+from kingcupwheel.utils.request_ids import parse_request_id
+
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+# Clocks are kept within some milliseconds of each other; more than this is told.
+_MAX_CLOCK_SKEW_S = 0.05
+
+
+class TraceSource(StrEnum):
+    """Where a part of a story came from."""
+
+    LIVE = "live"
+    BATCHES = "batches"
+    NOT_FOUND = "nowhere"
+
+
+class ProcessTrace(msgspec.Struct, frozen=True):
+    """What one process recorded; ``gaps`` say what may be missing, and why."""
+
+    process: str
+    source: TraceSource
+    events: tuple[TraceEvent, ...] = ()
+    gaps: tuple[str, ...] = ()
+
+
+class OutcomeState(StrEnum):
+    """Whether the story has its end.
+
+    ``CONTRADICTORY`` is a fault of the system: more than one final outcome.
+    """
+
+    FINISHED = "finished"
+    IN_PROGRESS = "under-way"
+    OUTCOME_MISSING = "outcome-missing"
+    CONTRADICTORY = "contradictory"
+    UNKNOWN = "unknown"
+
+
+class TimelineLine(msgspec.Struct, frozen=True):
+    """One sentence, the Unix time and the process that says so."""
+
+    recorded_at: float = msgspec.field(name="at")
+    process: str
+    sentence: str
+
+
+class RequestTimeline(msgspec.Struct, frozen=True):
+    """What became of one request.
+
+    ``outcome`` is the outcome told to the caller, empty unless ``state`` is finished;
+    ``manifest_version`` is the one in force at arrival, None if not known.
+    """
+
+    request_id: str
+    state: OutcomeState
+    outcome: str
+    reason: str
+    manifest_version: int | None
+    lines: tuple[TimelineLine, ...]
+    gaps: tuple[str, ...]
+    parts: tuple[ProcessTrace, ...]
+
+    @property
+    def is_complete(self) -> bool:
+        """True if nothing is known to be missing."""
+        return not self.gaps and self.state is not OutcomeState.CONTRADICTORY
+
+
+def build_timeline(request_id: str, traces: Iterable[ProcessTrace]) -> RequestTimeline:
+    """Return the story that ``parts``, one for each process, make up."""
+    kept = tuple(traces)
+    parsed = parse_request_id(request_id)
+    entry = parsed.entry if parsed else ""
+    events = merge_events(entry, tuple(part.events for part in kept))
+    received = _find_received(events)
+    endings = _list_final_outcomes(events, entry)
+    state = _determine_state(kept, endings, entry)
+    return RequestTimeline(
+        request_id=request_id,
+        state=state,
+        outcome=endings[0].outcome if state is OutcomeState.FINISHED else "",
+        reason=endings[0].reason if state is OutcomeState.FINISHED else "",
+        manifest_version=_manifest_version(received),
+        lines=_build_lines(events, entry, received.recorded_at if received else None),
+        gaps=(
+            *_describe_outcome_gaps(state, events, endings, entry),
+            *_list_gaps(kept),
+        ),
+        parts=kept,
+    )
+
+
+def list_servers(events: Iterable[TraceEvent]) -> tuple[str, ...]:
+    """Return the servers that the events name as placed on, in order."""
+    named = {
+        event.event.server: None
+        for event in events
+        if isinstance(event.event, RequestPlaced | AttemptDispatched)
+    }
+    return tuple(named)
+
+
+def _find_received(events: list[TraceEvent]) -> TraceEvent | None:
+    return next((e for e in events if isinstance(e.event, RequestReceived)), None)
+
+
+def _manifest_version(received: TraceEvent | None) -> int | None:
+    if received is None or not isinstance(received.event, RequestReceived):
+        return None
+    return received.event.manifest_version
+
+
+def _list_final_outcomes(events: list[TraceEvent], entry: str) -> list[RequestFinished]:
+    return [
+        event.event
+        for event in events
+        if event.process == entry and isinstance(event.event, RequestFinished)
+    ]
+
+
+def _determine_state(
+    traces: tuple[ProcessTrace, ...], final_outcomes: list[RequestFinished], entry: str
+) -> OutcomeState:
+    if len(final_outcomes) > 1:
+        return OutcomeState.CONTRADICTORY
+    if final_outcomes:
+        return OutcomeState.FINISHED
+    told = next((part for part in traces if part.process == entry), None)
+    if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
+        return OutcomeState.IN_PROGRESS
+    if any(part.events for part in traces):
+        return OutcomeState.OUTCOME_MISSING
+    return OutcomeState.UNKNOWN
+
+
+def _build_lines(
+    events: list[TraceEvent], entry: str, arrived_at: float | None
+) -> tuple[TimelineLine, ...]:
+    lines = []
+    latest = 0.0
+    for event in events:
+        own = arrived_at if event.process == entry else None
+        text = describe_event(event, entry=entry, arrived_at=own)
+        if latest - event.recorded_at > _MAX_CLOCK_SKEW_S:
+            text += (
+                f" (Its clock is {latest - event.recorded_at:.3f} s or more behind.)"
+            )
+        latest = max(latest, event.recorded_at)
+        lines.append(TimelineLine(event.recorded_at, event.process, text))
+    return tuple(lines)
+
+
+def _describe_outcome_gaps(
+    state: OutcomeState,
+    events: list[TraceEvent],
+    final_outcomes: list[RequestFinished],
+    entry: str,
+) -> tuple[str, ...]:
+    match state:
+        case OutcomeState.CONTRADICTORY:
+            words = " and ".join(ending.outcome for ending in final_outcomes)
+            return (f"{entry} recorded {len(final_outcomes)} final outcomes: {words}.",)
+        case OutcomeState.OUTCOME_MISSING:
+            return (
+                f"What {entry} told the caller is missing. "
+                f"{_describe_last_attempt(events)}",
+            )
+        case _:
+            return ()
+
+
+def _describe_last_attempt(events: list[TraceEvent]) -> str:
+    ended = [event for event in events if isinstance(event.event, RequestFinished)]
+    if not ended:
+        return "No process recorded an end of the work."
+    last = ended[-1]
+    outcome = last.event.outcome if isinstance(last.event, RequestFinished) else ""
+    return f"{last.process} recorded that its attempt ended as {outcome}."
+
+
+def _list_gaps(traces: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
+    return tuple(gap for part in traces for gap in part.gaps)
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_TIMEOUT_S = 60.0
+_READ_TIMEOUT_S = 60.0
 _OUTCOME_EVENT = b"event: kingcupwheel\ndata: "
 
 
@@ -29,9 +29,9 @@
     headers: dict[str, str]
     body: bytes
     outcome: str
-    whole: bool
+    is_complete: bool
     first_byte_s: float
-    took_s: float
+    duration_s: float
 
     @property
     def request_id(self) -> str:
@@ -44,7 +44,7 @@
         return msgspec.json.decode(self.body)
 
 
-class Unanswered(NamedTuple):
+class ConnectionFailure(NamedTuple):
     """The connection failed before any answer."""
 
     detail: str
@@ -53,7 +53,7 @@
 class Caller:
     """Calls entries with one organisation's key; safe from any thread."""
 
-    def __init__(self, key: str, *, timeout_s: float = _TIMEOUT_S) -> None:
+    def __init__(self, key: str, *, timeout_s: float = _READ_TIMEOUT_S) -> None:
         self._key = key
         self._pool = urllib3.PoolManager(
             maxsize=256,
@@ -70,7 +70,7 @@
         method: str = "POST",
         idempotency_key: str = "",
         headers: dict[str, str] | None = None,
-    ) -> Reply | Unanswered:
+    ) -> Reply | ConnectionFailure:
         """Send one request and read its whole answer."""
         started = time.monotonic()
         sent = {"Authorization": f"Bearer {self._key}", **(headers or {})}
@@ -83,10 +83,10 @@
                 method, url, body=payload, headers=sent, preload_content=False
             )
         except urllib3.exceptions.HTTPError as error:
-            return Unanswered(str(error))
-        return _read(response, started)
+            return ConnectionFailure(str(error))
+        return _read_reply(response, started)
 
-    def gaps(self, address: str, path: str, body: Any) -> list[float]:
+    def measure_chunk_gaps(self, address: str, path: str, body: Any) -> list[float]:
         """Return the times in seconds between the chunks of a streamed answer."""
         response = self._pool.request(
             "POST",
@@ -97,7 +97,7 @@
         )
         gaps: list[float] = []
         last = 0.0
-        for _ in _parts(response):
+        for _ in _read_chunks(response):
             now = time.monotonic()
             if last:
                 gaps.append(now - last)
@@ -106,12 +106,12 @@
         return gaps
 
 
-def _read(response: urllib3.BaseHTTPResponse, started: float) -> Reply:
+def _read_reply(response: urllib3.BaseHTTPResponse, started: float) -> Reply:
     parts: list[bytes] = []
     first_at = 0.0
     whole = True
     try:
-        for part in _parts(response):
+        for part in _read_chunks(response):
             first_at = first_at or time.monotonic()
             parts.append(part)
     except (urllib3.exceptions.HTTPError, OSError):
@@ -128,7 +128,7 @@
     )
 
 
-def _parts(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def _read_chunks(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     while part := response.read1():
         yield part
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -14,15 +14,15 @@
 
     entries: int = 370
     servers: int = 1000
-    requests: float = 3200.0
-    tokens: float = 860_000.0
+    requests_per_s: float = 3200.0
+    tokens_per_s: float = 860_000.0
     organisations: int = 43_000
     models: int = 5
     ranks: int = 32
     experts: int = 128
     data_centres: int = 8
-    changes_a_day: int = 720
-    restarts_a_day: int = 79
+    changes_per_day: int = 720
+    restarts_per_day: int = 79
 
     @property
     def processes(self) -> int:
@@ -43,14 +43,14 @@
 
     cpu_share: float = 0.022
     memory_bytes: float = 256e6
-    bytes_s: float = 11e3
-    writes_s: float = 300.0
-    reads_s: float = 2000.0
+    bytes_per_s: float = 11e3
+    writes_per_s: float = 300.0
+    reads_per_s: float = 2000.0
 
 
 # One in so many organisations in use is taken to be short of an equal share at some
 # entry, so that shares are told of it. An assumption: no traffic of that size was seen.
-SHORT_OF_ALLOWANCE = 10
+ORGANISATIONS_PER_SHORT_ONE = 10
 
 
 class Design(NamedTuple):
@@ -69,32 +69,41 @@
     instances_s: float = Timings().instances_s
     watch_s: float = Timings().watch_s
     trace_batch_s: float = Timings().trace_batch_s
-    traces: int = EntryLimits().traces
-    changed_only: bool = True
+    trace_limit: int = EntryLimits().traces
+    has_conditional_reads: bool = True
     poll_s: float = 2.0
-    shared: int = Target().organisations // SHORT_OF_ALLOWANCE
+    shared_organisations: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
 
 
 TARGET = Target()
 LIMITS = Limits()
-TODAY = Design("as it is, a group a model", server_groups=TARGET.models)
-RANKED = Design("as it is, a group an engine", server_groups=TARGET.groups)
+CURRENT_DESIGN = Design("as it is, a group a model", server_groups=TARGET.models)
+GROUP_PER_ENGINE_DESIGN = Design(
+    "as it is, a group an engine", server_groups=TARGET.groups
+)
 # What the page proposes and is not built; the model only works it out.
-STRETCHED = Design(
+PROPOSED_DESIGN = Design(
     "proposed",
     server_groups=TARGET.models,
     heartbeat_s=6.0,
     instances_s=5.0,
-    changed_only=True,
+    has_conditional_reads=True,
     poll_s=6.0,
     # Allowances over one entry's part of the peak; the rest need not be split.
-    shared=int(TARGET.tokens / ENTRY_WORK_PER_S),
+    shared_organisations=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
 )
 # The sizes of today, each entry as busy as at the target.
 SMALL_TARGET = Target(
-    entries=7, servers=19, requests=60.0, tokens=16_000.0, organisations=10, ranks=16
+    entries=7,
+    servers=19,
+    requests_per_s=60.0,
+    tokens_per_s=16_000.0,
+    organisations=10,
+    ranks=16,
+)
+SMALL_DESIGN = Design(
+    "as it is, today's sizes", server_groups=2, shared_organisations=10
 )
-SMALL = Design("as it is, today's sizes", server_groups=2, shared=10)
-DESIGNS = (TODAY, RANKED, STRETCHED)
+DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, PROPOSED_DESIGN)
 # Renewals of a lease, as designed; not a measurement.
-RENEW_S = 3.0
+LEASE_RENEWAL_S = 3.0
--- a/tools/features.py
+++ b/tools/features.py
@@ -16,34 +16,34 @@
 
 import click
 
-from tools.processes import environment
+from tools.processes import build_environment
 
 
 _ROOT = Path(__file__).resolve().parent.parent
-_AT_A_TIME = 4
+_MAX_PARALLEL_FILES = 4
 # Far above what the longest file needs; a hang must not hold up CI for ever.
-_TIMEOUT_S = 1200
-_COUNTS = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
+_FILE_TIMEOUT_S = 1200
+_COUNTS_PATTERN = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
 
 
-class Ran(NamedTuple):
+class FeatureResult(NamedTuple):
     """One feature file's result."""
 
     path: Path
-    code: int
+    exit_code: int
     output: str
-    took_s: float
+    duration_s: float
 
     @property
-    def counts(self) -> tuple[int, int]:
+    def scenario_counts(self) -> tuple[int, int]:
         """Scenarios passed, and failed for whatever reason."""
-        found = _COUNTS.search(self.output)
+        found = _COUNTS_PATTERN.search(self.output)
         if found is None:
             return 0, 1
         return int(found[1]), int(found[2]) + int(found[3] or 0)
 
 
-def run_file(path: Path) -> Ran:
+def run_file(path: Path) -> FeatureResult:
     """Run the scenarios of one file."""
     began = time.monotonic()
     command = [sys.executable, "-m", "behave", "--no-capture", str(path)]
@@ -51,17 +51,17 @@
         done = subprocess.run(
             command,
             cwd=_ROOT,
-            env=environment(),
+            env=build_environment(),
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
-            timeout=_TIMEOUT_S,
+            timeout=_FILE_TIMEOUT_S,
             check=False,
         )
         code, output = done.returncode, done.stdout
     except subprocess.TimeoutExpired as error:
-        code, output = 1, f"{error.output}\nnot within {_TIMEOUT_S} s"
-    return Ran(path, code, output, time.monotonic() - began)
+        code, output = 1, f"{error.output}\nnot within {_FILE_TIMEOUT_S} s"
+    return FeatureResult(path, code, output, time.monotonic() - began)
 
 
 def main() -> None:
@@ -69,15 +69,15 @@
     named = [Path(argument) for argument in sys.argv[1:]]
     paths = named or sorted((_ROOT / "features").glob("*.feature"))
     passed = failed = 0
-    with ThreadPoolExecutor(_AT_A_TIME) as pool:
+    with ThreadPoolExecutor(_MAX_PARALLEL_FILES) as pool:
         for ran in pool.map(run_file, paths):
-            good, bad = ran.counts
+            good, bad = ran.scenario_counts
             passed += good
-            failed += bad or (ran.code != 0)
+            failed += bad or (ran.exit_code != 0)
             click.echo(
-                f"{ran.path.name}: {good} passed, {bad} failed, {ran.took_s:.0f} s"
+                f"{ran.path.name}: {good} passed, {bad} failed, {ran.duration_s:.0f} s"
             )
-            if ran.code:
+            if ran.exit_code:
                 click.echo(ran.output)
     click.echo(f"scenarios: {passed} passed, {failed} failed")
     sys.exit(1 if failed or not passed else 0)
