--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,8 +1,8 @@
 Feature: A request that may not be repeated runs at most once
 
   Scenario: One key sent to two entries at once
-    # Two callers' devices send the same reservation at the same moment. Both see the one
-    # answer of the one run: the platform lets one claim through, the other entry joins.
+    # Two devices of a caller send the same reservation concurrently. The platform
+    # accepts one claim; the other entry joins that run, so both get the same answer.
     Given a fleet of 2 entries and 2 services, one of each in a data centre
     And service service-1 takes 500 ms for each call
     And service service-2 takes 500 ms for each call
@@ -13,8 +13,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The entry dies while the request runs
-    # The first caller's connection breaks; it sends again elsewhere and gets the answer
-    # of the run that went on, because the claim names the agent that holds it.
+    # The caller's connection breaks and it retries at another entry. The claim names
+    # the agent that holds the run, so the retry gets that run's answer.
     Given a fleet of 2 entries and 2 services, one of each in a data centre
     And service service-1 takes 1500 ms for each call
     And service service-2 takes 1500 ms for each call
@@ -27,8 +27,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The entry is paused between claim and dispatch
-    # The claim stands, the dispatch was never sent. The resend at the other entry raises
-    # the fence at the agent and runs; the paused entry wakes and only joins that run.
+    # The claim is stored but the dispatch was not sent. The retry at the other entry
+    # raises the fence at the agent and runs; the resumed entry only joins that run.
     Given a fleet of 2 entries and 2 services, one of each in a data centre
     When the platform answers writes 1.5 s late
     And "first" reserves part "PN-3" at entry-1 with key "paused"
@@ -43,8 +43,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The claim's confirmation is lost
-    # The claim takes effect, its answer does not come. The entry reads it back, finds its
-    # own nonce and goes on; the caller notices nothing.
+    # The claim takes effect but the response is lost. The entry reads the claim back,
+    # recognises its own nonce and continues; the caller sees no error.
     Given a fleet of 1 entries, 0 engines and 1 services
     And the platform loses the answers of the next 20 writes
     When "first" reserves part "PN-4" at entry-1 with key "unconfirmed"
@@ -52,8 +52,8 @@
     And key "unconfirmed" ran 1 times
 
   Scenario: The agent dies while the request runs
-    # Nobody can know whether the run took effect: the caller is told unknown, and so is
-    # every resend, also after the agent has come back.
+    # It can't be known whether the run took effect. The caller and every retry get
+    # outcome unknown, also after the agent has restarted.
     Given a fleet of 2 entries and 2 services, one of each in a data centre
     And service service-1 takes 1500 ms for each call
     When "first" reserves part "PN-5" at entry-1 with key "agent-dies"
@@ -66,8 +66,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The platform is down
-    # Without a claim nothing may run; the refusal is at once and true. Requests that may
-    # be repeated go on.
+    # Without a claim a request that may not be repeated must not run: it is refused at
+    # once as not-run. Repeatable requests are still served.
     Given a fleet of 1 entries, 1 engines and 1 services
     And the platform is down
     When "refused" reserves part "PN-6" at entry-1 with key "outage"
@@ -81,7 +81,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The same key with another body
-    # The key names the first request; another body under it is a mistake of the caller.
+    # An idempotency key identifies the first request; reusing it with another body is a
+    # caller error.
     Given a fleet of 1 entries, 0 engines and 1 services
     When "first" reserves part "PN-7" at entry-1 with key "reused"
     Then "first" gets the whole answer
@@ -90,8 +91,8 @@
     And key "reused" ran 1 times
 
   Scenario: The caller gives up waiting and sends again
-    # Its own deadline passes while the request runs: it is told unknown, not that it was
-    # not run, and the run goes on. The resend gets the answer of that one run.
+    # The caller's own deadline passes while the request runs. The outcome is unknown,
+    # not not-run, and the run continues; the retry gets its answer.
     Given a fleet of 1 entries, 0 engines and 1 services
     And service service-1 takes 2500 ms for each call
     When "hasty" reserves part "PN-11" at entry-1 with key "hasty" within 1 s
@@ -101,8 +102,8 @@
     And key "hasty" ran 1 times
 
   Scenario: The entry and the agent die together
-    # Both parts that knew of the run are gone. The resend finds the claim, the named
-    # agent's life is over, and the truth is unknown.
+    # Both processes that knew of the run are gone. The retry finds the claim, but the
+    # incarnation of the agent that it names has ended, so the outcome is unknown.
     Given a fleet of 2 entries, 0 engines and 1 services
     And service service-1 takes 1500 ms for each call
     When "first" reserves part "PN-9" at entry-1 with key "both-die"
@@ -115,8 +116,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: The link between entry and agent freezes while the request runs
-    # The connection accepts and says nothing for good. The entry opens a new one and
-    # resumes there; it never asks a second agent.
+    # The connection accepts data but never answers. The entry opens a new one and
+    # resumes the run there; it never dispatches to a second agent.
     Given a fleet of 1 entries, 0 engines and 1 services behind relays
     And service service-1 takes 3000 ms for each call
     When "first" reserves part "PN-10" at entry-1 with key "frozen"
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,16 +1,16 @@
 Feature: An accepted configuration is in force everywhere and never reverts
 
   Scenario: Two operators race
-    # Both saw the same version; one submission is accepted, the other operator is told
-    # that another one came first, and nothing of the loser's is in force.
+    # Both submit for the same version. One submission is accepted; the other is
+    # rejected with the reason, and none of its manifest takes effect.
     Given a fleet of 2 entries, 1 engines and 0 services
     When two operators submit different manifests for the version they both saw
     Then one is accepted and the other is told that it lost the race
     And every process is on the accepted version within 7 s
 
   Scenario: The confirmation of a submission is lost
-    # The index was written and the answer did not come; the command reads it back and
-    # says that the manifest was accepted.
+    # The index was written but the response was lost. The command reads it back and
+    # reports that the manifest was accepted.
     Given a fleet of 1 entries, 1 engines and 0 services
     And the platform loses the answers of the next 50 writes
     When an operator submits a manifest for the version seen, with path "/v1/new"
@@ -18,8 +18,8 @@
     And every process is on the accepted version within 7 s
 
   Scenario: A paused entry wakes after two changes
-    # It has missed both. Whatever it hears first, it ends on the latest and a request at
-    # the new path is answered there.
+    # The entry missed both versions. In whatever order it learns of them, it ends on
+    # the latest and serves the new path.
     Given a fleet of 2 entries, 1 engines and 0 services
     When entry entry-1 is paused
     And an operator submits a manifest in which "/v1/one" leads to the engines
@@ -29,7 +29,7 @@
     And only path "/v1/two" is served by entry-1, not "/v1/one"
 
   Scenario: Reads are stale after the platform comes back
-    # The platform answers an old version for a while; nobody goes back to it.
+    # The platform returns an old version for a while; no process reverts to it.
     Given a fleet of 2 entries, 1 engines and 0 services
     When an operator submits a manifest in which "/v1/new" leads to the engines
     Then every process is on the accepted version within 7 s
@@ -44,8 +44,8 @@
     Then every process is on the accepted version within 7 s
 
   Scenario: An entry that lost the platform follows its peer
-    # Only its connection to the platform is cut. It hears the newer version in a peer's
-    # heartbeat and copies the objects from there.
+    # Only its connection to the platform is cut. It learns of the newer version from a
+    # peer's heartbeat and copies the objects from that peer.
     Given a fleet of 1 entries, 1 engines and 0 services
     And an entry that reaches the platform through a relay
     When the relay to the platform is set to cut
@@ -53,16 +53,16 @@
     Then path "/v1/new" is served by entry-relayed
 
   Scenario: A fresh entry starts in an outage
-    # The platform is down; the new entry asks the addresses in its settings for the list
-    # of instances and copies the manifest from peers.
+    # The platform is down. The new entry gets the list of instances from the seed
+    # addresses in its settings and copies the manifest from peers.
     Given a fleet of 2 entries, 1 engines and 0 services
     And the platform is down
     When a fresh entry starts with entry-1 and entry-2 as seeds
     Then path "/v1/completions" is served by entry-fresh
 
   Scenario: A request in progress ends under the manifest it was admitted with
-    # The organisation is removed while its answer streams; nobody is cut off, and the
-    # next request is refused.
+    # The organisation is removed while its answer is streamed: the stream completes,
+    # and the next request is refused.
     Given a fleet of 1 entries, 1 engines and 0 services
     And engine engine-1 takes 50 ms for each step
     When "under way" streams 60 tokens from entry-1
@@ -74,8 +74,8 @@
     Then "too late" is told 401 with outcome not-run
 
   Scenario: The platform goes down during a change and an entry is paused
-    # Two failures at once: the index is accepted, then the platform is gone and one entry
-    # sleeps. It wakes in the outage and gets the change from its peer.
+    # Two failures at once: the index is accepted, then the platform goes down while one
+    # entry is paused. Resumed in the outage, the entry gets the change from its peer.
     Given a fleet of 2 entries, 1 engines and 0 services
     When entry entry-1 is paused
     And an operator submits a manifest in which "/v1/new" leads to the engines
--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -1,9 +1,9 @@
 Feature: A request that crashes every server that runs it
 
   Scenario: The caller sends it again and again at several entries
-    # Each server that runs it dies. After two deaths the request is refused as
-    # quarantined, under whatever key and at whatever entry; the refusal says that earlier
-    # sends ran. Other callers' requests are answered and never blamed.
+    # Each server that runs the request dies. After two deaths the request is refused as
+    # quarantined, under any key and at any entry; the refusal says that earlier sends
+    # ran. Other callers' requests are answered and never quarantined.
     Given a fleet of 2 entries, 4 engines and 0 services
     And every engine dies of "poison" and is started again
     And 4 callers stream 20 tokens each without pause
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,9 +1,9 @@
 Feature: Leaving and planned stops cut nobody off
 
   Scenario: Every agent and every entry is replaced under load
-    # Callers stream without pause while one process after the other is told to stop and
-    # a new one takes its place. Each stream lasts longer than a leaving entry accepts
-    # new ones, so every stop meets some in progress. None is cut, lost or doubled.
+    # Callers stream continuously while the processes are stopped and replaced one by
+    # one. Each stream lasts longer than a leaving entry accepts new ones, so every stop
+    # finds streams in progress. None is cut, lost or duplicated.
     Given a fleet of 2 entries, 2 engines and 0 services
     And engine engine-1 takes 50 ms for each step
     And engine engine-2 takes 50 ms for each step
@@ -16,8 +16,8 @@
     And no key ran twice and every not-run is true
 
   Scenario: An agent is paused while the list says it leaves
-    # The agent can't tell that it leaves. The platform's list is enough: no new work
-    # goes there, and nothing waits for it.
+    # A paused agent can't announce that it leaves. The platform's list is enough: no
+    # new work is placed there and no request waits for it.
     Given a fleet of 1 entries, 2 engines and 0 services
     When the list says that engine-1 is leaving
     And 1.5 s pass
@@ -27,8 +27,8 @@
     And none of 8 streams "around" was placed on engine-1
 
   Scenario: A leaving agent is heard though the platform is down
-    # The list can't be read; the agent says itself that it leaves, and from then on
-    # nothing is placed there.
+    # The list can't be read. The agent announces itself that it leaves, and no request
+    # is placed there from then on.
     Given a fleet of 1 entries, 2 engines and 0 services
     And engine engine-1 takes 50 ms for each step
     And engine engine-2 takes 50 ms for each step
--- a/features/refusals.feature
+++ b/features/refusals.feature
@@ -1,8 +1,8 @@
 Feature: Bad requests get a clear refusal and callers see only what is theirs
 
   Scenario: Each limit refuses with its own reason, truly not run
-    # Malformed, foreign or oversized requests are turned away at the entry; the reason is
-    # machine-readable and nothing reaches a backend server.
+    # Malformed, unauthorised or oversized requests are refused by the entry with a
+    # machine-readable reason and never reach a backend server.
     Given a fleet of 1 entries, 1 engines and 1 services
     Then these requests to entry-1 are refused as not-run
       | method | path             | key   | body         | header              | status | reason                  |
@@ -18,7 +18,7 @@
       | POST   | /v1/reservations | own   | {}           |                     | 400    | idempotency-key-missing |
 
   Scenario: An organisation sees only its own requests
-    # The id of another organisation's request is answered as if it did not exist.
+    # A request id of another organisation is answered like an id that does not exist.
     Given a fleet of 1 entries, 1 engines and 0 services
     When "mine" streams 5 tokens from entry-1
     Then "mine" gets its 5 tokens
@@ -27,8 +27,8 @@
     And operators find "mine" at entry-1 and see it healthy
 
   Scenario: A flood of one organisation is refused at once and the other is served
-    # One organisation sends far more than its allowance; each refusal says when to come
-    # back, and the other organisation's requests are all answered.
+    # One organisation exceeds its allowance by far. Each refusal says when to retry,
+    # and all requests of the other organisation are answered.
     Given a fleet of 1 entries, 1 engines and 0 services
     And engine engine-1 takes 20 ms for each step
     When the first organisation sends 60 requests at once with an allowance of 8
