--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Judges each scenario that passed, and ends its processes."""
+"""Behave hooks: check each passed scenario's counters and traces, stop its fleet."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Check counters and traces, whatever the scenario was about; stop the fleet.
+    """Check the counters and traces of every passed scenario, then stop the fleet.
 
-    A failure here fails the scenario. Logs are shown if it failed.
+    A failed check fails the scenario. The logs of a failed scenario are printed.
     """
     world = getattr(context, "world", None)
     if world is None:
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -1,4 +1,4 @@
-"""Steps in which callers send requests."""
+"""Steps that send requests as callers and check the replies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def start_reservation_with_deadline(
     context: Any, name: str, part: str, entry: str, key: str, seconds: int
 ) -> None:
-    """Start a request that may not be repeated, with a deadline of the caller's own."""
+    """Start a request that may not be repeated, with a deadline set by the caller."""
     context.world.start_call(
         name,
         entry,
@@ -55,14 +55,14 @@
 def start_completion(
     context: Any, name: str, prompt: str, entry: str, key: str
 ) -> None:
-    """Start an unstreamed completion under an idempotency key."""
+    """Start a completion without streaming, under an idempotency key."""
     body = {"prompt": prompt, "max_tokens": 5}
     context.world.start_call(name, entry, COMPLETIONS, body, idempotency_key=key)
 
 
 @when('{count:d} streams "{prefix}" of {tokens:d} tokens are spread over the entries')
 def start_streams(context: Any, count: int, prefix: str, tokens: int) -> None:
-    """Start many streams at once."""
+    """Start streams at all entries in turn."""
     entries = list(context.world.fleet.entries)
     for number in range(count):
         entry = entries[number % len(entries)]
@@ -71,7 +71,7 @@
 
 @given("{streams:d} callers stream {tokens:d} tokens each without pause")
 def start_load(context: Any, streams: int, tokens: int) -> None:
-    """Keep the fleet under load until the callers are told to stop."""
+    """Start a background load that runs until it is stopped."""
     world = context.world
     world.background_load = BackgroundLoad(
         world, list(world.fleet.entries), streams, tokens
@@ -80,19 +80,19 @@
 
 @when("the callers use {names} only")
 def use_entries(context: Any, names: str) -> None:
-    """Let the callers follow discovery to other entries."""
+    """Send the background load to other entries."""
     context.world.background_load.set_entries(names.split(" and "))
 
 
 @when("the callers stop")
 def stop_load(context: Any) -> None:
-    """Let what is under way end."""
+    """Stop the background load and wait for its calls in progress."""
     context.world.background_load.stop()
 
 
 @when('the run of key "{key}" has begun')
 def wait_for_run(context: Any, key: str) -> None:
-    """Wait until a backend server counts the run."""
+    """Wait until a backend server has counted the run."""
     world = context.world
     try:
         wait_until(
@@ -108,7 +108,7 @@
 
 @when("{name} has {count:d} runs")
 def wait_for_runs(context: Any, name: str, count: int) -> None:
-    """Wait until the agent's backend server has begun so many runs."""
+    """Wait until the agent's backend server has started ``count`` runs."""
     fleet = context.world.fleet
     wait_until(
         lambda: sum(fleet.get_run_counts(name)["by_request_id"].values()) >= count,
@@ -119,7 +119,7 @@
 
 @when('the claim of key "{key}" exists')
 def wait_for_claim(context: Any, key: str) -> None:
-    """Wait until the platform holds the claim."""
+    """Wait until the platform stores a claim."""
     fleet = context.world.fleet
     wait_until(
         lambda: any(name.startswith("claims/") for name in fleet.list_object_keys()),
@@ -145,24 +145,24 @@
 
 @then("nothing is under way at {entry} and {server}")
 def check_idle(context: Any, entry: str, server: str) -> None:
-    """Wait until entry and engine have given up what was left."""
+    """Wait until neither the entry nor the engine has work in progress."""
     fleet = context.world.fleet
-    operators = fleet.entries[entry].operator_address
+    operator_address = fleet.entries[entry].operator_address
 
-    def idle() -> bool:
-        status = fleet.get_json(operators, "/status")
-        busy = [one for one in status["servers"] if one["in_flight"]]
+    def is_idle() -> bool:
+        status = fleet.get_json(operator_address, "/status")
+        busy = [row for row in status["servers"] if row["in_flight"]]
         state = fleet.get_json(fleet.agents[server].server_address, "/engine/state")
         return not busy and not status["in_progress"] and not state["running"]
 
     wait_until(
-        idle, f"nothing under way at {entry} and {server}", CONDITION_TIMEOUT_S / 2
+        is_idle, f"nothing under way at {entry} and {server}", CONDITION_TIMEOUT_S / 2
     )
 
 
 @then('"{name}" gets the whole answer')
 def check_complete(context: Any, name: str) -> None:
-    """Check an answer of a backend server, marked as run."""
+    """Check for a complete answer of a backend server with outcome ``ran``."""
     reply = context.world.require_reply(name)
     assert reply.is_complete, reply
     assert reply.status == 200, reply
@@ -171,7 +171,7 @@
 
 @then('"{name}" and "{other}" get the same answer')
 def check_same(context: Any, name: str, other: str) -> None:
-    """Check that a resend got the first send's answer."""
+    """Check that a retry got the first request's answer."""
     check_complete(context, name)
     check_complete(context, other)
     assert (
@@ -199,31 +199,31 @@
 
 @then('"{name}" is told {status:d} with outcome {outcome}')
 def check_refusal(context: Any, name: str, status: int, outcome: str) -> None:
-    """Check a refusal."""
+    """Check the status and outcome of a refusal."""
     reply = context.world.require_reply(name)
     assert (reply.status, reply.outcome) == (status, outcome), reply
 
 
 @then('"{name}" is told outcome {outcome}')
 def check_outcome(context: Any, name: str, outcome: str) -> None:
-    """Check the outcome whatever the status."""
+    """Check the outcome, with any status."""
     reply = context.world.require_reply(name)
     assert reply.outcome == outcome, reply
 
 
 @then('"{name}" is told by "{limit}"')
 def check_refusal_reason(context: Any, name: str, limit: str) -> None:
-    """Check which bound a refusal names."""
+    """Check the reason of a refusal."""
     reply = context.world.require_reply(name)
     assert reply.json["error"]["reason"] == limit, reply
 
 
 @then('"{name}" is cut off and told outcome {outcome}')
 def check_truncated(context: Any, name: str, outcome: str) -> None:
-    """Check that a truncated answer can't be taken for a whole one.
+    """Check that a truncated answer can't be mistaken for a complete one.
 
-    The last event tells the outcome, and the connection ends without the mark of a
-    whole answer, for callers that look at one of them only.
+    The last event carries the outcome, and the connection ends without the marker of
+    a complete answer, for callers that check only one of them.
     """
     reply = context.world.require_reply(name)
     assert not reply.is_complete, reply
--- a/features/steps/command_line.py
+++ b/features/steps/command_line.py
@@ -16,7 +16,7 @@
 
 @when('the command "{line}" is run')
 def run_command(context: Any, line: str) -> None:
-    """Run ``kingcupwheel LINE`` and keep what it printed."""
+    """Run ``kingcupwheel LINE`` and store the completed process."""
     command = [sys.executable, "-m", "kingcupwheel", *shlex.split(line)]
     context.completed = subprocess.run(
         command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S, check=False
@@ -25,11 +25,11 @@
 
 @then("it exits with {code:d}")
 def check_exit_code(context: Any, code: int) -> None:
-    """Compare the exit code."""
+    """Check the exit code."""
     assert context.completed.returncode == code, context.completed.stderr
 
 
 @then('it prints "{text}"')
 def check_output(context: Any, text: str) -> None:
-    """Look for ``text`` on standard output."""
+    """Check that standard output contains ``text``."""
     assert text in context.completed.stdout, context.completed.stdout
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -1,4 +1,4 @@
-"""Steps about a group's expert map; the ranks' own records judge."""
+"""Steps for a group's expert map, checked against the ranks' step records."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @given("a group of {ranks:d} ranks with agents and an entry")
 def start_group(context: Any, ranks: int) -> None:
-    """Start ranks in lock-step, an agent and an engine beside each, and an entry."""
+    """Start lock-stepped ranks, an agent and an engine for each, and an entry."""
     world = World()
     context.world = world
     process, addresses = world.fleet.start_ranks(ranks, EXPERT_COUNT)
@@ -70,13 +70,13 @@
 
 @given("an agent coordinates the group")
 def wait_for_coordinator(context: Any) -> None:
-    """Wait until the group's lease is held."""
+    """Wait until an agent holds the group's lease."""
     _wait_for_lease_holder(context)
 
 
 @when("experts {first:d} and {second:d} become {factor:d} times as popular")
 def raise_popularity(context: Any, first: int, second: int, factor: int) -> None:
-    """Let two experts draw most of the load."""
+    """Make two experts receive more of the load."""
     context.maps_before = _fetch_step_record(context)["steps_by_map"]
     switch = {"hot": [first, second], "factor": float(factor)}
     context.world.fleet.post_json(context.ranks[0], "/test/switch", switch)
@@ -84,7 +84,7 @@
 
 @then("the group comes to run on another map")
 def check_map_changed(context: Any) -> None:
-    """Wait until all ranks run on a map that none had before."""
+    """Wait until the ranks run on a new map."""
     before = len(context.maps_before)
     wait_until(
         lambda: len(_fetch_step_record(context)["steps_by_map"]) > before,
@@ -95,7 +95,7 @@
 
 @then("the group goes on stepping")
 def check_stepping(context: Any) -> None:
-    """Wait until steps are run that were not yet when this was asked."""
+    """Wait until the group has run further steps."""
     seen = _fetch_step_record(context)["steps"]
     wait_until(
         lambda: _fetch_step_record(context)["steps"] > seen + 5,
@@ -106,7 +106,7 @@
 
 @then("no step was run on two maps")
 def check_no_mixed_steps(context: Any) -> None:
-    """Read every rank's records."""
+    """Check in the ranks' records that no step used two maps."""
     found = _fetch_step_record(context)
     assert not found["mixed"], found
     print(f"steps {found['steps']}, longest stall {found['longest_stall_s']:.2f} s")
@@ -135,13 +135,13 @@
 
 @when("the killed agent is started again")
 def restart_killed(context: Any) -> None:
-    """Start the agent anew."""
+    """Restart the stopped agent."""
     context.world.fleet.restart_agent(context.killed)
 
 
 @when("the agent that coordinates is paused for {seconds:d} s")
 def pause_coordinator(context: Any, seconds: int) -> None:
-    """Freeze the holder of the lease for longer than the lease runs."""
+    """Pause the lease holder for longer than the lease lasts."""
     process = context.world.fleet.agents[_wait_for_lease_holder(context)].process
     process.pause()
     time.sleep(seconds)
@@ -150,7 +150,7 @@
 
 @when("the agent that coordinates is stopped as planned")
 def stop_coordinator(context: Any) -> None:
-    """Ask the holder of the lease to stop and wait until it has ended."""
+    """Send SIGTERM to the lease holder."""
     context.killed = _wait_for_lease_holder(context)
     process = context.world.fleet.agents[context.killed].process
     process.terminate()
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps that start a fleet and bring about failures."""
+"""Steps that start a fleet and inject failures."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from features.world import build_manifest
 
 
-# Time for the entries to hear of a new life: a few heartbeats of TIMINGS.
+# A few heartbeats of TIMINGS, until the entries know the restarted incarnation.
 RESTART_SETTLE_S = 1.0
 
 
 @given("a fleet of {entries:d} entries, {engines:d} engines and {services:d} services")
 def start_fleet(context: Any, entries: int, engines: int, services: int) -> None:
-    """Start the processes, submit the manifest, wait until all serve."""
+    """Start the processes, submit the manifest and wait until all entries serve."""
     _start_fleet(context, entries, engines, services, relayed=False)
 
 
@@ -30,7 +30,7 @@
 def start_relayed_fleet(
     context: Any, entries: int, engines: int, services: int
 ) -> None:
-    """As above; entries reach agents through relays that can cut and freeze."""
+    """Start a fleet whose entries reach agents through controllable relays."""
     _start_fleet(context, entries, engines, services, relayed=True)
 
 
@@ -39,7 +39,7 @@
     "one of each in a data centre"
 )
 def start_spread_fleet(context: Any, entries: int, services: int) -> None:
-    """Start entry-N and service-N in data centre N: each prefers its own."""
+    """Start entry-N and service-N in data centre N; each entry prefers its own."""
     world = World()
     context.world = world
     for number in range(1, services + 1):
@@ -78,7 +78,7 @@
 
 @given("service {name} takes {delay_ms:d} ms for each call")
 def set_service_delay(context: Any, name: str, delay_ms: int) -> None:
-    """Make the service slow, so that a failure hits a request that runs."""
+    """Slow the service down so that a failure meets a running request."""
     context.world.fleet.set_server_faults(name, delay_ms=delay_ms)
 
 
@@ -92,38 +92,38 @@
 @given("the platform is {outage}")
 @when("the platform is {outage}")
 def set_outage(context: Any, outage: str) -> None:
-    """Turn an outage on (down, hang) or off (up)."""
+    """Set the platform's outage mode: down, hang or up."""
     context.world.fleet.set_platform_faults(outage="off" if outage == "up" else outage)
 
 
 @given("the platform loses the answers of the next {count:d} writes")
 @when("the platform loses the answers of the next {count:d} writes")
 def drop_write_responses(context: Any, count: int) -> None:
-    """Let writes take effect without an answer."""
+    """Make writes take effect without a response."""
     context.world.fleet.set_platform_faults(lose_answers=count)
 
 
 @when("the platform answers writes {seconds:g} s late")
 def delay_write_responses(context: Any, seconds: float) -> None:
-    """Let writes take effect at once and answer late."""
+    """Make writes take effect at once but respond late."""
     context.world.fleet.set_platform_faults(slow_answer_s=seconds)
 
 
 @when("the platform's reads are {versions:d} versions behind")
 def set_stale_reads(context: Any, versions: int) -> None:
-    """Let reads answer an older version."""
+    """Make reads return an older version."""
     context.world.fleet.set_platform_faults(stale=versions)
 
 
 @when("{seconds:g} s pass")
 def wait(context: Any, seconds: float) -> None:
-    """Let time pass for the fault to act; checks wait on conditions instead."""
+    """Give a fault time to act; checks wait for conditions instead."""
     time.sleep(seconds)
 
 
 @when("entry {name} is {deed}")
 def change_entry_process(context: Any, name: str, deed: str) -> None:
-    """Kill, pause, wake, stop or restart an entry."""
+    """Kill, pause, resume, stop or restart an entry."""
     world = context.world
     if deed == "restarted":
         world.fleet.entries[name].process.kill()
@@ -134,7 +134,7 @@
 
 @when("agent {name} is {deed}")
 def change_agent_process(context: Any, name: str, deed: str) -> None:
-    """Kill, pause, wake, stop or restart an agent."""
+    """Kill, pause, resume, stop or restart an agent."""
     world = context.world
     if deed == "restarted":
         world.fleet.agents[name].process.kill()
@@ -170,7 +170,7 @@
 
 @when("the relay of {name} is set to {mode}")
 def set_relay(context: Any, name: str, mode: str) -> None:
-    """Cut or freeze what passes between the entries and an agent."""
+    """Set the mode of the relay between the entries and an agent."""
     world = context.world
     world.fleet.set_relay_mode(world.fleet.agents[name].relay_control_address, mode)
 
@@ -186,26 +186,26 @@
 
 @when("the open connections to the server of {name} go silent")
 def silence_server_connections(context: Any, name: str) -> None:
-    """Let the engine's open connections say nothing for good; new ones work."""
+    """Make the engine's open connections silent for good; new ones work."""
     fleet = context.world.fleet
     fleet._call_stand_in("POST", fleet.agents[name].server_address, "/test/silence", {})
 
 
 @when("engine {name} crosses its answers")
 def swap_response_ids(context: Any, name: str) -> None:
-    """Let the engine answer under another run's id."""
+    """Make the engine answer under another run's id."""
     context.world.fleet.set_server_faults(name, crossed=True)
 
 
 @when("agent {name} has ended")
 def wait_for_agent(context: Any, name: str) -> None:
-    """Wait for a graceful stop."""
+    """Wait for the agent's graceful stop."""
     assert context.world.fleet.agents[name].process.wait() == 0
 
 
 @when("each agent is replaced in turn")
 def replace_agents(context: Any) -> None:
-    """Stop each agent gracefully and start it anew."""
+    """Stop each agent gracefully and restart it."""
     world = context.world
     for name in list(world.fleet.agents):
         _stop_gracefully(world.fleet.agents[name].process)
@@ -215,7 +215,7 @@
 
 @when("each entry is replaced in turn")
 def replace_entries(context: Any) -> None:
-    """Stop each entry gracefully, as discovery tells callers, and start it anew."""
+    """Stop each entry gracefully, move callers to the others, and restart it."""
     world = context.world
     for name in list(world.fleet.entries):
         others = [other for other in world.fleet.entries if other != name]
