--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -1,9 +1,10 @@
-"""Copies of the sources, each with one mechanism switched off.
+"""Writes copies of the sources, each with one mechanism disabled.
 
-``python -m tools.ablations FOLDER [NAME ...]`` writes a copy for each name (for all if
-none is given) into FOLDER/NAME, to be played beside the sources themselves. A mechanism
-is switched off by replacing a few lines, so the product carries no switches; lines that
-are no longer there are an error, and a test holds the list against the sources.
+``python -m tools.ablations FOLDER [NAME ...]`` writes a copy for each name (for every
+mechanism if none is given) into FOLDER/NAME, to be compared with the unchanged sources.
+A mechanism is disabled by replacing a few lines, so that the product needs no switches
+for it. A line that is not found is an error, and a test checks every edit against the
+sources.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 ROOT = Path(__file__).parents[1]
 _PACKAGE = Path("src/kingcupwheel")
-# What a build and a play need.
+# Needed to build and run a copy.
 _COPIED_PATHS = ("src", "deploy", "requirements", "pyproject.toml")
 
 
 class Edit(NamedTuple):
-    """Lines of one file, below the package, and what stands in their place."""
+    """A replacement of lines; ``path`` is relative to the package."""
 
     path: str
     old: str
@@ -199,21 +200,24 @@
 
 
 def apply_edits(name: str, root: Path = ROOT) -> dict[Path, str]:
-    """Return the changed files by path; ValueError if a line is not there just once."""
+    """Return the texts of the changed files by path.
+
+    Raises ValueError if an edit's old lines do not occur exactly once.
+    """
     texts: dict[Path, str] = {}
     for edit in ABLATIONS[name]:
         path = _PACKAGE / edit.path
         text = texts.get(path) or (root / path).read_text()
         if text.count(edit.old) != 1:
             raise ValueError(
-                f"{name}: {path} has {edit.old!r} {text.count(edit.old)} x"
+                f"{name}: {path} contains {edit.old!r} {text.count(edit.old)} times"
             )
         texts[path] = text.replace(edit.old, edit.new)
     return texts
 
 
 def write_ablated_copy(name: str, folder: Path) -> Path:
-    """Write the sources with one mechanism switched off; return the copy's folder."""
+    """Write the sources with one mechanism disabled; return the copy's folder."""
     texts = apply_edits(name)
     copy = folder / name
     copy.mkdir(parents=True)
@@ -230,12 +234,14 @@
 
 
 def main() -> None:
-    """Write the copies asked for."""
+    """Write the copies named on the command line."""
     if len(sys.argv) < 2:
         raise SystemExit(__doc__)
     for name in sys.argv[2:] or ABLATIONS:
         if name not in ABLATIONS:
-            raise SystemExit(f"no mechanism {name!r}; there are {', '.join(ABLATIONS)}")
+            raise SystemExit(
+                f"unknown mechanism {name!r}; known: {', '.join(ABLATIONS)}"
+            )
         print(write_ablated_copy(name, Path(sys.argv[1])))
 
 
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -1,4 +1,4 @@
-"""A caller for demonstrations, tests and measurements."""
+"""An HTTP client of entries for demonstrations, tests and measurements."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got.
+    """An entry's reply to a call.
 
-    ``outcome`` is what the entry said of it, empty if it said nothing; ``whole`` is
-    False where the connection was cut; ``body`` is without the entry's own last event.
+    ``outcome`` is the outcome stated by the entry, empty if there is none;
+    ``is_complete`` is False if the connection was cut; ``body`` excludes the outcome
+    event that the entry appends.
     """
 
     status: int
@@ -35,23 +36,23 @@
 
     @property
     def request_id(self) -> str:
-        """The id under which the entry traces the request."""
+        """The request id given by the entry, empty if there is none."""
         return self.headers.get("kingcupwheel-request-id", "")
 
     @property
     def json(self) -> Any:
-        """The body, decoded."""
+        """The body decoded from JSON."""
         return msgspec.json.decode(self.body)
 
 
 class ConnectionFailure(NamedTuple):
-    """The connection failed before any answer."""
+    """A call whose connection failed before any reply."""
 
     detail: str
 
 
 class Caller:
-    """Calls entries with one organisation's key; safe from any thread."""
+    """A thread-safe client that calls entries with one organisation's key."""
 
     def __init__(self, key: str, *, timeout_s: float = _READ_TIMEOUT_S) -> None:
         self._key = key
@@ -71,7 +72,7 @@
         idempotency_key: str = "",
         headers: dict[str, str] | None = None,
     ) -> Reply | ConnectionFailure:
-        """Send one request and read its whole answer."""
+        """Send one request and read its reply to the end."""
         started = time.monotonic()
         sent = {"Authorization": f"Bearer {self._key}", **(headers or {})}
         if idempotency_key:
@@ -134,8 +135,8 @@
 
 
 def _split_outcome(body: bytes) -> tuple[bytes, str]:
-    """Part the entry's own last event from the answer of the backend server."""
-    head, mark, told = body.rpartition(_OUTCOME_EVENT)
-    if not mark:
+    """Split a body into the backend server's answer and the entry's outcome."""
+    answer, separator, event_data = body.rpartition(_OUTCOME_EVENT)
+    if not separator:
         return body, ""
-    return head, str(msgspec.json.decode(told)["outcome"])
+    return answer, str(msgspec.json.decode(event_data)["outcome"])
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,7 +1,6 @@
-"""``make demo``: a small fleet of real processes, from a manifest to a burn report.
+"""``make demo``: checks a small fleet of processes, from manifest to burn report.
 
-Exits with 0 only if each answer was what it should be. Every process is started and
-ended here.
+Exits with 0 only if every check passes. Starts and stops all processes itself.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from tools.fleet import compute_key_digest
 
 
-_EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "agencia.yaml"
+_EXAMPLE_MANIFEST = Path(__file__).resolve().parent.parent / "examples" / "agencia.yaml"
 _KEY = "demo-key-of-the-agency"
 _SMALL_KEY = "demo-key-of-a-small-shop"
 _BURST_REQUESTS = 8
@@ -31,14 +30,14 @@
 
 
 class Check(NamedTuple):
-    """One thing the demo expects."""
+    """An expectation of the demo and whether it was met."""
 
     description: str
     is_passed: bool
 
 
 class Demo:
-    """Runs the steps and keeps what was checked."""
+    """Runs the demo's steps and records their checks."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -49,7 +48,7 @@
 
     @property
     def failed_checks(self) -> list[str]:
-        """What was not as it should be."""
+        """Descriptions of the failed checks."""
         return [check.description for check in self._checks if not check.is_passed]
 
     def run(self) -> None:
@@ -162,10 +161,12 @@
     def _check_reports(self) -> None:
         platform = f"http://{self._fleet.platform_address}"
         for request_id in self._traced_request_ids:
-            told = self._fleet.run_command("trace", request_id, "--platform", platform)
-            _print_line(told.stdout.strip() + told.stderr.strip())
+            completed = self._fleet.run_command(
+                "trace", request_id, "--platform", platform
+            )
+            _print_line(completed.stdout.strip() + completed.stderr.strip())
             self._record_check(
-                f"the story of {request_id} is whole", told.returncode == 0
+                f"the story of {request_id} is whole", completed.returncode == 0
             )
         burn = self._fleet.run_command("report", "burn", "--platform", platform)
         _print_line(burn.stdout.strip() + burn.stderr.strip())
@@ -181,8 +182,10 @@
             codes = [process.wait() for process in processes]
             self._record_check("they stop with exit code 0", set(codes) == {0})
 
-    def _check_reply(self, what: str, reply: object, status: int, outcome: str) -> None:
-        held = (
+    def _check_reply(
+        self, description: str, reply: object, status: int, outcome: str
+    ) -> None:
+        is_passed = (
             isinstance(reply, Reply)
             and reply.is_complete
             and reply.status == status
@@ -190,16 +193,16 @@
         )
         if isinstance(reply, Reply):
             self._traced_request_ids.append(reply.request_id)
-        self._record_check(what, held)
+        self._record_check(description, is_passed)
 
-    def _record_check(self, what: str, held: bool) -> None:
-        self._checks.append(Check(what, held))
-        _print_line(f"  {'ok' if held else 'NOT OK'}: {what}")
+    def _record_check(self, description: str, is_passed: bool) -> None:
+        self._checks.append(Check(description, is_passed))
+        _print_line(f"  {'ok' if is_passed else 'NOT OK'}: {description}")
 
 
 def build_demo_manifest() -> dict[str, Any]:
-    """Return the agency's example cut down to the demo's processes."""
-    manifest: dict[str, Any] = yaml.safe_load(_EXAMPLE.read_text())
+    """Return the example manifest reduced to the demo's processes."""
+    manifest: dict[str, Any] = yaml.safe_load(_EXAMPLE_MANIFEST.read_text())
     organisations = manifest["organisations"][:2]
     organisations[0]["key_digests"] = [compute_key_digest(_KEY)]
     organisations[1]["key_digests"] = [compute_key_digest(_SMALL_KEY)]
--- a/tools/features.py
+++ b/tools/features.py
@@ -1,7 +1,7 @@
-"""Runs every feature file, some at a time, and prints their results in order.
+"""Runs the feature files in parallel and prints their results in order.
 
-The scenarios mostly wait for processes to start, fail and recover, so that four at a
-time take a quarter of the time without getting in each other's way.
+The scenarios mostly wait for processes to start, fail and recover, so four files in
+parallel take a quarter of the time without slowing each other down.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 _ROOT = Path(__file__).resolve().parent.parent
 _MAX_PARALLEL_FILES = 4
-# Far above what the longest file needs; a hang must not hold up CI for ever.
+# Far above the run time of the longest file, so that a hang does not block CI.
 _FILE_TIMEOUT_S = 1200
 _COUNTS_PATTERN = re.compile(r"(\d+) scenarios? passed, (\d+) failed(?:, (\d+) error)?")
 
 
 class FeatureResult(NamedTuple):
-    """One feature file's result."""
+    """The result of one feature file."""
 
     path: Path
     exit_code: int
@@ -36,7 +36,7 @@
 
     @property
     def scenario_counts(self) -> tuple[int, int]:
-        """Scenarios passed, and failed for whatever reason."""
+        """Numbers of scenarios that passed and that failed or had an error."""
         found = _COUNTS_PATTERN.search(self.output)
         if found is None:
             return 0, 1
@@ -45,10 +45,10 @@
 
 def run_file(path: Path) -> FeatureResult:
     """Run the scenarios of one file."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     command = [sys.executable, "-m", "behave", "--no-capture", str(path)]
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=_ROOT,
             env=build_environment(),
@@ -58,27 +58,28 @@
             timeout=_FILE_TIMEOUT_S,
             check=False,
         )
-        code, output = done.returncode, done.stdout
+        exit_code, output = completed.returncode, completed.stdout
     except subprocess.TimeoutExpired as error:
-        code, output = 1, f"{error.output}\nnot within {_FILE_TIMEOUT_S} s"
-    return FeatureResult(path, code, output, time.monotonic() - began)
+        exit_code, output = 1, f"{error.output}\ntimed out after {_FILE_TIMEOUT_S} s"
+    return FeatureResult(path, exit_code, output, time.monotonic() - started_at)
 
 
 def main() -> None:
-    """Run all feature files, or those named."""
+    """Run all feature files, or those named on the command line."""
     named = [Path(argument) for argument in sys.argv[1:]]
     paths = named or sorted((_ROOT / "features").glob("*.feature"))
     passed = failed = 0
     with ThreadPoolExecutor(_MAX_PARALLEL_FILES) as pool:
-        for ran in pool.map(run_file, paths):
-            good, bad = ran.scenario_counts
-            passed += good
-            failed += bad or (ran.exit_code != 0)
+        for result in pool.map(run_file, paths):
+            file_passed, file_failed = result.scenario_counts
+            passed += file_passed
+            failed += file_failed or (result.exit_code != 0)
             click.echo(
-                f"{ran.path.name}: {good} passed, {bad} failed, {ran.duration_s:.0f} s"
+                f"{result.path.name}: {file_passed} passed, {file_failed} failed, "
+                f"{result.duration_s:.0f} s"
             )
-            if ran.exit_code:
-                click.echo(ran.output)
+            if result.exit_code:
+                click.echo(result.output)
     click.echo(f"scenarios: {passed} passed, {failed} failed")
     sys.exit(1 if failed or not passed else 0)
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes on the loopback address, with stand-ins around it."""
+"""Runs a small fleet on the loopback address, with stand-ins for other systems."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Entry(NamedTuple):
-    """A running entry; callers connect to ``http``, operators to ``operators``."""
+    """A running entry; ``address`` is the one for agents and other entries."""
 
     process: Process
     caller_address: str
@@ -41,7 +41,10 @@
 
 
 class Agent(NamedTuple):
-    """A running agent and its backend server; ``relay`` is empty unless asked for."""
+    """A running agent and its backend server.
+
+    ``relay_control_address`` is empty if entries reach the agent without a relay.
+    """
 
     process: Process
     address: str
@@ -52,12 +55,12 @@
 
 
 def compute_key_digest(key: str) -> str:
-    """Return what a manifest holds of a bearer key."""
+    """Return the digest under which a manifest lists a bearer key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class Fleet:
-    """Processes by name; leaving the ``with`` block ends every one of them."""
+    """The processes of a fleet by name; leaving the ``with`` block kills them."""
 
     def __init__(self, timings: dict[str, float] | None = None) -> None:
         self._temporary_directory = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
@@ -83,7 +86,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End every process."""
+        """Kill every process and delete the fleet's files."""
         for process in self.processes:
             process.kill()
         self._ports.close()
@@ -91,26 +94,26 @@
 
     @property
     def processes(self) -> tuple[Process, ...]:
-        """Every process started and not replaced since."""
+        """The current processes, without those that were replaced."""
         entries = [entry.process for entry in self.entries.values()]
         agents = [agent.process for agent in self.agents.values()]
         return (*entries, *agents, *self.stand_ins.values())
 
     @property
     def folder(self) -> Path:
-        """Where the fleet keeps its settings and logs."""
+        """Folder of the fleet's settings and logs."""
         return self._folder_path
 
     def read_log(self, name: str) -> str:
-        """Return what a process logged."""
+        """Return the log of a process."""
         return (self._folder_path / f"{name}.log").read_text()
 
     def start_stand_in(
         self, name: str, module: str, *options: str, port: int = 0
     ) -> tuple[Process, str]:
-        """Start a stand-in; return it and its ``IP:port``.
+        """Start a stand-in; return its process and its ``IP:port``.
 
-        A server that is started again needs its ``port`` of before.
+        A restarted server needs its previous ``port``.
         """
         arguments = [module, "--port", str(port or self._ports.allocate()), *options]
         process = Process(name, arguments, self._folder_path / f"{name}.log")
@@ -129,9 +132,9 @@
         relayed: bool = False,
         server_settings: dict[str, Any] | None = None,
     ) -> Agent:
-        """Start a backend server and the agent beside it, and list the instance.
+        """Start a backend server and its agent, and register the instance.
 
-        With ``relayed`` the entries reach the agent through a TCP relay.
+        With ``relayed``, the entries reach the agent through a TCP relay.
         """
         module = f"tests.standins.{kind}"
         server, server_address = self.start_stand_in(f"{name}-server", module, *options)
@@ -155,7 +158,7 @@
         return agent
 
     def add_relay(self, name: str, target: str) -> tuple[str, str]:
-        """Start a TCP relay; return the addresses of its control and of itself."""
+        """Start a TCP relay; return its control address and its listen address."""
         process = Process(
             name,
             ["tests.standins.relay", "--target", target],
@@ -166,7 +169,7 @@
         return process.read_first_line(), relayed
 
     def start_ranks(self, ranks: int, experts: int) -> tuple[Process, list[str]]:
-        """Start ranks in lock-step; return them and the address of each."""
+        """Start lock-stepped ranks; return their process and the address of each."""
         options = ["--ranks", str(ranks), "--experts", str(experts)]
         process = Process(
             "ranks", ["tests.standins.ranks", *options], self._folder_path / "ranks.log"
@@ -175,38 +178,38 @@
         return process, [process.read_first_line() for _ in range(ranks)]
 
     def get_json(self, address: str, path: str) -> Any:
-        """Return what a stand-in answers."""
+        """Return the decoded response to a GET request."""
         return self._call_stand_in("GET", address, path)
 
     def post_json(self, address: str, path: str, body: Any) -> None:
-        """Switch something of a stand-in."""
+        """Send a JSON body in a POST request."""
         self._call_stand_in("POST", address, path, body)
 
     def get_object(self, key: str) -> bytes | None:
-        """Return the value that the platform holds under ``key``."""
+        """Return the value stored on the platform under ``key``, or None."""
         response = self._http.request(
             "GET", f"http://{self.platform_address}/v1/objects/{key}"
         )
         return response.data if response.status == 200 else None
 
     def set_relay_mode(self, control: str, mode: str) -> None:
-        """Let a relay pass, cut, freeze-open or freeze-all."""
+        """Set a relay's mode: pass, cut, freeze-open or freeze-all."""
         self._call_stand_in("POST", control, "/test/mode", {"mode": mode})
 
     def set_server_faults(self, agent: str, **faults: Any) -> None:
-        """Switch faults of an agent's server."""
+        """Set the faults of an agent's server stand-in."""
         address = self.agents[agent].server_address
         self._call_stand_in("POST", address, "/test/set", faults)
 
     def restart_agent(self, name: str) -> Agent:
-        """Start the agent anew with the same settings, beside the same server."""
+        """Start a new process of the agent with the same settings and server."""
         agent = self.agents[name]
         process = self._launch_daemon(name, "agent")
         self.agents[name] = agent._replace(process=process)
         return self.agents[name]
 
     def restart_server(self, name: str, options: tuple[str, ...] = ()) -> None:
-        """Start the backend server of an agent anew at the same address."""
+        """Start a new process of an agent's backend server at the same address."""
         agent = self.agents[name]
         port = int(agent.server_address.rpartition(":")[2])
         server, _ = self.start_stand_in(
@@ -223,7 +226,10 @@
         limits: dict[str, Any] | None = None,
         platform: str = "",
     ) -> Entry:
-        """Start an entry and list the instance; ``platform`` may name a relay."""
+        """Start an entry and register it.
+
+        ``platform`` overrides the platform's address, such as by that of a relay.
+        """
         address = f"127.0.0.1:{self._ports.allocate()}"
         http = f"127.0.0.1:{self._ports.allocate()}"
         settings = self._build_settings(name, "entry", address, data_centre)
@@ -241,7 +247,7 @@
         return entry
 
     def restart_entry(self, name: str) -> Entry:
-        """Start the entry anew with the same settings."""
+        """Start a new process of the entry with the same settings."""
         process = self._launch_daemon(name, "entry")
         self.entries[name] = self.entries[name]._replace(process=process)
         return self.entries[name]
@@ -279,7 +285,7 @@
         *,
         leaving: bool = False,
     ) -> None:
-        """Put an instance on the platform's list."""
+        """Put an instance on the platform's list of instances."""
         instance = {
             "name": name,
             "role": role,
@@ -294,11 +300,11 @@
         )
 
     def deregister_instance(self, name: str) -> None:
-        """Take an instance off the platform's list."""
+        """Remove an instance from the platform's list of instances."""
         self._call_stand_in("DELETE", self.platform_address, f"/test/instances/{name}")
 
     def set_platform_faults(self, address: str = "", **switches: Any) -> None:
-        """Set the platform stand-in's switches."""
+        """Set the faults of the platform stand-in, or of the one at ``address``."""
         self._call_stand_in(
             "PUT", address or self.platform_address, "/test/switches", switches
         )
@@ -312,14 +318,14 @@
         return msgspec.json.decode(response.data) if response.data else None
 
     def list_object_keys(self) -> list[str]:
-        """Return the keys of all objects that the platform holds."""
-        found: list[str] = self._call_stand_in(
+        """Return the keys of all objects stored on the platform."""
+        keys: list[str] = self._call_stand_in(
             "GET", self.platform_address, "/v1/objects?prefix="
         )
-        return found
+        return keys
 
     def get_run_counts(self, agent: str) -> Any:
-        """Return what the agent's server counts of its runs."""
+        """Return the run counters of the agent's server."""
         return self._call_stand_in(
             "GET", self.agents[agent].server_address, "/test/runs"
         )
@@ -327,7 +333,7 @@
     def submit_manifest(
         self, manifest: dict[str, Any], *options: str
     ) -> subprocess.CompletedProcess[str]:
-        """Submit a manifest by the command line."""
+        """Submit a manifest through the command line."""
         with tempfile.NamedTemporaryFile(
             "w", suffix=".yaml", dir=self._folder_path, delete=False
         ) as file:
@@ -338,7 +344,7 @@
         )
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line."""
+        """Run a ``kingcupwheel`` command and return its exit code and output."""
         return subprocess.run(
             [sys.executable, "-m", "kingcupwheel", *arguments],
             cwd=_ROOT,
@@ -350,7 +356,7 @@
         )
 
     def wait_until_serving(self, key: str, path: str, body: Any) -> None:
-        """Wait until every entry gets an answer of a backend server at ``path``."""
+        """Wait until a call to ``path`` through every entry is answered."""
         caller = Caller(key)
         for entry in self.entries.values():
             wait_until(
@@ -360,7 +366,7 @@
             )
 
     def wait_until_configured(self) -> None:
-        """Wait until every entry has the manifest and may use every agent."""
+        """Wait until every entry has a manifest and has every agent in service."""
         for name, entry in self.entries.items():
             wait_until(
                 lambda entry=entry: self._is_configured(entry),  # type: ignore[misc]
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Starts, signals and stops the processes of a small fleet on this machine."""
+"""Starts, signals and stops the local processes of a fleet."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 _POLL_INTERVAL_S = 0.02
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 60.0
-# Below the range that the kernel gives to outgoing connections.
+# Below the range from which the kernel assigns outgoing connections.
 _FIRST_PORT = 10_000
 _LAST_PORT = 32_000
 _BLOCK_PORTS = 100
 
 
 class PortAllocator:
-    """Ports of the loopback address that no other fleet on this machine is given.
+    """An allocator of loopback ports that no other fleet on this machine uses.
 
-    Failure: two fleets that each ask for a free port get the same one before either has
-    bound it, or a connection going out takes it meanwhile. Symptom: a process of one of
-    them can't listen and ends. Ports are therefore below those of outgoing connections,
-    in a block that is taken by binding its first one for as long as the fleet lives.
+    If two fleets each ask the kernel for a free port, they can get the same one before
+    either has bound it, or an outgoing connection takes it; a process then can't listen
+    and exits. Ports are therefore allocated below the range of outgoing connections,
+    from a block that is reserved by binding its first port for the fleet's lifetime.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
             except OSError:
                 continue
             return first + 1
-        raise RuntimeError("every block of ports is taken")
+        raise RuntimeError("no free block of loopback ports")
 
     def allocate(self) -> int:
         """Return the next port of the block that is free."""
@@ -64,28 +64,30 @@
             return port
 
     def close(self) -> None:
-        """Give the block back."""
+        """Release the block."""
         self._block_socket.close()
 
 
 def wait_until(
     condition: Callable[[], bool], description: str, timeout_s: float
 ) -> None:
-    """Wait for ``condition``; raises TimeoutError that names ``what``."""
-    until = time.monotonic() + timeout_s
+    """Wait for ``condition``; raises TimeoutError with ``description``."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > until:
-            raise TimeoutError(f"not within {timeout_s} s: {description}")
+        if time.monotonic() > deadline:
+            raise TimeoutError(
+                f"timed out after {timeout_s} s waiting for {description}"
+            )
         time.sleep(_POLL_INTERVAL_S)
 
 
 def build_environment() -> dict[str, str]:
-    """Return the environment in which this checkout's modules are found."""
+    """Return environment variables that make this checkout's modules importable."""
     return dict(os.environ, PYTHONPATH=f"{_ROOT / 'src'}:{_ROOT}")
 
 
 class Process:
-    """One process of the fleet; its log is kept in ``log``."""
+    """A child process whose standard error is appended to ``log_path``."""
 
     def __init__(self, name: str, arguments: Sequence[str], log: Path) -> None:
         self.name = name
@@ -108,35 +110,35 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether the process runs, or is paused."""
+        """Whether the process has not ended; true for a paused one."""
         return self._popen.poll() is None
 
     def read_first_line(self) -> str:
-        """Return the first line printed, which tells a stand-in's address."""
+        """Return the next line of standard output, such as a stand-in's address."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline().decode().strip()
 
     def pause(self) -> None:
-        """Freeze the process (SIGSTOP)."""
+        """Pause the process (SIGSTOP)."""
         self._popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on (SIGCONT)."""
+        """Resume a paused process (SIGCONT)."""
         self._popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask for a graceful stop (SIGTERM)."""
+        """Request a graceful stop (SIGTERM)."""
         self._popen.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        """End the process at once (SIGKILL) and wait for that."""
+        """Kill the process (SIGKILL) and wait until it has ended."""
         if self.is_alive:
             self._popen.kill()
         self._popen.wait(STOP_TIMEOUT_S)
         self._close_stdout()
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait until the process has ended and return its exit code."""
         code = self._popen.wait(timeout_s)
         self._close_stdout()
         return code
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -1,4 +1,4 @@
-"""Coverage of the servers by the entries' subsets, and what a departure changes."""
+"""How evenly the entries' subsets cover the servers, and link churn on departures."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class FleetInstances(NamedTuple):
-    """Entries and servers."""
+    """The entries and servers of a fleet."""
 
     entries: tuple[Instance, ...]
     servers: tuple[Instance, ...]
 
     def select_subsets(self) -> dict[str, set[str]]:
-        """Return each entry's servers."""
+        """Return the names of each entry's servers by entry name."""
         by_name = select_all_subsets(self.entries, self.servers, SUBSET_SIZE)
         return {name: set(servers) for name, servers in by_name.items()}
 
 
 def build_coverage_table() -> Table:
-    """Return coverage at the target size, in one and in eight data centres."""
+    """Return a table of coverage and link churn, a row per count of data centres."""
     rows = [_build_row(count) for count in DATA_CENTRE_COUNTS]
     columns = (
         "data centres",
--- a/tools/tables.py
+++ b/tools/tables.py
@@ -1,4 +1,4 @@
-"""Markdown tables of measured figures."""
+"""Markdown tables of measurements."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     rows: Sequence[Sequence[str]]
 
     def to_markdown(self) -> str:
-        """Return the table under a heading."""
+        """Return the table as Markdown under a heading."""
         rule = ["---", *("---:" for _ in self.columns[1:])]
         lines = [self.columns, rule, *self.rows]
         body = "\n".join(f"| {' | '.join(line)} |" for line in lines)
