--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -63,7 +63,7 @@
 class PlacedAnswer(NamedTuple):
     """An answer whose body is not read yet, and the place that it occupies."""
 
-    place: Reservation
+    reservation: Reservation
     answer: ServerAnswer
 
 
--- a/src/kingcupwheel/forwarding/streams.py
+++ b/src/kingcupwheel/forwarding/streams.py
@@ -62,7 +62,9 @@
             raise
         finally:
             if is_place_held:
-                self._forwarder.end_answer(self._placed.place, self._placed.answer)
+                self._forwarder.end_answer(
+                    self._placed.reservation, self._placed.answer
+                )
 
     def _next_events(self) -> list[StreamEvent] | None:
         """Return the next complete events, None at the end of the stream."""
@@ -130,14 +132,14 @@
 
     def _record_completion(self) -> None:
         event_interval_s = (monotonic() - self._began_at) / max(1, self._event_count)
-        self._forwarder.record_success(self._placed.place, event_interval_s)
+        self._forwarder.record_success(self._placed.reservation, event_interval_s)
         self._log_finished("whole")
 
     def _resume_elsewhere(self, reason: str) -> None:
         """Resume at another server; raises AnswerTruncatedError if none can."""
-        self._forwarder.end_answer(self._placed.place, self._placed.answer)
+        self._forwarder.end_answer(self._placed.reservation, self._placed.answer)
         refusal = self._forwarder.handle_failed_attempt(
-            self._placed.place, AttemptOutcome.LOST, reason
+            self._placed.reservation, AttemptOutcome.LOST, reason
         )
         if refusal is None:
             result = self._forwarder.send_until_answered()
@@ -146,7 +148,7 @@
                     "resumed",
                     id=self._forwarder.request_id,
                     after=self._forwarder.last_event_id,
-                    server=result.place.server,
+                    server=result.reservation.server,
                 )
                 self._placed = result
                 self._splitter = EventSplitter()
