--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -38,7 +38,7 @@
     servers: ServerRegistry
     server_client: ServerClient
     connection_pool: ConnectionPool
-    guards: RetryGuards
+    retry_guards: RetryGuards
     liveness: LivenessTrackers
     watchdog: Watchdog
     metrics: EntryMetrics
@@ -85,7 +85,7 @@
         self, place: Reservation, service: str, *, is_streamed: bool
     ) -> None:
         """Record that a server rejected a request: it is full, or its group closed."""
-        if is_streamed and self.guards.record_rejection(
+        if is_streamed and self.retry_guards.record_rejection(
             service,
             place.server,
             idle_s=self.liveness.for_service(service).idle_s(monotonic()),
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -108,7 +108,7 @@
             servers=ServerRegistry(table, dispatchers),
             server_client=ServerClient(connections),
             connection_pool=connections,
-            guards=self._guards,
+            retry_guards=self._guards,
             liveness=LivenessTrackers(),
             watchdog=Watchdog(),
             metrics=self._metrics,
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -94,14 +94,16 @@
 
     def forward(self) -> Answer:
         """Return the answer, or the final refusal."""
-        verdict = self._context.guards.quarantine_verdict(self._request.fingerprint)
+        verdict = self._context.retry_guards.quarantine_verdict(
+            self._request.fingerprint
+        )
         if isinstance(verdict, Quarantined):
             message = f"{verdict.crash_count} servers died while they ran this request."
             return self.log_refusal(
                 Refusal(503, "quarantined", message, verdict.remaining_s)
             )
         self._is_suspect = isinstance(verdict, Suspect)
-        self._context.guards.count_first_attempt(self._request.service)
+        self._context.retry_guards.count_first_attempt(self._request.service)
         result = self.send_until_answered()
         if isinstance(result, Refusal):
             return self.log_refusal(result)
@@ -217,7 +219,7 @@
         ):
             self._dispatcher.record_failure(place)
         if outcome is AttemptOutcome.LOST and self._watched.abort_reason is None:
-            self._context.guards.record_lost_answer(
+            self._context.retry_guards.record_lost_answer(
                 request.fingerprint, place.incarnation
             )
         time_left_s = request.deadlines.deadline - monotonic()
@@ -260,7 +262,9 @@
     def _consume_retry(self) -> bool:
         """Consume the reserved retry or one of the budget; return if there was one."""
         reserved, self._has_reserved_retry = self._has_reserved_retry, False
-        return reserved or self._context.guards.consume_retry(self._request.service)
+        return reserved or self._context.retry_guards.consume_retry(
+            self._request.service
+        )
 
     def _acquire_place(self) -> Reservation | Refusal:
         """Wait for a place, or return a refusal.
@@ -381,7 +385,7 @@
         if self._are_others_resting(place):
             return False
         self._has_reserved_retry = (
-            self._has_reserved_retry or context.guards.consume_retry(service)
+            self._has_reserved_retry or context.retry_guards.consume_retry(service)
         )
         return self._has_reserved_retry
 
@@ -437,7 +441,7 @@
         ``latency_s`` is compared between the servers of a service.
         """
         self._dispatcher.record_success(place, latency_s)
-        self._context.guards.clear_suspicion(self._request.fingerprint)
+        self._context.retry_guards.clear_suspicion(self._request.fingerprint)
 
     def log_refusal(self, refusal: Refusal) -> RefusedAnswer:
         """Log the final refusal and return it as an answer."""
