--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -35,7 +35,7 @@
     data_centre: str
     configuration_cache: ConfigurationCache
     dispatchers: DispatcherRegistry
-    servers: ServerRegistry
+    server_registry: ServerRegistry
     server_client: ServerClient
     connection_pool: ConnectionPool
     retry_guards: RetryGuards
@@ -45,11 +45,11 @@
 
     def group_of(self, service: str) -> ServerGroup:
         """Return the server group in whose queue a service's requests wait."""
-        return self.servers.group_of(service)
+        return self.server_registry.group_of(service)
 
     def record_load(self, place: Reservation, load: ReportedLoad | None) -> None:
         """Record the load that an answer reported."""
-        self.servers.record_load(place, load)
+        self.server_registry.record_load(place, load)
 
     def record_notice(
         self, place: Reservation, notice: ServerNotice, request_id: str
@@ -65,21 +65,21 @@
             )
         if notice.rest_s:
             self.metrics.server_notices.labels("rest").inc()
-            self.servers.mark_resting(place, notice.rest_s, request_id)
-        if notice.is_leaving and self.servers.mark_leaving(place, request_id):
+            self.server_registry.mark_resting(place, notice.rest_s, request_id)
+        if notice.is_leaving and self.server_registry.mark_leaving(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
 
     def release_connection(self, place: Reservation, answer: ServerAnswer) -> None:
         """Release a finished answer's connection; close all if the server leaves."""
         answer.end(place.incarnation, self.connection_pool)
-        if self.servers.is_leaving(place.incarnation):
+        if self.server_registry.is_leaving(place.incarnation):
             self.connection_pool.close_server(place.incarnation)
 
     def record_misdirection(self, place: Reservation) -> None:
         """Record that another incarnation of a server has its address."""
         self.connection_pool.close_server(place.incarnation)
-        self.servers.refute_address(place)
+        self.server_registry.refute_address(place)
 
     def record_rejection(
         self, place: Reservation, service: str, *, is_streamed: bool
@@ -91,6 +91,6 @@
             idle_s=self.liveness.for_service(service).idle_s(monotonic()),
         ):
             log.info("service-closed", service=service, server=place.server)
-            self.servers.mark_service_closed(service)
+            self.server_registry.mark_service_closed(service)
         else:
-            self.servers.mark_full(place)
+            self.server_registry.mark_full(place)
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -105,7 +105,7 @@
             data_centre=settings.data_centre,
             configuration_cache=self._configuration_cache,
             dispatchers=dispatchers,
-            servers=ServerRegistry(table, dispatchers),
+            server_registry=ServerRegistry(table, dispatchers),
             server_client=ServerClient(connections),
             connection_pool=connections,
             retry_guards=self._guards,
@@ -116,7 +116,7 @@
         self._load_poller = AgentLoadPoller(
             settings,
             self._hub,
-            self._context.servers,
+            self._context.server_registry,
             self._configuration_cache,
             is_leaving=self._leaving.is_set,
         )
@@ -245,7 +245,7 @@
     def _is_ready(self) -> bool:
         has_data = (
             self._configuration_cache.current is not None
-            and not self._context.servers.is_empty
+            and not self._context.server_registry.is_empty
         )
         return has_data and not self._leaving.is_set()
 
@@ -264,11 +264,11 @@
     def _on_server_list(
         self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
     ) -> None:
-        self._context.servers.set_listed(backends)
+        self._context.server_registry.set_listed(backends)
         for backend in gone:
             self._context.connection_pool.close_server(backend.incarnation)
             self._context.liveness.remove_server(backend.instance)
-            if not backend.leaving and not self._context.servers.is_leaving(
+            if not backend.leaving and not self._context.server_registry.is_leaving(
                 backend.incarnation
             ):
                 self._guards.record_server_death(backend.incarnation)
@@ -291,10 +291,10 @@
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
         self._log_stalls(now)
-        self._context.servers.end_expired_rests()
+        self._context.server_registry.end_expired_rests()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
-            self._context.servers.refresh_unreported()
+            self._context.server_registry.refresh_unreported()
             self._abort_slow_streams()
         self._load_poller.on_tick(now)
 
@@ -303,14 +303,14 @@
 
         One slow rank would hold up all the streams of its group.
         """
-        slow = frozenset(self._context.servers.avoided_instances())
+        slow = frozenset(self._context.server_registry.avoided_instances())
         if slow and (moved := self._context.watchdog.abort_slow_streams(slow)):
             servers_log.info("streams-moved", servers=sorted(slow), streams=moved)
 
     def _log_stalls(self, now: float) -> None:
         """Log when all servers of a service stall together, and when they resume."""
         for service, pulse in self._context.liveness.items():
-            streams = self._context.servers.in_flight_requests(service)
+            streams = self._context.server_registry.in_flight_requests(service)
             quiet_s = pulse.idle_s(now)
             if pulse.update_stalled(stream_count=streams, now=now):
                 event = "service-silent" if pulse.is_stalled else "service-heard"
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -358,7 +358,7 @@
             else None,
             needs_new_connection=not request.route.is_idempotent,
             may_abort_silent=partial(self._may_abort_silent, place),
-            may_send=partial(self._context.servers.may_send, place),
+            may_send=partial(self._context.server_registry.may_send, place),
         )
 
     def _may_abort_silent(self, place: Reservation) -> bool:
@@ -378,7 +378,7 @@
                 place.server, now
             ):
                 return False
-            if not self._has_answer_begun and context.servers.is_reported_full(
+            if not self._has_answer_begun and context.server_registry.is_reported_full(
                 place, now
             ):
                 return False
