--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -167,7 +167,9 @@
         load = server.last_heartbeat.load
         return load.running + load.queued >= load.capacity
 
-    def mark_resting(self, place: Reservation, rest_s: float, request_id: str) -> None:
+    def record_backoff(
+        self, place: Reservation, rest_s: float, request_id: str
+    ) -> None:
         """Send no requests to a server for the rest period that it asked for."""
         now = monotonic()
         incarnation = place.incarnation
