--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -291,7 +291,7 @@
     def _on_tick(self, now: float) -> None:
         self._membership.on_tick(now)
         self._log_stalls(now)
-        self._context.server_registry.end_expired_rests()
+        self._context.server_registry.end_expired_backoffs()
         if now - self._refresh_at >= _REFRESH_INTERVAL_S:
             self._refresh_at = now
             self._context.server_registry.refresh_unreported()
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -201,7 +201,7 @@
                 place.incarnation, monotonic()
             )
 
-    def end_expired_rests(self) -> None:
+    def end_expired_backoffs(self) -> None:
         """Use the servers again whose rest period has ended."""
         with self._servers.lock:
             ended = self._servers.notices.take_ended_backoffs(monotonic())
