--- a/src/kingcupwheel/forwarding/context.py
+++ b/src/kingcupwheel/forwarding/context.py
@@ -63,9 +63,9 @@
                 header=header,
                 id=request_id,
             )
-        if notice.rest_s:
+        if notice.backoff_s:
             self.metrics.server_notices.labels("rest").inc()
-            self.server_registry.record_backoff(place, notice.rest_s, request_id)
+            self.server_registry.record_backoff(place, notice.backoff_s, request_id)
         if notice.is_leaving and self.server_registry.mark_leaving(place, request_id):
             self.metrics.server_notices.labels("leaving").inc()
             self.connection_pool.close_server(place.incarnation)
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -191,7 +191,7 @@
                 outcome = AttemptOutcome.REJECTED
                 if is_other_instance and faulty_server in ("", place.server):
                     self._context.record_misdirection(place)
-                elif not (notice.rest_s or notice.is_leaving):
+                elif not (notice.backoff_s or notice.is_leaving):
                     request = self._request
                     self._context.record_rejection(
                         place, request.service, is_streamed=request.route.is_streamed
@@ -247,7 +247,7 @@
             why=reason,
             ran=self._counts.possibly_run,
             turned_away=self._counts.rejected,
-            rest_s=notice.rest_s,
+            rest_s=notice.backoff_s,
             leaving=notice.is_leaving,
             left_s=round(time_left_s, 3),
             budget=is_within_budget,
--- a/src/kingcupwheel/forwarding/http_metadata.py
+++ b/src/kingcupwheel/forwarding/http_metadata.py
@@ -53,7 +53,7 @@
     """
 
     is_leaving: bool = False
-    rest_s: float | None = None
+    backoff_s: float | None = None
     unreadable_headers: tuple[str, ...] = ()
 
 
