--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -21,7 +21,7 @@
     address: str
     data_centre: str
     places: int
-    leaving: bool
+    is_leaving: bool
     warmup_left_s: float
     created_revision: int
     started_at_ms: int = 0
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -268,7 +268,7 @@
         for backend in gone:
             self._context.connection_pool.close_server(backend.incarnation)
             self._context.liveness.remove_server(backend.instance)
-            if not backend.leaving and not self._context.server_registry.is_leaving(
+            if not backend.is_leaving and not self._context.server_registry.is_leaving(
                 backend.incarnation
             ):
                 self._guards.record_server_death(backend.incarnation)
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -390,7 +390,7 @@
         data_centre=backend.data_centre,
         address=backend.address,
         http="",
-        leaving=backend.leaving,
+        leaving=backend.is_leaving,
     )
 
 
@@ -404,7 +404,7 @@
         incarnation=backend.incarnation,
         token=0,
         load=load,
-        leaving=backend.leaving,
+        leaving=backend.is_leaving,
         server_up=is_up,
         manifest_version=0,
         crashed=(),
