--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -23,7 +23,7 @@
 from kingcupwheel.forwarding.graceful_shutdown import GracefulShutdown
 from kingcupwheel.forwarding.liveness import LivenessTrackers
 from kingcupwheel.forwarding.load_poller import AgentLoadPoller
-from kingcupwheel.forwarding.retry_guards import RetryBudget
+from kingcupwheel.forwarding.retry_guards import RetryBudgetLimits
 from kingcupwheel.forwarding.retry_guards import RetryGuards
 from kingcupwheel.forwarding.server_list import ServerListHandler
 from kingcupwheel.forwarding.server_registry import ServerRegistry
@@ -94,7 +94,7 @@
         )
         table = ServerTable(settings.timings)
         dispatchers = DispatcherRegistry(table, data_centre=settings.data_centre)
-        budget = RetryBudget(
+        budget = RetryBudgetLimits(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -31,7 +31,7 @@
 _ENTRY_BUDGET_FRACTION = 0.5
 
 
-class RetryBudget(NamedTuple):
+class RetryBudgetLimits(NamedTuple):
     """Retries that the fleet may send for each service in any window.
 
     It is the fraction ``share`` of the service's requests, and ``floor`` in addition.
@@ -48,7 +48,9 @@
     ``count_entries`` returns the number of entries that share the budget.
     """
 
-    def __init__(self, budget: RetryBudget, count_entries: Callable[[], int]) -> None:
+    def __init__(
+        self, budget: RetryBudgetLimits, count_entries: Callable[[], int]
+    ) -> None:
         self._budget = budget
         self._count_entries = count_entries
         self._suspects = CrashSuspects()
