--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -271,7 +271,7 @@
             if not backend.is_leaving and not self._context.server_registry.is_leaving(
                 backend.incarnation
             ):
-                self._guards.record_server_death(backend.incarnation)
+                self._guards.record_server_crash(backend.incarnation)
 
     def _on_message(self, link: Link, message: Message) -> None:
         match message:
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -75,7 +75,7 @@
             with self._lock:
                 self._lost_answers.append((monotonic(), fingerprint, incarnation))
 
-    def record_server_death(self, incarnation: str) -> tuple[str, ...]:
+    def record_server_crash(self, incarnation: str) -> tuple[str, ...]:
         """Attribute a server's death to its lost answers; return their fingerprints.
 
         Only observed deaths count: a lost answer of a server that is still alive is no
