--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -174,7 +174,7 @@
             is_new = self._peers.record_heartbeat(heartbeat, now)
             self._peers.add_known(heartbeat.known_entries, now)
         if heartbeat.crashed:
-            self._guards.merge_peer_deaths(heartbeat.crashed)
+            self._guards.record_peer_crashes(heartbeat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -99,7 +99,7 @@
             with self._lock:
                 self._suspects.clear(fingerprint)
 
-    def merge_peer_deaths(self, deaths: tuple[tuple[str, int], ...]) -> None:
+    def record_peer_crashes(self, deaths: tuple[tuple[str, int], ...]) -> None:
         """Merge deaths reported by a peer."""
         with self._lock:
             now = monotonic()
