--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -163,7 +163,7 @@
             echo=echo,
             version=self._configuration_cache.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
-            crashed=self._guards.recent_deaths,
+            crashed=self._guards.recent_crashes,
             known_entries=known,
         )
 
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -107,7 +107,7 @@
                 self._suspects.record_crash_id(fingerprint, death, now)
 
     @property
-    def recent_deaths(self) -> tuple[tuple[str, int], ...]:
+    def recent_crashes(self) -> tuple[tuple[str, int], ...]:
         """Recent deaths, which are reported to peers."""
         with self._lock:
             return self._suspects.list_recent_crashes(monotonic())
