--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -22,7 +22,7 @@
 
 # Time after a lost answer within which the death of its server is attributed to the
 # request. A platform lists a dead server until it has missed three heartbeats.
-DEATH_DETECTION_S = 8.0
+CRASH_DETECTION_S = 8.0
 # Lost answers kept for DEATH_DETECTION_S.
 _MAX_LOST_ANSWERS = 512
 # Fraction of the fleet's budget that the entries use together. If all of them are
@@ -87,7 +87,7 @@
             blamed = tuple(
                 fingerprint
                 for at, fingerprint, where in self._lost_answers
-                if where == incarnation and now - at < DEATH_DETECTION_S
+                if where == incarnation and now - at < CRASH_DETECTION_S
             )
             for fingerprint in blamed:
                 self._suspects.record_crash_id(fingerprint, death, now)
