--- a/src/kingcupwheel/entry/claim_resolver.py
+++ b/src/kingcupwheel/entry/claim_resolver.py
@@ -71,7 +71,7 @@
 class ClaimAvailable(NamedTuple):
     """The request may run under the claim; no earlier dispatch can start now."""
 
-    held: StoredClaim
+    held_claim: StoredClaim
 
 
 class ClaimRefused(NamedTuple):
--- a/src/kingcupwheel/entry/request_runner.py
+++ b/src/kingcupwheel/entry/request_runner.py
@@ -128,7 +128,7 @@
                 return self._give_up(admitted, acquired)
             resolution = self._resolve_claim(claims)
             if isinstance(resolution, ClaimAvailable):
-                held_claim = resolution.held
+                held_claim = resolution.held_claim
                 continue
             return self._answer_from_earlier_run(admitted, attempts, resolution)
 
