--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -150,5 +150,5 @@
             return ServerState(
                 is_up=False, incarnation="", running_count=0, tokens_per_s=0.0
             )
-        self._incarnation = state.life
-        return ServerState(True, state.life, len(state.running), state.rate)
+        self._incarnation = state.incarnation
+        return ServerState(True, state.incarnation, len(state.running), state.rate)
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -46,7 +46,7 @@
     and ``rate`` the tokens per second.
     """
 
-    life: str
+    incarnation: str
     running: tuple[str, ...]
     rate: float
 
@@ -114,7 +114,7 @@
         queried = self._query_state(cancellation)
         if queried.is_error():
             return Error(queried.error)
-        if incarnation and queried.ok.life != incarnation:
+        if incarnation and queried.ok.incarnation != incarnation:
             return Error(AnswerLost("server restarted", has_server_died=True))
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
