--- a/src/kingcupwheel/trace/__init__.py
+++ b/src/kingcupwheel/trace/__init__.py
@@ -1,3 +1,3 @@
-"""What became of each request, and why."""
+"""Traces of requests: recording, storage and retrieval."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/trace/batch_reader.py
+++ b/src/kingcupwheel/trace/batch_reader.py
@@ -1,4 +1,4 @@
-"""Finding a request's events in the batches that a process left on the platform."""
+"""Reader of a request's events from the batches of a process on the platform."""
 
 from __future__ import annotations
 
@@ -27,19 +27,18 @@
     from kingcupwheel.trace.batches import TraceBatch
     from kingcupwheel.trace.events import TraceEvent
 
-# Batches read for one process of one request: at 30 s each this is 20 minutes, past
-# the longest answer. A bound keeps one command from reading days of batches.
+# Per process. At 30 s each this is 20 minutes, longer than any answer; without a bound
+# one command could read days of batches.
 MAX_BATCHES_PER_REQUEST = 40
-# Clocks of two processes may differ by this much.
 _MAX_CLOCK_SKEW_S = 2
 
 
 class BatchEvents(NamedTuple):
-    """Events of one request that one process put in batches.
+    """Events of one request from the batches of one process.
 
-    ``until`` is the Unix second that the batches read reach to, 0 if there are none.
-    ``losses`` are what the process says it could not write. ``trouble`` says what
-    could not be read, empty if all could.
+    ``covered_until`` is the Unix second at which the batches end, 0 without batches.
+    ``losses`` are events that the process could not write. ``problem`` says what could
+    not be read; it is empty if everything could.
     """
 
     events: tuple[TraceEvent, ...]
@@ -49,7 +48,7 @@
 
 
 class BatchReader:
-    """Reads batches; each call makes at most ``MAX_BATCHES`` reads and three lists."""
+    """Reads batches, at most ``MAX_BATCHES_PER_REQUEST`` per call after three lists."""
 
     def __init__(self, client: PlatformClient) -> None:
         self._client = client
@@ -57,36 +56,36 @@
     def read_events(
         self, process: str, request_id: str, *, since: float
     ) -> BatchEvents:
-        """Return the request's events that ``process`` wrote from ``since`` on.
+        """Return the request's events that ``process`` wrote since ``since``.
 
-        Reading stops with the batch that holds the end of the request there.
+        Reading stops at the batch that contains the end of the request.
         """
-        names, trouble = self._list_batches(process, since)
+        names, problem = self._list_batches(process, since)
         events: list[TraceEvent] = []
         losses: list[EventLoss] = []
-        until = 0
+        covered_until = 0
         for name in names[:MAX_BATCHES_PER_REQUEST]:
             batch, error = self._read_batch(name)
             if batch is None:
-                trouble = error
+                problem = error
                 continue
             found = decode_request_events(batch, request_id)
             if found.is_error():
-                trouble = f"batch {name.key} is damaged: {found.error.detail}"
+                problem = f"batch {name.key} is damaged: {found.error.detail}"
                 continue
-            until = max(until, name.until)
+            covered_until = max(covered_until, name.until)
             losses.extend(batch.losses)
             events.extend(found.ok)
             if any(isinstance(event.event, RequestFinished) for event in found.ok):
                 break
         else:
             if len(names) > MAX_BATCHES_PER_REQUEST:
-                trouble = f"only the first {MAX_BATCHES_PER_REQUEST} batches were read"
+                problem = f"only the first {MAX_BATCHES_PER_REQUEST} batches were read"
         relevant = tuple(loss for loss in losses if loss.until >= since)
-        return BatchEvents(tuple(events), until, relevant, trouble)
+        return BatchEvents(tuple(events), covered_until, relevant, problem)
 
     def list_writers(self) -> tuple[str, ...]:
-        """Return the processes that left batches, gone ones as well."""
+        """Return all processes with batches, including those that no longer run."""
         listed = self._client.keys(WRITER_MARKER_PREFIX)
         keys = listed.ok if listed.is_ok() else ()
         return tuple(key.removeprefix(WRITER_MARKER_PREFIX) for key in keys)
@@ -123,7 +122,7 @@
 
 
 def describe_platform_error(error: PlatformError) -> str:
-    """Return a platform error in a few words."""
+    """Return a short description of a platform error."""
     match error:
         case Unavailable(detail):
             return f"the platform does not answer ({detail})"
--- a/src/kingcupwheel/trace/batch_shipper.py
+++ b/src/kingcupwheel/trace/batch_shipper.py
@@ -1,4 +1,4 @@
-"""The thread that brings a process's trace events to the platform."""
+"""Thread that writes a process's trace events to the platform."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 _INCARNATION_BYTES = 4
 _POLL_INTERVAL_S = 0.5
-# Expired batches that their writers have forgotten wait this long for deletion. 1,370
-# processes then sweep every 16 s together, with about five calls each.
+# Expired batches that their writers no longer know wait this long for deletion. With
+# 1,370 processes a sweep of about five calls then runs every 16 s.
 _SWEEP_INTERVAL_S = 6 * 3600.0
 _MAX_FIRST_SWEEP_DELAY_S = 1800.0
-# A graceful stop must not hang on a platform that is down: what is not written by then
-# is left to the story, which says that the batch is missing.
+# A graceful stop must not hang while the platform is down. Events not written by then
+# are lost_count; timelines report the missing batch.
 _FLUSH_TIMEOUT_S = 3.0
 
 
 class BatchShipper:
-    """Writes batches, deletes expired ones; ``retention_s`` is asked each time.
+    """Writes batches and deletes expired ones; ``retention_s`` is called each time.
 
-    A platform that is down costs nothing but waiting; see ``Outbox`` for the bounds.
+    While the platform is down, events wait within the bounds of ``Outbox``.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._stop_requested = Event()
         self._sweeper = BatchSweeper(client, recorder.process)
         self._is_marked = False
-        # Processes that start together, as after an outage, must not sweep together.
+        # Processes that start together, as after an outage, sweep at different times.
         self._next_sweep_at = time.monotonic() + random.uniform(
             0, _MAX_FIRST_SWEEP_DELAY_S
         )
@@ -82,7 +82,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Write what waits, within a few seconds, and end the thread."""
+        """Stop the thread and write pending events, within ``_FLUSH_TIMEOUT_S``."""
         self._stop_requested.set()
         if self._thread.is_alive():
             self._thread.join()
@@ -93,7 +93,7 @@
             try:
                 self._run_once()
             except Exception:
-                logger.exception("Batch failed.")
+                logger.exception("Writing or deleting a trace batch failed.")
 
     def _run_once(self) -> None:
         self._collect_events()
@@ -110,8 +110,9 @@
                 self._sweep_if_due(now)
 
     def _write_batch(self, call: WriteBatch) -> bool:
-        # Before the first batch: one without a mark would never be swept. A failed mark
-        # is a failed call, so that an outage is met by one call at a time.
+        # Comes before the first batch: batches of a process without a marker would
+        # never be swept. A failed marker counts as the failed call, so that there is
+        # only one call at a time during an outage.
         self._is_marked = self._is_marked or self._sweeper.create_marker()
         if not self._is_marked:
             self._outbox.postpone_call(now=time.monotonic())
@@ -122,18 +123,20 @@
             self._outbox.confirm_write(version=result.ok, now=now)
             return True
         match result.error:
-            # The key holds a random life, so that an object found there is ours: the
-            # write took effect and its confirmation was lost.
+            # The key contains a random incarnation, so an existing object was written
+            # by this process and its confirmation was lost.
             case Conflict(_, version):
                 self._outbox.confirm_write(version=version, now=now)
                 return True
             case RateLimited(retry_after_s):
                 self._outbox.postpone_call(now=now, wait_s=retry_after_s)
             case Unavailable(detail):
-                logger.warning("Batch %s waits: %s.", call.key, detail)
+                logger.warning(
+                    "Could not write batch %s; retrying: %s.", call.key, detail
+                )
                 self._outbox.postpone_call(now=now)
             case Rejected(_, detail):
-                logger.error("Batch %s was refused: %s.", call.key, detail)
+                logger.error("Platform rejected batch %s: %s.", call.key, detail)
                 self._outbox.drop_rejected(detail, now=now)
         return False
 
@@ -141,8 +144,8 @@
         result = self._client.delete(call.key, version=call.version)
         now = time.monotonic()
         match result.error if result.is_error() else None:
-            # The versions of earlier lives' batches are not known; the refusal names
-            # the one found, 0 if the batch is gone.
+            # The versions of earlier incarnations' batches are unknown; the conflict
+            # contains the current one, 0 if the batch is already deleted.
             case Conflict(_, version) if version:
                 self._outbox.set_found_version(version=version, now=now)
             case None | Conflict():
@@ -159,13 +162,15 @@
         self._next_sweep_at = now + _SWEEP_INTERVAL_S * random.uniform(0.8, 1.2)
 
     def _collect_events(self) -> None:
-        lost = self._outbox.add_events(self._recorder.drain())
+        lost_count = self._outbox.add_events(self._recorder.drain())
         if self._metrics is not None:
             self._metrics.set_gauge(
                 GaugeName.TRACE_BYTES_WAITING, self._outbox.pending_bytes
             )
-            if lost:
-                self._metrics.increment(CounterName.TRACE_EVENTS_LOST, amount=lost)
+            if lost_count:
+                self._metrics.increment(
+                    CounterName.TRACE_EVENTS_LOST, amount=lost_count
+                )
 
     def _flush(self) -> None:
         self._collect_events()
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -1,9 +1,9 @@
-"""Batches of trace events: their keys, their format and their retention.
+"""Batches of trace events: their keys and their format.
 
-A batch is the object ``traces/<process>/<hour>/<since>-<until>-<life>-<part>`` with
-Unix seconds; ``hour`` counts hours since the epoch, ``life`` tells two lives of a
-process apart. A request id names its entry and time, so one listing of an hour finds
-the batches that can hold it.
+A batch is the object ``traces/<process>/<hour>/<since>-<until>-<incarnation>-<part>``
+with Unix seconds; ``hour`` counts hours since the epoch, ``incarnation`` distinguishes
+runs of a process. A request id contains its entry and arrival time, so that listing the
+keys of an hour finds the batches that can contain its events.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 BATCH_KEY_PREFIX = "traces/"
 HOUR_S = 3600
-# The longest period of one batch; a reader starts this much before the request.
+# A reader starts this long before the request.
 MAX_BATCH_PERIOD_S = 600
-# The platform holds values up to 1 MB; the difference is for the batch's other fields.
+# The platform stores values up to 1 MB; the rest is for the batch's other fields.
 MAX_COMPRESSED_PART_BYTES = 900_000
-# Events joined before they are compressed. They shrink several times; a part that does
-# not shrink enough is halved.
+# Size of events joined before compression, which reduces them several times; a part
+# that is still too large is halved.
 MAX_RAW_PART_BYTES = 3_000_000
-# Unpacked size that a reader accepts, so that a damaged object can't fill its memory.
+# Prevents a damaged object from exhausting the reader's memory.
 _MAX_DECOMPRESSED_BYTES = 2 * MAX_RAW_PART_BYTES
 _ZLIB_LEVEL = 6
 
 
 class EventLoss(msgspec.Struct, frozen=True):
-    """Events recorded between two Unix times that no batch holds, and why."""
+    """Events recorded between two Unix times that are in no batch, and why."""
 
     since: float
     until: float
@@ -45,7 +45,7 @@
 
 
 class TraceBatch(msgspec.Struct, frozen=True):
-    """What one object holds; ``packed`` is compressed concatenated events."""
+    """The value of a batch object; ``compressed_events`` is a zlib msgpack array."""
 
     process: str
     since: float
@@ -56,7 +56,7 @@
 
 
 class BatchName(NamedTuple):
-    """The parts of a batch's key; times are whole Unix seconds."""
+    """The components of a batch's key; times are whole Unix seconds."""
 
     process: str
     since: int
@@ -72,19 +72,19 @@
 
 
 class CompressedPart(NamedTuple):
-    """Compressed events and how many they are."""
+    """Compressed events of one object, and their number."""
 
     compressed_events: bytes
     event_count: int
 
 
 def build_hour_prefix(process: str, time_s: float) -> str:
-    """Return what the keys of the process's batches of that hour start with."""
+    """Return the key prefix of the process's batches of the hour of ``time_s``."""
     return f"{BATCH_KEY_PREFIX}{process}/{int(time_s) // HOUR_S}/"
 
 
 def parse_key(key: str) -> BatchName | None:
-    """Return the parts of ``key``, or None if it names no batch."""
+    """Return the components of ``key``, or None if it is not a batch key."""
     try:
         _, process, _, span = key.split("/")
         since, until, life, part = span.split("-")
@@ -94,10 +94,10 @@
 
 
 def compress_events(encoded_events: tuple[bytes, ...]) -> tuple[CompressedPart, ...]:
-    """Return the events as compressed parts, each small enough for one object."""
-    packed = _compress(encoded_events)
-    if len(packed) <= MAX_COMPRESSED_PART_BYTES or len(encoded_events) == 1:
-        return (CompressedPart(packed, len(encoded_events)),)
+    """Return the events in compressed parts that each fit into one object."""
+    compressed = _compress(encoded_events)
+    if len(compressed) <= MAX_COMPRESSED_PART_BYTES or len(encoded_events) == 1:
+        return (CompressedPart(compressed, len(encoded_events)),)
     middle = len(encoded_events) // 2
     return compress_events(encoded_events[:middle]) + compress_events(
         encoded_events[middle:]
@@ -105,12 +105,12 @@
 
 
 def encode_batch(batch: TraceBatch) -> bytes:
-    """Return the object's value."""
+    """Return the encoded value of the object."""
     return msgspec.msgpack.encode(batch)
 
 
 def decode_batch(value: bytes) -> Result[TraceBatch, InvalidBatch]:
-    """Return the batch in ``value``, or why it is none."""
+    """Return the decoded batch, or why ``value`` can't be decoded."""
     try:
         return Ok(_BATCH_DECODER.decode(value))
     except msgspec.MsgspecError as error:
@@ -120,7 +120,7 @@
 def decode_request_events(
     batch: TraceBatch, request_id: str
 ) -> Result[tuple[TraceEvent, ...], InvalidBatch]:
-    """Return the events of one request in the batch, in order of recording."""
+    """Return the events of one request from the batch, in order of recording."""
     try:
         events = _decompress(batch.compressed_events)
     except (zlib.error, msgspec.MsgspecError) as error:
@@ -134,15 +134,15 @@
 
 
 def _compress(encoded_events: tuple[bytes, ...]) -> bytes:
-    # The head of a msgpack array of 32-bit length, so that the joined items are one.
-    head = b"\xdd" + len(encoded_events).to_bytes(4, "big")
-    return zlib.compress(head + b"".join(encoded_events), _ZLIB_LEVEL)
+    # The header of a msgpack array of 32-bit length, which the joined events follow.
+    array_header = b"\xdd" + len(encoded_events).to_bytes(4, "big")
+    return zlib.compress(array_header + b"".join(encoded_events), _ZLIB_LEVEL)
 
 
 def _decompress(compressed_events: bytes) -> tuple[TraceEvent, ...]:
-    inflater = zlib.decompressobj()
-    raw = inflater.decompress(compressed_events, _MAX_DECOMPRESSED_BYTES)
-    if not inflater.eof:
-        raise zlib.error("the batch is cut short or too large")
+    decompressor = zlib.decompressobj()
+    raw = decompressor.decompress(compressed_events, _MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
+        raise zlib.error("compressed events are truncated or too large")
     events: tuple[TraceEvent, ...] = EVENTS_DECODER.decode(raw)
     return events
--- a/src/kingcupwheel/trace/claim_lookup.py
+++ b/src/kingcupwheel/trace/claim_lookup.py
@@ -1,4 +1,4 @@
-"""The little of a claim that tracing needs; ``kingcupwheel.claims`` owns the format."""
+"""Lookup of a request by its claim; ``kingcupwheel.claims`` defines the format."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class ClaimSummary(msgspec.Struct, frozen=True):
-    """The fields read from a claim; others are left alone.
+    """The fields of a claim that tracing reads.
 
-    ``agent`` is the agent that the claim's request was given to, if any yet.
+    ``agent`` is the agent that the request was dispatched to, None before that.
     """
 
     request_id: str
@@ -31,7 +31,7 @@
 
 
 def build_claim_key(organisation: str, idempotency_key: str) -> str:
-    """Return the key of the claim's object on the platform."""
+    """Return the key of the claim's platform object."""
     text = f"{organisation}\0{idempotency_key}"
     return f"claims/{hashlib.sha256(text.encode()).hexdigest()}"
 
@@ -39,13 +39,13 @@
 def find_claim(
     client: PlatformClient, organisation: str, idempotency_key: str
 ) -> Result[ClaimSummary, FindError]:
-    """Return the claim that the organisation's idempotency key made."""
-    read = client.read(build_claim_key(organisation, idempotency_key))
-    if read.is_error():
-        return Error(PlatformUnavailable(describe_platform_error(read.error)))
-    if read.ok is None:
+    """Return the claim of the organisation's idempotency key."""
+    stored = client.read(build_claim_key(organisation, idempotency_key))
+    if stored.is_error():
+        return Error(PlatformUnavailable(describe_platform_error(stored.error)))
+    if stored.ok is None:
         return Error(ClaimNotFound(idempotency_key))
     try:
-        return Ok(msgspec.json.decode(read.ok.value, type=ClaimSummary))
+        return Ok(msgspec.json.decode(stored.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
-        return Error(PlatformUnavailable(f"the claim can't be read: {error}"))
+        return Error(PlatformUnavailable(f"the claim can't be stored: {error}"))
--- a/src/kingcupwheel/trace/event_descriptions.py
+++ b/src/kingcupwheel/trace/event_descriptions.py
@@ -1,4 +1,4 @@
-"""One plain sentence for each kind of event."""
+"""Descriptions of trace events, one sentence each."""
 
 from __future__ import annotations
 
@@ -29,17 +29,18 @@
 
 
 def describe_event(event: TraceEvent, *, entry: str, arrived_at: float | None) -> str:
-    """Return what ``event`` says in plain words.
+    """Return a sentence that describes ``event``.
 
-    ``entry`` is the process that took the request, ``arrived`` when it did so.
+    ``entry`` is the process that received the request, ``arrived_at`` the time at which
+    it did, if known.
     """
-    told = (
+    description = (
         _describe_arrival(event)
         or _describe_placement(event)
         or _describe_answer(event, arrived=arrived_at)
         or _describe_end(event, final=event.process == entry)
     )
-    return told or f"Recorded {type(event.event).__struct_config__.tag}."
+    return description or f"Recorded {type(event.event).__struct_config__.tag}."
 
 
 def _describe_arrival(event: TraceEvent) -> str | None:
@@ -72,11 +73,11 @@
 
 
 def _describe_refused(refused: RequestRefused) -> str:
-    back = ""
+    hint = ""
     if refused.retry_after_s:
-        back = f" The caller may come back after {refused.retry_after_s:.1f} s."
+        hint = f" The caller may come back after {refused.retry_after_s:.1f} s."
     return (
-        f"Refused by the limit {refused.limit}{_format_detail(refused.detail)}.{back}"
+        f"Refused by the limit {refused.limit}{_format_detail(refused.detail)}.{hint}"
     )
 
 
@@ -94,11 +95,11 @@
 
 
 def _describe_placed(placed: RequestPlaced) -> str:
-    weighed = ", ".join(map(_format_load, placed.considered_servers))
+    considered = ", ".join(map(_format_load, placed.considered_servers))
     return (
         f"Placed on {placed.server} for attempt {placed.attempt} after "
         f"{placed.waited_s:.3f} s in the queue: {placed.reason or 'no reason kept'}."
-        + (f" Weighed: {weighed}." if weighed else "")
+        + (f" Weighed: {considered}." if considered else "")
     )
 
 
@@ -135,9 +136,12 @@
 def _describe_end(event: TraceEvent, *, final: bool) -> str | None:
     match event.event:
         case RequestFinished(outcome, status, length, reason):
-            what = "Final outcome" if final else "This attempt ended as"
-            code = f", status {status}" if status else ""
-            return f"{what}: {outcome}{code}, {length:,} bytes{_format_detail(reason)}."
+            subject = "Final outcome" if final else "This attempt ended as"
+            status_text = f", status {status}" if status else ""
+            return (
+                f"{subject}: {outcome}{status_text}, {length:,} "
+                f"bytes{_format_detail(reason)}."
+            )
         case NoteAdded(text):
             return text if text.endswith(".") else f"{text}."
     return None
--- a/src/kingcupwheel/trace/event_order.py
+++ b/src/kingcupwheel/trace/event_order.py
@@ -1,8 +1,8 @@
-"""One order for the events of several processes, by time and by cause.
+"""Causal order of the events of several processes.
 
-Clocks of processes differ by some milliseconds, so that time alone may put an answer
-before its request. A process's own events keep their order; between processes an event
-waits for what must have come before it.
+Clocks of processes differ by some milliseconds, so ordering by time alone may put an
+answer before its request. Events of one process keep their order; across processes an
+event is placed after the events that must precede it.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 def merge_events(
     entry: str, traces: tuple[tuple[TraceEvent, ...], ...]
 ) -> list[TraceEvent]:
-    """Return all events in order; ``entry`` is the process that took the request.
+    """Return all events in order; ``entry`` is the process that received the request.
 
-    Each part holds the events of one process in order of recording. An event that
-    waits for one that nobody recorded is not held up; a contradiction falls back to
-    time.
+    Each of ``traces`` holds the events of one process in order of recording. A
+    prerequisite that no process recorded is ignored; contradictory events are ordered
+    by time.
     """
-    queues = [list(part) for part in traces if part]
+    queues = [list(trace) for trace in traces if trace]
     merged: list[TraceEvent] = []
     while queues:
-        ready = [queue for queue in queues if not _is_blocked(entry, queue, queues)]
-        chosen = min(ready or queues, key=lambda queue: queue[0].recorded_at)
-        merged.append(chosen.pop(0))
+        unblocked = [queue for queue in queues if not _is_blocked(entry, queue, queues)]
+        next_queue = min(unblocked or queues, key=lambda queue: queue[0].recorded_at)
+        merged.append(next_queue.pop(0))
         queues = [queue for queue in queues if queue]
     return merged
 
@@ -42,11 +42,11 @@
 def _is_blocked(
     entry: str, queue: list[TraceEvent], queues: list[list[TraceEvent]]
 ) -> bool:
-    cause = _find_prerequisite(entry, queue[0])
-    if cause is None:
+    prerequisite = _find_prerequisite(entry, queue[0])
+    if prerequisite is None:
         return False
     return any(
-        _matches(cause, event)
+        _matches(prerequisite, event)
         for other in queues
         if other is not queue
         for event in other
@@ -54,7 +54,7 @@
 
 
 def _find_prerequisite(entry: str, event: TraceEvent) -> _Prerequisite | None:
-    """Return what another process must have recorded before ``event``."""
+    """Return what another process must have recorded before ``event``, if any."""
     attempt: int | None = getattr(event.event, "attempt", None)
     if event.process != entry:
         return (
@@ -65,8 +65,8 @@
     return None
 
 
-def _matches(cause: _Prerequisite, event: TraceEvent) -> bool:
+def _matches(prerequisite: _Prerequisite, event: TraceEvent) -> bool:
     return (
-        isinstance(event.event, cause.kind)
-        and getattr(event.event, "attempt", None) == cause.attempt
+        isinstance(event.event, prerequisite.kind)
+        and getattr(event.event, "attempt", None) == prerequisite.attempt
     )
--- a/src/kingcupwheel/trace/events.py
+++ b/src/kingcupwheel/trace/events.py
@@ -1,7 +1,7 @@
-"""The events that make up the story of a request.
+"""Trace events of requests.
 
-Times are Unix seconds of the process that records. Each event is one typed record;
-``trace.story`` turns them into sentences.
+Times are Unix seconds of the recording process. ``trace.event_descriptions`` describes
+each event in a sentence.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Event(msgspec.Struct, frozen=True, tag=True, tag_field="event"):
-    """Base of all events."""
+    """Base class of all events."""
 
 
 class RequestReceived(Event, frozen=True, tag="Received"):
-    """The entry read the request."""
+    """The entry received the request."""
 
     method: str
     path: str
@@ -36,7 +36,7 @@
 
 
 class ClaimRecorded(Event, frozen=True, tag="Claimed"):
-    """A claim was made, found or moved on the platform; ``detail`` says which."""
+    """A claim was created, found or updated on the platform; ``detail`` says which."""
 
     claim_id: str
     fence: int
@@ -44,14 +44,14 @@
 
 
 class RequestAdmitted(Event, frozen=True, tag="Admitted"):
-    """Within the allowance; ``work`` is predicted work in tokens."""
+    """The request was within the allowance; ``work`` is predicted work in tokens."""
 
     work: float
     detail: str = ""
 
 
 class RequestRefused(Event, frozen=True, tag="Refused"):
-    """Given up before it ran; ``limit`` names the bound that was reached."""
+    """The request was refused before it ran; ``limit`` names the limit reached."""
 
     limit: str
     detail: str
@@ -59,20 +59,20 @@
 
 
 class RequestQueued(Event, frozen=True, tag="Queued"):
-    """Waits for a place; ``ahead`` requests are before it."""
+    """The request was queued behind ``requests_ahead`` others."""
 
     requests_ahead: int = msgspec.field(name="ahead")
 
 
 class ConsideredServer(msgspec.Struct, frozen=True):
-    """A server that was weighed: its name and its load between 0 and 1."""
+    """A server considered for placement, with its load between 0 and 1."""
 
     server: str
     load: float
 
 
 class RequestPlaced(Event, frozen=True, tag="Placed"):
-    """Given to ``server``; ``why`` is a short reason."""
+    """The request was placed on ``server`` for a short ``reason``."""
 
     server: str
     attempt: int
@@ -84,28 +84,28 @@
 
 
 class AttemptDispatched(Event, frozen=True, tag="Dispatched"):
-    """Sent to the agent of ``server``."""
+    """The attempt was sent to the agent of ``server``."""
 
     server: str
     attempt: int
 
 
 class AttemptForwarded(Event, frozen=True, tag="Started"):
-    """The agent handed it to its server."""
+    """The agent forwarded the attempt to its server."""
 
     server: str
     attempt: int
 
 
 class FirstByteRelayed(Event, frozen=True, tag="FirstByte"):
-    """The first byte of the answer's body passed the recording process."""
+    """The recording process relayed the first byte of the answer's body."""
 
     server: str
     attempt: int
 
 
 class AttemptResumed(Event, frozen=True, tag="Resumed"):
-    """Taken up again from ``offset`` over a new link; ``why`` is a short reason."""
+    """The attempt was resumed from byte ``offset`` over a new link."""
 
     server: str
     attempt: int
@@ -114,7 +114,7 @@
 
 
 class AttemptRetried(Event, frozen=True, tag="Retried"):
-    """The attempt ended without a run, or may be repeated; another follows."""
+    """The attempt did not run or may be repeated; another attempt follows."""
 
     attempt: int
     reason: str = msgspec.field(name="why")
@@ -129,19 +129,19 @@
 
 
 class ManifestChanged(Event, frozen=True):
-    """A new manifest came into force while the request was under way."""
+    """A new manifest version took effect while the request was in progress."""
 
     version: int
 
 
 class CallerLeft(Event, frozen=True):
-    """The caller closed its connection; the work was cancelled."""
+    """The caller closed its connection at byte ``offset``; the work was cancelled."""
 
     offset: int
 
 
 class RequestFinished(Event, frozen=True, tag="Finished"):
-    """The final outcome as told to the caller."""
+    """The final outcome at the recording process; an entry sends it to the caller."""
 
     outcome: str
     status: int
@@ -150,7 +150,7 @@
 
 
 class NoteAdded(Event, frozen=True, tag="Noted"):
-    """Anything else worth telling, as one sentence."""
+    """Any other event, described in one sentence."""
 
     sentence: str
 
@@ -177,7 +177,7 @@
 
 
 class TraceEvent(msgspec.Struct, frozen=True):
-    """One event with its request, time and the process that recorded it."""
+    """An event with its request, time and recording process."""
 
     request_id: str
     recorded_at: float = msgspec.field(name="at")
--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the trace layer."""
+"""Errors of trace storage and retrieval."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class InvalidBatch(NamedTuple):
-    """An object under ``traces/`` that can't be read; ``detail`` says why."""
+    """A batch object that can't be decoded; ``detail`` says why."""
 
     detail: str
 
 
 class InvalidRequestId(NamedTuple):
-    """The text names no request."""
+    """The text is not a valid request id."""
 
     text: str
 
 
 class ClaimNotFound(NamedTuple):
-    """No claim is kept for the idempotency key; claims have a retention."""
+    """No claim exists for the idempotency key; claims expire after their retention."""
 
     key: str
 
 
 class PlatformUnavailable(NamedTuple):
-    """The platform's service did not answer; ``detail`` says how."""
+    """The platform can't be read; ``detail`` says why."""
 
     detail: str
 
--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -1,4 +1,4 @@
-"""Tells a request's story from the structured log lines of entries and agents."""
+"""Timeline of a request from the structured log lines of entries and agents."""
 
 from __future__ import annotations
 
@@ -15,15 +15,14 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-# Lines of a process around a request that tell what it believed then: how long before
-# its first line, in seconds.
+# State changes of a process from this long before the request's first line count too.
 CONTEXT_BEFORE_S = 5.0
 _CONTEXT_PARTS = frozenset({"store", "peers", "process", "log", "servers"})
 _FINAL_EVENTS = frozenset({"finished", "refused", "cut-by-stop"})
 
 
 class LogLine(NamedTuple):
-    """One decoded line: Unix seconds, who wrote it, what happened, with what."""
+    """A lines log line: Unix time, process, part of the program, event and fields."""
 
     logged_at: float
     process: str
@@ -33,9 +32,10 @@
 
 
 class LogTimeline(NamedTuple):
-    """What log lines tell of one request.
+    """The log lines of one request.
 
-    ``beliefs`` are what the same processes noted just before and meanwhile.
+    ``beliefs`` are lines on the state of the same processes (membership, configuration,
+    servers) from shortly before the request until its end.
     """
 
     request_id: str
@@ -44,7 +44,7 @@
 
     @property
     def gaps(self) -> tuple[str, ...]:
-        """What is missing for a whole story."""
+        """What is missing from the timeline, one sentence each."""
         events = {line.event for line in self.lines}
         gaps: list[str] = []
         if not self.lines:
@@ -61,9 +61,9 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the line, or None if it is none of ours.
+    """Return the lines line, or None if it has another format.
 
-    Whatever stands before the JSON object, such as a collector's own time, is skipped.
+    A prefix before the JSON object, such as a log collector's timestamp, is skipped.
     """
     start = text.find("{")
     if start < 0:
@@ -78,21 +78,26 @@
 
 
 def build_log_timeline(request_id: str, texts: Iterable[str]) -> LogTimeline:
-    """Return what the lines tell of ``request_id``."""
-    decoded = [line for line in map(parse_line, texts) if line is not None]
-    own = sorted(_select_request_lines(request_id, decoded), key=_get_time)
-    if not own:
+    """Return the timeline of ``request_id``."""
+    lines = [line for line in map(parse_line, texts) if line is not None]
+    request_lines = sorted(_select_request_lines(request_id, lines), key=_get_time)
+    if not request_lines:
         return LogTimeline(request_id, (), ())
-    processes = {line.process for line in own}
-    since, until = own[0].logged_at - CONTEXT_BEFORE_S, own[-1].logged_at
+    processes = {line.process for line in request_lines}
+    since, until = (
+        request_lines[0].logged_at - CONTEXT_BEFORE_S,
+        request_lines[-1].logged_at,
+    )
     beliefs = [
         line
-        for line in decoded
+        for line in lines
         if line.process in processes
         and line.part in _CONTEXT_PARTS
         and since <= line.logged_at <= until
     ]
-    return LogTimeline(request_id, tuple(own), tuple(sorted(beliefs, key=_get_time)))
+    return LogTimeline(
+        request_id, tuple(request_lines), tuple(sorted(beliefs, key=_get_time))
+    )
 
 
 def _get_time(line: LogLine) -> float:
@@ -102,7 +107,7 @@
 def _select_request_lines(
     request_id: str, lines: Iterable[LogLine]
 ) -> Iterator[LogLine]:
-    # A name that a caller used again while it was under way got a number added.
+    # An id that a caller reuses while its request is in progress gets a "~n" suffix.
     prefix = f"{request_id}~"
     for line in lines:
         found = str(line.fields.get("id", ""))
@@ -111,7 +116,7 @@
 
 
 def format_log_timeline(timeline: LogTimeline) -> str:
-    """Return the story in plain sentences."""
+    """Return the timeline as text."""
     blocks = [
         [f"Request {timeline.request_id}"],
         [_format_line(line, _describe_line(line)) for line in timeline.lines],
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -1,10 +1,10 @@
-"""When a process writes which batch of events, decided without input or output.
+"""Schedule of a process's batch writes and deletions, without any I/O.
 
-Load: 1,370 processes share a platform that takes several hundred writes a second, and
-claims of requests that run at most once need most of them. Harm prevented: traces that
-crowd out claims, above all when the platform comes back after an outage and everyone
-has an hour of events to tell. So each process makes at most ``CALLS_PER_PERIOD`` calls
-a period, and what waits is joined into few large objects instead of many small ones.
+1,370 processes share a platform that takes several hundred writes a second, most of
+which claims of at-most-once requests need. Traces must not crowd out claims, above all
+after a platform outage, when every process has an hour of events to write. So each
+process makes at most ``MAX_CALLS_PER_PERIOD`` calls a period, and pending events are
+joined into few large objects.
 """
 
 from __future__ import annotations
@@ -28,27 +28,26 @@
 
     from kingcupwheel.trace.recorder import DrainedEvents
 
-# One batch, the deletion of one expired batch, and one more to catch up after an
-# outage. 1,370 processes with periods of 30 s then stay under 137 calls a second.
+# One write, one deletion of an expired batch, and one more call to catch up after an
+# outage. 1,370 processes with periods of 30 s then make at most 137 calls a second.
 MAX_CALLS_PER_PERIOD = 3
-# Batches that wait for the platform, compressed, plus events not yet compressed. An
-# hour at the target rate of an entry has to fit, in a small share of its 256 MB.
+# Compressed pending batches plus events not yet compressed. An hour of events at an
+# entry's target rate has to fit, in a small share of its 256 MB.
 MAX_OUTBOX_BYTES = 16_000_000
-# Batches remembered for deletion: three days of 30 s periods. What finds no room is
-# listed again at a later sweep.
+# Three days of 30 s periods. Batches beyond it are listed again at a later sweep.
 _MAX_EXPIRING_BATCHES = 10_000
 _PHASE_COUNT = 1000
 
 
 class WriteBatch(NamedTuple):
-    """Create this object; it is the oldest that waits."""
+    """Call that creates the object of the oldest pending batch."""
 
     key: str
     value: bytes
 
 
 class DeleteBatch(NamedTuple):
-    """Remove this expired object; ``version`` is 0 if it is not known."""
+    """Call that deletes an expired object; ``version`` is 0 if unknown."""
 
     key: str
     version: int
@@ -66,10 +65,10 @@
 
 
 class Outbox:
-    """Events on their way to the platform; belongs to one thread.
+    """Events that wait to be written to the platform; not thread-safe.
 
-    ``life`` tells this process's life from earlier ones of its name. Times called
-    ``now`` are monotonic seconds; ``at`` is Unix seconds.
+    ``incarnation`` distinguishes this run of the process from earlier ones. ``now`` is
+    in monotonic seconds, ``time_s`` in Unix seconds.
     """
 
     def __init__(
@@ -79,7 +78,7 @@
         self._incarnation = incarnation
         self._call_interval_s = period_s / MAX_CALLS_PER_PERIOD
         self._period_s = period_s
-        # Processes that start together, as after an outage, must not write together.
+        # Processes that start together, as after an outage, write at different times.
         phase = zlib.crc32(process.encode()) % _PHASE_COUNT / _PHASE_COUNT
         self._next_call_at = now + phase * self._call_interval_s
         self._next_batch_at = now + phase * period_s
@@ -96,7 +95,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes held for the platform."""
+        """Bytes that wait to be written."""
         return self._pending_bytes + self._open_bytes
 
     @property
@@ -105,9 +104,10 @@
         return self._next_call_at
 
     def add_events(self, drained: DrainedEvents) -> int:
-        """Take events from the recorder; return how many were lost for want of room.
+        """Add events of the recorder; return how many events were lost.
 
-        The oldest batch makes room; the loss is told in the next batch written.
+        Past ``MAX_OUTBOX_BYTES`` the oldest batches are dropped; the next batch written
+        reports the loss.
         """
         lost = drained.lost_count
         if lost:
@@ -124,16 +124,16 @@
         return lost
 
     def schedule_deletions(self, names: Iterable[BatchName]) -> None:
-        """Take over deletion of batches that other lives or processes wrote."""
+        """Delete these batches, of other incarnations or processes, once expired."""
         for name in names:
             self._schedule_deletion(name, version=0)
 
     def plan_call(
         self, *, now: float, time_s: float, retention_s: float
     ) -> WriteBatch | DeleteBatch | None:
-        """Return the call to make now, if its time has come.
+        """Return the call to make now, or None if none is due.
 
-        ``settle`` has to follow before the next call.
+        Its result has to be reported before the next call is planned.
         """
         if now < self._next_call_at:
             return None
@@ -147,42 +147,42 @@
         return None
 
     def plan_flush(self) -> WriteBatch | None:
-        """Return the next write without regard to time, for a graceful stop."""
+        """Return the next write at once, for a graceful stop; None if none is left."""
         if not self._pending:
             self._close_batch()
         return self._build_write() if self._pending else None
 
     def confirm_write(self, *, version: int, now: float) -> None:
-        """Note that the batch of the last call is on the platform."""
-        done = self._pending.popleft()
-        self._pending_bytes -= len(done.batch.compressed_events)
-        self._schedule_deletion(done.name, version=version)
+        """Report that the platform has stored the batch of the last call."""
+        written = self._pending.popleft()
+        self._pending_bytes -= len(written.batch.compressed_events)
+        self._schedule_deletion(written.name, version=version)
         self._losses = []
         self._delay_next_call(now)
         if not self._pending:
             self._next_batch_at = now + self._period_s
 
     def drop_rejected(self, why: str, *, now: float) -> None:
-        """Note that the platform will never take the batch of the last call."""
-        refused = self._pending.popleft().batch
-        self._pending_bytes -= len(refused.compressed_events)
-        self._record_loss(refused.since, refused.until, refused.event_count, why)
+        """Drop the batch of the last call, which the platform rejected for good."""
+        rejected = self._pending.popleft().batch
+        self._pending_bytes -= len(rejected.compressed_events)
+        self._record_loss(rejected.since, rejected.until, rejected.event_count, why)
         self._delay_next_call(now)
 
     def confirm_deletion(self, *, now: float) -> None:
-        """Note that the batch of the last call is gone."""
-        gone = heapq.heappop(self._expiring)
-        self._expiring_keys.discard(gone.key)
+        """Report that the batch of the last call is deleted."""
+        deleted = heapq.heappop(self._expiring)
+        self._expiring_keys.discard(deleted.key)
         self._delay_next_call(now)
 
     def set_found_version(self, *, version: int, now: float) -> None:
-        """Note the version of the batch to delete, which the refusal told."""
+        """Set the version of the batch to delete, as found by the conflict."""
         oldest = self._expiring[0]
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
         self._delay_next_call(now)
 
     def postpone_call(self, *, now: float, wait_s: float = 0.0) -> None:
-        """Note that the last call came to nothing; the same follows later."""
+        """Report that the last call failed; it is retried later."""
         self._delay_next_call(now)
         self._next_call_at = max(self._next_call_at, now + wait_s)
 
@@ -233,7 +233,7 @@
 
     def _build_write(self) -> WriteBatch:
         name, batch = self._pending[0]
-        telling = TraceBatch(
+        batch_with_losses = TraceBatch(
             batch.process,
             batch.since,
             batch.until,
@@ -241,8 +241,8 @@
             batch.compressed_events,
             tuple(self._losses),
         )
-        self._pending[0] = _PendingBatch(name, telling)
-        return WriteBatch(name.key, encode_batch(telling))
+        self._pending[0] = _PendingBatch(name, batch_with_losses)
+        return WriteBatch(name.key, encode_batch(batch_with_losses))
 
     def _record_loss(self, since: float, until: float, events: int, why: str) -> None:
         last = self._losses[-1] if self._losses else None
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -1,7 +1,7 @@
-"""Events of recent requests in bounded memory.
+"""Recorder of the trace events of recent requests, in bounded memory.
 
-Events are kept encoded: one ``bytes`` object is smaller than the records it stands for,
-the garbage collector does not walk it, and a batch is made by joining them.
+Events are stored encoded: a ``bytes`` object is smaller than the records it encodes,
+the garbage collector does not traverse it, and batches are built by joining them.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
     from kingcupwheel.trace.events import AnyEvent
 
-# Events kept for one request. A request on a flapping link may be resumed without end;
-# past the bound only its final outcome is added, and the story says so.
+# A request on a flapping link may be resumed any number of times. Past the bound only
+# its final outcome is stored, and the reply is marked as incomplete.
 MAX_EVENTS_PER_REQUEST = 200
-# Encoded events that wait to be put in a batch. At 10 requests a second with about
-# 1.5 KB each this is some four minutes: far more than a batch's period, so that it
-# only bites when the shipper's thread is stuck.
+# Encoded events that wait for a batch. At 10 requests a second of about 1.5 KB each
+# this is four minutes, far longer than a batch's period, so that events are only
+# dropped if the shipper's thread is stuck.
 MAX_UNSHIPPED_BYTES = 4_000_000
 
 
 class DrainedEvents(NamedTuple):
-    """Events not yet in a batch, encoded, oldest first.
+    """Encoded events that are not in a batch yet, oldest_id first.
 
-    ``since`` and ``until`` are Unix seconds of the first and last record call;
-    ``lost`` counts events that found no room since the last call.
+    ``since`` and ``until`` are Unix seconds between which they were recorded;
+    ``lost_count`` is the number of events dropped since the last drain.
     """
 
     encoded: tuple[bytes, ...]
@@ -58,9 +58,9 @@
 
 
 class TraceRecorder:
-    """Keeps the events of the latest ``limit`` requests; safe from any thread.
+    """Records the events of the latest ``max_requests`` requests; thread-safe.
 
-    ``listener`` is called with each event, on the thread that records it.
+    ``listener`` is called with each event, on the recording thread.
     """
 
     def __init__(
@@ -85,15 +85,15 @@
 
     @property
     def process(self) -> str:
-        """The name that the events are recorded under."""
+        """The name of the recording process."""
         return self._process
 
     def record(self, request_id: str, event: AnyEvent) -> None:
-        """Add ``event`` to the request's story; the oldest story makes room."""
+        """Record an event; the oldest_id request is evicted past ``max_requests``."""
         at = time.time()
-        entry = TraceEvent(request_id, at, self._process, event)
+        trace_event = TraceEvent(request_id, at, self._process, event)
         with self._lock:
-            encoded = self._encoder.encode(entry)
+            encoded = self._encoder.encode(trace_event)
             self._store_event(
                 request_id, encoded, final=isinstance(event, RequestFinished)
             )
@@ -102,29 +102,29 @@
             self._listener(event)
 
     def get_events(self, request_id: str) -> tuple[TraceEvent, ...]:
-        """Return what is held of the request, in order of recording."""
+        """Return the stored events of the request, in order of recording."""
         with self._lock:
-            story = self._events_by_request_id.get(request_id)
-            encoded = tuple(story.encoded_events) if story else ()
+            request_events = self._events_by_request_id.get(request_id)
+            encoded = tuple(request_events.encoded_events) if request_events else ()
         return tuple(EVENT_DECODER.decode(item) for item in encoded)
 
     def build_reply(self, request_id: str) -> TraceReply:
-        """Answer ``TraceRequest``: the events held, and whether none was let go.
+        """Return the reply to ``TraceRequest``: the events, and if they are complete.
 
-        ``complete`` is False if events of the request may have been recorded by an
-        earlier life of this process, pushed out by newer requests or left out.
+        They are incomplete if events may have been recorded by an earlier incarnation
+        of this process, evicted by newer requests, or dropped past the bound.
         """
         events = self.get_events(request_id)
         with self._lock:
-            story = self._events_by_request_id.get(request_id)
+            request_events = self._events_by_request_id.get(request_id)
             complete = self._is_covered(request_id) and not (
-                story and story.is_truncated
+                request_events and request_events.is_truncated
             )
         payload = msgspec.msgpack.encode(events)
         return TraceReply(request_id, self._process, payload, complete)
 
     def drain(self) -> DrainedEvents:
-        """Hand over the events that are not yet in a batch."""
+        """Remove and return the events that are not in a batch yet."""
         with self._lock:
             now = time.time()
             drained = DrainedEvents(
@@ -137,21 +137,21 @@
         return drained
 
     def _store_event(self, request_id: str, encoded: bytes, *, final: bool) -> None:
-        story = self._events_by_request_id.get(request_id)
-        if story is None:
-            story = _RequestEvents()
-            self._events_by_request_id[request_id] = story
+        request_events = self._events_by_request_id.get(request_id)
+        if request_events is None:
+            request_events = _RequestEvents()
+            self._events_by_request_id[request_id] = request_events
             self._evict_oldest()
-        if len(story.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
-            story.encoded_events.append(encoded)
+        if len(request_events.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
+            request_events.encoded_events.append(encoded)
         else:
-            story.is_truncated = True
+            request_events.is_truncated = True
 
     def _evict_oldest(self) -> None:
         while len(self._events_by_request_id) > self._max_requests:
-            oldest, _ = self._events_by_request_id.popitem(last=False)
+            oldest_id, _ = self._events_by_request_id.popitem(last=False)
             self._evicted_until_ms = max(
-                self._evicted_until_ms, _get_arrival_ms(oldest)
+                self._evicted_until_ms, _get_arrival_ms(oldest_id)
             )
 
     def _enqueue(self, encoded: bytes, at: float) -> None:
@@ -164,8 +164,8 @@
             self._lost_count += 1
 
     def _is_covered(self, request_id: str) -> bool:
-        # A story that was pushed out may start anew with a late event; judging by the
-        # time in the id catches that too.
+        # A late event of an evicted request starts a new record without the earlier
+        # ones; the arrival time in the id detects this.
         started_ms = _get_arrival_ms(request_id)
         return started_ms > max(int(self._started_at * 1000), self._evicted_until_ms)
 
--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the parts that processes and batches hold."""
+"""Timeline of a request, merged from the traces of processes and batches."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Clocks are kept within some milliseconds of each other; more than this is told.
+# Clocks are synchronised within some milliseconds; a larger skew is reported.
 _MAX_CLOCK_SKEW_S = 0.05
 
 
 class TraceSource(StrEnum):
-    """Where a part of a story came from."""
+    """Where the trace of a process was found."""
 
     LIVE = "live"
     BATCHES = "batches"
@@ -42,9 +42,9 @@
 
 
 class OutcomeState(StrEnum):
-    """Whether the story has its end.
+    """Whether the final outcome of a request is known.
 
-    ``CONTRADICTORY`` is a fault of the system: more than one final outcome.
+    ``CONTRADICTORY`` means more than one final outcome, which is a system fault.
     """
 
     FINISHED = "finished"
@@ -55,7 +55,7 @@
 
 
 class TimelineLine(msgspec.Struct, frozen=True):
-    """One sentence, the Unix time and the process that says so."""
+    """One event as a sentence, with its Unix time and recording process."""
 
     recorded_at: float = msgspec.field(name="at")
     process: str
@@ -63,10 +63,10 @@
 
 
 class RequestTimeline(msgspec.Struct, frozen=True):
-    """What became of one request.
+    """The events of a request in causal order, its outcome and its known gaps.
 
-    ``outcome`` is the outcome told to the caller, empty unless ``state`` is finished;
-    ``manifest_version`` is the one in force at arrival, None if not known.
+    ``outcome`` is the outcome sent to the caller, empty unless ``state`` is finished;
+    ``manifest_version`` is the version in force at arrival, None if unknown.
     """
 
     request_id: str
@@ -85,23 +85,23 @@
 
 
 def build_timeline(request_id: str, traces: Iterable[ProcessTrace]) -> RequestTimeline:
-    """Return the story that ``parts``, one for each process, make up."""
+    """Return the timeline of ``traces``, one for each process."""
     kept = tuple(traces)
     parsed = parse_request_id(request_id)
     entry = parsed.entry if parsed else ""
-    events = merge_events(entry, tuple(part.events for part in kept))
+    events = merge_events(entry, tuple(trace.events for trace in kept))
     received = _find_received(events)
-    endings = _list_final_outcomes(events, entry)
-    state = _determine_state(kept, endings, entry)
+    final_outcomes = _list_final_outcomes(events, entry)
+    state = _determine_state(kept, final_outcomes, entry)
     return RequestTimeline(
         request_id=request_id,
         state=state,
-        outcome=endings[0].outcome if state is OutcomeState.FINISHED else "",
-        reason=endings[0].reason if state is OutcomeState.FINISHED else "",
+        outcome=final_outcomes[0].outcome if state is OutcomeState.FINISHED else "",
+        reason=final_outcomes[0].reason if state is OutcomeState.FINISHED else "",
         manifest_version=_manifest_version(received),
         lines=_build_lines(events, entry, received.recorded_at if received else None),
         gaps=(
-            *_describe_outcome_gaps(state, events, endings, entry),
+            *_describe_outcome_gaps(state, events, final_outcomes, entry),
             *_list_gaps(kept),
         ),
         parts=kept,
@@ -109,7 +109,7 @@
 
 
 def list_servers(events: Iterable[TraceEvent]) -> tuple[str, ...]:
-    """Return the servers that the events name as placed on, in order."""
+    """Return the servers that the request was placed on or sent to, in order."""
     named = {
         event.event.server: None
         for event in events
@@ -143,10 +143,15 @@
         return OutcomeState.CONTRADICTORY
     if final_outcomes:
         return OutcomeState.FINISHED
-    told = next((part for part in traces if part.process == entry), None)
-    if told and told.events and not told.gaps and told.source is TraceSource.LIVE:
+    entry_trace = next((trace for trace in traces if trace.process == entry), None)
+    if (
+        entry_trace
+        and entry_trace.events
+        and not entry_trace.gaps
+        and entry_trace.source is TraceSource.LIVE
+    ):
         return OutcomeState.IN_PROGRESS
-    if any(part.events for part in traces):
+    if any(trace.events for trace in traces):
         return OutcomeState.OUTCOME_MISSING
     return OutcomeState.UNKNOWN
 
@@ -157,8 +162,8 @@
     lines = []
     latest = 0.0
     for event in events:
-        own = arrived_at if event.process == entry else None
-        text = describe_event(event, entry=entry, arrived_at=own)
+        own_arrival = arrived_at if event.process == entry else None
+        text = describe_event(event, entry=entry, arrived_at=own_arrival)
         if latest - event.recorded_at > _MAX_CLOCK_SKEW_S:
             text += (
                 f" (Its clock is {latest - event.recorded_at:.3f} s or more behind.)"
@@ -197,4 +202,4 @@
 
 
 def _list_gaps(traces: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
-    return tuple(gap for part in traces for gap in part.gaps)
+    return tuple(gap for trace in traces for gap in trace.gaps)
--- a/src/kingcupwheel/trace/timeline_finder.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -1,7 +1,8 @@
-"""Gathering the parts of one request's story, without an index.
+"""Finder of a request's timeline, without an index.
 
-The id names the entry and the time; the entry's events name the agents. Each is asked
-over its own socket first, and its batches are read if it is gone or does not hold all.
+The request id contains the entry and the arrival time; the entry's events name the
+agents. Each process is queried over its own socket first; its batches are read if it
+does not answer or does not hold all of the request's events.
 """
 
 from __future__ import annotations
@@ -43,11 +44,10 @@
     from kingcupwheel.trace.exceptions import FindError
     from kingcupwheel.utils.request_ids import RequestId
 
-# Agents asked when the entry left nothing that names them. It covers every agent of
-# today's deployments; of a larger fleet the rest is named as not asked.
+# Agents queried if no event of the entry names one. It covers every agent of current
+# deployments; in a larger fleet the number of agents not queried is reported.
 MAX_FALLBACK_AGENTS = 128
-# Processes whose batches are read in that case, each with some four calls to the
-# platform.
+# Processes whose batches are read in that case; each takes about four platform calls.
 MAX_FALLBACK_WRITERS = 32
 
 
@@ -58,7 +58,7 @@
 
 
 class TraceQueryClient(Protocol):
-    """Asks live processes; ``link.query_client.QueryClient`` does."""
+    """Client that queries live processes; see ``link.query_client.QueryClient``."""
 
     def ask(
         self,
@@ -66,15 +66,15 @@
         question: Message,
         answer: type[TraceReply],
     ) -> dict[str, TraceReply]:
-        """Return the answers by process, without those that did not come in time."""
+        """Return the answers received before the timeout, by process."""
 
 
 class TimelineFinder:
-    """Finds stories; belongs to one thread.
+    """Finds request timelines; not thread-safe.
 
-    ``address_by_process`` holds addresses given by hand, for when the platform's list
-    can't be read; they go before the list's. ``agents`` names agents to ask in any
-    case, such as the one that a claim names.
+    ``address_by_process`` holds addresses configured by the user, which take precedence
+    over the platform's list and work without it. ``agents`` names agents to query in
+    any case, such as the one named by a claim.
     """
 
     def __init__(
@@ -92,26 +92,26 @@
         self._batch_reader = BatchReader(client)
 
     def find(self, request_id: str) -> Result[RequestTimeline, FindError]:
-        """Return what can be said of the request, with what is missing."""
+        """Return the timeline of the request, including its known gaps."""
         parsed = parse_request_id(request_id)
         if parsed is None:
             return Error(InvalidRequestId(request_id))
         directory = self._read_directory()
         entry = self._collect_traces((parsed.entry,), request_id, parsed, directory)[0]
         servers = dict.fromkeys((*list_servers(entry.events), *self._given_agents))
-        told_at = _get_finish_time(entry.events)
+        finished_at = _get_finish_time(entry.events)
         agents = self._collect_traces(
-            tuple(servers), request_id, parsed, directory, told_at
+            tuple(servers), request_id, parsed, directory, finished_at
         )
-        # An entry that answers for that time and holds nothing never gave out the id.
-        found = entry.events or any(part.events for part in agents)
-        if not found and entry.gaps:
+        # An entry without gaps and without events never issued the id.
+        has_events = entry.events or any(trace.events for trace in agents)
+        if not has_events and entry.gaps:
             agents = (*agents, *self._search_all_agents(request_id, parsed, directory))
-        parts = (entry, *agents)
-        if directory.problem and any(part.gaps for part in parts):
+        traces = (entry, *agents)
+        if directory.problem and any(trace.gaps for trace in traces):
             gaps = (directory.problem, *entry.gaps)
-            parts = (msgspec.structs.replace(entry, gaps=gaps), *agents)
-        return Ok(build_timeline(request_id, parts))
+            traces = (msgspec.structs.replace(entry, gaps=gaps), *agents)
+        return Ok(build_timeline(request_id, traces))
 
     def _read_directory(self) -> _ProcessDirectory:
         listed = self._client.instances()
@@ -135,10 +135,10 @@
         directory: _ProcessDirectory,
         finished_at: float | None = None,
     ) -> tuple[ProcessTrace, ...]:
-        found_by_process = self._query_processes(processes, request_id, directory)
+        reply_by_process = self._query_processes(processes, request_id, directory)
         return tuple(
             self._collect_trace(
-                process, found_by_process.get(process), request_id, parsed, finished_at
+                process, reply_by_process.get(process), request_id, parsed, finished_at
             )
             for process in processes
         )
@@ -175,37 +175,40 @@
     def _search_all_agents(
         self, request_id: str, parsed: RequestId, directory: _ProcessDirectory
     ) -> tuple[ProcessTrace, ...]:
-        """Look at large: the entry is gone and left nothing that names an agent."""
-        asked = directory.agents[:MAX_FALLBACK_AGENTS]
-        found_by_process = self._query_processes(asked, request_id, directory)
-        parts = tuple(
+        """Search all agents, as no event of the entry names one."""
+        queried = directory.agents[:MAX_FALLBACK_AGENTS]
+        reply_by_process = self._query_processes(queried, request_id, directory)
+        traces = tuple(
             ProcessTrace(process, TraceSource.LIVE, events)
-            for process, found in found_by_process.items()
-            if (events := _decode_events(found))
+            for process, reply in reply_by_process.items()
+            if (events := _decode_events(reply))
         )
-        if parts:
-            return parts
-        whole = {name for name, found in found_by_process.items() if found.complete}
+        if traces:
+            return traces
+        complete = {name for name, reply in reply_by_process.items() if reply.complete}
         writers = self._batch_reader.list_writers()
-        left = [name for name in writers if name not in whole | {parsed.entry}]
-        parts = self._search_batches(left[:MAX_FALLBACK_WRITERS], request_id, parsed)
-        unasked = max(0, len(directory.agents) - len(asked))
-        unread = max(0, len(left) - MAX_FALLBACK_WRITERS)
-        if parts or not (unasked or unread):
-            return parts
+        remaining = [name for name in writers if name not in complete | {parsed.entry}]
+        traces = self._search_batches(
+            remaining[:MAX_FALLBACK_WRITERS], request_id, parsed
+        )
+        unqueried = max(0, len(directory.agents) - len(queried))
+        unread = max(0, len(remaining) - MAX_FALLBACK_WRITERS)
+        if traces or not (unqueried or unread):
+            return traces
         gap = (
-            f"{unasked} agents were not asked and {unread} processes' batches not read."
+            f"{unqueried} agents were not asked and {unread} processes' "
+            "batches not read."
         )
         return (ProcessTrace("agents", TraceSource.NOT_FOUND, (), (gap,)),)
 
     def _search_batches(
         self, writers: list[str], request_id: str, parsed: RequestId
     ) -> tuple[ProcessTrace, ...]:
-        parts = (
+        traces = (
             self._collect_trace(name, None, request_id, parsed, None)
             for name in writers
         )
-        return tuple(part for part in parts if part.events)
+        return tuple(trace for trace in traces if trace.events)
 
 
 def _decode_events(reply: TraceReply | None) -> tuple[TraceEvent, ...]:
@@ -221,8 +224,8 @@
 def _combine_events(
     live: tuple[TraceEvent, ...], stored: tuple[TraceEvent, ...]
 ) -> tuple[TraceEvent, ...]:
-    held = set(stored)
-    return stored + tuple(event for event in live if event not in held)
+    stored_events = set(stored)
+    return stored + tuple(event for event in live if event not in stored_events)
 
 
 def _describe_gaps(
@@ -233,8 +236,8 @@
     stored: BatchEvents,
     finished_at: float | None,
 ) -> tuple[str, ...]:
-    # An agent's batches that reach past the end of the request, without a loss, hold
-    # all that it recorded, even if that is nothing: a dispatch may never have come.
+    # Batches that extend past the end of the request without a loss hold everything
+    # that the agent recorded. That may be nothing, as a dispatch may never arrive.
     if (
         finished_at
         and stored.covered_until > finished_at
@@ -271,11 +274,13 @@
 
 
 def _has_end(events: tuple[TraceEvent, ...], *, requires_start: bool) -> bool:
-    """Tell whether the events run to the end of the request at that process."""
-    ended = any(
+    """Return whether the events include the end of the request at that process."""
+    has_end = any(
         isinstance(event.event, RequestFinished | RequestRefused) for event in events
     )
     if not requires_start:
-        return ended
-    begun = any(isinstance(event.event, RequestReceived) for event in events)
-    return begun and any(isinstance(event.event, RequestFinished) for event in events)
+        return has_end
+    has_start = any(isinstance(event.event, RequestReceived) for event in events)
+    return has_start and any(
+        isinstance(event.event, RequestFinished) for event in events
+    )
--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -1,4 +1,4 @@
-"""A story as text for a terminal."""
+"""Text output of a request timeline for a terminal."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def format_timeline(timeline: RequestTimeline) -> str:
-    """Return the story in lines: what happened, the outcome, what is missing."""
+    """Return the sources, the events, the outcome and the gaps as text."""
     width = max((len(line.process) for line in timeline.lines), default=0)
     blocks = [
         [f"Request {timeline.request_id}", *_format_sources(timeline)],
