--- a/src/kingcupwheel/burn/__init__.py
+++ b/src/kingcupwheel/burn/__init__.py
@@ -1,3 +1,3 @@
-"""Service-level goals and how fast their error budget burns."""
+"""Service-level goals and the burn rate of their error budgets."""
 
 from __future__ import annotations
--- a/src/kingcupwheel/burn/burn_counter.py
+++ b/src/kingcupwheel/burn/burn_counter.py
@@ -1,8 +1,8 @@
-"""Counts of one entry: how requests met their service-level goals.
+"""Counter of an entry's requests against service-level goals.
 
-Load: every request of an entry, about nine a second with 2,300 tokens at the target
-size. Harm prevented: an entry whose memory grows with organisations, routes or
-reasons; each dimension is bounded and what finds no room is counted and told.
+An entry counts about nine requests a second with 2,300 tokens each at its target load.
+Memory must not grow with the number of organisations, routes or reasons: each dimension
+is bounded, and requests beyond a bound are counted and reported.
 """
 
 from __future__ import annotations
@@ -39,12 +39,11 @@
     from kingcupwheel.burn.goals import BurnGoals
     from kingcupwheel.burn.minute_counts import EventCount
 
-# Scopes with goals of their own that one entry counts; 20 KB each. An entry serves a
-# small set of organisations, so that it only bites if many of them have own goals.
+# Scopes take 20 KB each. An entry serves a small set of organisations, so that the
+# bound only matters if many of them have goals of their own.
 MAX_SCOPES = 200
-# Culprits told apart in ten minutes; the rest is counted as one.
+# Causes per ten minutes; further ones are counted together.
 MAX_MISS_CAUSES = 200
-# Culprits sent in one answer, the worst first.
 _MAX_REPORTED_CAUSES = 100
 _CAUSE_SLICE_S = 600
 _CAUSE_SLICE_COUNT = 6
@@ -52,7 +51,7 @@
 
 
 class BurnCounter:
-    """Counts finished requests against goals; safe from any thread, never blocks."""
+    """Counts finished requests against goals; thread-safe and never blocks on I/O."""
 
     def __init__(self, process: str, goals: BurnGoals, *, now: float) -> None:
         self._process = process
@@ -65,9 +64,9 @@
         self._lock = Lock()
 
     def set_goals(self, goals: BurnGoals) -> None:
-        """Hold requests to the goals of a new manifest from now on.
+        """Set the goals of a new manifest.
 
-        Counts made against earlier goals stay: they were true when they were made.
+        Earlier counts stay, as they were correct for the goals of their time.
         """
         with self._lock:
             self._goals = goals
@@ -75,7 +74,7 @@
     def count_request(
         self, finished_request: FinishedRequest, *, now: float
     ) -> dict[Indicator, EventCount]:
-        """Count a finished request and return how it met its own goals.
+        """Count a finished request; return its counts against its own goals.
 
         ``now`` is Unix seconds.
         """
@@ -84,13 +83,13 @@
             return self._count_by_scope(finished_request, now)
 
     def build_reply(self, *, now: float) -> BurnReply:
-        """Answer ``BurnRequest``."""
+        """Return the reply to ``BurnRequest``."""
         return BurnReply(
             self._process, msgspec.msgpack.encode(self.build_counts(now=now))
         )
 
     def build_counts(self, *, now: float) -> EntryCounts:
-        """Return everything counted, as of ``now``."""
+        """Return all counts as of ``now``."""
         with self._lock:
             return EntryCounts(
                 self._process,
@@ -107,28 +106,30 @@
         self, finished_request: FinishedRequest, now: float
     ) -> dict[Indicator, EventCount]:
         minute = int(now // MINUTE_S)
-        own: dict[Indicator, EventCount] = {}
-        held = self._goals.list_applicable_goals(
+        own_counts: dict[Indicator, EventCount] = {}
+        applicable_goals = self._goals.list_applicable_goals(
             route=finished_request.route, organisation=finished_request.organisation
         )
-        for scope, goals in held:
+        for scope, goals in applicable_goals:
             counts = count_by_indicator(finished_request, goals)
-            tally = self._get_counts(scope)
-            if tally is None:
+            minute_counts = self._get_counts(scope)
+            if minute_counts is None:
                 self._uncounted_requests += 1
                 continue
             for indicator, count in counts.items():
-                tally.add_events(minute, indicator, total=count.total, bad=count.bad)
+                minute_counts.add_events(
+                    minute, indicator, total=count.total, bad=count.bad
+                )
             if scope == OVERALL:
                 self._count_causes(finished_request, counts, now)
-                own = counts
-        return own
+                own_counts = counts
+        return own_counts
 
     def _get_counts(self, scope: Scope) -> MinuteCounts | None:
-        tally = self._counts_by_scope.get(scope)
-        if tally is None and len(self._counts_by_scope) < MAX_SCOPES:
-            tally = self._counts_by_scope[scope] = MinuteCounts()
-        return tally
+        minute_counts = self._counts_by_scope.get(scope)
+        if minute_counts is None and len(self._counts_by_scope) < MAX_SCOPES:
+            minute_counts = self._counts_by_scope[scope] = MinuteCounts()
+        return minute_counts
 
     def _count_causes(
         self,
@@ -136,35 +137,37 @@
         counts: dict[Indicator, EventCount],
         now: float,
     ) -> None:
-        culprits = self._get_slice(now)
+        causes = self._get_slice(now)
         for indicator, count in counts.items():
             if not count.bad:
                 continue
             reason = finished_request.reason
             if indicator is not Indicator.AVAILABILITY:
                 reason = "late"
-            culprit = MissCause(
+            cause = MissCause(
                 indicator,
                 finished_request.organisation,
                 finished_request.group,
                 finished_request.server,
                 reason,
             )
-            if culprit not in culprits and len(culprits) >= MAX_MISS_CAUSES:
-                culprit = MissCause(
+            if cause not in causes and len(causes) >= MAX_MISS_CAUSES:
+                cause = MissCause(
                     indicator, OTHER_CAUSES, OTHER_CAUSES, OTHER_CAUSES, OTHER_CAUSES
                 )
-            culprits[culprit] += count.bad
+            causes[cause] += count.bad
 
     def _get_slice(self, now: float) -> Counter[MissCause]:
-        number = int(now // _CAUSE_SLICE_S)
-        if number not in self._causes_by_slice:
-            self._causes_by_slice[number] = Counter()
-            for old in [
-                n for n in self._causes_by_slice if n <= number - _CAUSE_SLICE_COUNT
+        slice_number = int(now // _CAUSE_SLICE_S)
+        if slice_number not in self._causes_by_slice:
+            self._causes_by_slice[slice_number] = Counter()
+            for expired in [
+                n
+                for n in self._causes_by_slice
+                if n <= slice_number - _CAUSE_SLICE_COUNT
             ]:
-                del self._causes_by_slice[old]
-        return self._causes_by_slice[number]
+                del self._causes_by_slice[expired]
+        return self._causes_by_slice[slice_number]
 
     def _record_times(self, finished_request: FinishedRequest, now: float) -> None:
         group = finished_request.group
@@ -180,13 +183,15 @@
     def _build_scopes(self, minute: int) -> tuple[ScopeCounts, ...]:
         return tuple(
             ScopeCounts(
-                scope.kind, scope.name, self._build_indicators(scope, tally, minute)
+                scope.kind,
+                scope.name,
+                self._build_indicators(scope, minute_counts, minute),
             )
-            for scope, tally in self._counts_by_scope.items()
+            for scope, minute_counts in self._counts_by_scope.items()
         )
 
     def _build_indicators(
-        self, scope: Scope, tally: MinuteCounts, minute: int
+        self, scope: Scope, minute_counts: MinuteCounts, minute: int
     ) -> tuple[IndicatorCounts, ...]:
         goals = self._goals.get_goals(scope)
         return tuple(
@@ -194,10 +199,14 @@
                 indicator,
                 get_target(goals, indicator),
                 tuple(
-                    tally.sum_range(indicator, first=minute - length + 1, last=minute)
+                    minute_counts.sum_range(
+                        indicator, first=minute - length + 1, last=minute
+                    )
                     for length in WINDOWS_MIN
                 ),
-                _build_points(tally, indicator, minute) if scope == OVERALL else (),
+                _build_points(minute_counts, indicator, minute)
+                if scope == OVERALL
+                else (),
             )
             for indicator in INDICATORS
         )
@@ -205,10 +214,10 @@
     def _list_worst_causes(self, now: float) -> tuple[MissCauseCount, ...]:
         self._get_slice(now)
         total: Counter[MissCause] = Counter()
-        for culprits in self._causes_by_slice.values():
-            total.update(culprits)
-        told = total.most_common(_MAX_REPORTED_CAUSES)
-        return tuple(MissCauseCount(culprit, bad) for culprit, bad in told)
+        for causes in self._causes_by_slice.values():
+            total.update(causes)
+        worst = total.most_common(_MAX_REPORTED_CAUSES)
+        return tuple(MissCauseCount(cause, bad) for cause, bad in worst)
 
     def _encode_histograms(self, now: float) -> tuple[EncodedHistogram, ...]:
         return tuple(
@@ -218,12 +227,12 @@
 
 
 def _build_points(
-    tally: MinuteCounts, indicator: Indicator, minute: int
+    minute_counts: MinuteCounts, indicator: Indicator, minute: int
 ) -> tuple[tuple[int, int], ...]:
-    """Return counts of five minutes each; points of all entries start alike."""
+    """Return counts of five minutes each, aligned alike on all entries."""
     last = minute // POINT_LENGTH_MIN
     return tuple(
-        tally.sum_range(
+        minute_counts.sum_range(
             indicator,
             first=point * POINT_LENGTH_MIN,
             last=point * POINT_LENGTH_MIN + POINT_LENGTH_MIN - 1,
--- a/src/kingcupwheel/burn/burn_rates.py
+++ b/src/kingcupwheel/burn/burn_rates.py
@@ -1,9 +1,9 @@
-"""Burn rates: how fast the error budget of a goal is used up.
+"""Burn rates of error budgets, and their alerts.
 
-At rate 1 the budget of a period is used up exactly at its end. The alerts are those of
-the Site Reliability Workbook, chapter 5: a fast one that uses 2% of a month's budget in
-an hour, and a slow one that uses 5% in six. Each asks a short window too, so that it
-ends soon after its cause.
+A burn rate of 1 uses up the budget of a period exactly at its end. The alerts are those
+of the Site Reliability Workbook, chapter 5: the fast one uses 2% of a month's budget in
+an hour, the slow one 5% in six hours. Each also requires a short window to be over its
+threshold, so that the alert ends soon after its cause.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 FAST_BURN_RATE = 14.4
 SLOW_BURN_RATE = 6.0
-# One failure of three requests at night is no reason to wake anybody.
+# Prevents alerts at low traffic, such as one failure of three requests at night.
 MIN_EVENTS_FOR_ALERT = 20
 
 
 class Alert(StrEnum):
-    """How urgent the burn is."""
+    """The urgency of a burn rate."""
 
     NONE = "none"
     SLOW = "slow"
@@ -34,7 +34,7 @@
 def compute_burn_rate(count: EventCount, target: float) -> float | None:
     """Return the burn rate of ``count``; None without events.
 
-    A target of 1 leaves no budget: any bad event then burns without bound.
+    A target of 1 leaves no budget: the rate is then infinite with any bad event.
     """
     if not count.total:
         return None
@@ -46,7 +46,7 @@
 
 
 def determine_alert(windows: Sequence[EventCount], target: float) -> Alert:
-    """Return the alert for counts in the order of ``records.WINDOWS_MIN``."""
+    """Return the alert for counts in the order of ``entry_counts.WINDOWS_MIN``."""
     fast_short, fast_long, slow_short, slow_long = windows
     if _is_over_threshold(fast_short, fast_long, target, FAST_BURN_RATE):
         return Alert.FAST
--- a/src/kingcupwheel/burn/burn_report.py
+++ b/src/kingcupwheel/burn/burn_report.py
@@ -1,4 +1,4 @@
-"""One report from the counts of all entries."""
+"""Burn report, merged from the counts of all entries."""
 
 from __future__ import annotations
 
@@ -30,7 +30,6 @@
     from kingcupwheel.burn.entry_counts import IndicatorCounts
     from kingcupwheel.burn.entry_counts import MissCause
 
-# Culprits in a report, the worst first.
 _MAX_REPORTED_CAUSES = 20
 
 
@@ -44,7 +43,7 @@
 
 
 class GoalBurn(msgspec.Struct, frozen=True):
-    """How one goal of one scope burns."""
+    """Burn rates and alert of one indicator in one scope."""
 
     kind: ScopeKind
     name: str
@@ -55,7 +54,7 @@
 
 
 class BurnPoint(msgspec.Struct, frozen=True):
-    """Burn over five minutes from Unix second ``at``."""
+    """Burn rate over five minutes from Unix second ``started_at``."""
 
     started_at: float = msgspec.field(name="at")
     total: int
@@ -64,14 +63,14 @@
 
 
 class BurnPlot(msgspec.Struct, frozen=True):
-    """Burn over time of all requests."""
+    """Burn rate of all requests over time."""
 
     indicator: Indicator
     points: tuple[BurnPoint, ...]
 
 
 class LatencyPercentiles(msgspec.Struct, frozen=True):
-    """Percentiles in milliseconds over the last half hour to hour."""
+    """Percentiles in milliseconds over the last 30 to 60 minutes."""
 
     indicator: Indicator
     group: str
@@ -82,7 +81,7 @@
 
 
 class EntryState(msgspec.Struct, frozen=True):
-    """An entry that answered: since when it counts, in Unix seconds."""
+    """An entry that answered; ``counting_since`` is in Unix seconds."""
 
     process: str
     counting_since: float = msgspec.field(name="since")
@@ -91,10 +90,10 @@
 
 
 class BurnReport(msgspec.Struct, frozen=True):
-    """Burn over all entries.
+    """Burn rates over all entries.
 
-    ``silent`` entries did not answer: their requests are missing from every figure.
-    ``young`` ones count for less than the longest window.
+    ``unanswered`` entries are missing from every figure; ``recently_started`` ones
+    have counted for less than the longest window.
     """
 
     created_at: float = msgspec.field(name="at")
@@ -120,8 +119,8 @@
     unanswered: Iterable[str] = (),
     problem: str = "",
 ) -> BurnReport:
-    """Return the report of ``parts``; ``silent`` names entries that did not answer."""
-    newest_first = sorted(entry_counts, key=lambda part: -part.manifest_version)
+    """Return the merged report; ``unanswered`` entries did not answer."""
+    newest_first = sorted(entry_counts, key=lambda entry: -entry.manifest_version)
     longest_s = max(WINDOWS_MIN) * MINUTE_S
     return BurnReport(
         created_at=created_at,
@@ -129,31 +128,31 @@
         miss_causes=_sum_causes(entry_counts),
         times=_build_percentiles(entry_counts),
         plots=_build_plots(newest_first),
-        entries=tuple(_build_entry_state(part) for part in entry_counts),
+        entries=tuple(_build_entry_state(entry) for entry in entry_counts),
         recently_started=tuple(
-            part.process
-            for part in entry_counts
-            if created_at - part.counting_since < longest_s
+            entry.process
+            for entry in entry_counts
+            if created_at - entry.counting_since < longest_s
         ),
         unanswered=tuple(unanswered),
         problem=problem,
     )
 
 
-def _build_entry_state(part: EntryCounts) -> EntryState:
+def _build_entry_state(entry: EntryCounts) -> EntryState:
     return EntryState(
-        part.process,
-        part.counting_since,
-        part.manifest_version,
-        part.uncounted_requests,
+        entry.process,
+        entry.counting_since,
+        entry.manifest_version,
+        entry.uncounted_requests,
     )
 
 
 def _build_burns(newest_first: Sequence[EntryCounts]) -> tuple[GoalBurn, ...]:
     counts_by_key: defaultdict[tuple[Scope, Indicator], list[IndicatorCounts]]
     counts_by_key = defaultdict(list)
-    for part in newest_first:
-        for scope in part.scopes:
+    for entry in newest_first:
+        for scope in entry.scopes:
             for counts in scope.indicators:
                 key = (Scope(scope.kind, scope.name), counts.indicator)
                 counts_by_key[key].append(counts)
@@ -170,7 +169,7 @@
 def _build_burn(
     scope: Scope, indicator: Indicator, all_counts: list[IndicatorCounts]
 ) -> GoalBurn:
-    # Entries on an older manifest may still hold the older target; the newest counts.
+    # Entries on an older manifest may have an older target; the newest one applies.
     target = all_counts[0].target
     windows = _sum_columns(counts.windows for counts in all_counts)
     return GoalBurn(
@@ -194,28 +193,30 @@
     ]
 
 
-def _sum_causes(parts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
+def _sum_causes(entry_counts: Iterable[EntryCounts]) -> tuple[MissCauseCount, ...]:
     total: Counter[MissCause] = Counter()
-    for part in parts:
-        for item in part.miss_causes:
+    for entry in entry_counts:
+        for item in entry.miss_causes:
             total[item.cause] += item.bad
     worst = total.most_common(_MAX_REPORTED_CAUSES)
-    return tuple(MissCauseCount(culprit, bad) for culprit, bad in worst)
+    return tuple(MissCauseCount(cause, bad) for cause, bad in worst)
 
 
-def _build_percentiles(parts: Iterable[EntryCounts]) -> tuple[LatencyPercentiles, ...]:
-    histograms = (histogram for part in parts for histogram in part.histograms)
-    found = compute_percentiles(histograms)
+def _build_percentiles(
+    entry_counts: Iterable[EntryCounts],
+) -> tuple[LatencyPercentiles, ...]:
+    histograms = (histogram for entry in entry_counts for histogram in entry.histograms)
+    percentiles = compute_percentiles(histograms)
     return tuple(
         LatencyPercentiles(
             key.indicator,
             key.group,
-            found[key].recorded,
-            found[key].p50_ms,
-            found[key].p95_ms,
-            found[key].p99_ms,
+            percentiles[key].recorded,
+            percentiles[key].p50_ms,
+            percentiles[key].p95_ms,
+            percentiles[key].p99_ms,
         )
-        for key in sorted(found)
+        for key in sorted(percentiles)
     )
 
 
@@ -223,9 +224,9 @@
     bad_by_point: defaultdict[tuple[Indicator, int], EventCount]
     bad_by_point = defaultdict(lambda: EventCount(0, 0))
     target_by_indicator: dict[Indicator, float] = {}
-    for part in newest_first:
-        last = int(part.created_at // (MINUTE_S * POINT_LENGTH_MIN))
-        for counts in _iterate_overall(part):
+    for entry in newest_first:
+        last = int(entry.created_at // (MINUTE_S * POINT_LENGTH_MIN))
+        for counts in _iterate_overall(entry):
             target_by_indicator.setdefault(counts.indicator, counts.target)
             first = last - len(counts.points) + 1
             for offset, pair in enumerate(counts.points):
@@ -251,7 +252,7 @@
     )
 
 
-def _iterate_overall(part: EntryCounts) -> Iterable[IndicatorCounts]:
-    for scope in part.scopes:
+def _iterate_overall(entry: EntryCounts) -> Iterable[IndicatorCounts]:
+    for scope in entry.scopes:
         if scope.kind is ScopeKind.OVERALL:
             yield from scope.indicators
--- a/src/kingcupwheel/burn/entry_counts.py
+++ b/src/kingcupwheel/burn/entry_counts.py
@@ -1,4 +1,4 @@
-"""What one entry tells of its burn, as it travels."""
+"""Wire format of an entry's counts against service-level goals."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 # Windows in minutes: the fast pair, then the slow pair, of the "multiwindow,
 # multi-burn-rate alerts" of the Site Reliability Workbook, chapter 5.
 WINDOWS_MIN = (5, 60, 30, 360)
-# Length of one point of the plot, in minutes, and how many there are.
+# The plot covers the longest window.
 POINT_LENGTH_MIN = 5
 POINT_COUNT = 72
 
@@ -22,8 +22,8 @@
     """Counts of one indicator of one scope.
 
     ``windows`` are pairs of total and bad, in the order of ``WINDOWS_MIN``; ``points``
-    are such pairs too, oldest first, and only sent for the overall scope. ``target``
-    is the share of good events that the goals ask for.
+    are such pairs, oldest first, and only sent for the overall scope. ``target`` is the
+    required share of good events.
     """
 
     indicator: Indicator
@@ -41,7 +41,7 @@
 
 
 class MissCause(msgspec.Struct, frozen=True, array_like=True):
-    """Who and what missed a goal."""
+    """What missed a goal, and for which reason."""
 
     indicator: Indicator
     organisation: str
@@ -51,7 +51,7 @@
 
 
 class MissCauseCount(msgspec.Struct, frozen=True, array_like=True):
-    """How many events of the last hour a culprit accounts for."""
+    """The number of bad events of the last hour with the same cause."""
 
     cause: MissCause = msgspec.field(name="culprit")
     bad: int
@@ -68,8 +68,9 @@
 class EntryCounts(msgspec.Struct, frozen=True, array_like=True):
     """One entry's counts.
 
-    ``at`` and ``since`` are Unix seconds: when it answered and since when it counts.
-    ``uncounted`` is how many requests found no room under their own scope.
+    ``created_at`` and ``counting_since`` are Unix seconds. ``uncounted_requests`` is
+    the number of requests that were not counted in a scope of their own, for lack of
+    room.
     """
 
     process: str
--- a/src/kingcupwheel/burn/exceptions.py
+++ b/src/kingcupwheel/burn/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the burn layer."""
+"""Errors of the burn report."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class EntriesUnknown(NamedTuple):
-    """Nobody says which entries there are; ``detail`` says why."""
+    """The entries can't be listed; ``detail`` says why."""
 
     detail: str
--- a/src/kingcupwheel/burn/finished_request.py
+++ b/src/kingcupwheel/burn/finished_request.py
@@ -1,4 +1,4 @@
-"""One finished request as the burn counts see it, and how it is judged."""
+"""A finished request and its evaluation against service-level goals."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
     from kingcupwheel.manifest.schema import Goals
 
-# From here on a status is the system's or the server's doing; below it a refusal is
-# what the caller asked for (a bad key, an allowance used up, a connection it closed).
+# From this status on the system or the server is at fault. Lower statuses are refusals
+# that the caller caused: a bad key, an exceeded allowance or a closed connection.
 _MIN_SERVICE_FAULT_STATUS = 500
 
 
 class FinishedRequest(NamedTuple):
     """A request with its final outcome.
 
-    ``route`` is ``goals.route_name``'s; ``status`` is the HTTP status told to the
-    caller and ``reason`` a few machine-readable words, such as a refusal's limit.
-    ``first_byte_s`` counts from arrival, None if no byte came; ``gaps_s`` are the times
-    between chunks. ``caller_left`` tells that nobody waited for the end.
+    ``route`` is from ``goals.build_route_name``, ``status`` is the HTTP status sent to
+    the caller, and ``reason`` is a machine-readable code such as a refusal's limit.
+    ``first_byte_s`` is the time from arrival to the first byte, None without one;
+    ``gaps_s`` are the times between chunks. ``caller_left`` is True if the caller
+    disconnected before the end.
     """
 
     organisation: str
@@ -44,18 +45,18 @@
 def count_by_indicator(
     finished_request: FinishedRequest, goals: Goals
 ) -> dict[Indicator, EventCount]:
-    """Return what the request adds to each indicator; absent ones count nothing.
+    """Return the request's counts by indicator; others do not apply to it.
 
-    A refusal for a reason of the caller's own, and a caller that left, say nothing of
-    the service: they would hide an outage behind a flood of 429, or make one up.
+    Refusals that the caller caused, and callers that left, are not counted: a flood of
+    429 would hide an outage, and disconnects would look like one.
     """
     counts = {}
     if _counts_for_availability(finished_request):
-        good = finished_request.outcome is Outcome.RAN
-        counts[Indicator.AVAILABILITY] = EventCount(1, 0 if good else 1)
+        is_good = finished_request.outcome is Outcome.RAN
+        counts[Indicator.AVAILABILITY] = EventCount(1, 0 if is_good else 1)
     if finished_request.first_byte_s is not None:
-        late = finished_request.first_byte_s > goals.first_token_s
-        counts[Indicator.FIRST_TOKEN] = EventCount(1, int(late))
+        is_late = finished_request.first_byte_s > goals.first_token_s
+        counts[Indicator.FIRST_TOKEN] = EventCount(1, int(is_late))
     if finished_request.gaps_s:
         limit_s = goals.token_gap_ms / 1000
         late_gaps = sum(1 for gap_s in finished_request.gaps_s if gap_s > limit_s)
--- a/src/kingcupwheel/burn/goals.py
+++ b/src/kingcupwheel/burn/goals.py
@@ -1,4 +1,4 @@
-"""Which service-level goals a request is held to."""
+"""Service-level goals that apply to a request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Indicator(StrEnum):
-    """What is measured: a share of good events.
+    """A service-level indicator: the share of good events.
 
-    ``AVAILABILITY`` counts requests with a true result, ``FIRST_TOKEN`` answers whose
-    first byte came in time, ``TOKEN_GAP`` the gaps between chunks of streams.
+    ``AVAILABILITY`` counts requests, good if they ran; ``FIRST_TOKEN`` answers, good if
+    their first byte was in time; ``TOKEN_GAP`` the gaps between chunks of streams.
     """
 
     AVAILABILITY = "availability"
@@ -29,7 +29,7 @@
 
 
 class ScopeKind(StrEnum):
-    """What a set of goals is for."""
+    """The kind of requests that a set of goals applies to."""
 
     OVERALL = "overall"
     ROUTE = "route"
@@ -37,7 +37,7 @@
 
 
 class Scope(NamedTuple):
-    """One set of goals by what it is for; ``name`` is empty for all requests."""
+    """The requests that a set of goals applies to; ``name`` is empty for all."""
 
     kind: ScopeKind
     name: str
@@ -47,12 +47,12 @@
 
 
 def build_route_name(route: Route) -> str:
-    """Return the name that a route is counted under."""
+    """Return the name of a route's scope."""
     return f"{route.host}{route.path}"
 
 
 class ApplicableGoals(NamedTuple):
-    """A scope that counts a request, and the goals it is held to there."""
+    """A scope that counts a request, and the goals that apply to it there."""
 
     scope: Scope
     goals: Goals
@@ -71,21 +71,26 @@
     ) -> tuple[ApplicableGoals, ...]:
         """Return the scopes that count a request.
 
-        Among all requests it is held to its own goals, the organisation's before the
-        route's, so that a slow service by design does not burn the overall budget.
+        In the overall scope the request's own goals apply, the organisation's before
+        the route's, so that a service that is slow by design does not use up the
+        overall budget.
         """
-        of_route = self.by_route.get(route)
-        of_organisation = self.by_organisation.get(organisation)
-        held = [ApplicableGoals(OVERALL, of_organisation or of_route or self.overall)]
-        if of_route:
-            held.append(ApplicableGoals(Scope(ScopeKind.ROUTE, route), of_route))
-        if of_organisation:
+        route_goals = self.by_route.get(route)
+        organisation_goals = self.by_organisation.get(organisation)
+        applicable = [
+            ApplicableGoals(OVERALL, organisation_goals or route_goals or self.overall)
+        ]
+        if route_goals:
+            applicable.append(
+                ApplicableGoals(Scope(ScopeKind.ROUTE, route), route_goals)
+            )
+        if organisation_goals:
             scope = Scope(ScopeKind.ORGANISATION, organisation)
-            held.append(ApplicableGoals(scope, of_organisation))
-        return tuple(held)
+            applicable.append(ApplicableGoals(scope, organisation_goals))
+        return tuple(applicable)
 
     def get_goals(self, scope: Scope) -> Goals:
-        """Return the goals whose targets the scope's burn is counted against."""
+        """Return the goals whose targets apply to the scope's burn rate."""
         match scope.kind:
             case ScopeKind.OVERALL:
                 return self.overall
@@ -96,7 +101,7 @@
 
 
 def build_goals(manifest: Manifest, *, version: int) -> BurnGoals:
-    """Return the goals that ``manifest`` sets."""
+    """Return the goals of ``manifest``."""
     return BurnGoals(
         version,
         manifest.goals,
@@ -110,7 +115,7 @@
 
 
 def get_target(goals: Goals, indicator: Indicator) -> float:
-    """Return the share of good events that the goals ask for."""
+    """Return the required share of good events."""
     if indicator is Indicator.AVAILABILITY:
         return goals.availability
     return goals.within
--- a/src/kingcupwheel/burn/latency_histograms.py
+++ b/src/kingcupwheel/burn/latency_histograms.py
@@ -1,7 +1,7 @@
-"""Times as HdrHistograms, which add up over entries without loss.
+"""Latency histograms (HdrHistogram), which merge across entries without loss.
 
-Values are half milliseconds: a goal of 32 ms between tokens is then told apart within
-its two significant digits.
+Values are in half milliseconds, so that two significant digits resolve times around a
+goal of 32 ms between tokens.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
     from kingcupwheel.burn.entry_counts import EncodedHistogram
 
 UNITS_PER_S = 2000
-# Ten minutes; a longer time counts as that long.
+# Ten minutes; longer times are clamped.
 _MAX_UNITS = 600 * UNITS_PER_S
 _SIGNIFICANT_DIGITS = 2
 # A histogram covers the current span and the one before.
 SPAN_S = 1800
-# Models in steady use are five; groups past the bound share one histogram.
+# Five models are in steady use; groups past the bound share one histogram.
 _MAX_GROUPS = 16
 OTHER_GROUPS = "other groups"
 
 
 class HistogramKey(NamedTuple):
-    """Which times a histogram holds."""
+    """The indicator and group whose times a histogram contains."""
 
     indicator: Indicator
     group: str
 
 
 class Percentiles(NamedTuple):
-    """Milliseconds below which half, 95 and 99 in 100 lie, of ``recorded`` times."""
+    """Percentiles in milliseconds of ``recorded`` times."""
 
     recorded: int
     p50_ms: float
@@ -49,7 +49,7 @@
 
 
 class LatencyHistograms:
-    """Histograms of the last half hour to hour, for a bounded number of groups."""
+    """Histograms of the last 30 to 60 minutes, for a bounded number of groups."""
 
     def __init__(self) -> None:
         self._span = -1
@@ -87,22 +87,22 @@
         return self._current.setdefault(key, _create_histogram())
 
     def _encode_histogram(self, key: HistogramKey) -> bytes:
-        both = _create_histogram()
+        merged = _create_histogram()
         for histograms in (self._previous, self._current):
             if key in histograms:
-                both.add(histograms[key])
-        payload: bytes = both.encode()
+                merged.add(histograms[key])
+        payload: bytes = merged.encode()
         return payload
 
 
 def compute_percentiles(
     histograms: Iterable[EncodedHistogram],
 ) -> dict[HistogramKey, Percentiles]:
-    """Return the percentiles of all parts together, by indicator and group."""
+    """Return the percentiles of merged histograms, by indicator and group."""
     merged: dict[HistogramKey, HdrHistogram] = {}
-    for part in histograms:
-        key = HistogramKey(part.indicator, part.group)
-        merged.setdefault(key, _create_histogram()).decode_and_add(part.payload)
+    for encoded in histograms:
+        key = HistogramKey(encoded.indicator, encoded.group)
+        merged.setdefault(key, _create_histogram()).decode_and_add(encoded.payload)
     return {key: _read_percentiles(histogram) for key, histogram in merged.items()}
 
 
--- a/src/kingcupwheel/burn/minute_counts.py
+++ b/src/kingcupwheel/burn/minute_counts.py
@@ -1,4 +1,4 @@
-"""Counts by the minute over the longest window, in fixed memory."""
+"""Counts per minute over the longest window, in fixed memory."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 MINUTE_S = 60
-# Six hours, the longest window, and the minute under way.
+# Six hours, the longest window, and the current minute.
 _MINUTE_SLOTS = 361
 _SLOT_WIDTH = 2 * len(INDICATORS)
 _INDEX_BY_INDICATOR = {item: 2 * index for index, item in enumerate(INDICATORS)}
 
 
 class EventCount(NamedTuple):
-    """Events, and those of them that missed the goal."""
+    """Number of events, and of those that missed the goal."""
 
     total: int
     bad: int
 
     def plus(self, other: EventCount) -> EventCount:
-        """Return both together."""
+        """Return the sum of both."""
         return EventCount(self.total + other.total, self.bad + other.bad)
 
 
 class MinuteCounts:
-    """Counts of one scope; about 20 KB whatever the traffic.
+    """Ring buffer of one scope's counts per minute; about 20 KB at any traffic.
 
-    Minutes are Unix minutes, so that the tallies of several entries line up.
+    Minutes are Unix minutes, so that the counts of several entries are aligned.
     """
 
     def __init__(self) -> None:
--- a/src/kingcupwheel/burn/report_collector.py
+++ b/src/kingcupwheel/burn/report_collector.py
@@ -1,4 +1,4 @@
-"""Asking all live entries for their counts."""
+"""Collector of the burn report from all live entries."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class BurnQueryClient(Protocol):
-    """Asks live processes; ``link.query_client.QueryClient`` does."""
+    """Client that queries live processes; see ``link.query_client.QueryClient``."""
 
     def ask(
         self,
@@ -34,7 +34,7 @@
         question: Message,
         answer: type[BurnReply],
     ) -> dict[str, BurnReply]:
-        """Return the answers by process, without those that did not come in time."""
+        """Return the answers received before the timeout, by process."""
 
 
 def gather_report(
@@ -46,28 +46,31 @@
 ) -> Result[BurnReport, EntriesUnknown]:
     """Return the report of all entries that answer; ``now`` is Unix seconds.
 
-    ``address_by_process`` holds addresses given by hand; they are asked besides those
-    of the platform's list, or alone if it can't be read, which the report then says.
+    ``address_by_process`` holds addresses configured by the user, which are queried in
+    addition to the platform's list. If the list can't be read, only they are queried,
+    and the report says so.
     """
     listed = client.instances()
     addresses = dict(address_by_process)
-    trouble = ""
+    problem = ""
     if listed.is_ok():
         listed_entries = (item for item in listed.ok if item.role == "entry")
         addresses = {item.name: item.address for item in listed_entries} | addresses
     elif not addresses:
         return Error(EntriesUnknown("the platform's list can't be read"))
     else:
-        trouble = "The platform's list can't be read; only entries named were asked."
+        problem = "The platform's list can't be read; only entries named were asked."
     answers = query_client.ask(addresses, BurnRequest(), BurnReply)
-    parts = []
-    silent = set(addresses)
+    entry_counts = []
+    unanswered = set(addresses)
     for process, answer in answers.items():
         try:
-            parts.append(ENTRY_COUNTS_DECODER.decode(answer.part))
+            entry_counts.append(ENTRY_COUNTS_DECODER.decode(answer.part))
         except msgspec.MsgspecError:
             continue
-        silent.discard(process)
+        unanswered.discard(process)
     return Ok(
-        merge_counts(parts, created_at=now, unanswered=sorted(silent), problem=trouble)
+        merge_counts(
+            entry_counts, created_at=now, unanswered=sorted(unanswered), problem=problem
+        )
     )
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -1,4 +1,4 @@
-"""A burn report as one HTML page that needs no other file."""
+"""HTML page of a burn report, without external files."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 _WIDTH, _HEIGHT = 900, 300
 _LEFT, _RIGHT, _TOP, _BOTTOM = 50, 20, 20, 40
-# Burn rates run from nothing to a thousand; past this a line runs along the top.
+# Burn rates reach a thousand; higher ones than this are drawn at the top.
 _MAX_PLOTTED_RATE = 20.0
 _COLOURS = ("#1f5fa8", "#c4532b", "#3d8a4e")
 _TIME_MARK_COUNT = 6
@@ -44,9 +44,9 @@
 
 
 def render_page(report: BurnReport) -> str:
-    """Return the whole page."""
+    """Return the page as HTML."""
     title = f"Service-level burn at {format_utc(report.created_at)} UTC"
-    marked = [row[-1] for row in build_burn_rows(report)]
+    row_classes = [row[-1] for row in build_burn_rows(report)]
     return "\n".join(
         (
             "<!doctype html>",
@@ -58,7 +58,7 @@
             "<h2>Burn rate over the last six hours, all requests</h2>",
             _render_plot(report.plots),
             "<h2>Burn rates (1 uses up the budget exactly)</h2>",
-            _render_table(BURN_COLUMNS, build_burn_rows(report), marked),
+            _render_table(BURN_COLUMNS, build_burn_rows(report), row_classes),
             "<h2>What burned the budgets in the last hour</h2>",
             _render_table(CAUSE_COLUMNS, build_cause_rows(report)),
             "<h2>Times over the last half hour to hour</h2>",
@@ -89,10 +89,10 @@
 
 
 def _render_plot(plots: Sequence[BurnPlot]) -> str:
-    ats = [point.started_at for plot in plots for point in plot.points]
-    if not ats:
+    times_s = [point.started_at for plot in plots for point in plot.points]
+    if not times_s:
         return "<p>No counts.</p>"
-    first, last = min(ats), max(ats)
+    first, last = min(times_s), max(times_s)
     parts = [
         f'<svg viewBox="0 0 {_WIDTH} {_HEIGHT}" role="img" '
         'aria-label="Burn rate over time">',
@@ -102,10 +102,10 @@
         ),
         *_render_time_marks(first, last),
     ]
-    for number, plot in enumerate(plots):
-        colour = _COLOURS[number % len(_COLOURS)]
+    for index, plot in enumerate(plots):
+        colour = _COLOURS[index % len(_COLOURS)]
         parts.append(_render_line(plot, colour, first, last))
-        x = _LEFT + 10 + 170 * number
+        x = _LEFT + 10 + 170 * index
         parts.append(
             f'<rect x="{x}" y="4" width="12" height="12" fill="{colour}"/>'
             f'<text x="{x + 18}" y="14">{escape(plot.indicator.value)}</text>'
@@ -124,26 +124,28 @@
 
 def _render_time_marks(first: float, last: float) -> list[str]:
     step = (last - first) / _TIME_MARK_COUNT
-    ats = [first + step * number for number in range(_TIME_MARK_COUNT + 1)]
+    times_s = [first + step * index for index in range(_TIME_MARK_COUNT + 1)]
     return [
         f'<text x="{_scale_time(at, first, last):.1f}" y="{_HEIGHT - 14}" '
         f'text-anchor="middle">{format_utc(at)[-5:]}</text>'
-        for at in ats
+        for at in times_s
     ]
 
 
 def _render_line(plot: BurnPlot, colour: str, first: float, last: float) -> str:
-    """Return a line that breaks where nothing was counted."""
+    """Return a line that is interrupted where nothing was counted."""
     commands = []
-    pen = "M"
+    command = "M"
     for point in plot.points:
         if point.rate is None:
-            pen = "M"
+            command = "M"
             continue
         x, y = _scale_time(point.started_at, first, last), _scale_rate(point.rate)
-        # A single point between two gaps would be invisible without a length.
-        commands.append(f"{pen}{x:.1f} {y:.1f}" + ("h0.1" if pen == "M" else ""))
-        pen = "L"
+        # A single point between two gaps is invisible without a length.
+        commands.append(
+            f"{command}{x:.1f} {y:.1f}" + ("h0.1" if command == "M" else "")
+        )
+        command = "L"
     return (
         f'<path d="{" ".join(commands)}" fill="none" stroke="{colour}" '
         f'stroke-width="2" stroke-linecap="round"/>'
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -1,4 +1,4 @@
-"""A burn report as tables for a terminal."""
+"""Text output of a burn report: tables for a terminal."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def format_report(report: BurnReport) -> str:
-    """Return the report in lines."""
+    """Return the report as text."""
     at = f"{format_utc(report.created_at)} UTC"
     blocks = [
         f"Service-level burn over {len(report.entries)} entries at {at}",
@@ -48,7 +48,7 @@
 
 
 def list_notes(report: BurnReport) -> list[str]:
-    """Return what limits the figures, in sentences."""
+    """Return the limitations of the figures, one sentence each."""
     lines = []
     if report.unanswered:
         names = ", ".join(report.unanswered)
@@ -59,14 +59,16 @@
         since_by_process = {
             entry.process: entry.counting_since for entry in report.entries
         }
-        young = ", ".join(
+        recently_started = ", ".join(
             f"{name} (since {format_utc(since_by_process[name])})"
             for name in report.recently_started
         )
-        lines.append(f"Counting for less than six hours: {young}.")
-    uncounted = sum(entry.uncounted_requests for entry in report.entries)
-    if uncounted:
-        lines.append(f"{uncounted} requests found no room under their own goals.")
+        lines.append(f"Counting for less than six hours: {recently_started}.")
+    uncounted_requests = sum(entry.uncounted_requests for entry in report.entries)
+    if uncounted_requests:
+        lines.append(
+            f"{uncounted_requests} requests found no room under their own goals."
+        )
     return lines
 
 
@@ -85,7 +87,7 @@
 
 
 def build_cause_rows(report: BurnReport) -> list[tuple[str, ...]]:
-    """Return the rows of the culprits' table."""
+    """Return the rows of the table of miss causes."""
     return [
         (
             item.cause.indicator.value,
@@ -100,7 +102,7 @@
 
 
 def build_latency_rows(report: BurnReport) -> list[tuple[str, ...]]:
-    """Return the rows of the times' table."""
+    """Return the rows of the latency table."""
     return [
         (
             item.indicator.value,
@@ -113,7 +115,7 @@
 
 
 def format_table(columns: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return aligned columns, or a word if there are no rows."""
+    """Return aligned columns, or "nothing" without rows."""
     if not rows:
         return "  nothing"
     widths = [max(map(len, column)) for column in zip(columns, *rows, strict=True)]
@@ -126,12 +128,12 @@
 
 
 def format_utc(time_s: float) -> str:
-    """Return Unix seconds as a date and time."""
+    """Return Unix seconds as date and time in UTC."""
     return datetime.fromtimestamp(time_s, tz=UTC).strftime("%Y-%m-%d %H:%M")
 
 
 def format_scope(burn: GoalBurn) -> str:
-    """Return what the goals are for."""
+    """Return the name of the scope."""
     if burn.kind is ScopeKind.OVERALL:
         return "all requests"
     return f"{burn.kind.value} {burn.name}"
--- a/src/kingcupwheel/trace/claim_lookup.py
+++ b/src/kingcupwheel/trace/claim_lookup.py
@@ -48,4 +48,4 @@
     try:
         return Ok(msgspec.json.decode(stored.ok.value, type=ClaimSummary))
     except msgspec.MsgspecError as error:
-        return Error(PlatformUnavailable(f"the claim can't be stored: {error}"))
+        return Error(PlatformUnavailable(f"the claim can't be read: {error}"))
--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -22,7 +22,7 @@
 
 
 class LogLine(NamedTuple):
-    """A lines log line: Unix time, process, part of the program, event and fields."""
+    """A decoded log line: Unix time, process, part of the program, event and fields."""
 
     logged_at: float
     process: str
