--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,3 +1,3 @@
-"""Tools for developers; none is needed to run the system."""
+"""Developer tools; the system runs without them."""
 
 from __future__ import annotations
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Write the tables of docs/CAPACITY.md from the measured slopes.
+"""Generates the tables of docs/CAPACITY.md from the measured slopes.
 
-``python -m tools.capacity`` prints them; ``--write`` puts them into the page. The text
-around them is written by hand; a test keeps the tables and the slopes in step.
+``python -m tools.capacity`` prints them; ``--write`` updates the page. The text around
+them is written by hand; a test checks that the tables match the slopes.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def render_parts(slopes: Slopes) -> dict[str, str]:
-    """Return each computed part of the page by name."""
+    """Return the Markdown of each computed part of the page by its name."""
     return {
         "slopes": _slopes_table(slopes),
         "entry": _role_table(
@@ -65,14 +65,14 @@
 
 
 def fill_page(page: str, slopes: Slopes) -> str:
-    """Return ``page`` with its computed parts replaced."""
+    """Return ``page`` with its computed parts regenerated."""
     by_name = render_parts(slopes)
 
-    def replaced(match: re.Match[str]) -> str:
+    def replace_part(match: re.Match[str]) -> str:
         name = match["name"]
         return f"<!-- computed: {name} -->\n{by_name[name]}\n<!-- end -->"
 
-    return _PART_PATTERN.sub(replaced, page)
+    return _PART_PATTERN.sub(replace_part, page)
 
 
 def _lease_holder_costs(
@@ -86,18 +86,18 @@
 def _slopes_table(slopes: Slopes) -> str:
     rows = [_slope_row(slope) for slope in slopes.by_name.values()]
     head = ("Slope", "Measured (size: value)", "At size 0", "For each one more")
-    about = (
+    provenance = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{about}\n\n{markdown_table(head, rows)}"
+    return f"{provenance}\n\n{markdown_table(head, rows)}"
 
 
 def _slope_row(slope: Slope) -> tuple[str, ...]:
     name = f"`{slope.name}` ({slope.unit} by {slope.size_unit})"
     if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
-    seen = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
-    return name, seen, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
+    points = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
+    return name, points, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
 
 
 def _role_table(role: RoleCosts) -> str:
@@ -143,14 +143,15 @@
     rows = []
     for design in DESIGNS:
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
-        claims = load.compute_claims_per_s(LIMITS.writes_per_s)
+        claims_per_s = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (
                 design.name,
                 f"{load.reads:.0f}",
                 f"{load.change_reads:.0f}",
                 f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
-                f"{claims:.0f} ({claims / TARGET.requests_per_s:.1%} of requests)",
+                f"{claims_per_s:.0f} "
+                f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
                 f"{load.trace_bytes / _MB:.2f}",
                 f"{load.kept_bytes / _GB:.0f} GB in {load.kept_objects / _MB:.1f} "
                 f"million objects",
@@ -207,9 +208,9 @@
 
 
 @click.command()
-@click.option("--write", is_flag=True, help="Put the tables into docs/CAPACITY.md.")
+@click.option("--write", is_flag=True, help="Update the tables in docs/CAPACITY.md.")
 def main(write: bool) -> None:
-    """Work the tables out anew."""
+    """Recompute the tables of docs/CAPACITY.md."""
     slopes = load_slopes()
     if write:
         PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -1,7 +1,7 @@
-"""Many stand-ins for the other end of a process's links, in one process.
+"""Runs many stand-ins for a process's link peers in one process.
 
 Run as ``python -m tools.capacity_crowd agents 24`` or ``... entries 24 IP:PORT``. It
-prints its addresses first, then a line of its traffic so far every second.
+prints its addresses first, then its traffic totals as one line every second.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class AgentStandIn:
-    """Answers each Hello with a heartbeat."""
+    """Agent stand-in that answers each Hello with a heartbeat."""
 
     def __init__(self, name: str, group: str) -> None:
         self._heartbeat = AgentHeartbeat(
@@ -54,7 +54,7 @@
 
 
 class EntryStandIn:
-    """Says Hello to an agent every second."""
+    """Entry stand-in that sends a Hello to an agent every second."""
 
     def __init__(self, name: str, address: str) -> None:
         self._hello = Hello(name, "dc-1", 0, "", False)
@@ -72,13 +72,13 @@
 
 
 def sum_traffic(hubs: list[MessageHub]) -> TrafficCounts:
-    """Return what passed all hubs together."""
-    seen = [hub.traffic for hub in hubs]
+    """Return the total traffic of all hubs."""
+    counts = [hub.traffic for hub in hubs]
     return TrafficCounts(
-        sum(one.messages_in for one in seen),
-        sum(one.messages_out for one in seen),
-        sum(one.bytes_in for one in seen),
-        sum(one.bytes_out for one in seen),
+        sum(count.messages_in for count in counts),
+        sum(count.messages_out for count in counts),
+        sum(count.bytes_in for count in counts),
+        sum(count.bytes_out for count in counts),
     )
 
 
@@ -87,7 +87,7 @@
 @click.argument("count", type=int)
 @click.argument("address", default="")
 def main(role: str, count: int, address: str) -> None:
-    """Run until the process is ended."""
+    """Run COUNT stand-ins until the process is terminated."""
     names = [f"{role}-{number}" for number in range(count)]
     if role == "agents":
         hubs = [AgentStandIn(name, "group").hub for name in names]
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -1,4 +1,4 @@
-"""Measurements of single parts of the library, inside one process."""
+"""Measures sizes, memory and processor time of library parts in one process."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def heartbeat_bytes() -> list[Point]:
-    """Return the size of a heartbeat by the number of suspects it names."""
+    """Return the size of an agent's heartbeat by the number of suspects in it."""
     load = BackendLoad(12, 3, 16, 5400.5, 2300.25, 0.75)
     return [
         Point(
@@ -74,13 +74,13 @@
 
 
 def hello_bytes() -> list[Point]:
-    """Return the size of a Hello, which names nothing that varies."""
+    """Return the size of a Hello, which has no variable part."""
     hello = Hello(PROCESS_NAME, "curitiba-north", 720, _DIGEST, False)
     return [Point(size, _encoded_size(hello)) for size in (0, 1)]
 
 
 def peer_heartbeat_bytes() -> list[Point]:
-    """Return the size of a peer's heartbeat by the suspects it names."""
+    """Return the size of a peer's heartbeat by the number of suspects in it."""
     return [
         Point(
             count,
@@ -100,7 +100,7 @@
 
 
 def share_heartbeat_bytes() -> list[Point]:
-    """Return the size of what an entry tells another by the organisations named."""
+    """Return the size of a share heartbeat by the number of organisations in it."""
     return [
         Point(
             count,
@@ -121,12 +121,12 @@
 
 
 def instance_list_bytes() -> list[Point]:
-    """Return the size of the platform's list by its instances."""
+    """Return the size of the platform's instance list by its length."""
     return [Point(n, len(encode_instance_list(n))) for n in (100, 400, 1370)]
 
 
 def instance_list_cpu() -> list[Point]:
-    """Return the milliseconds of decoding the platform's list by its instances."""
+    """Return the milliseconds to decode the platform's instance list by its length."""
     points = []
     for count in (100, 400, 1370):
         encoded = encode_instance_list(count)
@@ -140,7 +140,7 @@
 
 
 def recorder_bytes(process: str) -> list[Point]:
-    """Return the memory of a recorder by the requests it holds."""
+    """Return the memory of a trace recorder by the number of requests held."""
     points = []
     for count in (2000, 10_000):
         gc.collect()
@@ -155,7 +155,7 @@
 
 
 def trace_cpu(process: str) -> list[Point]:
-    """Return the milliseconds to record, drain and pack by requests."""
+    """Return the milliseconds to record, drain and compress by number of requests."""
     points = []
     for count in (100, 300, 1000):
 
@@ -169,7 +169,7 @@
 
 
 def batch_bytes(process: str) -> list[Point]:
-    """Return the compressed size of a batch by the requests in it."""
+    """Return the compressed size of a trace batch by the number of requests in it."""
     points = []
     for count in (100, 300, 1000):
         recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
@@ -180,7 +180,7 @@
 
 
 def burn_cpu() -> list[Point]:
-    """Return the microseconds to count one request by its gaps between tokens."""
+    """Return the microseconds to count one request by its number of token gaps."""
     points = []
     for gaps in (0, TOKENS_PER_RESPONSE, 2 * TOKENS_PER_RESPONSE):
         counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, {}), now=0.0)
@@ -198,7 +198,7 @@
 
 
 def burn_part_bytes() -> list[Point]:
-    """Return the size of one entry's answer by organisations with own goals."""
+    """Return the size of one entry's reply by organisations with their own goals."""
     return [
         Point(n, len(build_burn_counter(n).build_reply(now=1.0).part))
         for n in (1, 20, 100)
@@ -206,7 +206,7 @@
 
 
 def burn_memory() -> list[Point]:
-    """Return the memory of the counts by organisations with own goals."""
+    """Return the memory of the counts by organisations with their own goals."""
     points = []
     for count in (1, 20, 100):
         gc.collect()
@@ -235,25 +235,25 @@
 
 
 def shard_bytes() -> list[Point]:
-    """Return the bytes of the index and one shard, by organisations."""
+    """Return the size of the index and its largest shard, by organisations."""
     points = []
     for count in _ORGANISATION_COUNTS:
-        index, shards = measure_sharded_manifest(count)
-        points.append(Point(count, index + max(shards)))
+        index_bytes, shard_sizes = measure_sharded_manifest(count)
+        points.append(Point(count, index_bytes + max(shard_sizes)))
     return points
 
 
 def manifest_bytes() -> list[Point]:
-    """Return the bytes of the index and all shards, by organisations."""
+    """Return the size of the index and all shards, by organisations."""
     points = []
     for count in _ORGANISATION_COUNTS:
-        index, shards = measure_sharded_manifest(count)
-        points.append(Point(count, index + sum(shards)))
+        index_bytes, shard_sizes = measure_sharded_manifest(count)
+        points.append(Point(count, index_bytes + sum(shard_sizes)))
     return points
 
 
 def map_reply_bytes() -> list[Point]:
-    """Return the size of a rank's answer by the experts of its map."""
+    """Return the size of a rank's map reply by the experts of its map."""
     return [
         Point(
             experts,
@@ -275,11 +275,11 @@
 
 
 def _least_cpu_s(run: Callable[[], object], repeat: int) -> float:
-    """Return the least processor time of three rounds, for one run."""
-    rounds = []
+    """Return the processor time of one run, the minimum of three rounds."""
+    seconds = []
     for _ in range(3):
         started = time.process_time()
         for _ in range(repeat):
             run()
-        rounds.append((time.process_time() - started) / repeat)
-    return min(rounds)
+        seconds.append((time.process_time() - started) / repeat)
+    return min(seconds)
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -1,4 +1,4 @@
-"""What whole processes spend when nobody calls, by the number of their links."""
+"""Measures the usage of whole idle processes by the number of their links."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 _MEASURED_S = 15.0
 _SETTLE_S = 5.0
 _START_TIMEOUT_S = 30.0
-# A line that took longer than this to come was not waiting in the pipe.
+# A line that took longer than this to arrive was not buffered in the pipe.
 _BUFFERED_LINE_MAX_S = 0.05
 
 
 class ProcessUsage(NamedTuple):
-    """Processor time spent so far in seconds, and resident memory in bytes."""
+    """Processor time since the process started, and its resident memory."""
 
     cpu_s: float
     rss_bytes: int
 
 
 class IdleUsage(NamedTuple):
-    """What a process spends on ``links`` links while nobody calls.
+    """Usage of a process that has ``links`` links and receives no requests.
 
-    ``cpu_share`` is a share of one core; rates are per second over all links, as
-    payload of the messages.
+    ``cpu_share`` is a fraction of one core; message and byte rates are per second over
+    all links, and bytes count only the payload of the messages.
     """
 
     links: int
@@ -53,7 +53,7 @@
 
 
 def read_usage(pid: int) -> ProcessUsage:
-    """Return what the process with ``pid`` has used; for own children only."""
+    """Return the usage of the process ``pid``, which this process started."""
     text = Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_UTIME]) + int(fields[_STIME])
@@ -61,7 +61,7 @@
 
 
 def measure_idle_entry(links: int) -> IdleUsage:
-    """Measure an entry that keeps links to ``links`` stand-ins of agents."""
+    """Measure an idle entry that keeps links to ``links`` agent stand-ins."""
     with Fleet() as fleet:
         crowd = _start_crowd(fleet, "agents", str(links))
         addresses = crowd.first_line().split()
@@ -72,7 +72,7 @@
 
 
 def measure_idle_agent(links: int) -> IdleUsage:
-    """Measure an agent that ``links`` stand-ins of entries talk to."""
+    """Measure an idle agent that ``links`` entry stand-ins keep links to."""
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
         crowd = _start_crowd(fleet, "entries", str(links), agent.address)
@@ -81,10 +81,10 @@
 
 
 def points_by_links(
-    idles: list[IdleUsage], value: Callable[[IdleUsage], float]
+    usages: list[IdleUsage], value: Callable[[IdleUsage], float]
 ) -> tuple[Point, ...]:
-    """Return one figure of each measurement by its links."""
-    return tuple(Point(idle.links, value(idle)) for idle in idles)
+    """Return one figure of each measurement by its number of links."""
+    return tuple(Point(usage.links, value(usage)) for usage in usages)
 
 
 def _start_crowd(fleet: Fleet, *arguments: str) -> Process:
@@ -101,25 +101,25 @@
         _START_TIMEOUT_S,
     )
     time.sleep(_SETTLE_S)
-    first, seen, start = (
+    usage_before, traffic_before, started = (
         read_usage(process.pid),
         _read_latest_traffic(crowd),
         time.monotonic(),
     )
     time.sleep(_MEASURED_S)
-    last, later, took_s = (
+    usage_after, traffic_after, took_s = (
         read_usage(process.pid),
         _read_latest_traffic(crowd),
-        time.monotonic() - start,
+        time.monotonic() - started,
     )
     return IdleUsage(
         links,
-        (last.cpu_s - first.cpu_s) / took_s,
-        last.rss_bytes,
-        (later.messages_out - seen.messages_out) / took_s,
-        (later.messages_in - seen.messages_in) / took_s,
-        (later.bytes_out - seen.bytes_out) / took_s,
-        (later.bytes_in - seen.bytes_in) / took_s,
+        (usage_after.cpu_s - usage_before.cpu_s) / took_s,
+        usage_after.rss_bytes,
+        (traffic_after.messages_out - traffic_before.messages_out) / took_s,
+        (traffic_after.messages_in - traffic_before.messages_in) / took_s,
+        (traffic_after.bytes_out - traffic_before.bytes_out) / took_s,
+        (traffic_after.bytes_in - traffic_before.bytes_in) / took_s,
     )
 
 
@@ -128,9 +128,9 @@
 
 
 def _read_latest_traffic(crowd: Process) -> TrafficCounts:
-    """Return the newest line: older ones come at once, the next within a second."""
+    """Return the next line that was not buffered; the crowd prints one a second."""
     while True:
-        asked = time.monotonic()
+        started = time.monotonic()
         traffic = _read_traffic(crowd)
-        if time.monotonic() - asked > _BUFFERED_LINE_MAX_S:
+        if time.monotonic() - started > _BUFFERED_LINE_MAX_S:
             return traffic
--- a/tools/capacity_samples.py
+++ b/tools/capacity_samples.py
@@ -1,4 +1,4 @@
-"""Data of the kind and size that the fleet would hold, for measurements."""
+"""Sample data of the kind and size that a production fleet holds."""
 
 from __future__ import annotations
 
@@ -40,20 +40,24 @@
 
 
 def record_requests(recorder: TraceRecorder, process: str, count: int) -> None:
-    """Record the events of ``count`` requests of a ``process``: entry or agent."""
-    # Names and numbers vary as they would: equal ones would compress too well.
+    """Record the events of ``count`` requests; ``process`` is "entry" or "agent"."""
+    # Names and numbers vary as in production: equal ones would compress too well.
     random = Random(7)
     for number in range(count):
-        wanted = str(generate_request_id(PROCESS_NAME, now=1_800_000_000 + number / 9))
+        request_id = str(
+            generate_request_id(PROCESS_NAME, now=1_800_000_000 + number / 9)
+        )
         server = f"agent-curitiba-north-{random.randrange(1000):04d}"
-        agent = _agent_events(server, random)
-        for event in _entry_events(server, random) if process == "entry" else agent:
-            recorder.record(wanted, event)
+        agent_events = _agent_events(server, random)
+        for event in (
+            _entry_events(server, random) if process == "entry" else agent_events
+        ):
+            recorder.record(request_id, event)
 
 
 def _entry_events(server: str, random: Random) -> tuple[AnyEvent, ...]:
     other = f"agent-ponta-grossa-{random.randrange(1000):04d}"
-    weighed = (
+    alternatives = (
         ConsideredServer(server, random.random()),
         ConsideredServer(other, random.random()),
     )
@@ -65,7 +69,7 @@
             "POST", path, body_bytes, organisation, f"*{path}", "parts-model", 720, True
         ),
         RequestAdmitted(random.random() * 2000),
-        RequestPlaced(server, 1, random.random(), "less loaded of two", weighed),
+        RequestPlaced(server, 1, random.random(), "less loaded of two", alternatives),
         AttemptDispatched(server, 1),
         AttemptForwarded(server, 1),
         FirstByteRelayed(server, 1),
@@ -82,7 +86,7 @@
 
 
 def build_observed_request(gaps_s: tuple[float, ...]) -> FinishedRequest:
-    """Return an answered request with these gaps between tokens."""
+    """Return an answered request with the given gaps between tokens."""
     return FinishedRequest(
         organisation="organisation-31415",
         route="*/v1/completions",
@@ -97,9 +101,13 @@
 
 
 def build_burn_counter(organisations: int) -> BurnCounter:
-    """Return counts of as many organisations with goals of their own."""
-    own = {f"organisation-{number}": Goals() for number in range(organisations)}
-    counter = BurnCounter(PROCESS_NAME, BurnGoals(1, Goals(), {}, own), now=0.0)
+    """Return a counter for ``organisations`` organisations with their own goals."""
+    goals_by_organisation = {
+        f"organisation-{number}": Goals() for number in range(organisations)
+    }
+    counter = BurnCounter(
+        PROCESS_NAME, BurnGoals(1, Goals(), {}, goals_by_organisation), now=0.0
+    )
     gaps_s = tuple(0.025 + index % 20 / 1e3 for index in range(TOKENS_PER_RESPONSE))
     for number in range(organisations):
         observed = build_observed_request(gaps_s)._replace(
@@ -120,7 +128,7 @@
 
 
 def encode_instance_list(count: int) -> bytes:
-    """Return the platform's list as it travels."""
+    """Return the platform's list of ``count`` instances as encoded on the wire."""
     instances = [
         Instance(
             f"agent-curitiba-north-{number:04d}",
@@ -137,12 +145,12 @@
 
 
 def build_suspects(count: int) -> tuple[tuple[str, int], ...]:
-    """Return fingerprints with their deaths."""
+    """Return ``count`` fingerprints, each with its number of server crashes."""
     return tuple((f"{number:032x}", 1) for number in range(count))
 
 
 def measure_sharded_manifest(organisations: int) -> tuple[int, list[int]]:
-    """Return the bytes of the index and of each shard."""
+    """Return the size of the index and of each shard, in bytes."""
     manifest = Manifest(
         organisations=tuple(build_organisation(n) for n in range(organisations)),
         groups=(ServerGroup(name="parts-model"),),
--- a/tools/capacity_slopes.py
+++ b/tools/capacity_slopes.py
@@ -1,4 +1,4 @@
-"""Measured slopes, kept in ``capacity_slopes.json`` beside this module."""
+"""Measured slopes, stored in ``capacity_slopes.json`` next to this module."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """How one cost grows: ``base`` plus ``per`` times size, by least squares.
+    """Least-squares line of one cost: ``intercept`` plus ``gradient`` times size.
 
-    ``unit`` is the value's, ``size_unit`` the size's. A slope without points has not
-    been measured; ``command`` says how it is.
+    ``unit`` is that of the values, ``size_unit`` that of the sizes. A slope without
+    points has not been measured; ``command`` is the command that measures it.
     """
 
     name: str
@@ -32,17 +32,19 @@
 
     @property
     def is_measured(self) -> bool:
-        """True if there are two sizes at least."""
+        """True if there are points of at least two sizes."""
         return len({point.size for point in self.points}) > 1
 
     @property
     def gradient(self) -> float:
-        """Growth of the value with one more of size."""
+        """Growth of the value for each additional unit of size."""
         sizes = [point.size for point in self.points]
         mean_size, mean_value = _mean(sizes), self._mean_value
-        above = sum((p.size - mean_size) * (p.value - mean_value) for p in self.points)
-        below = sum((size - mean_size) ** 2 for size in sizes)
-        return above / below
+        covariance_sum = sum(
+            (p.size - mean_size) * (p.value - mean_value) for p in self.points
+        )
+        variance_sum = sum((size - mean_size) ** 2 for size in sizes)
+        return covariance_sum / variance_sum
 
     @property
     def intercept(self) -> float:
@@ -54,12 +56,12 @@
         return _mean([point.value for point in self.points])
 
     def value_at(self, size: float) -> float:
-        """Return the value worked out for ``size``."""
+        """Return the value computed for ``size``."""
         return self.intercept + self.gradient * size
 
 
 class Slopes(msgspec.Struct, frozen=True):
-    """All slopes and the machine they were measured on."""
+    """All slopes, with the machine, commit and time of their measurement."""
 
     machine: str
     commit: str
@@ -68,12 +70,12 @@
 
 
 def load_slopes(path: Path = SLOPES_PATH) -> Slopes:
-    """Return the slopes last measured."""
+    """Return the slopes stored at ``path``."""
     return msgspec.json.decode(path.read_bytes(), type=Slopes)
 
 
 def save_slopes(slopes: Slopes, path: Path = SLOPES_PATH) -> None:
-    """Write the slopes."""
+    """Write the slopes to ``path``."""
     encoded = msgspec.json.format(msgspec.json.encode(slopes), indent=1)
     path.write_bytes(encoded + b"\n")
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -1,4 +1,4 @@
-"""The size to design for, its limits, and the settings that decide control traffic."""
+"""Target size, resource limits, and the settings that determine control traffic."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Target(NamedTuple):
-    """The size that the design is for."""
+    """Size of the fleet and its traffic that a design has to carry."""
 
     entries: int = 370
     servers: int = 1000
@@ -26,19 +26,20 @@
 
     @property
     def processes(self) -> int:
-        """Entries and agents."""
+        """Number of entries and agents."""
         return self.entries + self.servers
 
     @property
     def groups(self) -> int:
-        """Server groups if each holds the ranks of one engine."""
+        """Number of server groups if each holds the ranks of one engine."""
         return self.servers // self.ranks
 
 
 class Limits(NamedTuple):
-    """The budget of a node for control, and the platform's rates.
+    """A node's budget for control traffic, and the platform's request rates.
 
-    "Several hundred" writes are read as 300, bytes a second as both ways together.
+    The platform's "several hundred" writes per second are taken as 300; the bytes per
+    second cover both directions together.
     """
 
     cpu_share: float = 0.022
@@ -48,18 +49,20 @@
     reads_per_s: float = 2000.0
 
 
-# One in so many organisations in use is taken to be short of an equal share at some
-# entry, so that shares are told of it. An assumption: no traffic of that size was seen.
+# One in this many active organisations is assumed to need more than an equal share at
+# some entry, so that entries exchange its shares. An assumption: no traffic of that
+# size has been observed.
 ORGANISATIONS_PER_SHORT_ONE = 10
 
 
 class Design(NamedTuple):
-    """The settings that decide control traffic; the defaults are those of today.
+    """Settings that determine control traffic; the defaults are the current ones.
 
-    ``server_groups`` is how many groups an entry keeps a subset of. ``changed_only``
-    tells that the list of instances is only sent when it has changed. ``poll_s`` is how
-    often the holder of a group's lease reads its ranks. ``shared`` is the number of
-    organisations in use of which shares are told.
+    ``server_groups`` is the number of groups that an entry keeps a subset of. With
+    ``has_conditional_reads`` the instance list is only sent when it has changed.
+    ``poll_s`` is the interval at which the holder of a group's lease reads its ranks.
+    ``shared_organisations`` is the number of active organisations whose shares entries
+    exchange.
     """
 
     name: str
@@ -81,7 +84,7 @@
 GROUP_PER_ENGINE_DESIGN = Design(
     "as it is, a group an engine", server_groups=TARGET.groups
 )
-# What the page proposes and is not built; the model only works it out.
+# Proposed in the capacity page and not implemented; only modelled.
 PROPOSED_DESIGN = Design(
     "proposed",
     server_groups=TARGET.models,
@@ -89,10 +92,10 @@
     instances_s=5.0,
     has_conditional_reads=True,
     poll_s=6.0,
-    # Allowances over one entry's part of the peak; the rest need not be split.
+    # Allowances above one entry's part of the peak; the others need not be split.
     shared_organisations=int(TARGET.tokens_per_s / ENTRY_WORK_PER_S),
 )
-# The sizes of today, each entry as busy as at the target.
+# The current sizes, with each entry as busy as at the target.
 SMALL_TARGET = Target(
     entries=7,
     servers=19,
@@ -105,5 +108,5 @@
     "as it is, today's sizes", server_groups=2, shared_organisations=10
 )
 DESIGNS = (CURRENT_DESIGN, GROUP_PER_ENGINE_DESIGN, PROPOSED_DESIGN)
-# Renewals of a lease, as designed; not a measurement.
+# Interval at which the coordinator renews its lease.
 LEASE_RENEWAL_S = 3.0
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -1,4 +1,4 @@
-"""What all processes together ask of the platform, and what the data path costs."""
+"""Total load of all processes on the platform, and the cost of the data path."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class DataPathCost(NamedTuple):
-    """What carrying the peak's tokens costs one process, beside control.
+    """Cost of relaying one process's tokens at the peak, without control traffic.
 
-    ``most_tokens`` is the rate a second at which it uses a whole core.
+    ``max_tokens_per_s`` is the rate at which the process uses a whole core.
     """
 
     role: str
@@ -33,17 +33,22 @@
     paths = []
     for role, count in (("entry", target.entries), ("agent", target.servers)):
         slope = slopes.by_name[f"{role}_stream_cpu"]
-        tokens = target.tokens_per_s / count
-        most = (1 - slope.intercept) / slope.gradient
-        paths.append(DataPathCost(role, tokens, slope.value_at(tokens), most))
+        tokens_per_s = target.tokens_per_s / count
+        max_tokens_per_s = (1 - slope.intercept) / slope.gradient
+        paths.append(
+            DataPathCost(
+                role, tokens_per_s, slope.value_at(tokens_per_s), max_tokens_per_s
+            )
+        )
     return tuple(paths)
 
 
 class PlatformLoad(NamedTuple):
-    """What all processes together ask of the platform's service, without claims.
+    """Total load of all processes on the platform service, without claims.
 
-    Rates are per second; ``change_reads`` is the rate while a change of the manifest
-    is taken up. ``kept_bytes`` and ``kept_objects`` are batches of traces.
+    Rates are per second; ``change_reads`` is the read rate while processes load a new
+    manifest version. ``kept_bytes`` and ``kept_objects`` are those of the retained
+    trace batches.
     """
 
     reads: float
@@ -56,33 +61,33 @@
 
     @property
     def writes(self) -> float:
-        """All writes a second."""
+        """Total writes per second."""
         return self.trace_writes + self.lease_writes
 
     def compute_claims_per_s(self, writes_s: float) -> float:
-        """Return how many claims a second fit, each made once and removed once."""
+        """Return the claims per second that fit: each takes a write and a deletion."""
         return (writes_s - self.writes) / 2
 
 
 def compute_platform_load(
     slopes: Slopes, design: Design, target: Target, *, renew_s: float
 ) -> PlatformLoad:
-    """Return the platform's load."""
+    """Return the load of all processes on the platform."""
     model = CapacityModel(slopes, design, target)
     entry, agent = model.entry_costs().total, model.agent_costs().total
     reads = target.entries * entry.reads + target.servers * agent.reads
     batches = target.processes / design.trace_batch_s
-    a_request = sum(
+    bytes_per_request = sum(
         slopes.by_name[f"{role}_batch_bytes"].gradient for role in ("entry", "agent")
     )
     kept_s = Retention().traces_h * 3600
     return PlatformLoad(
         reads=reads,
-        # Each process reads a shard, within the spread, and watches again.
+        # Within the random delay each process reads a shard and starts a new watch.
         change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
         lease_writes=target.groups / renew_s,
-        trace_bytes=target.requests_per_s * a_request,
-        kept_bytes=target.requests_per_s * a_request * kept_s,
+        trace_bytes=target.requests_per_s * bytes_per_request,
+        kept_bytes=target.requests_per_s * bytes_per_request * kept_s,
         kept_objects=batches * kept_s,
     )
