--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -1,4 +1,4 @@
-"""Processor time of each decision, and memory of what grows with organisations."""
+"""Measures processor time per decision, and memory by number of organisations."""
 
 from __future__ import annotations
 
@@ -69,20 +69,20 @@
             _measure_us(lambda: select_subset("entry-1", entries, servers, 24), 5),
         ),
     ]
-    shown = [(name, f"{cost:,.1f}") for name, cost in rows]
-    return Table("Processor time of a decision", ("decision", "microseconds"), shown)
+    cells = [(name, f"{cost:,.1f}") for name, cost in rows]
+    return Table("Processor time of a decision", ("decision", "microseconds"), cells)
 
 
 def _measure_us(work: Callable[[], object], repeats: int = CALLS_PER_RUN) -> float:
-    """Return the least of some means: other work on the machine only adds."""
+    """Return the minimum of several means: other load on the machine only adds time."""
     return min(_measure_mean_s(work, repeats) for _ in range(RUNS)) * 1e6
 
 
 def _measure_mean_s(work: Callable[[], object], repeats: int) -> float:
-    began = process_time()
+    started = process_time()
     for _ in range(repeats):
         work()
-    return (process_time() - began) / repeats
+    return (process_time() - started) / repeats
 
 
 def _prepare_admission() -> Callable[[], object]:
@@ -128,15 +128,17 @@
 
 
 def _prepare_placement(prefix: str) -> Callable[[], object]:
-    plain = Candidate("", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1)
+    template = Candidate(
+        "", "dc-0", 16, 8, 0, own_in_flight=2, own_in_flight_at_report=1
+    )
     candidates = [
-        replace(plain, name=f"server-{number}", running=4 + number % 8)
+        replace(template, name=f"server-{number}", running=4 + number % 8)
         for number in range(CANDIDATE_COUNT)
     ]
-    draw = Random(1)
+    random = Random(1)
     policy = TwoChoicesPolicy()
-    ask = PlacementRequest(prefix_key=prefix, work=600.0, data_centre="dc-0")
-    return lambda: policy.place(candidates, ask, 0.0, draw)
+    request = PlacementRequest(prefix_key=prefix, work=600.0, data_centre="dc-0")
+    return lambda: policy.place(candidates, request, 0.0, random)
 
 
 def _prepare_health_update() -> Callable[[], object]:
@@ -154,21 +156,25 @@
 
 
 def _memory_table() -> Table:
-    sizes = [(count, _admission_bytes(count)) for count in ORGANISATION_COUNTS]
-    histories = [(count, _predictor_bytes(count)) for count in ORGANISATION_COUNTS]
+    admission_sizes = [
+        (count, _admission_bytes(count)) for count in ORGANISATION_COUNTS
+    ]
+    predictor_sizes = [
+        (count, _predictor_bytes(count)) for count in ORGANISATION_COUNTS
+    ]
     rows = [
-        _memory_row("admission", sizes),
-        _memory_row("prediction", histories),
+        _memory_row("admission", admission_sizes),
+        _memory_row("prediction", predictor_sizes),
     ]
-    sized = [f"{count:,} organisations, MB" for count in ORGANISATION_COUNTS]
-    return Table("Memory by organisations", ("", *sized, "bytes each"), rows)
+    size_columns = [f"{count:,} organisations, MB" for count in ORGANISATION_COUNTS]
+    return Table("Memory by organisations", ("", *size_columns, "bytes each"), rows)
 
 
 def _memory_row(name: str, sizes: list[tuple[int, int]]) -> tuple[str, ...]:
     (small, small_bytes), (large, large_bytes) = sizes
-    slope = (large_bytes - small_bytes) / (large - small)
-    shown = (f"{size / 1e6:.1f}" for size in (small_bytes, large_bytes))
-    return (name, *shown, f"{slope:.0f}")
+    bytes_per_organisation = (large_bytes - small_bytes) / (large - small)
+    cells = (f"{size / 1e6:.1f}" for size in (small_bytes, large_bytes))
+    return (name, *cells, f"{bytes_per_organisation:.0f}")
 
 
 def _admission_bytes(count: int) -> int:
--- a/tools/map_baselines.py
+++ b/tools/map_baselines.py
@@ -1,4 +1,4 @@
-"""Planners that the product's own is measured against."""
+"""Baseline planners that the product's map planner is compared with."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 if TYPE_CHECKING:
     from kingcupwheel.expertmaps.load_estimate import LoadEstimate
 
-# Plain hysteresis starts to move above the first skew and goes on to the second.
+# HysteresisPlanner starts to move experts above the first skew and stops at the second.
 _START_SKEW = 1.25
 _STOP_SKEW = 1.10
 
 
 def plan_longest_first(current: ExpertMap, estimate: LoadEstimate) -> ExpertMap:
-    """Return the longest-processing-time-first map, whatever it takes to get there."""
+    """Return the longest-processing-time-first map, regardless of its moves."""
     if estimate.load is None:
         return current
     layers = tuple(
@@ -34,40 +34,43 @@
 
 
 def _count_replicas(load: LayerLoad, shape: ExpertMap) -> list[int]:
-    """Return replica counts: spare places go to the highest load a replica."""
+    """Return replica counts; spare slots go to the experts with the most load each."""
     counts = [1] * len(load)
     for _ in range(shape.rank_count * shape.slots_per_rank - len(load)):
-        open_experts = (e for e in range(len(load)) if counts[e] < shape.rank_count)
-        counts[max(open_experts, key=lambda e: load[e] / counts[e])] += 1
+        expandable_experts = (
+            e for e in range(len(load)) if counts[e] < shape.rank_count
+        )
+        counts[max(expandable_experts, key=lambda e: load[e] / counts[e])] += 1
     return counts
 
 
 def _place_replicas(
     counts: list[int], load: LayerLoad, shape: ExpertMap
 ) -> LayerPlacement:
-    held: list[list[int]] = [[] for _ in range(shape.rank_count)]
-    loads = [0.0] * shape.rank_count
+    experts_by_rank: list[list[int]] = [[] for _ in range(shape.rank_count)]
+    load_by_rank = [0.0] * shape.rank_count
     shares = [
         (load[expert] / count, expert)
         for expert, count in enumerate(counts)
         for _ in range(count)
     ]
-    # A first copy always finds a rank; a further one is left out where none is free.
+    # The first replica always fits on a rank; others are omitted if no rank is free.
     for share, expert in sorted(shares, reverse=True):
-        free = [
+        free_ranks = [
             rank
             for rank in range(shape.rank_count)
-            if len(held[rank]) < shape.slots_per_rank and expert not in held[rank]
+            if len(experts_by_rank[rank]) < shape.slots_per_rank
+            and expert not in experts_by_rank[rank]
         ]
-        if free:
-            rank = min(free, key=loads.__getitem__)
-            held[rank].append(expert)
-            loads[rank] += share
-    return tuple(tuple(sorted(experts)) for experts in held)
+        if free_ranks:
+            rank = min(free_ranks, key=load_by_rank.__getitem__)
+            experts_by_rank[rank].append(expert)
+            load_by_rank[rank] += share
+    return tuple(tuple(sorted(experts)) for experts in experts_by_rank)
 
 
 class HysteresisPlanner:
-    """Moves without regard to cost once skew is high, until it is low."""
+    """Planner that ignores cost and moves from when skew is high until it is low."""
 
     def __init__(self) -> None:
         self._moving = False
@@ -78,5 +81,5 @@
         self._moving = skew > (_STOP_SKEW if self._moving else _START_SKEW)
         if not self._moving:
             return current
-        found = plan_map(current, estimate, PlanWeights(1.0, 0.0))
-        return found.map if found else current
+        plan = plan_map(current, estimate, PlanWeights(1.0, 0.0))
+        return plan.map if plan else current
--- a/tools/map_confidence_planner.py
+++ b/tools/map_confidence_planner.py
@@ -1,8 +1,8 @@
-"""The trial planner: moves only if a lower confidence bound of the gain beats the cost.
+"""Planner that moves only if the lower confidence bound of the gain exceeds the cost.
 
-After "Low-Regret and Low-Complexity Learning for Hierarchical Inference", which accepts
-a choice only once the lower confidence bound of its worth is good enough: the empirical
-mean less sqrt(alpha * log t / n) over n observations.
+Follows "Low-Regret and Low-Complexity Learning for Hierarchical Inference", which
+accepts a choice only if the lower confidence bound of its value is high enough: the
+empirical mean minus sqrt(alpha * log t / n) over n observations.
 """
 
 from __future__ import annotations
@@ -21,14 +21,17 @@
     from kingcupwheel.expertmaps.load_estimate import LoadEstimate
     from kingcupwheel.expertmaps.load_estimate import MapLoad
 
-# The paper's exploration parameter; it has to exceed one half.
+# The paper's exploration parameter; it must be greater than 0.5.
 _ALPHA = 0.52
-# Recent estimates that a proposed map is judged on.
+# Recent periods whose loads a proposed map is evaluated on.
 _WINDOW_PERIODS = 8
 
 
 class ConfidenceBoundPlanner:
-    """Proposes by the own planner without hysteresis, accepts by the lower bound."""
+    """Accepts a map of the product's planner if the lower bound of its gain is enough.
+
+    The product's planner runs without hysteresis.
+    """
 
     def __init__(self, weights: PlanWeights) -> None:
         self._weights = weights._replace(hysteresis=1.0)
@@ -40,21 +43,23 @@
         self._periods += 1
         if estimate.load is not None:
             self._loads.append(estimate.load)
-        found = plan_map(current, estimate, self._weights)
-        if found is None:
+        plan = plan_map(current, estimate, self._weights)
+        if plan is None:
             return current
         gains = [
-            map_skew(current, seen) - map_skew(found.map, seen) for seen in self._loads
+            map_skew(current, load) - map_skew(plan.map, load) for load in self._loads
         ]
-        places = sum(len(held) for layer in current.layers for held in layer)
+        replica_count = sum(
+            len(experts) for layer in current.layers for experts in layer
+        )
         weights = self._weights
-        cost = weights.move_cost * found.move_count / places
-        worth = (
+        cost = weights.move_cost * plan.move_count / replica_count
+        gain = (
             weights.skew_weight
             * weights.payback_periods
             * _lower_bound(gains, self._periods)
         )
-        return found.map if worth > cost else current
+        return plan.map if gain > cost else current
 
 
 def _lower_bound(gains: list[float], periods: int) -> float:
--- a/tools/map_popularity.py
+++ b/tools/map_popularity.py
@@ -1,4 +1,4 @@
-"""Seeded expert popularity over time, for measuring planners."""
+"""Generator of expert popularity over time, to measure planners with."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 
     from kingcupwheel.expertmaps.load_estimate import MapLoad
 
-# Spread of the experts' log popularity at the start.
+# Standard deviation of the experts' log popularity at the start.
 _LOG_POPULARITY_SPREAD = 0.8
-# Step of the log popularity in a period of a season's drift.
+# Standard deviation of the change in log popularity per period of seasonal drift.
 _DRIFT_PER_PERIOD = 0.04
-# Scatter of one period's counts around the popularity, from the requests at hand.
+# Standard deviation of one period's log counts around the log popularity, as a finite
+# number of requests causes it.
 _COUNT_NOISE = 0.15
-# An inspection makes one expert in twelve this many times as popular.
+# An inspection multiplies the popularity of one expert in twelve by this factor.
 _INSPECTED_SHARE = 1 / 12
 _INSPECTED_FACTOR = 5.0
 
 
 class Scenario(StrEnum):
-    """How popularity changes."""
+    """Way in which popularity changes over time."""
 
     SEASON = "season drift"
     INSPECTION = "inspection"
@@ -34,7 +35,7 @@
 
 
 class GroupShape(NamedTuple):
-    """Size of the group and length of a run, in periods."""
+    """Size of the group, and length of a run in periods."""
 
     ranks: int
     experts: int
@@ -46,34 +47,45 @@
 def generate_loads(
     scenario: Scenario, shape: GroupShape, *, seed: int
 ) -> Iterator[MapLoad]:
-    """Yield the load counted in each period; the same seed gives the same loads."""
-    generator = random.Random(seed)
+    """Yield the load counted in each period; a seed always gives the same loads."""
+    random_generator = random.Random(seed)
     layers = [
-        [generator.gauss(0, _LOG_POPULARITY_SPREAD) for _ in range(shape.experts)]
+        [
+            random_generator.gauss(0, _LOG_POPULARITY_SPREAD)
+            for _ in range(shape.experts)
+        ]
         for _ in range(shape.layers)
     ]
     inspected = [
-        {e for e in range(shape.experts) if generator.random() < _INSPECTED_SHARE}
+        {
+            e
+            for e in range(shape.experts)
+            if random_generator.random() < _INSPECTED_SHARE
+        }
         for _ in range(shape.layers)
     ]
     for period in range(shape.periods):
-        during = shape.periods // 3 <= period < 2 * shape.periods // 3
-        raised = scenario is Scenario.INSPECTION and during
+        is_inspection_time = shape.periods // 3 <= period < 2 * shape.periods // 3
+        is_inspected = scenario is Scenario.INSPECTION and is_inspection_time
         if scenario is Scenario.SEASON:
-            _drift(layers, generator)
+            _drift(layers, random_generator)
         yield tuple(
             tuple(
-                math.exp(log + generator.gauss(0, _COUNT_NOISE))
-                * (_INSPECTED_FACTOR if raised and expert in hot else 1)
+                math.exp(log + random_generator.gauss(0, _COUNT_NOISE))
+                * (
+                    _INSPECTED_FACTOR
+                    if is_inspected and expert in inspected_experts
+                    else 1
+                )
                 for expert, log in enumerate(layer)
             )
-            for layer, hot in zip(layers, inspected, strict=True)
+            for layer, inspected_experts in zip(layers, inspected, strict=True)
         )
 
 
 def _drift(layers: list[list[float]], generator: random.Random) -> None:
-    # A pull back to the middle keeps the spread what it was at the start.
-    keep = math.sqrt(1 - (_DRIFT_PER_PERIOD / _LOG_POPULARITY_SPREAD) ** 2)
+    # Reversion towards the mean keeps the standard deviation constant.
+    reversion = math.sqrt(1 - (_DRIFT_PER_PERIOD / _LOG_POPULARITY_SPREAD) ** 2)
     for layer in layers:
         for expert, log in enumerate(layer):
-            layer[expert] = keep * log + generator.gauss(0, _DRIFT_PER_PERIOD)
+            layer[expert] = reversion * log + generator.gauss(0, _DRIFT_PER_PERIOD)
