--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parents[1]
 _PACKAGE = Path("src/kingcupwheel")
 # What a build and a play need.
-_COPIED = ("src", "deploy", "requirements", "pyproject.toml")
+_COPIED_PATHS = ("src", "deploy", "requirements", "pyproject.toml")
 
 
 class Edit(NamedTuple):
@@ -198,7 +198,7 @@
 }
 
 
-def switched_off(name: str, root: Path = ROOT) -> dict[Path, str]:
+def apply_edits(name: str, root: Path = ROOT) -> dict[Path, str]:
     """Return the changed files by path; ValueError if a line is not there just once."""
     texts: dict[Path, str] = {}
     for edit in ABLATIONS[name]:
@@ -212,13 +212,13 @@
     return texts
 
 
-def write_copy(name: str, folder: Path) -> Path:
+def write_ablated_copy(name: str, folder: Path) -> Path:
     """Write the sources with one mechanism switched off; return the copy's folder."""
-    texts = switched_off(name)
+    texts = apply_edits(name)
     copy = folder / name
     copy.mkdir(parents=True)
     ignored = shutil.ignore_patterns("__pycache__")
-    for part in _COPIED:
+    for part in _COPIED_PATHS:
         source = ROOT / part
         if source.is_dir():
             shutil.copytree(source, copy / part, ignore=ignored)
@@ -236,7 +236,7 @@
     for name in sys.argv[2:] or ABLATIONS:
         if name not in ABLATIONS:
             raise SystemExit(f"no mechanism {name!r}; there are {', '.join(ABLATIONS)}")
-        print(write_copy(name, Path(sys.argv[1])))
+        print(write_ablated_copy(name, Path(sys.argv[1])))
 
 
 if __name__ == "__main__":
--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -12,7 +12,7 @@
 
 import click
 from tests.expertmaps.fleet import Fleet
-from tests.standins.ranks import Switch
+from tests.standins.ranks import RankSwitch
 
 from kingcupwheel.expertmaps.phases import Preparing
 from kingcupwheel.expertmaps.service import DEFAULT_SERVICE_TIMINGS
@@ -95,8 +95,8 @@
             isinstance(phase, Preparing) and bool(phase.acked)
         )
         with fleet.group.lock:
-            switch = Switch(hot=(0, 4), factor=8.0)
-            fleet.group.switch(fleet.group.ranks[0], switch)
+            switch = RankSwitch(hot=(0, 4), factor=8.0)
+            fleet.group.apply_switch(fleet.group.ranks[0], switch)
         fleet.wait_until(lambda: not coordinator.running.is_set())
         coordinator.freeze_condition = lambda _: False
         if failure == "kill":
@@ -107,7 +107,7 @@
             fleet.replace(coordinator)
         coordinator.resume()
         fleet.wait_for_steps(200)
-        report = fleet.group.seen()
+        report = fleet.group.build_step_report()
         assert report.mixed == []
         return report.longest_stall_s
     finally:
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -223,7 +223,7 @@
     index_bytes = len(source.value_by_key.pop(INDEX_KEY))
     sizes = [len(value) for value in source.value_by_key.values()]
     return SubmitCost(
-        writes=platform.state.calls["write"],
+        writes=platform.state.call_counts["write"],
         submit_s=submit_s,
         shards=len(sizes),
         shard_mean_bytes=sum(sizes) // len(sizes),
@@ -261,12 +261,12 @@
     changed: Manifest,
     previous: AssembledManifest,
 ) -> ChangeCost:
-    writes_before = platform.state.calls["write"]
+    writes_before = platform.state.call_counts["write"]
     _submit(client, changed, "second")
     source = _CountingSource(client)
     source.assemble(reuse=previous)
     return ChangeCost(
-        change_writes=platform.state.calls["write"] - writes_before,
+        change_writes=platform.state.call_counts["write"] - writes_before,
         entry_reads=len(source.value_by_key),
         entry_bytes=source.bytes,
         agent_bytes=len(source.value_by_key[INDEX_KEY]),
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -21,7 +21,7 @@
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.fleet import Fleet
-from tools.fleet import key_digest
+from tools.fleet import compute_key_digest
 
 
 _API_KEY = "measure-key"
@@ -82,7 +82,7 @@
         "organisations": [
             {
                 "name": "load",
-                "key_digests": [key_digest(_API_KEY)],
+                "key_digests": [compute_key_digest(_API_KEY)],
                 "allowance": allowance,
             }
         ],
@@ -101,9 +101,9 @@
             limits={"concurrency": 256},
         )
     fleet.add_entry("entry", limits={"threads": 400})
-    submitted = fleet.submit(build_manifest())
+    submitted = fleet.submit_manifest(build_manifest())
     assert submitted.returncode == 0, submitted.stderr
-    fleet.wait_ready(_API_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
+    fleet.wait_until_serving(_API_KEY, _PATH, {"prompt": "ready", "max_tokens": 1})
 
 
 def measure_calls(address: str) -> Latencies:
@@ -114,7 +114,7 @@
     def call(_: int) -> float:
         reply = caller.call(address, _PATH, body)
         assert isinstance(reply, Reply) and reply.status == 200, reply
-        return reply.took_s * 1000
+        return reply.duration_s * 1000
 
     started = time.monotonic()
     with ThreadPoolExecutor(_CALLER_COUNT) as pool:
@@ -130,7 +130,7 @@
     pids = [agent.process.pid for agent in fleet.agents.values()]
     usage_before = read_usage(entry.process.pid), [read_usage(pid) for pid in pids]
     started = time.monotonic()
-    gaps = measure_gaps(entry.http, streams)
+    gaps = measure_gaps(entry.caller_address, streams)
     took_s = time.monotonic() - started
     usage_after = read_usage(entry.process.pid), [read_usage(pid) for pid in pids]
     entry_cpu_s = usage_after[0].cpu_s - usage_before[0].cpu_s
@@ -181,7 +181,7 @@
         "max_tokens": _TOKENS_PER_STREAM,
         "stream": True,
     }
-    return Caller(_API_KEY).gaps(address, _PATH, body)
+    return Caller(_API_KEY).measure_chunk_gaps(address, _PATH, body)
 
 
 def measure_idle(fleet: Fleet) -> dict[str, float]:
@@ -204,7 +204,7 @@
     with Fleet() as fleet:
         start_fleet(fleet, step_ms=1)
         direct_latencies = measure_calls(fleet.agents["server-0"].server_address)
-        forwarded_latencies = measure_calls(fleet.entries["entry"].http)
+        forwarded_latencies = measure_calls(fleet.entries["entry"].caller_address)
     _print_latencies(direct_latencies, forwarded_latencies)
     with Fleet() as fleet:
         start_fleet(fleet, step_ms=_STEP_MS)
