--- a/features/environment.py
+++ b/features/environment.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from features.judging import check_counters
-from features.judging import check_traces
+from features.result_checks import check_counters
+from features.result_checks import check_traces
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
@@ -18,7 +18,7 @@
         return
     try:
         if scenario.status.name == "passed":
-            _judge(world)
+            _check_promises(world)
     except BaseException:
         world.print_logs()
         raise
@@ -28,8 +28,10 @@
         world.close()
 
 
-def _judge(world: Any) -> None:
+def _check_promises(world: Any) -> None:
     world.wait_for_replies()
-    world.fleet.switch(outage="off", slow_answer_s=0, lose_answers=0, stale=0)
+    world.fleet.set_platform_faults(
+        outage="off", slow_answer_s=0, lose_answers=0, stale=0
+    )
     check_counters(world)
     check_traces(world)
--- /dev/null
+++ b/tests/soak/planned/fleet.py
@@ -0,0 +1,149 @@
+"""Three entries as real processes and six servers of one service, on loopback."""
+
+from __future__ import annotations
+
+import time
+from threading import Event
+from threading import Thread
+from typing import TYPE_CHECKING
+
+from tests.forwarding.builders import configuration_spec
+from tests.forwarding.builders import routes
+from tests.forwarding.fleet import free_ports
+from tests.forwarding.fleet import send_request
+from tests.forwarding.fleet import wait_until
+from tests.soak.planned.servers import RecordingServer
+from tests.soak.processes import EntryProcess
+from tests.soak.processes import build_entry_settings
+from tests.soak.processes import write_settings
+from tests.standins.object_store import StoredObjects
+from tests.standins.object_store import StoreServer
+
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from tests.soak.planned.servers import ServerRequest
+
+SHUTDOWN_GRACE_S = 2.4
+# Every process and server has an IP of its own, so that nobody else takes its port
+# while it is away.
+ENTRY_HOSTS = ("127.0.0.41", "127.0.0.42", "127.0.0.43")
+SERVER_HOSTS = tuple(f"127.0.0.{number}" for number in range(51, 57))
+# Answers may last twice the grace.
+MAX_WORK_S = 2 * SHUTDOWN_GRACE_S
+REQUEST_TIMEOUT_S = 8.0
+_MS = 1000.0
+_SUPERVISION_INTERVAL_S = 0.02
+# Work that lasts to the end is over by then.
+_IDLE_TIMEOUT_S = REQUEST_TIMEOUT_S + 2.0
+
+
+class PlannedFleet:
+    """Entries, servers and the store; the platform restarts and ends processes."""
+
+    def __init__(self, folder: Path) -> None:
+        self.started_at = time.monotonic()
+        self.objects = StoredObjects()
+        self._store_server = StoreServer(self.objects)
+        self._store_server.start()
+        self._ports = [free_ports(1, host)[0] for host in SERVER_HOSTS]
+        self.ended_servers: list[RecordingServer] = []
+        self.servers = [
+            self._start_server(number) for number in range(len(SERVER_HOSTS))
+        ]
+        times = {
+            "TimeoutMs": REQUEST_TIMEOUT_S * _MS,
+            "TargetLatencyMs": 1000,
+            "MaxAttempts": 2,
+        }
+        spec = configuration_spec(Routes=[{**route, **times} for route in routes()])
+        self.objects.put("config", "main", spec)
+        self.entries = tuple(
+            self._create_entry(folder, f"entry-{number}", host)
+            for number, host in enumerate(ENTRY_HOSTS, start=1)
+        )
+        self._stopping = Event()
+        self._supervisors = [
+            Thread(target=self._supervise_process, args=(one,)) for one in self.entries
+        ]
+        for keeper in self._supervisors:
+            keeper.start()
+
+    def _create_entry(self, folder: Path, name: str, host: str) -> EntryProcess:
+        ports = free_ports(4, host)
+        lines = build_entry_settings(
+            name, host, ports, store=self._store_server.url, grace_s=SHUTDOWN_GRACE_S
+        )
+        settings, log = write_settings(folder, name, lines)
+        return EntryProcess(name, settings, log, ports, host)
+
+    def _start_server(self, number: int) -> RecordingServer:
+        """Start a new life of a server at its address and list it."""
+        born_ms = int(time.time() * _MS)
+        host, port = SERVER_HOSTS[number], self._ports[number]
+        server = RecordingServer(f"i-{number}", born_ms, host, port)
+        server.start()
+        self.objects.put("servers", server.instance, server.build_store_entry())
+        return server
+
+    def list_requests(self) -> list[ServerRequest]:
+        """Return what reached any life of a server, in the order of time."""
+        found = [
+            one
+            for server in (*self.servers, *self.ended_servers)
+            for one in server.requests
+        ]
+        return sorted(found, key=lambda one: one.arrived_at)
+
+    def announce_drain(self, number: int) -> None:
+        """Let a server say in the store that it leaves."""
+        server = self.servers[number]
+        self.objects.put(
+            "servers", server.instance, server.build_store_entry("draining")
+        )
+
+    def remove_store_entry(self, number: int) -> None:
+        """Take a server's entry out of the store."""
+        self.objects.remove("servers", self.servers[number].instance)
+
+    def end_server(self, number: int) -> None:
+        """End a server's life."""
+        server = self.servers[number]
+        server.shut_down()
+        self.ended_servers.append(server)
+
+    def restart_server(self, number: int) -> None:
+        """Start a new life of a server that has ended, at its address."""
+        self.servers[number] = self._start_server(number)
+
+    def is_ready(self) -> bool:
+        """Return whether every entry says that it is ready."""
+        return all(
+            send_request(entry.ready_address, "/v1/ready").status == 200
+            for entry in self.entries
+        )
+
+    def wait_until_idle(self) -> None:
+        """Wait until no server works on anything."""
+        wait_until(
+            lambda: all(not server.running_count for server in self.servers),
+            _IDLE_TIMEOUT_S,
+        )
+
+    def _supervise_process(self, entry: EntryProcess) -> None:
+        while not self._stopping.wait(_SUPERVISION_INTERVAL_S):
+            entry.supervise()
+            entry.kill_after_grace(SHUTDOWN_GRACE_S)
+
+    def stop(self) -> None:
+        """End every process and stand-in."""
+        self._stopping.set()
+        for keeper in self._supervisors:
+            keeper.join()
+        for entry in self.entries:
+            entry.stop()
+        for server in self.servers:
+            if not server.is_shut_down:
+                server.shut_down()
+        self._store_server.stop()
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -18,9 +18,9 @@
 from tools.caller import Caller
 from tools.caller import Reply
 from tools.processes import START_TIMEOUT_S
-from tools.processes import Ports
+from tools.processes import PortAllocator
 from tools.processes import Process
-from tools.processes import environment
+from tools.processes import build_environment
 from tools.processes import wait_until
 
 
@@ -35,9 +35,9 @@
     """A running entry; callers connect to ``http``, operators to ``operators``."""
 
     process: Process
-    http: str
+    caller_address: str
     address: str
-    operators: str
+    operator_address: str
 
 
 class Agent(NamedTuple):
@@ -48,10 +48,10 @@
     server: Process
     server_address: str
     kind: str
-    relay: str = ""
+    relay_control_address: str = ""
 
 
-def key_digest(key: str) -> str:
+def compute_key_digest(key: str) -> str:
     """Return what a manifest holds of a bearer key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -60,20 +60,20 @@
     """Processes by name; leaving the ``with`` block ends every one of them."""
 
     def __init__(self, timings: dict[str, float] | None = None) -> None:
-        self._folder = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
-        self._path = Path(self._folder.name)
+        self._temporary_directory = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
+        self._folder_path = Path(self._temporary_directory.name)
         self._timings = timings or {}
-        self._ports = Ports()
+        self._ports = PortAllocator()
         self._http = urllib3.PoolManager(retries=False, timeout=10.0)
         self.entries: dict[str, Entry] = {}
         self.agents: dict[str, Agent] = {}
         self.stand_ins: dict[str, Process] = {}
-        self.platform = ""
+        self.platform_address = ""
 
     def __enter__(self) -> Fleet:
         """Start the platform stand-in."""
         process, address = self.start_stand_in("platform", "tests.standins.platform")
-        self.platform = address
+        self.platform_address = address
         del process
         return self
 
@@ -87,7 +87,7 @@
         for process in self.processes:
             process.kill()
         self._ports.close()
-        self._folder.cleanup()
+        self._temporary_directory.cleanup()
 
     @property
     def processes(self) -> tuple[Process, ...]:
@@ -99,11 +99,11 @@
     @property
     def folder(self) -> Path:
         """Where the fleet keeps its settings and logs."""
-        return self._path
+        return self._folder_path
 
-    def log(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what a process logged."""
-        return (self._path / f"{name}.log").read_text()
+        return (self._folder_path / f"{name}.log").read_text()
 
     def start_stand_in(
         self, name: str, module: str, *options: str, port: int = 0
@@ -112,10 +112,10 @@
 
         A server that is started again needs its ``port`` of before.
         """
-        arguments = [module, "--port", str(port or self._ports.take()), *options]
-        process = Process(name, arguments, self._path / f"{name}.log")
+        arguments = [module, "--port", str(port or self._ports.allocate()), *options]
+        process = Process(name, arguments, self._folder_path / f"{name}.log")
         self.stand_ins[name] = process
-        return process, process.first_line()
+        return process, process.read_first_line()
 
     def add_agent(
         self,
@@ -135,8 +135,8 @@
         """
         module = f"tests.standins.{kind}"
         server, server_address = self.start_stand_in(f"{name}-server", module, *options)
-        address = f"127.0.0.1:{self._ports.take()}"
-        settings = self._settings(name, "agent", address, data_centre)
+        address = f"127.0.0.1:{self._ports.allocate()}"
+        settings = self._build_settings(name, "agent", address, data_centre)
         settings["group"] = group
         settings["server"] = {
             "url": f"http://{server_address}",
@@ -145,13 +145,13 @@
             **(server_settings or {}),
         }
         settings["agent"] = limits or {}
-        process = self._start(name, "agent", settings)
+        process = self._start_daemon(name, "agent", settings)
         agent = Agent(process, address, server, server_address, kind)
         if relayed:
             relay, listed = self.add_relay(f"{name}-relay", address)
-            agent = agent._replace(relay=relay, address=listed)
+            agent = agent._replace(relay_control_address=relay, address=listed)
         self.agents[name] = agent
-        self.list_instance(name, "agent", group, data_centre, agent.address)
+        self.register_instance(name, "agent", group, data_centre, agent.address)
         return agent
 
     def add_relay(self, name: str, target: str) -> tuple[str, str]:
@@ -159,47 +159,49 @@
         process = Process(
             name,
             ["tests.standins.relay", "--target", target],
-            self._path / f"{name}.log",
+            self._folder_path / f"{name}.log",
         )
         self.stand_ins[name] = process
-        relayed = process.first_line()
-        return process.first_line(), relayed
+        relayed = process.read_first_line()
+        return process.read_first_line(), relayed
 
     def start_ranks(self, ranks: int, experts: int) -> tuple[Process, list[str]]:
         """Start ranks in lock-step; return them and the address of each."""
         options = ["--ranks", str(ranks), "--experts", str(experts)]
         process = Process(
-            "ranks", ["tests.standins.ranks", *options], self._path / "ranks.log"
+            "ranks", ["tests.standins.ranks", *options], self._folder_path / "ranks.log"
         )
         self.stand_ins["ranks"] = process
-        return process, [process.first_line() for _ in range(ranks)]
+        return process, [process.read_first_line() for _ in range(ranks)]
 
-    def ask(self, address: str, path: str) -> Any:
+    def get_json(self, address: str, path: str) -> Any:
         """Return what a stand-in answers."""
-        return self._test("GET", address, path)
+        return self._call_stand_in("GET", address, path)
 
-    def tell(self, address: str, path: str, body: Any) -> None:
+    def post_json(self, address: str, path: str, body: Any) -> None:
         """Switch something of a stand-in."""
-        self._test("POST", address, path, body)
+        self._call_stand_in("POST", address, path, body)
 
-    def stored(self, key: str) -> bytes | None:
+    def get_object(self, key: str) -> bytes | None:
         """Return the value that the platform holds under ``key``."""
-        response = self._http.request("GET", f"http://{self.platform}/v1/objects/{key}")
+        response = self._http.request(
+            "GET", f"http://{self.platform_address}/v1/objects/{key}"
+        )
         return response.data if response.status == 200 else None
 
-    def set_relay(self, control: str, mode: str) -> None:
+    def set_relay_mode(self, control: str, mode: str) -> None:
         """Let a relay pass, cut, freeze-open or freeze-all."""
-        self._test("POST", control, "/test/mode", {"mode": mode})
+        self._call_stand_in("POST", control, "/test/mode", {"mode": mode})
 
-    def set_faults(self, agent: str, **faults: Any) -> None:
+    def set_server_faults(self, agent: str, **faults: Any) -> None:
         """Switch faults of an agent's server."""
         address = self.agents[agent].server_address
-        self._test("POST", address, "/test/set", faults)
+        self._call_stand_in("POST", address, "/test/set", faults)
 
     def restart_agent(self, name: str) -> Agent:
         """Start the agent anew with the same settings, beside the same server."""
         agent = self.agents[name]
-        process = self._start_again(name, "agent")
+        process = self._launch_daemon(name, "agent")
         self.agents[name] = agent._replace(process=process)
         return self.agents[name]
 
@@ -222,29 +224,29 @@
         platform: str = "",
     ) -> Entry:
         """Start an entry and list the instance; ``platform`` may name a relay."""
-        address = f"127.0.0.1:{self._ports.take()}"
-        http = f"127.0.0.1:{self._ports.take()}"
-        settings = self._settings(name, "entry", address, data_centre)
+        address = f"127.0.0.1:{self._ports.allocate()}"
+        http = f"127.0.0.1:{self._ports.allocate()}"
+        settings = self._build_settings(name, "entry", address, data_centre)
         settings["http"] = http
         settings["seeds"] = list(seeds)
         settings["entry"] = limits or {}
         if platform:
             settings["platform"] = {"url": f"http://{platform}"}
-        operators = f"127.0.0.1:{self._ports.take()}"
+        operators = f"127.0.0.1:{self._ports.allocate()}"
         settings["operator_http"] = operators
-        process = self._start(name, "entry", settings)
+        process = self._start_daemon(name, "entry", settings)
         entry = Entry(process, http, address, operators)
         self.entries[name] = entry
-        self.list_instance(name, "entry", "", data_centre, address, http)
+        self.register_instance(name, "entry", "", data_centre, address, http)
         return entry
 
     def restart_entry(self, name: str) -> Entry:
         """Start the entry anew with the same settings."""
-        process = self._start_again(name, "entry")
+        process = self._launch_daemon(name, "entry")
         self.entries[name] = self.entries[name]._replace(process=process)
         return self.entries[name]
 
-    def _settings(
+    def _build_settings(
         self, name: str, role: str, address: str, data_centre: str
     ) -> dict[str, Any]:
         return {
@@ -252,21 +254,21 @@
             "role": role,
             "data_centre": data_centre,
             "listen": address,
-            "platform": {"url": f"http://{self.platform}"},
+            "platform": {"url": f"http://{self.platform_address}"},
             "timings": self._timings,
         }
 
-    def _start(self, name: str, role: str, settings: dict[str, Any]) -> Process:
-        path = self._path / f"{name}.yaml"
+    def _start_daemon(self, name: str, role: str, settings: dict[str, Any]) -> Process:
+        path = self._folder_path / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
-        return self._start_again(name, role)
+        return self._launch_daemon(name, role)
 
-    def _start_again(self, name: str, role: str) -> Process:
-        path = self._path / f"{name}.yaml"
+    def _launch_daemon(self, name: str, role: str) -> Process:
+        path = self._folder_path / f"{name}.yaml"
         arguments = ["kingcupwheel", role, "--settings", str(path)]
-        return Process(name, arguments, self._path / f"{name}.log")
+        return Process(name, arguments, self._folder_path / f"{name}.log")
 
-    def list_instance(
+    def register_instance(
         self,
         name: str,
         role: str,
@@ -287,78 +289,90 @@
             "http": http,
             "leaving": leaving,
         }
-        self._test("PUT", self.platform, f"/test/instances/{name}", instance)
+        self._call_stand_in(
+            "PUT", self.platform_address, f"/test/instances/{name}", instance
+        )
 
-    def unlist(self, name: str) -> None:
+    def deregister_instance(self, name: str) -> None:
         """Take an instance off the platform's list."""
-        self._test("DELETE", self.platform, f"/test/instances/{name}")
+        self._call_stand_in("DELETE", self.platform_address, f"/test/instances/{name}")
 
-    def switch(self, address: str = "", **switches: Any) -> None:
+    def set_platform_faults(self, address: str = "", **switches: Any) -> None:
         """Set the platform stand-in's switches."""
-        self._test("PUT", address or self.platform, "/test/switches", switches)
+        self._call_stand_in(
+            "PUT", address or self.platform_address, "/test/switches", switches
+        )
 
-    def _test(self, method: str, address: str, path: str, body: Any = None) -> Any:
+    def _call_stand_in(
+        self, method: str, address: str, path: str, body: Any = None
+    ) -> Any:
         payload = None if body is None else msgspec.json.encode(body)
         response = self._http.request(method, f"http://{address}{path}", body=payload)
         assert response.status < 300, (path, response.status, response.data)
         return msgspec.json.decode(response.data) if response.data else None
 
-    def stored_keys(self) -> list[str]:
+    def list_object_keys(self) -> list[str]:
         """Return the keys of all objects that the platform holds."""
-        found: list[str] = self._test("GET", self.platform, "/v1/objects?prefix=")
+        found: list[str] = self._call_stand_in(
+            "GET", self.platform_address, "/v1/objects?prefix="
+        )
         return found
 
-    def runs(self, agent: str) -> Any:
+    def get_run_counts(self, agent: str) -> Any:
         """Return what the agent's server counts of its runs."""
-        return self._test("GET", self.agents[agent].server_address, "/test/runs")
+        return self._call_stand_in(
+            "GET", self.agents[agent].server_address, "/test/runs"
+        )
 
-    def submit(
+    def submit_manifest(
         self, manifest: dict[str, Any], *options: str
     ) -> subprocess.CompletedProcess[str]:
         """Submit a manifest by the command line."""
         with tempfile.NamedTemporaryFile(
-            "w", suffix=".yaml", dir=self._path, delete=False
+            "w", suffix=".yaml", dir=self._folder_path, delete=False
         ) as file:
             yaml.safe_dump(manifest, file)
-        platform = f"http://{self.platform}"
-        return self.command(
+        platform = f"http://{self.platform_address}"
+        return self.run_command(
             "manifest", "submit", file.name, "--platform", platform, *options
         )
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the command line."""
         return subprocess.run(
             [sys.executable, "-m", "kingcupwheel", *arguments],
             cwd=_ROOT,
-            env=environment(),
+            env=build_environment(),
             capture_output=True,
             text=True,
             timeout=_COMMAND_TIMEOUT_S,
             check=False,
         )
 
-    def wait_ready(self, key: str, path: str, body: Any) -> None:
+    def wait_until_serving(self, key: str, path: str, body: Any) -> None:
         """Wait until every entry gets an answer of a backend server at ``path``."""
         caller = Caller(key)
         for entry in self.entries.values():
             wait_until(
-                lambda http=entry.http: _serves(caller, http, path, body),  # type: ignore[misc]
-                f"an answer through {entry.http}",
+                lambda http=entry.caller_address: _is_serving(caller, http, path, body),  # type: ignore[misc]
+                f"an answer through {entry.caller_address}",
                 START_TIMEOUT_S,
             )
 
-    def wait_known(self) -> None:
+    def wait_until_configured(self) -> None:
         """Wait until every entry has the manifest and may use every agent."""
         for name, entry in self.entries.items():
             wait_until(
-                lambda entry=entry: self._knows_all(entry),  # type: ignore[misc]
+                lambda entry=entry: self._is_configured(entry),  # type: ignore[misc]
                 f"the manifest and every agent at {name}",
                 START_TIMEOUT_S,
             )
 
-    def _knows_all(self, entry: Entry) -> bool:
+    def _is_configured(self, entry: Entry) -> bool:
         try:
-            answer = self._http.request("GET", f"http://{entry.operators}/status")
+            answer = self._http.request(
+                "GET", f"http://{entry.operator_address}/status"
+            )
         except urllib3.exceptions.HTTPError:
             return False
         status = msgspec.json.decode(answer.data)
@@ -366,6 +380,6 @@
         return bool(status["manifest_version"]) and in_service >= self.agents.keys()
 
 
-def _serves(caller: Caller, http: str, path: str, body: Any) -> bool:
+def _is_serving(caller: Caller, http: str, path: str, body: Any) -> bool:
     reply = caller.call(http, path, body)
     return isinstance(reply, Reply) and reply.status == 200
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -18,7 +18,7 @@
     from collections.abc import Sequence
 
 _ROOT = Path(__file__).resolve().parent.parent
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 60.0
 # Below the range that the kernel gives to outgoing connections.
@@ -27,7 +27,7 @@
 _BLOCK_PORTS = 100
 
 
-class Ports:
+class PortAllocator:
     """Ports of the loopback address that no other fleet on this machine is given.
 
     Failure: two fleets that each ask for a free port get the same one before either has
@@ -37,24 +37,24 @@
     """
 
     def __init__(self) -> None:
-        self._taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._next = self._take_block()
+        self._block_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._next_port = self._reserve_block()
 
-    def _take_block(self) -> int:
+    def _reserve_block(self) -> int:
         blocks = list(range(_FIRST_PORT, _LAST_PORT, _BLOCK_PORTS))
         random.shuffle(blocks)
         for first in blocks:
             try:
-                self._taken.bind(("127.0.0.1", first))
+                self._block_socket.bind(("127.0.0.1", first))
             except OSError:
                 continue
             return first + 1
         raise RuntimeError("every block of ports is taken")
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Return the next port of the block that is free."""
         while True:
-            port, self._next = self._next, self._next + 1
+            port, self._next_port = self._next_port, self._next_port + 1
             with socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
@@ -65,19 +65,21 @@
 
     def close(self) -> None:
         """Give the block back."""
-        self._taken.close()
+        self._block_socket.close()
 
 
-def wait_until(condition: Callable[[], bool], what: str, timeout_s: float) -> None:
+def wait_until(
+    condition: Callable[[], bool], description: str, timeout_s: float
+) -> None:
     """Wait for ``condition``; raises TimeoutError that names ``what``."""
     until = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > until:
-            raise TimeoutError(f"not within {timeout_s} s: {what}")
-        time.sleep(_POLL_S)
+            raise TimeoutError(f"not within {timeout_s} s: {description}")
+        time.sleep(_POLL_INTERVAL_S)
 
 
-def environment() -> dict[str, str]:
+def build_environment() -> dict[str, str]:
     """Return the environment in which this checkout's modules are found."""
     return dict(os.environ, PYTHONPATH=f"{_ROOT / 'src'}:{_ROOT}")
 
@@ -87,12 +89,12 @@
 
     def __init__(self, name: str, arguments: Sequence[str], log: Path) -> None:
         self.name = name
-        self.log = log
+        self.log_path = log
         with log.open("ab") as errors:
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", *arguments],
                 cwd=_ROOT,
-                env=environment(),
+                env=build_environment(),
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=errors,
@@ -105,11 +107,11 @@
         return self._popen.pid
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether the process runs, or is paused."""
         return self._popen.poll() is None
 
-    def first_line(self) -> str:
+    def read_first_line(self) -> str:
         """Return the first line printed, which tells a stand-in's address."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline().decode().strip()
@@ -118,7 +120,7 @@
         """Freeze the process (SIGSTOP)."""
         self._popen.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on (SIGCONT)."""
         self._popen.send_signal(signal.SIGCONT)
 
@@ -128,17 +130,17 @@
 
     def kill(self) -> None:
         """End the process at once (SIGKILL) and wait for that."""
-        if self.alive:
+        if self.is_alive:
             self._popen.kill()
         self._popen.wait(STOP_TIMEOUT_S)
-        self._close()
+        self._close_stdout()
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Return the exit code once the process has ended."""
         code = self._popen.wait(timeout_s)
-        self._close()
+        self._close_stdout()
         return code
 
-    def _close(self) -> None:
+    def _close_stdout(self) -> None:
         if self._popen.stdout is not None:
             self._popen.stdout.close()
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -12,28 +12,28 @@
 from tools.tables import Table
 
 
-ENTRIES = 370
-SERVERS = 1_000
-SIZE = 24
-DEPARTURES = 4
-DATA_CENTRES = (1, 8)
+ENTRY_COUNT = 370
+SERVER_COUNT = 1_000
+SUBSET_SIZE = 24
+DEPARTURE_COUNT = 4
+DATA_CENTRE_COUNTS = (1, 8)
 
 
-class Fleet(NamedTuple):
+class FleetInstances(NamedTuple):
     """Entries and servers."""
 
     entries: tuple[Instance, ...]
     servers: tuple[Instance, ...]
 
-    def subsets(self) -> dict[str, set[str]]:
+    def select_subsets(self) -> dict[str, set[str]]:
         """Return each entry's servers."""
-        by_name = select_all_subsets(self.entries, self.servers, SIZE)
+        by_name = select_all_subsets(self.entries, self.servers, SUBSET_SIZE)
         return {name: set(servers) for name, servers in by_name.items()}
 
 
-def coverage_table() -> Table:
+def build_coverage_table() -> Table:
     """Return coverage at the target size, in one and in eight data centres."""
-    rows = [_row(count) for count in DATA_CENTRES]
+    rows = [_build_row(count) for count in DATA_CENTRE_COUNTS]
     columns = (
         "data centres",
         "links",
@@ -44,25 +44,31 @@
         "new links when an entry leaves",
         "new links when a server leaves",
     )
-    title = f"Subsets of {SIZE}: {ENTRIES} entries before {SERVERS} servers"
+    title = (
+        f"Subsets of {SUBSET_SIZE}: {ENTRY_COUNT} entries before {SERVER_COUNT} servers"
+    )
     return Table(title, columns, rows)
 
 
-def _row(data_centres: int) -> tuple[str, ...]:
-    fleet = Fleet(
-        _instances("entry", ENTRIES, data_centres),
-        _instances("server", SERVERS, data_centres),
+def _build_row(data_centres: int) -> tuple[str, ...]:
+    fleet = FleetInstances(
+        _build_instances("entry", ENTRY_COUNT, data_centres),
+        _build_instances("server", SERVER_COUNT, data_centres),
     )
-    before = fleet.subsets()
+    before = fleet.select_subsets()
     count_by_server = Counter(name for names in before.values() for name in names)
     counts = [count_by_server[server.name] for server in fleet.servers]
     entry_moves = [
-        _moved(before, fleet._replace(entries=_without(fleet.entries, number)))
-        for number in range(DEPARTURES)
+        _count_new_links(
+            before, fleet._replace(entries=_remove_instance(fleet.entries, number))
+        )
+        for number in range(DEPARTURE_COUNT)
     ]
     server_moves = [
-        _moved(before, fleet._replace(servers=_without(fleet.servers, number)))
-        for number in range(DEPARTURES)
+        _count_new_links(
+            before, fleet._replace(servers=_remove_instance(fleet.servers, number))
+        )
+        for number in range(DEPARTURE_COUNT)
     ]
     return (
         str(data_centres),
@@ -76,17 +82,21 @@
     )
 
 
-def _instances(prefix: str, count: int, data_centres: int) -> tuple[Instance, ...]:
+def _build_instances(
+    prefix: str, count: int, data_centres: int
+) -> tuple[Instance, ...]:
     return tuple(
         Instance(f"{prefix}-{number}", f"dc-{number % data_centres}")
         for number in range(count)
     )
 
 
-def _without(instances: tuple[Instance, ...], number: int) -> tuple[Instance, ...]:
+def _remove_instance(
+    instances: tuple[Instance, ...], number: int
+) -> tuple[Instance, ...]:
     return instances[:number] + instances[number + 1 :]
 
 
-def _moved(before: dict[str, set[str]], fleet: Fleet) -> int:
-    after = fleet.subsets()
+def _count_new_links(before: dict[str, set[str]], fleet: FleetInstances) -> int:
+    after = fleet.select_subsets()
     return sum(len(names - before[name]) for name, names in after.items())
