--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -45,7 +45,7 @@
 _GB = 1e9
 
 
-def render_parts(slopes: Slopes) -> dict[str, str]:
+def render_computed_parts(slopes: Slopes) -> dict[str, str]:
     """Return the Markdown of each computed part of the page by its name."""
     return {
         "slopes": _slopes_table(slopes),
@@ -66,7 +66,7 @@
 
 def fill_page(page: str, slopes: Slopes) -> str:
     """Return ``page`` with its computed parts regenerated."""
-    by_name = render_parts(slopes)
+    by_name = render_computed_parts(slopes)
 
     def replace_part(match: re.Match[str]) -> str:
         name = match["name"]
@@ -215,7 +215,7 @@
     if write:
         PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
     else:
-        click.echo("\n\n".join(render_parts(slopes).values()))
+        click.echo("\n\n".join(render_computed_parts(slopes).values()))
 
 
 if __name__ == "__main__":
