--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -13,8 +13,8 @@
 import click
 
 from tools.capacity_limits import bad_days_table
+from tools.capacity_limits import format_markdown_table
 from tools.capacity_limits import limits_table
-from tools.capacity_limits import markdown_table
 from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
@@ -89,7 +89,7 @@
     provenance = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{provenance}\n\n{markdown_table(head, rows)}"
+    return f"{provenance}\n\n{format_markdown_table(head, rows)}"
 
 
 def _slope_row(slope: Slope) -> tuple[str, ...]:
@@ -110,7 +110,9 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return markdown_table(head, [_cost_row(cost) for cost in (*role.costs, role.total)])
+    return format_markdown_table(
+        head, [_cost_row(cost) for cost in (*role.costs, role.total)]
+    )
 
 
 def _cost_row(cost: Cost) -> tuple[str, ...]:
@@ -136,7 +138,7 @@
         for path in compute_data_path_costs(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _platform_table(slopes: Slopes) -> str:
@@ -166,7 +168,7 @@
         "Trace MB/s",
         "Traces kept",
     )
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _verdicts_table(slopes: Slopes) -> str:
@@ -200,7 +202,7 @@
                 )
             )
     head = ("Design", "Role", "Core (2.2%)", "MB (256)", "KB/s, both ways (11)")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _mark_if_over_limit(value: float, limit: float, text: str) -> str:
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -26,7 +26,7 @@
 _KB = 1e3
 
 
-def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def format_markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
@@ -70,7 +70,7 @@
                 f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
             )
         )
-    return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
+    return format_markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
 
 
 def _entry_limit_rows(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
@@ -148,4 +148,4 @@
             f"at most {trace_writes_per_s:.0f} calls/s in all",
         ),
     ]
-    return markdown_table(("Day", "What it costs"), rows)
+    return format_markdown_table(("Day", "What it costs"), rows)
