--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -13,8 +13,8 @@
 import click
 
 from tools.capacity_limits import bad_days_table
+from tools.capacity_limits import build_limits_table
 from tools.capacity_limits import format_markdown_table
-from tools.capacity_limits import limits_table
 from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
@@ -59,7 +59,7 @@
         "data-path": _data_path_table(slopes),
         "platform": _platform_table(slopes),
         "verdicts": _verdicts_table(slopes),
-        "breaks": limits_table(slopes),
+        "breaks": build_limits_table(slopes),
         "bad-days": bad_days_table(slopes),
     }
 
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -32,7 +32,7 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def limits_table(slopes: Slopes) -> str:
+def build_limits_table(slopes: Slopes) -> str:
     """Return a table of the size at which each limit is first exceeded."""
     rows = []
     for design in DESIGNS:
