--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -12,7 +12,7 @@
 
 import click
 
-from tools.capacity_limits import bad_days_table
+from tools.capacity_limits import build_failure_costs_table
 from tools.capacity_limits import build_limits_table
 from tools.capacity_limits import format_markdown_table
 from tools.capacity_model import CapacityModel
@@ -60,7 +60,7 @@
         "platform": _platform_table(slopes),
         "verdicts": _verdicts_table(slopes),
         "breaks": build_limits_table(slopes),
-        "bad-days": bad_days_table(slopes),
+        "bad-days": build_failure_costs_table(slopes),
     }
 
 
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -99,7 +99,7 @@
     return rows
 
 
-def bad_days_table(slopes: Slopes) -> str:
+def build_failure_costs_table(slopes: Slopes) -> str:
     """Return a table of the cost of restarts, outages and network partitions."""
     by_name = slopes.by_name
     model = CapacityModel(slopes, CURRENT_DESIGN, TARGET)
