--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -33,7 +33,7 @@
 
     item: str
     mechanism: str
-    messages_in: float = 0.0
+    messages_in_per_s: float = 0.0
     messages_out: float = 0.0
     bytes_in: float = 0.0
     bytes_out: float = 0.0
@@ -120,7 +120,7 @@
         coordination = Cost(
             "expert map of its group",
             "reads its ranks and renews its lease",
-            messages_in=rate,
+            messages_in_per_s=rate,
             messages_out=rate,
             bytes_in=size,
             bytes_out=size,
@@ -166,7 +166,7 @@
         return Cost(
             f"heartbeats on {links:.0f} links",
             mechanism,
-            messages_in=messages_in,
+            messages_in_per_s=messages_in,
             messages_out=messages_out,
             bytes_in=messages_in * (size_in + _MESSAGE_OVERHEAD_BYTES),
             bytes_out=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
@@ -180,7 +180,7 @@
         return Cost(
             f"heartbeats with {_PEER_COUNT} peers",
             "a ring of names; news passes on",
-            messages_in=rate,
+            messages_in_per_s=rate,
             messages_out=rate,
             bytes_in=size,
             bytes_out=size,
@@ -204,7 +204,7 @@
         return Cost(
             f"shares of {organisations_per_entry:.0f} organisations' allowances",
             "told to the other entries of each organisation's set",
-            messages_in=rate,
+            messages_in_per_s=rate,
             messages_out=rate,
             bytes_in=size,
             bytes_out=size,
