--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -118,7 +118,7 @@
 def _cost_row(cost: Cost) -> tuple[str, ...]:
     return (
         cost.item,
-        f"{cost.messages_in_per_s:.1f}, {cost.messages_out:.1f}",
+        f"{cost.messages_in_per_s:.1f}, {cost.messages_out_per_s:.1f}",
         f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
         f"{cost.memory_bytes / _MB:.1f}",
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -34,7 +34,7 @@
     item: str
     mechanism: str
     messages_in_per_s: float = 0.0
-    messages_out: float = 0.0
+    messages_out_per_s: float = 0.0
     bytes_in: float = 0.0
     bytes_out: float = 0.0
     cpu_share: float = 0.0
@@ -121,7 +121,7 @@
             "expert map of its group",
             "reads its ranks and renews its lease",
             messages_in_per_s=rate,
-            messages_out=rate,
+            messages_out_per_s=rate,
             bytes_in=size,
             bytes_out=size,
             writes=1 / renew_s,
@@ -167,7 +167,7 @@
             f"heartbeats on {links:.0f} links",
             mechanism,
             messages_in_per_s=messages_in,
-            messages_out=messages_out,
+            messages_out_per_s=messages_out,
             bytes_in=messages_in * (size_in + _MESSAGE_OVERHEAD_BYTES),
             bytes_out=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
             cpu_share=gradient_by_figure["cpu"] * links * heartbeats_per_s,
@@ -181,7 +181,7 @@
             f"heartbeats with {_PEER_COUNT} peers",
             "a ring of names; news passes on",
             messages_in_per_s=rate,
-            messages_out=rate,
+            messages_out_per_s=rate,
             bytes_in=size,
             bytes_out=size,
             cpu_share=rate * self._gradient("entry_idle_cpu"),
@@ -205,7 +205,7 @@
             f"shares of {organisations_per_entry:.0f} organisations' allowances",
             "told to the other entries of each organisation's set",
             messages_in_per_s=rate,
-            messages_out=rate,
+            messages_out_per_s=rate,
             bytes_in=size,
             bytes_out=size,
             cpu_share=rate * self._gradient("entry_idle_cpu"),
