--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -119,7 +119,7 @@
     return (
         cost.item,
         f"{cost.messages_in_per_s:.1f}, {cost.messages_out_per_s:.1f}",
-        f"{cost.bytes_in_per_s / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
+        f"{cost.bytes_in_per_s / _KB:.2f}, {cost.bytes_out_per_s / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
         f"{cost.memory_bytes / _MB:.1f}",
         f"{cost.reads:.3f}, {cost.writes:.3f}",
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -85,7 +85,7 @@
         (
             "11 KB/s",
             role.control_bytes_per_s,
-            heartbeats.bytes_in_per_s + heartbeats.bytes_out,
+            heartbeats.bytes_in_per_s + heartbeats.bytes_out_per_s,
         ),
         ("2.2% of a core", total.cpu_share, heartbeats.cpu_share),
     ):
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -36,7 +36,7 @@
     messages_in_per_s: float = 0.0
     messages_out_per_s: float = 0.0
     bytes_in_per_s: float = 0.0
-    bytes_out: float = 0.0
+    bytes_out_per_s: float = 0.0
     cpu_share: float = 0.0
     memory_bytes: float = 0.0
     reads: float = 0.0
@@ -60,7 +60,7 @@
     def control_bytes_per_s(self) -> float:
         """Control traffic in bytes per second, both directions together."""
         total = self.total
-        return total.bytes_in_per_s + total.bytes_out
+        return total.bytes_in_per_s + total.bytes_out_per_s
 
 
 class CapacityModel:
@@ -123,7 +123,7 @@
             messages_in_per_s=rate,
             messages_out_per_s=rate,
             bytes_in_per_s=size,
-            bytes_out=size,
+            bytes_out_per_s=size,
             writes=1 / renew_s,
         )
         return RoleCosts(
@@ -169,7 +169,7 @@
             messages_in_per_s=messages_in,
             messages_out_per_s=messages_out,
             bytes_in_per_s=messages_in * (size_in + _MESSAGE_OVERHEAD_BYTES),
-            bytes_out=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
+            bytes_out_per_s=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
             cpu_share=gradient_by_figure["cpu"] * links * heartbeats_per_s,
             memory_bytes=gradient_by_figure["rss"] * links,
         )
@@ -183,7 +183,7 @@
             messages_in_per_s=rate,
             messages_out_per_s=rate,
             bytes_in_per_s=size,
-            bytes_out=size,
+            bytes_out_per_s=size,
             cpu_share=rate * self._gradient("entry_idle_cpu"),
         )
 
@@ -207,7 +207,7 @@
             messages_in_per_s=rate,
             messages_out_per_s=rate,
             bytes_in_per_s=size,
-            bytes_out=size,
+            bytes_out_per_s=size,
             cpu_share=rate * self._gradient("entry_idle_cpu"),
         )
 
@@ -229,7 +229,7 @@
             if design.has_conditional_reads
             else "whole list each time",
             bytes_in_per_s=bodies_per_s * list_bytes + reads_per_s * _HTTP_HEADER_BYTES,
-            bytes_out=reads_per_s * _HTTP_HEADER_BYTES,
+            bytes_out_per_s=reads_per_s * _HTTP_HEADER_BYTES,
             cpu_share=bodies_per_s * cpu_ms / 1e3,
             reads=reads_per_s,
         )
@@ -248,7 +248,7 @@
             "index of shards by digest; a change moves one shard",
             bytes_in_per_s=changes_per_s * index_and_shard
             + watches_per_s * _HTTP_HEADER_BYTES,
-            bytes_out=watches_per_s * _HTTP_HEADER_BYTES,
+            bytes_out_per_s=watches_per_s * _HTTP_HEADER_BYTES,
             memory_bytes=memory,
             reads=watches_per_s + changes_per_s * objects,
         )
@@ -263,7 +263,7 @@
             "trace",
             "one compressed object a period, one deletion",
             bytes_in_per_s=2 * _HTTP_HEADER_BYTES / period_s,
-            bytes_out=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
+            bytes_out_per_s=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
             cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
             memory_bytes=recorder_bytes + MAX_OUTBOX_BYTES,
             writes=2 / period_s,
