--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -39,7 +39,7 @@
     bytes_out_per_s: float = 0.0
     cpu_share: float = 0.0
     memory_bytes: float = 0.0
-    reads: float = 0.0
+    reads_per_s: float = 0.0
     writes: float = 0.0
 
 
@@ -231,7 +231,7 @@
             bytes_in_per_s=bodies_per_s * list_bytes + reads_per_s * _HTTP_HEADER_BYTES,
             bytes_out_per_s=reads_per_s * _HTTP_HEADER_BYTES,
             cpu_share=bodies_per_s * cpu_ms / 1e3,
-            reads=reads_per_s,
+            reads_per_s=reads_per_s,
         )
 
     def _manifest_cost(self, role: str) -> Cost:
@@ -250,7 +250,7 @@
             + watches_per_s * _HTTP_HEADER_BYTES,
             bytes_out_per_s=watches_per_s * _HTTP_HEADER_BYTES,
             memory_bytes=memory,
-            reads=watches_per_s + changes_per_s * objects,
+            reads_per_s=watches_per_s + changes_per_s * objects,
         )
 
     def _traces_cost(self, role: str, requests_s: float) -> Cost:
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -75,7 +75,7 @@
     """Return the load of all processes on the platform."""
     model = CapacityModel(slopes, design, target)
     entry, agent = model.entry_costs().total, model.agent_costs().total
-    reads = target.entries * entry.reads + target.servers * agent.reads
+    reads = target.entries * entry.reads_per_s + target.servers * agent.reads_per_s
     batches = target.processes / design.trace_batch_s
     bytes_per_request = sum(
         slopes.by_name[f"{role}_batch_bytes"].gradient for role in ("entry", "agent")
