--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -122,7 +122,7 @@
         f"{cost.bytes_in_per_s / _KB:.2f}, {cost.bytes_out_per_s / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
         f"{cost.memory_bytes / _MB:.1f}",
-        f"{cost.reads_per_s:.3f}, {cost.writes:.3f}",
+        f"{cost.reads_per_s:.3f}, {cost.writes_per_s:.3f}",
         cost.mechanism,
     )
 
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -40,7 +40,7 @@
     cpu_share: float = 0.0
     memory_bytes: float = 0.0
     reads_per_s: float = 0.0
-    writes: float = 0.0
+    writes_per_s: float = 0.0
 
 
 class RoleCosts(NamedTuple):
@@ -124,7 +124,7 @@
             messages_out_per_s=rate,
             bytes_in_per_s=size,
             bytes_out_per_s=size,
-            writes=1 / renew_s,
+            writes_per_s=1 / renew_s,
         )
         return RoleCosts(
             "agent that holds the lease", (*self.agent_costs().costs, coordination)
@@ -266,7 +266,7 @@
             bytes_out_per_s=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
             cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
             memory_bytes=recorder_bytes + MAX_OUTBOX_BYTES,
-            writes=2 / period_s,
+            writes_per_s=2 / period_s,
         )
 
     def _burn_cost(self) -> Cost:
