--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -46,7 +46,7 @@
     links: int
     cpu_share: float
     rss_bytes: int
-    messages_in: float
+    messages_in_per_s: float
     messages_out: float
     bytes_in: float
     bytes_out: float
