--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -47,7 +47,7 @@
     cpu_share: float
     rss_bytes: int
     messages_in_per_s: float
-    messages_out: float
+    messages_out_per_s: float
     bytes_in: float
     bytes_out: float
 
