--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -48,7 +48,7 @@
     rss_bytes: int
     messages_in_per_s: float
     messages_out_per_s: float
-    bytes_in: float
+    bytes_in_per_s: float
     bytes_out: float
 
 
