--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -49,7 +49,7 @@
     messages_in_per_s: float
     messages_out_per_s: float
     bytes_in_per_s: float
-    bytes_out: float
+    bytes_out_per_s: float
 
 
 def read_usage(pid: int) -> ProcessUsage:
