--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -82,7 +82,7 @@
         return _measure_idle(agent.process, crowd, links)
 
 
-def points_by_links(
+def collect_points(
     usages: list[IdleUsage], value: Callable[[IdleUsage], float]
 ) -> tuple[Point, ...]:
     """Return one figure of each measurement by its number of links."""
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -18,9 +18,9 @@
 
 from tools import capacity_probes as probes
 from tools.capacity_processes import IdleUsage
+from tools.capacity_processes import collect_points
 from tools.capacity_processes import measure_idle_agent
 from tools.capacity_processes import measure_idle_entry
-from tools.capacity_processes import points_by_links
 from tools.capacity_slopes import Point
 from tools.capacity_slopes import Slope
 from tools.capacity_slopes import Slopes
@@ -140,7 +140,7 @@
                 figure.unit,
                 "links",
                 _PROCESSES_COMMAND,
-                points_by_links(usages, figure.value),
+                collect_points(usages, figure.value),
             )
             for figure in IDLE_FIGURES
         ]
