--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -149,7 +149,7 @@
         rows.append(
             (
                 design.name,
-                f"{load.reads:.0f}",
+                f"{load.reads_per_s:.0f}",
                 f"{load.change_reads:.0f}",
                 f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
                 f"{claims_per_s:.0f} "
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -39,7 +39,7 @@
         model = CapacityModel(slopes, design, TARGET)
         rows += _entry_limit_rows(model, design)
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
-        max_processes = LIMITS.reads_per_s / load.reads * TARGET.processes
+        max_processes = LIMITS.reads_per_s / load.reads_per_s * TARGET.processes
         max_processes_at_change = (
             LIMITS.reads_per_s / load.change_reads * TARGET.processes
         )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -51,7 +51,7 @@
     trace batches.
     """
 
-    reads: float
+    reads_per_s: float
     change_reads: float
     trace_writes: float
     lease_writes: float
@@ -82,7 +82,7 @@
     )
     kept_s = Retention().traces_h * 3600
     return PlatformLoad(
-        reads=reads,
+        reads_per_s=reads,
         # Within the random delay each process reads a shard and starts a new watch.
         change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
