--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -41,7 +41,7 @@
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
         max_processes = LIMITS.reads_per_s / load.reads_per_s * TARGET.processes
         max_processes_at_change = (
-            LIMITS.reads_per_s / load.change_reads * TARGET.processes
+            LIMITS.reads_per_s / load.reads_per_s_at_change * TARGET.processes
         )
         claims_per_s = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -52,7 +52,7 @@
     """
 
     reads_per_s: float
-    change_reads: float
+    reads_per_s_at_change: float
     trace_writes: float
     lease_writes: float
     trace_bytes: float
@@ -84,7 +84,7 @@
     return PlatformLoad(
         reads_per_s=reads,
         # Within the random delay each process reads a shard and starts a new watch.
-        change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
+        reads_per_s_at_change=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes=2 * batches,
         lease_writes=target.groups / renew_s,
         trace_bytes=target.requests_per_s * bytes_per_request,
