--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -151,7 +151,7 @@
                 design.name,
                 f"{load.reads_per_s:.0f}",
                 f"{load.reads_per_s_at_change:.0f}",
-                f"{load.trace_writes_per_s:.0f} + {load.lease_writes:.0f}",
+                f"{load.trace_writes_per_s:.0f} + {load.lease_writes_per_s:.0f}",
                 f"{claims_per_s:.0f} "
                 f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
                 f"{load.trace_bytes / _MB:.2f}",
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -54,7 +54,7 @@
     reads_per_s: float
     reads_per_s_at_change: float
     trace_writes_per_s: float
-    lease_writes: float
+    lease_writes_per_s: float
     trace_bytes: float
     kept_bytes: float
     kept_objects: float
@@ -62,7 +62,7 @@
     @property
     def writes(self) -> float:
         """Total writes per second."""
-        return self.trace_writes_per_s + self.lease_writes
+        return self.trace_writes_per_s + self.lease_writes_per_s
 
     def compute_claims_per_s(self, writes_s: float) -> float:
         """Return the claims per second that fit: each takes a write and a deletion."""
@@ -86,7 +86,7 @@
         # Within the random delay each process reads a shard and starts a new watch.
         reads_per_s_at_change=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes_per_s=2 * batches,
-        lease_writes=target.groups / renew_s,
+        lease_writes_per_s=target.groups / renew_s,
         trace_bytes=target.requests_per_s * bytes_per_request,
         kept_bytes=target.requests_per_s * bytes_per_request * kept_s,
         kept_objects=batches * kept_s,
