--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -60,13 +60,13 @@
     kept_objects: float
 
     @property
-    def writes(self) -> float:
+    def writes_per_s(self) -> float:
         """Total writes per second."""
         return self.trace_writes_per_s + self.lease_writes_per_s
 
     def compute_claims_per_s(self, writes_s: float) -> float:
         """Return the claims per second that fit: each takes a write and a deletion."""
-        return (writes_s - self.writes) / 2
+        return (writes_s - self.writes_per_s) / 2
 
 
 def compute_platform_load(
