--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -55,7 +55,7 @@
     reads_per_s_at_change: float
     trace_writes_per_s: float
     lease_writes_per_s: float
-    trace_bytes: float
+    trace_bytes_per_s: float
     kept_bytes: float
     kept_objects: float
 
@@ -87,7 +87,7 @@
         reads_per_s_at_change=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
         trace_writes_per_s=2 * batches,
         lease_writes_per_s=target.groups / renew_s,
-        trace_bytes=target.requests_per_s * bytes_per_request,
+        trace_bytes_per_s=target.requests_per_s * bytes_per_request,
         kept_bytes=target.requests_per_s * bytes_per_request * kept_s,
         kept_objects=batches * kept_s,
     )
