--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -56,7 +56,7 @@
     trace_writes_per_s: float
     lease_writes_per_s: float
     trace_bytes_per_s: float
-    kept_bytes: float
+    retained_bytes: float
     kept_objects: float
 
     @property
@@ -88,6 +88,6 @@
         trace_writes_per_s=2 * batches,
         lease_writes_per_s=target.groups / renew_s,
         trace_bytes_per_s=target.requests_per_s * bytes_per_request,
-        kept_bytes=target.requests_per_s * bytes_per_request * kept_s,
+        retained_bytes=target.requests_per_s * bytes_per_request * kept_s,
         kept_objects=batches * kept_s,
     )
