--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -57,7 +57,7 @@
     lease_writes_per_s: float
     trace_bytes_per_s: float
     retained_bytes: float
-    kept_objects: float
+    retained_objects: float
 
     @property
     def writes_per_s(self) -> float:
@@ -89,5 +89,5 @@
         lease_writes_per_s=target.groups / renew_s,
         trace_bytes_per_s=target.requests_per_s * bytes_per_request,
         retained_bytes=target.requests_per_s * bytes_per_request * kept_s,
-        kept_objects=batches * kept_s,
+        retained_objects=batches * kept_s,
     )
