--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -37,7 +37,7 @@
 RUNS = 5
 
 
-def cost_tables() -> list[Table]:
+def build_cost_tables() -> list[Table]:
     """Return the tables of processor time and memory."""
     return [_time_table(), _memory_table()]
 
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -13,7 +13,7 @@
 from statistics import mean
 from typing import TYPE_CHECKING
 
-from tools.decision_costs import cost_tables
+from tools.decision_costs import build_cost_tables
 from tools.entry_model import DecisionOptions
 from tools.load_scenarios import SCENARIOS
 from tools.load_scenarios import ScenarioOutcome
@@ -58,7 +58,7 @@
             zip(SCENARIOS, pool.map(measure_scenario, _SCENARIO_INDEXES), strict=True)
         )
     tables = [outcome_table(scenario, rows) for scenario, rows in outcomes.items()]
-    tables += [build_coverage_table(), *cost_tables()]
+    tables += [build_coverage_table(), *build_cost_tables()]
     text = "\n".join(table.to_markdown() for table in tables)
     print(text)
     if len(sys.argv) > 1:
