--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -34,7 +34,7 @@
 CANDIDATE_COUNT = 24
 ORGANISATION_COUNTS = (4_300, 43_000)
 CALLS_PER_RUN = 1_000
-RUNS = 5
+RUN_COUNT = 5
 
 
 def build_cost_tables() -> list[Table]:
@@ -75,7 +75,7 @@
 
 def _measure_us(work: Callable[[], object], repeats: int = CALLS_PER_RUN) -> float:
     """Return the minimum of several means: other load on the machine only adds time."""
-    return min(_measure_mean_s(work, repeats) for _ in range(RUNS)) * 1e6
+    return min(_measure_mean_s(work, repeats) for _ in range(RUN_COUNT)) * 1e6
 
 
 def _measure_mean_s(work: Callable[[], object], repeats: int) -> float:
