--- a/tools/measure_balancing.py
+++ b/tools/measure_balancing.py
@@ -20,7 +20,7 @@
 
 RANK_COUNT = 16
 # Copying an expert takes 0.111 s, and a stream may pause for up to 0.12 s.
-SHAPE = EngineShape(4, 64, 5, 2, 0.111, max_event_gap_s=0.12)
+ENGINE_SHAPE = EngineShape(4, 64, 5, 2, 0.111, max_event_gap_s=0.12)
 LOADS_PER_S = (25.0, 50.0, 75.0)
 DURATION_S = 20.0
 SEEDS = (1, 2, 3)
@@ -35,11 +35,11 @@
 
 
 VARIANTS = (
-    Variant("never move", SHAPE, is_balancing=False),
+    Variant("never move", ENGINE_SHAPE, is_balancing=False),
     # Without a limit on pauses no pass counts as short, so every small gain triggers a
     # change.
-    Variant("every small gain", SHAPE._replace(max_event_gap_s=0.0)),
-    Variant("kingcupwheel", SHAPE),
+    Variant("every small gain", ENGINE_SHAPE._replace(max_event_gap_s=0.0)),
+    Variant("kingcupwheel", ENGINE_SHAPE),
 )
 
 
