--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -47,13 +47,13 @@
     "retry_count": "retries",
 }
 PLOT_FOLDER = Path("out")
-WORKERS = 4
+WORKER_COUNT = 4
 _SCENARIO_INDEXES = range(len(SCENARIOS))
 
 
 def main() -> None:
     """Print all tables, and write them to the file named on the command line."""
-    with ProcessPoolExecutor(WORKERS) as pool:
+    with ProcessPoolExecutor(WORKER_COUNT) as pool:
         outcomes = dict(
             zip(SCENARIOS, pool.map(measure_scenario, _SCENARIO_INDEXES), strict=True)
         )
