--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -23,7 +23,7 @@
     from tests.expertmaps.fleet import Agent
 
 GROUP_SIZES = (8, 16, 32)
-LAYERS = 32
+LAYER_COUNT = 32
 WINDOW_S = 20.0
 # With steps of 20 ms the cost of 32 stand-in ranks in this process does not distort the
 # measurement.
@@ -54,7 +54,7 @@
 def measure_idle_traffic_row(ranks: int) -> str:
     """Return a table row of the traffic of an idle group's coordinator and an agent."""
     fleet = Fleet(
-        layout=build_layout(ranks, layers=LAYERS, every_s=10.0),
+        layout=build_layout(ranks, layers=LAYER_COUNT, every_s=10.0),
         timings=DEFAULT_SERVICE_TIMINGS,
         step_s=STEP_S,
     )
@@ -119,7 +119,7 @@
 def main(output: Path) -> None:
     """Write the tables to OUTPUT."""
     lines = [
-        f"Idle control traffic, {LAYERS} layers, 5 slots a rank, loads every 10 s:",
+        f"Idle control traffic, {LAYER_COUNT} layers, 5 slots a rank, loads every 10 s:",
         "",
         "| ranks | leader bytes/s | other agent bytes/s | platform calls/s |",
         "|---|---|---|---|",
