--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -48,7 +48,7 @@
 class Latencies(NamedTuple):
     """Requests per second, and the latency of a request."""
 
-    per_s: float
+    requests_per_s: float
     median_ms: float
     p99_ms: float
 
@@ -231,7 +231,7 @@
         ("entry and agent", forwarded),
     ):
         row = (
-            f"{latencies.per_s:.0f} | {latencies.median_ms:.1f} "
+            f"{latencies.requests_per_s:.0f} | {latencies.median_ms:.1f} "
             f"| {latencies.p99_ms:.1f}"
         )
         click.echo(f"| {name} | {row} |")
