--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -62,7 +62,7 @@
     entry_cpu_share: float
     agent_cpu_share: float
     entry_cpu_us_per_token: float
-    agent_cpu_us_a_token: float
+    agent_cpu_us_per_token: float
     entry_rss_mb: float
 
 
@@ -253,7 +253,7 @@
         click.echo(
             f"| {run.streams} | {run.tokens_per_s:.0f} | {run.gap_p95_ms:.1f} "
             f"| {run.entry_cpu_share:.2f} | {run.agent_cpu_share:.2f} "
-            f"| {run.entry_cpu_us_per_token:.0f} | {run.agent_cpu_us_a_token:.0f} "
+            f"| {run.entry_cpu_us_per_token:.0f} | {run.agent_cpu_us_per_token:.0f} "
             f"| {run.entry_rss_mb:.0f} |"
         )
 
