--- a/tools/capacity_crowd.py
+++ b/tools/capacity_crowd.py
@@ -23,7 +23,7 @@
     from kingcupwheel.link.links import Link
     from kingcupwheel.messages.base import Message
 
-_LISTEN = "127.0.0.1:0"
+_LISTEN_ADDRESS = "127.0.0.1:0"
 _HEARTBEAT_S = 1.0
 
 
@@ -44,7 +44,7 @@
             (),
         )
         self.hub = MessageHub(
-            listen=_LISTEN, on_message=self._on_message, on_tick=lambda _: None
+            listen=_LISTEN_ADDRESS, on_message=self._on_message, on_tick=lambda _: None
         )
         self.hub.start()
 
@@ -61,7 +61,7 @@
         self._link = OutgoingLink(address, 0)
         self._next_hello_at = 0.0
         self.hub = MessageHub(
-            listen=_LISTEN, on_message=lambda *_: None, on_tick=self._on_tick
+            listen=_LISTEN_ADDRESS, on_message=lambda *_: None, on_tick=self._on_tick
         )
         self.hub.start()
 
--- a/tools/decision_costs.py
+++ b/tools/decision_costs.py
@@ -39,10 +39,10 @@
 
 def build_cost_tables() -> list[Table]:
     """Return the tables of processor time and memory."""
-    return [_time_table(), _memory_table()]
+    return [_build_time_table(), _build_memory_table()]
 
 
-def _time_table() -> Table:
+def _build_time_table() -> Table:
     entries = tuple(Instance(f"entry-{n}", f"dc-{n % 8}") for n in range(370))
     servers = tuple(Instance(f"server-{n}", f"dc-{n % 8}") for n in range(1_000))
     allowance = Allowance()
@@ -155,29 +155,29 @@
     return lambda: compute_next_share(Share(0.3), 0.4, peers, 5.0)
 
 
-def _memory_table() -> Table:
+def _build_memory_table() -> Table:
     admission_sizes = [
-        (count, _admission_bytes(count)) for count in ORGANISATION_COUNTS
+        (count, _measure_admission_bytes(count)) for count in ORGANISATION_COUNTS
     ]
     predictor_sizes = [
-        (count, _predictor_bytes(count)) for count in ORGANISATION_COUNTS
+        (count, _measure_predictor_bytes(count)) for count in ORGANISATION_COUNTS
     ]
     rows = [
-        _memory_row("admission", admission_sizes),
-        _memory_row("prediction", predictor_sizes),
+        _format_memory_row("admission", admission_sizes),
+        _format_memory_row("prediction", predictor_sizes),
     ]
     size_columns = [f"{count:,} organisations, MB" for count in ORGANISATION_COUNTS]
     return Table("Memory by organisations", ("", *size_columns, "bytes each"), rows)
 
 
-def _memory_row(name: str, sizes: list[tuple[int, int]]) -> tuple[str, ...]:
+def _format_memory_row(name: str, sizes: list[tuple[int, int]]) -> tuple[str, ...]:
     (small, small_bytes), (large, large_bytes) = sizes
     bytes_per_organisation = (large_bytes - small_bytes) / (large - small)
     cells = (f"{size / 1e6:.1f}" for size in (small_bytes, large_bytes))
     return (name, *cells, f"{bytes_per_organisation:.0f}")
 
 
-def _admission_bytes(count: int) -> int:
+def _measure_admission_bytes(count: int) -> int:
     def build() -> object:
         admission = AdmissionController()
         allowance = Allowance()
@@ -190,7 +190,7 @@
     return _measure_bytes(build)
 
 
-def _predictor_bytes(count: int) -> int:
+def _measure_predictor_bytes(count: int) -> int:
     def build() -> object:
         predictor = WorkPredictor()
         for number in range(count):
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -31,7 +31,7 @@
 _CALLER_COUNT = 8
 _CALLER_PROCESS_COUNT = 4
 # As many streams as each of the servers gets when 75 go through the entry.
-_DIRECT_STREAMS = 38
+_DIRECT_STREAM_COUNT = 38
 _STEP_MS = 32
 _TOKENS_PER_STREAM = 200
 _IDLE_MEASURED_S = 10.0
@@ -210,10 +210,10 @@
         start_fleet(fleet, step_ms=_STEP_MS)
         idle_shares = measure_idle(fleet)
         engine = fleet.agents["server-0"].server_address
-        direct_gaps = measure_gaps(engine, _DIRECT_STREAMS)
+        direct_gaps = measure_gaps(engine, _DIRECT_STREAM_COUNT)
         runs = [measure_streams(fleet, streams) for streams in (25, 75, 150, 300)]
     click.echo(
-        f"\nGap p95 of {_DIRECT_STREAMS} streams from one engine directly: "
+        f"\nGap p95 of {_DIRECT_STREAM_COUNT} streams from one engine directly: "
         f"{_p95(direct_gaps) * 1000:.1f} ms."
     )
     _print_streams(runs)
