--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -155,7 +155,8 @@
                 f"{claims_per_s:.0f} "
                 f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
                 f"{load.trace_bytes_per_s / _MB:.2f}",
-                f"{load.retained_bytes / _GB:.0f} GB in {load.retained_objects / _MB:.1f} "
+                f"{load.retained_bytes / _GB:.0f} GB in "
+                f"{load.retained_objects / _MB:.1f} "
                 f"million objects",
             )
         )
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -114,16 +114,16 @@
 
     def lease_holder_costs(self, *, renew_s: float) -> RoleCosts:
         """Return the costs of an agent that coordinates its group's expert map."""
-        rate = self._target.ranks / self._design.poll_s
-        reply = self._value_at("map_reply_bytes", self._target.experts)
-        size = rate * (reply + _MESSAGE_OVERHEAD_BYTES)
+        messages_per_s = self._target.ranks / self._design.poll_s
+        reply_bytes = self._value_at("map_reply_bytes", self._target.experts)
+        bytes_per_s = messages_per_s * (reply_bytes + _MESSAGE_OVERHEAD_BYTES)
         coordination = Cost(
             "expert map of its group",
             "reads its ranks and renews its lease",
-            messages_in_per_s=rate,
-            messages_out_per_s=rate,
-            bytes_in_per_s=size,
-            bytes_out_per_s=size,
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
             writes_per_s=1 / renew_s,
         )
         return RoleCosts(
@@ -161,30 +161,34 @@
             if role == "entry"
             else (hello_bytes, heartbeat_bytes)
         )
-        messages_in = gradient_by_figure["messages_in"] * links * heartbeats_per_s
-        messages_out = gradient_by_figure["messages_out"] * links * heartbeats_per_s
+        messages_in_per_s = gradient_by_figure["messages_in"] * links * heartbeats_per_s
+        messages_out_per_s = (
+            gradient_by_figure["messages_out"] * links * heartbeats_per_s
+        )
         return Cost(
             f"heartbeats on {links:.0f} links",
             mechanism,
-            messages_in_per_s=messages_in,
-            messages_out_per_s=messages_out,
-            bytes_in_per_s=messages_in * (size_in + _MESSAGE_OVERHEAD_BYTES),
-            bytes_out_per_s=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
+            messages_in_per_s=messages_in_per_s,
+            messages_out_per_s=messages_out_per_s,
+            bytes_in_per_s=messages_in_per_s * (size_in + _MESSAGE_OVERHEAD_BYTES),
+            bytes_out_per_s=messages_out_per_s * (size_out + _MESSAGE_OVERHEAD_BYTES),
             cpu_share=gradient_by_figure["cpu"] * links * heartbeats_per_s,
             memory_bytes=gradient_by_figure["rss"] * links,
         )
 
     def _peers_cost(self) -> Cost:
-        rate = _PEER_COUNT / self._design.heartbeat_s
-        size = rate * (self._value_at("peer_beat_bytes", 1) + _MESSAGE_OVERHEAD_BYTES)
+        messages_per_s = _PEER_COUNT / self._design.heartbeat_s
+        bytes_per_s = messages_per_s * (
+            self._value_at("peer_beat_bytes", 1) + _MESSAGE_OVERHEAD_BYTES
+        )
         return Cost(
             f"heartbeats with {_PEER_COUNT} peers",
             "a ring of names; news passes on",
-            messages_in_per_s=rate,
-            messages_out_per_s=rate,
-            bytes_in_per_s=size,
-            bytes_out_per_s=size,
-            cpu_share=rate * self._gradient("entry_idle_cpu"),
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
+            cpu_share=messages_per_s * self._gradient("entry_idle_cpu"),
         )
 
     def _shares_cost(self) -> Cost:
@@ -197,18 +201,20 @@
         entries_sharing = other_entries * (
             1 - exp(-organisations_per_entry * (MIN_ENTRIES - 1) / other_entries)
         )
-        rate = entries_sharing * heartbeats_per_s
+        messages_per_s = entries_sharing * heartbeats_per_s
         reports_per_s = organisations_per_entry * (MIN_ENTRIES - 1) * heartbeats_per_s
-        size = rate * (self._intercept("share_bytes") + _MESSAGE_OVERHEAD_BYTES)
-        size += reports_per_s * self._gradient("share_bytes")
+        bytes_per_s = messages_per_s * (
+            self._intercept("share_bytes") + _MESSAGE_OVERHEAD_BYTES
+        )
+        bytes_per_s += reports_per_s * self._gradient("share_bytes")
         return Cost(
             f"shares of {organisations_per_entry:.0f} organisations' allowances",
             "told to the other entries of each organisation's set",
-            messages_in_per_s=rate,
-            messages_out_per_s=rate,
-            bytes_in_per_s=size,
-            bytes_out_per_s=size,
-            cpu_share=rate * self._gradient("entry_idle_cpu"),
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
+            cpu_share=messages_per_s * self._gradient("entry_idle_cpu"),
         )
 
     def _instances_cost(self) -> Cost:
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -46,9 +46,8 @@
 class PlatformLoad(NamedTuple):
     """Total load of all processes on the platform service, without claims.
 
-    Rates are per second; ``change_reads`` is the read rate while processes load a new
-    manifest version. ``kept_bytes`` and ``kept_objects`` are those of the retained
-    trace batches.
+    ``reads_per_s_at_change`` is the rate while processes load a new manifest version.
+    ``retained_bytes`` and ``retained_objects`` are those of the retained trace batches.
     """
 
     reads_per_s: float
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -107,10 +107,10 @@
 IDLE_FIGURES = (
     IdleFigure("cpu", "share of a core", lambda usage: usage.cpu_share),
     IdleFigure("rss", "bytes", lambda usage: usage.rss_bytes),
-    IdleFigure("messages_in", "a second", lambda usage: usage.messages_in),
-    IdleFigure("messages_out", "a second", lambda usage: usage.messages_out),
-    IdleFigure("bytes_in", "bytes a second", lambda usage: usage.bytes_in),
-    IdleFigure("bytes_out", "bytes a second", lambda usage: usage.bytes_out),
+    IdleFigure("messages_in", "a second", lambda usage: usage.messages_in_per_s),
+    IdleFigure("messages_out", "a second", lambda usage: usage.messages_out_per_s),
+    IdleFigure("bytes_in", "bytes a second", lambda usage: usage.bytes_in_per_s),
+    IdleFigure("bytes_out", "bytes a second", lambda usage: usage.bytes_out_per_s),
 )
 
 
