--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -46,10 +46,10 @@
     links: int
     cpu_share: float
     rss_bytes: int
-    messages_in: float
-    messages_out: float
-    bytes_in: float
-    bytes_out: float
+    messages_in_per_s: float
+    messages_out_per_s: float
+    bytes_in_per_s: float
+    bytes_out_per_s: float
 
 
 def read_usage(pid: int) -> ProcessUsage:
@@ -82,7 +82,7 @@
         return _measure_idle(agent.process, crowd, links)
 
 
-def points_by_links(
+def collect_points(
     usages: list[IdleUsage], value: Callable[[IdleUsage], float]
 ) -> tuple[Point, ...]:
     """Return one figure of each measurement by its number of links."""
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -31,7 +31,7 @@
 _CALLER_COUNT = 8
 _CALLER_PROCESS_COUNT = 4
 # As many streams as each of the servers gets when 75 go through the entry.
-_DIRECT_STREAMS = 38
+_DIRECT_STREAM_COUNT = 38
 _STEP_MS = 32
 _TOKENS_PER_STREAM = 200
 _IDLE_MEASURED_S = 10.0
@@ -48,7 +48,7 @@
 class Latencies(NamedTuple):
     """Requests per second, and the latency of a request."""
 
-    per_s: float
+    requests_per_s: float
     median_ms: float
     p99_ms: float
 
@@ -61,8 +61,8 @@
     gap_p95_ms: float
     entry_cpu_share: float
     agent_cpu_share: float
-    entry_cpu_us_a_token: float
-    agent_cpu_us_a_token: float
+    entry_cpu_us_per_token: float
+    agent_cpu_us_per_token: float
     entry_rss_mb: float
 
 
@@ -210,10 +210,10 @@
         start_fleet(fleet, step_ms=_STEP_MS)
         idle_shares = measure_idle(fleet)
         engine = fleet.agents["server-0"].server_address
-        direct_gaps = measure_gaps(engine, _DIRECT_STREAMS)
+        direct_gaps = measure_gaps(engine, _DIRECT_STREAM_COUNT)
         runs = [measure_streams(fleet, streams) for streams in (25, 75, 150, 300)]
     click.echo(
-        f"\nGap p95 of {_DIRECT_STREAMS} streams from one engine directly: "
+        f"\nGap p95 of {_DIRECT_STREAM_COUNT} streams from one engine directly: "
         f"{_p95(direct_gaps) * 1000:.1f} ms."
     )
     _print_streams(runs)
@@ -231,7 +231,7 @@
         ("entry and agent", forwarded),
     ):
         row = (
-            f"{latencies.per_s:.0f} | {latencies.median_ms:.1f} "
+            f"{latencies.requests_per_s:.0f} | {latencies.median_ms:.1f} "
             f"| {latencies.p99_ms:.1f}"
         )
         click.echo(f"| {name} | {row} |")
@@ -253,7 +253,7 @@
         click.echo(
             f"| {run.streams} | {run.tokens_per_s:.0f} | {run.gap_p95_ms:.1f} "
             f"| {run.entry_cpu_share:.2f} | {run.agent_cpu_share:.2f} "
-            f"| {run.entry_cpu_us_a_token:.0f} | {run.agent_cpu_us_a_token:.0f} "
+            f"| {run.entry_cpu_us_per_token:.0f} | {run.agent_cpu_us_per_token:.0f} "
             f"| {run.entry_rss_mb:.0f} |"
         )
 
