--- a/src/kingcupwheel/forwarding/entry_membership.py
+++ b/src/kingcupwheel/forwarding/entry_membership.py
@@ -163,7 +163,7 @@
             echo=echo,
             version=self._configuration_cache.version,
             age_s=age_s if age_s < 3600.0 else -1.0,
-            crashed=self._guards.recent_deaths,
+            crashed=self._guards.recent_crashes,
             known_entries=known,
         )
 
@@ -174,7 +174,7 @@
             is_new = self._peers.record_heartbeat(heartbeat, now)
             self._peers.add_known(heartbeat.known_entries, now)
         if heartbeat.crashed:
-            self._guards.merge_peer_deaths(heartbeat.crashed)
+            self._guards.record_peer_crashes(heartbeat.crashed)
         if is_new:
             # A new entry knows no peers yet, so it gets a heartbeat at the next tick.
             # Otherwise it would know none for up to a second.
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Write the tables of docs/CAPACITY.md from the measured slopes.
+"""Generates the tables of docs/CAPACITY.md from the measured slopes.
 
-``python -m tools.capacity`` prints them; ``--write`` puts them into the page. The text
-around them is written by hand; a test keeps the tables and the slopes in step.
+``python -m tools.capacity`` prints them; ``--write`` updates the page. The text around
+them is written by hand; a test checks that the tables match the slopes.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 import click
 
-from tools.capacity_limits import bad_days_table
-from tools.capacity_limits import limits_table
-from tools.capacity_limits import markdown_table
+from tools.capacity_limits import build_failure_costs_table
+from tools.capacity_limits import build_limits_table
+from tools.capacity_limits import format_markdown_table
 from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
@@ -45,8 +45,8 @@
 _GB = 1e9
 
 
-def render_parts(slopes: Slopes) -> dict[str, str]:
-    """Return each computed part of the page by name."""
+def render_computed_parts(slopes: Slopes) -> dict[str, str]:
+    """Return the Markdown of each computed part of the page by its name."""
     return {
         "slopes": _slopes_table(slopes),
         "entry": _role_table(
@@ -59,20 +59,20 @@
         "data-path": _data_path_table(slopes),
         "platform": _platform_table(slopes),
         "verdicts": _verdicts_table(slopes),
-        "breaks": limits_table(slopes),
-        "bad-days": bad_days_table(slopes),
+        "breaks": build_limits_table(slopes),
+        "bad-days": build_failure_costs_table(slopes),
     }
 
 
 def fill_page(page: str, slopes: Slopes) -> str:
-    """Return ``page`` with its computed parts replaced."""
-    by_name = render_parts(slopes)
+    """Return ``page`` with its computed parts regenerated."""
+    by_name = render_computed_parts(slopes)
 
-    def replaced(match: re.Match[str]) -> str:
+    def replace_part(match: re.Match[str]) -> str:
         name = match["name"]
         return f"<!-- computed: {name} -->\n{by_name[name]}\n<!-- end -->"
 
-    return _PART_PATTERN.sub(replaced, page)
+    return _PART_PATTERN.sub(replace_part, page)
 
 
 def _lease_holder_costs(
@@ -86,18 +86,18 @@
 def _slopes_table(slopes: Slopes) -> str:
     rows = [_slope_row(slope) for slope in slopes.by_name.values()]
     head = ("Slope", "Measured (size: value)", "At size 0", "For each one more")
-    about = (
+    provenance = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{about}\n\n{markdown_table(head, rows)}"
+    return f"{provenance}\n\n{format_markdown_table(head, rows)}"
 
 
 def _slope_row(slope: Slope) -> tuple[str, ...]:
     name = f"`{slope.name}` ({slope.unit} by {slope.size_unit})"
     if not slope.is_measured:
         return name, f"not measured; by `{slope.command}`", "-", "-"
-    seen = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
-    return name, seen, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
+    points = ", ".join(f"{point.size:g}: {point.value:.4g}" for point in slope.points)
+    return name, points, f"{slope.intercept:.4g}", f"{slope.gradient:.4g}"
 
 
 def _role_table(role: RoleCosts) -> str:
@@ -110,17 +110,19 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return markdown_table(head, [_cost_row(cost) for cost in (*role.costs, role.total)])
+    return format_markdown_table(
+        head, [_cost_row(cost) for cost in (*role.costs, role.total)]
+    )
 
 
 def _cost_row(cost: Cost) -> tuple[str, ...]:
     return (
         cost.item,
-        f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
-        f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
+        f"{cost.messages_in_per_s:.1f}, {cost.messages_out_per_s:.1f}",
+        f"{cost.bytes_in_per_s / _KB:.2f}, {cost.bytes_out_per_s / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
         f"{cost.memory_bytes / _MB:.1f}",
-        f"{cost.reads:.3f}, {cost.writes:.3f}",
+        f"{cost.reads_per_s:.3f}, {cost.writes_per_s:.3f}",
         cost.mechanism,
     )
 
@@ -136,23 +138,25 @@
         for path in compute_data_path_costs(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _platform_table(slopes: Slopes) -> str:
     rows = []
     for design in DESIGNS:
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
-        claims = load.compute_claims_per_s(LIMITS.writes_per_s)
+        claims_per_s = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
             (
                 design.name,
-                f"{load.reads:.0f}",
-                f"{load.change_reads:.0f}",
-                f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
-                f"{claims:.0f} ({claims / TARGET.requests_per_s:.1%} of requests)",
-                f"{load.trace_bytes / _MB:.2f}",
-                f"{load.kept_bytes / _GB:.0f} GB in {load.kept_objects / _MB:.1f} "
+                f"{load.reads_per_s:.0f}",
+                f"{load.reads_per_s_at_change:.0f}",
+                f"{load.trace_writes_per_s:.0f} + {load.lease_writes_per_s:.0f}",
+                f"{claims_per_s:.0f} "
+                f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
+                f"{load.trace_bytes_per_s / _MB:.2f}",
+                f"{load.retained_bytes / _GB:.0f} GB in "
+                f"{load.retained_objects / _MB:.1f} "
                 f"million objects",
             )
         )
@@ -165,7 +169,7 @@
         "Trace MB/s",
         "Traces kept",
     )
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _verdicts_table(slopes: Slopes) -> str:
@@ -199,7 +203,7 @@
                 )
             )
     head = ("Design", "Role", "Core (2.2%)", "MB (256)", "KB/s, both ways (11)")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _mark_if_over_limit(value: float, limit: float, text: str) -> str:
@@ -207,14 +211,14 @@
 
 
 @click.command()
-@click.option("--write", is_flag=True, help="Put the tables into docs/CAPACITY.md.")
+@click.option("--write", is_flag=True, help="Update the tables in docs/CAPACITY.md.")
 def main(write: bool) -> None:
-    """Work the tables out anew."""
+    """Recompute the tables of docs/CAPACITY.md."""
     slopes = load_slopes()
     if write:
         PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
     else:
-        click.echo("\n\n".join(render_parts(slopes).values()))
+        click.echo("\n\n".join(render_computed_parts(slopes).values()))
 
 
 if __name__ == "__main__":
