--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -42,11 +42,11 @@
 class EngineState(msgspec.Struct, frozen=True):
     """Body of ``GET /engine/state``.
 
-    ``life`` is the engine's incarnation, ``running`` the ids of the running requests
+    ``incarnation`` is the engine's, ``running`` the ids of the running requests
     and ``rate`` the tokens per second.
     """
 
-    life: str
+    incarnation: str = msgspec.field(name="life")
     running: tuple[str, ...]
     rate: float
 
@@ -114,7 +114,7 @@
         queried = self._query_state(cancellation)
         if queried.is_error():
             return Error(queried.error)
-        if incarnation and queried.ok.life != incarnation:
+        if incarnation and queried.ok.incarnation != incarnation:
             return Error(AnswerLost("server restarted", has_server_died=True))
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
