--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -13,7 +13,7 @@
 from features.world import KEY
 from features.world import RESERVATIONS
 from features.world import BackgroundLoad
-from tests.standins.engine_answers import streamed_answer
+from tests.standins.engine_answers import build_streamed_answer
 from tools.processes import wait_until
 
 
@@ -184,7 +184,7 @@
 def check_tokens(context: Any, name: str, tokens: int) -> None:
     """Check the whole stream byte by byte."""
     check_complete(context, name)
-    expected = streamed_answer(name, tokens)
+    expected = build_streamed_answer(name, tokens)
     assert context.world.require_reply(name).body == expected, (
         context.world.wait_for_reply(name)
     )
--- a/features/world.py
+++ b/features/world.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from tests.standins.engine_answers import streamed_answer
+from tests.standins.engine_answers import build_streamed_answer
 from tools.caller import Caller
 from tools.caller import ConnectionFailure
 from tools.caller import Reply
@@ -150,7 +150,7 @@
         if isinstance(reply, ConnectionFailure) or reply.status == 503:
             # Like a real caller, retry at another address after a short delay.
             time.sleep(0.05)
-        self.results.append((reply, streamed_answer(prompt, self._token_count)))
+        self.results.append((reply, build_streamed_answer(prompt, self._token_count)))
 
     def set_entries(self, entries: list[str]) -> None:
         """Send new calls to these entries, as service discovery would tell callers."""
