--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -213,7 +213,7 @@
             return
         request.outcome = "answered"
         request.server = attempt.server.name
-        request.first_at = attempt.first_at
+        request.first_token_at = attempt.first_at
         begun_at = attempt.first_at or now
         self.first_token_bound.record(
             begun_at - attempt.sent_at, request.prompt_tokens, begun_at
