--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -213,8 +213,8 @@
             return
         request.outcome = "answered"
         request.server = attempt.server.name
-        request.first_token_at = attempt.first_at
-        begun_at = attempt.first_at or now
+        request.first_token_at = attempt.first_token_at
+        begun_at = attempt.first_token_at or now
         self.first_token_bound.record(
             begun_at - attempt.sent_at, request.prompt_tokens, begun_at
         )
@@ -233,7 +233,7 @@
 
     def _retry(self, attempt: Attempt, now: float) -> None:
         request = attempt.request
-        has_begun = attempt.first_at is not None and attempt.first_at <= now
+        has_begun = attempt.first_token_at is not None and attempt.first_token_at <= now
         if (
             not has_begun
             and not attempt.excluded_servers
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -80,7 +80,7 @@
     server: ModelServer
     sent_at: float
     excluded_servers: frozenset[str]
-    first_at: float | None = None
+    first_token_at: float | None = None
     is_lost: bool = False
 
 
@@ -138,7 +138,7 @@
             self.cached_prefixes.move_to_end(request.prefix)
             if len(self.cached_prefixes) > MAX_CACHED_PREFIXES:
                 self.cached_prefixes.popitem(last=False)
-        attempt.first_at = now + (prefill + 1) * self.step_s
+        attempt.first_token_at = now + (prefill + 1) * self.step_s
         end = self.elapsed_steps + prefill + request.answer_tokens
         heappush(self.running, (end, next(self.attempt_serial), attempt))
 
