--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -79,7 +79,7 @@
     others_on_time_fraction: float
     goodput_tokens_per_s: float
     fairness_index: float
-    first_p95_s: float
+    first_token_p95_s: float
     gap_p95_ms: float
     refused_fraction: float
     late_fraction: float
