--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -80,7 +80,7 @@
     goodput_tokens_per_s: float
     fairness_index: float
     first_token_p95_s: float
-    gap_p95_ms: float
+    token_gap_p95_ms: float
     refused_fraction: float
     late_fraction: float
     retry_count: int
