--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -9,8 +9,8 @@
 from behave import given
 from behave import then
 from behave import when
+from features.world import API_KEY
 from features.world import COMPLETIONS
-from features.world import KEY
 from features.world import RESERVATIONS
 from features.world import BackgroundLoad
 from tests.standins.engine_answers import streamed_answer
@@ -136,7 +136,7 @@
         "POST",
         f"http://{context.world.get_caller_address(entry)}{COMPLETIONS}",
         body=json.dumps(body),
-        headers={"Authorization": f"Bearer {KEY}"},
+        headers={"Authorization": f"Bearer {API_KEY}"},
         preload_content=False,
     )
     assert response.read1()
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -10,7 +10,7 @@
 from behave import given
 from behave import then
 from behave import when
-from features.world import KEY
+from features.world import API_KEY
 from features.world import World
 from features.world import build_manifest
 from tools.caller import Caller
@@ -130,7 +130,7 @@
 
 def _fetch_response_status(world: World, entry: str, path: str) -> int:
     body = {"prompt": "hello", "max_tokens": 1}
-    reply = Caller(KEY).call(world.get_caller_address(entry), path, body)
+    reply = Caller(API_KEY).call(world.get_caller_address(entry), path, body)
     return reply.status if isinstance(reply, Reply) else 0
 
 
--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -10,8 +10,8 @@
 import urllib3
 from behave import then
 from behave import when
+from features.world import API_KEY
 from features.world import COMPLETIONS
-from features.world import KEY
 from features.world import OTHER_KEY
 from features.world import build_manifest
 from tools.caller import Caller
@@ -21,7 +21,7 @@
 
 BODY_BY_NAME = {"5 MB": b"x" * 5_000_000}
 HEADER_BY_NAME = {"20 KB": "x" * 20_000}
-KEY_BY_NAME = {"own": KEY, "wrong": "no such key"}
+KEY_BY_NAME = {"own": API_KEY, "wrong": "no such key"}
 ADOPTION_TIMEOUT_S = 7.0
 
 
@@ -59,7 +59,7 @@
 @then('its organisation reads what became of "{name}" at {entry}')
 def check_own_request_found(context: Any, name: str, entry: str) -> None:
     """Check the request's page with the key that sent the request."""
-    reply = _fetch_request_page(context, entry, name, KEY)
+    reply = _fetch_request_page(context, entry, name, API_KEY)
     assert reply.status == 200, reply
     assert reply.json["outcome"] == "ran", reply
     assert reply.json["story"], reply
@@ -105,7 +105,7 @@
     )
     context.pool = ThreadPoolExecutor(count)
     context.flood = [
-        context.pool.submit(_send_completion, world, KEY) for _ in range(count)
+        context.pool.submit(_send_completion, world, API_KEY) for _ in range(count)
     ]
 
 
--- a/features/world.py
+++ b/features/world.py
@@ -15,7 +15,7 @@
 from tools.fleet import compute_key_digest
 
 
-KEY = "scenario-key"
+API_KEY = "scenario-key"
 OTHER_KEY = "other-scenario-key"
 COMPLETIONS = "/v1/completions"
 RESERVATIONS = "/v1/reservations"
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.fleet = Fleet(TIMINGS)
         self.fleet.__enter__()
-        self.caller = Caller(KEY, timeout_s=ANSWER_TIMEOUT_S)
+        self.caller = Caller(API_KEY, timeout_s=ANSWER_TIMEOUT_S)
         self.replies_by_name: dict[str, CallResult] = {}
         self.replies: list[CallResult] = []
         self._pool = ThreadPoolExecutor(64)
@@ -168,7 +168,7 @@
     """Return the scenarios' manifest: an engine group and a service group."""
     return {
         "organisations": [
-            {"name": "agency", "key_digests": [compute_key_digest(KEY)]},
+            {"name": "agency", "key_digests": [compute_key_digest(API_KEY)]},
             {"name": "other", "key_digests": [compute_key_digest(OTHER_KEY)]},
         ],
         "groups": [
