--- a/features/world.py
+++ b/features/world.py
@@ -16,7 +16,7 @@
 
 
 API_KEY = "scenario-key"
-OTHER_KEY = "other-scenario-key"
+OTHER_API_KEY = "other-scenario-key"
 COMPLETIONS = "/v1/completions"
 RESERVATIONS = "/v1/reservations"
 ANSWER_TIMEOUT_S = 60.0
@@ -169,7 +169,7 @@
     return {
         "organisations": [
             {"name": "agency", "key_digests": [compute_key_digest(API_KEY)]},
-            {"name": "other", "key_digests": [compute_key_digest(OTHER_KEY)]},
+            {"name": "other", "key_digests": [compute_key_digest(OTHER_API_KEY)]},
         ],
         "groups": [
             {"name": "parts-model", "kind": "engine", "concurrency": 16},
