--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -10,7 +10,7 @@
 from behave import then
 from behave import when
 from features.world import API_KEY
-from features.world import COMPLETIONS
+from features.world import COMPLETIONS_PATH
 from features.world import RESERVATIONS
 from features.world import BackgroundLoad
 from tests.standins.engine_answers import streamed_answer
@@ -48,7 +48,7 @@
 def start_stream(context: Any, name: str, tokens: int, entry: str) -> None:
     """Start a streamed completion."""
     body = {"prompt": name, "max_tokens": tokens, "stream": True}
-    context.world.start_call(name, entry, COMPLETIONS, body)
+    context.world.start_call(name, entry, COMPLETIONS_PATH, body)
 
 
 @when('"{name}" completes "{prompt}" at {entry} with key "{key}"')
@@ -57,7 +57,7 @@
 ) -> None:
     """Start a completion without streaming, under an idempotency key."""
     body = {"prompt": prompt, "max_tokens": 5}
-    context.world.start_call(name, entry, COMPLETIONS, body, idempotency_key=key)
+    context.world.start_call(name, entry, COMPLETIONS_PATH, body, idempotency_key=key)
 
 
 @when('{count:d} streams "{prefix}" of {tokens:d} tokens are spread over the entries')
@@ -134,7 +134,7 @@
     body = {"prompt": "left", "max_tokens": tokens, "stream": True}
     response = urllib3.PoolManager(retries=False, timeout=20.0).request(
         "POST",
-        f"http://{context.world.get_caller_address(entry)}{COMPLETIONS}",
+        f"http://{context.world.get_caller_address(entry)}{COMPLETIONS_PATH}",
         body=json.dumps(body),
         headers={"Authorization": f"Bearer {API_KEY}"},
         preload_content=False,
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -10,7 +10,7 @@
 from behave import then
 from behave import when
 from features.world import API_KEY
-from features.world import COMPLETIONS
+from features.world import COMPLETIONS_PATH
 from features.world import World
 from features.world import build_manifest
 from tools.processes import wait_until
@@ -39,7 +39,7 @@
     submitted = world.fleet.submit_manifest(_build_manifest(ranks))
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_until_serving(
-        API_KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+        API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
     )
     wait_until(
         lambda: _fetch_step_record(context)["steps"] > 0,
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -8,7 +8,7 @@
 from behave import given
 from behave import when
 from features.world import API_KEY
-from features.world import COMPLETIONS
+from features.world import COMPLETIONS_PATH
 from features.world import World
 from features.world import build_manifest
 
@@ -70,7 +70,7 @@
     assert submitted.returncode == 0, submitted.stderr
     if engines:
         world.fleet.wait_until_serving(
-            API_KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+            API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
         )
     else:
         world.fleet.wait_until_configured()
@@ -224,7 +224,7 @@
         assert world.fleet.entries[name].process.wait() == 0
         world.fleet.restart_entry(name)
         world.fleet.wait_until_serving(
-            API_KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+            API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
         )
         world.background_load.set_entries(list(world.fleet.entries))
 
--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -11,7 +11,7 @@
 from behave import then
 from behave import when
 from features.world import API_KEY
-from features.world import COMPLETIONS
+from features.world import COMPLETIONS_PATH
 from features.world import OTHER_API_KEY
 from features.world import build_manifest
 from tools.caller import Caller
@@ -111,7 +111,9 @@
 
 def _send_completion(world: Any, key: str) -> Reply:
     body = {"prompt": "hello", "max_tokens": 50}
-    reply = Caller(key).call(world.get_caller_address("entry-1"), COMPLETIONS, body)
+    reply = Caller(key).call(
+        world.get_caller_address("entry-1"), COMPLETIONS_PATH, body
+    )
     assert isinstance(reply, Reply), reply
     return reply
 
--- a/features/steps/server_crashes.py
+++ b/features/steps/server_crashes.py
@@ -8,7 +8,7 @@
 from behave import given
 from behave import then
 from behave import when
-from features.world import COMPLETIONS
+from features.world import COMPLETIONS_PATH
 from features.world import World
 from tools.caller import Reply
 
@@ -59,7 +59,7 @@
     for turn in range(times):
         address = entries[turn % len(entries)].caller_address
         key = f"send-{turn}"
-        reply = world.caller.call(address, COMPLETIONS, body, idempotency_key=key)
+        reply = world.caller.call(address, COMPLETIONS_PATH, body, idempotency_key=key)
         context.sends.append(reply)
 
 
--- a/features/world.py
+++ b/features/world.py
@@ -17,7 +17,7 @@
 
 API_KEY = "scenario-key"
 OTHER_API_KEY = "other-scenario-key"
-COMPLETIONS = "/v1/completions"
+COMPLETIONS_PATH = "/v1/completions"
 RESERVATIONS = "/v1/reservations"
 ANSWER_TIMEOUT_S = 60.0
 # Shorter than in production so that a scenario takes seconds; the ratios are kept.
@@ -146,7 +146,7 @@
     def _call_entry(self, entry: str, prompt: str) -> None:
         address = self._world.fleet.entries[entry].caller_address
         body = {"prompt": prompt, "max_tokens": self._token_count, "stream": True}
-        reply = self._world.caller.call(address, COMPLETIONS, body)
+        reply = self._world.caller.call(address, COMPLETIONS_PATH, body)
         if isinstance(reply, ConnectionFailure) or reply.status == 503:
             # Like a real caller, retry at another address after a short delay.
             time.sleep(0.05)
@@ -176,7 +176,7 @@
             {"name": "portal", "kind": "service", "concurrency": 16},
         ],
         "routes": [
-            {"path": COMPLETIONS, "group": "parts-model"},
+            {"path": COMPLETIONS_PATH, "group": "parts-model"},
             {"path": RESERVATIONS, "group": "portal", "repeatable": False},
         ],
     }
