--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -11,7 +11,7 @@
 from behave import when
 from features.world import API_KEY
 from features.world import COMPLETIONS_PATH
-from features.world import RESERVATIONS
+from features.world import RESERVATIONS_PATH
 from features.world import BackgroundLoad
 from tests.standins.engine_answers import streamed_answer
 from tools.processes import wait_until
@@ -24,7 +24,7 @@
 def start_reservation(context: Any, name: str, part: str, entry: str, key: str) -> None:
     """Start a request that may not be repeated."""
     body = {"part": part}
-    context.world.start_call(name, entry, RESERVATIONS, body, idempotency_key=key)
+    context.world.start_call(name, entry, RESERVATIONS_PATH, body, idempotency_key=key)
 
 
 @when(
@@ -37,7 +37,7 @@
     context.world.start_call(
         name,
         entry,
-        RESERVATIONS,
+        RESERVATIONS_PATH,
         {"part": part},
         idempotency_key=key,
         headers={"Kingcupwheel-Deadline": str(seconds)},
--- a/features/world.py
+++ b/features/world.py
@@ -18,7 +18,7 @@
 API_KEY = "scenario-key"
 OTHER_API_KEY = "other-scenario-key"
 COMPLETIONS_PATH = "/v1/completions"
-RESERVATIONS = "/v1/reservations"
+RESERVATIONS_PATH = "/v1/reservations"
 ANSWER_TIMEOUT_S = 60.0
 # Shorter than in production so that a scenario takes seconds; the ratios are kept.
 TIMINGS = {
@@ -177,6 +177,6 @@
         ],
         "routes": [
             {"path": COMPLETIONS_PATH, "group": "parts-model"},
-            {"path": RESERVATIONS, "group": "portal", "repeatable": False},
+            {"path": RESERVATIONS_PATH, "group": "portal", "repeatable": False},
         ],
     }
