--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -21,7 +21,7 @@
 
 BODY_BY_NAME = {"5 MB": b"x" * 5_000_000}
 HEADER_BY_NAME = {"20 KB": "x" * 20_000}
-KEY_BY_NAME = {"own": API_KEY, "wrong": "no such key"}
+API_KEY_BY_NAME = {"own": API_KEY, "wrong": "no such key"}
 ADOPTION_TIMEOUT_S = 7.0
 
 
@@ -33,7 +33,7 @@
     for row in context.table:
         headers = {}
         if row["key"]:
-            headers["Authorization"] = f"Bearer {KEY_BY_NAME[row['key']]}"
+            headers["Authorization"] = f"Bearer {API_KEY_BY_NAME[row['key']]}"
         if row["header"]:
             name, _, value = row["header"].partition(": ")
             headers[name] = HEADER_BY_NAME.get(value, value)
