--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -16,7 +16,7 @@
 from tools.processes import wait_until
 
 
-GROUP = "parts-model"
+GROUP_NAME = "parts-model"
 EXPERT_COUNT = 12
 MAP_CHANGE_TIMEOUT_S = 60.0
 STEP_TIMEOUT_S = 30.0
@@ -32,7 +32,7 @@
     for rank, address in enumerate(addresses):
         world.fleet.add_agent(
             f"engine-{rank}",
-            GROUP,
+            GROUP_NAME,
             server_settings={"rank": rank, "rank_url": f"http://{address}"},
         )
     world.fleet.add_entry("entry-1")
@@ -116,7 +116,7 @@
     fleet = context.world.fleet
 
     def holder() -> str:
-        held = fleet.get_object(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP_NAME}")
         return "" if held is None else str(msgspec.json.decode(held)["holder"])
 
     wait_until(lambda: holder() in fleet.agents, "a lease holder", MAP_CHANGE_TIMEOUT_S)
@@ -162,7 +162,7 @@
     fleet = context.world.fleet
 
     def has_successor() -> bool:
-        held = fleet.get_object(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP_NAME}")
         if held is None:
             return False
         holder = str(msgspec.json.decode(held)["holder"])
