--- a/features/steps/refusals.py
+++ b/features/steps/refusals.py
@@ -46,10 +46,10 @@
     assert context.world.count_runs_by_request_id() == before
 
 
-def _fetch_request_page(context: Any, entry: str, name: str, key: str) -> Reply:
+def _fetch_request_page(context: Any, entry: str, name: str, api_key: str) -> Reply:
     request_id = context.world.require_reply(name).request_id
     path = f"/kingcupwheel/v1/requests/{request_id}"
-    reply = Caller(key).call(
+    reply = Caller(api_key).call(
         context.world.get_caller_address(entry), path, method="GET"
     )
     assert isinstance(reply, Reply), reply
@@ -109,9 +109,9 @@
     ]
 
 
-def _send_completion(world: Any, key: str) -> Reply:
+def _send_completion(world: Any, api_key: str) -> Reply:
     body = {"prompt": "hello", "max_tokens": 50}
-    reply = Caller(key).call(
+    reply = Caller(api_key).call(
         world.get_caller_address("entry-1"), COMPLETIONS_PATH, body
     )
     assert isinstance(reply, Reply), reply
--- a/tools/caller.py
+++ b/tools/caller.py
@@ -54,8 +54,8 @@
 class Caller:
     """A thread-safe client that calls entries with one organisation's key."""
 
-    def __init__(self, key: str, *, timeout_s: float = _READ_TIMEOUT_S) -> None:
-        self._key = key
+    def __init__(self, api_key: str, *, timeout_s: float = _READ_TIMEOUT_S) -> None:
+        self._api_key = api_key
         self._pool = urllib3.PoolManager(
             maxsize=256,
             retries=False,
@@ -74,7 +74,7 @@
     ) -> Reply | ConnectionFailure:
         """Send one request and read its reply to the end."""
         started = time.monotonic()
-        sent = {"Authorization": f"Bearer {self._key}", **(headers or {})}
+        sent = {"Authorization": f"Bearer {self._api_key}", **(headers or {})}
         if idempotency_key:
             sent["Idempotency-Key"] = idempotency_key
         payload = None if body is None else msgspec.json.encode(body)
@@ -93,7 +93,7 @@
             "POST",
             f"http://{address}{path}",
             body=msgspec.json.encode(body),
-            headers={"Authorization": f"Bearer {self._key}"},
+            headers={"Authorization": f"Bearer {self._api_key}"},
             preload_content=False,
         )
         gaps: list[float] = []
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -21,12 +21,12 @@
 
 
 _EXAMPLE_MANIFEST = Path(__file__).resolve().parent.parent / "examples" / "agencia.yaml"
-_KEY = "demo-key-of-the-agency"
-_SMALL_KEY = "demo-key-of-a-small-shop"
+_API_KEY = "demo-key-of-the-agency"
+_SMALL_API_KEY = "demo-key-of-a-small-shop"
 _BURST_REQUESTS = 8
 _RANK_COUNT = 2
 _EXPERT_COUNT = 8
-_REBALANCE_TIMEOUT_S = 40.0
+_MAP_CHANGE_TIMEOUT_S = 40.0
 
 
 class Check(NamedTuple):
@@ -43,7 +43,7 @@
         self._fleet = fleet
         self._checks: list[Check] = []
         self._traced_request_ids: list[str] = []
-        self._caller = Caller(_KEY)
+        self._caller = Caller(_API_KEY)
         self._rank_addresses: list[str] = []
 
     @property
@@ -78,7 +78,7 @@
         _print_line(submitted.stdout.strip() or submitted.stderr.strip())
         self._record_check("the manifest is accepted", submitted.returncode == 0)
         fleet.wait_until_serving(
-            _KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1}
+            _API_KEY, "/v1/completions", {"prompt": "ready?", "max_tokens": 1}
         )
 
     def _check_completion(self) -> None:
@@ -110,7 +110,7 @@
 
     def _check_rate_limit(self) -> None:
         _print_line(f"A burst of {_BURST_REQUESTS} over a small allowance:")
-        caller = Caller(_SMALL_KEY)
+        caller = Caller(_SMALL_API_KEY)
         entry = self._fleet.entries["entry-2"].caller_address
         body = {"prompt": "quote", "max_tokens": 4}
         replies = [
@@ -133,7 +133,7 @@
         self._fleet.post_json(self._rank_addresses[0], "/test/switch", switch)
         entry = self._fleet.entries["entry-1"].caller_address
         body = {"prompt": "inspection", "max_tokens": 40, "stream": True}
-        until = time.monotonic() + _REBALANCE_TIMEOUT_S
+        until = time.monotonic() + _MAP_CHANGE_TIMEOUT_S
         whole = True
         while time.monotonic() < until:
             reply = self._caller.call(entry, "/v1/completions", body)
@@ -204,8 +204,8 @@
     """Return the example manifest reduced to the demo's processes."""
     manifest: dict[str, Any] = yaml.safe_load(_EXAMPLE_MANIFEST.read_text())
     organisations = manifest["organisations"][:2]
-    organisations[0]["key_digests"] = [compute_key_digest(_KEY)]
-    organisations[1]["key_digests"] = [compute_key_digest(_SMALL_KEY)]
+    organisations[0]["key_digests"] = [compute_key_digest(_API_KEY)]
+    organisations[1]["key_digests"] = [compute_key_digest(_SMALL_API_KEY)]
     organisations[1]["allowance"] = {
         "work_per_s": 50,
         "burst": 100,
--- a/tools/entry_model.py
+++ b/tools/entry_model.py
@@ -67,9 +67,9 @@
     def __init__(self) -> None:
         self._requests: deque[QueuedRequest] = deque()
 
-    def push(self, waiting: QueuedRequest, now: float) -> None:
+    def push(self, request: QueuedRequest, now: float) -> None:
         """Append a request."""
-        self._requests.append(waiting)
+        self._requests.append(request)
 
     def peek(self, now: float) -> QueuedRequest | None:
         """Return the oldest request, None if the queue is empty."""
@@ -139,16 +139,19 @@
     def _enqueue(
         self,
         request: ModelRequest,
-        waiting: QueuedRequest,
+        queued_request: QueuedRequest,
         excluded_servers: frozenset[str],
         now: float,
     ) -> None:
-        refusal = self.queue.push(waiting, now)
+        refusal = self.queue.push(queued_request, now)
         if isinstance(refusal, LimitRefusal):
-            self.admission.settle(request.organisation, waiting.work, 0.0, now)
+            self.admission.settle(request.organisation, queued_request.work, 0.0, now)
             self.refuse_request(request, refusal, now)
             return
-        self.pending_by_request_id[waiting.request_id] = (request, excluded_servers)
+        self.pending_by_request_id[queued_request.request_id] = (
+            request,
+            excluded_servers,
+        )
         self.is_placement_due = True
         self.place_queued(now)
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -54,9 +54,9 @@
     relay_control_address: str = ""
 
 
-def compute_key_digest(key: str) -> str:
+def compute_key_digest(api_key: str) -> str:
     """Return the digest under which a manifest lists a bearer key."""
-    return hashlib.sha256(key.encode()).hexdigest()
+    return hashlib.sha256(api_key.encode()).hexdigest()
 
 
 class Fleet:
@@ -355,9 +355,9 @@
             check=False,
         )
 
-    def wait_until_serving(self, key: str, path: str, body: Any) -> None:
+    def wait_until_serving(self, api_key: str, path: str, body: Any) -> None:
         """Wait until a call to ``path`` through every entry is answered."""
-        caller = Caller(key)
+        caller = Caller(api_key)
         for entry in self.entries.values():
             wait_until(
                 lambda http=entry.caller_address: _is_serving(caller, http, path, body),  # type: ignore[misc]
--- a/tools/load_model.py
+++ b/tools/load_model.py
@@ -153,7 +153,7 @@
 
     def __init__(
         self,
-        setup: DecisionOptions,
+        options: DecisionOptions,
         servers: Sequence[ModelServer],
         *,
         entries: int,
@@ -161,7 +161,7 @@
         allowance_by_organisation: dict[str, Allowance],
     ) -> None:
         load_builtin_plugins()
-        self.options = setup
+        self.options = options
         self.random = Random(seed)
         self.servers = list(servers)
         self.server_by_name = {server.name: server for server in servers}
@@ -187,13 +187,13 @@
     def create_attempt(
         self,
         request: ModelRequest,
-        waiting: QueuedRequest,
+        queued_request: QueuedRequest,
         entry: ModelEntry,
         server: ModelServer,
         avoid: frozenset[str],
     ) -> Attempt:
         """Return a new attempt, sent now."""
-        return Attempt(request, waiting, entry, server, self.now, avoid)
+        return Attempt(request, queued_request, entry, server, self.now, avoid)
 
     def schedule_caller_retry(self, request: ModelRequest, at: float) -> None:
         """Schedule a refused caller's retry at ``at``."""
