--- a/tools/load_scenarios.py
+++ b/tools/load_scenarios.py
@@ -70,9 +70,10 @@
     deadline. ``others_on_time_fraction`` leaves out the flooding organisation;
     ``goodput_tokens_per_s`` counts the calls on time; ``fairness_index`` is Jain's
     index of the organisations' work on time relative to their max-min fair shares;
-    ``first_p95_s`` is the 95th percentile of the time to the first token of answered
-    calls and ``gap_p95_ms`` that of the time between tokens; ``late_fraction`` is the
-    fraction of calls that waited without being answered on time.
+    ``first_token_p95_s`` is the 95th percentile of the time to the first token of
+    answered calls and ``token_gap_p95_ms`` that of the time between tokens;
+    ``late_fraction`` is the fraction of calls that waited without being answered on
+    time.
     """
 
     on_time_fraction: float
