--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -76,7 +76,7 @@
     manifest_version: int | None
     lines: tuple[TimelineLine, ...]
     gaps: tuple[str, ...]
-    parts: tuple[ProcessTrace, ...]
+    traces: tuple[ProcessTrace, ...]
 
     @property
     def is_complete(self) -> bool:
@@ -104,7 +104,7 @@
             *_describe_outcome_gaps(state, events, final_outcomes, entry),
             *_list_gaps(kept),
         ),
-        parts=kept,
+        traces=kept,
     )
 
 
--- a/src/kingcupwheel/trace/timeline_text.py
+++ b/src/kingcupwheel/trace/timeline_text.py
@@ -36,7 +36,7 @@
 
 
 def _format_sources(timeline: RequestTimeline) -> list[str]:
-    return [f"  {part.process}: {_format_source(part)}" for part in timeline.parts]
+    return [f"  {part.process}: {_format_source(part)}" for part in timeline.traces]
 
 
 def _format_source(trace: ProcessTrace) -> str:
@@ -67,7 +67,7 @@
 def _format_references(timeline: RequestTimeline) -> list[str]:
     earlier = {
         event.event.earlier_request_id: None
-        for part in timeline.parts
+        for part in timeline.traces
         for event in part.events
         if isinstance(event.event, ResendJoined)
     }
