--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -112,7 +112,7 @@
         lost = drained.lost_count
         if lost:
             self._record_loss(drained.since, drained.until, lost, "no room in memory")
-        if drained.encoded:
+        if drained.encoded_events:
             self._append_events(drained)
         while self.pending_bytes > MAX_OUTBOX_BYTES and self._pending:
             oldest = self._pending.popleft().batch
@@ -202,8 +202,8 @@
         if not self._open_events:
             self._open_since = drained.since
         self._open_until = drained.until
-        self._open_events.extend(drained.encoded)
-        self._open_bytes += sum(map(len, drained.encoded))
+        self._open_events.extend(drained.encoded_events)
+        self._open_bytes += sum(map(len, drained.encoded_events))
         if self._open_bytes >= MAX_RAW_PART_BYTES:
             self._close_batch()
 
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -43,7 +43,7 @@
     ``lost_count`` is the number of events dropped since the last drain.
     """
 
-    encoded: tuple[bytes, ...]
+    encoded_events: tuple[bytes, ...]
     since: float
     until: float
     lost_count: int
--- a/tools/capacity_probes.py
+++ b/tools/capacity_probes.py
@@ -162,7 +162,7 @@
         def run(count: int = count) -> None:
             recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
             record_requests(recorder, process, count)
-            compress_events(recorder.drain().encoded)
+            compress_events(recorder.drain().encoded_events)
 
         points.append(Point(count, 1e3 * _least_cpu_s(run, 5)))
     return points
@@ -174,7 +174,7 @@
     for count in (100, 300, 1000):
         recorder = TraceRecorder(PROCESS_NAME, max_requests=count)
         record_requests(recorder, process, count)
-        parts = compress_events(recorder.drain().encoded)
+        parts = compress_events(recorder.drain().encoded_events)
         points.append(Point(count, sum(len(part.compressed_events) for part in parts)))
     return points
 
