--- a/src/kingcupwheel/trace/exceptions.py
+++ b/src/kingcupwheel/trace/exceptions.py
@@ -20,7 +20,7 @@
 class ClaimNotFound(NamedTuple):
     """No claim exists for the idempotency key; claims expire after their retention."""
 
-    key: str
+    idempotency_key: str
 
 
 class PlatformUnavailable(NamedTuple):
