--- a/src/kingcupwheel/burn/burn_rates.py
+++ b/src/kingcupwheel/burn/burn_rates.py
@@ -56,10 +56,11 @@
 
 
 def _is_over_threshold(
-    short: EventCount, long: EventCount, target: float, threshold: float
+    short_window: EventCount, long_window: EventCount, target: float, threshold: float
 ) -> bool:
-    if short.total < MIN_EVENTS_FOR_ALERT:
+    if short_window.total < MIN_EVENTS_FOR_ALERT:
         return False
     return all(
-        (compute_burn_rate(count, target) or 0) > threshold for count in (short, long)
+        (compute_burn_rate(count, target) or 0) > threshold
+        for count in (short_window, long_window)
     )
--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -25,7 +25,7 @@
     from kingcupwheel.burn.burn_report import BurnReport
 
 _WIDTH, _HEIGHT = 900, 300
-_LEFT, _RIGHT, _TOP, _BOTTOM = 50, 20, 20, 40
+_LEFT_MARGIN, _RIGHT_MARGIN, _TOP_MARGIN, _BOTTOM_MARGIN = 50, 20, 20, 40
 # Burn rates reach a thousand; higher ones than this are drawn at the top.
 _MAX_PLOTTED_RATE = 20.0
 _COLOURS = ("#1f5fa8", "#c4532b", "#3d8a4e")
@@ -105,7 +105,7 @@
     for index, plot in enumerate(plots):
         colour = _COLOURS[index % len(_COLOURS)]
         parts.append(_render_line(plot, colour, first, last))
-        x = _LEFT + 10 + 170 * index
+        x = _LEFT_MARGIN + 10 + 170 * index
         parts.append(
             f'<rect x="{x}" y="4" width="12" height="12" fill="{colour}"/>'
             f'<text x="{x + 18}" y="14">{escape(plot.indicator.value)}</text>'
@@ -116,9 +116,9 @@
 def _render_rate_mark(rate: float) -> str:
     y = _scale_rate(rate)
     return (
-        f'<line x1="{_LEFT}" x2="{_WIDTH - _RIGHT}" y1="{y:.1f}" y2="{y:.1f}" '
+        f'<line x1="{_LEFT_MARGIN}" x2="{_WIDTH - _RIGHT_MARGIN}" y1="{y:.1f}" y2="{y:.1f}" '
         f'stroke="#ccc" stroke-dasharray="4 3"/>'
-        f'<text x="{_LEFT - 6}" y="{y + 4:.1f}" text-anchor="end">{rate:g}</text>'
+        f'<text x="{_LEFT_MARGIN - 6}" y="{y + 4:.1f}" text-anchor="end">{rate:g}</text>'
     )
 
 
@@ -154,9 +154,9 @@
 
 def _scale_time(time_s: float, first: float, last: float) -> float:
     share = (time_s - first) / (last - first) if last > first else 0.0
-    return _LEFT + share * (_WIDTH - _LEFT - _RIGHT)
+    return _LEFT_MARGIN + share * (_WIDTH - _LEFT_MARGIN - _RIGHT_MARGIN)
 
 
 def _scale_rate(rate: float) -> float:
     share = min(rate, _MAX_PLOTTED_RATE) / _MAX_PLOTTED_RATE
-    return _TOP + (1 - share) * (_HEIGHT - _TOP - _BOTTOM)
+    return _TOP_MARGIN + (1 - share) * (_HEIGHT - _TOP_MARGIN - _BOTTOM_MARGIN)
--- a/src/kingcupwheel/trace/batch_shipper.py
+++ b/src/kingcupwheel/trace/batch_shipper.py
@@ -129,7 +129,7 @@
                 self._outbox.confirm_write(version=version, now=now)
                 return True
             case RateLimited(retry_after_s):
-                self._outbox.postpone_call(now=now, wait_s=retry_after_s)
+                self._outbox.postpone_call(now=now, min_delay_s=retry_after_s)
             case Unavailable(detail):
                 logger.warning(
                     "Could not write batch %s; retrying: %s.", call.key, detail
@@ -151,7 +151,7 @@
             case None | Conflict():
                 self._outbox.confirm_deletion(now=now)
             case RateLimited(retry_after_s):
-                self._outbox.postpone_call(now=now, wait_s=retry_after_s)
+                self._outbox.postpone_call(now=now, min_delay_s=retry_after_s)
             case Unavailable() | Rejected():
                 self._outbox.postpone_call(now=now)
 
--- a/src/kingcupwheel/trace/batch_sweeper.py
+++ b/src/kingcupwheel/trace/batch_sweeper.py
@@ -27,10 +27,11 @@
 MAX_NAMES_PER_SWEEP = 8
 
 
-def select_successor(gone_process: str, live: Iterable[str]) -> str:
+def select_successor(gone_process: str, live_processes: Iterable[str]) -> str:
     """Return the live process that takes over, the same on every process."""
     return max(
-        live, key=lambda name: (zlib.crc32(f"{gone_process}/{name}".encode()), name)
+        live_processes,
+        key=lambda name: (zlib.crc32(f"{gone_process}/{name}".encode()), name),
     )
 
 
--- a/src/kingcupwheel/trace/event_descriptions.py
+++ b/src/kingcupwheel/trace/event_descriptions.py
@@ -38,7 +38,7 @@
         _describe_arrival(event)
         or _describe_placement(event)
         or _describe_answer(event, arrived=arrived_at)
-        or _describe_end(event, final=event.process == entry)
+        or _describe_end(event, is_final=event.process == entry)
     )
     return description or f"Recorded {type(event.event).__struct_config__.tag}."
 
@@ -133,10 +133,10 @@
     return None
 
 
-def _describe_end(event: TraceEvent, *, final: bool) -> str | None:
+def _describe_end(event: TraceEvent, *, is_final: bool) -> str | None:
     match event.event:
         case RequestFinished(outcome, status, length, reason):
-            subject = "Final outcome" if final else "This attempt ended as"
+            subject = "Final outcome" if is_final else "This attempt ended as"
             status_text = f", status {status}" if status else ""
             return (
                 f"{subject}: {outcome}{status_text}, {length:,} "
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -162,11 +162,11 @@
         if not self._pending:
             self._next_batch_at = now + self._period_s
 
-    def drop_rejected(self, why: str, *, now: float) -> None:
+    def drop_rejected(self, reason: str, *, now: float) -> None:
         """Drop the batch of the last call, which the platform rejected for good."""
         rejected = self._pending.popleft().batch
         self._pending_bytes -= len(rejected.compressed_events)
-        self._record_loss(rejected.since, rejected.until, rejected.event_count, why)
+        self._record_loss(rejected.since, rejected.until, rejected.event_count, reason)
         self._delay_next_call(now)
 
     def confirm_deletion(self, *, now: float) -> None:
@@ -181,10 +181,10 @@
         heapq.heapreplace(self._expiring, oldest._replace(version=version))
         self._delay_next_call(now)
 
-    def postpone_call(self, *, now: float, wait_s: float = 0.0) -> None:
+    def postpone_call(self, *, now: float, min_delay_s: float = 0.0) -> None:
         """Report that the last call failed; it is retried later."""
         self._delay_next_call(now)
-        self._next_call_at = max(self._next_call_at, now + wait_s)
+        self._next_call_at = max(self._next_call_at, now + min_delay_s)
 
     def _schedule_deletion(self, name: BatchName, *, version: int) -> None:
         if (
@@ -244,9 +244,11 @@
         self._pending[0] = _PendingBatch(name, batch_with_losses)
         return WriteBatch(name.key, encode_batch(batch_with_losses))
 
-    def _record_loss(self, since: float, until: float, events: int, why: str) -> None:
+    def _record_loss(
+        self, since: float, until: float, event_count: int, reason: str
+    ) -> None:
         last = self._losses[-1] if self._losses else None
-        if last and last.reason == why:
-            since, events = min(last.since, since), last.event_count + events
+        if last and last.reason == reason:
+            since, event_count = min(last.since, since), last.event_count + event_count
             self._losses.pop()
-        self._losses.append(EventLoss(since, until, events, why))
+        self._losses.append(EventLoss(since, until, event_count, reason))
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -95,7 +95,7 @@
         with self._lock:
             encoded = self._encoder.encode(trace_event)
             self._store_event(
-                request_id, encoded, final=isinstance(event, RequestFinished)
+                request_id, encoded, is_final=isinstance(event, RequestFinished)
             )
             self._enqueue(encoded, at)
         if self._listener is not None:
@@ -136,14 +136,16 @@
             self._lost_count = 0
         return drained
 
-    def _store_event(self, request_id: str, encoded: bytes, *, final: bool) -> None:
+    def _store_event(
+        self, request_id: str, encoded_event: bytes, *, is_final: bool
+    ) -> None:
         request_events = self._events_by_request_id.get(request_id)
         if request_events is None:
             request_events = _RequestEvents()
             self._events_by_request_id[request_id] = request_events
             self._evict_oldest()
-        if len(request_events.encoded_events) < MAX_EVENTS_PER_REQUEST or final:
-            request_events.encoded_events.append(encoded)
+        if len(request_events.encoded_events) < MAX_EVENTS_PER_REQUEST or is_final:
+            request_events.encoded_events.append(encoded_event)
         else:
             request_events.is_truncated = True
 
@@ -154,11 +156,11 @@
                 self._evicted_until_ms, _get_arrival_ms(oldest_id)
             )
 
-    def _enqueue(self, encoded: bytes, at: float) -> None:
+    def _enqueue(self, encoded_event: bytes, recorded_at: float) -> None:
         if not self._unshipped:
-            self._unshipped_since = at
-        self._unshipped.append(encoded)
-        self._unshipped_bytes += len(encoded)
+            self._unshipped_since = recorded_at
+        self._unshipped.append(encoded_event)
+        self._unshipped_bytes += len(encoded_event)
         while self._unshipped_bytes > MAX_UNSHIPPED_BYTES:
             self._unshipped_bytes -= len(self._unshipped.popleft())
             self._lost_count += 1
--- a/src/kingcupwheel/trace/timeline_finder.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -222,10 +222,10 @@
 
 
 def _combine_events(
-    live: tuple[TraceEvent, ...], stored: tuple[TraceEvent, ...]
+    live_events: tuple[TraceEvent, ...], stored: tuple[TraceEvent, ...]
 ) -> tuple[TraceEvent, ...]:
     stored_events = set(stored)
-    return stored + tuple(event for event in live if event not in stored_events)
+    return stored + tuple(event for event in live_events if event not in stored_events)
 
 
 def _describe_gaps(
