--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -116,9 +116,11 @@
 def _render_rate_mark(rate: float) -> str:
     y = _scale_rate(rate)
     return (
-        f'<line x1="{_LEFT_MARGIN}" x2="{_WIDTH - _RIGHT_MARGIN}" y1="{y:.1f}" y2="{y:.1f}" '
+        f'<line x1="{_LEFT_MARGIN}" x2="{_WIDTH - _RIGHT_MARGIN}" '
+        f'y1="{y:.1f}" y2="{y:.1f}" '
         f'stroke="#ccc" stroke-dasharray="4 3"/>'
-        f'<text x="{_LEFT_MARGIN - 6}" y="{y + 4:.1f}" text-anchor="end">{rate:g}</text>'
+        f'<text x="{_LEFT_MARGIN - 6}" y="{y + 4:.1f}" '
+        f'text-anchor="end">{rate:g}</text>'
     )
 
 
--- a/src/kingcupwheel/trace/event_order.py
+++ b/src/kingcupwheel/trace/event_order.py
@@ -16,7 +16,7 @@
 
 
 class _Prerequisite(NamedTuple):
-    kind: type[AnyEvent]
+    event_type: type[AnyEvent]
     attempt: int
 
 
@@ -67,6 +67,6 @@
 
 def _matches(prerequisite: _Prerequisite, event: TraceEvent) -> bool:
     return (
-        isinstance(event.event, prerequisite.kind)
+        isinstance(event.event, prerequisite.event_type)
         and getattr(event.event, "attempt", None) == prerequisite.attempt
     )
--- a/src/kingcupwheel/trace/recorder.py
+++ b/src/kingcupwheel/trace/recorder.py
@@ -37,7 +37,7 @@
 
 
 class DrainedEvents(NamedTuple):
-    """Encoded events that are not in a batch yet, oldest_id first.
+    """Encoded events that are not in a batch yet, oldest first.
 
     ``since`` and ``until`` are Unix seconds between which they were recorded;
     ``lost_count`` is the number of events dropped since the last drain.
@@ -89,7 +89,7 @@
         return self._process
 
     def record(self, request_id: str, event: AnyEvent) -> None:
-        """Record an event; the oldest_id request is evicted past ``max_requests``."""
+        """Record an event; the oldest request is evicted past ``max_requests``."""
         at = time.time()
         trace_event = TraceEvent(request_id, at, self._process, event)
         with self._lock:
--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -76,7 +76,7 @@
     manifest_version: int | None
     lines: tuple[TimelineLine, ...]
     gaps: tuple[str, ...]
-    traces: tuple[ProcessTrace, ...]
+    traces: tuple[ProcessTrace, ...] = msgspec.field(name="parts")
 
     @property
     def is_complete(self) -> bool:
