--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -52,7 +52,7 @@
 # One in this many active organisations is assumed to need more than an equal share at
 # some entry, so that entries exchange its shares. An assumption: no traffic of that
 # size has been observed.
-ORGANISATIONS_PER_SHORT_ONE = 10
+ACTIVE_PER_SHARED_ORGANISATION = 10
 
 
 class Design(NamedTuple):
@@ -75,7 +75,7 @@
     trace_limit: int = EntryLimits().traces
     has_conditional_reads: bool = True
     poll_s: float = 2.0
-    shared_organisations: int = Target().organisations // ORGANISATIONS_PER_SHORT_ONE
+    shared_organisations: int = Target().organisations // ACTIVE_PER_SHARED_ORGANISATION
 
 
 TARGET = Target()
