--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -74,7 +74,7 @@
     @property
     def entry_links(self) -> float:
         """Number of agents that one entry keeps links to."""
-        links = self._design.subset * self._design.server_groups
+        links = self._design.subset_size * self._design.server_groups
         return min(links, self._target.servers)
 
     @property
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -67,7 +67,7 @@
 
     name: str
     server_groups: int
-    subset: int = EntryLimits().subset
+    subset_size: int = EntryLimits().subset
     heartbeat_s: float = Timings().heartbeat_s
     instances_s: float = Timings().instances_s
     watch_s: float = Timings().watch_s
