--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -259,9 +259,9 @@
             reads_per_s=watches_per_s + changes_per_s * objects,
         )
 
-    def _traces_cost(self, role: str, requests_s: float) -> Cost:
+    def _traces_cost(self, role: str, requests_per_s: float) -> Cost:
         period_s = self._design.trace_batch_s
-        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_s
+        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_per_s
         recorder_bytes = (
             self._gradient(f"{role}_recorder_bytes") * self._design.trace_limit
         )
@@ -270,7 +270,7 @@
             "one compressed object a period, one deletion",
             bytes_in_per_s=2 * _HTTP_HEADER_BYTES / period_s,
             bytes_out_per_s=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
-            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
+            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_per_s,
             memory_bytes=recorder_bytes + MAX_OUTBOX_BYTES,
             writes_per_s=2 / period_s,
         )
