--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -103,9 +103,9 @@
     """Return a table of the cost of restarts, outages and network partitions."""
     by_name = slopes.by_name
     model = CapacityModel(slopes, CURRENT_DESIGN, TARGET)
-    requests_per_entry_s = TARGET.requests_per_s / TARGET.entries
+    entry_requests_per_s = TARGET.requests_per_s / TARGET.entries
     trace_bytes_per_hour = (
-        by_name["entry_batch_bytes"].gradient * requests_per_entry_s * 3600
+        by_name["entry_batch_bytes"].gradient * entry_requests_per_s * 3600
     )
     manifest_bytes = by_name["manifest_bytes"].value_at(TARGET.organisations)
     list_bytes = by_name["instance_list_bytes"].value_at(TARGET.processes)
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -277,11 +277,11 @@
 
     def _burn_cost(self) -> Cost:
         target = self._target
-        requests_s = target.requests_per_s / target.entries
+        requests_per_s = target.requests_per_s / target.entries
         gaps = target.tokens_per_s / target.requests_per_s
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
-            cpu_share=requests_s * self._value_at("burn_cpu", gaps) / 1e6,
+            cpu_share=requests_per_s * self._value_at("burn_cpu", gaps) / 1e6,
             memory_bytes=self._value_at("burn_bytes", 100),
         )
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -109,19 +109,19 @@
         time.monotonic(),
     )
     time.sleep(_MEASURED_S)
-    usage_after, traffic_after, took_s = (
+    usage_after, traffic_after, duration_s = (
         read_usage(process.pid),
         _read_latest_traffic(crowd),
         time.monotonic() - started,
     )
     return IdleUsage(
         links,
-        (usage_after.cpu_s - usage_before.cpu_s) / took_s,
+        (usage_after.cpu_s - usage_before.cpu_s) / duration_s,
         usage_after.rss_bytes,
-        (traffic_after.messages_out - traffic_before.messages_out) / took_s,
-        (traffic_after.messages_in - traffic_before.messages_in) / took_s,
-        (traffic_after.bytes_out - traffic_before.bytes_out) / took_s,
-        (traffic_after.bytes_in - traffic_before.bytes_in) / took_s,
+        (traffic_after.messages_out - traffic_before.messages_out) / duration_s,
+        (traffic_after.messages_in - traffic_before.messages_in) / duration_s,
+        (traffic_after.bytes_out - traffic_before.bytes_out) / duration_s,
+        (traffic_after.bytes_in - traffic_before.bytes_in) / duration_s,
     )
 
 
--- a/tools/measure_groups.py
+++ b/tools/measure_groups.py
@@ -52,7 +52,11 @@
 
 
 def measure_idle_traffic_row(ranks: int) -> str:
-    """Return a table row of the traffic of an idle group's coordinator and an agent."""
+    """Return the table row of an idle group's control traffic.
+
+    Its columns are the bytes per second of the coordinator and of another agent, and
+    the platform calls per second.
+    """
     fleet = Fleet(
         layout=build_layout(ranks, layers=LAYER_COUNT, every_s=10.0),
         timings=DEFAULT_SERVICE_TIMINGS,
--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -296,9 +296,9 @@
     synchronizer.start()
     if not synchronizer.wait_for_version(1, _TIMEOUT_S):
         raise TimeoutError("the synchronizer adopted no manifest version")
-    spent_s = perf_counter() - started
+    duration_s = perf_counter() - started
     synchronizer.stop()
-    return spent_s
+    return duration_s
 
 
 def _measure_cpu_s(action: Callable[[], T]) -> float:
--- a/tools/measure_path.py
+++ b/tools/measure_path.py
@@ -119,9 +119,9 @@
     started = time.monotonic()
     with ThreadPoolExecutor(_CALLER_COUNT) as pool:
         times_ms = sorted(pool.map(call, range(_CALL_COUNT)))
-    took_s = time.monotonic() - started
+    duration_s = time.monotonic() - started
     p99 = times_ms[int(len(times_ms) * 0.99) - 1]
-    return Latencies(_CALL_COUNT / took_s, statistics.median(times_ms), p99)
+    return Latencies(_CALL_COUNT / duration_s, statistics.median(times_ms), p99)
 
 
 def measure_streams(fleet: Fleet, streams: int) -> StreamsRun:
@@ -131,7 +131,7 @@
     usage_before = read_usage(entry.process.pid), [read_usage(pid) for pid in pids]
     started = time.monotonic()
     gaps = measure_gaps(entry.caller_address, streams)
-    took_s = time.monotonic() - started
+    duration_s = time.monotonic() - started
     usage_after = read_usage(entry.process.pid), [read_usage(pid) for pid in pids]
     entry_cpu_s = usage_after[0].cpu_s - usage_before[0].cpu_s
     agent_cpu_s = sum(
@@ -141,10 +141,10 @@
     tokens = streams * _TOKENS_PER_STREAM
     return StreamsRun(
         streams,
-        tokens / took_s,
+        tokens / duration_s,
         _p95(gaps) * 1000,
-        entry_cpu_s / took_s,
-        agent_cpu_s / took_s / len(pids),
+        entry_cpu_s / duration_s,
+        agent_cpu_s / duration_s / len(pids),
         entry_cpu_s / tokens * 1e6,
         agent_cpu_s / tokens * 1e6,
         usage_after[0].rss_mb,
