--- a/tools/measure_manifest.py
+++ b/tools/measure_manifest.py
@@ -170,7 +170,7 @@
         return value
 
     @property
-    def bytes(self) -> int:
+    def total_bytes(self) -> int:
         return sum(len(value) for value in self.value_by_key.values())
 
     def assemble(self, reuse: AssembledManifest | None = None) -> AssembledManifest:
@@ -247,12 +247,12 @@
     )
     return StartCost(
         start_reads=len(source.value_by_key),
-        start_bytes=source.bytes,
+        start_bytes=source.total_bytes,
         start_s=start_s,
         compile_s=compile_s,
         # A synchronizer keeps the stored values to serve them to peers; here the source
         # holds them.
-        memory_bytes=compiled_bytes + source.bytes,
+        memory_bytes=compiled_bytes + source.total_bytes,
         lookup_us=lookups_s / _LOOKUP_COUNT * 1e6,
     )
 
@@ -270,7 +270,7 @@
     return ChangeCost(
         change_writes=platform.state.call_counts["write"] - writes_before,
         entry_reads=len(source.value_by_key),
-        entry_bytes=source.bytes,
+        entry_bytes=source.total_bytes,
         agent_bytes=len(source.value_by_key[INDEX_KEY]),
         change_compile_s=_measure_cpu_s(
             lambda: source.compile_read_objects(reuse=previous)
