--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -12,9 +12,9 @@
 
 import click
 
-from tools.capacity_limits import bad_days_table
-from tools.capacity_limits import limits_table
-from tools.capacity_limits import markdown_table
+from tools.capacity_limits import build_failure_costs_table
+from tools.capacity_limits import build_limits_table
+from tools.capacity_limits import format_markdown_table
 from tools.capacity_model import CapacityModel
 from tools.capacity_model import Cost
 from tools.capacity_model import RoleCosts
@@ -45,7 +45,7 @@
 _GB = 1e9
 
 
-def render_parts(slopes: Slopes) -> dict[str, str]:
+def render_computed_parts(slopes: Slopes) -> dict[str, str]:
     """Return the Markdown of each computed part of the page by its name."""
     return {
         "slopes": _slopes_table(slopes),
@@ -59,14 +59,14 @@
         "data-path": _data_path_table(slopes),
         "platform": _platform_table(slopes),
         "verdicts": _verdicts_table(slopes),
-        "breaks": limits_table(slopes),
-        "bad-days": bad_days_table(slopes),
+        "breaks": build_limits_table(slopes),
+        "bad-days": build_failure_costs_table(slopes),
     }
 
 
 def fill_page(page: str, slopes: Slopes) -> str:
     """Return ``page`` with its computed parts regenerated."""
-    by_name = render_parts(slopes)
+    by_name = render_computed_parts(slopes)
 
     def replace_part(match: re.Match[str]) -> str:
         name = match["name"]
@@ -89,7 +89,7 @@
     provenance = (
         f"Measured {slopes.measured_at} on {slopes.machine}, commit `{slopes.commit}`."
     )
-    return f"{provenance}\n\n{markdown_table(head, rows)}"
+    return f"{provenance}\n\n{format_markdown_table(head, rows)}"
 
 
 def _slope_row(slope: Slope) -> tuple[str, ...]:
@@ -110,17 +110,19 @@
         "Platform reads, writes/s",
         "Mechanism",
     )
-    return markdown_table(head, [_cost_row(cost) for cost in (*role.costs, role.total)])
+    return format_markdown_table(
+        head, [_cost_row(cost) for cost in (*role.costs, role.total)]
+    )
 
 
 def _cost_row(cost: Cost) -> tuple[str, ...]:
     return (
         cost.item,
-        f"{cost.messages_in:.1f}, {cost.messages_out:.1f}",
-        f"{cost.bytes_in / _KB:.2f}, {cost.bytes_out / _KB:.2f}",
+        f"{cost.messages_in_per_s:.1f}, {cost.messages_out_per_s:.1f}",
+        f"{cost.bytes_in_per_s / _KB:.2f}, {cost.bytes_out_per_s / _KB:.2f}",
         f"{cost.cpu_share:.2%}",
         f"{cost.memory_bytes / _MB:.1f}",
-        f"{cost.reads:.3f}, {cost.writes:.3f}",
+        f"{cost.reads_per_s:.3f}, {cost.writes_per_s:.3f}",
         cost.mechanism,
     )
 
@@ -136,7 +138,7 @@
         for path in compute_data_path_costs(slopes, TARGET)
     ]
     head = ("Role", "Tokens/s at the peak", "Core", "Tokens/s at a whole core")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _platform_table(slopes: Slopes) -> str:
@@ -147,13 +149,14 @@
         rows.append(
             (
                 design.name,
-                f"{load.reads:.0f}",
-                f"{load.change_reads:.0f}",
-                f"{load.trace_writes:.0f} + {load.lease_writes:.0f}",
+                f"{load.reads_per_s:.0f}",
+                f"{load.reads_per_s_at_change:.0f}",
+                f"{load.trace_writes_per_s:.0f} + {load.lease_writes_per_s:.0f}",
                 f"{claims_per_s:.0f} "
                 f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
-                f"{load.trace_bytes / _MB:.2f}",
-                f"{load.kept_bytes / _GB:.0f} GB in {load.kept_objects / _MB:.1f} "
+                f"{load.trace_bytes_per_s / _MB:.2f}",
+                f"{load.retained_bytes / _GB:.0f} GB in "
+                f"{load.retained_objects / _MB:.1f} "
                 f"million objects",
             )
         )
@@ -166,7 +169,7 @@
         "Trace MB/s",
         "Traces kept",
     )
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _verdicts_table(slopes: Slopes) -> str:
@@ -200,7 +203,7 @@
                 )
             )
     head = ("Design", "Role", "Core (2.2%)", "MB (256)", "KB/s, both ways (11)")
-    return markdown_table(head, rows)
+    return format_markdown_table(head, rows)
 
 
 def _mark_if_over_limit(value: float, limit: float, text: str) -> str:
@@ -215,7 +218,7 @@
     if write:
         PAGE_PATH.write_text(fill_page(PAGE_PATH.read_text(), slopes))
     else:
-        click.echo("\n\n".join(render_parts(slopes).values()))
+        click.echo("\n\n".join(render_computed_parts(slopes).values()))
 
 
 if __name__ == "__main__":
--- a/tools/capacity_limits.py
+++ b/tools/capacity_limits.py
@@ -26,22 +26,22 @@
 _KB = 1e3
 
 
-def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def format_markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def limits_table(slopes: Slopes) -> str:
+def build_limits_table(slopes: Slopes) -> str:
     """Return a table of the size at which each limit is first exceeded."""
     rows = []
     for design in DESIGNS:
         model = CapacityModel(slopes, design, TARGET)
         rows += _entry_limit_rows(model, design)
         load = compute_platform_load(slopes, design, TARGET, renew_s=LEASE_RENEWAL_S)
-        max_processes = LIMITS.reads_per_s / load.reads * TARGET.processes
+        max_processes = LIMITS.reads_per_s / load.reads_per_s * TARGET.processes
         max_processes_at_change = (
-            LIMITS.reads_per_s / load.change_reads * TARGET.processes
+            LIMITS.reads_per_s / load.reads_per_s_at_change * TARGET.processes
         )
         claims_per_s = load.compute_claims_per_s(LIMITS.writes_per_s)
         rows.append(
@@ -70,7 +70,7 @@
                 f"({claims_per_s / TARGET.requests_per_s:.1%} of requests)",
             )
         )
-    return markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
+    return format_markdown_table(("Design", "Role", "Limit", "Breaks"), rows)
 
 
 def _entry_limit_rows(model: CapacityModel, design: Design) -> list[tuple[str, ...]]:
@@ -85,7 +85,7 @@
         (
             "11 KB/s",
             role.control_bytes_per_s,
-            heartbeats.bytes_in + heartbeats.bytes_out,
+            heartbeats.bytes_in_per_s + heartbeats.bytes_out_per_s,
         ),
         ("2.2% of a core", total.cpu_share, heartbeats.cpu_share),
     ):
@@ -99,13 +99,13 @@
     return rows
 
 
-def bad_days_table(slopes: Slopes) -> str:
+def build_failure_costs_table(slopes: Slopes) -> str:
     """Return a table of the cost of restarts, outages and network partitions."""
     by_name = slopes.by_name
     model = CapacityModel(slopes, CURRENT_DESIGN, TARGET)
-    requests_per_entry_s = TARGET.requests_per_s / TARGET.entries
+    entry_requests_per_s = TARGET.requests_per_s / TARGET.entries
     trace_bytes_per_hour = (
-        by_name["entry_batch_bytes"].gradient * requests_per_entry_s * 3600
+        by_name["entry_batch_bytes"].gradient * entry_requests_per_s * 3600
     )
     manifest_bytes = by_name["manifest_bytes"].value_at(TARGET.organisations)
     list_bytes = by_name["instance_list_bytes"].value_at(TARGET.processes)
@@ -148,4 +148,4 @@
             f"at most {trace_writes_per_s:.0f} calls/s in all",
         ),
     ]
-    return markdown_table(("Day", "What it costs"), rows)
+    return format_markdown_table(("Day", "What it costs"), rows)
--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -33,14 +33,14 @@
 
     item: str
     mechanism: str
-    messages_in: float = 0.0
-    messages_out: float = 0.0
-    bytes_in: float = 0.0
-    bytes_out: float = 0.0
+    messages_in_per_s: float = 0.0
+    messages_out_per_s: float = 0.0
+    bytes_in_per_s: float = 0.0
+    bytes_out_per_s: float = 0.0
     cpu_share: float = 0.0
     memory_bytes: float = 0.0
-    reads: float = 0.0
-    writes: float = 0.0
+    reads_per_s: float = 0.0
+    writes_per_s: float = 0.0
 
 
 class RoleCosts(NamedTuple):
@@ -60,7 +60,7 @@
     def control_bytes_per_s(self) -> float:
         """Control traffic in bytes per second, both directions together."""
         total = self.total
-        return total.bytes_in + total.bytes_out
+        return total.bytes_in_per_s + total.bytes_out_per_s
 
 
 class CapacityModel:
@@ -74,7 +74,7 @@
     @property
     def entry_links(self) -> float:
         """Number of agents that one entry keeps links to."""
-        links = self._design.subset * self._design.server_groups
+        links = self._design.subset_size * self._design.server_groups
         return min(links, self._target.servers)
 
     @property
@@ -114,17 +114,17 @@
 
     def lease_holder_costs(self, *, renew_s: float) -> RoleCosts:
         """Return the costs of an agent that coordinates its group's expert map."""
-        rate = self._target.ranks / self._design.poll_s
-        reply = self._value_at("map_reply_bytes", self._target.experts)
-        size = rate * (reply + _MESSAGE_OVERHEAD_BYTES)
+        messages_per_s = self._target.ranks / self._design.poll_s
+        reply_bytes = self._value_at("map_reply_bytes", self._target.experts)
+        bytes_per_s = messages_per_s * (reply_bytes + _MESSAGE_OVERHEAD_BYTES)
         coordination = Cost(
             "expert map of its group",
             "reads its ranks and renews its lease",
-            messages_in=rate,
-            messages_out=rate,
-            bytes_in=size,
-            bytes_out=size,
-            writes=1 / renew_s,
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
+            writes_per_s=1 / renew_s,
         )
         return RoleCosts(
             "agent that holds the lease", (*self.agent_costs().costs, coordination)
@@ -161,30 +161,34 @@
             if role == "entry"
             else (hello_bytes, heartbeat_bytes)
         )
-        messages_in = gradient_by_figure["messages_in"] * links * heartbeats_per_s
-        messages_out = gradient_by_figure["messages_out"] * links * heartbeats_per_s
+        messages_in_per_s = gradient_by_figure["messages_in"] * links * heartbeats_per_s
+        messages_out_per_s = (
+            gradient_by_figure["messages_out"] * links * heartbeats_per_s
+        )
         return Cost(
             f"heartbeats on {links:.0f} links",
             mechanism,
-            messages_in=messages_in,
-            messages_out=messages_out,
-            bytes_in=messages_in * (size_in + _MESSAGE_OVERHEAD_BYTES),
-            bytes_out=messages_out * (size_out + _MESSAGE_OVERHEAD_BYTES),
+            messages_in_per_s=messages_in_per_s,
+            messages_out_per_s=messages_out_per_s,
+            bytes_in_per_s=messages_in_per_s * (size_in + _MESSAGE_OVERHEAD_BYTES),
+            bytes_out_per_s=messages_out_per_s * (size_out + _MESSAGE_OVERHEAD_BYTES),
             cpu_share=gradient_by_figure["cpu"] * links * heartbeats_per_s,
             memory_bytes=gradient_by_figure["rss"] * links,
         )
 
     def _peers_cost(self) -> Cost:
-        rate = _PEER_COUNT / self._design.heartbeat_s
-        size = rate * (self._value_at("peer_beat_bytes", 1) + _MESSAGE_OVERHEAD_BYTES)
+        messages_per_s = _PEER_COUNT / self._design.heartbeat_s
+        bytes_per_s = messages_per_s * (
+            self._value_at("peer_beat_bytes", 1) + _MESSAGE_OVERHEAD_BYTES
+        )
         return Cost(
             f"heartbeats with {_PEER_COUNT} peers",
             "a ring of names; news passes on",
-            messages_in=rate,
-            messages_out=rate,
-            bytes_in=size,
-            bytes_out=size,
-            cpu_share=rate * self._gradient("entry_idle_cpu"),
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
+            cpu_share=messages_per_s * self._gradient("entry_idle_cpu"),
         )
 
     def _shares_cost(self) -> Cost:
@@ -197,18 +201,20 @@
         entries_sharing = other_entries * (
             1 - exp(-organisations_per_entry * (MIN_ENTRIES - 1) / other_entries)
         )
-        rate = entries_sharing * heartbeats_per_s
+        messages_per_s = entries_sharing * heartbeats_per_s
         reports_per_s = organisations_per_entry * (MIN_ENTRIES - 1) * heartbeats_per_s
-        size = rate * (self._intercept("share_bytes") + _MESSAGE_OVERHEAD_BYTES)
-        size += reports_per_s * self._gradient("share_bytes")
+        bytes_per_s = messages_per_s * (
+            self._intercept("share_bytes") + _MESSAGE_OVERHEAD_BYTES
+        )
+        bytes_per_s += reports_per_s * self._gradient("share_bytes")
         return Cost(
             f"shares of {organisations_per_entry:.0f} organisations' allowances",
             "told to the other entries of each organisation's set",
-            messages_in=rate,
-            messages_out=rate,
-            bytes_in=size,
-            bytes_out=size,
-            cpu_share=rate * self._gradient("entry_idle_cpu"),
+            messages_in_per_s=messages_per_s,
+            messages_out_per_s=messages_per_s,
+            bytes_in_per_s=bytes_per_s,
+            bytes_out_per_s=bytes_per_s,
+            cpu_share=messages_per_s * self._gradient("entry_idle_cpu"),
         )
 
     def _instances_cost(self) -> Cost:
@@ -228,10 +234,10 @@
             "conditional reads"
             if design.has_conditional_reads
             else "whole list each time",
-            bytes_in=bodies_per_s * list_bytes + reads_per_s * _HTTP_HEADER_BYTES,
-            bytes_out=reads_per_s * _HTTP_HEADER_BYTES,
+            bytes_in_per_s=bodies_per_s * list_bytes + reads_per_s * _HTTP_HEADER_BYTES,
+            bytes_out_per_s=reads_per_s * _HTTP_HEADER_BYTES,
             cpu_share=bodies_per_s * cpu_ms / 1e3,
-            reads=reads_per_s,
+            reads_per_s=reads_per_s,
         )
 
     def _manifest_cost(self, role: str) -> Cost:
@@ -246,36 +252,36 @@
         return Cost(
             "manifest: watch and changes",
             "index of shards by digest; a change moves one shard",
-            bytes_in=changes_per_s * index_and_shard
+            bytes_in_per_s=changes_per_s * index_and_shard
             + watches_per_s * _HTTP_HEADER_BYTES,
-            bytes_out=watches_per_s * _HTTP_HEADER_BYTES,
+            bytes_out_per_s=watches_per_s * _HTTP_HEADER_BYTES,
             memory_bytes=memory,
-            reads=watches_per_s + changes_per_s * objects,
+            reads_per_s=watches_per_s + changes_per_s * objects,
         )
 
-    def _traces_cost(self, role: str, requests_s: float) -> Cost:
+    def _traces_cost(self, role: str, requests_per_s: float) -> Cost:
         period_s = self._design.trace_batch_s
-        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_s
+        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_per_s
         recorder_bytes = (
             self._gradient(f"{role}_recorder_bytes") * self._design.trace_limit
         )
         return Cost(
             "trace",
             "one compressed object a period, one deletion",
-            bytes_in=2 * _HTTP_HEADER_BYTES / period_s,
-            bytes_out=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
-            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
+            bytes_in_per_s=2 * _HTTP_HEADER_BYTES / period_s,
+            bytes_out_per_s=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
+            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_per_s,
             memory_bytes=recorder_bytes + MAX_OUTBOX_BYTES,
-            writes=2 / period_s,
+            writes_per_s=2 / period_s,
         )
 
     def _burn_cost(self) -> Cost:
         target = self._target
-        requests_s = target.requests_per_s / target.entries
+        requests_per_s = target.requests_per_s / target.entries
         gaps = target.tokens_per_s / target.requests_per_s
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
-            cpu_share=requests_s * self._value_at("burn_cpu", gaps) / 1e6,
+            cpu_share=requests_per_s * self._value_at("burn_cpu", gaps) / 1e6,
             memory_bytes=self._value_at("burn_bytes", 100),
         )
--- a/tools/capacity_totals.py
+++ b/tools/capacity_totals.py
@@ -46,27 +46,26 @@
 class PlatformLoad(NamedTuple):
     """Total load of all processes on the platform service, without claims.
 
-    Rates are per second; ``change_reads`` is the read rate while processes load a new
-    manifest version. ``kept_bytes`` and ``kept_objects`` are those of the retained
-    trace batches.
+    ``reads_per_s_at_change`` is the rate while processes load a new manifest version.
+    ``retained_bytes`` and ``retained_objects`` are those of the retained trace batches.
     """
 
-    reads: float
-    change_reads: float
-    trace_writes: float
-    lease_writes: float
-    trace_bytes: float
-    kept_bytes: float
-    kept_objects: float
+    reads_per_s: float
+    reads_per_s_at_change: float
+    trace_writes_per_s: float
+    lease_writes_per_s: float
+    trace_bytes_per_s: float
+    retained_bytes: float
+    retained_objects: float
 
     @property
-    def writes(self) -> float:
+    def writes_per_s(self) -> float:
         """Total writes per second."""
-        return self.trace_writes + self.lease_writes
+        return self.trace_writes_per_s + self.lease_writes_per_s
 
     def compute_claims_per_s(self, writes_s: float) -> float:
         """Return the claims per second that fit: each takes a write and a deletion."""
-        return (writes_s - self.writes) / 2
+        return (writes_s - self.writes_per_s) / 2
 
 
 def compute_platform_load(
@@ -75,19 +74,19 @@
     """Return the load of all processes on the platform."""
     model = CapacityModel(slopes, design, target)
     entry, agent = model.entry_costs().total, model.agent_costs().total
-    reads = target.entries * entry.reads + target.servers * agent.reads
+    reads = target.entries * entry.reads_per_s + target.servers * agent.reads_per_s
     batches = target.processes / design.trace_batch_s
     bytes_per_request = sum(
         slopes.by_name[f"{role}_batch_bytes"].gradient for role in ("entry", "agent")
     )
     kept_s = Retention().traces_h * 3600
     return PlatformLoad(
-        reads=reads,
+        reads_per_s=reads,
         # Within the random delay each process reads a shard and starts a new watch.
-        change_reads=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
-        trace_writes=2 * batches,
-        lease_writes=target.groups / renew_s,
-        trace_bytes=target.requests_per_s * bytes_per_request,
-        kept_bytes=target.requests_per_s * bytes_per_request * kept_s,
-        kept_objects=batches * kept_s,
+        reads_per_s_at_change=reads + 2 * target.processes / DEFAULT_MAX_READ_DELAY_S,
+        trace_writes_per_s=2 * batches,
+        lease_writes_per_s=target.groups / renew_s,
+        trace_bytes_per_s=target.requests_per_s * bytes_per_request,
+        retained_bytes=target.requests_per_s * bytes_per_request * kept_s,
+        retained_objects=batches * kept_s,
     )
--- a/tools/measure_capacity.py
+++ b/tools/measure_capacity.py
@@ -18,9 +18,9 @@
 
 from tools import capacity_probes as probes
 from tools.capacity_processes import IdleUsage
+from tools.capacity_processes import collect_points
 from tools.capacity_processes import measure_idle_agent
 from tools.capacity_processes import measure_idle_entry
-from tools.capacity_processes import points_by_links
 from tools.capacity_slopes import Point
 from tools.capacity_slopes import Slope
 from tools.capacity_slopes import Slopes
@@ -107,10 +107,10 @@
 IDLE_FIGURES = (
     IdleFigure("cpu", "share of a core", lambda usage: usage.cpu_share),
     IdleFigure("rss", "bytes", lambda usage: usage.rss_bytes),
-    IdleFigure("messages_in", "a second", lambda usage: usage.messages_in),
-    IdleFigure("messages_out", "a second", lambda usage: usage.messages_out),
-    IdleFigure("bytes_in", "bytes a second", lambda usage: usage.bytes_in),
-    IdleFigure("bytes_out", "bytes a second", lambda usage: usage.bytes_out),
+    IdleFigure("messages_in", "a second", lambda usage: usage.messages_in_per_s),
+    IdleFigure("messages_out", "a second", lambda usage: usage.messages_out_per_s),
+    IdleFigure("bytes_in", "bytes a second", lambda usage: usage.bytes_in_per_s),
+    IdleFigure("bytes_out", "bytes a second", lambda usage: usage.bytes_out_per_s),
 )
 
 
@@ -140,7 +140,7 @@
                 figure.unit,
                 "links",
                 _PROCESSES_COMMAND,
-                points_by_links(usages, figure.value),
+                collect_points(usages, figure.value),
             )
             for figure in IDLE_FIGURES
         ]
