--- a/tools/capacity_model.py
+++ b/tools/capacity_model.py
@@ -74,7 +74,7 @@
     @property
     def entry_links(self) -> float:
         """Number of agents that one entry keeps links to."""
-        links = self._design.subset * self._design.server_groups
+        links = self._design.subset_size * self._design.server_groups
         return min(links, self._target.servers)
 
     @property
@@ -259,9 +259,9 @@
             reads_per_s=watches_per_s + changes_per_s * objects,
         )
 
-    def _traces_cost(self, role: str, requests_s: float) -> Cost:
+    def _traces_cost(self, role: str, requests_per_s: float) -> Cost:
         period_s = self._design.trace_batch_s
-        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_s
+        batch_bytes_per_s = self._gradient(f"{role}_batch_bytes") * requests_per_s
         recorder_bytes = (
             self._gradient(f"{role}_recorder_bytes") * self._design.trace_limit
         )
@@ -270,18 +270,18 @@
             "one compressed object a period, one deletion",
             bytes_in_per_s=2 * _HTTP_HEADER_BYTES / period_s,
             bytes_out_per_s=batch_bytes_per_s + 2 * _HTTP_HEADER_BYTES / period_s,
-            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_s,
+            cpu_share=self._gradient(f"{role}_trace_cpu") / 1e3 * requests_per_s,
             memory_bytes=recorder_bytes + MAX_OUTBOX_BYTES,
             writes_per_s=2 / period_s,
         )
 
     def _burn_cost(self) -> Cost:
         target = self._target
-        requests_s = target.requests_per_s / target.entries
+        requests_per_s = target.requests_per_s / target.entries
         gaps = target.tokens_per_s / target.requests_per_s
         return Cost(
             "burn counts",
             "counts by the minute, histograms that merge",
-            cpu_share=requests_s * self._value_at("burn_cpu", gaps) / 1e6,
+            cpu_share=requests_per_s * self._value_at("burn_cpu", gaps) / 1e6,
             memory_bytes=self._value_at("burn_bytes", 100),
         )
