--- a/src/kingcupwheel/forwarding/load_poller.py
+++ b/src/kingcupwheel/forwarding/load_poller.py
@@ -116,5 +116,5 @@
         load.queued,
         load.pace,
         heartbeat.server_up,
-        heartbeat.born_ms,
+        heartbeat.started_at_ms,
     )
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -213,7 +213,7 @@
             server_up=state.is_open,
             manifest_version=0,
             crashed=(),
-            born_ms=state.born_ms,
+            started_at_ms=state.born_ms,
         )
         for link in links:
             self._hub.send(link, heartbeat)
--- a/src/kingcupwheel/lockstep/load_aggregator.py
+++ b/src/kingcupwheel/lockstep/load_aggregator.py
@@ -78,7 +78,7 @@
             load.queued,
             load.pace,
             heartbeat.server_up,
-            heartbeat.born_ms,
+            heartbeat.started_at_ms,
         )
         with self._lock:
             self._loads_by_member[link.address] = _MemberLoad(server_load, now)
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -55,7 +55,7 @@
     server_up: bool
     manifest_version: int
     crashed: tuple[tuple[str, int], ...]
-    born_ms: int = 0
+    started_at_ms: int = 0
 
 
 class LoadsRequest(Message, frozen=True, tag="LoadsAsk"):
