--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -272,12 +272,12 @@
         self, backend: Backend, report: ReportedServerLoad, now: float
     ) -> None:
         address = backend.address
-        if report.born_ms and backend.started_at_ms:
-            if report.born_ms < backend.started_at_ms:
+        if report.started_at_ms and backend.started_at_ms:
+            if report.started_at_ms < backend.started_at_ms:
                 # The report was sent before the server restarted.
                 return
-            if report.born_ms > backend.started_at_ms:
-                backend = self._replace_incarnation(backend, report.born_ms, now)
+            if report.started_at_ms > backend.started_at_ms:
+                backend = self._replace_incarnation(backend, report.started_at_ms, now)
         self._agent_reported_at[address] = now
         if report.pace >= AVOIDED_PACE:
             self._slow_at[address] = now
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -81,7 +81,7 @@
     queued: int
     pace: float
     up: bool
-    born_ms: int = 0
+    started_at_ms: int = 0
 
 
 class LoadsReply(Message, frozen=True, tag="LoadsTold"):
