--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -33,7 +33,7 @@
     """
 
     detail: str
-    has_server_died: bool
+    has_server_crashed: bool
 
 
 AdapterError = ServerUnreachable | AnswerLost
--- a/src/kingcupwheel/agent/adapters/engine.py
+++ b/src/kingcupwheel/agent/adapters/engine.py
@@ -98,7 +98,9 @@
     def _resume(self, offset: int, failures: int) -> Result[None, AnswerLost]:
         self._call.close()
         if failures > _MAX_RESUMES_WITHOUT_PROGRESS:
-            return Error(AnswerLost("connections keep failing", has_server_died=False))
+            return Error(
+                AnswerLost("connections keep failing", has_server_crashed=False)
+            )
         resumed = self._client.resume(
             self._run_id, offset, self._incarnation, self._cancellation
         )
@@ -140,7 +142,9 @@
         if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
             self._client.cancel(run_id)
-            return Error(AnswerLost("answer of another request", has_server_died=False))
+            return Error(
+                AnswerLost("answer of another request", has_server_crashed=False)
+            )
         return Ok(EngineAnswer(self._client, call, run_id, cancellation))
 
     def state(self) -> ServerState:
--- a/src/kingcupwheel/agent/adapters/engine_client.py
+++ b/src/kingcupwheel/agent/adapters/engine_client.py
@@ -95,7 +95,7 @@
         deadline = monotonic() + give_up_s
         while monotonic() < deadline:
             if cancellation.wait(_RETRY_INTERVAL_S):
-                return Error(AnswerLost("cancelled", has_server_died=False))
+                return Error(AnswerLost("cancelled", has_server_crashed=False))
             resumed = self._try_resume(run_id, offset, incarnation, cancellation)
             if resumed.is_ok():
                 return Ok(resumed.ok)
@@ -106,7 +106,7 @@
                     deadline = monotonic() + give_up_s
                 case _NoReply():
                     pass
-        return Error(AnswerLost("server silent", has_server_died=False))
+        return Error(AnswerLost("server silent", has_server_crashed=False))
 
     def _try_resume(
         self, run_id: str, offset: int, incarnation: str, cancellation: Cancellation
@@ -115,7 +115,7 @@
         if queried.is_error():
             return Error(queried.error)
         if incarnation and queried.ok.incarnation != incarnation:
-            return Error(AnswerLost("server restarted", has_server_died=True))
+            return Error(AnswerLost("server restarted", has_server_crashed=True))
         opened = self._open_stream(run_id, offset, cancellation)
         if opened.is_ok():
             return Ok(opened.ok)
@@ -152,7 +152,9 @@
         if call.header(REQUEST_ID_HEADER) != run_id:
             call.close()
             return Error(
-                AnswerLost("server no longer knows the request", has_server_died=False)
+                AnswerLost(
+                    "server no longer knows the request", has_server_crashed=False
+                )
             )
         return Ok(call)
 
@@ -176,7 +178,7 @@
 
 def _classify_connect_failure(failure: ServerUnreachable) -> AnswerLost | _NoReply:
     return (
-        AnswerLost(failure.detail, has_server_died=True)
+        AnswerLost(failure.detail, has_server_crashed=True)
         if failure.is_connection_refused
         else _NoReply()
     )
--- a/src/kingcupwheel/agent/adapters/server_call.py
+++ b/src/kingcupwheel/agent/adapters/server_call.py
@@ -99,7 +99,9 @@
         if not data and self._is_end_uncertain():
             # Such a body ends with the connection, so that one truncated by a server
             # crash looks complete. It is passed on but never reported as complete.
-            return Error(AnswerLost("answer without a length", has_server_died=False))
+            return Error(
+                AnswerLost("answer without a length", has_server_crashed=False)
+            )
         return Ok(data or b"")
 
     def close(self) -> None:
@@ -151,7 +153,7 @@
 
 
 def _build_answer_lost(error: Exception) -> AnswerLost:
-    return AnswerLost(_describe_error(error), has_server_died=False)
+    return AnswerLost(_describe_error(error), has_server_crashed=False)
 
 
 def _describe_error(error: Exception) -> str:
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -92,7 +92,9 @@
             return Error(self.build_answer_lost(sent.error))
         if call.header(REQUEST_ID_HEADER) not in ("", build_run_id(dispatch)):
             call.close()
-            return Error(AnswerLost("answer of another request", has_server_died=False))
+            return Error(
+                AnswerLost("answer of another request", has_server_crashed=False)
+            )
         return Ok(ServiceAnswer(call, self))
 
     def state(self) -> ServerState:
@@ -110,7 +112,7 @@
     def build_answer_lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
         """Return why the answer was lost, and whether the service process died."""
         if isinstance(error, SilenceTimeout):
-            return AnswerLost("server silent", has_server_died=False)
+            return AnswerLost("server silent", has_server_crashed=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
             return error._replace(has_server_died=connected.error.is_connection_refused)
--- a/src/kingcupwheel/agent/attempt_runner.py
+++ b/src/kingcupwheel/agent/attempt_runner.py
@@ -218,7 +218,7 @@
         if cancellation.is_set():
             self._finish(key, Outcome.UNKNOWN, status, "cancelled")
             return
-        if error.has_server_died:
+        if error.has_server_crashed:
             self.record_server_crash(generation)
         logger.warning("Answer truncated: %s. %s", error.detail, key.request_id)
         self._finish(key, Outcome.UNKNOWN, status, error.detail)
