--- a/src/kingcupwheel/agent/daemon.py
+++ b/src/kingcupwheel/agent/daemon.py
@@ -187,7 +187,7 @@
         """Log the reload; the caller has already set the log level."""
         logger.info("Settings reloaded; log level %s.", settings.log_level.value)
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, requested_at: float | None = None) -> None:
         """Stop gracefully: return once running attempts ended and were delivered.
 
         The wait has no timeout; it depends only on the progress of running attempts.
--- a/src/kingcupwheel/console/daemon_runner.py
+++ b/src/kingcupwheel/console/daemon_runner.py
@@ -102,7 +102,7 @@
     def start(self) -> None:
         """Start, and return once requests are served."""
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, requested_at: float | None = None) -> None:
         """Stop, and return once all work in progress has ended.
 
         ``asked_at`` is the time of the stop signal (monotonic), by default now. The
--- a/src/kingcupwheel/entry/daemon.py
+++ b/src/kingcupwheel/entry/daemon.py
@@ -178,7 +178,7 @@
         """Log the reload; the log level has already been applied."""
         logger.info("Settings reloaded; log level is %s.", settings.log_level.value)
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, requested_at: float | None = None) -> None:
         """Stop gracefully: accept requests for ``leave_s``, then finish the rest.
 
         The wait has no timeout of its own: it is bounded by the requests' progress.
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -209,7 +209,7 @@
         """Apply the settings that may change at run time."""
         log.info("reloaded", log_level=settings.log_level.value)
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, requested_at: float | None = None) -> None:
         """Stop gracefully: deregister, then finish the requests in progress.
 
         Failure: callers keep this entry's address for some seconds after it has begun
@@ -219,7 +219,7 @@
 
         The grace period starts at ``asked_at`` (monotonic), by default now.
         """
-        began = monotonic() if asked_at is None else asked_at
+        began = monotonic() if requested_at is None else requested_at
         schedule = ShutdownSchedule(began, self._forwarding.grace_s)
         self._leaving.set()
         self._application.begin_shutdown(schedule)
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -25,14 +25,16 @@
         self._accepted_at = requested_at
         self._began_at = None
 
-    def record_failure(self, requested_at: float, now: float, *, silent: bool) -> bool:
+    def record_failure(
+        self, requested_at: float, now: float, *, is_silent: bool
+    ) -> bool:
         """Record a call that failed at ``now``; return whether it begins an outage.
 
         ``silent`` means that nothing was received, however long the call lasted.
         """
         if self._began_at is not None:
             return False
-        if now - requested_at > MAX_REFUSAL_S and not silent:
+        if now - requested_at > MAX_REFUSAL_S and not is_silent:
             self._began_at = now
         else:
             self._began_at = (
--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -180,7 +180,7 @@
 
     def _record_failure(self, error: PlatformError, began: float) -> None:
         silent = isinstance(error, Unavailable) and error.silent
-        if self._outage.record_failure(began, monotonic(), silent=silent):
+        if self._outage.record_failure(began, monotonic(), is_silent=silent):
             log.warning("store-lost", kind=self._handler.kind, why=str(error))
 
 
--- a/src/kingcupwheel/lockstep/daemon.py
+++ b/src/kingcupwheel/lockstep/daemon.py
@@ -128,7 +128,7 @@
         """Apply the settings that may change at run time."""
         log.info("reloaded", log_level=settings.log_level.value)
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, requested_at: float | None = None) -> None:
         """Finish the change in progress, so that no pass stays held, then stop."""
         log.info("leaving")
         self._coordinator.stop()
