--- a/src/kingcupwheel/agent/adapters/base.py
+++ b/src/kingcupwheel/agent/adapters/base.py
@@ -29,7 +29,7 @@
 class AnswerLost(NamedTuple):
     """The request was sent and its answer is missing or truncated.
 
-    ``has_server_died`` is True if the server process has exited or restarted since.
+    ``has_server_crashed`` is True if the server process has exited or restarted since.
     """
 
     detail: str
--- a/src/kingcupwheel/agent/adapters/service.py
+++ b/src/kingcupwheel/agent/adapters/service.py
@@ -110,11 +110,13 @@
         )
 
     def build_answer_lost(self, error: AnswerLost | SilenceTimeout) -> AnswerLost:
-        """Return why the answer was lost, and whether the service process died."""
+        """Return why the answer was lost, and whether the service crashed."""
         if isinstance(error, SilenceTimeout):
             return AnswerLost("server silent", has_server_crashed=False)
         connected = connect(self._server, Cancellation())
         if connected.is_error():
-            return error._replace(has_server_died=connected.error.is_connection_refused)
+            return error._replace(
+                has_server_crashed=connected.error.is_connection_refused
+            )
         connected.ok.close()
         return error
--- a/src/kingcupwheel/agent/crash_table.py
+++ b/src/kingcupwheel/agent/crash_table.py
@@ -16,8 +16,8 @@
 # Clears requests that merely ran beside the one at fault; that one is sent again and
 # counted again.
 _RETENTION_S = 600.0
-# Entries keep the crashes that they were told. Reporting one for the whole retention
-# time would add kilobytes to each heartbeat for ten minutes.
+# Entries keep the crashes that are reported to them. Reporting one for the whole
+# retention time would add kilobytes to each heartbeat for ten minutes.
 HEARTBEAT_REPORT_S = 15.0
 
 
--- a/src/kingcupwheel/agent/entry_links.py
+++ b/src/kingcupwheel/agent/entry_links.py
@@ -52,7 +52,7 @@
         ]
 
     def list_older_links(self, link: Link) -> list[Link]:
-        """Return the other links of the entry whose name came on ``link``."""
+        """Return the other links of the entry whose name arrived on ``link``."""
         entry_link = self._by_link.get(link)
         if entry_link is None or not entry_link.entry_name:
             return []
--- a/src/kingcupwheel/agent/manifest_follower.py
+++ b/src/kingcupwheel/agent/manifest_follower.py
@@ -67,7 +67,7 @@
 
     @property
     def version(self) -> int:
-        """The manifest version in force, 0 before the first one."""
+        """The current manifest version, 0 before the first one."""
         return self._synchronizer.version
 
     @property
--- a/src/kingcupwheel/console/daemon_runner.py
+++ b/src/kingcupwheel/console/daemon_runner.py
@@ -105,8 +105,8 @@
     def stop(self, requested_at: float | None = None) -> None:
         """Stop, and return once all work in progress has ended.
 
-        ``asked_at`` is the time of the stop signal (monotonic), by default now. The
-        signal may have come before ``start`` returned.
+        ``requested_at`` is the time of the stop signal (monotonic), by default now. The
+        signal may have arrived before ``start`` returned.
         """
 
     def reload(self, settings: Settings) -> None:
--- a/src/kingcupwheel/forwarding/admission.py
+++ b/src/kingcupwheel/forwarding/admission.py
@@ -31,6 +31,7 @@
 # Retry delay for callers of an entry whose configuration is missing or outdated. The
 # entry reads the store again within that time.
 _STALE_RETRY_AFTER_S = 0.3
+# The colon, the space and the line end of one header.
 _HEADER_OVERHEAD_BYTES = 4
 
 
@@ -76,17 +77,17 @@
     if route is None:
         return _denial_if_fresh(NO_ROUTE, snapshot)
     head = read_request_headers(received.headers)
-    organisation_key: KeyHolder | None = None
+    key_holder: KeyHolder | None = None
     if configuration.has_organisations and not route.allows_anonymous:
         if snapshot.age_s > snapshot.max_age_with_key_s:
             return _refusal_of_stale_key(snapshot)
-        organisation_key = configuration.find_key_holder(head.api_key)
-        if organisation_key is None:
+        key_holder = configuration.find_key_holder(head.api_key)
+        if key_holder is None:
             return _denial_if_fresh(API_KEY_UNKNOWN, snapshot)
-    organisation = "" if organisation_key is None else organisation_key.organisation
+    organisation = "" if key_holder is None else key_holder.organisation
     priority = route.priority
-    if organisation_key is not None and organisation_key.priority is not None:
-        priority = organisation_key.priority
+    if key_holder is not None and key_holder.priority is not None:
+        priority = key_holder.priority
     return ForwardRequest(
         id=received.id,
         route=route,
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -217,7 +217,7 @@
         aborted. New requests are therefore accepted while they can end in time, each on
         a connection that is closed after its answer, and refused afterwards.
 
-        The grace period starts at ``asked_at`` (monotonic), by default now.
+        The grace period starts at ``requested_at`` (monotonic), by default now.
         """
         began = monotonic() if requested_at is None else requested_at
         schedule = ShutdownSchedule(began, self._forwarding.grace_s)
@@ -262,10 +262,10 @@
         self._metrics.live_entries.set(len(self._membership.live_entries()))
 
     def _on_server_list(
-        self, backends: tuple[Backend, ...], gone: tuple[Backend, ...]
+        self, backends: tuple[Backend, ...], removed: tuple[Backend, ...]
     ) -> None:
         self._context.server_registry.set_listed(backends)
-        for backend in gone:
+        for backend in removed:
             self._context.connection_pool.close_server(backend.incarnation)
             self._context.liveness.remove_server(backend.instance)
             if not backend.is_leaving and not self._context.server_registry.is_leaving(
--- a/src/kingcupwheel/forwarding/outage.py
+++ b/src/kingcupwheel/forwarding/outage.py
@@ -30,7 +30,7 @@
     ) -> bool:
         """Record a call that failed at ``now``; return whether it begins an outage.
 
-        ``silent`` means that nothing was received, however long the call lasted.
+        ``is_silent`` means that nothing was received, however long the call lasted.
         """
         if self._began_at is not None:
             return False
--- a/src/kingcupwheel/forwarding/server_list.py
+++ b/src/kingcupwheel/forwarding/server_list.py
@@ -115,11 +115,13 @@
         write them again up to two seconds after it. Symptom: a whole service has no
         server for that long, although all of them run.
         """
-        gone, self._replaced = self._replaced, []
+        removed, self._replaced = self._replaced, []
         if monotonic() >= self._removals_held_until:
             for name in tuple(self._missing_since_by_instance):
                 del self._missing_since_by_instance[name]
-                gone.append(self._by_instance.pop(name))
-        for backend in gone:
-            log.info("server-gone", server=backend.incarnation, address=backend.address)
-        self._on_change(tuple(self._by_instance.values()), tuple(gone))
+                removed.append(self._by_instance.pop(name))
+        for backend in removed:
+            log.info(
+                "server-removed", server=backend.incarnation, address=backend.address
+            )
+        self._on_change(tuple(self._by_instance.values()), tuple(removed))
--- a/src/kingcupwheel/forwarding/store_watcher.py
+++ b/src/kingcupwheel/forwarding/store_watcher.py
@@ -179,8 +179,8 @@
         self._outage.record_success(began)
 
     def _record_failure(self, error: PlatformError, began: float) -> None:
-        silent = isinstance(error, Unavailable) and error.silent
-        if self._outage.record_failure(began, monotonic(), is_silent=silent):
+        is_silent = isinstance(error, Unavailable) and error.silent
+        if self._outage.record_failure(began, monotonic(), is_silent=is_silent):
             log.warning("store-lost", kind=self._handler.kind, why=str(error))
 
 
--- a/src/kingcupwheel/messages/membership.py
+++ b/src/kingcupwheel/messages/membership.py
@@ -42,7 +42,7 @@
     agent's clock; a dispatch with an old one is refused, which bounds how long
     tombstones are kept. ``crashed`` pairs the fingerprint of each request that was
     running when the server crashed with an id of the crash; pairs are repeated for a
-    while. ``born_ms`` is the server's start time (Unix milliseconds, 0 if unknown).
+    while. ``started_at_ms`` is the server's start (Unix milliseconds, 0 if unknown).
     """
 
     name: str
@@ -55,7 +55,7 @@
     server_up: bool
     manifest_version: int
     crashed: tuple[tuple[str, int], ...]
-    started_at_ms: int = 0
+    started_at_ms: int = msgspec.field(name="born_ms", default=0)
 
 
 class LoadsRequest(Message, frozen=True, tag="LoadsAsk"):
@@ -72,7 +72,8 @@
 class ReportedServerLoad(msgspec.Struct, frozen=True, array_like=True):
     """A server's load as last reported by its own agent.
 
-    ``address`` is the server's; ``born_ms`` identifies its incarnation (0 if unknown).
+    ``address`` is the server's; ``started_at_ms`` identifies its incarnation (0 if
+    unknown).
     The other fields are as in ``BackendLoad`` and ``AgentHeartbeat``.
     """
 
@@ -81,7 +82,7 @@
     queued: int
     pace: float
     up: bool
-    started_at_ms: int = 0
+    started_at_ms: int = msgspec.field(name="born_ms", default=0)
 
 
 class LoadsReply(Message, frozen=True, tag="LoadsTold"):
@@ -105,7 +106,7 @@
 
 
 class EntryInfo(Message, frozen=True, tag="EntryTold"):
-    """Name and addresses of an entry that the sender heard from or was told of."""
+    """Name and addresses of an entry that the sender knows."""
 
     name: str
     address: str
