--- a/src/kingcupwheel/forwarding/server_list.py
+++ b/src/kingcupwheel/forwarding/server_list.py
@@ -122,6 +122,6 @@
                 removed.append(self._by_instance.pop(name))
         for backend in removed:
             log.info(
-                "server-removed", server=backend.incarnation, address=backend.address
+                "server-gone", server=backend.incarnation, address=backend.address
             )
         self._on_change(tuple(self._by_instance.values()), tuple(removed))
