--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -64,7 +64,7 @@
     """Measure an idle entry that keeps links to ``links`` agent stand-ins."""
     with Fleet() as fleet:
         crowd = _start_crowd(fleet, "agents", str(links))
-        addresses = crowd.read_first_line().split()
+        addresses = crowd.read_line().split()
         entry = fleet.add_entry("entry-1", limits={"subset": links})
         for number, address in enumerate(addresses):
             fleet.register_instance(
@@ -78,7 +78,7 @@
     with Fleet() as fleet:
         agent = fleet.add_agent("agent-1", "group")
         crowd = _start_crowd(fleet, "entries", str(links), agent.address)
-        crowd.read_first_line()
+        crowd.read_line()
         return _measure_idle(agent.process, crowd, links)
 
 
@@ -126,7 +126,7 @@
 
 
 def _read_traffic(crowd: Process) -> TrafficCounts:
-    return TrafficCounts(*map(int, crowd.read_first_line().split()))
+    return TrafficCounts(*map(int, crowd.read_line().split()))
 
 
 def _read_latest_traffic(crowd: Process) -> TrafficCounts:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -118,7 +118,7 @@
         arguments = [module, "--port", str(port or self._ports.allocate()), *options]
         process = Process(name, arguments, self._folder_path / f"{name}.log")
         self.stand_ins[name] = process
-        return process, process.read_first_line()
+        return process, process.read_line()
 
     def add_agent(
         self,
@@ -165,8 +165,8 @@
             self._folder_path / f"{name}.log",
         )
         self.stand_ins[name] = process
-        relayed = process.read_first_line()
-        return process.read_first_line(), relayed
+        relayed = process.read_line()
+        return process.read_line(), relayed
 
     def start_ranks(self, ranks: int, experts: int) -> tuple[Process, list[str]]:
         """Start lock-stepped ranks; return their process and the address of each."""
@@ -175,7 +175,7 @@
             "ranks", ["tests.standins.ranks", *options], self._folder_path / "ranks.log"
         )
         self.stand_ins["ranks"] = process
-        return process, [process.read_first_line() for _ in range(ranks)]
+        return process, [process.read_line() for _ in range(ranks)]
 
     def get_json(self, address: str, path: str) -> Any:
         """Return the decoded response to a GET request."""
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -113,7 +113,7 @@
         """Whether the process has not ended; true for a paused one."""
         return self._popen.poll() is None
 
-    def read_first_line(self) -> str:
+    def read_line(self) -> str:
         """Return the next line of standard output, such as a stand-in's address."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline().decode().strip()
