--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -116,7 +116,7 @@
 
 
 @when("{seconds:g} s pass")
-def wait(context: Any, seconds: float) -> None:
+def sleep_for(context: Any, seconds: float) -> None:
     """Give a fault time to act; checks wait for conditions instead."""
     time.sleep(seconds)
 
