--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -198,7 +198,7 @@
 
 
 @when("agent {name} has ended")
-def wait_for_agent(context: Any, name: str) -> None:
+def wait_for_agent_exit(context: Any, name: str) -> None:
     """Wait for the agent's graceful stop."""
     assert context.world.fleet.agents[name].process.wait() == 0
 
