--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -66,7 +66,7 @@
         self._temporary_directory = tempfile.TemporaryDirectory(prefix="kingcupwheel-")
         self._folder_path = Path(self._temporary_directory.name)
         self._timings = timings or {}
-        self._ports = PortAllocator()
+        self._port_allocator = PortAllocator()
         self._http = urllib3.PoolManager(retries=False, timeout=10.0)
         self.entries: dict[str, Entry] = {}
         self.agents: dict[str, Agent] = {}
@@ -89,7 +89,7 @@
         """Kill every process and delete the fleet's files."""
         for process in self.processes:
             process.kill()
-        self._ports.close()
+        self._port_allocator.close()
         self._temporary_directory.cleanup()
 
     @property
@@ -115,7 +115,12 @@
 
         A restarted server needs its previous ``port``.
         """
-        arguments = [module, "--port", str(port or self._ports.allocate()), *options]
+        arguments = [
+            module,
+            "--port",
+            str(port or self._port_allocator.allocate()),
+            *options,
+        ]
         process = Process(name, arguments, self._folder_path / f"{name}.log")
         self.stand_ins[name] = process
         return process, process.read_line()
@@ -138,7 +143,7 @@
         """
         module = f"tests.standins.{kind}"
         server, server_address = self.start_stand_in(f"{name}-server", module, *options)
-        address = f"127.0.0.1:{self._ports.allocate()}"
+        address = f"127.0.0.1:{self._port_allocator.allocate()}"
         settings = self._build_settings(name, "agent", address, data_centre)
         settings["group"] = group
         settings["server"] = {
@@ -230,15 +235,15 @@
 
         ``platform`` overrides the platform's address, such as by that of a relay.
         """
-        address = f"127.0.0.1:{self._ports.allocate()}"
-        http = f"127.0.0.1:{self._ports.allocate()}"
+        address = f"127.0.0.1:{self._port_allocator.allocate()}"
+        http = f"127.0.0.1:{self._port_allocator.allocate()}"
         settings = self._build_settings(name, "entry", address, data_centre)
         settings["http"] = http
         settings["seeds"] = list(seeds)
         settings["entry"] = limits or {}
         if platform:
             settings["platform"] = {"url": f"http://{platform}"}
-        operators = f"127.0.0.1:{self._ports.allocate()}"
+        operators = f"127.0.0.1:{self._port_allocator.allocate()}"
         settings["operator_http"] = operators
         process = self._start_daemon(name, "entry", settings)
         entry = Entry(process, http, address, operators)
