--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -121,41 +121,41 @@
     time.sleep(seconds)
 
 
-@when("entry {name} is {deed}")
-def change_entry_process(context: Any, name: str, deed: str) -> None:
+@when("entry {name} is {action}")
+def change_entry_process(context: Any, name: str, action: str) -> None:
     """Kill, pause, resume, stop or restart an entry."""
     world = context.world
-    if deed == "restarted":
+    if action == "restarted":
         world.fleet.entries[name].process.kill()
         world.fleet.restart_entry(name)
         return
-    _apply_action(world.fleet.entries[name].process, deed)
+    _apply_action(world.fleet.entries[name].process, action)
 
 
-@when("agent {name} is {deed}")
-def change_agent_process(context: Any, name: str, deed: str) -> None:
+@when("agent {name} is {action}")
+def change_agent_process(context: Any, name: str, action: str) -> None:
     """Kill, pause, resume, stop or restart an agent."""
     world = context.world
-    if deed == "restarted":
+    if action == "restarted":
         world.fleet.agents[name].process.kill()
         world.fleet.restart_agent(name)
         return
-    _apply_action(world.fleet.agents[name].process, deed)
+    _apply_action(world.fleet.agents[name].process, action)
 
 
-@when("the server of {name} is {deed}")
-def change_server_process(context: Any, name: str, deed: str) -> None:
+@when("the server of {name} is {action}")
+def change_server_process(context: Any, name: str, action: str) -> None:
     """Kill or restart the backend server beside an agent."""
     agent = context.world.fleet.agents[name]
-    if deed == "restarted":
+    if action == "restarted":
         agent.server.kill()
         context.world.fleet.restart_server(name)
         return
-    _apply_action(agent.server, deed)
+    _apply_action(agent.server, action)
 
 
-def _apply_action(process: Any, deed: str) -> None:
-    match deed:
+def _apply_action(process: Any, action: str) -> None:
+    match action:
         case "killed":
             process.kill()
         case "paused":
@@ -165,7 +165,7 @@
         case "told to stop":
             process.terminate()
         case _:
-            raise AssertionError(deed)
+            raise AssertionError(action)
 
 
 @when("the relay of {name} is set to {mode}")
--- a/features/steps/traces.py
+++ b/features/steps/traces.py
@@ -15,15 +15,15 @@
 EXIT_INCOMPLETE = 7
 
 
-@when('every process of "{name}" is {deed}')
-def end_processes(context: Any, name: str, deed: str) -> None:
+@when('every process of "{name}" is {action}')
+def end_processes(context: Any, name: str, action: str) -> None:
     """Stop all entries and agents, gracefully or by SIGKILL."""
     fleet = context.world.fleet
     processes = [
         daemon.process for daemon in (*fleet.entries.values(), *fleet.agents.values())
     ]
     for process in processes:
-        if deed == "killed":
+        if action == "killed":
             process.kill()
         else:
             process.terminate()
