--- a/src/kingcupwheel/burn/report_page.py
+++ b/src/kingcupwheel/burn/report_page.py
@@ -78,7 +78,8 @@
     classes = row_classes or [""] * len(rows)
     lines = [_render_row("th", columns, "")]
     lines += [
-        _render_row("td", row, mark) for row, mark in zip(rows, classes, strict=True)
+        _render_row("td", row, css_class)
+        for row, css_class in zip(rows, classes, strict=True)
     ]
     return "<table>" + "\n".join(lines) + "</table>"
 
--- a/src/kingcupwheel/burn/report_text.py
+++ b/src/kingcupwheel/burn/report_text.py
@@ -33,9 +33,9 @@
 
 def format_report(report: BurnReport) -> str:
     """Return the report as text."""
-    at = f"{format_utc(report.created_at)} UTC"
+    created_at = f"{format_utc(report.created_at)} UTC"
     blocks = [
-        f"Service-level burn over {len(report.entries)} entries at {at}",
+        f"Service-level burn over {len(report.entries)} entries at {created_at}",
         "\n".join(list_notes(report)),
         "Burn rate (1 uses up the budget exactly):\n"
         + format_table(BURN_COLUMNS, build_burn_rows(report)),
--- a/src/kingcupwheel/trace/batch_shipper.py
+++ b/src/kingcupwheel/trace/batch_shipper.py
@@ -39,7 +39,7 @@
 _SWEEP_INTERVAL_S = 6 * 3600.0
 _MAX_FIRST_SWEEP_DELAY_S = 1800.0
 # A graceful stop must not hang while the platform is down. Events not written by then
-# are lost_count; timelines report the missing batch.
+# are lost; timelines report the missing batch.
 _FLUSH_TIMEOUT_S = 3.0
 
 
--- a/src/kingcupwheel/trace/batches.py
+++ b/src/kingcupwheel/trace/batches.py
@@ -87,8 +87,8 @@
     """Return the components of ``key``, or None if it is not a batch key."""
     try:
         _, process, _, span = key.split("/")
-        since, until, life, part = span.split("-")
-        return BatchName(process, int(since), int(until), life, int(part))
+        since, until, incarnation, part_number = span.split("-")
+        return BatchName(process, int(since), int(until), incarnation, int(part_number))
     except ValueError:
         return None
 
--- a/src/kingcupwheel/trace/event_descriptions.py
+++ b/src/kingcupwheel/trace/event_descriptions.py
@@ -89,8 +89,8 @@
             return _describe_placed(placed)
         case AttemptDispatched(server, attempt):
             return f"Sent to {server} as attempt {attempt}."
-        case AttemptRetried(attempt, why):
-            return f"Attempt {attempt} came to nothing: {why}. Another follows."
+        case AttemptRetried(attempt, reason):
+            return f"Attempt {attempt} came to nothing: {reason}. Another follows."
     return None
 
 
@@ -118,10 +118,10 @@
                 else ""
             )
             return f"First byte of {server}'s answer (attempt {attempt}){since}."
-        case AttemptResumed(server, attempt, offset, why):
+        case AttemptResumed(server, attempt, offset, reason):
             return (
                 f"Took attempt {attempt} on {server} up again at byte {offset:,}: "
-                f"{why}."
+                f"{reason}."
             )
         case ServerDied(server, fingerprint, deaths):
             return (
--- a/src/kingcupwheel/trace/log_timeline.py
+++ b/src/kingcupwheel/trace/log_timeline.py
@@ -52,8 +52,8 @@
         if not events & _FINAL_EVENTS:
             gaps.append("its end: the process died, or later lines are not here")
         if "finished" in events and "placed" not in events:
-            refused = [one for one in self.lines if one.event == "finished"]
-            if refused[-1].fields.get("ran"):
+            finished = [line for line in self.lines if line.event == "finished"]
+            if finished[-1].fields.get("ran"):
                 gaps.append("where it was placed")
         if any(line.event == "lines-dropped" for line in self.beliefs):
             gaps.append("lines that were dropped near it, see below")
@@ -61,7 +61,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the lines line, or None if it has another format.
+    """Return the decoded line, or None if it has another format.
 
     A prefix before the JSON object, such as a log collector's timestamp, is skipped.
     """
@@ -69,12 +69,12 @@
     if start < 0:
         return None
     try:
-        found = msgspec.json.decode(text[start:])
-        at, process = float(found.pop("t")), str(found.pop("process"))
-        part, event = str(found.pop("part")), str(found.pop("event"))
+        fields = msgspec.json.decode(text[start:])
+        at, process = float(fields.pop("t")), str(fields.pop("process"))
+        part, event = str(fields.pop("part")), str(fields.pop("event"))
     except (msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError):
         return None
-    return LogLine(at, process, part, event, found)
+    return LogLine(at, process, part, event, fields)
 
 
 def build_log_timeline(request_id: str, texts: Iterable[str]) -> LogTimeline:
@@ -110,8 +110,8 @@
     # An id that a caller reuses while its request is in progress gets a "~n" suffix.
     prefix = f"{request_id}~"
     for line in lines:
-        found = str(line.fields.get("id", ""))
-        if found == request_id or found.startswith(prefix):
+        line_id = str(line.fields.get("id", ""))
+        if line_id == request_id or line_id.startswith(prefix):
             yield line
 
 
--- a/src/kingcupwheel/trace/outbox.py
+++ b/src/kingcupwheel/trace/outbox.py
@@ -109,19 +109,21 @@
         Past ``MAX_OUTBOX_BYTES`` the oldest batches are dropped; the next batch written
         reports the loss.
         """
-        lost = drained.lost_count
-        if lost:
-            self._record_loss(drained.since, drained.until, lost, "no room in memory")
+        lost_count = drained.lost_count
+        if lost_count:
+            self._record_loss(
+                drained.since, drained.until, lost_count, "no room in memory"
+            )
         if drained.encoded_events:
             self._append_events(drained)
         while self.pending_bytes > MAX_OUTBOX_BYTES and self._pending:
             oldest = self._pending.popleft().batch
             self._pending_bytes -= len(oldest.compressed_events)
-            lost += oldest.event_count
+            lost_count += oldest.event_count
             self._record_loss(
                 oldest.since, oldest.until, oldest.event_count, "platform out of reach"
             )
-        return lost
+        return lost_count
 
     def schedule_deletions(self, names: Iterable[BatchName]) -> None:
         """Delete these batches, of other incarnations or processes, once expired."""
--- a/src/kingcupwheel/trace/timeline.py
+++ b/src/kingcupwheel/trace/timeline.py
@@ -86,43 +86,43 @@
 
 def build_timeline(request_id: str, traces: Iterable[ProcessTrace]) -> RequestTimeline:
     """Return the timeline of ``traces``, one for each process."""
-    kept = tuple(traces)
+    process_traces = tuple(traces)
     parsed = parse_request_id(request_id)
     entry = parsed.entry if parsed else ""
-    events = merge_events(entry, tuple(trace.events for trace in kept))
+    events = merge_events(entry, tuple(trace.events for trace in process_traces))
     received = _find_received(events)
     final_outcomes = _list_final_outcomes(events, entry)
-    state = _determine_state(kept, final_outcomes, entry)
+    state = _determine_state(process_traces, final_outcomes, entry)
     return RequestTimeline(
         request_id=request_id,
         state=state,
         outcome=final_outcomes[0].outcome if state is OutcomeState.FINISHED else "",
         reason=final_outcomes[0].reason if state is OutcomeState.FINISHED else "",
-        manifest_version=_manifest_version(received),
+        manifest_version=_get_manifest_version(received),
         lines=_build_lines(events, entry, received.recorded_at if received else None),
         gaps=(
             *_describe_outcome_gaps(state, events, final_outcomes, entry),
-            *_list_gaps(kept),
+            *_list_gaps(process_traces),
         ),
-        traces=kept,
+        traces=process_traces,
     )
 
 
 def list_servers(events: Iterable[TraceEvent]) -> tuple[str, ...]:
     """Return the servers that the request was placed on or sent to, in order."""
-    named = {
+    servers = {
         event.event.server: None
         for event in events
         if isinstance(event.event, RequestPlaced | AttemptDispatched)
     }
-    return tuple(named)
+    return tuple(servers)
 
 
 def _find_received(events: list[TraceEvent]) -> TraceEvent | None:
     return next((e for e in events if isinstance(e.event, RequestReceived)), None)
 
 
-def _manifest_version(received: TraceEvent | None) -> int | None:
+def _get_manifest_version(received: TraceEvent | None) -> int | None:
     if received is None or not isinstance(received.event, RequestReceived):
         return None
     return received.event.manifest_version
@@ -181,8 +181,12 @@
 ) -> tuple[str, ...]:
     match state:
         case OutcomeState.CONTRADICTORY:
-            words = " and ".join(ending.outcome for ending in final_outcomes)
-            return (f"{entry} recorded {len(final_outcomes)} final outcomes: {words}.",)
+            outcomes = " and ".join(
+                final_outcome.outcome for final_outcome in final_outcomes
+            )
+            return (
+                f"{entry} recorded {len(final_outcomes)} final outcomes: {outcomes}.",
+            )
         case OutcomeState.OUTCOME_MISSING:
             return (
                 f"What {entry} told the caller is missing. "
@@ -193,12 +197,18 @@
 
 
 def _describe_last_attempt(events: list[TraceEvent]) -> str:
-    ended = [event for event in events if isinstance(event.event, RequestFinished)]
-    if not ended:
+    finished_events = [
+        event for event in events if isinstance(event.event, RequestFinished)
+    ]
+    if not finished_events:
         return "No process recorded an end of the work."
-    last = ended[-1]
-    outcome = last.event.outcome if isinstance(last.event, RequestFinished) else ""
-    return f"{last.process} recorded that its attempt ended as {outcome}."
+    last_event = finished_events[-1]
+    outcome = (
+        last_event.event.outcome
+        if isinstance(last_event.event, RequestFinished)
+        else ""
+    )
+    return f"{last_event.process} recorded that its attempt ended as {outcome}."
 
 
 def _list_gaps(traces: tuple[ProcessTrace, ...]) -> tuple[str, ...]:
--- a/src/kingcupwheel/trace/timeline_finder.py
+++ b/src/kingcupwheel/trace/timeline_finder.py
@@ -247,21 +247,26 @@
     if _has_end(events, requires_start=process == entry):
         return ()
     if reply is None:
-        why = f"{process} does not answer"
+        explanation = f"{process} does not answer"
     else:
-        why = f"{process} does not hold all of it (restarted, or it is too long ago)"
+        explanation = (
+            f"{process} does not hold all of it (restarted, or it is too long ago)"
+        )
     if stored.problem:
-        batches = stored.problem
+        coverage = stored.problem
     elif stored.covered_until:
-        batches = f"its batches reach to Unix second {stored.covered_until}"
+        coverage = f"its batches reach to Unix second {stored.covered_until}"
     else:
-        batches = "it left no batches of that time"
-    lost = tuple(
+        coverage = "it left no batches of that time"
+    loss_reports = tuple(
         f"{process} says that it lost {loss.event_count} events between Unix seconds "
         f"{loss.since:.0f} and {loss.until:.0f}: {loss.reason}."
         for loss in stored.losses
     )
-    return (f"Part of {process}'s account may be missing: {why}, and {batches}.", *lost)
+    return (
+        f"Part of {process}'s account may be missing: {explanation}, and {coverage}.",
+        *loss_reports,
+    )
 
 
 def _get_finish_time(events: tuple[TraceEvent, ...]) -> float | None:
