--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -9,11 +9,11 @@
 from behave import given
 from behave import then
 from behave import when
-from features.world import COMPLETIONS
-from features.world import KEY
-from features.world import RESERVATIONS
+from features.world import API_KEY
+from features.world import COMPLETIONS_PATH
+from features.world import RESERVATIONS_PATH
 from features.world import BackgroundLoad
-from tests.standins.engine_answers import streamed_answer
+from tests.standins.engine_answers import build_streamed_answer
 from tools.processes import wait_until
 
 
@@ -24,7 +24,7 @@
 def start_reservation(context: Any, name: str, part: str, entry: str, key: str) -> None:
     """Start a request that may not be repeated."""
     body = {"part": part}
-    context.world.start_call(name, entry, RESERVATIONS, body, idempotency_key=key)
+    context.world.start_call(name, entry, RESERVATIONS_PATH, body, idempotency_key=key)
 
 
 @when(
@@ -37,7 +37,7 @@
     context.world.start_call(
         name,
         entry,
-        RESERVATIONS,
+        RESERVATIONS_PATH,
         {"part": part},
         idempotency_key=key,
         headers={"Kingcupwheel-Deadline": str(seconds)},
@@ -48,7 +48,7 @@
 def start_stream(context: Any, name: str, tokens: int, entry: str) -> None:
     """Start a streamed completion."""
     body = {"prompt": name, "max_tokens": tokens, "stream": True}
-    context.world.start_call(name, entry, COMPLETIONS, body)
+    context.world.start_call(name, entry, COMPLETIONS_PATH, body)
 
 
 @when('"{name}" completes "{prompt}" at {entry} with key "{key}"')
@@ -57,7 +57,7 @@
 ) -> None:
     """Start a completion without streaming, under an idempotency key."""
     body = {"prompt": prompt, "max_tokens": 5}
-    context.world.start_call(name, entry, COMPLETIONS, body, idempotency_key=key)
+    context.world.start_call(name, entry, COMPLETIONS_PATH, body, idempotency_key=key)
 
 
 @when('{count:d} streams "{prefix}" of {tokens:d} tokens are spread over the entries')
@@ -134,9 +134,9 @@
     body = {"prompt": "left", "max_tokens": tokens, "stream": True}
     response = urllib3.PoolManager(retries=False, timeout=20.0).request(
         "POST",
-        f"http://{context.world.get_caller_address(entry)}{COMPLETIONS}",
+        f"http://{context.world.get_caller_address(entry)}{COMPLETIONS_PATH}",
         body=json.dumps(body),
-        headers={"Authorization": f"Bearer {KEY}"},
+        headers={"Authorization": f"Bearer {API_KEY}"},
         preload_content=False,
     )
     assert response.read1()
@@ -184,7 +184,7 @@
 def check_tokens(context: Any, name: str, tokens: int) -> None:
     """Check the whole stream byte by byte."""
     check_complete(context, name)
-    expected = streamed_answer(name, tokens)
+    expected = build_streamed_answer(name, tokens)
     assert context.world.require_reply(name).body == expected, (
         context.world.wait_for_reply(name)
     )
--- a/features/steps/expert_maps.py
+++ b/features/steps/expert_maps.py
@@ -9,14 +9,14 @@
 from behave import given
 from behave import then
 from behave import when
-from features.world import COMPLETIONS
-from features.world import KEY
+from features.world import API_KEY
+from features.world import COMPLETIONS_PATH
 from features.world import World
 from features.world import build_manifest
 from tools.processes import wait_until
 
 
-GROUP = "parts-model"
+GROUP_NAME = "parts-model"
 EXPERT_COUNT = 12
 MAP_CHANGE_TIMEOUT_S = 60.0
 STEP_TIMEOUT_S = 30.0
@@ -32,14 +32,14 @@
     for rank, address in enumerate(addresses):
         world.fleet.add_agent(
             f"engine-{rank}",
-            GROUP,
+            GROUP_NAME,
             server_settings={"rank": rank, "rank_url": f"http://{address}"},
         )
     world.fleet.add_entry("entry-1")
     submitted = world.fleet.submit_manifest(_build_manifest(ranks))
     assert submitted.returncode == 0, submitted.stderr
     world.fleet.wait_until_serving(
-        KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+        API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
     )
     wait_until(
         lambda: _fetch_step_record(context)["steps"] > 0,
@@ -116,7 +116,7 @@
     fleet = context.world.fleet
 
     def holder() -> str:
-        held = fleet.get_object(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP_NAME}")
         return "" if held is None else str(msgspec.json.decode(held)["holder"])
 
     wait_until(lambda: holder() in fleet.agents, "a lease holder", MAP_CHANGE_TIMEOUT_S)
@@ -162,7 +162,7 @@
     fleet = context.world.fleet
 
     def has_successor() -> bool:
-        held = fleet.get_object(f"leases/{GROUP}")
+        held = fleet.get_object(f"leases/{GROUP_NAME}")
         if held is None:
             return False
         holder = str(msgspec.json.decode(held)["holder"])
--- a/features/world.py
+++ b/features/world.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from tests.standins.engine_answers import streamed_answer
+from tests.standins.engine_answers import build_streamed_answer
 from tools.caller import Caller
 from tools.caller import ConnectionFailure
 from tools.caller import Reply
@@ -15,10 +15,10 @@
 from tools.fleet import compute_key_digest
 
 
-KEY = "scenario-key"
-OTHER_KEY = "other-scenario-key"
-COMPLETIONS = "/v1/completions"
-RESERVATIONS = "/v1/reservations"
+API_KEY = "scenario-key"
+OTHER_API_KEY = "other-scenario-key"
+COMPLETIONS_PATH = "/v1/completions"
+RESERVATIONS_PATH = "/v1/reservations"
 ANSWER_TIMEOUT_S = 60.0
 # Shorter than in production so that a scenario takes seconds; the ratios are kept.
 TIMINGS = {
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.fleet = Fleet(TIMINGS)
         self.fleet.__enter__()
-        self.caller = Caller(KEY, timeout_s=ANSWER_TIMEOUT_S)
+        self.caller = Caller(API_KEY, timeout_s=ANSWER_TIMEOUT_S)
         self.replies_by_name: dict[str, CallResult] = {}
         self.replies: list[CallResult] = []
         self._pool = ThreadPoolExecutor(64)
@@ -146,11 +146,11 @@
     def _call_entry(self, entry: str, prompt: str) -> None:
         address = self._world.fleet.entries[entry].caller_address
         body = {"prompt": prompt, "max_tokens": self._token_count, "stream": True}
-        reply = self._world.caller.call(address, COMPLETIONS, body)
+        reply = self._world.caller.call(address, COMPLETIONS_PATH, body)
         if isinstance(reply, ConnectionFailure) or reply.status == 503:
             # Like a real caller, retry at another address after a short delay.
             time.sleep(0.05)
-        self.results.append((reply, streamed_answer(prompt, self._token_count)))
+        self.results.append((reply, build_streamed_answer(prompt, self._token_count)))
 
     def set_entries(self, entries: list[str]) -> None:
         """Send new calls to these entries, as service discovery would tell callers."""
@@ -168,15 +168,15 @@
     """Return the scenarios' manifest: an engine group and a service group."""
     return {
         "organisations": [
-            {"name": "agency", "key_digests": [compute_key_digest(KEY)]},
-            {"name": "other", "key_digests": [compute_key_digest(OTHER_KEY)]},
+            {"name": "agency", "key_digests": [compute_key_digest(API_KEY)]},
+            {"name": "other", "key_digests": [compute_key_digest(OTHER_API_KEY)]},
         ],
         "groups": [
             {"name": "parts-model", "kind": "engine", "concurrency": 16},
             {"name": "portal", "kind": "service", "concurrency": 16},
         ],
         "routes": [
-            {"path": COMPLETIONS, "group": "parts-model"},
-            {"path": RESERVATIONS, "group": "portal", "repeatable": False},
+            {"path": COMPLETIONS_PATH, "group": "parts-model"},
+            {"path": RESERVATIONS_PATH, "group": "portal", "repeatable": False},
         ],
     }
