--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -7,8 +7,8 @@
 
 from behave import given
 from behave import when
-from features.world import COMPLETIONS
-from features.world import KEY
+from features.world import API_KEY
+from features.world import COMPLETIONS_PATH
 from features.world import World
 from features.world import build_manifest
 
@@ -70,7 +70,7 @@
     assert submitted.returncode == 0, submitted.stderr
     if engines:
         world.fleet.wait_until_serving(
-            KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+            API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
         )
     else:
         world.fleet.wait_until_configured()
@@ -116,46 +116,46 @@
 
 
 @when("{seconds:g} s pass")
-def wait(context: Any, seconds: float) -> None:
+def sleep_for(context: Any, seconds: float) -> None:
     """Give a fault time to act; checks wait for conditions instead."""
     time.sleep(seconds)
 
 
-@when("entry {name} is {deed}")
-def change_entry_process(context: Any, name: str, deed: str) -> None:
+@when("entry {name} is {action}")
+def change_entry_process(context: Any, name: str, action: str) -> None:
     """Kill, pause, resume, stop or restart an entry."""
     world = context.world
-    if deed == "restarted":
+    if action == "restarted":
         world.fleet.entries[name].process.kill()
         world.fleet.restart_entry(name)
         return
-    _apply_action(world.fleet.entries[name].process, deed)
+    _apply_action(world.fleet.entries[name].process, action)
 
 
-@when("agent {name} is {deed}")
-def change_agent_process(context: Any, name: str, deed: str) -> None:
+@when("agent {name} is {action}")
+def change_agent_process(context: Any, name: str, action: str) -> None:
     """Kill, pause, resume, stop or restart an agent."""
     world = context.world
-    if deed == "restarted":
+    if action == "restarted":
         world.fleet.agents[name].process.kill()
         world.fleet.restart_agent(name)
         return
-    _apply_action(world.fleet.agents[name].process, deed)
+    _apply_action(world.fleet.agents[name].process, action)
 
 
-@when("the server of {name} is {deed}")
-def change_server_process(context: Any, name: str, deed: str) -> None:
+@when("the server of {name} is {action}")
+def change_server_process(context: Any, name: str, action: str) -> None:
     """Kill or restart the backend server beside an agent."""
     agent = context.world.fleet.agents[name]
-    if deed == "restarted":
+    if action == "restarted":
         agent.server.kill()
         context.world.fleet.restart_server(name)
         return
-    _apply_action(agent.server, deed)
+    _apply_action(agent.server, action)
 
 
-def _apply_action(process: Any, deed: str) -> None:
-    match deed:
+def _apply_action(process: Any, action: str) -> None:
+    match action:
         case "killed":
             process.kill()
         case "paused":
@@ -165,7 +165,7 @@
         case "told to stop":
             process.terminate()
         case _:
-            raise AssertionError(deed)
+            raise AssertionError(action)
 
 
 @when("the relay of {name} is set to {mode}")
@@ -198,7 +198,7 @@
 
 
 @when("agent {name} has ended")
-def wait_for_agent(context: Any, name: str) -> None:
+def wait_for_agent_exit(context: Any, name: str) -> None:
     """Wait for the agent's graceful stop."""
     assert context.world.fleet.agents[name].process.wait() == 0
 
@@ -224,7 +224,7 @@
         assert world.fleet.entries[name].process.wait() == 0
         world.fleet.restart_entry(name)
         world.fleet.wait_until_serving(
-            KEY, COMPLETIONS, {"prompt": "ready", "max_tokens": 1}
+            API_KEY, COMPLETIONS_PATH, {"prompt": "ready", "max_tokens": 1}
         )
         world.background_load.set_entries(list(world.fleet.entries))
 
