--- a/src/kingcupwheel/forwarding/server_list.py
+++ b/src/kingcupwheel/forwarding/server_list.py
@@ -121,7 +121,5 @@
                 del self._missing_since_by_instance[name]
                 removed.append(self._by_instance.pop(name))
         for backend in removed:
-            log.info(
-                "server-gone", server=backend.incarnation, address=backend.address
-            )
+            log.info("server-gone", server=backend.incarnation, address=backend.address)
         self._on_change(tuple(self._by_instance.values()), tuple(removed))
