--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -20,7 +20,7 @@
     service: str
     address: str
     data_centre: str
-    places: int
+    capacity: int
     is_leaving: bool
     warmup_left_s: float
     created_revision: int
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -141,7 +141,7 @@
         """Record that a server rejected a request because it is full."""
         backend = self._current_backend(reservation)
         if backend is not None:
-            self._update_load(backend, _load(backend.places, 0), monotonic())
+            self._update_load(backend, _load(backend.capacity, 0), monotonic())
 
     def _current_backend(self, reservation: Reservation) -> Backend | None:
         """Return the reserved server, None if it has restarted since.
@@ -343,7 +343,7 @@
             if now - agent_at > _AGENT_REPORT_MAX_AGE_S:
                 server = self._server_table.find_by_address(address)
                 if server is not None:
-                    load = _load(min(server.current_in_flight, backend.places), 0)
+                    load = _load(min(server.current_in_flight, backend.capacity), 0)
                     self._update_load(backend, load, now)
         self._remove_old_notices(now)
         for service in self._groups_by_service:
@@ -356,7 +356,7 @@
         if current is None or current.incarnation != backend.incarnation:
             return
         load = msgspec.structs.replace(
-            reported, capacity=places_at_pace(backend.places, reported.pace)
+            reported, capacity=places_at_pace(backend.capacity, reported.pace)
         )
         self._server_table.record_heartbeat(
             backend.address, _heartbeat(backend, load, is_up=is_up), now
@@ -382,7 +382,7 @@
     places_by_service: dict[str, int] = {}
     for backend in backends:
         max_places = places_by_service.get(backend.service, 1)
-        places_by_service[backend.service] = max(max_places, backend.places)
+        places_by_service[backend.service] = max(max_places, backend.capacity)
     return {
         service: ServerGroup(
             name=service, concurrency=places, queue=MAX_QUEUED_REQUESTS
--- a/src/kingcupwheel/platform/server_entries.py
+++ b/src/kingcupwheel/platform/server_entries.py
@@ -60,7 +60,7 @@
             service=entry.service,
             address=entry.address,
             data_centre=entry.zone,
-            places=entry.slots,
+            capacity=entry.slots,
             is_leaving=entry.state == "draining" or stored.is_deleting,
             warmup_left_s=entry.cold_remaining_ms / _MS_PER_S,
             created_revision=stored.created_revision,
