--- a/src/kingcupwheel/forwarding/http_metadata.py
+++ b/src/kingcupwheel/forwarding/http_metadata.py
@@ -41,7 +41,7 @@
 
     running: int
     waiting: int
-    places: int
+    capacity: int
 
 
 class ServerNotice(NamedTuple):
