--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -356,14 +356,14 @@
         if current is None or current.incarnation != backend.incarnation:
             return
         load = msgspec.structs.replace(
-            reported, capacity=places_at_pace(backend.capacity, reported.pace)
+            reported, capacity=capacity_at_pace(backend.capacity, reported.pace)
         )
         self._server_table.record_heartbeat(
             backend.address, _heartbeat(backend, load, is_up=is_up), now
         )
 
 
-def places_at_pace(places: int, pace: float) -> int:
+def capacity_at_pace(places: int, pace: float) -> int:
     """Return the number of places of a server whose passes take ``pace`` times as long.
 
     All ranks of a group run each pass together, so the work of a slow rank delays every
