--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -34,8 +34,8 @@
 from kingcupwheel.forwarding.outcomes import RetryPolicy
 from kingcupwheel.forwarding.outcomes import may_retry
 from kingcupwheel.forwarding.outcomes import next_step
-from kingcupwheel.forwarding.queue_wait import NoPlace
 from kingcupwheel.forwarding.queue_wait import PlacementConstraints
+from kingcupwheel.forwarding.queue_wait import ReservationFailure
 from kingcupwheel.forwarding.queue_wait import wait_for_place
 from kingcupwheel.forwarding.streams import StreamRelay
 from kingcupwheel.forwarding.watchdog import AbortReason
@@ -291,12 +291,14 @@
                 return result
             self._release(result)
             retry_s = retry_after_s(self._request.id)
-            result = NoPlace(ENTRY_LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s)
-        if isinstance(result, NoPlace):
+            result = ReservationFailure(
+                ENTRY_LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s
+            )
+        if isinstance(result, ReservationFailure):
             return self._refusal_without_place(result)
         return result
 
-    def _refusal_without_place(self, no_place: NoPlace) -> Refusal:
+    def _refusal_without_place(self, no_place: ReservationFailure) -> Refusal:
         if self._counts.possibly_run:
             message = (
                 f"It was sent to a server, and no other took it: {no_place.reason}."
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -43,7 +43,7 @@
     data_centre: str
 
 
-class NoPlace(NamedTuple):
+class ReservationFailure(NamedTuple):
     """No server was reserved in time; ``limit`` names the limit that was reached."""
 
     limit: str
@@ -56,7 +56,7 @@
     request: ForwardRequest,
     watched: WatchedRequest,
     constraints: PlacementConstraints,
-) -> Reservation | NoPlace | Refusal:
+) -> Reservation | ReservationFailure | Refusal:
     """Return a reservation, why there is none, or the refusal if the caller left."""
     placement_request = PlacementRequest(
         work=request.predicted_work,
@@ -69,7 +69,7 @@
     )
     ticket = dispatcher.submit(_ticket_request(request), placement_request)
     if not isinstance(ticket, PlacementTicket):
-        return NoPlace(ticket.limit, ticket.detail, ticket.retry_after_s)
+        return ReservationFailure(ticket.limit, ticket.detail, ticket.retry_after_s)
     while True:
         result = ticket.wait(_POLL_INTERVAL_S)
         if isinstance(result, Reservation):
@@ -78,15 +78,17 @@
             dispatcher.release(result)
         elif result is not None:
             after_s = retry_after_s(request.id, result.backoff_left_s)
-            return NoPlace(result.reason, result.detail, after_s)
+            return ReservationFailure(result.reason, result.detail, after_s)
         if watched.is_over:
             dispatcher.withdraw(ticket)
             if watched.abort_reason is AbortReason.CALLER_LEFT:
                 return CALLER_LEFT
             if watched.abort_reason is AbortReason.SHUTDOWN:
                 reason = AbortReason.SHUTDOWN.value
-                return NoPlace(ENTRY_LEAVING.reason, reason, retry_after_s(request.id))
-            return NoPlace("time-up", "no place", retry_after_s(request.id))
+                return ReservationFailure(
+                    ENTRY_LEAVING.reason, reason, retry_after_s(request.id)
+                )
+            return ReservationFailure("time-up", "no place", retry_after_s(request.id))
         dispatcher.place_waiting()
 
 
