--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -112,7 +112,7 @@
         if schedule is None:
             return None
         now = monotonic()
-        deadline = request.deadlines.deadline
+        deadline = request.deadlines.deadline_at
         if not self._refuses_new and schedule.may_accept(
             now,
             deadline_at=deadline,
@@ -131,7 +131,7 @@
         if schedule is None:
             return True
         now = monotonic()
-        deadline = request.deadlines.deadline
+        deadline = request.deadlines.deadline_at
         return schedule.may_dispatch(
             now,
             deadline_at=deadline,
@@ -157,7 +157,7 @@
             return exchange.send_answer(RefusedAnswer(request), received.id)
         watched = WatchedRequest(
             exchange.socket,
-            request.deadlines.deadline,
+            request.deadlines.deadline_at,
             partial(self._may_dispatch, request),
         )
         self._context.watchdog.watch(watched)
--- a/src/kingcupwheel/forwarding/deadlines.py
+++ b/src/kingcupwheel/forwarding/deadlines.py
@@ -35,7 +35,7 @@
     tried.
     """
 
-    deadline: float
+    deadline_at: float
     first_byte_deadline: float
     silence_timeout_s: float
 
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -227,7 +227,7 @@
             self._context.retry_guards.record_lost_answer(
                 request.fingerprint, reservation.incarnation
             )
-        time_left_s = request.deadlines.deadline - monotonic()
+        time_left_s = request.deadlines.deadline_at - monotonic()
         if self._watched.is_over:
             time_left_s = 0.0
         is_retry_allowed = may_retry(self._counts, self._policy, time_left_s)
@@ -329,7 +329,7 @@
         self._has_answer_begun = False
         metadata = ServerRequestMetadata(
             instance=reservation.server,
-            time_left_s=max(0.001, request.deadlines.deadline - now),
+            time_left_s=max(0.001, request.deadlines.deadline_at - now),
             organisation=request.organisation,
             priority=request.priority,
             last_event_id=self._last_event_id,
@@ -344,7 +344,7 @@
         is_retry_allowed = may_retry(
             self._counts.with_outcome(AttemptOutcome.LOST),
             self._policy,
-            request.deadlines.deadline - now,
+            request.deadlines.deadline_at - now,
         )
         silence_timeout_s = (
             request.deadlines.silence_timeout_s if is_retry_allowed else float("inf")
