--- a/src/kingcupwheel/forwarding/deadlines.py
+++ b/src/kingcupwheel/forwarding/deadlines.py
@@ -36,7 +36,7 @@
     """
 
     deadline_at: float
-    first_byte_deadline: float
+    first_byte_deadline_at: float
     silence_timeout_s: float
 
 
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -404,7 +404,7 @@
         return (
             backoff_left_s > 0.0
             and monotonic() + backoff_left_s
-            >= self._request.deadlines.first_byte_deadline
+            >= self._request.deadlines.first_byte_deadline_at
         )
 
     def _record_first_byte(self) -> None:
--- a/src/kingcupwheel/forwarding/queue_wait.py
+++ b/src/kingcupwheel/forwarding/queue_wait.py
@@ -99,5 +99,5 @@
         priority=max(0, LOWEST_PRIORITY - request.priority),
         work=request.predicted_work,
         prompt_size=request.head.prompt_tokens,
-        first_byte_deadline_at=request.deadlines.first_byte_deadline,
+        first_byte_deadline_at=request.deadlines.first_byte_deadline_at,
     )
