--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -59,7 +59,7 @@
         self.may_dispatch = may_dispatch
         self.instance = ""
         self.is_resumable_elsewhere = False
-        self.deadline = deadline
+        self.deadline_at = deadline
         self._server: socket.socket | None = None
         self._silence_deadline = float("inf")
         self._silence_timeout_s = float("inf")
@@ -137,7 +137,7 @@
             return
         if is_caller_gone:
             self.abort(AbortReason.CALLER_LEFT)
-        elif now >= self.deadline:
+        elif now >= self.deadline_at:
             self.abort(AbortReason.TIMEOUT)
         elif now >= shutdown_at:
             self.abort(AbortReason.SHUTDOWN)
