--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -295,10 +295,10 @@
                 ENTRY_LEAVING.reason, AbortReason.SHUTDOWN.value, retry_s
             )
         if isinstance(result, ReservationFailure):
-            return self._refusal_without_place(result)
+            return self._refusal_without_reservation(result)
         return result
 
-    def _refusal_without_place(self, no_place: ReservationFailure) -> Refusal:
+    def _refusal_without_reservation(self, no_place: ReservationFailure) -> Refusal:
         if self._counts.possibly_run:
             message = (
                 f"It was sent to a server, and no other took it: {no_place.reason}."
--- a/src/kingcupwheel/forwarding/retry_guards.py
+++ b/src/kingcupwheel/forwarding/retry_guards.py
@@ -49,9 +49,9 @@
     """
 
     def __init__(
-        self, budget: RetryBudgetLimits, count_entries: Callable[[], int]
+        self, budget_limits: RetryBudgetLimits, count_entries: Callable[[], int]
     ) -> None:
-        self._budget = budget
+        self._budget_limits = budget_limits
         self._count_entries = count_entries
         self._suspects = CrashSuspects()
         self._lost_answers: deque[tuple[float, str, str]] = deque(
@@ -122,8 +122,8 @@
         with self._lock:
             return self._budget_of(service).try_acquire(
                 monotonic(),
-                share=self._budget.share * _ENTRY_BUDGET_FRACTION,
-                floor=self._budget.floor
+                share=self._budget_limits.share * _ENTRY_BUDGET_FRACTION,
+                floor=self._budget_limits.floor
                 * _ENTRY_BUDGET_FRACTION
                 / max(1, self._count_entries()),
             )
@@ -139,7 +139,7 @@
     def _budget_of(self, service: str) -> SlidingWindowRetryBudget:
         budget = self._budgets_by_service.get(service)
         if budget is None:
-            budget = SlidingWindowRetryBudget(window_s=self._budget.window_s)
+            budget = SlidingWindowRetryBudget(window_s=self._budget_limits.window_s)
             self._budgets_by_service[service] = budget
         return budget
 
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -52,14 +52,14 @@
     def __init__(
         self,
         caller_socket: socket.socket | None,
-        deadline: float,
+        deadline_at: float,
         may_dispatch: Callable[[], bool] = lambda: True,
     ) -> None:
         self.caller_socket = caller_socket
         self.may_dispatch = may_dispatch
         self.instance = ""
         self.is_resumable_elsewhere = False
-        self.deadline_at = deadline
+        self.deadline_at = deadline_at
         self._server: socket.socket | None = None
         self._silence_deadline = float("inf")
         self._silence_timeout_s = float("inf")
