--- a/src/kingcupwheel/forwarding/application.py
+++ b/src/kingcupwheel/forwarding/application.py
@@ -112,10 +112,10 @@
         if schedule is None:
             return None
         now = monotonic()
-        deadline = request.deadlines.deadline_at
+        deadline_at = request.deadlines.deadline_at
         if not self._refuses_new and schedule.may_accept(
             now,
-            deadline_at=deadline,
+            deadline_at=deadline_at,
             longest_recent_s=self._active_requests.longest_answer_s(request, now),
             is_streamed=request.route.is_streamed,
         ):
@@ -131,10 +131,10 @@
         if schedule is None:
             return True
         now = monotonic()
-        deadline = request.deadlines.deadline_at
+        deadline_at = request.deadlines.deadline_at
         return schedule.may_dispatch(
             now,
-            deadline_at=deadline,
+            deadline_at=deadline_at,
             longest_recent_s=self._active_requests.longest_answer_s(request, now),
         )
 
--- a/src/kingcupwheel/forwarding/backends.py
+++ b/src/kingcupwheel/forwarding/backends.py
@@ -11,7 +11,7 @@
     ``instance`` is the server's own name, which it may keep across restarts;
     ``started_at_ms`` (Unix time, 0 if unknown) then tells its incarnations apart.
     ``address`` is ``IP:port``, which a server of another service may get later.
-    ``places`` is the number of requests that it runs at once, ``warmup_left_s`` the
+    ``capacity`` is the number of requests that it runs at once, ``warmup_left_s`` the
     time until it has its full speed. ``created_revision`` is the store's revision at
     which the entry was created; it orders entries with the same address.
     """
--- a/src/kingcupwheel/forwarding/daemon.py
+++ b/src/kingcupwheel/forwarding/daemon.py
@@ -94,12 +94,12 @@
         )
         table = ServerTable(settings.timings)
         dispatchers = DispatcherRegistry(table, data_centre=settings.data_centre)
-        budget = RetryBudgetLimits(
+        budget_limits = RetryBudgetLimits(
             self._forwarding.retry_share,
             self._forwarding.retry_floor,
             self._forwarding.retry_window_s,
         )
-        self._guards = RetryGuards(budget, lambda: self._membership.fleet_size)
+        self._guards = RetryGuards(budget_limits, lambda: self._membership.fleet_size)
         connections = ConnectionPool()
         self._context = ForwardContext(
             data_centre=settings.data_centre,
--- a/src/kingcupwheel/forwarding/deadlines.py
+++ b/src/kingcupwheel/forwarding/deadlines.py
@@ -50,19 +50,21 @@
     of a stream has an earlier deadline, since its caller leaves when nothing arrives.
     """
     total_s = route.timeout_s if timeout_s is None else min(route.timeout_s, timeout_s)
-    deadline = received_at + total_s - NETWORK_ALLOWANCE_S
+    deadline_at = received_at + total_s - NETWORK_ALLOWANCE_S
     if not route.is_streamed:
         silence_timeout_s = total_s
         if route.is_idempotent and route.max_servers > 1:
             silence_timeout_s = total_s * PLAIN_SILENCE_FRACTION
-        return Deadlines(deadline, deadline, silence_timeout_s)
+        return Deadlines(deadline_at, deadline_at, silence_timeout_s)
     patience_s = max(
         MIN_STREAM_PATIENCE_S,
         _PATIENCE_TARGET_LATENCIES * route.target_latency_s,
         _PATIENCE_GAPS * route.max_event_gap_s,
     )
-    first_byte_deadline = min(deadline, received_at + patience_s - NETWORK_ALLOWANCE_S)
+    first_byte_deadline_at = min(
+        deadline_at, received_at + patience_s - NETWORK_ALLOWANCE_S
+    )
     silence_timeout_s = patience_s
     if route.is_resumable and route.max_servers > 1:
         silence_timeout_s = patience_s * STREAM_SILENCE_FRACTION
-    return Deadlines(deadline, first_byte_deadline, silence_timeout_s)
+    return Deadlines(deadline_at, first_byte_deadline_at, silence_timeout_s)
--- a/src/kingcupwheel/forwarding/forwarder.py
+++ b/src/kingcupwheel/forwarding/forwarder.py
@@ -298,14 +298,14 @@
             return self._refusal_without_reservation(result)
         return result
 
-    def _refusal_without_reservation(self, no_place: ReservationFailure) -> Refusal:
+    def _refusal_without_reservation(self, failure: ReservationFailure) -> Refusal:
         if self._counts.possibly_run:
             message = (
-                f"It was sent to a server, and no other took it: {no_place.reason}."
+                f"It was sent to a server, and no other took it: {failure.reason}."
             )
-            return Refusal(502, no_place.limit, message, 0.0, Outcome.UNKNOWN)
-        message = f"No server could take it in time: {no_place.reason}."
-        return Refusal(503, no_place.limit, message, no_place.retry_after_s)
+            return Refusal(502, failure.limit, message, 0.0, Outcome.UNKNOWN)
+        message = f"No server could take it in time: {failure.reason}."
+        return Refusal(503, failure.limit, message, failure.retry_after_s)
 
     def _log_placement(self, reservation: Reservation) -> None:
         request = self._request
--- a/src/kingcupwheel/forwarding/http_metadata.py
+++ b/src/kingcupwheel/forwarding/http_metadata.py
@@ -37,7 +37,7 @@
 
 
 class ReportedLoad(NamedTuple):
-    """Load reported in an answer: running and waiting requests, and places."""
+    """Load reported in an answer: running and waiting requests, and capacity."""
 
     running: int
     waiting: int
--- a/src/kingcupwheel/forwarding/server_registry.py
+++ b/src/kingcupwheel/forwarding/server_registry.py
@@ -363,15 +363,15 @@
         )
 
 
-def capacity_at_pace(places: int, pace: float) -> int:
-    """Return the number of places of a server whose passes take ``pace`` times as long.
+def capacity_at_pace(capacity: int, pace: float) -> int:
+    """Return the capacity of a server whose passes take ``pace`` times as long.
 
     All ranks of a group run each pass together, so the work of a slow rank delays every
-    stream of the group. It keeps at least one place, for when the others are full.
+    stream of the group. Its capacity is at least 1, for when the others are full.
     """
     if pace <= SLOW_PACE:
-        return places
-    return max(1, int(places / (pace * pace)))
+        return capacity
+    return max(1, int(capacity / (pace * pace)))
 
 
 def _load(running: int, waiting: int) -> BackendLoad:
@@ -379,15 +379,15 @@
 
 
 def _groups_by_service(backends: Iterable[Backend]) -> dict[str, ServerGroup]:
-    places_by_service: dict[str, int] = {}
+    capacity_by_service: dict[str, int] = {}
     for backend in backends:
-        max_places = places_by_service.get(backend.service, 1)
-        places_by_service[backend.service] = max(max_places, backend.capacity)
+        max_capacity = capacity_by_service.get(backend.service, 1)
+        capacity_by_service[backend.service] = max(max_capacity, backend.capacity)
     return {
         service: ServerGroup(
-            name=service, concurrency=places, queue=MAX_QUEUED_REQUESTS
+            name=service, concurrency=capacity, queue=MAX_QUEUED_REQUESTS
         )
-        for service, places in places_by_service.items()
+        for service, capacity in capacity_by_service.items()
     }
 
 
--- a/src/kingcupwheel/forwarding/watchdog.py
+++ b/src/kingcupwheel/forwarding/watchdog.py
@@ -43,7 +43,8 @@
 class WatchedRequest:
     """A request that the watchdog can abort.
 
-    Its thread attaches the server's socket while it reads. ``deadline`` is monotonic.
+    Its thread attaches the server's socket while it reads. ``deadline_at`` is
+    monotonic.
     ``may_dispatch`` returns whether a request that was never sent may still be sent.
     ``instance`` is the server that is read from, ``is_resumable_elsewhere`` whether its
     stream can be resumed at another one.
