--- a/tools/demo.py
+++ b/tools/demo.py
@@ -69,8 +69,10 @@
         fleet = self._fleet
         _, self._rank_addresses = fleet.start_ranks(_RANK_COUNT, _EXPERT_COUNT)
         for rank, address in enumerate(self._rank_addresses):
-            at_rank = {"rank": rank, "rank_url": f"http://{address}"}
-            fleet.add_agent(f"parts-{rank + 1}", "parts-model", server_settings=at_rank)
+            server_settings = {"rank": rank, "rank_url": f"http://{address}"}
+            fleet.add_agent(
+                f"parts-{rank + 1}", "parts-model", server_settings=server_settings
+            )
         fleet.add_agent("portal-1", "exchange-portal", kind="service")
         fleet.add_entry("entry-1")
         fleet.add_entry("entry-2")
@@ -87,7 +89,7 @@
         body = {"prompt": "Read tag 8130-3", "max_tokens": 12, "stream": True}
         reply = self._caller.call(entry, "/v1/completions", body)
         _print_reply(reply)
-        self._check_reply("the stream is whole and ran", reply, 200, "ran")
+        self._check_reply("the stream is complete and ran", reply, 200, "ran")
 
     def _check_reservation(self) -> None:
         _print_line(
@@ -124,7 +126,7 @@
         for reply in refused[:1]:
             _print_reply(reply)
             self._check_reply("the refusal is not-run", reply, 429, "not-run")
-            self._record_check("it says when to return", "retry-after" in reply.headers)
+            self._record_check("it says when to retry", "retry-after" in reply.headers)
 
     def _check_rebalancing(self) -> None:
         _print_line("Two experts of one rank become popular while callers stream:")
@@ -134,10 +136,12 @@
         entry = self._fleet.entries["entry-1"].caller_address
         body = {"prompt": "inspection", "max_tokens": 40, "stream": True}
         until = time.monotonic() + _MAP_CHANGE_TIMEOUT_S
-        whole = True
+        is_complete = True
         while time.monotonic() < until:
             reply = self._caller.call(entry, "/v1/completions", body)
-            whole = whole and isinstance(reply, Reply) and reply.outcome == "ran"
+            is_complete = (
+                is_complete and isinstance(reply, Reply) and reply.outcome == "ran"
+            )
             if len(self._fetch_step_record()["steps_by_map"]) > len(
                 before["steps_by_map"]
             ):
@@ -148,9 +152,9 @@
             f"longest stall {after['longest_stall_s']:.2f} s"
         )
         changed = len(after["steps_by_map"]) > len(before["steps_by_map"])
-        self._record_check("the group runs on a map that fits better", changed)
+        self._record_check("the group runs on a new map", changed)
         self._record_check("no step was run on two maps", not after["mixed"])
-        self._record_check("the streams meanwhile are whole", whole)
+        self._record_check("the streams meanwhile are complete", is_complete)
 
     def _fetch_step_record(self) -> dict[str, Any]:
         found: dict[str, Any] = self._fleet.get_json(
@@ -166,11 +170,11 @@
             )
             _print_line(completed.stdout.strip() + completed.stderr.strip())
             self._record_check(
-                f"the story of {request_id} is whole", completed.returncode == 0
+                f"the trace of {request_id} is complete", completed.returncode == 0
             )
         burn = self._fleet.run_command("report", "burn", "--platform", platform)
         _print_line(burn.stdout.strip() + burn.stderr.strip())
-        self._record_check("the burn report is whole", burn.returncode == 0)
+        self._record_check("the burn report is complete", burn.returncode == 0)
 
     def _check_graceful_stop(self) -> None:
         _print_line("Stopping every entry, then every agent, gracefully.")
@@ -242,9 +246,9 @@
         demo = Demo(fleet)
         demo.run()
     if demo.failed_checks:
-        _print_line("Not as it should be: " + "; ".join(demo.failed_checks))
+        _print_line("Failed checks: " + "; ".join(demo.failed_checks))
         sys.exit(1)
-    _print_line("Every answer was what it should be.")
+    _print_line("All checks passed.")
 
 
 if __name__ == "__main__":
--- a/tools/subset_coverage.py
+++ b/tools/subset_coverage.py
@@ -58,13 +58,13 @@
     before = fleet.select_subsets()
     count_by_server = Counter(name for names in before.values() for name in names)
     counts = [count_by_server[server.name] for server in fleet.servers]
-    entry_moves = [
+    entry_churn = [
         _count_new_links(
             before, fleet._replace(entries=_remove_instance(fleet.entries, number))
         )
         for number in range(DEPARTURE_COUNT)
     ]
-    server_moves = [
+    server_churn = [
         _count_new_links(
             before, fleet._replace(servers=_remove_instance(fleet.servers, number))
         )
@@ -77,8 +77,8 @@
         f"{mean(counts):.2f}",
         str(max(counts)),
         f"{pstdev(counts):.2f}",
-        f"{mean(entry_moves):.0f}",
-        f"{mean(server_moves):.0f}",
+        f"{mean(entry_churn):.0f}",
+        f"{mean(server_churn):.0f}",
     )
 
 
